--- a/crates/audit/src/rules/idempotency.rs
+++ b/crates/audit/src/rules/idempotency.rs
@@ -47,10 +47,10 @@
         let Some(before) = before else { continue };
         verdict.tested += 1;
         let is_recognised = match idempotency {
-            Idempotency::WithKey { group, window } => {
+            Idempotency::WithKey { scope, window } => {
                 let part = (attempt.at - before.at) as f64 / window.micros().max(1) as f64;
                 verdict.approach(part);
-                is_in_scope(deployment, group, &before.node, &attempt.node) && part <= 1.0
+                is_in_scope(deployment, scope, &before.node, &attempt.node) && part <= 1.0
             }
             _ => false,
         };
@@ -69,7 +69,7 @@
     let succeeded = end.answer.outcome == Outcome::Succeeded as i32;
     verdict.test_if(may_have_run.is_some() && !succeeded);
     let rejected = end.answer.outcome == Outcome::Rejected as i32;
-    let known_everywhere = matches!(idempotency, Idempotency::WithKey { group: IdempotencyScope::All, .. });
+    let known_everywhere = matches!(idempotency, Idempotency::WithKey { scope: IdempotencyScope::All, .. });
     if let Some(attempt) = may_have_run
         && rejected
         && !known_everywhere
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -48,7 +48,7 @@
             "it takes over: what an earlier one granted is over in {left:.0} ms; until then nothing grows\n"
         );
     }
-    if let Some(left) = s.mute_ms {
+    if let Some(left) = s.recovering_ms {
         text += &format!("newly born: as a voter it says nothing for {left:.0} ms\n");
     }
     if s.fenced {
@@ -86,7 +86,7 @@
         ]);
     }
     text += &format!("{members}\n{budgets}\n");
-    if s.members.iter().all(|m| m.heard_ms.is_none()) {
+    if s.members.iter().all(|m| m.last_renewal_ms.is_none()) {
         text += "what others hold is counted by the coordinator: ask it for the sums\n";
     }
     for (why, n) in &s.dropped {
@@ -97,7 +97,7 @@
 
 fn why(m: &MemberStatus, name: &impl Fn(u32) -> String) -> String {
     use gullsail_fleet::MemberState::*;
-    let heard = m.heard_ms.map_or(String::new(), |ms| format!("heard {ms:.0} ms ago"));
+    let heard = m.last_renewal_ms.map_or(String::new(), |ms| format!("heard {ms:.0} ms ago"));
     match (m.state, m.via) {
         (Member, Some(via)) => format!("{heard}, through {} only", name(via)),
         (Member, None) => heard,
--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -194,8 +194,8 @@
         tick: Span::from_millis(20.0),
         max_attempts: 3,
         max_units: 8.0,
-        share_part: 1.0,
-        spare_part: 1.0,
+        within_share_value: 1.0,
+        beyond_share_value: 1.0,
         peer_messages_enabled: true,
         poll_endpoints: true,
         ..SchedulerConfig::default()
@@ -231,8 +231,8 @@
     rules.drain_grace = r.span_at(n, "drain-grace").unwrap_or(rules.drain_grace);
     config.order_settle = r.span_at(n, "order-settle").unwrap_or_default();
     config.max_units = r.number_at(n, "most-units", 0.0).unwrap_or(config.max_units);
-    config.share_part = r.part_at(n, "share-part").unwrap_or(1.0);
-    config.spare_part = r.part_at(n, "spare-part").unwrap_or(1.0);
+    config.within_share_value = r.part_at(n, "share-part").unwrap_or(1.0);
+    config.beyond_share_value = r.part_at(n, "spare-part").unwrap_or(1.0);
     config.max_retry_after = r.span_at(n, "advice");
     rules
 }
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -191,8 +191,8 @@
         c("tick", say(&a.tick), say(&b.tick));
         c("order-settle", say(&a.order_settle), say(&b.order_settle));
         c("most-units", say(&a.max_units), say(&b.max_units));
-        c("share-part", say(&a.share_part), say(&b.share_part));
-        c("spare-part", say(&a.spare_part), say(&b.spare_part));
+        c("share-part", say(&a.within_share_value), say(&b.within_share_value));
+        c("spare-part", say(&a.beyond_share_value), say(&b.beyond_share_value));
         c("advice", say(&a.max_retry_after), say(&b.max_retry_after));
         c(
             "legs",
--- a/crates/configuration/src/diff_values.rs
+++ b/crates/configuration/src/diff_values.rs
@@ -51,13 +51,13 @@
 fn idempotency_text(value: &Idempotency) -> String {
     match value {
         Idempotency::Idempotent => "Repeatable".into(),
-        Idempotency::WithKey { group, window } => {
-            let group = match group {
+        Idempotency::WithKey { scope, window } => {
+            let scope = match scope {
                 IdempotencyScope::All => "All",
                 IdempotencyScope::Zone => "Zone",
                 IdempotencyScope::Shard => "Cell",
             };
-            format!("Keyed {{ group: {group}, window: {window:?} }}")
+            format!("Keyed {{ group: {scope}, window: {window:?} }}")
         }
         Idempotency::NonIdempotent => "Unrepeatable".into(),
     }
--- a/crates/configuration/src/entry_classes.rs
+++ b/crates/configuration/src/entry_classes.rs
@@ -20,8 +20,8 @@
                 ("zone", IdempotencyScope::Zone),
                 ("cell", IdempotencyScope::Shard),
             ];
-            let group = r.keyword(n, "group", &groups).unwrap_or(IdempotencyScope::Shard);
-            Idempotency::WithKey { group, window: r.span(n, "window") }
+            let scope = r.keyword(n, "group", &groups).unwrap_or(IdempotencyScope::Shard);
+            Idempotency::WithKey { scope, window: r.span(n, "window") }
         }
         Some(2) => Idempotency::NonIdempotent,
         _ => Idempotency::Idempotent,
--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -59,7 +59,7 @@
 fn rules(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
     let f = d.figures();
     if let Some(n) = entries(document, "rules").next() {
-        if f.spare_part > f.share_part {
+        if f.beyond_share_value > f.within_share_value {
             let message = "units past the share would earn more than those within it".into();
             r.warn("odd-parts", message, n.span(), Some("spare-part is at most share-part".into()));
         }
--- a/crates/configuration/tests/documents.rs
+++ b/crates/configuration/tests/documents.rs
@@ -29,7 +29,7 @@
     assert_eq!((f.tick, f.slow_start.window), (Span::from_millis(20.0), Span::from_millis(1500.0)));
     assert_eq!(
         f.request_classes[1].idempotency,
-        Idempotency::WithKey { group: IdempotencyScope::Shard, window: Span::from_millis(5000.0) }
+        Idempotency::WithKey { scope: IdempotencyScope::Shard, window: Span::from_millis(5000.0) }
     );
     assert!(f.request_classes[1].in_order && d.request_classes[1].write);
     assert_eq!(f.plans[0].limit.map(|l| (l.rate, l.burst)), Some((40.0, 64.0)));
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -170,7 +170,7 @@
     }
 
     /// Everything that it held is given back, or there is nobody to give it back to.
-    pub fn gone(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.departure == Departure::Complete
     }
 
@@ -182,7 +182,7 @@
     /// [`Fleet::changed`].
     pub fn handle(&mut self, now: Instant, event: Event) {
         self.expire(now);
-        if !matches!(event, Event::Asked { .. } | Event::Sees { .. }) {
+        if !matches!(event, Event::DemandObserved { .. } | Event::ServersObserved { .. }) {
             self.due = now;
         }
         match event {
@@ -190,7 +190,7 @@
                 self.counts.messages_in += 1;
                 self.receive(link, message);
             }
-            Event::Asked { budget, units } => self.demand.add(budget, units, now),
+            Event::DemandObserved { budget, units } => self.demand.add(budget, units, now),
             Event::Config(config) => self.config_changed(config),
             Event::Leave if !self.is_leaving() => {
                 info!("leaving the fleet: nothing is used any more");
@@ -199,9 +199,9 @@
                 self.announce_departure();
             }
             Event::Leave => {}
-            Event::Sees { servers, let_go } => {
+            Event::ServersObserved { servers, released } => {
                 self.maintenance.servers = servers;
-                self.maintenance.released = let_go;
+                self.maintenance.released = released;
             }
             Event::OperatorCommand { number, command } => self.accept_command(number, command),
         }
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -18,7 +18,7 @@
     pub(super) fn advance_candidate(&mut self) {
         // A host whose server is to go hands the lease over first, and no longer seeks it.
         let recovering = self.now < self.acceptor.recovering_until();
-        if !self.config.is_voter(self.me) || recovering || self.goes() {
+        if !self.config.is_voter(self.me) || recovering || self.going_offline() {
             return;
         }
         let own = self.process();
--- a/crates/fleet/src/fleet/event.rs
+++ b/crates/fleet/src/fleet/event.rs
@@ -18,7 +18,7 @@
         message: FleetMessage,
     },
     /// Clients ask for units of a budget.
-    Asked {
+    DemandObserved {
         /// Which budget.
         budget: VolumeId,
         /// How much.
@@ -29,11 +29,11 @@
     /// All requests are answered, and nothing is used any more: the host leaves.
     Leave,
     /// The servers as this host observes them.
-    Sees {
+    ServersObserved {
         /// All of them.
         servers: Servers,
         /// Those that it has released: no attempt, no connection.
-        let_go: BTreeSet<ServerId>,
+        released: BTreeSet<ServerId>,
     },
     /// An operator's command; its result is among [`Fleet::answers`](crate::Fleet::answers) under this
     /// number.
--- a/crates/fleet/src/fleet/maintenance.rs
+++ b/crates/fleet/src/fleet/maintenance.rs
@@ -60,7 +60,7 @@
     }
 
     /// The host itself is to go offline: it takes no new requests, and leaves once all are answered.
-    pub fn goes(&self) -> bool {
+    pub fn going_offline(&self) -> bool {
         let own = self.server_of(self.me);
         let order = own.and_then(|server| self.maintenance.order_book.as_ref()?.order(server));
         // A process that has started since is another one.
@@ -144,7 +144,7 @@
             self.maintenance.confirmed_until = self.lease_holder.until();
             self.expire_maintenance();
         }
-        if self.goes() && self.resign() {
+        if self.going_offline() && self.resign() {
             info!(member = self.me.0, "its machine goes: another decides from now on");
         }
     }
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -22,7 +22,7 @@
             decides_for_ms: held.map(|lease| self.millis_until(lease.until)),
             takes_over_ms: takes_over.map(|c| self.millis_until(c.takeover_ends(&self.config))),
             lease_ms: self.lease_holder.until().map(|until| self.millis_until(until)),
-            mute_ms: recovering_until.map(|until| self.millis_until(until)),
+            recovering_ms: recovering_until.map(|until| self.millis_until(until)),
             fenced: self.fenced,
             members: self.members.iter().filter_map(|member| self.member_status(member)).collect(),
             budgets: self.config.budgets.iter().map(|(id, budget)| self.budget_status(*id, budget)).collect(),
@@ -42,7 +42,7 @@
             host: member.host,
             incarnation: member.incarnation,
             state: MemberState::from_number(member.state)?,
-            heard_ms: known.map(|known| (self.now - known.last_renewal).millis()),
+            last_renewal_ms: known.map(|known| (self.now - known.last_renewal).millis()),
             via: known.and_then(|known| known.via).map(|via| via.0),
             over_ms: known.map(|known| self.millis_until(known.until)),
         })
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -26,7 +26,8 @@
     /// How long this host's own lease lasts, unless renewed; `None`: it has none, and its floors count.
     pub lease_ms: Option<f64>,
     /// How long this host's acceptor is still recovering from a start, and answers no candidate.
-    pub mute_ms: Option<f64>,
+    #[serde(rename = "mute_ms")]
+    pub recovering_ms: Option<f64>,
     /// Another process holds a lease under this host's name.
     pub fenced: bool,
     /// All hosts that the coordinator knows.
@@ -51,7 +52,8 @@
     #[serde(rename = "standing")]
     pub state: MemberState,
     /// Of the coordinator's own view: how long ago its last renewal came.
-    pub heard_ms: Option<f64>,
+    #[serde(rename = "heard_ms")]
+    pub last_renewal_ms: Option<f64>,
     /// Of the coordinator's own view: the host that passes its renewals on.
     pub via: Option<u32>,
     /// Of the coordinator's own view: when its lease is over.
--- a/crates/fleet/tests/exploration.rs
+++ b/crates/fleet/tests/exploration.rs
@@ -122,7 +122,7 @@
     fn set_demand(&mut self, h: u32, units: f64) {
         let now = self.clock(h);
         if let Some(f) = &mut self.hosts[h as usize] {
-            f.handle(now, Event::Asked { budget: BUDGET, units });
+            f.handle(now, Event::DemandObserved { budget: BUDGET, units });
         }
     }
 
--- a/crates/fleet/tests/world/harness.rs
+++ b/crates/fleet/tests/world/harness.rs
@@ -222,11 +222,11 @@
         let now = self.clock(host, self.now);
         let Some(fleet) = &mut self.hosts[host as usize].fleet else { return };
         fleet.advance(now);
-        if fleet.goes() {
+        if fleet.going_offline() {
             // All requests that it took are answered at once.
             fleet.handle(now, Event::Leave);
         }
-        if fleet.gone() {
+        if fleet.has_left() {
             return self.kill(host);
         }
         if self.config.maintenance.is_some() {
@@ -286,7 +286,7 @@
         let clock = self.clock(number, self.now);
         if let Some(fleet) = &mut self.hosts[number as usize].fleet {
             for budget in self.config.budgets.keys().filter(|_| units > 0.0) {
-                fleet.handle(clock, Event::Asked { budget: *budget, units });
+                fleet.handle(clock, Event::DemandObserved { budget: *budget, units });
             }
         }
         for (link, message) in waiting {
--- a/crates/fleet/tests/world/invariants.rs
+++ b/crates/fleet/tests/world/invariants.rs
@@ -71,7 +71,8 @@
         }
         // The host may have restarted, and not know its order yet: then it does not leave.
         let fleet = self.fleet(server.0 as u32 - 1);
-        let old_process_runs = fleet.is_some_and(|fleet| fleet.share(VolumeId(1)) > 0 && fleet.goes());
+        let old_process_runs =
+            fleet.is_some_and(|fleet| fleet.share(VolumeId(1)) > 0 && fleet.going_offline());
         assert!(
             !old_process_runs,
             "seed {}, at {}: host {server:?} is offline and uses what it held",
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -87,7 +87,7 @@
             "coordinator {:?}, lease {:?}, goes {}, {version:?} {orders:?}",
             status.coordinator,
             status.lease_ms,
-            fleet.goes()
+            fleet.going_offline()
         )
     };
     w.hosts.iter().map(one).collect::<Vec<_>>().join("\n")
--- a/crates/fleet/tests/world/servers.rs
+++ b/crates/fleet/tests/world/servers.rs
@@ -26,7 +26,7 @@
                 released.insert(server);
             }
         }
-        fleet.handle(now, Event::Sees { servers, let_go: released });
+        fleet.handle(now, Event::ServersObserved { servers, released });
         self.answers.extend(fleet.answers());
         if let Some(order_book) = fleet.line() {
             self.orders.follow(order_book);
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn record_demand(&mut self, budget: VolumeId, units: f64) {
-        self.notify_fleet(FleetEvent::Asked { budget, units });
+        self.notify_fleet(FleetEvent::DemandObserved { budget, units });
     }
 
     /// An accepted request counts for its volume, for the slow-start budget, and for how often this host may
@@ -217,7 +217,7 @@
     pub(super) fn leave_fleet(&mut self) -> bool {
         self.notify_fleet(FleetEvent::Leave);
         self.fleet_turn();
-        self.fleet.as_ref().is_none_or(Fleet::gone)
+        self.fleet.as_ref().is_none_or(Fleet::has_left)
     }
 
     /// What operators see of the fleet; `None`: there is none.
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -39,7 +39,7 @@
         }
         let Some(fleet) = &mut self.fleet else { return };
         let answers: Vec<_> = fleet.answers().collect();
-        if fleet.goes() && !self.stopping {
+        if fleet.going_offline() && !self.stopping {
             info!("this host's machine goes out for work: nothing new is taken");
             self.stopping = true;
         }
@@ -102,11 +102,11 @@
     /// Reports to the fleet what this host observes of servers, and which barred nodes it has drained.
     pub(super) fn report_servers(&mut self) {
         let mut servers = Servers::new();
-        let mut let_go = BTreeSet::new();
+        let mut released = BTreeSet::new();
         for (id, n) in self.nodes.iter() {
             servers.insert(of_node(id), self.observe_node(n));
             if n.barred && n.connection.link().is_none() && self.requests.at_node(id).is_empty() {
-                let_go.insert(of_node(id));
+                released.insert(of_node(id));
             }
         }
         for (place, host) in self.deployment.hosts.iter().enumerate() {
@@ -119,7 +119,7 @@
             };
             servers.insert(of_host(&host.name), observation);
         }
-        self.notify_fleet(FleetEvent::Sees { servers, let_go });
+        self.notify_fleet(FleetEvent::ServersObserved { servers, released });
     }
 
     pub(super) fn observe_node(&self, n: &NodeSide) -> ServerObservation {
--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -67,7 +67,7 @@
         let classes = self.config(host).map(|config| &config.request_classes);
         let class = classes.and_then(|classes| classes.get(history.request.request_class.0));
         let safe = match class.map(|class| class.idempotency) {
-            Some(Idempotency::Idempotent | Idempotency::WithKey { group: IdempotencyScope::All, .. }) => true,
+            Some(Idempotency::Idempotent | Idempotency::WithKey { scope: IdempotencyScope::All, .. }) => true,
             _ => history.may_have_run().is_none(),
         };
         self.tested[1] += u64::from(!safe);
@@ -121,10 +121,10 @@
         let wrong = match config.request_classes[history.request.request_class.0].idempotency {
             Idempotency::Idempotent => return Ok(()),
             Idempotency::NonIdempotent => Some("an unrepeatable transfer that may have run goes again"),
-            Idempotency::WithKey { group, window } => {
+            Idempotency::WithKey { scope, window } => {
                 let (there, here) =
                     (self.listings(*host, first.node).last(), self.listings(*host, *node).last());
-                let same = match group {
+                let same = match scope {
                     IdempotencyScope::All => true,
                     IdempotencyScope::Zone => there.map(|entry| entry.zone) == here.map(|entry| entry.zone),
                     IdempotencyScope::Shard => {
--- a/crates/scheduler-api/src/config.rs
+++ b/crates/scheduler-api/src/config.rs
@@ -21,7 +21,7 @@
     /// Where its key is known: nodes recognise a repeat.
     WithKey {
         /// The nodes that share their knowledge of keys.
-        group: IdempotencyScope,
+        scope: IdempotencyScope,
         /// How long they keep it.
         window: Span,
     },
@@ -147,9 +147,9 @@
     /// The most units that one request has.
     pub max_units: f64,
     /// The part of the priority weight that units beyond the reserve still earn,
-    pub share_part: f64,
+    pub within_share_value: f64,
     /// and that units beyond the weighted share still earn.
-    pub spare_part: f64,
+    pub beyond_share_value: f64,
     /// The longest wait that a rejection may advise; `None`: no advice reaches clients.
     pub max_retry_after: Option<Span>,
     /// Whether hosts can send each other demand reports.
@@ -168,7 +168,7 @@
 
 impl SchedulerConfig {
     /// Units that a node that warms up bears from this host in any case, within the rule's window.
-    pub fn borne(&self) -> f64 {
+    pub fn slow_start_units_per_host(&self) -> f64 {
         match self.slow_start_share {
             Some(part) => self.slow_start.units * part,
             None => self.slow_start.units / f64::from(self.hosts.max(1)),
@@ -176,7 +176,7 @@
     }
 
     /// What changes while serving.
-    pub fn follow(
+    pub fn apply_change(
         &mut self,
         plans: Vec<Plan>,
         cross_zone_budgets: Vec<CrossZoneBudget>,
--- a/crates/scheduler-settings/src/lib.rs
+++ b/crates/scheduler-settings/src/lib.rs
@@ -40,8 +40,8 @@
         order_settle: Span::from_millis(raw.rules.order_settle),
         max_attempts: raw.limits.max_attempts,
         max_units: raw.family_info.max_units,
-        share_part: raw.family_info.within_share,
-        spare_part: raw.family_info.idle_worth,
+        within_share_value: raw.family_info.within_share,
+        beyond_share_value: raw.family_info.idle_worth,
         max_retry_after: raw.limits.retry_after.then_some(Span::from_millis(raw.limits.max_retry_after)),
         peer_messages_enabled: raw.limits.peer_messages,
         poll_endpoints: raw.membership_mode == "ask",
@@ -90,7 +90,7 @@
     };
     let idempotency = match profile.idempotency.as_str() {
         "pure" => Idempotency::Idempotent,
-        "token" => Idempotency::WithKey { group: group()?, window: Span::from_millis(profile.window) },
+        "token" => Idempotency::WithKey { scope: group()?, window: Span::from_millis(profile.window) },
         "side_effect" => Idempotency::NonIdempotent,
         other => return Err(Problem::unknown("effect", other)),
     };
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -197,7 +197,7 @@
     fn answer(&mut self, sent: &Sent, never_ran: bool) {
         let harmless = matches!(
             sent.idempotency,
-            Idempotency::Idempotent | Idempotency::WithKey { group: IdempotencyScope::All, .. }
+            Idempotency::Idempotent | Idempotency::WithKey { scope: IdempotencyScope::All, .. }
         );
         let outcome = if never_ran || harmless { Outcome::Rejected } else { Outcome::Failed };
         let retry_after_us = self.rng.random_range(100_000..300_000);
--- a/crates/simulator/src/client.rs
+++ b/crates/simulator/src/client.rs
@@ -323,9 +323,9 @@
             || match idempotency {
                 Idempotency::Idempotent => true,
                 // Another host would put a new object elsewhere, where its mark is not known.
-                Idempotency::WithKey { group, window } => {
+                Idempotency::WithKey { scope, window } => {
                     let within = t.began.elapsed() + wait < Duration::from_micros(window.micros() as u64);
-                    within && (group == IdempotencyScope::All || known)
+                    within && (scope == IdempotencyScope::All || known)
                 }
                 Idempotency::NonIdempotent => false,
             };
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -129,7 +129,7 @@
         let request = &open.request;
         let may_repeat = matches!(
             self.config.request_classes[request.request_class.0].idempotency,
-            Idempotency::Idempotent | Idempotency::WithKey { group: IdempotencyScope::All, .. }
+            Idempotency::Idempotent | Idempotency::WithKey { scope: IdempotencyScope::All, .. }
         );
         let never_ran = open.possible_run.is_none() && open.in_flight == 0;
         let volume = self.volumes.by_id.get(&request.volume);
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -74,9 +74,9 @@
 impl OpenRequest {
     /// Does this node know a repeat of what may have run already?
     pub(super) fn may_repeat_at(&self, now: Instant, node: &Endpoint, idempotency: Idempotency) -> bool {
-        let Idempotency::WithKey { group, window } = idempotency else { return true };
+        let Idempotency::WithKey { scope, window } = idempotency else { return true };
         let Some(run) = self.possible_run else { return true };
-        let in_scope = match group {
+        let in_scope = match scope {
             IdempotencyScope::All => true,
             IdempotencyScope::Zone => run.zone == node.zone || run.shard == node.shard,
             IdempotencyScope::Shard => run.shard == node.shard,
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -32,7 +32,7 @@
         let request = &open.request;
         let by_shard = matches!(
             self.config.request_classes[request.request_class.0].idempotency,
-            Idempotency::WithKey { group: IdempotencyScope::Shard, .. }
+            Idempotency::WithKey { scope: IdempotencyScope::Shard, .. }
         );
         let bound_to = open.possible_run.filter(|_| by_shard).map(|run| run.shard);
         let shard = request.shard.or(bound_to);
@@ -99,7 +99,8 @@
         let full = class.priority_weight * config.plans[volume.plan.0].price;
         // The weighted share: who was sent less than the others, by weight, is inside it.
         let inside_share = (self.volumes.mean_excess / volume.excess.last().max(1e-9)).min(1.0);
-        let beyond_reserve = config.spare_part + (config.share_part - config.spare_part) * inside_share;
+        let beyond_reserve = config.beyond_share_value
+            + (config.within_share_value - config.beyond_share_value) * inside_share;
         full * if volume.reserve >= open.request.units { 1.0 } else { beyond_reserve }
     }
 
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -127,7 +127,7 @@
         };
         let ramped = (age - rule.window).secs().max(0.0) / rule.ramp.secs();
         let growth = (1.0 - rule.initial_fraction) * ramped / rule.initial_fraction.max(0.01);
-        let even_share = config.borne() * (1.0 + RAMP_TRUST * growth);
+        let even_share = config.slow_start_units_per_host() * (1.0 + RAMP_TRUST * growth);
         // A tenth longer than the rule's window: attempts sent apart may arrive together, or go out later.
         let window = rule.window.times(1.1) + config.connect_wait;
         self.slow_start_attempts.retain(|attempt| now - attempt.sent_at <= window);
--- a/src/scheduler/request_scheduler.rs
+++ b/src/scheduler/request_scheduler.rs
@@ -85,7 +85,7 @@
                 for volume in self.volumes.by_id.values_mut() {
                     volume.refill(self.now, &self.config);
                 }
-                self.config.follow(plans, cross_zone_budgets, fleet_membership);
+                self.config.apply_change(plans, cross_zone_budgets, fleet_membership);
                 self.sync_budgets();
                 self.apply_allocations(&allocations);
             }
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -20,15 +20,15 @@
         tick: ms(2),
         request_classes: vec![
             request_class(Idempotency::Idempotent),
-            request_class(Idempotency::WithKey { group: IdempotencyScope::Shard, window: ms(200) }),
+            request_class(Idempotency::WithKey { scope: IdempotencyScope::Shard, window: ms(200) }),
             request_class(Idempotency::NonIdempotent),
         ],
         plans: vec![plan(None), plan(Some(Limit { rate: 40.0, burst: 40.0 }))],
         slow_start: SlowStart { units: 12.0, window: ms(1500), initial_fraction: 0.2, ramp: ms(10_000) },
         max_attempts: 3,
         max_units: 8.0,
-        share_part: 0.3,
-        spare_part: 0.1,
+        within_share_value: 0.3,
+        beyond_share_value: 0.1,
         max_retry_after: Some(ms(1000)),
         peer_messages_enabled: true,
         ..SchedulerConfig::default()
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -182,7 +182,7 @@
 /// Rule 2: what may have run goes again only as its idempotency allows.
 #[test]
 fn no_request_runs_twice_against_its_idempotency() {
-    let idempotency_key = |group| Idempotency::WithKey { group, window: ms(200) };
+    let idempotency_key = |scope| Idempotency::WithKey { scope, window: ms(200) };
     // effect, how the first attempt ended after how long, attempts sent, answers
     let cases = [
         (Idempotency::Idempotent, AttemptOutcome::ConnectionLost, 20, 2, vec![]),
@@ -215,11 +215,11 @@
 /// Rule 2: a new object that may have run stays within the group that knows its repeats.
 #[test]
 fn an_idempotency_key_repeat_stays_in_its_group() {
-    for (group, may_move) in
+    for (scope, may_move) in
         [(IdempotencyScope::Shard, false), (IdempotencyScope::Zone, false), (IdempotencyScope::All, true)]
     {
         let mut f = config();
-        f.request_classes[1].idempotency = Idempotency::WithKey { group, window: ms(5000) };
+        f.request_classes[1].idempotency = Idempotency::WithKey { scope, window: ms(5000) };
         let far = Endpoint { zone: ZoneId(1), ..node(2, 1) };
         let mut host = Host::new(f, vec![node(1, 0)], at(1000));
         host.deliver(Event::RequestArrived(Request { shard: None, ..request(5, 1) }));
@@ -227,7 +227,7 @@
         host.pass(ms(20));
         host.end(5, 0, 1, AttemptOutcome::Failed, 20);
         host.pass(ms(100));
-        assert_eq!(host.attempts(5).contains(&2), may_move, "{group:?}");
+        assert_eq!(host.attempts(5).contains(&2), may_move, "{scope:?}");
     }
 }
 
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -84,9 +84,9 @@
     f.order_settle = ms(60);
     f.retry_budget = Some(RetryBudget { free: 1.0, share: 0.05, window: ms(1000) });
     f.slow_start = SlowStart { units: 12.0, window: ms(1000), initial_fraction: 0.2, ramp: ms(4000) };
-    let group =
+    let scope =
         [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Shard][rng.random_range(0..3)];
-    f.request_classes[1].idempotency = Idempotency::WithKey { group, window: ms(60) };
+    f.request_classes[1].idempotency = Idempotency::WithKey { scope, window: ms(60) };
     f.request_classes[2].in_order = true;
     f.request_classes.push(RequestClass { in_order: true, ..request_class(Idempotency::Idempotent) });
     f.plans[1].limit = Some(Limit { rate: 15.0, burst: 8.0 * f64::from(hosts) });
