--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -7,8 +7,9 @@
 mod reader;
 
 pub use observations::{
-    AnswerSeen, AttemptAnswerSeen, AttemptSeen, BallotSeen, ConnectionSeen, EndpointReport, FrameSeen,
-    GrantSeen, ListedNode, ProcessEventSeen, RequestSeen, RevisionSeen, SharesSeen, Span, StageSeen,
+    AnswerSeen, AttemptAnswerSeen, AttemptSeen, BallotSeen, ConnectionSeen, EndpointReport,
+    FrameSeen, GrantSeen, ListedNode, ProcessEventSeen, RequestSeen, RevisionSeen, SharesSeen,
+    Span, StageSeen,
 };
 
 use gullsail_configuration::Deployment;
@@ -53,24 +54,47 @@
 impl History {
     /// What happened to a process, in order of time.
     pub fn events_of(&self, process: &str) -> &[ProcessEventSeen] {
-        self.process_events.get(process).map(Vec::as_slice).unwrap_or_default()
+        self.process_events
+            .get(process)
+            .map(Vec::as_slice)
+            .unwrap_or_default()
     }
 
     /// The time of the incarnation of a process that was running, or had ended last, at a point.
     pub fn incarnation(&self, process: &str, at: i64) -> Span {
         let events = self.events_of(process).iter();
-        let is_start = |seen: &&ProcessEventSeen| matches!(seen.event, ProcessEvent::Started { .. });
-        let started = events.clone().filter(is_start).filter(|seen| seen.at <= at).map(|seen| seen.at).max();
-        let ended = events.filter(|seen| seen.event.is_end() && seen.at > at).map(|seen| seen.at).min();
-        Span { from: started.unwrap_or(i64::MIN), to: ended.unwrap_or(i64::MAX) }
+        let is_start =
+            |seen: &&ProcessEventSeen| matches!(seen.event, ProcessEvent::Started { .. });
+        let started = events
+            .clone()
+            .filter(is_start)
+            .filter(|seen| seen.at <= at)
+            .map(|seen| seen.at)
+            .max();
+        let ended = events
+            .filter(|seen| seen.event.is_end() && seen.at > at)
+            .map(|seen| seen.at)
+            .min();
+        Span {
+            from: started.unwrap_or(i64::MIN),
+            to: ended.unwrap_or(i64::MAX),
+        }
     }
 
     /// When a process was stopped and continued by the script.
     pub fn pauses(&self, process: &str) -> Vec<Span> {
         let events = self.events_of(process);
-        let paused = events.iter().enumerate().filter(|(_, seen)| seen.event == ProcessEvent::Paused);
+        let paused = events
+            .iter()
+            .enumerate()
+            .filter(|(_, seen)| seen.event == ProcessEvent::Paused);
         let until = |place: usize| events.get(place + 1).map_or(i64::MAX, |next| next.at);
-        paused.map(|(place, seen)| Span { from: seen.at, to: until(place) }).collect()
+        paused
+            .map(|(place, seen)| Span {
+                from: seen.at,
+                to: until(place),
+            })
+            .collect()
     }
 
     /// All hosts that any of the configurations names.
@@ -79,7 +103,10 @@
     }
 
     /// Attempts of a request, in the order they were sent.
-    pub fn attempts_of<'a>(&'a self, request: &'a RequestSeen) -> impl Iterator<Item = &'a AttemptSeen> {
+    pub fn attempts_of<'a>(
+        &'a self,
+        request: &'a RequestSeen,
+    ) -> impl Iterator<Item = &'a AttemptSeen> {
         request.attempts.iter().map(|place| &self.attempts[*place])
     }
 
--- a/crates/audit/src/history/lists.rs
+++ b/crates/audit/src/history/lists.rs
@@ -18,17 +18,29 @@
 impl List {
     /// Of this host, with nothing on it yet.
     pub(super) fn new(host: String) -> List {
-        List { host, known: Vec::new() }
+        List {
+            host,
+            known: Vec::new(),
+        }
     }
 
     /// What an update reports. A node that a whole list does not name is gone.
-    pub(super) fn update(&mut self, update: &EndpointListUpdate, at: i64, line: usize) -> Vec<NodeReport> {
+    pub(super) fn update(
+        &mut self,
+        update: &EndpointListUpdate,
+        at: i64,
+        line: usize,
+    ) -> Vec<NodeReport> {
         let mut reports = Vec::new();
         if update.whole {
-            let is_named =
-                |known: &ListedEndpoint| update.entries.iter().any(|entry| entry.name == known.name);
+            let is_named = |known: &ListedEndpoint| {
+                update.entries.iter().any(|entry| entry.name == known.name)
+            };
             for known in self.known.iter().filter(|known| !is_named(known)) {
-                let gone = ListedEndpoint { state: ListedState::Gone as i32, ..known.clone() };
+                let gone = ListedEndpoint {
+                    state: ListedState::Gone as i32,
+                    ..known.clone()
+                };
                 reports.push(self.report(&gone, at, line));
             }
         }
@@ -43,8 +55,16 @@
     fn report(&self, entry: &ListedEndpoint, at: i64, line: usize) -> NodeReport {
         let state = ListedState::try_from(entry.state).unwrap_or(ListedState::Draining);
         NodeReport {
-            listed: ListedNode { host: self.host.clone(), node: entry.name.clone() },
-            report: EndpointReport { at, line, state, incarnation: entry.incarnation },
+            listed: ListedNode {
+                host: self.host.clone(),
+                node: entry.name.clone(),
+            },
+            report: EndpointReport {
+                at,
+                line,
+                state,
+                incarnation: entry.incarnation,
+            },
         }
     }
 }
--- a/crates/audit/src/history/observations.rs
+++ b/crates/audit/src/history/observations.rs
@@ -68,7 +68,8 @@
 impl AttemptSeen {
     /// Known at its host, by then, not to have run.
     pub fn never_ran(&self, by: i64) -> bool {
-        self.answer.is_some_and(|answer| answer.result == AttemptResult::Rejected && answer.at <= by)
+        self.answer
+            .is_some_and(|answer| answer.result == AttemptResult::Rejected && answer.at <= by)
     }
 
     /// When its time is over.
--- a/crates/audit/src/history/reader.rs
+++ b/crates/audit/src/history/reader.rs
@@ -2,15 +2,15 @@
 
 use super::lists::List;
 use super::{
-    AnswerSeen, AttemptAnswerSeen, AttemptSeen, BallotSeen, ConnectionSeen, FrameSeen, GrantSeen, History,
-    ProcessEventSeen, RequestSeen, RevisionSeen, SharesSeen, StageSeen,
+    AnswerSeen, AttemptAnswerSeen, AttemptSeen, BallotSeen, ConnectionSeen, FrameSeen, GrantSeen,
+    History, ProcessEventSeen, RequestSeen, RevisionSeen, SharesSeen, StageSeen,
 };
 use crate::error::RecordingError;
 use gullsail_configuration::Deployment;
 use gullsail_protocol::record::{Delivery, Entry, What};
 use gullsail_protocol::{
-    Attempt, AttemptAnswer, AttemptResult, EndpointListUpdate, FleetMessage, FleetWhat, Frame, Message,
-    Submit,
+    Attempt, AttemptAnswer, AttemptResult, EndpointListUpdate, FleetMessage, FleetWhat, Frame,
+    Message, Submit,
 };
 use std::collections::BTreeMap;
 
@@ -22,7 +22,8 @@
     pub fn read(deployment: &Deployment, recording: &str) -> Result<History, RecordingError> {
         let mut entries = Vec::new();
         for (line, text) in recording.lines().enumerate() {
-            let entry: Entry = serde_json::from_str(text).map_err(|error| error_at(line, &error))?;
+            let entry: Entry =
+                serde_json::from_str(text).map_err(|error| error_at(line, &error))?;
             entries.push(Numbered { line, entry });
         }
         // Relays write as they pass frames on; what reached its receiver first comes first.
@@ -42,11 +43,16 @@
     fn assign_attempts(&mut self) {
         let mut by_mark: BTreeMap<(&str, &str, u32), usize> = BTreeMap::new();
         for (place, request) in self.requests.iter().enumerate() {
-            by_mark.insert((&request.host, &request.submit.mark, request.submit.repeat), place);
+            by_mark.insert(
+                (&request.host, &request.submit.mark, request.submit.repeat),
+                place,
+            );
         }
         let request_of = |seen: &AttemptSeen| {
             let attempt = &seen.attempt;
-            by_mark.get(&(seen.host.as_str(), attempt.mark.as_str(), attempt.repeat)).copied()
+            by_mark
+                .get(&(seen.host.as_str(), attempt.mark.as_str(), attempt.repeat))
+                .copied()
         };
         let requests: Vec<Option<usize>> = self.attempts.iter().map(request_of).collect();
         for (attempt, request) in requests.into_iter().enumerate() {
@@ -58,7 +64,10 @@
 }
 
 fn error_at(line: usize, error: &impl ToString) -> RecordingError {
-    RecordingError { line: line + 1, why: error.to_string() }
+    RecordingError {
+        line: line + 1,
+        why: error.to_string(),
+    }
 }
 
 struct Numbered {
@@ -95,9 +104,17 @@
 
 impl Reader {
     fn new(deployment: &Deployment) -> Reader {
-        let hosts: Vec<String> = deployment.hosts.iter().map(|host| host.name.clone()).collect();
+        let hosts: Vec<String> = deployment
+            .hosts
+            .iter()
+            .map(|host| host.name.clone())
+            .collect();
         Reader {
-            history: History { first_hosts: hosts.len(), hosts, ..History::default() },
+            history: History {
+                first_hosts: hosts.len(),
+                hosts,
+                ..History::default()
+            },
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             lists: BTreeMap::new(),
@@ -106,46 +123,103 @@
 
     fn entry(&mut self, line: usize, entry: Entry) -> Result<(), RecordingError> {
         let history = &mut self.history;
-        let Entry { at, out, link, from, to, what } = entry;
+        let Entry {
+            at,
+            out,
+            link,
+            from,
+            to,
+            what,
+        } = entry;
         history.end = history.end.max(out);
         match what {
             What::BudgetOverrun { budget, bytes, .. } => {
                 *history.reported_overruns.entry(budget).or_default() += bytes;
             }
-            What::Frame { message, delivery, body } if delivery != Delivery::Dropped => {
-                let passed = Passed { line, at, out, link, from, to, delivery };
+            What::Frame {
+                message,
+                delivery,
+                body,
+            } if delivery != Delivery::Dropped => {
+                let passed = Passed {
+                    line,
+                    at,
+                    out,
+                    link,
+                    from,
+                    to,
+                    delivery,
+                };
                 self.frame(passed, message, body);
             }
             What::Closed { .. } => self.closed(link, out),
-            What::Document { revision, text, serves } => {
+            What::Document {
+                revision,
+                text,
+                serves,
+            } => {
                 if let Some(text) = text {
                     self.configuration(line, revision, &text)?;
                 }
-                let seen = RevisionSeen { at, revision, serves };
+                let seen = RevisionSeen {
+                    at,
+                    revision,
+                    serves,
+                };
                 self.history.revisions.entry(to).or_default().push(seen);
             }
-            What::Parts { lasts_us, parts, .. } => {
-                let seen = SharesSeen { at, line, lasts_us, shares: parts };
+            What::Parts {
+                lasts_us, parts, ..
+            } => {
+                let seen = SharesSeen {
+                    at,
+                    line,
+                    lasts_us,
+                    shares: parts,
+                };
                 history.shares.entry(to).or_default().push(seen);
             }
-            What::Stage { server, number, stage } => {
-                history.stages.push(StageSeen { at, server, number, stage, line });
+            What::Stage {
+                server,
+                number,
+                stage,
+            } => {
+                history.stages.push(StageSeen {
+                    at,
+                    server,
+                    number,
+                    stage,
+                    line,
+                });
             }
             What::Came => history.connections.push(ConnectionSeen { at, to }),
             What::Process { event } => {
-                history.process_events.entry(to).or_default().push(ProcessEventSeen { at, event });
+                history
+                    .process_events
+                    .entry(to)
+                    .or_default()
+                    .push(ProcessEventSeen { at, event });
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn configuration(&mut self, line: usize, revision: u64, text: &str) -> Result<(), RecordingError> {
+    fn configuration(
+        &mut self,
+        line: usize,
+        revision: u64,
+        text: &str,
+    ) -> Result<(), RecordingError> {
         let parsed = gullsail_configuration::parse("a document of the recording", text);
         let deployment = parsed.map_err(|error| error_at(line, &error))?;
         // New hosts stand at a configuration's end.
         let hosts = &mut self.history.hosts;
-        let new = deployment.hosts.iter().skip(hosts.len()).map(|host| host.name.clone());
+        let new = deployment
+            .hosts
+            .iter()
+            .skip(hosts.len())
+            .map(|host| host.name.clone());
         let new: Vec<String> = new.collect();
         hosts.extend(new);
         self.history.configurations.insert(revision, deployment);
@@ -154,10 +228,18 @@
 
     fn frame(&mut self, passed: Passed, message: Message, body: usize) {
         if matches!(message, Message::Attempt(_) | Message::AttemptAnswer(_)) {
-            let frame = Frame { message: message.clone(), body: Default::default() };
+            let frame = Frame {
+                message: message.clone(),
+                body: Default::default(),
+            };
             let bytes = frame.len() + body;
             let Passed { at, from, to, .. } = &passed;
-            self.history.frames.push(FrameSeen { at: *at, from: from.clone(), to: to.clone(), bytes });
+            self.history.frames.push(FrameSeen {
+                at: *at,
+                from: from.clone(),
+                to: to.clone(),
+                bytes,
+            });
         }
         let link = passed.link;
         let on_link = |id: u64| OnLink { link, id };
@@ -193,8 +275,20 @@
     }
 
     fn submit(&mut self, passed: Passed, submit: Submit) {
-        let Passed { line, out, link, to, .. } = passed;
-        self.requests.insert(OnLink { link, id: submit.id }, self.history.requests.len());
+        let Passed {
+            line,
+            out,
+            link,
+            to,
+            ..
+        } = passed;
+        self.requests.insert(
+            OnLink {
+                link,
+                id: submit.id,
+            },
+            self.history.requests.len(),
+        );
         self.history.requests.push(RequestSeen {
             line,
             at: out,
@@ -210,8 +304,22 @@
     }
 
     fn attempt(&mut self, passed: Passed, attempt: Attempt) {
-        let Passed { line, at, out, link, from, to, .. } = passed;
-        self.attempts.insert(OnLink { link, id: attempt.attempt }, self.history.attempts.len());
+        let Passed {
+            line,
+            at,
+            out,
+            link,
+            from,
+            to,
+            ..
+        } = passed;
+        self.attempts.insert(
+            OnLink {
+                link,
+                id: attempt.attempt,
+            },
+            self.history.attempts.len(),
+        );
         self.history.attempts.push(AttemptSeen {
             line,
             at,
@@ -226,15 +334,35 @@
     }
 
     fn attempt_answer(&mut self, passed: &Passed, answer: &AttemptAnswer) {
-        let Passed { line, out, link, delivery, .. } = *passed;
-        let place = self.attempts.get(&OnLink { link, id: answer.attempt });
-        let Some(seen) = place.and_then(|place| self.history.attempts.get_mut(*place)) else { return };
+        let Passed {
+            line,
+            out,
+            link,
+            delivery,
+            ..
+        } = *passed;
+        let place = self.attempts.get(&OnLink {
+            link,
+            id: answer.attempt,
+        });
+        let Some(seen) = place.and_then(|place| self.history.attempts.get_mut(*place)) else {
+            return;
+        };
         let result = AttemptResult::try_from(answer.result).unwrap_or(AttemptResult::Unknown);
         match &mut seen.answer {
             // The original of an answer that was turned into an error says what the node did.
             None => {
-                let at = if delivery == Delivery::Altered { i64::MAX } else { out };
-                seen.answer = Some(AttemptAnswerSeen { line, at, result, ran: answer.ran });
+                let at = if delivery == Delivery::Altered {
+                    i64::MAX
+                } else {
+                    out
+                };
+                seen.answer = Some(AttemptAnswerSeen {
+                    line,
+                    at,
+                    result,
+                    ran: answer.ran,
+                });
             }
             Some(original) if original.at == i64::MAX => {
                 original.at = out;
@@ -249,22 +377,45 @@
         let Passed { line, at, from, .. } = passed;
         let sender = self.history.hosts.get(message.from as usize);
         if message.what() == FleetWhat::Grant && sender == Some(&from) {
-            let ballot = BallotSeen { round: message.round, by: message.by };
-            self.history.grants.push(GrantSeen { at, line, by: from, ballot });
+            let ballot = BallotSeen {
+                round: message.round,
+                by: message.by,
+            };
+            self.history.grants.push(GrantSeen {
+                at,
+                line,
+                by: from,
+                ballot,
+            });
         }
     }
 
     /// A list goes to the host that asked for it.
     fn list_update(&mut self, passed: Passed, update: &EndpointListUpdate) {
-        let Passed { line, out, link, to, .. } = passed;
+        let Passed {
+            line,
+            out,
+            link,
+            to,
+            ..
+        } = passed;
         let list = self.lists.entry(link).or_insert_with(|| List::new(to));
         for report in list.update(update, out, line) {
-            self.history.endpoint_reports.entry(report.listed).or_default().push(report.report);
+            self.history
+                .endpoint_reports
+                .entry(report.listed)
+                .or_default()
+                .push(report.report);
         }
     }
 
     fn closed(&mut self, link: u64, at: i64) {
-        for request in self.history.requests.iter_mut().filter(|request| request.link == link) {
+        for request in self
+            .history
+            .requests
+            .iter_mut()
+            .filter(|request| request.link == link)
+        {
             request.link_closed_at.get_or_insert(at);
         }
         for attempt in &mut self.history.attempts {
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -39,8 +39,12 @@
     let history = History::read(deployment, recording)?;
     let mut bytes_by_host = BTreeMap::new();
     for frame in &history.frames {
-        let Some(from) = location(deployment, &frame.from) else { continue };
-        let Some(to) = location(deployment, &frame.to) else { continue };
+        let Some(from) = location(deployment, &frame.from) else {
+            continue;
+        };
+        let Some(to) = location(deployment, &frame.to) else {
+            continue;
+        };
         if from.zone != to.zone {
             let host = if from.is_host { &frame.from } else { &frame.to };
             let key = (host.clone(), from.zone.to_string(), to.zone.to_string());
@@ -59,5 +63,8 @@
     let host = deployment.hosts.iter().find(|host| host.name == name);
     let place = host.or_else(|| deployment.node(name).map(|node| &node.place))?;
     let zone = deployment.zones.get(place.zone.0)?;
-    Some(Location { zone, is_host: host.is_some() })
+    Some(Location {
+        zone,
+        is_host: host.is_some(),
+    })
 }
--- a/crates/audit/src/rules/answers.rs
+++ b/crates/audit/src/rules/answers.rs
@@ -38,7 +38,10 @@
 /// The host need not answer: the client left, the host was killed or stopped, or the recording ended before.
 fn is_excused(history: &History, request: &RequestSeen) -> bool {
     let latest = request.at + request.submit.timeout_us + FRAME_DELAY;
-    let client_left = [request.withdrawn_at, request.link_closed_at].into_iter().flatten().min();
+    let client_left = [request.withdrawn_at, request.link_closed_at]
+        .into_iter()
+        .flatten()
+        .min();
     let killed = history.incarnation(&request.host, request.at).to;
     if client_left.unwrap_or(i64::MAX).min(killed) <= latest || latest > history.end {
         return true;
@@ -46,10 +49,17 @@
     // A host that is stopped answers nothing; afterwards it would be late.
     let deadline = request.at + request.submit.timeout_us;
     let pauses = history.pauses(&request.host);
-    pauses.iter().any(|pause| pause.from <= latest && pause.to + FRAME_DELAY >= deadline)
+    pauses
+        .iter()
+        .any(|pause| pause.from <= latest && pause.to + FRAME_DELAY >= deadline)
 }
 
-fn judge_answer(verdict: &mut Verdict, history: &History, request: &RequestSeen, answer: &AnswerSeen) {
+fn judge_answer(
+    verdict: &mut Verdict,
+    history: &History,
+    request: &RequestSeen,
+    answer: &AnswerSeen,
+) {
     let mark = &request.submit.mark;
     let timeout = request.submit.timeout_us;
     let deadline = request.at + timeout;
--- a/crates/audit/src/rules/coordinators.rs
+++ b/crates/audit/src/rules/coordinators.rs
@@ -11,13 +11,18 @@
     let mut verdict = Verdict::new(10, "one coordinator grants");
     let mut ballots = BTreeSet::new();
     let mut grants = history.grants.iter();
-    let Some(mut latest) = grants.next() else { return verdict };
+    let Some(mut latest) = grants.next() else {
+        return verdict;
+    };
     for grant in grants {
         verdict.test_if(ballots.insert(grant.ballot));
         if grant.ballot > latest.ballot {
             latest = grant;
         } else if is_of_earlier(grant, latest) && !was_paused(history, grant) {
-            let what = format!("{} granted by {} after {} did", grant.by, grant.ballot, latest.ballot);
+            let what = format!(
+                "{} granted by {} after {} did",
+                grant.by, grant.ballot, latest.ballot
+            );
             verdict.breach(what, [latest.line, grant.line]);
         }
     }
@@ -33,5 +38,7 @@
 /// A coordinator that was stopped between deciding and sending: what it sent is over for whoever receives it.
 fn was_paused(history: &History, grant: &GrantSeen) -> bool {
     let pauses = history.pauses(&grant.by);
-    pauses.iter().any(|pause| pause.from <= grant.at && grant.at <= pause.to + FRAME_DELAY)
+    pauses
+        .iter()
+        .any(|pause| pause.from <= grant.at && grant.at <= pause.to + FRAME_DELAY)
 }
--- a/crates/audit/src/rules/drains.rs
+++ b/crates/audit/src/rules/drains.rs
@@ -38,18 +38,36 @@
         match begun {
             None if !ready => begun = Some(report),
             Some(first) if ready && report.incarnation != first.incarnation => {
-                drains.push(Drain { span: Span { from: first.at, to: report.at }, line: first.line });
+                drains.push(Drain {
+                    span: Span {
+                        from: first.at,
+                        to: report.at,
+                    },
+                    line: first.line,
+                });
                 begun = None;
             }
             _ => {}
         }
     }
-    let open = begun.map(|first| Drain { span: Span { from: first.at, to: i64::MAX }, line: first.line });
+    let open = begun.map(|first| Drain {
+        span: Span {
+            from: first.at,
+            to: i64::MAX,
+        },
+        line: first.line,
+    });
     drains.extend(open);
     drains
 }
 
-fn judge_drain(verdict: &mut Verdict, history: &History, listed: &ListedNode, drain: &Drain, grace: i64) {
+fn judge_drain(
+    verdict: &mut Verdict,
+    history: &History,
+    listed: &ListedNode,
+    drain: &Drain,
+    grace: i64,
+) {
     let ListedNode { host, node } = listed;
     let from = drain.span.from;
     // A host that is killed forgets.
--- a/crates/audit/src/rules/idempotency.rs
+++ b/crates/audit/src/rules/idempotency.rs
@@ -12,7 +12,10 @@
 
 impl Idempotencies<'_> {
     fn of(&self, request_class: &str) -> Idempotency {
-        self.0.get(request_class).copied().unwrap_or(Idempotency::Idempotent)
+        self.0
+            .get(request_class)
+            .copied()
+            .unwrap_or(Idempotency::Idempotent)
     }
 }
 
@@ -43,7 +46,9 @@
 ) {
     let attempts: Vec<&AttemptSeen> = history.attempts_of(request).collect();
     for (place, attempt) in attempts.iter().enumerate().skip(1) {
-        let before = attempts[..place].iter().find(|before| !before.never_ran(attempt.at));
+        let before = attempts[..place]
+            .iter()
+            .find(|before| !before.never_ran(attempt.at));
         let Some(before) = before else { continue };
         verdict.tested += 1;
         let is_recognised = match idempotency {
@@ -56,25 +61,46 @@
         };
         if !is_recognised {
             let mark = &request.submit.mark;
-            let what = format!("{mark} may have run at {} and was sent to {}", before.node, attempt.node);
+            let what = format!(
+                "{mark} may have run at {} and was sent to {}",
+                before.node, attempt.node
+            );
             verdict.breach(what, history.lines_of(request));
         }
     }
 }
 
 /// A request that may have run is not rejected, as a client would send it again to any node.
-fn judge_end(verdict: &mut Verdict, history: &History, request: &RequestSeen, idempotency: Idempotency) {
-    let Some(end) = request.answers.first() else { return };
-    let may_have_run = history.attempts_of(request).find(|attempt| !attempt.never_ran(end.at));
+fn judge_end(
+    verdict: &mut Verdict,
+    history: &History,
+    request: &RequestSeen,
+    idempotency: Idempotency,
+) {
+    let Some(end) = request.answers.first() else {
+        return;
+    };
+    let may_have_run = history
+        .attempts_of(request)
+        .find(|attempt| !attempt.never_ran(end.at));
     let succeeded = end.answer.outcome == Outcome::Succeeded as i32;
     verdict.test_if(may_have_run.is_some() && !succeeded);
     let rejected = end.answer.outcome == Outcome::Rejected as i32;
-    let known_everywhere = matches!(idempotency, Idempotency::WithKey { scope: IdempotencyScope::All, .. });
+    let known_everywhere = matches!(
+        idempotency,
+        Idempotency::WithKey {
+            scope: IdempotencyScope::All,
+            ..
+        }
+    );
     if let Some(attempt) = may_have_run
         && rejected
         && !known_everywhere
     {
-        let what = format!("{} may have run at {} and was deferred", request.submit.mark, attempt.node);
+        let what = format!(
+            "{} may have run at {} and was deferred",
+            request.submit.mark, attempt.node
+        );
         verdict.breach(what, history.lines_of(request));
     }
 }
--- a/crates/audit/src/rules/limits.rs
+++ b/crates/audit/src/rules/limits.rs
@@ -16,7 +16,11 @@
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(7, "limits kept over all hosts");
     let mut volumes: BTreeMap<&str, Vec<&AttemptSeen>> = BTreeMap::new();
-    for seen in history.attempts.iter().filter(|seen| seen.attempt.number == 0) {
+    for seen in history
+        .attempts
+        .iter()
+        .filter(|seen| seen.attempt.number == 0)
+    {
         volumes.entry(&seen.attempt.volume).or_default().push(seen);
     }
     for (volume, mut attempts) in volumes {
@@ -34,9 +38,15 @@
     attempts: &[&AttemptSeen],
     limits: &[LimitFrom],
 ) {
-    let Some(first) = attempts.first() else { return };
+    let Some(first) = attempts.first() else {
+        return;
+    };
     let mut demand = RecentDemand::new(history, volume);
-    let mut bucket = Bucket { limit: None, level: f64::INFINITY, at: first.at };
+    let mut bucket = Bucket {
+        limit: None,
+        level: f64::INFINITY,
+        at: first.at,
+    };
     let mut limits = limits.iter().peekable();
     for attempt in attempts {
         let asked = demand.at(attempt.at);
@@ -50,7 +60,8 @@
         if bucket.level < -limit.slack - TOLERANCE {
             let excess = -bucket.level;
             let slack = limit.slack;
-            let what = format!("volume {volume}: {excess:.1} units past its store, {slack} allowed");
+            let what =
+                format!("volume {volume}: {excess:.1} units past its store, {slack} allowed");
             verdict.breach(what, [attempt.line]);
         }
     }
@@ -101,8 +112,15 @@
 
 impl RecentDemand<'_> {
     fn new<'a>(history: &'a History, volume: &str) -> RecentDemand<'a> {
-        let requests = history.requests.iter().filter(|request| request.submit.volume == volume);
-        RecentDemand { upcoming: requests.collect(), recent: VecDeque::new(), sum: 0.0 }
+        let requests = history
+            .requests
+            .iter()
+            .filter(|request| request.submit.volume == volume);
+        RecentDemand {
+            upcoming: requests.collect(),
+            recent: VecDeque::new(),
+            sum: 0.0,
+        }
     }
 
     fn at(&mut self, at: i64) -> f64 {
--- a/crates/audit/src/rules/maintenance.rs
+++ b/crates/audit/src/rules/maintenance.rs
@@ -32,22 +32,33 @@
 /// Each rule is tested by each server that goes offline. Where the configuration has no maintenance, there
 /// are no such rules.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Vec<Verdict> {
-    let Some(config) = &deployment.maintenance else { return Vec::new() };
-    let bounds = Bounds { in_all: config.at_once, in_zone: config.in_zone, in_pool: config.in_pool };
+    let Some(config) = &deployment.maintenance else {
+        return Vec::new();
+    };
+    let bounds = Bounds {
+        in_all: config.at_once,
+        in_zone: config.in_zone,
+        in_pool: config.in_pool,
+    };
     let absences = absences(history);
-    vec![nothing_sent(history, &absences), not_too_many(deployment, &bounds, &absences)]
+    vec![
+        nothing_sent(history, &absences),
+        not_too_many(deployment, &bounds, &absences),
+    ]
 }
 
 fn absences(history: &History) -> Vec<Absence<'_>> {
     let mut absences: BTreeMap<(&str, u64), Absence> = BTreeMap::new();
     for seen in &history.stages {
-        let absence = absences.entry((&seen.server, seen.number)).or_insert(Absence {
-            server: &seen.server,
-            offline_at: i64::MAX,
-            back_at: i64::MAX,
-            done_at: i64::MAX,
-            line: seen.line,
-        });
+        let absence = absences
+            .entry((&seen.server, seen.number))
+            .or_insert(Absence {
+                server: &seen.server,
+                offline_at: i64::MAX,
+                back_at: i64::MAX,
+                done_at: i64::MAX,
+                line: seen.line,
+            });
         match seen.stage.as_str() {
             "out" | "overdue" if seen.at < absence.offline_at => {
                 absence.offline_at = seen.at;
@@ -61,17 +72,34 @@
             _ => {}
         }
     }
-    absences.into_values().filter(|absence| absence.offline_at < i64::MAX).collect()
+    absences
+        .into_values()
+        .filter(|absence| absence.offline_at < i64::MAX)
+        .collect()
 }
 
 fn nothing_sent(history: &History, absences: &[Absence]) -> Verdict {
     let mut verdict = Verdict::new(13, "nothing sent to what is out for work");
-    for Absence { server, offline_at, back_at, line, .. } in absences {
+    for Absence {
+        server,
+        offline_at,
+        back_at,
+        line,
+        ..
+    } in absences
+    {
         verdict.tested += 1;
-        for attempt in history.attempts.iter().filter(|attempt| attempt.node == **server) {
+        for attempt in history
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.node == **server)
+        {
             if attempt.at > offline_at + FRAME_DELAY && attempt.at + FRAME_DELAY < *back_at {
                 let after = attempt.at - offline_at;
-                let what = format!("{} sent to {server} {after} us after it was out", attempt.host);
+                let what = format!(
+                    "{} sent to {server} {after} us after it was out",
+                    attempt.host
+                );
                 verdict.breach(what, [*line, attempt.line]);
             }
         }
@@ -84,7 +112,8 @@
     for absence in absences {
         // Those that are away at the moment at which this one goes offline.
         let is_away = |other: &&Absence| {
-            other.offline_at <= absence.offline_at && absence.offline_at + FRAME_DELAY < other.done_at
+            other.offline_at <= absence.offline_at
+                && absence.offline_at + FRAME_DELAY < other.done_at
         };
         let away: Vec<&Absence> = absences.iter().filter(is_away).collect();
         verdict.test_if(away.len() > 1 || bounds.in_all == 1);
@@ -102,17 +131,43 @@
     scope: &'static str,
 }
 
-fn limits(deployment: &Deployment, bounds: &Bounds, absence: &Absence, away: &[&Absence]) -> [Limit; 3] {
+fn limits(
+    deployment: &Deployment,
+    bounds: &Bounds,
+    absence: &Absence,
+    away: &[&Absence],
+) -> [Limit; 3] {
     let own = scopes(deployment, absence.server);
     let zone = own.as_ref().map(|own| own.zone);
     let pool = own.as_ref().map(|own| &own.pool);
-    let others: Vec<Option<Scopes>> = away.iter().map(|other| scopes(deployment, other.server)).collect();
-    let in_zone = others.iter().filter(|other| other.as_ref().map(|other| other.zone) == zone).count();
-    let in_pool = others.iter().filter(|other| other.as_ref().map(|other| &other.pool) == pool).count();
+    let others: Vec<Option<Scopes>> = away
+        .iter()
+        .map(|other| scopes(deployment, other.server))
+        .collect();
+    let in_zone = others
+        .iter()
+        .filter(|other| other.as_ref().map(|other| other.zone) == zone)
+        .count();
+    let in_pool = others
+        .iter()
+        .filter(|other| other.as_ref().map(|other| &other.pool) == pool)
+        .count();
     [
-        Limit { most: bounds.in_all, count: away.len(), scope: "in all" },
-        Limit { most: bounds.in_zone, count: in_zone, scope: "in its zone" },
-        Limit { most: bounds.in_pool, count: in_pool, scope: "in its pool" },
+        Limit {
+            most: bounds.in_all,
+            count: away.len(),
+            scope: "in all",
+        },
+        Limit {
+            most: bounds.in_zone,
+            count: in_zone,
+            scope: "in its zone",
+        },
+        Limit {
+            most: bounds.in_pool,
+            count: in_pool,
+            scope: "in its pool",
+        },
     ]
 }
 
@@ -140,8 +195,16 @@
 
 fn scopes(deployment: &Deployment, name: &str) -> Option<Scopes> {
     if let Some(node) = deployment.node(name) {
-        return Some(Scopes { zone: node.place.zone, pool: Pool::Nodes { kind: node.kind.clone() } });
+        return Some(Scopes {
+            zone: node.place.zone,
+            pool: Pool::Nodes {
+                kind: node.kind.clone(),
+            },
+        });
     }
     let host = deployment.hosts.iter().find(|host| host.name == name)?;
-    Some(Scopes { zone: host.zone, pool: Pool::Hosts })
+    Some(Scopes {
+        zone: host.zone,
+        pool: Pool::Hosts,
+    })
 }
--- a/crates/audit/src/rules/node_rates.rs
+++ b/crates/audit/src/rules/node_rates.rs
@@ -24,12 +24,19 @@
 /// to a node of which the two before ran into their timeouts, with nothing received of it since. Tested by
 /// each that came within a second of another.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Vec<Verdict> {
-    let Some(fleet) = &deployment.fleet else { return Vec::new() };
+    let Some(fleet) = &deployment.fleet else {
+        return Vec::new();
+    };
     let burst = incarnations_of_hosts(history).max(1) as f64;
     let mut verdicts = Vec::new();
     if let Some(rate) = fleet.connects {
         let verdict = Verdict::new(11, "connections to a node within their rate");
-        verdicts.push(judge(verdict, connections(deployment, history), rate, burst));
+        verdicts.push(judge(
+            verdict,
+            connections(deployment, history),
+            rate,
+            burst,
+        ));
     }
     if let Some(rate) = fleet.probes {
         let verdict = Verdict::new(12, "probes of a node within their rate");
@@ -39,7 +46,10 @@
 }
 
 fn incarnations_of_hosts(history: &History) -> usize {
-    let events = history.hosts().iter().flat_map(|host| history.events_of(host));
+    let events = history
+        .hosts()
+        .iter()
+        .flat_map(|host| history.events_of(host));
     events.filter(|seen| !seen.event.is_end()).count()
 }
 
@@ -47,7 +57,10 @@
     operations.sort_unstable();
     let mut buckets: BTreeMap<&str, Bucket> = BTreeMap::new();
     for Operation { at, node, line } in operations {
-        let bucket = buckets.entry(node).or_insert(Bucket { level: burst, at: i64::MIN / 2 });
+        let bucket = buckets.entry(node).or_insert(Bucket {
+            level: burst,
+            at: i64::MIN / 2,
+        });
         let since = at.saturating_sub(bucket.at);
         verdict.test_if(since < CLOSE);
         // A busy processor brings some together that were apart.
@@ -57,7 +70,10 @@
         verdict.approach(1.0 - bucket.level / burst);
         if bucket.level < 0.0 {
             let excess = -bucket.level;
-            verdict.breach(format!("{node} at {at} us: {excess:.1} past {rate} a second"), [line]);
+            verdict.breach(
+                format!("{node} at {at} us: {excess:.1} past {rate} a second"),
+                [line],
+            );
         }
     }
     verdict
@@ -71,19 +87,32 @@
 fn connections<'a>(deployment: &Deployment, history: &'a History) -> Vec<Operation<'a>> {
     let connections = history.connections.iter();
     let to_nodes = connections.filter(|connection| deployment.node(&connection.to).is_some());
-    to_nodes.map(|seen| Operation { at: seen.at, node: &seen.to, line: 0 }).collect()
+    to_nodes
+        .map(|seen| Operation {
+            at: seen.at,
+            node: &seen.to,
+            line: 0,
+        })
+        .collect()
 }
 
 fn probes(history: &History) -> Vec<Operation<'_>> {
     let mut by_pair: BTreeMap<(&str, &str), Vec<&AttemptSeen>> = BTreeMap::new();
     for seen in &history.attempts {
-        by_pair.entry((&seen.host, &seen.node)).or_default().push(seen);
+        by_pair
+            .entry((&seen.host, &seen.node))
+            .or_default()
+            .push(seen);
     }
     let mut probes = Vec::new();
     for attempts in by_pair.values() {
         for (place, attempt) in attempts.iter().enumerate() {
             if is_probe(history, attempt, &attempts[..place]) {
-                probes.push(Operation { at: attempt.at, node: &attempt.node, line: attempt.line });
+                probes.push(Operation {
+                    at: attempt.at,
+                    node: &attempt.node,
+                    line: attempt.line,
+                });
             }
         }
     }
@@ -93,8 +122,13 @@
 /// `before`: the earlier attempts of the same host to the same node.
 fn is_probe(history: &History, attempt: &AttemptSeen, before: &[&AttemptSeen]) -> bool {
     let started_at = history.incarnation(&attempt.host, attempt.at).from;
-    let lost = before.iter().rev().filter(|seen| seen.at > started_at && is_lost(seen, attempt.at));
-    let Some(first_lost) = lost.take(LOST_BEFORE_PROBE).nth(LOST_BEFORE_PROBE - 1) else { return false };
+    let lost = before
+        .iter()
+        .rev()
+        .filter(|seen| seen.at > started_at && is_lost(seen, attempt.at));
+    let Some(first_lost) = lost.take(LOST_BEFORE_PROBE).nth(LOST_BEFORE_PROBE - 1) else {
+        return false;
+    };
     let since = first_lost.at;
     let until = attempt.at + FRAME_DELAY;
     let answers = before.iter().filter_map(|seen| seen.answer);
@@ -109,6 +143,8 @@
 fn is_lost(attempt: &AttemptSeen, by: i64) -> bool {
     let latest = attempt.times_out_at() + FRAME_DELAY;
     let answered = attempt.answer.is_some_and(|answer| answer.at <= latest);
-    let broken = attempt.broken_at.is_some_and(|broken_at| broken_at <= latest);
+    let broken = attempt
+        .broken_at
+        .is_some_and(|broken_at| broken_at <= latest);
     latest <= by && !answered && !broken
 }
--- a/crates/audit/src/rules/ordering.rs
+++ b/crates/audit/src/rules/ordering.rs
@@ -24,13 +24,23 @@
     for (queue, mut requests) in queues(deployment, history) {
         requests.sort_by_key(|request| (request.at, request.line));
         for (place, request) in requests.iter().enumerate() {
-            let Some(first) = history.attempts_of(request).next() else { continue };
+            let Some(first) = history.attempts_of(request).next() else {
+                continue;
+            };
             let mut waited = false;
             for before in &requests[..place] {
                 let over_at = over_at(before);
                 waited |= over_at > request.at;
                 judge_overtaking(&mut verdict, &queue, request, first, before, over_at);
-                judge_settling(&mut verdict, history, &queue, request, first, before, settle);
+                judge_settling(
+                    &mut verdict,
+                    history,
+                    &queue,
+                    request,
+                    first,
+                    before,
+                    settle,
+                );
             }
             verdict.test_if(waited);
         }
@@ -38,7 +48,10 @@
     verdict
 }
 
-fn queues<'a>(deployment: &Deployment, history: &'a History) -> BTreeMap<Queue<'a>, Vec<&'a RequestSeen>> {
+fn queues<'a>(
+    deployment: &Deployment,
+    history: &'a History,
+) -> BTreeMap<Queue<'a>, Vec<&'a RequestSeen>> {
     let is_ordered = |name: &str| {
         let mut classes = deployment.request_classes.iter();
         classes.any(|class| class.name == name && class.decisions.in_order)
@@ -48,7 +61,11 @@
         let submit = &request.submit;
         if is_ordered(&submit.request_class) && !submit.order_key.is_empty() {
             let started_at = history.incarnation(&request.host, request.at).from;
-            let queue = Queue { host: &request.host, started_at, key: &submit.order_key };
+            let queue = Queue {
+                host: &request.host,
+                started_at,
+                key: &submit.order_key,
+            };
             queues.entry(queue).or_default().push(request);
         }
     }
@@ -60,8 +77,13 @@
     if let Some(answer) = request.answers.first() {
         return answer.at;
     }
-    let deadline = request.not_taken_at.unwrap_or(request.at + request.submit.timeout_us);
-    let client_left = [request.withdrawn_at, request.link_closed_at].into_iter().flatten().min();
+    let deadline = request
+        .not_taken_at
+        .unwrap_or(request.at + request.submit.timeout_us);
+    let client_left = [request.withdrawn_at, request.link_closed_at]
+        .into_iter()
+        .flatten()
+        .min();
     client_left.unwrap_or(i64::MAX).min(deadline)
 }
 
@@ -77,7 +99,10 @@
     if over_at > first.at + FRAME_DELAY && before.link == request.link {
         let Queue { host, key, .. } = queue;
         let mark = &request.submit.mark;
-        let what = format!("{host}, key {key}: {mark} sent while {} was open", before.submit.mark);
+        let what = format!(
+            "{host}, key {key}: {mark} sent while {} was open",
+            before.submit.mark
+        );
         verdict.breach(what, [before.line, first.line]);
     }
 }
@@ -93,10 +118,18 @@
     before: &RequestSeen,
     settle: i64,
 ) {
-    for attempt in history.attempts_of(before).filter(|attempt| attempt.at < first.at) {
-        let Some(unknown_since) = unknown_since(attempt) else { continue };
+    for attempt in history
+        .attempts_of(before)
+        .filter(|attempt| attempt.at < first.at)
+    {
+        let Some(unknown_since) = unknown_since(attempt) else {
+            continue;
+        };
         let rest = first.at - unknown_since;
-        verdict.nearest = verdict.nearest.max(settle as f64 / rest.max(1) as f64).min(MAX_NEARNESS);
+        verdict.nearest = verdict
+            .nearest
+            .max(settle as f64 / rest.max(1) as f64)
+            .min(MAX_NEARNESS);
         if rest + FRAME_DELAY < settle {
             let Queue { host, key, .. } = queue;
             let mark = &request.submit.mark;
@@ -112,7 +145,10 @@
 /// From its timeout on, or since its connection broke; `None`: its answer came in time.
 fn unknown_since(attempt: &AttemptSeen) -> Option<i64> {
     let ends = attempt.times_out_at();
-    if attempt.answer.is_some_and(|answer| answer.at <= ends + FRAME_DELAY) {
+    if attempt
+        .answer
+        .is_some_and(|answer| answer.at <= ends + FRAME_DELAY)
+    {
         return None;
     }
     let broken_at = attempt.broken_at.filter(|broken_at| *broken_at < ends);
--- a/crates/audit/src/rules/retry_budget.rs
+++ b/crates/audit/src/rules/retry_budget.rs
@@ -16,17 +16,25 @@
 /// Tested by each retry.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(6, "further legs within their budget");
-    let Some(budget) = deployment.figures().retry_budget else { return verdict };
+    let Some(budget) = deployment.figures().retry_budget else {
+        return verdict;
+    };
     let window = budget.window.micros();
     let accepted = accepted_at(history);
     for (process, retries) in retries(history) {
-        let accepted = accepted.get(&process).map(Vec::as_slice).unwrap_or_default();
+        let accepted = accepted
+            .get(&process)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         for (place, retry) in retries.iter().enumerate() {
             verdict.tested += 1;
             let since = retry.at - window;
             // The window's edges differ by a frame's way: judged where both agree.
-            let sent = retries[..=place].iter().filter(|other| other.at > since + FRAME_DELAY);
-            let in_window = |at: &&i64| **at > since - FRAME_DELAY && **at <= retry.at + FRAME_DELAY;
+            let sent = retries[..=place]
+                .iter()
+                .filter(|other| other.at > since + FRAME_DELAY);
+            let in_window =
+                |at: &&i64| **at > since - FRAME_DELAY && **at <= retry.at + FRAME_DELAY;
             let sent = sent.count() as f64;
             let accepted = accepted.iter().filter(in_window).count() as f64;
             let most = budget.free + budget.share * accepted;
@@ -42,14 +50,24 @@
 }
 
 fn process<'a>(history: &History, host: &'a str, at: i64) -> Process<'a> {
-    Process { host, started_at: history.incarnation(host, at).from }
+    Process {
+        host,
+        started_at: history.incarnation(host, at).from,
+    }
 }
 
 /// When the requests came that each process took.
 fn accepted_at(history: &History) -> BTreeMap<Process<'_>, Vec<i64>> {
     let mut accepted: BTreeMap<Process, Vec<i64>> = BTreeMap::new();
-    for request in history.requests.iter().filter(|request| request.not_taken_at.is_none()) {
-        accepted.entry(process(history, &request.host, request.at)).or_default().push(request.at);
+    for request in history
+        .requests
+        .iter()
+        .filter(|request| request.not_taken_at.is_none())
+    {
+        accepted
+            .entry(process(history, &request.host, request.at))
+            .or_default()
+            .push(request.at);
     }
     accepted
 }
@@ -57,8 +75,15 @@
 /// By process, in the order they were sent.
 fn retries(history: &History) -> BTreeMap<Process<'_>, Vec<&AttemptSeen>> {
     let mut retries: BTreeMap<Process, Vec<&AttemptSeen>> = BTreeMap::new();
-    for seen in history.attempts.iter().filter(|seen| seen.attempt.number > 0) {
-        retries.entry(process(history, &seen.host, seen.at)).or_default().push(seen);
+    for seen in history
+        .attempts
+        .iter()
+        .filter(|seen| seen.attempt.number > 0)
+    {
+        retries
+            .entry(process(history, &seen.host, seen.at))
+            .or_default()
+            .push(seen);
     }
     for attempts in retries.values_mut() {
         attempts.sort_by_key(|attempt| attempt.at);
--- a/crates/audit/src/rules/shares.rs
+++ b/crates/audit/src/rules/shares.rs
@@ -42,12 +42,25 @@
             let next = all.get(place + 1).map_or(i64::MAX, |next| next.at);
             let ended = history.incarnation(host, seen.at).to;
             let end = next.min(lease_over(drift, seen)).min(ended);
-            let used = Use { host, line: seen.line };
+            let used = Use {
+                host,
+                line: seen.line,
+            };
             for (budget, share) in &seen.shares {
                 let share = u64::from(*share);
                 let changes = changes.entry(budget).or_default();
-                changes.push(Change { at: seen.at, begins: true, used, share });
-                changes.push(Change { at: end, begins: false, used, share });
+                changes.push(Change {
+                    at: seen.at,
+                    begins: true,
+                    used,
+                    share,
+                });
+                changes.push(Change {
+                    at: end,
+                    begins: false,
+                    used,
+                    share,
+                });
             }
         }
     }
@@ -56,13 +69,23 @@
 
 /// By the slowest clock.
 fn lease_over(drift: f64, seen: &SharesSeen) -> i64 {
-    if seen.lasts_us < 0 { i64::MAX } else { seen.at + (seen.lasts_us as f64 / (1.0 - drift)) as i64 }
+    if seen.lasts_us < 0 {
+        i64::MAX
+    } else {
+        seen.at + (seen.lasts_us as f64 / (1.0 - drift)) as i64
+    }
 }
 
 fn judge_budget(verdict: &mut Verdict, budget: &str, changes: &[Change]) {
     let mut sum = 0;
     let mut in_use: BTreeMap<Use, u64> = BTreeMap::new();
-    for Change { at, begins, used, share } in changes {
+    for Change {
+        at,
+        begins,
+        used,
+        share,
+    } in changes
+    {
         if !begins {
             sum -= share;
             in_use.remove(used);
@@ -73,9 +96,14 @@
         verdict.tested += 1;
         verdict.approach(sum as f64 / WHOLE as f64);
         if sum > WHOLE {
-            let hosts: Vec<String> =
-                in_use.iter().map(|(used, share)| format!("{} {share}", used.host)).collect();
-            let what = format!("{budget} at {at} us: {sum} millionths in use: {}", hosts.join(", "));
+            let hosts: Vec<String> = in_use
+                .iter()
+                .map(|(used, share)| format!("{} {share}", used.host))
+                .collect();
+            let what = format!(
+                "{budget} at {at} us: {sum} millionths in use: {}",
+                hosts.join(", ")
+            );
             verdict.breach(what, in_use.keys().map(|used| used.line));
         }
     }
--- a/crates/audit/src/rules/slow_start.rs
+++ b/crates/audit/src/rules/slow_start.rs
@@ -33,16 +33,23 @@
     let slow_start = deployment.figures().slow_start;
     let window = slow_start.window.micros();
     let ramp = slow_start.ramp.micros();
-    let server = deployment.node(node).and_then(|node| deployment.servers.get(node.server));
+    let server = deployment
+        .node(node)
+        .and_then(|node| deployment.servers.get(node.server));
     let Some(server) = server else { return };
     let is_warming = |attempt: &&AttemptSeen| {
-        attempt.node == *node && attempt.arrived_at >= started_at && attempt.arrived_at < started_at + ramp
+        attempt.node == *node
+            && attempt.arrived_at >= started_at
+            && attempt.arrived_at < started_at + ramp
     };
     let mut recent: VecDeque<&AttemptSeen> = VecDeque::new();
     for attempt in history.attempts.iter().filter(is_warming) {
         verdict.tested += 1;
         recent.push_back(attempt);
-        while recent.pop_front_if(|sent| attempt.arrived_at - sent.arrived_at > window).is_some() {}
+        while recent
+            .pop_front_if(|sent| attempt.arrived_at - sent.arrived_at > window)
+            .is_some()
+        {}
         let age = (attempt.arrived_at - started_at) as f64 / ramp.max(1) as f64;
         let fraction = slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * age;
         let can = server.falls_over * server.can() * fraction * slow_start.window.secs();
--- a/crates/audit/src/rules/volume_limits.rs
+++ b/crates/audit/src/rules/volume_limits.rs
@@ -43,16 +43,28 @@
 
 /// The limits of a volume, in order of time. Where it is not certain which revision is the oldest, between
 /// the request to the last host and its reply, the largest.
-pub(super) fn limits_over_time(deployment: &Deployment, history: &History, volume: &str) -> Vec<LimitFrom> {
+pub(super) fn limits_over_time(
+    deployment: &Deployment,
+    history: &History,
+    volume: &str,
+) -> Vec<LimitFrom> {
     let points = points_of_change(history).into_iter();
-    points.map(|from| LimitFrom { from, limit: limit_at(deployment, history, volume, from) }).collect()
+    points
+        .map(|from| LimitFrom {
+            from,
+            limit: limit_at(deployment, history, volume, from),
+        })
+        .collect()
 }
 
 /// When the limit may change.
 fn points_of_change(history: &History) -> Vec<i64> {
     let mut points = vec![i64::MIN];
     points.extend(history.revisions.values().flatten().map(effective_at));
-    let events = history.hosts().iter().flat_map(|host| history.events_of(host));
+    let events = history
+        .hosts()
+        .iter()
+        .flat_map(|host| history.events_of(host));
     points.extend(events.map(|seen| seen.at));
     points.sort_unstable();
     points.dedup();
@@ -61,20 +73,36 @@
 
 /// A host that reports that it follows a revision does so for certain a little later.
 fn effective_at(seen: &RevisionSeen) -> i64 {
-    if seen.serves { seen.at + CHANGE_DELAY } else { seen.at }
+    if seen.serves {
+        seen.at + CHANGE_DELAY
+    } else {
+        seen.at
+    }
 }
 
-fn limit_at(deployment: &Deployment, history: &History, volume: &str, at: i64) -> Option<VolumeLimit> {
+fn limit_at(
+    deployment: &Deployment,
+    history: &History,
+    volume: &str,
+    at: i64,
+) -> Option<VolumeLimit> {
     let first = deployment.place.revision.0;
     let followed = followed_at(history, first, at);
     // A host that the fleet has put out may follow an older revision than all others, and uses its floor by
     // it.
-    let newest = if deployment.fleet.is_some() { followed.newest_asked } else { followed.oldest_asked };
+    let newest = if deployment.fleet.is_some() {
+        followed.newest_asked
+    } else {
+        followed.oldest_asked
+    };
     let oldest = followed.oldest_certain;
     let range = history.configurations.range(oldest.min(newest)..=newest);
     let mut limits: Vec<Option<VolumeLimit>> = range.map(|(_, d)| limit_of(d, volume)).collect();
     if oldest == first {
-        limits.push(limit_of(history.configurations.get(&first).unwrap_or(deployment), volume));
+        limits.push(limit_of(
+            history.configurations.get(&first).unwrap_or(deployment),
+            volume,
+        ));
     }
     if limits.is_empty() {
         limits.push(limit_of(deployment, volume));
@@ -85,12 +113,26 @@
 }
 
 fn followed_at(history: &History, first: u64, at: i64) -> Followed {
-    let mut followed = Followed { oldest_certain: u64::MAX, oldest_asked: u64::MAX, newest_asked: 0 };
-    for host in history.hosts().iter().filter(|host| is_running(history, host, at)) {
-        let seen = history.revisions.get(host).map(Vec::as_slice).unwrap_or_default();
+    let mut followed = Followed {
+        oldest_certain: u64::MAX,
+        oldest_asked: u64::MAX,
+        newest_asked: 0,
+    };
+    for host in history
+        .hosts()
+        .iter()
+        .filter(|host| is_running(history, host, at))
+    {
+        let seen = history
+            .revisions
+            .get(host)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         // A host that starts reads its file, which may have been replaced while it was down.
         let newest = |serves: bool| {
-            let effective = seen.iter().filter(|seen| seen.serves == serves && effective_at(seen) <= at);
+            let effective = seen
+                .iter()
+                .filter(|seen| seen.serves == serves && effective_at(seen) <= at);
             effective.map(|seen| seen.revision).max().unwrap_or(first)
         };
         let certain = newest(true);
@@ -104,14 +146,27 @@
 
 /// Hosts of the first configuration run until they are seen to end; others once they are seen to start.
 fn is_running(history: &History, host: &str, at: i64) -> bool {
-    match history.events_of(host).iter().rev().find(|seen| seen.at <= at) {
+    match history
+        .events_of(host)
+        .iter()
+        .rev()
+        .find(|seen| seen.at <= at)
+    {
         Some(seen) => !seen.event.is_end(),
-        None => history.hosts().iter().take(history.first_hosts).any(|first| first == host),
+        None => history
+            .hosts()
+            .iter()
+            .take(history.first_hosts)
+            .any(|first| first == host),
     }
 }
 
 fn limit_of(deployment: &Deployment, volume: &str) -> Option<VolumeLimit> {
     let plan = &deployment.plans[deployment.volume(volume)?.plan.0];
     let limit = plan.decisions.limit?;
-    Some(VolumeLimit { rate: limit.rate, burst: limit.burst, slack: plan.slack })
+    Some(VolumeLimit {
+        rate: limit.rate,
+        burst: limit.burst,
+        slack: plan.slack,
+    })
 }
--- a/crates/audit/src/rules/zone_budgets.rs
+++ b/crates/audit/src/rules/zone_budgets.rs
@@ -19,19 +19,34 @@
     let zones = zones(deployment);
     let zone_of = |name: &str| zones.get(name).copied();
     for budget in &deployment.cross_zone_budgets {
-        let BudgetScope::ZonePair(from, to) = budget.of else { continue };
-        let crosses =
-            |frame: &&FrameSeen| zone_of(&frame.from) == Some(from) && zone_of(&frame.to) == Some(to);
+        let BudgetScope::ZonePair(from, to) = budget.of else {
+            continue;
+        };
+        let crosses = |frame: &&FrameSeen| {
+            zone_of(&frame.from) == Some(from) && zone_of(&frame.to) == Some(to)
+        };
         let frames = history.frames.iter().filter(crosses);
         let use_of_budget = use_of_budget(&mut verdict, &budget.limit, frames);
-        judge_use(&mut verdict, deployment, history, &budget.name, &use_of_budget);
+        judge_use(
+            &mut verdict,
+            deployment,
+            history,
+            &budget.name,
+            &use_of_budget,
+        );
     }
     verdict
 }
 
 fn zones(deployment: &Deployment) -> BTreeMap<&str, ZoneId> {
-    let hosts = deployment.hosts.iter().map(|host| (host.name.as_str(), host.zone));
-    let nodes = deployment.nodes.iter().map(|node| (node.place.name.as_str(), node.place.zone));
+    let hosts = deployment
+        .hosts
+        .iter()
+        .map(|host| (host.name.as_str(), host.zone));
+    let nodes = deployment
+        .nodes
+        .iter()
+        .map(|node| (node.place.name.as_str(), node.place.zone));
     hosts.chain(nodes).collect()
 }
 
@@ -65,23 +80,49 @@
             overrun_frames += 1;
         }
     }
-    Use { overrun, overrun_frames, used_at_end: (limit.burst - level) / limit.burst }
+    Use {
+        overrun,
+        overrun_frames,
+        used_at_end: (limit.burst - level) / limit.burst,
+    }
 }
 
-fn judge_use(verdict: &mut Verdict, deployment: &Deployment, history: &History, budget: &str, used: &Use) {
-    let Use { overrun, overrun_frames, used_at_end } = *used;
-    let reported = history.reported_overruns.get(budget).copied().unwrap_or_default() as f64;
-    verdict.approach(if reported > 0.0 { overrun / reported } else { used_at_end });
+fn judge_use(
+    verdict: &mut Verdict,
+    deployment: &Deployment,
+    history: &History,
+    budget: &str,
+    used: &Use,
+) {
+    let Use {
+        overrun,
+        overrun_frames,
+        used_at_end,
+    } = *used;
+    let reported = history
+        .reported_overruns
+        .get(budget)
+        .copied()
+        .unwrap_or_default() as f64;
+    verdict.approach(if reported > 0.0 {
+        overrun / reported
+    } else {
+        used_at_end
+    });
     // A host that was killed takes what it would have reported with it.
     let is_reported = overrun <= reported * REPORT_TOLERANCE + REPORT_TOLERANCE_BYTES;
     if !is_reported && !some_host_was_killed(deployment, history) {
-        let what =
-            format!("{budget}: {overrun:.0} bytes past it in {overrun_frames} frames, {reported:.0} told");
+        let what = format!(
+            "{budget}: {overrun:.0} bytes past it in {overrun_frames} frames, {reported:.0} told"
+        );
         verdict.breach(what, []);
     }
 }
 
 fn some_host_was_killed(deployment: &Deployment, history: &History) -> bool {
-    let mut events = deployment.hosts.iter().flat_map(|host| history.events_of(&host.name));
+    let mut events = deployment
+        .hosts
+        .iter()
+        .flat_map(|host| history.events_of(&host.name));
     events.any(|seen| seen.event == ProcessEvent::Killed)
 }
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -32,11 +32,20 @@
 
 impl Verdict {
     pub(crate) fn new(rule: u8, name: &'static str) -> Verdict {
-        Verdict { rule, name, tested: 0, nearest: 0.0, breaches: Vec::new() }
+        Verdict {
+            rule,
+            name,
+            tested: 0,
+            nearest: 0.0,
+            breaches: Vec::new(),
+        }
     }
 
     pub(crate) fn breach(&mut self, what: String, lines: impl IntoIterator<Item = usize>) {
-        self.breaches.push(Breach { what, lines: lines.into_iter().collect() });
+        self.breaches.push(Breach {
+            what,
+            lines: lines.into_iter().collect(),
+        });
     }
 
     pub(crate) fn test_if(&mut self, tested: bool) {
@@ -57,7 +66,13 @@
 pub fn table(verdicts: &[Verdict], recording: &str) -> String {
     let mut table = comfy_table::Table::new();
     table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
-    table.set_header(["rule", "", "kept", "put to the test", "nearest to its bound"]);
+    table.set_header([
+        "rule",
+        "",
+        "kept",
+        "put to the test",
+        "nearest to its bound",
+    ]);
     for verdict in verdicts {
         let kept = match verdict.breaches.len() {
             0 => "kept".into(),
@@ -65,7 +80,13 @@
         };
         let nearest = format!("{:.0}%", verdict.nearest * 100.0);
         let tested = verdict.tested.to_string();
-        table.add_row([verdict.rule.to_string(), verdict.name.into(), kept, tested, nearest]);
+        table.add_row([
+            verdict.rule.to_string(),
+            verdict.name.into(),
+            kept,
+            tested,
+            nearest,
+        ]);
     }
     let mut text = format!("{table}\n");
     let lines: Vec<&str> = recording.lines().collect();
--- a/crates/audit/tests/planted/breaches.rs
+++ b/crates/audit/tests/planted/breaches.rs
@@ -83,18 +83,29 @@
         r.attempt(50_100, "h1", "n1", 90, 0, Some((5, Succeeded)));
         r.answer(50_108, "h1", 90, Outcome::Succeeded);
     }),
-    (5, "m91 sent 50000 us after a leg of m90 ended unknown", |r| {
-        r.submit(50_000, "h1", 90, "record", "v", 1.0);
-        r.attempt(50_000, "h1", "n1", 90, 0, None);
-        r.answer(50_200, "h1", 90, Outcome::Failed);
-        r.submit(50_210, "h1", 91, "record", "v", 1.0);
-        r.attempt(50_250, "h1", "n1", 91, 0, Some((5, Succeeded)));
-        r.answer(50_260, "h1", 91, Outcome::Succeeded);
-    }),
+    (
+        5,
+        "m91 sent 50000 us after a leg of m90 ended unknown",
+        |r| {
+            r.submit(50_000, "h1", 90, "record", "v", 1.0);
+            r.attempt(50_000, "h1", "n1", 90, 0, None);
+            r.answer(50_200, "h1", 90, Outcome::Failed);
+            r.submit(50_210, "h1", 91, "record", "v", 1.0);
+            r.attempt(50_250, "h1", "n1", 91, 0, Some((5, Succeeded)));
+            r.answer(50_260, "h1", 91, Outcome::Succeeded);
+        },
+    ),
     (6, "h1: 2 further legs in the window, 1.0 allowed", |r| {
         r.submit(50_000, "h1", 90, "read", "v", 1.0);
         for number in 0..3 {
-            r.attempt(50_001 + i64::from(number) * 100, "h1", "n1", 90, number, Some((5, Failed)));
+            r.attempt(
+                50_001 + i64::from(number) * 100,
+                "h1",
+                "n1",
+                90,
+                number,
+                Some((5, Failed)),
+            );
         }
         r.answer(50_250, "h1", 90, Outcome::Rejected);
     }),
@@ -108,7 +119,11 @@
     }),
     (1, "m90 was not taken, but more came of it", |r| {
         r.submit(50_000, "h1", 90, "read", "v", 1.0);
-        let n = NotTaken { id: 90, reason: "leaving".into(), leaving: true };
+        let n = NotTaken {
+            id: 90,
+            reason: "leaving".into(),
+            leaving: true,
+        };
         r.frame(50_001, 1, "h1", "client", Message::NotTaken(n));
         r.attempt(50_010, "h1", "n1", 90, 0, Some((5, Succeeded)));
     }),
@@ -119,12 +134,22 @@
     for (rule, expected, plant) in CASES {
         let mut r = sound();
         plant(&mut r);
-        let found: Vec<_> = r.judge().into_iter().filter(|verdict| !verdict.kept()).collect();
+        let found: Vec<_> = r
+            .judge()
+            .into_iter()
+            .filter(|verdict| !verdict.kept())
+            .collect();
         let broken: Vec<_> = found.iter().map(|verdict| verdict.rule).collect();
         assert_eq!(broken, [rule], "{expected}: {found:?}");
-        let breach = found[0].breaches.iter().find(|breach| breach.what.contains(expected));
+        let breach = found[0]
+            .breaches
+            .iter()
+            .find(|breach| breach.what.contains(expected));
         let breach = breach.unwrap_or_else(|| panic!("{expected}: {found:?}"));
         assert!(!breach.lines.is_empty(), "{expected}");
-        assert!(breach.lines.iter().all(|line| *line < r.lines.len()), "{expected}");
+        assert!(
+            breach.lines.iter().all(|line| *line < r.lines.len()),
+            "{expected}"
+        );
     }
 }
--- a/crates/audit/tests/planted/fleet.rs
+++ b/crates/audit/tests/planted/fleet.rs
@@ -3,7 +3,9 @@
 use crate::recording::{DOCUMENT, MS, Recording, broken_rules};
 use gullsail_configuration::parse;
 use gullsail_protocol::record::{ProcessEvent, What};
-use gullsail_protocol::{Attempt, AttemptAnswer, AttemptResult, FleetMessage, FleetWhat, Message, Outcome};
+use gullsail_protocol::{
+    Attempt, AttemptAnswer, AttemptResult, FleetMessage, FleetWhat, Message, Outcome,
+};
 
 /// What hosts logged of their shares, and grants on the wire. Both rules find what is planted, and nothing else.
 #[test]
@@ -13,30 +15,83 @@
     // what h1 and h2 log, as (host, ms, lease in ms or -1, share); when h1 is killed; whether it is broken
     type Logged = (&'static str, i64, i64, u32);
     let cases: [(&[Logged], Option<i64>, bool); 7] = [
-        (&[("h1", 0, -1, 100_000), ("h2", 0, 1000, 900_000)], None, false),
-        (&[("h1", 0, -1, 100_001), ("h2", 0, 1000, 900_000)], None, true),
+        (
+            &[("h1", 0, -1, 100_000), ("h2", 0, 1000, 900_000)],
+            None,
+            false,
+        ),
+        (
+            &[("h1", 0, -1, 100_001), ("h2", 0, 1000, 900_000)],
+            None,
+            true,
+        ),
         // The lease is over, by the slowest clock, before the other's part begins; or not.
-        (&[("h1", 0, 1000, 800_000), ("h2", 1011, 1000, 900_000)], None, false),
-        (&[("h1", 0, 1000, 800_000), ("h2", 1009, 1000, 900_000)], None, true),
+        (
+            &[("h1", 0, 1000, 800_000), ("h2", 1011, 1000, 900_000)],
+            None,
+            false,
+        ),
+        (
+            &[("h1", 0, 1000, 800_000), ("h2", 1009, 1000, 900_000)],
+            None,
+            true,
+        ),
         // Released before, or killed before.
-        (&[("h1", 0, 1000, 800_000), ("h1", 500, 1000, 100_000), ("h2", 501, 1000, 900_000)], None, false),
-        (&[("h1", 0, 1000, 800_000), ("h2", 501, 1000, 900_000)], Some(500), false),
-        (&[("h1", 0, 1000, 800_000), ("h2", 499, 1000, 900_000)], Some(500), true),
+        (
+            &[
+                ("h1", 0, 1000, 800_000),
+                ("h1", 500, 1000, 100_000),
+                ("h2", 501, 1000, 900_000),
+            ],
+            None,
+            false,
+        ),
+        (
+            &[("h1", 0, 1000, 800_000), ("h2", 501, 1000, 900_000)],
+            Some(500),
+            false,
+        ),
+        (
+            &[("h1", 0, 1000, 800_000), ("h2", 499, 1000, 900_000)],
+            Some(500),
+            true,
+        ),
     ];
     for (logged, killed, broken) in cases {
         let mut r = Recording::new();
         for (host, at, lasts, share) in logged {
             let lasts_us = if *lasts < 0 { -1 } else { lasts * MS };
             let parts = [("w".to_string(), *share)].into();
-            r.put(*at, 0, "script", host, What::Parts { incarnation: 1, epoch: 1, lasts_us, parts });
+            r.put(
+                *at,
+                0,
+                "script",
+                host,
+                What::Parts {
+                    incarnation: 1,
+                    epoch: 1,
+                    lasts_us,
+                    parts,
+                },
+            );
         }
-        killed.into_iter().for_each(|at| r.process("h1", at, ProcessEvent::Killed));
-        assert_eq!(broken_rules(&d, &r), if broken { vec![9] } else { vec![] }, "{logged:?}");
+        killed
+            .into_iter()
+            .for_each(|at| r.process("h1", at, ProcessEvent::Killed));
+        assert_eq!(
+            broken_rules(&d, &r),
+            if broken { vec![9] } else { vec![] },
+            "{logged:?}"
+        );
     }
     // grants as (by, round, ms); a host that stood still until then
     type Grants = &'static [(u32, u64, i64)];
     let cases: [(Grants, Option<i64>, bool); 5] = [
-        (&[(0, 5, 0), (0, 5, 100), (1, 6, 1200), (1, 6, 1400)], None, false),
+        (
+            &[(0, 5, 0), (0, 5, 100), (1, 6, 1200), (1, 6, 1400)],
+            None,
+            false,
+        ),
         (&[(0, 5, 0), (1, 6, 1200), (0, 5, 1300)], None, true),
         // Written before, and a little late at the relay; or after it stood still.
         (&[(0, 5, 0), (1, 6, 1200), (0, 5, 1210)], None, false),
@@ -61,24 +116,44 @@
                 by: *by,
                 ..FleetMessage::default()
             };
-            r.frame(*at, 9, names[*by as usize], names[1 - *by as usize], Message::FleetMessage(message));
+            r.frame(
+                *at,
+                9,
+                names[*by as usize],
+                names[1 - *by as usize],
+                Message::FleetMessage(message),
+            );
         }
-        assert_eq!(broken_rules(&d, &r), if broken { vec![10] } else { vec![] }, "{grants:?}");
+        assert_eq!(
+            broken_rules(&d, &r),
+            if broken { vec![10] } else { vec![] },
+            "{grants:?}"
+        );
     }
 }
 
 /// Connections and probes beyond what all hosts together may do to one node, from hosts that each do little.
 #[test]
 fn connections_and_probes_beyond_their_rates_are_found() {
-    let fleet = "fleet \"f\" lease=\"1s\" drift=0.01 voters=1 floor=0.2 connects=\"10/s\" probes=\"1/s\"\n";
+    let fleet =
+        "fleet \"f\" lease=\"1s\" drift=0.01 voters=1 floor=0.2 connects=\"10/s\" probes=\"1/s\"\n";
     let d = parse("planted.kdl", &(DOCUMENT.to_string() + fleet)).unwrap();
     // connections, ms between two; broken: one for each of two hosts and ten a second
-    for (many, every, broken) in [(2, 0, false), (4, 0, true), (40, 100, false), (40, 80, true)] {
+    for (many, every, broken) in [
+        (2, 0, false),
+        (4, 0, true),
+        (40, 100, false),
+        (40, 80, true),
+    ] {
         let mut r = Recording::new();
         (0..many).for_each(|n| r.put(1000 + n * every, 0, "?", "n1", What::Came));
         // Of another process they say nothing.
         (0..many).for_each(|n| r.put(1000 + n, 0, "?", "list", What::Came));
-        assert_eq!(broken_rules(&d, &r), if broken { vec![11] } else { vec![] }, "{many} each {every} ms");
+        assert_eq!(
+            broken_rules(&d, &r),
+            if broken { vec![11] } else { vec![] },
+            "{many} each {every} ms"
+        );
     }
     // attempts of each host, ms between two; the node answers this one, or starts anew before it; broken
     type Case = (i64, i64, Option<i64>, Option<i64>, bool);
@@ -101,17 +176,40 @@
             for (host, name) in ["h1", "h2"].into_iter().enumerate() {
                 let id = (n * 2) as u64 + host as u64 + 1;
                 r.submit(at, name, id, "read", "v", 1.0);
-                let attempt = Attempt { attempt: id, time_out_us: 300 * MS, ..Attempt::default() };
-                r.frame(at + 1, 20 + host as u64, name, "n1", Message::Attempt(attempt));
+                let attempt = Attempt {
+                    attempt: id,
+                    time_out_us: 300 * MS,
+                    ..Attempt::default()
+                };
+                r.frame(
+                    at + 1,
+                    20 + host as u64,
+                    name,
+                    "n1",
+                    Message::Attempt(attempt),
+                );
                 if answered == Some(n) {
                     let result = AttemptResult::Failed as i32;
-                    let answer = AttemptAnswer { attempt: id, result, ..AttemptAnswer::default() };
-                    r.frame(at + 20, 20 + host as u64, "n1", name, Message::AttemptAnswer(answer));
+                    let answer = AttemptAnswer {
+                        attempt: id,
+                        result,
+                        ..AttemptAnswer::default()
+                    };
+                    r.frame(
+                        at + 20,
+                        20 + host as u64,
+                        "n1",
+                        name,
+                        Message::AttemptAnswer(answer),
+                    );
                 }
                 r.answer(at + 500, name, id, Outcome::Rejected);
             }
         }
-        let got: Vec<u8> = broken_rules(&d, &r).into_iter().filter(|rule| *rule == 12).collect();
+        let got: Vec<u8> = broken_rules(&d, &r)
+            .into_iter()
+            .filter(|rule| *rule == 12)
+            .collect();
         assert_eq!(
             got,
             if broken { vec![12] } else { vec![] },
--- a/crates/audit/tests/planted/limits.rs
+++ b/crates/audit/tests/planted/limits.rs
@@ -28,11 +28,21 @@
     ];
     for (limit, asked, serves, killed, units, broken) in cases {
         let mut r = Recording::new();
-        let document = |revision, text: Option<String>, serves| What::Document { revision, text, serves };
+        let document = |revision, text: Option<String>, serves| What::Document {
+            revision,
+            text,
+            serves,
+        };
         r.put(0, 0, "script", "h1", document(1, Some(with(10, 1)), false));
         for (place, host) in ["h1", "h2"].into_iter().enumerate() {
             r.put(0, 0, "script", host, document(1, None, true));
-            r.put(asked[place], 0, "script", host, document(2, Some(with(limit, 2)), false));
+            r.put(
+                asked[place],
+                0,
+                "script",
+                host,
+                document(2, Some(with(limit, 2)), false),
+            );
             r.put(serves[place], 0, "script", host, document(2, None, true));
         }
         if let Some(at) = killed {
@@ -46,7 +56,13 @@
                 units,
                 ..Attempt::default()
             };
-            r.frame(1000 + place as i64 * 100, 3, "h1", "n1", Message::Attempt(attempt));
+            r.frame(
+                1000 + place as i64 * 100,
+                3,
+                "h1",
+                "n1",
+                Message::Attempt(attempt),
+            );
         }
         assert_eq!(
             broken_rules(&d, &r),
@@ -63,9 +79,12 @@
     let d = parse("planted.kdl", &text).unwrap();
     assert_eq!(d.cross_zone_budgets.len(), 1);
     // attempts of 8,000 bytes to the other zone, one a second; bytes reported; broken
-    for (attempts, reported, broken) in
-        [(4, 0, false), (40, 0, true), (40, 300_000, false), (40, 100_000, true)]
-    {
+    for (attempts, reported, broken) in [
+        (4, 0, false),
+        (40, 0, true),
+        (40, 300_000, false),
+        (40, 100_000, true),
+    ] {
         let mut r = Recording::new();
         for place in 0..attempts {
             let attempt = Attempt {
@@ -93,7 +112,11 @@
                 4,
                 "h1",
                 "n1",
-                What::Frame { message: Message::Attempt(attempt), body: 8000, delivery: Delivery::Passed },
+                What::Frame {
+                    message: Message::Attempt(attempt),
+                    body: 8000,
+                    delivery: Delivery::Passed,
+                },
             );
         }
         if reported > 0 {
--- a/crates/audit/tests/planted/main.rs
+++ b/crates/audit/tests/planted/main.rs
@@ -13,7 +13,12 @@
 #[test]
 fn a_sound_recording_keeps_and_tests_every_rule() {
     for verdict in sound().judge() {
-        assert!(verdict.kept(), "rule {}: {:?}", verdict.rule, verdict.breaches);
+        assert!(
+            verdict.kept(),
+            "rule {}: {:?}",
+            verdict.rule,
+            verdict.breaches
+        );
         assert!(verdict.tested > 0, "rule {}", verdict.rule);
     }
 }
@@ -33,5 +38,8 @@
     let d = parse("planted.kdl", DOCUMENT).unwrap();
     let text = r.lines.join("\n");
     let error = judge(&d, &text[..text.len() - 5]).unwrap_err().to_string();
-    assert!(error.starts_with(&format!("line {} of the recording", r.lines.len())), "{error}");
+    assert!(
+        error.starts_with(&format!("line {} of the recording", r.lines.len())),
+        "{error}"
+    );
 }
--- a/crates/audit/tests/planted/recording.rs
+++ b/crates/audit/tests/planted/recording.rs
@@ -36,7 +36,10 @@
 
 impl Recording {
     pub fn new() -> Recording {
-        let mut r = Recording { lines: Vec::new(), attempts: 0 };
+        let mut r = Recording {
+            lines: Vec::new(),
+            attempts: 0,
+        };
         for name in ["n1", "n2", "h1", "h2"] {
             r.process(name, 0, ProcessEvent::Started { incarnation: 1 });
         }
@@ -45,12 +48,29 @@
 
     pub fn put(&mut self, at: i64, link: u64, from: &str, to: &str, what: What) {
         let at = at * MS;
-        let entry = Entry { at, out: at, link, from: from.into(), to: to.into(), what };
+        let entry = Entry {
+            at,
+            out: at,
+            link,
+            from: from.into(),
+            to: to.into(),
+            what,
+        };
         self.lines.push(serde_json::to_string(&entry).unwrap());
     }
 
     pub fn frame(&mut self, at: i64, link: u64, from: &str, to: &str, message: Message) {
-        self.put(at, link, from, to, What::Frame { message, body: 0, delivery: Delivery::Passed });
+        self.put(
+            at,
+            link,
+            from,
+            to,
+            What::Frame {
+                message,
+                body: 0,
+                delivery: Delivery::Passed,
+            },
+        );
     }
 
     pub fn process(&mut self, name: &str, at: i64, event: ProcessEvent) {
@@ -58,18 +78,47 @@
     }
 
     /// Client links are 1 to h1 and 2 to h2.
-    pub fn submit(&mut self, at: i64, host: &str, id: u64, request_class: &str, volume: &str, units: f64) {
-        let order_key = if request_class == "record" { "k".into() } else { String::new() };
-        let timeout_us = if request_class == "photo" { 4000 * MS } else { 1000 * MS };
+    pub fn submit(
+        &mut self,
+        at: i64,
+        host: &str,
+        id: u64,
+        request_class: &str,
+        volume: &str,
+        units: f64,
+    ) {
+        let order_key = if request_class == "record" {
+            "k".into()
+        } else {
+            String::new()
+        };
+        let timeout_us = if request_class == "photo" {
+            4000 * MS
+        } else {
+            1000 * MS
+        };
         let request_class = request_class.into();
         let volume = volume.into();
         let mark = format!("m{id}");
-        let s = Submit { id, request_class, volume, units, mark, order_key, timeout_us, ..Submit::default() };
+        let s = Submit {
+            id,
+            request_class,
+            volume,
+            units,
+            mark,
+            order_key,
+            timeout_us,
+            ..Submit::default()
+        };
         self.frame(at, link(host), "client", host, Message::Submit(s));
     }
 
     pub fn answer(&mut self, at: i64, host: &str, id: u64, outcome: Outcome) {
-        let a = Answer { id, outcome: outcome as i32, ..Answer::default() };
+        let a = Answer {
+            id,
+            outcome: outcome as i32,
+            ..Answer::default()
+        };
         self.frame(at, link(host), host, "client", Message::Answer(a));
     }
 
@@ -83,10 +132,16 @@
         number: u32,
         result: Option<(i64, AttemptResult)>,
     ) {
-        let submit = self.lines.iter().find_map(|l| match serde_json::from_str::<Entry>(l).unwrap().what {
-            What::Frame { message: Message::Submit(s), .. } if s.id == id => Some(s),
-            _ => None,
-        });
+        let submit =
+            self.lines
+                .iter()
+                .find_map(|l| match serde_json::from_str::<Entry>(l).unwrap().what {
+                    What::Frame {
+                        message: Message::Submit(s),
+                        ..
+                    } if s.id == id => Some(s),
+                    _ => None,
+                });
         let s = submit.unwrap();
         self.attempts += 1;
         let attempt = Attempt {
@@ -121,14 +176,31 @@
             incarnation,
             ..ListedEndpoint::default()
         };
-        let update = EndpointListUpdate { version: 1, whole: false, entries: vec![entry] };
-        self.frame(at, 20 + link(host), "list", host, Message::EndpointListUpdate(update));
+        let update = EndpointListUpdate {
+            version: 1,
+            whole: false,
+            entries: vec![entry],
+        };
+        self.frame(
+            at,
+            20 + link(host),
+            "list",
+            host,
+            Message::EndpointListUpdate(update),
+        );
     }
 
     /// One request from its arrival to its answer.
     pub fn served(&mut self, at: i64, host: &str, id: u64, request_class: &str) {
         self.submit(at, host, id, request_class, "v", 1.0);
-        self.attempt(at + 1, host, "n1", id, 0, Some((10, AttemptResult::Succeeded)));
+        self.attempt(
+            at + 1,
+            host,
+            "n1",
+            id,
+            0,
+            Some((10, AttemptResult::Succeeded)),
+        );
         self.answer(at + 12, host, id, Outcome::Succeeded);
     }
 
@@ -182,5 +254,9 @@
 
 pub fn broken_rules(d: &Deployment, r: &Recording) -> Vec<u8> {
     let verdicts = judge(d, &r.lines.join("\n")).unwrap();
-    verdicts.iter().filter(|v| !v.kept()).map(|v| v.rule).collect()
+    verdicts
+        .iter()
+        .filter(|v| !v.kept())
+        .map(|v| v.rule)
+        .collect()
 }
--- a/crates/benchlink/src/adapter.rs
+++ b/crates/benchlink/src/adapter.rs
@@ -41,7 +41,11 @@
                 WireEvent::Page { table, hosts } => {
                     self.pages.insert(table, hosts);
                 }
-                WireEvent::Start { host, rng_seed, boot_info } => {
+                WireEvent::Start {
+                    host,
+                    rng_seed,
+                    boot_info,
+                } => {
                     self.start_instance(host, rng_seed, &boot_info, now)?;
                     pending.push(host);
                 }
@@ -63,12 +67,22 @@
     ) -> Result<(), AdapterError> {
         let (config, names) = events::config(settings)?;
         let scheduler = Scheduler::new(config, seed, now);
-        self.instances.insert(host, Instance { scheduler, names, events: Vec::new(), pending: true });
+        self.instances.insert(
+            host,
+            Instance {
+                scheduler,
+                names,
+                events: Vec::new(),
+                pending: true,
+            },
+        );
         Ok(())
     }
 
     fn add_event(&mut self, event: WireEvent, pending: &mut Vec<u64>) -> Result<(), AdapterError> {
-        let Some(host) = event.host() else { return Ok(()) };
+        let Some(host) = event.host() else {
+            return Ok(());
+        };
         let Some(instance) = self.instances.get_mut(&host) else {
             eprintln!("gullsail-benchlink: event for host {host}, which does not live: ignored");
             return Ok(());
@@ -87,7 +101,9 @@
         let mut outbox = Vec::new();
         for host in pending {
             // A host that was killed and started again in one batch may stand here twice.
-            let Some(instance) = self.instances.get_mut(host).filter(|i| i.pending) else { continue };
+            let Some(instance) = self.instances.get_mut(host).filter(|i| i.pending) else {
+                continue;
+            };
             instance.pending = false;
             let events = std::mem::take(&mut instance.events);
             for action in instance.scheduler.step(now, events) {
--- a/crates/benchlink/src/events.rs
+++ b/crates/benchlink/src/events.rs
@@ -5,9 +5,9 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use gullsail_scheduler_api::{
-    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, Event, HostId, Instant, NodeId, ObjectId, PlanId,
-    PoolId, Request, RequestClassId, RequestId, SchedulerConfig, ShardId, Span, TimerId, UpdateKind,
-    VolumeId, ZoneId,
+    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, Event, HostId, Instant, NodeId, ObjectId,
+    PlanId, PoolId, Request, RequestClassId, RequestId, SchedulerConfig, ShardId, Span, TimerId,
+    UpdateKind, VolumeId, ZoneId,
 };
 use gullsail_scheduler_settings::{RawSettings, hash};
 use std::collections::BTreeMap;
@@ -32,9 +32,15 @@
 /// # Errors
 /// The settings are invalid.
 pub fn config(settings: &RawSettings) -> Result<(SchedulerConfig, Names), AdapterError> {
-    let (config, settings) =
-        gullsail_scheduler_settings::config(settings).map_err(|e| AdapterError::Settings(e.to_string()))?;
-    Ok((config, Names { settings, nodes: BTreeMap::new() }))
+    let (config, settings) = gullsail_scheduler_settings::config(settings)
+        .map_err(|e| AdapterError::Settings(e.to_string()))?;
+    Ok((
+        config,
+        Names {
+            settings,
+            nodes: BTreeMap::new(),
+        },
+    ))
 }
 
 /// The scheduler's event; `None`: it does not concern the scheduler.
@@ -47,30 +53,47 @@
     pages: &BTreeMap<u64, Vec<Entry>>,
 ) -> Result<Option<Event>, AdapterError> {
     Ok(Some(match event {
-        WireEvent::Start { .. } | WireEvent::Page { .. } | WireEvent::Detach { .. } | WireEvent::Unknown => {
+        WireEvent::Start { .. }
+        | WireEvent::Page { .. }
+        | WireEvent::Detach { .. }
+        | WireEvent::Unknown => {
             return Ok(None);
         }
         WireEvent::Fleet { table, mode, .. } => endpoint_list(table, &mode, names, pages)?,
-        accept @ WireEvent::Accept { .. } => return Ok(request(accept, names).map(Event::RequestArrived)),
+        accept @ WireEvent::Accept { .. } => {
+            return Ok(request(accept, names).map(Event::RequestArrived));
+        }
         WireEvent::Timer { name, .. } => Event::Timer(TimerId(name)),
         WireEvent::Dropped { id, .. } => Event::ClientDisconnected(RequestId(id)),
-        WireEvent::PeerMessage { src, octets, .. } => {
-            Event::PeerMessage { from: HostId(src), bytes: BASE64.decode(&octets)? }
-        }
-        WireEvent::Resolved { id, spent, attempt, state_code, node, complete, metered, .. } => {
-            Event::AttemptEnded(AttemptEnd {
-                id: RequestId(id),
-                attempt,
-                node: NodeId(hash(&node)),
-                outcome: outcome(&state_code)?,
-                latency: Span::from_millis(spent),
-                finished: complete,
-                used: metered.checked_sub(1).map(|percent| f64::from(percent) / 100.0),
-                zone: ZoneId::default(),
-                bytes: 0.0,
-            })
-        }
-        WireEvent::AckFirst { id, node, spent, .. } => Event::ResponseStarted {
+        WireEvent::PeerMessage { src, octets, .. } => Event::PeerMessage {
+            from: HostId(src),
+            bytes: BASE64.decode(&octets)?,
+        },
+        WireEvent::Resolved {
+            id,
+            spent,
+            attempt,
+            state_code,
+            node,
+            complete,
+            metered,
+            ..
+        } => Event::AttemptEnded(AttemptEnd {
+            id: RequestId(id),
+            attempt,
+            node: NodeId(hash(&node)),
+            outcome: outcome(&state_code)?,
+            latency: Span::from_millis(spent),
+            finished: complete,
+            used: metered
+                .checked_sub(1)
+                .map(|percent| f64::from(percent) / 100.0),
+            zone: ZoneId::default(),
+            bytes: 0.0,
+        }),
+        WireEvent::AckFirst {
+            id, node, spent, ..
+        } => Event::ResponseStarted {
             id: RequestId(id),
             node: NodeId(hash(&node)),
             latency: Span::from_millis(spent),
@@ -88,14 +111,20 @@
         return Ok(Event::EndpointListLost);
     }
     let page = pages.get(&table).ok_or(AdapterError::Page(table))?;
-    let entries = page.iter().filter_map(|entry| endpoint(entry, names)).collect();
+    let entries = page
+        .iter()
+        .filter_map(|entry| endpoint(entry, names))
+        .collect();
     let update_kind = match mode {
         "incr" => UpdateKind::Delta,
         "total" => UpdateKind::Snapshot,
         "warm_copy" => UpdateKind::StaleSnapshot,
         other => return Err(AdapterError::Mode(other.to_string())),
     };
-    Ok(Event::EndpointList { update_kind, entries })
+    Ok(Event::EndpointList {
+        update_kind,
+        entries,
+    })
 }
 
 /// `None`: the event is no request.
@@ -118,7 +147,10 @@
     Some(Request {
         id: RequestId(id),
         // Requests of classes and plans that the settings do not name are answered by the scheduler at once.
-        request_class: names.settings.request_class(&profile).unwrap_or(RequestClassId(usize::MAX)),
+        request_class: names
+            .settings
+            .request_class(&profile)
+            .unwrap_or(RequestClassId(usize::MAX)),
         plan: names.settings.plan(&grade).unwrap_or(PlanId(usize::MAX)),
         volume: VolumeId(hash(&store_user)),
         units: quota_units,
@@ -134,7 +166,10 @@
 /// `None`: its health is an unknown word, so what was known of it stays.
 fn endpoint(entry: &Entry, names: &mut Names) -> Option<Endpoint> {
     let node = NodeId(hash(&entry.node));
-    names.nodes.entry(node).or_insert_with(|| entry.node.clone());
+    names
+        .nodes
+        .entry(node)
+        .or_insert_with(|| entry.node.clone());
     let state = match entry.health.as_str() {
         "Ready" => EndpointState::Ready,
         "Terminating" => EndpointState::Draining,
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -21,7 +21,9 @@
         }
         let outbox = adapter.handle_batch(serde_json::from_str(&line)?)?;
         let reply = serde_json::json!({ "outbox": outbox });
-        writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(AdapterError::Output)?;
+        writeln!(out, "{reply}")
+            .and_then(|()| out.flush())
+            .map_err(AdapterError::Output)?;
     }
     Ok(())
 }
--- a/crates/benchlink/tests/same_config.rs
+++ b/crates/benchlink/tests/same_config.rs
@@ -20,25 +20,36 @@
         "rules":{"free-resends":3.0,"extra-per-request":0.1,"look-back":5000.0,"overload-for":1500.0,
         "ramp-time":17000.0,"start-capacity":0.17,"order-settle":100.0},"tick":2.0}"#;
     let start = format!(r#"{{"type":"Born","host":1,"rng-seed":9,"boot-info":{settings}}}"#);
-    let Ok(WireEvent::Start { boot_info, .. }) = serde_json::from_str(&start) else { panic!("{start}") };
+    let Ok(WireEvent::Start { boot_info, .. }) = serde_json::from_str(&start) else {
+        panic!("{start}")
+    };
     let (here, mut names) = events::config(&boot_info).unwrap();
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"x:1","limits":{{"cores":1.0,"memory_mb":32,"sockets":256}},
         "settings":{settings}}}"#
     );
-    let document = gullsail_platform::settings_document::SettingsDocument::parse("d", &text).unwrap();
+    let document =
+        gullsail_platform::settings_document::SettingsDocument::parse("d", &text).unwrap();
     // An attempt can wait for its connection on sockets alone.
-    let there = SchedulerConfig { connect_wait: Span::ZERO, ..document.config.clone() };
-    assert_eq!((format!("{here:?}"), &names.settings), (format!("{there:?}"), &document.names));
+    let there = SchedulerConfig {
+        connect_wait: Span::ZERO,
+        ..document.config.clone()
+    };
+    assert_eq!(
+        (format!("{here:?}"), &names.settings),
+        (format!("{there:?}"), &document.names)
+    );
     assert_eq!(document.config.connect_wait, Span::from_millis(250.0));
     let (volume, object) = ("00000003b4d60021", "7f3a9c21e0b4d655");
     let accept = format!(
         r#"{{"type":"Accept","host":1,"id":5,"quota-units":2,"ttl":900.0,"grade":"best","profile":"w",
         "store-user":"{volume}","lies-in":3,"object":"{object}","mounts":3}}"#
     );
-    let Ok(Some(Event::RequestArrived(here))) =
-        events::translate(serde_json::from_str(&accept).unwrap(), &mut names, &BTreeMap::new())
-    else {
+    let Ok(Some(Event::RequestArrived(here))) = events::translate(
+        serde_json::from_str(&accept).unwrap(),
+        &mut names,
+        &BTreeMap::new(),
+    ) else {
         panic!("{accept}")
     };
     let mut decoder = gullsail_http::Decoder::requests(gullsail_platform::core::BOUNDS);
@@ -58,6 +69,9 @@
         &document.reach,
     )
     .unwrap();
-    let there = Request { id: RequestId(5), ..parsed.request };
+    let there = Request {
+        id: RequestId(5),
+        ..parsed.request
+    };
     assert_eq!(format!("{here:?}"), format!("{there:?}"));
 }
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -37,7 +37,12 @@
     assert_eq!((code, err.as_str()), (Some(0), ""));
     let replies: Vec<_> = out.lines().collect();
     assert_eq!(replies[0], r#"{"outbox":[]}"#);
-    for part in [r#""type":"StreamChanges""#, r#""type":"PassOn""#, r#""node":"n:1""#, r#""id":5"#] {
+    for part in [
+        r#""type":"StreamChanges""#,
+        r#""type":"PassOn""#,
+        r#""node":"n:1""#,
+        r#""id":5"#,
+    ] {
         assert!(replies[1].contains(part), "{part} in {out}");
     }
 }
@@ -49,9 +54,24 @@
     let bare = START.replace(r#""policies":[{"name":"p"}],"#, "");
     let odd_list = LIST.replace("Ready", "Dreaming");
     let cases = [
-        (START, LIST, ACCEPT.replace(r#""grade":"p""#, r#""grade":"q""#), "NotNow"),
-        (START, LIST, ACCEPT.replace(r#""profile":"r""#, r#""profile":"x""#), "NotNow"),
-        (START, LIST, ACCEPT.replace(r#""lies-in":0"#, r#""lies-in":77"#), "NotNow"),
+        (
+            START,
+            LIST,
+            ACCEPT.replace(r#""grade":"p""#, r#""grade":"q""#),
+            "NotNow",
+        ),
+        (
+            START,
+            LIST,
+            ACCEPT.replace(r#""profile":"r""#, r#""profile":"x""#),
+            "NotNow",
+        ),
+        (
+            START,
+            LIST,
+            ACCEPT.replace(r#""lies-in":0"#, r#""lies-in":77"#),
+            "NotNow",
+        ),
         (START, &odd_list, ACCEPT.to_string(), "NotNow"),
         (START, LIST, ACCEPT.replace(r#""grade":"p","#, ""), "NotNow"),
         (&bare, LIST, ACCEPT.replace(r#""grade":"p","#, ""), "PassOn"),
@@ -60,13 +80,19 @@
     for (start, list, accept, answer) in cases {
         let (code, out, err) = run(&batch(&[start, list, &accept]));
         assert_eq!((code, err.as_str()), (Some(0), ""), "{accept}");
-        assert!(out.contains(&format!(r#""type":"{answer}""#)), "{accept}: {out}");
+        assert!(
+            out.contains(&format!(r#""type":"{answer}""#)),
+            "{accept}: {out}"
+        );
     }
 }
 
 #[test]
 fn events_for_the_dead_are_skipped_with_a_line() {
-    let dead = [batch(&[ACCEPT]), batch(&[START, LIST, r#"{"type":"Detach","host":3}"#, ACCEPT])];
+    let dead = [
+        batch(&[ACCEPT]),
+        batch(&[START, LIST, r#"{"type":"Detach","host":3}"#, ACCEPT]),
+    ];
     for input in dead {
         let (code, out, err) = run(&input);
         assert_eq!((code, out.as_str()), (Some(0), "{\"outbox\":[]}\n"));
@@ -83,14 +109,21 @@
         batch(&[r#"{"host":3}"#]),
         batch(&[START, r#"{"type":"Accept","host":3,"id":5}"#]),
         batch(&[START, r#"{"type":"Timer","host":3}"#]),
-        batch(&[START, r#"{"type":"Fleet","host":3,"table":4,"mode":"total"}"#]),
+        batch(&[
+            START,
+            r#"{"type":"Fleet","host":3,"table":4,"mode":"total"}"#,
+        ]),
         batch(&[START, r#"{"type":"Heard","host":3,"src":1,"octets":"*"}"#]),
         batch(&[&START.replace("\"rank\":0,", "")]),
     ];
     for input in cases {
         let (code, out, err) = run(&input);
         assert!(code.is_some_and(|c| c != 0), "{input}");
-        assert_eq!((out.as_str(), err.lines().count()), ("", 1), "{input}: {err}");
+        assert_eq!(
+            (out.as_str(), err.lines().count()),
+            ("", 1),
+            "{input}: {err}"
+        );
         assert!(!err.contains("panicked"), "{err}");
     }
 }
--- a/crates/cli/benches/documents.rs
+++ b/crates/cli/benches/documents.rs
@@ -8,7 +8,10 @@
 use std::time::Instant;
 
 fn files(folder: &Path, all: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("the example is there").flatten() {
+    for entry in std::fs::read_dir(folder)
+        .expect("the example is there")
+        .flatten()
+    {
         let path = entry.path();
         if path.is_dir() {
             files(&path, all);
@@ -21,7 +24,9 @@
 /// The text of one more town: its own names, addresses and shards, the same plans and request classes.
 fn moved(text: &str, copy: usize) -> String {
     let mut text = text.to_string();
-    for name in ["quay", "mill", "hill", "station", "harbour", "works-", "desk-"] {
+    for name in [
+        "quay", "mill", "hill", "station", "harbour", "works-", "desk-",
+    ] {
         text = text.replace(name, &format!("{}{copy}x-", name.trim_end_matches('-')));
     }
     text = text
@@ -34,8 +39,10 @@
     while let Some((before, after)) = rest.split_once("cell=") {
         out += before;
         let end = after.find(' ').unwrap_or(after.len());
-        let digits: Vec<usize> =
-            after[..end].split(|c: char| !c.is_ascii_digit()).filter_map(|d| d.parse().ok()).collect();
+        let digits: Vec<usize> = after[..end]
+            .split(|c: char| !c.is_ascii_digit())
+            .filter_map(|d| d.parse().ok())
+            .collect();
         let shards: Vec<String> = digits.iter().map(|d| (d + 60 * copy).to_string()).collect();
         out += &if shards.len() == 2 {
             format!("cell=\"{{{}}}\"", shards.join(".."))
@@ -60,7 +67,12 @@
         // One volume comes through all hosts, each with its part of the burst.
         text = text.replace("burst=3600", &format!("burst={}", 3600 * copies));
         // Revisions are for fewer hosts.
-        text = text.lines().filter(|l| !l.starts_with("revision")).collect::<Vec<_>>().join("\n") + "\n";
+        text = text
+            .lines()
+            .filter(|l| !l.starts_with("revision"))
+            .collect::<Vec<_>>()
+            .join("\n")
+            + "\n";
         bytes += text.len();
         let path = to.join(name);
         std::fs::create_dir_all(path.parent().expect("below it")).expect("made");
@@ -94,12 +106,17 @@
         }
         times.sort_by(f64::total_cmp);
         // The largest so far, and sizes grow.
-        let most = getrusage(UsageWho::RUSAGE_CHILDREN).expect("usage").max_rss() as f64 / 1024.0;
+        let most = getrusage(UsageWho::RUSAGE_CHILDREN)
+            .expect("usage")
+            .max_rss() as f64
+            / 1024.0;
         let (ms0, most0) = *first.get_or_insert((times[2], most));
         if !report.contains("sound") {
             println!("{report}");
         }
-        let report = report.rsplit_once(": ").map_or(report.clone(), |s| s.1.to_string());
+        let report = report
+            .rsplit_once(": ")
+            .map_or(report.clone(), |s| s.1.to_string());
         println!(
             "{copies:>6} {bytes:>9} {:>10.1} {most:>9.1} {:>12.1} {:>12.1}  {report}",
             times[2],
--- a/crates/cli/benches/host_cost/load.rs
+++ b/crates/cli/benches/host_cost/load.rs
@@ -46,7 +46,10 @@
     fn send(&mut self) {
         self.last += 1;
         let last = self.last;
-        let handle = Some(Handle { shard: last as i64 % self.load.shards, object: last });
+        let handle = Some(Handle {
+            shard: last as i64 % self.load.shards,
+            object: last,
+        });
         let request_class = "read".to_string();
         let mark = format!("m{last}");
         // Each host is asked for both in turn.
@@ -55,16 +58,40 @@
         let units = 1.0;
         let frame: Frame = if self.as_attempts {
             let time_out_us = 1_000_000;
-            let attempt =
-                Attempt { attempt: last, request_class, volume, units, handle, mark, ..Attempt::default() };
-            Attempt { time_out_us, ..attempt }.into()
+            let attempt = Attempt {
+                attempt: last,
+                request_class,
+                volume,
+                units,
+                handle,
+                mark,
+                ..Attempt::default()
+            };
+            Attempt {
+                time_out_us,
+                ..attempt
+            }
+            .into()
         } else {
             let timeout_us = 4_000_000;
-            let submit = Submit { id: last, request_class, volume, units, handle, mark, ..Submit::default() };
-            Submit { timeout_us, ..submit }.into()
+            let submit = Submit {
+                id: last,
+                request_class,
+                volume,
+                units,
+                handle,
+                mark,
+                ..Submit::default()
+            };
+            Submit {
+                timeout_us,
+                ..submit
+            }
+            .into()
         };
         self.began.insert(last, Instant::now());
-        let _ = self.links[last as usize % self.links.len()].send(frame.with_body(self.body.clone()));
+        let _ =
+            self.links[last as usize % self.links.len()].send(frame.with_body(self.body.clone()));
     }
 
     fn received(&mut self, frame: Frame) {
@@ -74,8 +101,12 @@
             Message::NotTaken(n) => (n.id, false),
             _ => return,
         };
-        let Some(at) = self.began.remove(&id) else { return };
-        self.answers.times.saturating_record(at.elapsed().as_micros() as u64);
+        let Some(at) = self.began.remove(&id) else {
+            return;
+        };
+        self.answers
+            .times
+            .saturating_record(at.elapsed().as_micros() as u64);
         if succeeded {
             self.answers.succeeded += 1;
         } else {
@@ -84,12 +115,19 @@
     }
 
     async fn run(mut self, inbox: &mut mpsc::Receiver<(usize, LinkEvent)>) -> Answers {
-        let Load { seconds, rate, outstanding, .. } = *self.load;
+        let Load {
+            seconds,
+            rate,
+            outstanding,
+            ..
+        } = *self.load;
         let start = Instant::now();
         let elapsed = || start.elapsed().as_secs_f64();
         let mut batch = Vec::new();
         let mut next = start;
-        while elapsed() < seconds || rate > 0.0 && !self.began.is_empty() && elapsed() < seconds + 2.0 {
+        while elapsed() < seconds
+            || rate > 0.0 && !self.began.is_empty() && elapsed() < seconds + 2.0
+        {
             while rate > 0.0 && next <= Instant::now() && elapsed() < seconds {
                 self.send();
                 next += Duration::from_secs_f64(1.0 / rate);
@@ -119,16 +157,32 @@
         for (i, a) in addresses.iter().enumerate() {
             let stream = TcpStream::connect(a).await.expect("the host");
             let link = Link::open(stream, i, Bounds::DEFAULT, 65_536, &sink, &mut tasks);
-            let hello = Hello { role: Role::Client as i32, name: "c".into(), ..Hello::default() };
+            let hello = Hello {
+                role: Role::Client as i32,
+                name: "c".into(),
+                ..Hello::default()
+            };
             let _ = link.send(hello.into());
             links.push(link);
         }
         tokio::time::sleep(Duration::from_secs_f64(load.warm)).await;
         let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("a histogram");
         let body = Bytes::from(vec![1; load.bytes]);
-        let answers = Answers { succeeded: 0, others: 0, times };
+        let answers = Answers {
+            succeeded: 0,
+            others: 0,
+            times,
+        };
         let began = BTreeMap::new();
-        let clients = Clients { load, as_attempts, links, body, began, last: 0, answers };
+        let clients = Clients {
+            load,
+            as_attempts,
+            links,
+            body,
+            began,
+            last: 0,
+            answers,
+        };
         clients.run(&mut inbox).await
     })
 }
--- a/crates/cli/benches/host_cost/main.rs
+++ b/crates/cli/benches/host_cost/main.rs
@@ -21,7 +21,11 @@
 
 fn resident() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|n| n.parse::<usize>().ok()).unwrap_or_default() * 4096
+    text.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse::<usize>().ok())
+        .unwrap_or_default()
+        * 4096
 }
 
 /// What one run of a host, or of a relay, measured.
@@ -41,11 +45,26 @@
     } else {
         hosts(&document(&ha, &na, ""), 0, hl)
     };
-    let load = Load { outstanding, rate: 0.0, seconds, shards: count as i64, bytes: 0, warm: 0.5 };
-    let Answers { succeeded: done, others: other, times } = clients(&ha, &load, relay);
+    let load = Load {
+        outstanding,
+        rate: 0.0,
+        seconds,
+        shards: count as i64,
+        bytes: 0,
+        warm: 0.5,
+    };
+    let Answers {
+        succeeded: done,
+        others: other,
+        times,
+    } = clients(&ha, &load, relay);
     assert!(other * 100 <= done, "{other} not done beside {done}");
     let Cost { cpu, .. } = running.end();
-    Measured { by_cpu: done as f64 / cpu, by_time: done as f64 / seconds, times }
+    Measured {
+        by_cpu: done as f64 / cpu,
+        by_time: done as f64 / seconds,
+        times,
+    }
 }
 
 fn cost() {
@@ -55,8 +74,16 @@
         // Twice each, in turn: the second round is shown, the first warms up.
         for round in 0..2 {
             for relay in [true, false] {
-                let Measured { by_cpu, by_time, times } =
-                    measure(bytes, outstanding, if round == 0 { 0.5 } else { 4.0 }, relay);
+                let Measured {
+                    by_cpu,
+                    by_time,
+                    times,
+                } = measure(
+                    bytes,
+                    outstanding,
+                    if round == 0 { 0.5 } else { 4.0 },
+                    relay,
+                );
                 if round == 1 {
                     let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
                     let who = if relay { "relay" } else { "host" };
@@ -80,7 +107,10 @@
 /// The same load at a host with a fleet and without one, in turn.
 fn fleet() {
     let (mut ratios, limit) = (Vec::new(), "limit=\"1000000000units/s\" burst=1000000000");
-    let entries = ["", "fleet \"f\" lease=\"1s\" drift=0.001 voters=1 floor=0.3\n"];
+    let entries = [
+        "",
+        "fleet \"f\" lease=\"1s\" drift=0.001 voters=1 floor=0.3\n",
+    ];
     for round in 0..33 {
         // In turn, and in the other order each time: the machine's own speed drifts.
         let order = if round % 2 == 0 { [0, 1] } else { [1, 0] };
@@ -92,11 +122,23 @@
             let text = document_text(&ha, &na, limit) + entry;
             let d = parse("bench.kdl", &text).unwrap_or_else(|p| panic!("{:?}", p.problems));
             let running = hosts(&Arc::new(d), 0, hl);
-            let load = Load { outstanding: 128, rate: 0.0, seconds: 1.0, shards: 8, bytes: 0, warm: 0.5 };
-            let Answers { succeeded: done, .. } = clients(&ha, &load, false);
+            let load = Load {
+                outstanding: 128,
+                rate: 0.0,
+                seconds: 1.0,
+                shards: 8,
+                bytes: 0,
+                warm: 0.5,
+            };
+            let Answers {
+                succeeded: done, ..
+            } = clients(&ha, &load, false);
             by_cpu[which] = done as f64 / running.end().cpu;
         }
-        println!("round {round}: off {:.0}, on {:.0} transfers by processor second", by_cpu[0], by_cpu[1]);
+        println!(
+            "round {round}: off {:.0}, on {:.0} transfers by processor second",
+            by_cpu[0], by_cpu[1]
+        );
         ratios.extend((round > 0).then_some(by_cpu[0] / by_cpu[1] - 1.0));
     }
     ratios.sort_by(f64::total_cmp);
@@ -114,7 +156,14 @@
         nodes(nl, None);
         let running = hosts(&document(&ha, &na, ""), 0, hl);
         let before = resident();
-        let load = Load { outstanding: 0, rate: 40_000.0, seconds: 0.75, shards: 8, bytes: 0, warm: 0.5 };
+        let load = Load {
+            outstanding: 0,
+            rate: 40_000.0,
+            seconds: 0.75,
+            shards: 8,
+            bytes: 0,
+            warm: 0.5,
+        };
         let watch = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(1300));
             resident()
@@ -136,12 +185,26 @@
     let running = hosts(&document(&ha, &na, ""), 0, hl);
     let watch = std::thread::spawn(move || {
         for minute in 0..=(seconds / 60.0) as u64 {
-            println!("minute {minute}: {:.1} MB resident", resident() as f64 / 1e6);
+            println!(
+                "minute {minute}: {:.1} MB resident",
+                resident() as f64 / 1e6
+            );
             std::thread::sleep(Duration::from_secs(60));
         }
     });
-    let load = Load { outstanding: 0, rate: 3000.0, seconds, shards: 8, bytes: 0, warm: 0.5 };
-    let Answers { succeeded: done, others: other, times } = clients(&ha, &load, false);
+    let load = Load {
+        outstanding: 0,
+        rate: 3000.0,
+        seconds,
+        shards: 8,
+        bytes: 0,
+        warm: 0.5,
+    };
+    let Answers {
+        succeeded: done,
+        others: other,
+        times,
+    } = clients(&ha, &load, false);
     println!(
         "{done} done, {other} not; p50 {} us, p99 {} us",
         times.value_at_quantile(0.5),
@@ -153,19 +216,31 @@
 }
 
 fn main() {
-    let arguments: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
+    let arguments: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| a != "--bench")
+        .collect();
     match arguments.first().map(String::as_str) {
         None | Some("cost") => cost(),
         Some("fleet") => fleet(),
         Some("memory") => memory(),
         Some("scale") => scale(),
         Some("scale-part") => match &arguments[1..] {
-            [file, from, to] => {
-                scale_part(file, from.parse().expect("a place"), to.parse().expect("a place"))
-            }
+            [file, from, to] => scale_part(
+                file,
+                from.parse().expect("a place"),
+                to.parse().expect("a place"),
+            ),
             _ => eprintln!("scale-part FILE FROM TO"),
         },
-        Some("soak") => soak(arguments.get(1).and_then(|s| s.parse().ok()).unwrap_or(600.0)),
-        Some(other) => eprintln!("no mode is called {other}: cost, fleet, memory, scale, soak SECONDS"),
+        Some("soak") => soak(
+            arguments
+                .get(1)
+                .and_then(|s| s.parse().ok())
+                .unwrap_or(600.0),
+        ),
+        Some(other) => {
+            eprintln!("no mode is called {other}: cost, fleet, memory, scale, soak SECONDS")
+        }
     }
 }
--- a/crates/cli/benches/host_cost/processes.rs
+++ b/crates/cli/benches/host_cost/processes.rs
@@ -19,7 +19,10 @@
 
 /// A runtime on this thread.
 pub fn current_thread() -> Runtime {
-    Builder::new_current_thread().enable_all().build().expect("a runtime")
+    Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime")
 }
 
 fn cpu() -> f64 {
@@ -29,9 +32,15 @@
 
 /// Listeners on loopback, and their addresses.
 pub fn listeners(count: usize) -> (Vec<StdListener>, Vec<String>) {
-    let all: Vec<_> = (0..count).map(|_| StdListener::bind("127.0.0.1:0").expect("a port")).collect();
-    all.iter().for_each(|l| l.set_nonblocking(true).expect("non-blocking"));
-    let addresses = all.iter().map(|l| l.local_addr().expect("an address").to_string()).collect();
+    let all: Vec<_> = (0..count)
+        .map(|_| StdListener::bind("127.0.0.1:0").expect("a port"))
+        .collect();
+    all.iter()
+        .for_each(|l| l.set_nonblocking(true).expect("non-blocking"));
+    let addresses = all
+        .iter()
+        .map(|l| l.local_addr().expect("an address").to_string())
+        .collect();
     (all, addresses)
 }
 
@@ -96,9 +105,15 @@
     });
 }
 
-fn named<T: Send + 'static>(name: &str, work: impl FnOnce() -> T + Send + 'static) -> JoinHandle<T> {
+fn named<T: Send + 'static>(
+    name: &str,
+    work: impl FnOnce() -> T + Send + 'static,
+) -> JoinHandle<T> {
     // Profiles tell threads apart by their names.
-    std::thread::Builder::new().name(name.into()).spawn(work).expect("a thread")
+    std::thread::Builder::new()
+        .name(name.into())
+        .spawn(work)
+        .expect("a thread")
 }
 
 /// What a thread used, and what its hosts counted.
@@ -126,7 +141,9 @@
 
 /// Hosts of a configuration from this one on, all on one thread.
 pub fn hosts(d: &Arc<Deployment>, first: usize, listeners: Vec<StdListener>) -> Running {
-    let (stop, stopped): (Vec<_>, Vec<_>) = (0..listeners.len()).map(|_| oneshot::channel::<()>()).unzip();
+    let (stop, stopped): (Vec<_>, Vec<_>) = (0..listeners.len())
+        .map(|_| oneshot::channel::<()>())
+        .unzip();
     let d = d.clone();
     let thread = named("host", move || {
         let all = current_thread().block_on(async move {
@@ -147,7 +164,10 @@
             }
             all.join_all().await
         });
-        Cost { cpu: cpu(), counts: all }
+        Cost {
+            cpu: cpu(),
+            counts: all,
+        }
     });
     Running { thread, stop }
 }
@@ -167,7 +187,14 @@
                 let mut nodes = Vec::new();
                 for target in targets {
                     let other = TcpStream::connect(target).await.expect("the node");
-                    nodes.push(Link::open(other, 1, Bounds::DEFAULT, 16_384, &sink, &mut tasks));
+                    nodes.push(Link::open(
+                        other,
+                        1,
+                        Bounds::DEFAULT,
+                        16_384,
+                        &sink,
+                        &mut tasks,
+                    ));
                 }
                 let mut batch = Vec::new();
                 while inbox.recv_many(&mut batch, 256).await > 0 {
@@ -177,7 +204,11 @@
                                 Message::Attempt(l) => l.handle.map_or(0, |h| h.shard as usize),
                                 _ => 0,
                             };
-                            let _ = if side == 0 { nodes[shard].send(frame) } else { client.send(frame) };
+                            let _ = if side == 0 {
+                                nodes[shard].send(frame)
+                            } else {
+                                client.send(frame)
+                            };
                         }
                     }
                 }
@@ -187,7 +218,13 @@
                 _ = stopped => {}
             }
         });
-        Cost { cpu: cpu(), counts: Vec::new() }
+        Cost {
+            cpu: cpu(),
+            counts: Vec::new(),
+        }
     });
-    Running { thread, stop: vec![stop] }
+    Running {
+        thread,
+        stop: vec![stop],
+    }
 }
--- a/crates/cli/benches/host_cost/scale.rs
+++ b/crates/cli/benches/host_cost/scale.rs
@@ -23,7 +23,10 @@
     let running = hosts(&d, from, (from..to).map(bind).collect());
     let _ = std::io::stdin().read_line(&mut String::new());
     let Cost { cpu, counts } = running.end();
-    println!("{cpu} {}", counts.iter().map(|c| c.demand_reports_sent).sum::<u64>());
+    println!(
+        "{cpu} {}",
+        counts.iter().map(|c| c.demand_reports_sent).sum::<u64>()
+    );
 }
 
 /// Runs 10, 50 and 100 hosts.
@@ -36,7 +39,8 @@
         nodes(nl, Some(1024));
         // A limit a quarter over what is asked: hosts that are asked for more for a moment borrow.
         let plan = format!("limit=\"1250units/s\" burst={}", 16 * count.max(70));
-        let file = std::env::temp_dir().join(format!("gullsail-scale-{}-{count}.kdl", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("gullsail-scale-{}-{count}.kdl", std::process::id()));
         std::fs::write(&file, document_text(&ha, &na, &plan)).expect("the document");
         drop(hl);
         let parts: Vec<_> = (0..count)
@@ -44,7 +48,12 @@
             .map(|from| {
                 let to = (from + HOSTS_A_PROCESS).min(count);
                 Command::new(std::env::current_exe().expect("this program"))
-                    .args(["scale-part", &file.display().to_string(), &from.to_string(), &to.to_string()])
+                    .args([
+                        "scale-part",
+                        &file.display().to_string(),
+                        &from.to_string(),
+                        &to.to_string(),
+                    ])
                     .stdin(Stdio::piped())
                     .stdout(Stdio::piped())
                     .spawn()
@@ -52,14 +61,27 @@
             })
             .collect();
         std::thread::sleep(Duration::from_secs(1));
-        let load = Load { outstanding: 0, rate: 2000.0, seconds: 20.0, shards: 60, bytes: 0, warm: 4.0 };
-        let Answers { succeeded: done, others: other, times } = clients(&ha, &load, false);
+        let load = Load {
+            outstanding: 0,
+            rate: 2000.0,
+            seconds: 20.0,
+            shards: 60,
+            bytes: 0,
+            warm: 4.0,
+        };
+        let Answers {
+            succeeded: done,
+            others: other,
+            times,
+        } = clients(&ha, &load, false);
         let (mut cpu, mut demand_reports) = (0.0, 0.0);
         for mut part in parts {
             drop(part.stdin.take());
             let out = part.wait_with_output().expect("what it counted");
             let text = String::from_utf8_lossy(&out.stdout).into_owned();
-            let mut figures = text.split_whitespace().filter_map(|f| f.parse::<f64>().ok());
+            let mut figures = text
+                .split_whitespace()
+                .filter_map(|f| f.parse::<f64>().ok());
             cpu += figures.next().expect("processor time");
             demand_reports += figures.next().expect("labels");
         }
--- a/crates/cli/benches/service/sockets.rs
+++ b/crates/cli/benches/service/sockets.rs
@@ -48,26 +48,40 @@
         t
     };
     let after = if n > 1 { " after=\"old.kdl\"" } else { "" };
-    let files = [("new.kdl".to_string(), text(n, after)), ("old.kdl".to_string(), text(n.max(2) - 1, ""))];
-    load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems)).0
+    let files = [
+        ("new.kdl".to_string(), text(n, after)),
+        ("old.kdl".to_string(), text(n.max(2) - 1, "")),
+    ];
+    load(&Memory(files.into()), "new.kdl")
+        .unwrap_or_else(|e| panic!("{:?}", e.problems))
+        .0
 }
 
 /// One client of a wave, by what it is up to; how many answers it had.
 async fn client(address: String, place: u64) -> u64 {
-    let Ok(mut stream) = TcpStream::connect(&address).await else { return 0 };
+    let Ok(mut stream) = TcpStream::connect(&address).await else {
+        return 0;
+    };
     let wire = |frame: Frame| {
         let mut out = BytesMut::new();
         frame.head(&mut out);
         out.extend_from_slice(&frame.body);
         out
     };
-    let hello = Hello { role: Role::Client as i32, name: "c".into(), ..Hello::default() };
+    let hello = Hello {
+        role: Role::Client as i32,
+        name: "c".into(),
+        ..Hello::default()
+    };
     if place.is_multiple_of(10) {
         return 0; // says nothing at all
     }
     let mut out = wire(hello.into());
     for id in 0..20 {
-        let handle = Some(Handle { shard: (place + id) as i64 % NODES, object: id });
+        let handle = Some(Handle {
+            shard: (place + id) as i64 % NODES,
+            object: id,
+        });
         let (request_class, volume) = ("read".into(), "v".into());
         let s = Submit {
             id,
@@ -84,7 +98,11 @@
         }
     }
     let whole = out.len();
-    let sent = if place % 10 == 4 { &out[..whole / 2 + 3] } else { &out[..] };
+    let sent = if place % 10 == 4 {
+        &out[..whole / 2 + 3]
+    } else {
+        &out[..]
+    };
     if stream.write_all(sent).await.is_err() || place % 10 < 3 {
         return 0; // leaves with its answers unread: a reset
     }
@@ -92,7 +110,9 @@
     let reading = async {
         while answers < 20 {
             match decode(&mut buf, Bounds::DEFAULT) {
-                Ok(Some(frame)) => answers += u64::from(matches!(frame.message, Message::Answer(_))),
+                Ok(Some(frame)) => {
+                    answers += u64::from(matches!(frame.message, Message::Answer(_)))
+                }
                 Ok(None) => match stream.read_buf(&mut buf).await {
                     Ok(0) | Err(_) => break,
                     Ok(_) => {}
@@ -108,8 +128,13 @@
 pub fn run(waves: usize) {
     let log = Arc::new(AtomicU64::new(0));
     let written = log.clone();
-    tracing_subscriber::fmt().with_writer(move || Log(written.clone())).init();
-    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    tracing_subscriber::fmt()
+        .with_writer(move || Log(written.clone()))
+        .init();
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let bind = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let (listener, list_at): (_, _) = (bind(), bind());
     let nodes_at: Vec<_> = (0..NODES).map(|_| bind()).collect();
@@ -122,39 +147,55 @@
     let socket = std::env::temp_dir().join(format!("gullsail-service-{}.sock", std::process::id()));
     let revision = Arc::new(Mutex::new(1));
     let (of_reload, list_of, nodes_of) = (revision.clone(), list_address, nodes);
-    let reads = move || Ok(document(*of_reload.lock().expect("no poison"), &list_of, &nodes_of));
+    let reads = move || {
+        Ok(document(
+            *of_reload.lock().expect("no poison"),
+            &list_of,
+            &nodes_of,
+        ))
+    };
     // Stand-ins have a thread of their own, so that the tasks counted are the host's.
     let stand_ins = d.clone();
     std::thread::spawn(move || {
-        Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(async move {
-            let entries = |d: &Deployment| {
-                let entry = |n: &gullsail_configuration::NodePlace| ListedEndpoint {
-                    name: n.place.name.clone(),
-                    address: n.place.address.clone(),
-                    shard: n.shard.0,
-                    ..ListedEndpoint::default()
+        Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime")
+            .block_on(async move {
+                let entries = |d: &Deployment| {
+                    let entry = |n: &gullsail_configuration::NodePlace| ListedEndpoint {
+                        name: n.place.name.clone(),
+                        address: n.place.address.clone(),
+                        shard: n.shard.0,
+                        ..ListedEndpoint::default()
+                    };
+                    d.nodes.iter().map(entry).collect::<Vec<_>>()
                 };
-                d.nodes.iter().map(entry).collect::<Vec<_>>()
-            };
-            let mut serving = JoinSet::new();
-            let at = TcpListener::from_std(list_at).expect("a listener");
-            serving.spawn(discovery::serve(entries(&stand_ins), Span::ZERO, at));
-            for (shard, at) in nodes_at.into_iter().enumerate() {
-                let process = node::NodeProcess {
-                    name: format!("n{shard}"),
-                    shard: shard as i64,
-                    server: stand_ins.servers[0].clone(),
-                    slow_start: stand_ins.figures().slow_start,
-                    incarnation: 7,
-                    age: Span::from_millis(1e7),
-                    bounds: Bounds::DEFAULT,
-                };
-                serving.spawn(node::serve(process, TcpListener::from_std(at).expect("a listener")));
-            }
-            serving.join_all().await;
-        });
+                let mut serving = JoinSet::new();
+                let at = TcpListener::from_std(list_at).expect("a listener");
+                serving.spawn(discovery::serve(entries(&stand_ins), Span::ZERO, at));
+                for (shard, at) in nodes_at.into_iter().enumerate() {
+                    let process = node::NodeProcess {
+                        name: format!("n{shard}"),
+                        shard: shard as i64,
+                        server: stand_ins.servers[0].clone(),
+                        slow_start: stand_ins.figures().slow_start,
+                        incarnation: 7,
+                        age: Span::from_millis(1e7),
+                        bounds: Bounds::DEFAULT,
+                    };
+                    serving.spawn(node::serve(
+                        process,
+                        TcpListener::from_std(at).expect("a listener"),
+                    ));
+                }
+                serving.join_all().await;
+            });
     });
-    let clients = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let clients = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let metrics = runtime.metrics();
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
     let control = socket.clone();
@@ -162,7 +203,13 @@
         runtime.block_on(async move {
             let control = Control::bind(&control, Arc::new(reads)).expect("a control socket");
             let clock = HostClock::start(Span::ZERO);
-            let process = HostProcess { deployment: d, me: HostId(0), seed: 1, incarnation: 9, clock };
+            let process = HostProcess {
+                deployment: d,
+                me: HostId(0),
+                seed: 1,
+                incarnation: 9,
+                clock,
+            };
             let listener = TcpListener::from_std(listener).expect("a listener");
             let stop = async {
                 let _ = stopped.await;
@@ -179,15 +226,26 @@
             let mut all = JoinSet::new();
             (0..CLIENTS).for_each(|place| _ = all.spawn(client(address.clone(), place)));
             tokio::time::sleep(Duration::from_millis(50)).await;
-            let reload = ask(&socket, ControlRequest::Reload { insist: true }, Duration::from_secs(10)).await;
+            let reload = ask(
+                &socket,
+                ControlRequest::Reload { insist: true },
+                Duration::from_secs(10),
+            )
+            .await;
             let answers: u64 = all.join_all().await.into_iter().sum();
             // Those who said nothing are let go after four connect time-outs; then all is still.
             tokio::time::sleep(Duration::from_millis(300)).await;
             (answers, reload)
         });
         taken += usize::from(matches!(reload, Ok(ControlReply::Taken { .. })));
-        let state = clients.block_on(ask(&socket, ControlRequest::Status, Duration::from_secs(10)));
-        let Ok(ControlReply::Status(state)) = state else { panic!("{state:?}") };
+        let state = clients.block_on(ask(
+            &socket,
+            ControlRequest::Status,
+            Duration::from_secs(10),
+        ));
+        let Ok(ControlReply::Status(state)) = state else {
+            panic!("{state:?}")
+        };
         let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let log_kb = (log.load(Ordering::Relaxed) - before) as f64 / 1e3;
         let row = [
@@ -206,7 +264,13 @@
     let _ = stop.send(());
     let counts = host.join().expect("the host ends");
     println!("{taken} documents taken of {waves}; {counts:?}");
-    let names = ["descriptors", "threads", "tasks", "resident MB", "log KB a wave"];
+    let names = [
+        "descriptors",
+        "threads",
+        "tasks",
+        "resident MB",
+        "log KB a wave",
+    ];
     for (place, name) in names.iter().enumerate() {
         let (first, last) = thirds(&rows.iter().map(|r| r[place]).collect::<Vec<_>>());
         println!("{name:<14} first third {first:>8.1}, last third {last:>8.1}");
--- a/crates/cli/benches/service/world.rs
+++ b/crates/cli/benches/service/world.rs
@@ -107,7 +107,11 @@
     fn at(&mut self, after: Span, happening: Happening) {
         self.last += 1;
         let at = self.now + after;
-        self.heap.push(Reverse(Scheduled { at, number: self.last, happening }));
+        self.heap.push(Reverse(Scheduled {
+            at,
+            number: self.last,
+            happening,
+        }));
     }
 
     /// How long a frame, or the end of a connection, is on its way.
@@ -145,7 +149,9 @@
     pub fn play(&mut self, span: Span) {
         let end = self.now + span;
         while self.heap.peek().is_some_and(|Reverse(next)| next.at <= end) {
-            let Some(Reverse(Scheduled { at, happening, .. })) = self.heap.pop() else { break };
+            let Some(Reverse(Scheduled { at, happening, .. })) = self.heap.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.happen(happening);
         }
@@ -176,7 +182,10 @@
     fn host_timer(&mut self, h: usize) {
         if self.members[h].core.is_none() {
             self.start_host(h);
-        } else if self.members[h].next_wake_up_at.is_some_and(|at| at <= self.now) {
+        } else if self.members[h]
+            .next_wake_up_at
+            .is_some_and(|at| at <= self.now)
+        {
             self.members[h].next_wake_up_at = None;
             self.advance_host(h);
         }
@@ -184,9 +193,20 @@
 
     /// Of the hosts that are up: accepted, refused, succeeded, rejected, failed, withdrawn.
     pub fn outcomes(&self) -> [u64; 6] {
-        let all = self.members.iter().filter_map(|m| m.core.as_ref()).map(Core::counts);
+        let all = self
+            .members
+            .iter()
+            .filter_map(|m| m.core.as_ref())
+            .map(Core::counts);
         all.fold([0; 6], |s, c| {
-            let new = [c.taken, c.not_taken, c.done, c.rejected, c.failed, c.clients_left];
+            let new = [
+                c.taken,
+                c.not_taken,
+                c.done,
+                c.rejected,
+                c.failed,
+                c.clients_left,
+            ];
             std::array::from_fn(|place| s[place] + new[place])
         })
     }
--- a/crates/cli/benches/service/world/clients.rs
+++ b/crates/cli/benches/service/world/clients.rs
@@ -17,10 +17,16 @@
         }
         let now = self.now;
         let m = &mut self.members[h];
-        let Some(link) = m.core.as_mut().and_then(|c| c.accept(now)) else { return };
+        let Some(link) = m.core.as_mut().and_then(|c| c.accept(now)) else {
+            return;
+        };
         m.peers.insert(link, Peer::Client);
         m.clients.insert(link, 0);
-        let hello = Hello { role: Role::Client as i32, name: "c".into(), ..Hello::default() };
+        let hello = Hello {
+            role: Role::Client as i32,
+            name: "c".into(),
+            ..Hello::default()
+        };
         self.handle(h, Input::Frame(link, hello.into()));
         self.at(Span::from_micros(1000), Happening::ClientTurn(h, link));
     }
@@ -43,7 +49,11 @@
             self.handle(h, Input::Frame(link, Withdraw { id }.into()));
         }
         let submit = self.next_submit();
-        let body = if submit.request_class == "read" { Bytes::new() } else { Bytes::from_static(&[1; 256]) };
+        let body = if submit.request_class == "read" {
+            Bytes::new()
+        } else {
+            Bytes::from_static(&[1; 256])
+        };
         self.members[h].clients.insert(link, submit.id);
         self.handle(h, Input::Frame(link, Frame::from(submit).with_body(body)));
         if self.members[h].incarnation == incarnation {
@@ -65,7 +75,10 @@
             request_class: request_class.into(),
             volume: volumes[self.rng.random_range(0..volumes.len())].clone(),
             units: self.rng.random_range(1.0..4.0),
-            handle: old.then_some(Handle { shard, object: id / 7 }),
+            handle: old.then_some(Handle {
+                shard,
+                object: id / 7,
+            }),
             // The keys of an hour are not those of the next.
             order_key: format!("k{hour}/{}", self.rng.random_range(0..500)),
             mark: format!("m{id}"),
--- a/crates/cli/benches/service/world/document.rs
+++ b/crates/cli/benches/service/world/document.rs
@@ -16,10 +16,16 @@
          machine \"box\" cores=2 unit=\"4ms\" queue=30\nlist address=\"list\"\nzone \"a\"\nzone \"b\"\n\
          crossing from=\"a\" to=\"b\" limit=\"64KiB/s\" burst=\"256KiB\"\nbounds body-bytes=\"16KiB\"\n",
     );
-    let plans = ["plan \"free\"\n", "plan \"held\" limit=\"40units/s\" burst=64\n"];
+    let plans = [
+        "plan \"free\"\n",
+        "plan \"held\" limit=\"40units/s\" burst=64\n",
+    ];
     t += &(plans[n as usize % 2].to_string() + plans[(n as usize + 1) % 2]);
     for h in 0..HOSTS {
-        t += &format!("host \"h{h}\" address=\"h{h}\" zone=\"{}\"\n", ["a", "b"][h % 2]);
+        t += &format!(
+            "host \"h{h}\" address=\"h{h}\" zone=\"{}\"\n",
+            ["a", "b"][h % 2]
+        );
     }
     for c in 0..SHARDS {
         t += &format!(
@@ -32,10 +38,17 @@
     for v in volumes(n) {
         t += &format!(
             "volume \"{v}\" plan=\"{}\"\n",
-            if v.ends_with(['1', '3', '5', '7', '9']) { "held" } else { "free" }
+            if v.ends_with(['1', '3', '5', '7', '9']) {
+                "held"
+            } else {
+                "free"
+            }
         );
     }
-    t + &format!("route to=\"fast\" {{ volume \"{}\"; }}\nroute to=\"all\"\n", volumes(n)[0])
+    t + &format!(
+        "route to=\"fast\" {{ volume \"{}\"; }}\nroute to=\"all\"\n",
+        volumes(n)[0]
+    )
 }
 
 /// Two of the volumes are others in each document.
@@ -50,7 +63,13 @@
     files.insert("new.kdl".to_string(), revision(n, after));
     files.insert("old.kdl".to_string(), revision(n.max(2) - 1, ""));
     let (d, _) = load(&Memory(files), "new.kdl").unwrap_or_else(|e| {
-        panic!("{e}: {:?}", e.problems.iter().map(|p| p.diagnostic()).collect::<Vec<_>>())
+        panic!(
+            "{e}: {:?}",
+            e.problems
+                .iter()
+                .map(|p| p.diagnostic())
+                .collect::<Vec<_>>()
+        )
     });
     Arc::new(d)
 }
--- a/crates/cli/benches/service/world/hosts.rs
+++ b/crates/cli/benches/service/world/hosts.rs
@@ -14,7 +14,13 @@
 impl World {
     pub(super) fn start_host(&mut self, h: usize) {
         let (seed, incarnation) = (self.rng.random(), self.rng.random());
-        let core = Core::new(self.d.clone(), HostId(h as u32), seed, incarnation, self.now);
+        let core = Core::new(
+            self.d.clone(),
+            HostId(h as u32),
+            seed,
+            incarnation,
+            self.now,
+        );
         let m = &mut self.members[h];
         m.core = Some(core);
         m.incarnation += 1;
@@ -35,7 +41,10 @@
         for (_, peer) in std::mem::take(&mut m.peers) {
             if let Peer::Host(host_end) = peer {
                 let after = self.network_delay();
-                self.at(after, host_end.receives(|link| Input::Closed(link, "gone".into())));
+                self.at(
+                    after,
+                    host_end.receives(|link| Input::Closed(link, "gone".into())),
+                );
             }
         }
         self.lists.retain(|end| end.host != h);
@@ -55,7 +64,9 @@
 
     pub(super) fn step(&mut self, h: usize, input: Option<Input>) {
         let (now, incarnation) = (self.now, self.members[h].incarnation);
-        let Some(core) = &mut self.members[h].core else { return };
+        let Some(core) = &mut self.members[h].core else {
+            return;
+        };
         let before = (self.clock)();
         if let Some(input) = input {
             core.handle(now, input);
@@ -81,12 +92,22 @@
         match output {
             Output::Send { link, frame, .. } => self.send(h, link, frame),
             Output::Connect { link, address } => {
-                self.connect(HostEnd { host: h, incarnation, link }, &address);
+                self.connect(
+                    HostEnd {
+                        host: h,
+                        incarnation,
+                        link,
+                    },
+                    &address,
+                );
             }
             Output::Close { link } => {
                 if let Some(Peer::Host(host_end)) = self.members[h].peers.remove(&link) {
                     let after = self.network_delay();
-                    self.at(after, host_end.receives(|link| Input::Closed(link, "closed".into())));
+                    self.at(
+                        after,
+                        host_end.receives(|link| Input::Closed(link, "closed".into())),
+                    );
                 }
                 self.members[h].clients.remove(&link);
             }
@@ -102,28 +123,50 @@
 
     pub(super) fn send(&mut self, h: usize, link: LinkId, frame: Frame) {
         let incarnation = self.members[h].incarnation;
-        let Some(peer) = self.members[h].peers.get(&link).cloned() else { return };
+        let Some(peer) = self.members[h].peers.get(&link).cloned() else {
+            return;
+        };
         let (len, after) = (frame.len(), self.network_delay());
-        self.at(Span::ZERO, Happening::ToHost(h, incarnation, Input::Written(link, len)));
-        let host_end = HostEnd { host: h, incarnation, link };
+        self.at(
+            Span::ZERO,
+            Happening::ToHost(h, incarnation, Input::Written(link, len)),
+        );
+        let host_end = HostEnd {
+            host: h,
+            incarnation,
+            link,
+        };
         match peer {
             Peer::Client => {
-                self.answered +=
-                    u64::from(matches!(frame.message, Message::Answer(_) | Message::NotTaken(_)));
+                self.answered += u64::from(matches!(
+                    frame.message,
+                    Message::Answer(_) | Message::NotTaken(_)
+                ));
             }
             Peer::Node(name) => self.at(after, Happening::ToNode(name, host_end, frame)),
             Peer::EndpointList => self.at(after, Happening::ToList(host_end, frame)),
-            Peer::Host(other_end) => self.at(after, other_end.receives(|link| Input::Frame(link, frame))),
+            Peer::Host(other_end) => {
+                self.at(after, other_end.receives(|link| Input::Frame(link, frame)))
+            }
         }
     }
 
     fn connect(&mut self, host_end: HostEnd, address: &str) {
         let after = self.network_delay();
         let Some(peer) = self.peer_at(host_end, address) else {
-            return self.at(after, host_end.receives(|link| Input::ConnectFailed(link, "refused".into())));
+            return self.at(
+                after,
+                host_end.receives(|link| Input::ConnectFailed(link, "refused".into())),
+            );
+        };
+        let other = if let Peer::Host(other) = &peer {
+            Some(other.host)
+        } else {
+            None
         };
-        let other = if let Peer::Host(other) = &peer { Some(other.host) } else { None };
-        self.members[host_end.host].peers.insert(host_end.link, peer);
+        self.members[host_end.host]
+            .peers
+            .insert(host_end.link, peer);
         self.at(after, host_end.receives(Input::Connected));
         if let Some(other) = other {
             self.advance_host(other);
@@ -143,12 +186,19 @@
         let m = &mut self.members[host];
         let link = m.core.as_mut()?.accept(now)?;
         m.peers.insert(link, Peer::Host(host_end));
-        Some(Peer::Host(HostEnd { host, incarnation: m.incarnation, link }))
+        Some(Peer::Host(HostEnd {
+            host,
+            incarnation: m.incarnation,
+            link,
+        }))
     }
 
     pub(super) fn reply(&mut self, host_end: HostEnd, frame: impl Into<Frame>) {
         let after = self.network_delay();
-        self.at(after, host_end.receives(|link| Input::Frame(link, frame.into())));
+        self.at(
+            after,
+            host_end.receives(|link| Input::Frame(link, frame.into())),
+        );
     }
 
     pub(super) fn next_document(&mut self) {
@@ -158,7 +208,16 @@
             let changes = diff(&old, &new);
             let (from, to) = (old.clone(), new.clone());
             let requester = self.revision;
-            self.handle(h, Input::Propose(Box::new(Proposal { requester, from, to, changes, insist: true })));
+            self.handle(
+                h,
+                Input::Propose(Box::new(Proposal {
+                    requester,
+                    from,
+                    to,
+                    changes,
+                    insist: true,
+                })),
+            );
         }
         self.d = new;
     }
--- a/crates/cli/benches/service/world/nodes.rs
+++ b/crates/cli/benches/service/world/nodes.rs
@@ -32,7 +32,10 @@
         let now = self.now;
         let Some(n) = self.nodes.get_mut(name) else {
             let after = self.network_delay();
-            return self.at(after, host_end.receives(|link| Input::Closed(link, "no node".into())));
+            return self.at(
+                after,
+                host_end.receives(|link| Input::Closed(link, "no node".into())),
+            );
         };
         match frame.message {
             Message::Hello(_) => {
@@ -51,7 +54,14 @@
                 let result = match n.model.arrive(now, id, l.units, l.write, 1.0) {
                     Arrival::Taken => {
                         let new = l.write && l.handle.is_none();
-                        n.work.insert(id, Work { from: host_end, attempt: l.attempt, new });
+                        n.work.insert(
+                            id,
+                            Work {
+                                from: host_end,
+                                attempt: l.attempt,
+                                new,
+                            },
+                        );
                         let at = n.model.next();
                         return self.at(at - now, Happening::NodeTimer(name.into()));
                     }
@@ -60,7 +70,11 @@
                 };
                 self.reply(
                     host_end,
-                    AttemptAnswer { attempt: l.attempt, result: result as i32, ..AttemptAnswer::default() },
+                    AttemptAnswer {
+                        attempt: l.attempt,
+                        result: result as i32,
+                        ..AttemptAnswer::default()
+                    },
                 );
             }
             Message::Cancel(c) => {
@@ -79,11 +93,24 @@
 
     pub(super) fn node_timer(&mut self, name: &str) {
         let now = self.now;
-        let Some(n) = self.nodes.get_mut(name) else { return };
+        let Some(n) = self.nodes.get_mut(name) else {
+            return;
+        };
         let done = n.model.advance(now);
-        let work: Vec<_> = done.into_iter().filter_map(|id| Some((id, n.work.remove(&id)?))).collect();
+        let work: Vec<_> = done
+            .into_iter()
+            .filter_map(|id| Some((id, n.work.remove(&id)?)))
+            .collect();
         let (shard, busy, next) = (n.shard, !n.work.is_empty(), n.model.next());
-        for (id, Work { from: host_end, attempt, new }) in work {
+        for (
+            id,
+            Work {
+                from: host_end,
+                attempt,
+                new,
+            },
+        ) in work
+        {
             let handle = new.then_some(Handle { shard, object: id });
             self.reply(
                 host_end,
@@ -97,7 +124,10 @@
             );
         }
         if busy {
-            self.at((next - now).max(Span::from_micros(100)), Happening::NodeTimer(name.into()));
+            self.at(
+                (next - now).max(Span::from_micros(100)),
+                Happening::NodeTimer(name.into()),
+            );
         }
     }
 
@@ -117,20 +147,37 @@
 
     pub(super) fn publish(&mut self, whole: bool, entries: Vec<ListedEndpoint>) {
         for host_end in self.lists.clone() {
-            let update = EndpointListUpdate { version: self.last, whole, entries: entries.clone() };
+            let update = EndpointListUpdate {
+                version: self.last,
+                whole,
+                entries: entries.clone(),
+            };
             self.reply(host_end, update);
         }
     }
 
     pub(super) fn list_frame(&mut self, host_end: HostEnd, frame: Frame) {
         match frame.message {
-            Message::Hello(_) => self
-                .reply(host_end, Hello { role: Role::List as i32, name: "list".into(), ..Hello::default() }),
+            Message::Hello(_) => self.reply(
+                host_end,
+                Hello {
+                    role: Role::List as i32,
+                    name: "list".into(),
+                    ..Hello::default()
+                },
+            ),
             Message::EndpointListQuery(_) => {
                 let names: Vec<_> = self.nodes.keys().cloned().collect();
                 let entries = names.iter().filter_map(|n| self.entry(n)).collect();
                 self.lists.push(host_end);
-                self.reply(host_end, EndpointListUpdate { version: self.last, whole: true, entries });
+                self.reply(
+                    host_end,
+                    EndpointListUpdate {
+                        version: self.last,
+                        whole: true,
+                        entries,
+                    },
+                );
             }
             _ => {}
         }
@@ -139,20 +186,28 @@
     pub(super) fn break_links(&mut self, name: &str) {
         for h in 0..self.members.len() {
             let m = &mut self.members[h];
-            let of = m.peers.iter().filter(|(_, p)| matches!(p, Peer::Node(n) if n == name));
+            let of = m
+                .peers
+                .iter()
+                .filter(|(_, p)| matches!(p, Peer::Node(n) if n == name));
             let links: Vec<_> = of.map(|(l, _)| *l).collect();
             for link in links {
                 let m = &mut self.members[h];
                 m.peers.remove(&link);
                 let (incarnation, after) = (m.incarnation, Span::from_micros(500));
-                self.at(after, Happening::ToHost(h, incarnation, Input::Closed(link, "reset".into())));
+                self.at(
+                    after,
+                    Happening::ToHost(h, incarnation, Input::Closed(link, "reset".into())),
+                );
             }
         }
     }
 
     /// A node restarts, or drains and is followed by one of another name.
     pub(super) fn change_nodes(&mut self) {
-        let Some(name) = self.nodes.keys().choose(&mut self.rng).cloned() else { return };
+        let Some(name) = self.nodes.keys().choose(&mut self.rng).cloned() else {
+            return;
+        };
         let shard = self.nodes[&name].shard;
         if self.rng.random_bool(0.5) {
             self.break_links(&name);
@@ -166,12 +221,16 @@
             n.state = ListedState::Draining;
         }
         self.node(next.clone(), shard);
-        let drains = [name.as_str(), &next].iter().filter_map(|n| self.entry(n)).collect();
+        let drains = [name.as_str(), &next]
+            .iter()
+            .filter_map(|n| self.entry(n))
+            .collect();
         self.publish(false, drains);
         let mut gone = self.entry(&name);
         self.break_links(&name);
         self.nodes.remove(&name);
-        gone.iter_mut().for_each(|g| g.state = ListedState::Gone as i32);
+        gone.iter_mut()
+            .for_each(|g| g.state = ListedState::Gone as i32);
         self.publish(false, gone.into_iter().collect());
     }
 }
--- a/crates/cli/src/atomic_file.rs
+++ b/crates/cli/src/atomic_file.rs
@@ -9,15 +9,24 @@
 /// # Errors
 /// It can't be written, as on a full disk; the file is as it was then.
 pub fn write(file: &Path, text: &str) -> io::Result<()> {
-    let file = if file.exists() { file.canonicalize()? } else { file.to_path_buf() };
-    let folder = file.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let file = if file.exists() {
+        file.canonicalize()?
+    } else {
+        file.to_path_buf()
+    };
+    let folder = file
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let before = match std::fs::metadata(&file) {
         // What is no regular file, such as a terminal, can't be replaced.
         Ok(m) if !m.is_file() => return std::fs::write(&file, text),
         Ok(m) if m.permissions().readonly() => return Err(io::ErrorKind::PermissionDenied.into()),
         before => before.ok(),
     };
-    let mut beside = tempfile::Builder::new().prefix(".gullsail-").tempfile_in(folder)?;
+    let mut beside = tempfile::Builder::new()
+        .prefix(".gullsail-")
+        .tempfile_in(folder)?;
     beside.write_all(text.as_bytes())?;
     let permissions = match before {
         Some(m) => m.permissions(),
--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -16,10 +16,16 @@
 
 /// A document's files lie below the folder of its first one.
 pub fn files(file: &Path) -> Result<(Files, String)> {
-    let folder = file.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let name = file.file_name().ok_or_else(|| miette!("{} is no file", file.display()))?;
-    let files =
-        Files::new(folder).into_diagnostic().wrap_err_with(|| format!("can't read {}", file.display()))?;
+    let folder = file
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
+    let name = file
+        .file_name()
+        .ok_or_else(|| miette!("{} is no file", file.display()))?;
+    let files = Files::new(folder)
+        .into_diagnostic()
+        .wrap_err_with(|| format!("can't read {}", file.display()))?;
     Ok((files, name.to_string_lossy().into_owned()))
 }
 
@@ -44,23 +50,37 @@
     };
     for p in &problems {
         if json {
-            println!("{}", serde_json::to_string(&p.diagnostic()).into_diagnostic()?);
+            println!(
+                "{}",
+                serde_json::to_string(&p.diagnostic()).into_diagnostic()?
+            );
         } else {
             let mut text = String::new();
-            GraphicalReportHandler::new().render_report(&mut text, p).into_diagnostic()?;
+            GraphicalReportHandler::new()
+                .render_report(&mut text, p)
+                .into_diagnostic()?;
             logs::say(&format!("{}:{}:{}\n{text}", p.file, p.line, p.column));
         }
     }
     let Some(d) = sound else {
         if !json {
-            let errors = problems.iter().filter(|p| p.weight == Weight::Error).count();
-            logs::say(&format!("{}: {errors} error(s); `gullsail explain CODE` tells more", file.display()));
+            let errors = problems
+                .iter()
+                .filter(|p| p.weight == Weight::Error)
+                .count();
+            logs::say(&format!(
+                "{}: {errors} error(s); `gullsail explain CODE` tells more",
+                file.display()
+            ));
         }
         return Ok(ExitCode::from(2));
     };
     if !json {
         let (hosts, nodes, volumes) = (d.hosts.len(), d.nodes.len(), d.volumes.len());
-        println!("{}: sound; {hosts} hosts, {nodes} nodes, {volumes} volumes", file.display());
+        println!(
+            "{}: sound; {hosts} hosts, {nodes} nodes, {volumes} volumes",
+            file.display()
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -69,7 +89,10 @@
 pub fn explain(code: &str) -> Result<ExitCode> {
     let Some(text) = codes::explain(code) else {
         let known: Vec<_> = codes::CODES.iter().map(|c| c.0).collect();
-        return Err(miette!(help = known.join(", "), "no problem has the code {code}"));
+        return Err(miette!(
+            help = known.join(", "),
+            "no problem has the code {code}"
+        ));
     };
     println!("{code}\n\n{text}");
     Ok(ExitCode::SUCCESS)
@@ -79,10 +102,12 @@
 pub fn format(files: &[PathBuf], check: bool) -> Result<ExitCode> {
     let mut differ = false;
     for file in files {
-        let text =
-            std::fs::read_to_string(file).into_diagnostic().wrap_err_with(|| file.display().to_string())?;
+        let text = std::fs::read_to_string(file)
+            .into_diagnostic()
+            .wrap_err_with(|| file.display().to_string())?;
         let formatted = gullsail_configuration::format::format(&text);
-        let formatted = formatted.map_err(|why| miette!("{} is left as it is: {why}", file.display()))?;
+        let formatted =
+            formatted.map_err(|why| miette!("{} is left as it is: {why}", file.display()))?;
         if formatted == text {
             continue;
         }
@@ -95,7 +120,11 @@
                 .wrap_err_with(|| file.display().to_string())?;
         }
     }
-    Ok(if check && differ { ExitCode::from(1) } else { ExitCode::SUCCESS })
+    Ok(if check && differ {
+        ExitCode::from(1)
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 /// Says what changed between two documents and what that asks for.
@@ -110,8 +139,15 @@
         if json {
             println!("{}", serde_json::to_string(c).into_diagnostic()?);
         } else {
-            let hosts = if c.hosts.is_empty() { String::new() } else { format!(" [{}]", c.hosts.join(" ")) };
-            println!("{class:<9} {} {}: {} -> {}{hosts}\n          {}", c.of, c.what, c.from, c.to, c.why);
+            let hosts = if c.hosts.is_empty() {
+                String::new()
+            } else {
+                format!(" [{}]", c.hosts.join(" "))
+            };
+            println!(
+                "{class:<9} {} {}: {} -> {}{hosts}\n          {}",
+                c.of, c.what, c.from, c.to, c.why
+            );
         }
     }
     Ok(match changes.iter().map(|c| c.class).max() {
@@ -126,11 +162,15 @@
     for e in node.entries() {
         let from = reader.given_at(e.span().offset());
         if !from.is_empty() {
-            let name = e.name().map(|n| format!("{}=", n.value())).unwrap_or_default();
+            let name = e
+                .name()
+                .map(|n| format!("{}=", n.value()))
+                .unwrap_or_default();
             *out += &format!("//   {name}{} given at {}\n", e.value(), from.join(" and "));
         }
     }
-    node.iter_children().for_each(|child| given(reader, child, out));
+    node.iter_children()
+        .for_each(|child| given(reader, child, out));
 }
 
 /// Shows what one host runs with.
@@ -150,7 +190,9 @@
     for node in document.nodes() {
         let kind = node.name().value();
         let named = node.get(0).and_then(|v| v.as_string()).unwrap_or_default();
-        let foreign = d.volume(named).is_some_and(|v| kind == "volume" && !v.through(me));
+        let foreign = d
+            .volume(named)
+            .is_some_and(|v| kind == "volume" && !v.through(me));
         // Machines are the stand-ins', a day the scripts'.
         if !foreign && !["machine", "day"].contains(&kind) {
             let origin = reader.origin(node.span().offset());
@@ -197,13 +239,22 @@
             ExitCode::SUCCESS
         }
         ControlReply::TurnedDown { why } => {
-            why.iter().filter(|_| !json).for_each(|w| println!("turned down: {w}"));
+            why.iter()
+                .filter(|_| !json)
+                .for_each(|w| println!("turned down: {w}"));
             ExitCode::from(1)
         }
         ControlReply::Broken { problems } => {
             for p in problems.iter().filter(|_| !json) {
-                let help = p.help.as_deref().map(|h| format!(" ({h})")).unwrap_or_default();
-                println!("{}:{}:{}: {}: {}{help}", p.file, p.line, p.column, p.code, p.message);
+                let help = p
+                    .help
+                    .as_deref()
+                    .map(|h| format!(" ({h})"))
+                    .unwrap_or_default();
+                println!(
+                    "{}:{}:{}: {}: {}{help}",
+                    p.file, p.line, p.column, p.code, p.message
+                );
             }
             ExitCode::from(2)
         }
@@ -213,7 +264,10 @@
 
 /// Shows a host's state, for people.
 pub async fn status(control: &Path) -> Result<ExitCode> {
-    println!("{}", serde_json::to_string_pretty(&state(control).await?).into_diagnostic()?);
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&state(control).await?).into_diagnostic()?
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -227,9 +281,17 @@
 
 async fn ask(control: &Path, ask: ControlRequest) -> Result<ControlReply> {
     let reply = gullsail_host::control::ask(control, ask, Duration::from_secs(60)).await;
-    let strange = reply.as_ref().is_err_and(|e| e.kind() == std::io::ErrorKind::InvalidData);
-    let what = if strange { "what answers is not understood" } else { "no host answers" };
-    let reply = reply.into_diagnostic().wrap_err_with(|| format!("{what} at {}", control.display()))?;
+    let strange = reply
+        .as_ref()
+        .is_err_and(|e| e.kind() == std::io::ErrorKind::InvalidData);
+    let what = if strange {
+        "what answers is not understood"
+    } else {
+        "no host answers"
+    };
+    let reply = reply
+        .into_diagnostic()
+        .wrap_err_with(|| format!("{what} at {}", control.display()))?;
     match reply {
         ControlReply::Error { why } => Err(miette!("{why}")),
         reply => Ok(reply),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -22,7 +22,11 @@
     } else {
         print!("{}", text(&view));
     }
-    Ok(if view.status.coordinator.is_some() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if view.status.coordinator.is_some() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
 
 fn ms(span: Option<f64>) -> String {
@@ -36,10 +40,22 @@
 
 fn text(view: &FleetView) -> String {
     let s: &Status = &view.status;
-    let name = |h: u32| view.hosts.get(h as usize).cloned().unwrap_or_else(|| format!("host {h}"));
-    let mut text = format!("fleet {}, epoch {}, as {} sees it\n", view.name, s.epoch, name(s.me));
+    let name = |h: u32| {
+        view.hosts
+            .get(h as usize)
+            .cloned()
+            .unwrap_or_else(|| format!("host {h}"))
+    };
+    let mut text = format!(
+        "fleet {}, epoch {}, as {} sees it\n",
+        view.name,
+        s.epoch,
+        name(s.me)
+    );
     text += &match (s.coordinator, s.decides_for_ms) {
-        (_, Some(left)) => format!("coordinator: this host, for {left:.0} ms unless it renews that\n"),
+        (_, Some(left)) => {
+            format!("coordinator: this host, for {left:.0} ms unless it renews that\n")
+        }
         (Some(c), _) => format!("coordinator: {}\n", name(c)),
         (None, _) => "coordinator: none is known here; floors count, and nothing grows\n".into(),
     };
@@ -56,7 +72,10 @@
     }
     text += &format!(
         "own lease: {}\n",
-        s.lease_ms.map_or("none: its floors count".into(), |l| format!("{l:.0} ms left"))
+        s.lease_ms
+            .map_or("none: its floors count".into(), |l| format!(
+                "{l:.0} ms left"
+            ))
     );
     let mut members = comfy_table::Table::new();
     members.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
@@ -71,13 +90,21 @@
     }
     let mut budgets = comfy_table::Table::new();
     budgets.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
-    budgets.set_header(["budget", "this host may use", "counted of the whole", "by host"]);
+    budgets.set_header([
+        "budget",
+        "this host may use",
+        "counted of the whole",
+        "by host",
+    ]);
     let name_of = |id: u64| {
         let named = view.budgets.iter().find(|b| b.0 == id).map(|b| b.1.clone());
         named.unwrap_or_else(|| format!("budget {id}"))
     };
     for b in &s.budgets {
-        let parts = b.parts.iter().map(|(h, share)| format!("{} {}", name(*h), part(u64::from(*share))));
+        let parts = b
+            .parts
+            .iter()
+            .map(|(h, share)| format!("{} {}", name(*h), part(u64::from(*share))));
         budgets.add_row([
             name_of(b.budget),
             part(u64::from(b.share)),
@@ -97,7 +124,9 @@
 
 fn why(m: &MemberStatus, name: &impl Fn(u32) -> String) -> String {
     use gullsail_fleet::MemberState::*;
-    let heard = m.last_renewal_ms.map_or(String::new(), |ms| format!("heard {ms:.0} ms ago"));
+    let heard = m
+        .last_renewal_ms
+        .map_or(String::new(), |ms| format!("heard {ms:.0} ms ago"));
     match (m.state, m.via) {
         (Member, Some(via)) => format!("{heard}, through {} only", name(via)),
         (Member, None) => heard,
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -22,8 +22,10 @@
 
 /// Begins logging on standard error.
 pub fn start(level: &str, json: bool) -> Logs {
-    let (writer, guard) =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES).finish(std::io::stderr());
+    let (writer, guard) = NonBlockingBuilder::default()
+        .lossy(true)
+        .buffered_lines_limit(LINES)
+        .finish(std::io::stderr());
     let lost = writer.error_counter();
     let logs = tracing_subscriber::fmt()
         .with_env_filter(EnvFilter::new(level))
@@ -34,7 +36,10 @@
     } else {
         logs.with_ansi(false).init();
     }
-    Logs { lost, _guard: guard }
+    Logs {
+        lost,
+        _guard: guard,
+    }
 }
 
 impl Logs {
@@ -50,7 +55,10 @@
             tokio::time::sleep(LOOK).await;
             let lost = self.lost();
             if lost > reply {
-                warn!(log_lines_lost = lost, "the log's reader does not keep up: lines are lost");
+                warn!(
+                    log_lines_lost = lost,
+                    "the log's reader does not keep up: lines are lost"
+                );
                 // If that line was lost too, it is said again.
                 reply = if self.lost() == lost { lost } else { reply };
             }
@@ -66,7 +74,9 @@
 /// A file that may not grow any more ends a process by a signal, unless somebody takes it; then writing
 /// fails, and that costs a line.
 pub fn outlive_full_files() {
-    if let Ok(mut full) = signal(SignalKind::from_raw(nix::sys::signal::Signal::SIGXFSZ as i32)) {
+    if let Ok(mut full) = signal(SignalKind::from_raw(
+        nix::sys::signal::Signal::SIGXFSZ as i32,
+    )) {
         tokio::spawn(async move { while full.recv().await.is_some() {} });
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,10 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let logs = logs::start(&arguments.log_level, matches!(arguments.log, LogForm::Json));
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => {
             logs::say(&format!("no runtime: {e}"));
@@ -43,12 +46,31 @@
 async fn run(command: Command, logs: &logs::Logs) -> Result<ExitCode> {
     logs::outlive_full_files();
     match command {
-        Command::Host { file, name, seed, clock_ahead, clock_drift, control } => {
+        Command::Host {
+            file,
+            name,
+            seed,
+            clock_ahead,
+            clock_drift,
+            control,
+        } => {
             let clock = (clock_ahead.as_str(), clock_drift);
-            processes::host(&file, &name, seed.unwrap_or_else(rand::random), clock, control, logs).await
+            processes::host(
+                &file,
+                &name,
+                seed.unwrap_or_else(rand::random),
+                clock,
+                control,
+                logs,
+            )
+            .await
         }
         Command::Platform { file } => platform(file, logs).await,
-        Command::Reload { control, insist, json } => documents::reload(&control, insist, json).await,
+        Command::Reload {
+            control,
+            insist,
+            json,
+        } => documents::reload(&control, insist, json).await,
         Command::Status { control } => documents::status(&control).await,
         Command::Baseline { file, name, seed } => {
             processes::baseline(&file, &name, seed.unwrap_or_else(rand::random)).await
@@ -62,29 +84,62 @@
             println!("{:<14} Two kinds of trouble, drawn by --seed.", "random");
             Ok(ExitCode::SUCCESS)
         }
-        Command::Scenario { day, seed, record, json, baseline, .. } => {
-            scenario::play(&day.unwrap_or_default(), seed, record, json, baseline).await
-        }
+        Command::Scenario {
+            day,
+            seed,
+            record,
+            json,
+            baseline,
+            ..
+        } => scenario::play(&day.unwrap_or_default(), seed, record, json, baseline).await,
         Command::Fleet(Fleet::Status { control, json }) => fleet::status(&control, json).await,
-        Command::Fleet(Fleet::Out { control, names, r#for, reason, shard_away, returns, wait }) => {
+        Command::Fleet(Fleet::Out {
+            control,
+            names,
+            r#for,
+            reason,
+            shard_away,
+            returns,
+            wait,
+        }) => {
             let longest_ms = r#for.map_or(0, |f| f.as_millis() as u64);
             let (kind, waits) = ("out".to_string(), wait.then(|| names.clone()));
-            let command = OperatorCommand { kind, names, longest_ms, shard_away, returns, reason };
+            let command = OperatorCommand {
+                kind,
+                names,
+                longest_ms,
+                shard_away,
+                returns,
+                reason,
+            };
             maintenance::say(&control, command, waits).await
         }
         Command::Fleet(Fleet::Back { control, names }) => {
-            let command = OperatorCommand { kind: "back".into(), names, ..OperatorCommand::default() };
+            let command = OperatorCommand {
+                kind: "back".into(),
+                names,
+                ..OperatorCommand::default()
+            };
             maintenance::say(&control, command, None).await
         }
         Command::Fleet(Fleet::Cancel { control, names }) => {
-            let command = OperatorCommand { kind: "cancel".into(), names, ..OperatorCommand::default() };
+            let command = OperatorCommand {
+                kind: "cancel".into(),
+                names,
+                ..OperatorCommand::default()
+            };
             maintenance::say(&control, command, None).await
         }
-        Command::Fleet(Fleet::Maintenance { control, json }) => maintenance::show(&control, json).await,
-        Command::Zones(Zones::Plan { file, price, out }) => zones::plan(&file, price, out),
-        Command::Zones(Zones::Report { sources, price, json, csv }) => {
-            zones::report(&sources, price, json, csv).await
+        Command::Fleet(Fleet::Maintenance { control, json }) => {
+            maintenance::show(&control, json).await
         }
+        Command::Zones(Zones::Plan { file, price, out }) => zones::plan(&file, price, out),
+        Command::Zones(Zones::Report {
+            sources,
+            price,
+            json,
+            csv,
+        }) => zones::report(&sources, price, json, csv).await,
         Command::Audit { dir, json } => scenario::audit(&dir, json),
         Command::Check { file, json } => documents::check(&file, json),
         Command::Explain { code } => documents::explain(&code),
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -29,15 +29,25 @@
     let address = listener.local_addr().into_diagnostic()?.to_string();
     // Within what every reader of JSON keeps exactly.
     let incarnation = (rand::random::<u64>() >> 11).max(1);
-    let listening = Listening { address, incarnation };
+    let listening = Listening {
+        address,
+        incarnation,
+    };
     let line = serde_json::to_string(&listening).into_diagnostic()? + "\n";
-    let written = std::io::stdout().write_all(line.as_bytes()).and_then(|()| std::io::stdout().flush());
-    written.into_diagnostic().wrap_err("can't say on standard output where this listens")?;
+    let written = std::io::stdout()
+        .write_all(line.as_bytes())
+        .and_then(|()| std::io::stdout().flush());
+    written
+        .into_diagnostic()
+        .wrap_err("can't say on standard output where this listens")?;
     Ok((listener, listening.incarnation))
 }
 
 async fn stopped() {
-    let both = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
+    let both = (
+        signal(SignalKind::terminate()),
+        signal(SignalKind::interrupt()),
+    );
     if let (Ok(mut terminate), Ok(mut interrupt)) = both {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -49,7 +59,9 @@
 }
 
 fn ahead(text: &str) -> Result<Span> {
-    let (sign, span) = text.strip_prefix('-').map_or((1.0, text), |span| (-1.0, span));
+    let (sign, span) = text
+        .strip_prefix('-')
+        .map_or((1.0, text), |span| (-1.0, span));
     let span: humantime::Duration = span.parse().into_diagnostic().wrap_err("--clock-ahead")?;
     Ok(Span::from_millis(span.as_secs_f64() * 1e3 * sign))
 }
@@ -80,7 +92,13 @@
     let (listener, incarnation) = listen(&d.hosts[me.0 as usize].listen, name).await?;
     let clock = HostClock::start(ahead(clock_ahead)?).running(drift);
     info!(host = name, incarnation, "serving");
-    let process = HostProcess { deployment: Arc::new(d), me, seed, incarnation, clock };
+    let process = HostProcess {
+        deployment: Arc::new(d),
+        me,
+        seed,
+        incarnation,
+        clock,
+    };
     let counts = tokio::select! {
         counts = runtime::run(process, listener, control, stopped()) => counts,
         () = logs.watch() => return Ok(ExitCode::from(1)),
@@ -97,7 +115,9 @@
 /// Runs the baseline in a host's place.
 pub async fn baseline(file: &Path, name: &str, seed: u64) -> Result<ExitCode> {
     let (d, _) = documents::read(file)?;
-    let me = d.host(name).ok_or_else(|| miette!("{}: no host \"{name}\"", file.display()))?;
+    let me = d
+        .host(name)
+        .ok_or_else(|| miette!("{}: no host \"{name}\"", file.display()))?;
     let (listener, _) = listen(&d.hosts[me.0 as usize].listen, name).await?;
     tokio::select! {
         () = gullsail_simulator::baseline::serve(Arc::new(d), me, seed, listener) => Ok(ExitCode::from(1)),
@@ -108,7 +128,9 @@
 /// Runs a simulated storage node.
 pub async fn node(file: &Path, name: &str, age: humantime::Duration) -> Result<ExitCode> {
     let (d, _) = documents::read(file)?;
-    let n = d.node(name).ok_or_else(|| miette!("{}: no node \"{name}\"", file.display()))?;
+    let n = d
+        .node(name)
+        .ok_or_else(|| miette!("{}: no node \"{name}\"", file.display()))?;
     let server = d.servers.get(n.server).ok_or_else(|| {
         miette!(
             help = "machine \"box\" cores=2 unit=\"5ms\"",
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -7,7 +7,9 @@
 use std::process::ExitCode;
 
 fn text_of(file: &Path) -> Result<String> {
-    std::fs::read_to_string(file).into_diagnostic().wrap_err_with(|| format!("can't read {}", file.display()))
+    std::fs::read_to_string(file)
+        .into_diagnostic()
+        .wrap_err_with(|| format!("can't read {}", file.display()))
 }
 
 /// Plays a scenario: a built-in one, a random one, or one of a document.
@@ -34,22 +36,40 @@
         }
         None => {
             let names: Vec<_> = gullsail_scenario::built_in::all().map(|d| d.0).collect();
-            let help = format!("built-in days: {}, random; or a file with a day", names.join(", "));
-            return Err(miette!(help = help, "no day is called \"{day}\", and no file"));
+            let help = format!(
+                "built-in days: {}, random; or a file with a day",
+                names.join(", ")
+            );
+            return Err(miette!(
+                help = help,
+                "no day is called \"{day}\", and no file"
+            ));
         }
     };
     // Without --record, nothing is kept.
     let temporary = tempfile::tempdir().into_diagnostic()?;
     let dir = record.unwrap_or_else(|| temporary.path().into());
     let program = std::env::current_exe().into_diagnostic()?;
-    let stage = gullsail_scenario::Stage { program, dir, seed, baseline };
+    let stage = gullsail_scenario::Stage {
+        program,
+        dir,
+        seed,
+        baseline,
+    };
     let report = gullsail_scenario::play(&text, d, &script, &stage).await?;
     if json {
-        println!("{}", serde_json::to_string_pretty(&report).into_diagnostic()?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&report).into_diagnostic()?
+        );
     } else {
         print!("{}", report.text(&stage.dir));
     }
-    Ok(if report.passed() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if report.passed() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
 
 /// Judges a recording again.
@@ -58,9 +78,16 @@
     let recording = text_of(&dir.join("frames.jsonl"))?;
     let verdicts = gullsail_audit::judge(&d, &recording).into_diagnostic()?;
     if json {
-        println!("{}", serde_json::to_string_pretty(&verdicts).into_diagnostic()?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&verdicts).into_diagnostic()?
+        );
     } else {
         print!("{}", gullsail_audit::table(&verdicts, &recording));
     }
-    Ok(if verdicts.iter().all(|v| v.kept()) { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if verdicts.iter().all(|v| v.kept()) {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -29,7 +29,9 @@
         Ok(plan) => plan,
         Err(NoPlan::Clash(bounds)) => {
             text += "no plan: these can't all hold, and with any one of them eased they could:\n";
-            bounds.into_iter().for_each(|b| text += &format!("  {}\n", q.say(b)));
+            bounds
+                .into_iter()
+                .for_each(|b| text += &format!("  {}\n", q.say(b)));
             say(&text);
             return Ok(ExitCode::from(1));
         }
@@ -37,17 +39,31 @@
     };
     for (v, to) in d.volumes.iter().zip(&plan.to) {
         let parts = to.iter().zip(&q.zones).filter(|(bytes, _)| **bytes > 1.0);
-        let parts: Vec<_> = parts.map(|(bytes, z)| format!("{z} {:.1} MiB/s", bytes / MIB)).collect();
+        let parts: Vec<_> = parts
+            .map(|(bytes, z)| format!("{z} {:.1} MiB/s", bytes / MIB))
+            .collect();
         text += &format!(
             "volume {}: {}\n",
             v.name,
-            if parts.is_empty() { "nothing is asked".into() } else { parts.join(", ") }
+            if parts.is_empty() {
+                "nothing is asked".into()
+            } else {
+                parts.join(", ")
+            }
         );
     }
     for (a, row) in plan.crosses.iter().enumerate() {
         for (b, bytes) in row.iter().enumerate().filter(|(_, bytes)| **bytes > 1.0) {
-            let most = q.most(a, b).map(|m| format!(" of {:.1}", m / MIB)).unwrap_or_default();
-            text += &format!("{} to {}: {:.1}{most} MiB/s\n", q.zones[a], q.zones[b], bytes / MIB);
+            let most = q
+                .most(a, b)
+                .map(|m| format!(" of {:.1}", m / MIB))
+                .unwrap_or_default();
+            text += &format!(
+                "{} to {}: {:.1}{most} MiB/s\n",
+                q.zones[a],
+                q.zones[b],
+                bytes / MIB
+            );
         }
     }
     text += &format!("cost: {:.4} an hour\n", plan.cost * 3600.0);
@@ -56,15 +72,22 @@
             gullsail_placement::Bound::Budget(_) => ("GiB an hour more", b.saves * GIB),
             _ => ("node more", b.saves * 3600.0),
         };
-        text +=
-            &format!("it is held back by {}: one {step} there saves {saves:.4} an hour\n", q.say(b.bound));
+        text += &format!(
+            "it is held back by {}: one {step} there saves {saves:.4} an hour\n",
+            q.say(b.bound)
+        );
     }
     if let Some(out) = out {
         let (files, name) = documents::files(file)?;
         let (document, _) = Reader::open(&files, &name);
         let made = proposal(&document, &d, &plan);
-        atomic_file::write(&out, &made).into_diagnostic().wrap_err_with(|| out.display().to_string())?;
-        text += &format!("written to {}; compare with `gullsail diff`\n", out.display());
+        atomic_file::write(&out, &made)
+            .into_diagnostic()
+            .wrap_err_with(|| out.display().to_string())?;
+        text += &format!(
+            "written to {}; compare with `gullsail diff`\n",
+            out.display()
+        );
     }
     say(&text);
     Ok(ExitCode::SUCCESS)
@@ -87,10 +110,16 @@
 pub async fn report(sources: &[PathBuf], price: f64, json: bool, csv: bool) -> Result<ExitCode> {
     let states = read_states(sources).await?;
     let rows = rows(&states, price)?;
-    let overruns: Vec<_> = states.iter().flat_map(|s| s.past.iter().map(|p| (&s.host, p))).collect();
+    let overruns: Vec<_> = states
+        .iter()
+        .flat_map(|s| s.past.iter().map(|p| (&s.host, p)))
+        .collect();
     let text = if json {
         let value = serde_json::json!({ "crossed": rows, "past": overruns });
-        format!("{}\n", serde_json::to_string_pretty(&value).into_diagnostic()?)
+        format!(
+            "{}\n",
+            serde_json::to_string_pretty(&value).into_diagnostic()?
+        )
     } else if csv {
         csv_text(&rows)
     } else {
@@ -120,12 +149,21 @@
 fn rows(states: &[State], price: f64) -> Result<Vec<Row>> {
     let mut rows: BTreeMap<(String, String, String, String), Row> = BTreeMap::new();
     for c in states.iter().flat_map(|s| &s.crossed) {
-        let reason =
-            serde_json::to_value(c.reason).into_diagnostic()?.as_str().unwrap_or_default().to_string();
+        let reason = serde_json::to_value(c.reason)
+            .into_diagnostic()?
+            .as_str()
+            .unwrap_or_default()
+            .to_string();
         let key = (c.from.clone(), c.to.clone(), c.plan.clone(), reason.clone());
         let row = rows.entry(key).or_insert_with(|| {
             let (from, to, plan) = (c.from.clone(), c.to.clone(), c.plan.clone());
-            Row { from, to, plan, reason, ..Row::default() }
+            Row {
+                from,
+                to,
+                plan,
+                reason,
+                ..Row::default()
+            }
         });
         row.frames += c.total.frames;
         row.bytes += c.total.bytes;
@@ -139,8 +177,13 @@
     let mut text = String::from("from,to,plan,reason,frames,bytes,for_nothing,cost\n");
     for r in rows {
         let quoted = |s: &str| format!("\"{}\"", s.replace('"', "\"\""));
-        let names = [&r.from, &r.to, &r.plan, &r.reason].map(|s| quoted(s)).join(",");
-        text += &format!("{names},{},{},{},{:.6}\n", r.frames, r.bytes, r.for_nothing, r.cost);
+        let names = [&r.from, &r.to, &r.plan, &r.reason]
+            .map(|s| quoted(s))
+            .join(",");
+        text += &format!(
+            "{names},{},{},{},{:.6}\n",
+            r.frames, r.bytes, r.for_nothing, r.cost
+        );
     }
     text
 }
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -12,7 +12,12 @@
 
 fn gullsail(dir: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_gullsail"));
-    command.current_dir(dir).args(["--log-level", "error"]).args(arguments).output().unwrap()
+    command
+        .current_dir(dir)
+        .args(["--log-level", "error"])
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 /// A host that serves; ended by its own id when it is dropped.
@@ -22,13 +27,24 @@
     fn start(dir: &Path) -> Host {
         let mut child = Command::new(env!("CARGO_BIN_EXE_gullsail"))
             .current_dir(dir)
-            .args(["--log-level", "error", "host", "main.kdl", "--name", "h1", "--control", "h1.sock"])
+            .args([
+                "--log-level",
+                "error",
+                "host",
+                "main.kdl",
+                "--name",
+                "h1",
+                "--control",
+                "h1.sock",
+            ])
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
         // It says where it listens once it does.
         let mut line = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
+        BufReader::new(child.stdout.take().unwrap())
+            .read_line(&mut line)
+            .unwrap();
         assert!(line.contains("address"), "{line}");
         Host(child)
     }
@@ -65,7 +81,10 @@
     write("main.kdl", DOCUMENT);
     write("first.kdl", DOCUMENT);
     let host = Host::start(dir);
-    assert_eq!(dir.join("h1.sock").metadata().unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        dir.join("h1.sock").metadata().unwrap().permissions().mode() & 0o777,
+        0o600
+    );
     let lower = DOCUMENT.replace("limit=\"100", "limit=\"80") + "revision 1 after=\"first.kdl\"\n";
     let tiny = DOCUMENT.replace("limit=\"100", "limit=\"50") + "revision 2 after=\"second.kdl\"\n";
     // the document, arguments, exit code, what is said, the revision served by then
@@ -78,10 +97,22 @@
             "main.kdl:3:10: wrong-kind: \"100\" is not a rate",
             0,
         ),
-        (DOCUMENT.replace("20ms", "9ms"), &["--insist"], 1, "turned down: rules tick", 0),
+        (
+            DOCUMENT.replace("20ms", "9ms"),
+            &["--insist"],
+            1,
+            "turned down: rules tick",
+            0,
+        ),
         (lower.clone(), &[], 0, "taken: revision 1, 1 change(s)", 1),
         (tiny.clone(), &[], 1, "dangerous, and not insisted on", 1),
-        (tiny.clone(), &["--json"], 1, "{\"told\":\"turned-down\",\"why\":[\"plan", 1),
+        (
+            tiny.clone(),
+            &["--json"],
+            1,
+            "{\"told\":\"turned-down\",\"why\":[\"plan",
+            1,
+        ),
         (tiny, &["--insist"], 0, "taken: revision 2", 2),
     ];
     write("second.kdl", &lower);
@@ -95,17 +126,30 @@
             output(&out)
         );
         let state = status(dir);
-        assert_eq!((state["host"].as_str(), state["revision"].as_u64()), (Some("h1"), Some(revision)));
-        let behind = if revision > 0 { serde_json::json!(["h2"]) } else { serde_json::json!([]) };
+        assert_eq!(
+            (state["host"].as_str(), state["revision"].as_u64()),
+            (Some("h1"), Some(revision))
+        );
+        let behind = if revision > 0 {
+            serde_json::json!(["h2"])
+        } else {
+            serde_json::json!([])
+        };
         assert_eq!(state["behind"], behind);
     }
     let state = status(dir);
     assert_eq!(
-        (state["counts"]["documents_taken"].as_u64(), state["counts"]["documents_turned_down"].as_u64()),
+        (
+            state["counts"]["documents_taken"].as_u64(),
+            state["counts"]["documents_turned_down"].as_u64()
+        ),
         (Some(3), Some(3))
     );
     assert_eq!(host.stop(), Some(0));
-    assert!(!dir.join("h1.sock").exists(), "the socket goes with its host");
+    assert!(
+        !dir.join("h1.sock").exists(),
+        "the socket goes with its host"
+    );
 }
 
 #[test]
@@ -114,16 +158,28 @@
     let dir = dir.path();
     std::fs::write(dir.join("main.kdl"), DOCUMENT).unwrap();
     let gone = gullsail(dir, &["status", "h1.sock"]);
-    assert_eq!((gone.status.code(), output(&gone).contains("no host answers at h1.sock")), (Some(2), true));
+    assert_eq!(
+        (
+            gone.status.code(),
+            output(&gone).contains("no host answers at h1.sock")
+        ),
+        (Some(2), true)
+    );
     // A file that a host left behind when it was killed is replaced.
     let killed = Host::start(dir);
     drop(killed);
     assert!(dir.join("h1.sock").exists());
     let host = Host::start(dir);
     // Another host is refused, and the first one still answers.
-    let other = gullsail(dir, &["host", "main.kdl", "--name", "h2", "--control", "h1.sock"]);
+    let other = gullsail(
+        dir,
+        &["host", "main.kdl", "--name", "h2", "--control", "h1.sock"],
+    );
     assert_eq!(
-        (other.status.code(), output(&other).contains("another process answers")),
+        (
+            other.status.code(),
+            output(&other).contains("another process answers")
+        ),
         (Some(2), true),
         "{}",
         output(&other)
@@ -133,14 +189,20 @@
         stream.write_all(asked.as_bytes()).unwrap();
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
-        assert!(line.contains("\"told\":\"error\"") && line.contains("not understood"), "{asked}: {line}");
+        assert!(
+            line.contains("\"told\":\"error\"") && line.contains("not understood"),
+            "{asked}: {line}"
+        );
     }
     // One that says too much, and one that is gone before its answer.
     let mut long = UnixStream::connect(dir.join("h1.sock")).unwrap();
     // It may be hung up on while it writes.
     let _ = long.write_all(&[b'x'; 100_000]);
     drop(long);
-    UnixStream::connect(dir.join("h1.sock")).unwrap().write_all(b"{\"ask\":\"status\"}\n").unwrap();
+    UnixStream::connect(dir.join("h1.sock"))
+        .unwrap()
+        .write_all(b"{\"ask\":\"status\"}\n")
+        .unwrap();
     assert_eq!(status(dir)["revision"].as_u64(), Some(0));
     assert_eq!(host.stop(), Some(0));
 }
@@ -155,7 +217,10 @@
     use std::time::Duration;
     let dir = tempfile::tempdir().unwrap();
     let socket = dir.path().join("h1.sock");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let (gives, disk) = mpsc::channel::<()>();
     let disk = Mutex::new(disk);
     let load = move || {
@@ -163,12 +228,19 @@
         Ok(gullsail_configuration::parse("main.kdl", DOCUMENT).unwrap())
     };
     runtime.block_on(async {
-        let control =
-            Control::bind(&socket, Arc::new(load)).unwrap().reading_within(Duration::from_millis(100));
+        let control = Control::bind(&socket, Arc::new(load))
+            .unwrap()
+            .reading_within(Duration::from_millis(100));
         let d = Arc::new(gullsail_configuration::parse("main.kdl", DOCUMENT).unwrap());
         let clock = HostClock::start(gullsail_scheduler_api::Span::ZERO);
         let me = gullsail_scheduler_api::HostId(0);
-        let process = HostProcess { deployment: d, me, seed: 1, incarnation: 1, clock };
+        let process = HostProcess {
+            deployment: d,
+            me,
+            seed: 1,
+            incarnation: 1,
+            clock,
+        };
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
         let host = tokio::spawn(runtime::run(process, listener, Some(control), async {
@@ -176,7 +248,11 @@
         }));
         let long = Duration::from_secs(30);
         let reload = || ask(&socket, ControlRequest::Reload { insist: false }, long);
-        for expected in ["was not read within", "still being read", "still being read"] {
+        for expected in [
+            "was not read within",
+            "still being read",
+            "still being read",
+        ] {
             match reload().await.unwrap() {
                 ControlReply::Error { why } => assert!(why.contains(expected), "{why}"),
                 reply => panic!("{reply:?}"),
