--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -4,7 +4,11 @@
 use std::process::{Command, Output};
 
 fn gullsail(dir: &Path, arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_gullsail")).current_dir(dir).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_gullsail"))
+        .current_dir(dir)
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn out(o: &Output) -> String {
@@ -18,8 +22,11 @@
 fn folder() -> tempfile::TempDir {
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join("main.kdl"), MAIN).unwrap();
-    std::fs::write(dir.path().join("plans.kdl"), "plan \"p\" limit=\"100units/s\" burst=64 // why\n")
-        .unwrap();
+    std::fs::write(
+        dir.path().join("plans.kdl"),
+        "plan \"p\" limit=\"100units/s\" burst=64 // why\n",
+    )
+    .unwrap();
     dir
 }
 
@@ -27,7 +34,10 @@
 fn a_sound_document_passes_and_a_broken_one_says_where() {
     let dir = folder();
     let sound = gullsail(dir.path(), &["check", "main.kdl"]);
-    assert_eq!((sound.status.code(), out(&sound).contains("2 hosts")), (Some(0), true));
+    assert_eq!(
+        (sound.status.code(), out(&sound).contains("2 hosts")),
+        (Some(0), true)
+    );
     std::fs::write(
         dir.path().join("plans.kdl"),
         "plan \"p\" limit=\"100units/s\" burst=\"64\"\nplan \"q\" limi=5\n",
@@ -35,20 +45,32 @@
     .unwrap();
     let broken = gullsail(dir.path(), &["check", "--json", "main.kdl"]);
     assert_eq!(broken.status.code(), Some(2));
-    let lines: Vec<serde_json::Value> =
-        out(&broken).lines().map(|l| serde_json::from_str(l).unwrap()).collect();
+    let lines: Vec<serde_json::Value> = out(&broken)
+        .lines()
+        .map(|l| serde_json::from_str(l).unwrap())
+        .collect();
     let place = |v: &serde_json::Value| {
-        (v["code"].clone(), v["file"].clone(), v["line"].clone(), v["column"].clone())
+        (
+            v["code"].clone(),
+            v["file"].clone(),
+            v["line"].clone(),
+            v["column"].clone(),
+        )
     };
     let wanted = [("wrong-kind", 1, 29), ("unknown-key", 2, 10)];
-    let wanted: Vec<_> =
-        wanted.iter().map(|w| (w.0.into(), "plans.kdl".into(), w.1.into(), w.2.into())).collect();
+    let wanted: Vec<_> = wanted
+        .iter()
+        .map(|w| (w.0.into(), "plans.kdl".into(), w.1.into(), w.2.into()))
+        .collect();
     let found: Vec<_> = lines.iter().map(place).collect();
     assert_eq!(&found[..2], &wanted[..], "{found:?}");
     for code in ["wrong-kind", "loop"] {
         assert!(out(&gullsail(dir.path(), &["explain", code])).starts_with(code));
     }
-    assert_eq!(gullsail(dir.path(), &["explain", "nonsense"]).status.code(), Some(2));
+    assert_eq!(
+        gullsail(dir.path(), &["explain", "nonsense"]).status.code(),
+        Some(2)
+    );
 }
 
 #[test]
@@ -57,14 +79,30 @@
     let read = |name: &str| std::fs::read_to_string(dir.path().join(name)).unwrap();
     let untidy = "plan   \"p\"   limit=\"100units/s\" burst=64 // why\n";
     std::fs::write(dir.path().join("plans.kdl"), untidy).unwrap();
-    assert_eq!(gullsail(dir.path(), &["fmt", "--check", "plans.kdl"]).status.code(), Some(1));
+    assert_eq!(
+        gullsail(dir.path(), &["fmt", "--check", "plans.kdl"])
+            .status
+            .code(),
+        Some(1)
+    );
     assert_eq!(read("plans.kdl"), untidy);
-    assert_eq!(gullsail(dir.path(), &["fmt", "plans.kdl"]).status.code(), Some(0));
+    assert_eq!(
+        gullsail(dir.path(), &["fmt", "plans.kdl"]).status.code(),
+        Some(0)
+    );
     assert!(read("plans.kdl").ends_with("// why\n") && read("plans.kdl") != untidy);
-    assert_eq!(gullsail(dir.path(), &["fmt", "--check", "plans.kdl"]).status.code(), Some(0));
+    assert_eq!(
+        gullsail(dir.path(), &["fmt", "--check", "plans.kdl"])
+            .status
+            .code(),
+        Some(0)
+    );
     std::fs::write(dir.path().join("plans.kdl"), "plan \"p\" {\n").unwrap();
     let refused = gullsail(dir.path(), &["fmt", "plans.kdl"]);
-    assert_eq!((refused.status.code(), read("plans.kdl").as_str()), (Some(2), "plan \"p\" {\n"));
+    assert_eq!(
+        (refused.status.code(), read("plans.kdl").as_str()),
+        (Some(2), "plan \"p\" {\n")
+    );
     assert!(String::from_utf8_lossy(&refused.stderr).contains("left as it is"));
 }
 
@@ -73,9 +111,21 @@
     let dir = folder();
     let cases = [
         ("plan \"p\" burst=64 limit=\"100units/s\"", 0, ""),
-        ("plan \"p\" limit=\"200units/s\" burst=64", 0, "safe      plan \"p\" limit"),
-        ("plan \"p\" limit=\"100units/s\" burst=64\nrules tick=\"9ms\"", 1, "restart   rules tick"),
-        ("plan \"p\" limit=\"50units/s\" usual=\"80units/s\" burst=64", 3, "dangerous plan \"p\" limit"),
+        (
+            "plan \"p\" limit=\"200units/s\" burst=64",
+            0,
+            "safe      plan \"p\" limit",
+        ),
+        (
+            "plan \"p\" limit=\"100units/s\" burst=64\nrules tick=\"9ms\"",
+            1,
+            "restart   rules tick",
+        ),
+        (
+            "plan \"p\" limit=\"50units/s\" usual=\"80units/s\" burst=64",
+            3,
+            "dangerous plan \"p\" limit",
+        ),
     ];
     for (plans, code, says) in cases {
         let new = dir.path().join("new");
@@ -83,7 +133,12 @@
         std::fs::write(new.join("main.kdl"), MAIN).unwrap();
         std::fs::write(new.join("plans.kdl"), plans).unwrap();
         let diff = gullsail(dir.path(), &["diff", "main.kdl", "new/main.kdl"]);
-        assert_eq!((diff.status.code(), out(&diff).contains(says)), (Some(code), true), "{}", out(&diff));
+        assert_eq!(
+            (diff.status.code(), out(&diff).contains(says)),
+            (Some(code), true),
+            "{}",
+            out(&diff)
+        );
         assert_eq!(out(&diff).is_empty(), says.is_empty());
     }
 }
@@ -93,7 +148,8 @@
     let dir = folder();
     let shown = out(&gullsail(dir.path(), &["show", "main.kdl", "--host", "h1"]));
     assert!(shown.contains("// plans.kdl:1:1\nplan"), "{shown}");
-    let mine = "// main.kdl:6:5, used at main.kdl:8:1\n//   mine given at main.kdl:8:9\nvolume mine";
+    let mine =
+        "// main.kdl:6:5, used at main.kdl:8:1\n//   mine given at main.kdl:8:9\nvolume mine";
     assert!(shown.contains(mine), "{shown}");
     assert!(!shown.contains("theirs"), "{shown}");
 }
@@ -141,11 +197,20 @@
 #[test]
 fn a_plan_is_a_document_or_says_what_clashes() {
     let dir = tempfile::tempdir().unwrap();
-    let write =
-        |most: &str| std::fs::write(dir.path().join("main.kdl"), ZONED.replace("MOST", most)).unwrap();
+    let write = |most: &str| {
+        std::fs::write(dir.path().join("main.kdl"), ZONED.replace("MOST", most)).unwrap()
+    };
     write("10");
-    let plan = gullsail(dir.path(), &["zones", "plan", "main.kdl", "--out", "new.kdl"]);
-    assert_eq!(plan.status.code(), Some(0), "{}", String::from_utf8_lossy(&plan.stderr));
+    let plan = gullsail(
+        dir.path(),
+        &["zones", "plan", "main.kdl", "--out", "new.kdl"],
+    );
+    assert_eq!(
+        plan.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&plan.stderr)
+    );
     // 180 of 300 units a second fit at home: 120 of 64 KiB cross.
     for says in [
         "volume v: a 11.2 MiB/s, b 7.5 MiB/s",
@@ -155,10 +220,16 @@
     ] {
         assert!(out(&plan).contains(says), "{says}\n{}", out(&plan));
     }
-    assert_eq!(gullsail(dir.path(), &["check", "new.kdl"]).status.code(), Some(0));
+    assert_eq!(
+        gullsail(dir.path(), &["check", "new.kdl"]).status.code(),
+        Some(0)
+    );
     let diff = gullsail(dir.path(), &["diff", "main.kdl", "new.kdl"]);
     assert_eq!(diff.status.code(), Some(0), "{}", out(&diff));
-    for says in ["volume \"v\" pool of w: disks -> disks-in-a-b", "volume \"w\" pool of w: all -> all-in-b"] {
+    for says in [
+        "volume \"v\" pool of w: disks -> disks-in-a-b",
+        "volume \"w\" pool of w: all -> all-in-b",
+    ] {
         assert!(out(&diff).contains(says), "{says}\n{}", out(&diff));
     }
     write("5");
@@ -170,5 +241,8 @@
             && output.contains("the budget from a to b"),
         "{output}"
     );
-    assert!(!output.contains("volume \"w\"") && !output.contains("the nodes of b"), "{output}");
+    assert!(
+        !output.contains("volume \"w\"") && !output.contains("the nodes of b"),
+        "{output}"
+    );
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -20,7 +20,12 @@
 
 fn gullsail(dir: &Path, arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_gullsail"));
-    let out = command.current_dir(dir).args(["--log-level", "error"]).args(arguments).output().unwrap();
+    let out = command
+        .current_dir(dir)
+        .args(["--log-level", "error"])
+        .args(arguments)
+        .output()
+        .unwrap();
     (
         out.status.code(),
         String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr),
@@ -30,7 +35,9 @@
 fn host(dir: &Path, file: &str, name: &str, socket: &str) -> Process {
     let log = std::fs::File::create(dir.join(format!("{socket}.log"))).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_gullsail"));
-    command.current_dir(dir).args(["host", file, "--name", name, "--control", socket]);
+    command
+        .current_dir(dir)
+        .args(["host", file, "--name", name, "--control", socket]);
     Process(command.stdout(Stdio::null()).stderr(log).spawn().unwrap())
 }
 
@@ -55,16 +62,27 @@
 
 /// How the host with this number stands, as told.
 fn state(output: &serde_json::Value, host: u64) -> String {
-    let members = output["status"]["members"].as_array().cloned().unwrap_or_default();
+    let members = output["status"]["members"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
     let found = members.iter().find(|m| m["host"] == host);
-    found.and_then(|m| m["standing"].as_str()).unwrap_or_default().to_string()
+    found
+        .and_then(|m| m["standing"].as_str())
+        .unwrap_or_default()
+        .to_string()
 }
 
 #[test]
 fn a_host_joins_by_the_document_dies_and_is_not_doubled() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
-    let free = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let free = || {
+        TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap()
+    };
     let places = [free(), free(), free()];
     let document = |hosts: usize, revision: &str| {
         let mut text = String::from(
@@ -82,7 +100,9 @@
     std::fs::write(dir.join("h2.kdl"), document(2, "revision 1\n")).unwrap();
     let _h1 = host(dir, "h1.kdl", "h1", "h1.sock");
     let h2 = host(dir, "h2.kdl", "h2", "h2.sock");
-    until(dir, "h1.sock", "both are members", |s| state(s, 1) == "member");
+    until(dir, "h1.sock", "both are members", |s| {
+        state(s, 1) == "member"
+    });
     // A third, which neither knew of: it waits until they have its document.
     let next = document(3, "revision 2 after=\"first.kdl\"\n");
     std::fs::write(dir.join("h3.kdl"), &next).unwrap();
@@ -92,16 +112,26 @@
         let (code, output) = gullsail(dir, &["reload", socket]);
         assert_eq!(code, Some(0), "{output}");
     }
-    until(dir, "h3.sock", "it knows its coordinator", |s| s["status"]["coordinator"] == 0);
-    let output = until(dir, "h1.sock", "the third is a member", |s| state(s, 2) == "member");
-    let counted =
-        output["status"]["budgets"].as_array().unwrap().iter().map(|b| b["counted"].as_u64().unwrap());
+    until(dir, "h3.sock", "it knows its coordinator", |s| {
+        s["status"]["coordinator"] == 0
+    });
+    let output = until(dir, "h1.sock", "the third is a member", |s| {
+        state(s, 2) == "member"
+    });
+    let counted = output["status"]["budgets"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|b| b["counted"].as_u64().unwrap());
     assert!(counted.max().unwrap() <= 1_000_000, "{output}");
     // A second process under a name that is held uses nothing, and both say so.
     let double = dir.join("double.kdl");
     std::fs::write(
         &double,
-        next.replace(&format!("address=\"{}\"", places[2]), &format!("address=\"{}\"", free())),
+        next.replace(
+            &format!("address=\"{}\"", places[2]),
+            &format!("address=\"{}\"", free()),
+        ),
     )
     .unwrap();
     let twin = host(dir, "double.kdl", "h3", "twin.sock");
@@ -111,32 +141,63 @@
     drop(twin);
     // Killed: out after its lease, and what it held is the others'.
     drop(h2);
-    let output = until(dir, "h1.sock", "the dead one is out", |s| state(s, 1) == "out");
+    let output = until(dir, "h1.sock", "the dead one is out", |s| {
+        state(s, 1) == "out"
+    });
     assert_eq!(state(&output, 2), "member");
     let part = |s: &serde_json::Value| {
-        let budgets = s["status"]["budgets"].as_array().cloned().unwrap_or_default();
+        let budgets = s["status"]["budgets"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         let of = |b: &serde_json::Value| b["parts"].as_array().cloned().unwrap_or_default();
-        budgets.iter().flat_map(of).filter(|p| p[0] == 1).filter_map(|p| p[1].as_u64()).max().unwrap_or(0)
+        budgets
+            .iter()
+            .flat_map(of)
+            .filter(|p| p[0] == 1)
+            .filter_map(|p| p[1].as_u64())
+            .max()
+            .unwrap_or(0)
     };
-    until(dir, "h1.sock", "its floor alone is counted", |s| part(s) == 100_000);
+    until(dir, "h1.sock", "its floor alone is counted", |s| {
+        part(s) == 100_000
+    });
     // And a table for people.
     let (code, text) = gullsail(dir, &["fleet", "status", "h1.sock"]);
-    let wanted = ["fleet f", "coordinator: this host", "its lease is over", "cold nodes"];
-    assert!(code == Some(0) && wanted.iter().all(|w| text.contains(w)), "{text}");
+    let wanted = [
+        "fleet f",
+        "coordinator: this host",
+        "its lease is over",
+        "cold nodes",
+    ];
+    assert!(
+        code == Some(0) && wanted.iter().all(|w| text.contains(w)),
+        "{text}"
+    );
 }
 
 #[test]
 fn servers_go_out_for_maintenance_by_commands_to_any_host() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
-    let free = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let free = || {
+        TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap()
+    };
     let mut text = String::from(
         "fleet \"f\" lease=\"800ms\" drift=0.01 voters=3 floor=0.3\nrules tick=\"20ms\" most-units=8\n\
          works at-once=1 keep=0.6 longest=\"1h\" watched=\"100ms\" blind=\"1s\"\nmachine \"m\" cores=1 unit=\"5ms\"\n\
          stream-type \"r\" effect=\"repeatable\" slo=\"1s\" expiry=\"2s\"\nplan \"p\"\nvolume \"v\" plan=\"p\"\n",
     );
     (1..=3).for_each(|n| text += &format!("host \"h{n}\" address=\"{}\"\n", free()));
-    (1..=2).for_each(|n| text += &format!("node \"n{n}\" cell={n} address=\"{}\" machine=\"m\"\n", free()));
+    (1..=2).for_each(|n| {
+        text += &format!(
+            "node \"n{n}\" cell={n} address=\"{}\" machine=\"m\"\n",
+            free()
+        )
+    });
     std::fs::write(dir.join("works.kdl"), &text).unwrap();
     let start = |name: &str| host(dir, "works.kdl", name, &format!("{name}.sock"));
     let (_h1, _h2, mut h3) = (start("h1"), start("h2"), start("h3"));
@@ -155,38 +216,90 @@
             std::thread::sleep(Duration::from_millis(50));
         }
     };
-    let stage = |w: &serde_json::Value| w["orders"][0]["stage"].as_str().unwrap_or_default().to_string();
+    let stage = |w: &serde_json::Value| {
+        w["orders"][0]["stage"]
+            .as_str()
+            .unwrap_or_default()
+            .to_string()
+    };
     wait("h1.sock", &|w| w["known"] == true);
     // Refused whole, each with its reason; nothing is in line afterwards.
     let refused: [(&[&str], &str); 6] = [
         (&["fleet", "out", "h1.sock", "n11"], "did you mean `n1`?"),
-        (&["fleet", "out", "h2.sock", "h3", "n1"], "keep=0.6 wants more"),
-        (&["fleet", "out", "h1.sock", "h3", "h77"], "no node, host or zone is called \"h77\""),
-        (&["fleet", "back", "h1.sock", "h3"], "there is no order for it"),
-        (&["fleet", "cancel", "h3.sock", "h3"], "there is no order for it"),
-        (&["fleet", "out", "h1.sock", "h3", "--for", "soon"], "invalid value"),
+        (
+            &["fleet", "out", "h2.sock", "h3", "n1"],
+            "keep=0.6 wants more",
+        ),
+        (
+            &["fleet", "out", "h1.sock", "h3", "h77"],
+            "no node, host or zone is called \"h77\"",
+        ),
+        (
+            &["fleet", "back", "h1.sock", "h3"],
+            "there is no order for it",
+        ),
+        (
+            &["fleet", "cancel", "h3.sock", "h3"],
+            "there is no order for it",
+        ),
+        (
+            &["fleet", "out", "h1.sock", "h3", "--for", "soon"],
+            "invalid value",
+        ),
     ];
     for (words, why) in refused {
         let (code, output) = gullsail(dir, words);
-        assert!(code.is_some_and(|c| c > 0) && output.contains(why), "{words:?}: {code:?} {output}");
+        assert!(
+            code.is_some_and(|c| c > 0) && output.contains(why),
+            "{words:?}: {code:?} {output}"
+        );
     }
-    assert_eq!(maintenance("h1.sock")["orders"].as_array().map(Vec::len), Some(0));
+    assert_eq!(
+        maintenance("h1.sock")["orders"].as_array().map(Vec::len),
+        Some(0)
+    );
     // Through two hosts at once, and it is one order; the host answers what it has, leaves and ends by
     // itself.
-    let out = ["fleet", "out", "h1.sock", "h3", "--reason", "a new kernel", "--wait"];
+    let out = [
+        "fleet",
+        "out",
+        "h1.sock",
+        "h3",
+        "--reason",
+        "a new kernel",
+        "--wait",
+    ];
     std::thread::scope(|s| {
-        let other = s.spawn(|| gullsail(dir, &["fleet", "out", "h2.sock", "h3", "--reason", "a new kernel"]));
+        let other = s.spawn(|| {
+            gullsail(
+                dir,
+                &["fleet", "out", "h2.sock", "h3", "--reason", "a new kernel"],
+            )
+        });
         let (code, output) = gullsail(dir, &out);
-        assert!(code == Some(0) && output.contains("a new kernel"), "{output}");
+        assert!(
+            code == Some(0) && output.contains("a new kernel"),
+            "{output}"
+        );
         assert_eq!(other.join().unwrap().0, Some(0));
     });
     let view = maintenance("h2.sock");
-    assert!(view["orders"].as_array().is_some_and(|o| o.len() == 1), "{view}");
+    assert!(
+        view["orders"].as_array().is_some_and(|o| o.len() == 1),
+        "{view}"
+    );
     // It said that it goes, also where it decided until then: no lease had to be waited out.
-    assert_eq!(view["orders"][0]["hosts"].as_array().map(Vec::len), Some(0), "{view}");
+    assert_eq!(
+        view["orders"][0]["hosts"].as_array().map(Vec::len),
+        Some(0),
+        "{view}"
+    );
     assert!(h3.0.wait().unwrap().success());
     let (code, output) = gullsail(dir, &["fleet", "cancel", "h2.sock", "h3"]);
-    assert!(code == Some(1) && output.contains("it is out already"), "{output}");
+    assert!(
+        code == Some(1) && output.contains("it is out already"),
+        "{output}"
+    );
     // A process under its name is none of the fleet until somebody says that the machine is back.
     drop(h3);
     let _h3 = start("h3");
@@ -194,7 +307,12 @@
     assert_eq!(stage(&maintenance("h1.sock")), "out");
     let output = until(dir, "h3.sock", "it is up", |s| s["status"]["me"] == 2);
     assert!(output["status"]["lease_ms"].is_null(), "{output}");
-    assert_eq!(gullsail(dir, &["fleet", "back", "h2.sock", "h3"]).0, Some(0));
+    assert_eq!(
+        gullsail(dir, &["fleet", "back", "h2.sock", "h3"]).0,
+        Some(0)
+    );
     wait("h1.sock", &|w| stage(w) == "done");
-    until(dir, "h3.sock", "it is a member", |s| s["status"]["lease_ms"].is_number());
+    until(dir, "h3.sock", "it is a member", |s| {
+        s["status"]["lease_ms"].is_number()
+    });
 }
--- a/crates/cli/tests/loopback.rs
+++ b/crates/cli/tests/loopback.rs
@@ -21,8 +21,15 @@
 const LONG: Duration = Duration::from_secs(30);
 
 fn run<F: Future<Output = ()>>(test: F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { timeout(LONG * 2, test).await.expect("the test does not end") });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        timeout(LONG * 2, test)
+            .await
+            .expect("the test does not end")
+    });
 }
 
 async fn free() -> (TcpListener, String) {
@@ -60,11 +67,21 @@
     let (stop, stopped) = oneshot::channel::<()>();
     let address = listener.local_addr().unwrap().to_string();
     let clock = HostClock::start(Span::ZERO);
-    let process = HostProcess { deployment: d.clone(), me: HostId(0), seed: 1, incarnation: 5, clock };
+    let process = HostProcess {
+        deployment: d.clone(),
+        me: HostId(0),
+        seed: 1,
+        incarnation: 5,
+        clock,
+    };
     let task = tokio::spawn(runtime::run(process, listener, None, async {
         let _ = stopped.await;
     }));
-    Host { task, stop: Some(stop), address }
+    Host {
+        task,
+        stop: Some(stop),
+        address,
+    }
 }
 
 impl Host {
@@ -95,8 +112,16 @@
 
 impl Raw {
     async fn client(address: &str) -> Raw {
-        let mut raw = Raw { stream: TcpStream::connect(address).await.unwrap(), buf: BytesMut::new() };
-        raw.send(Hello { role: Role::Client as i32, name: "c".into(), ..Hello::default() }).await;
+        let mut raw = Raw {
+            stream: TcpStream::connect(address).await.unwrap(),
+            buf: BytesMut::new(),
+        };
+        raw.send(Hello {
+            role: Role::Client as i32,
+            name: "c".into(),
+            ..Hello::default()
+        })
+        .await;
         raw
     }
 
@@ -114,7 +139,10 @@
             if let Some(frame) = decode(&mut self.buf, Bounds::DEFAULT).unwrap() {
                 return Some(frame);
             }
-            match timeout(LONG, self.stream.read_buf(&mut self.buf)).await.expect("nothing comes") {
+            match timeout(LONG, self.stream.read_buf(&mut self.buf))
+                .await
+                .expect("nothing comes")
+            {
                 Ok(0) | Err(_) => return None,
                 Ok(_) => {}
             }
@@ -131,11 +159,25 @@
     }
 
     async fn answer(&mut self) -> Option<(Answer, Bytes)> {
-        self.until(|f| if let Message::Answer(a) = f.message { Some((a, f.body)) } else { None }).await
+        self.until(|f| {
+            if let Message::Answer(a) = f.message {
+                Some((a, f.body))
+            } else {
+                None
+            }
+        })
+        .await
     }
 
     async fn attempt(&mut self) -> Option<Attempt> {
-        self.until(|f| if let Message::Attempt(l) = f.message { Some(l) } else { None }).await
+        self.until(|f| {
+            if let Message::Attempt(l) = f.message {
+                Some(l)
+            } else {
+                None
+            }
+        })
+        .await
     }
 }
 
@@ -152,7 +194,10 @@
         request_class: request_class.into(),
         volume: "v".into(),
         units: 1.0,
-        handle: Some(Handle { shard: 1, object: 3 }),
+        handle: Some(Handle {
+            shard: 1,
+            object: 3,
+        }),
         mark: format!("mark-{id}"),
         timeout_us: 15_000_000,
         ..Submit::default()
@@ -162,9 +207,19 @@
 /// A node by hand: greets whoever connects.
 async fn greet(listener: &TcpListener, incarnation: u64) -> Raw {
     let (stream, _) = timeout(LONG, listener.accept()).await.unwrap().unwrap();
-    let mut raw = Raw { stream, buf: BytesMut::new() };
+    let mut raw = Raw {
+        stream,
+        buf: BytesMut::new(),
+    };
     let (role, name) = (Role::Node as i32, "n1".to_string());
-    raw.send(Hello { role, name, incarnation, age_us: 1 << 40, shard_plus_one: 2 }).await;
+    raw.send(Hello {
+        role,
+        name,
+        incarnation,
+        age_us: 1 << 40,
+        shard_plus_one: 2,
+    })
+    .await;
     raw
 }
 
@@ -177,13 +232,33 @@
         let mut sound = Raw::client(&host.address).await;
         let huge = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0x40], &[0, 0, 0, 0]].concat();
         let long_body = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0], &[0, 0, 0, 0x40]].concat();
-        let malformed = [&[0x9d, 1, 10, 0][..], &[3, 0, 0, 0], &[0, 0, 0, 0], &[255, 255, 255]].concat();
-        for bytes in [b"GET / HTTP/1.1\r\n\r\n".to_vec(), huge, long_body, malformed, vec![0; 4096]] {
+        let malformed = [
+            &[0x9d, 1, 10, 0][..],
+            &[3, 0, 0, 0],
+            &[0, 0, 0, 0],
+            &[255, 255, 255],
+        ]
+        .concat();
+        for bytes in [
+            b"GET / HTTP/1.1\r\n\r\n".to_vec(),
+            huge,
+            long_body,
+            malformed,
+            vec![0; 4096],
+        ] {
             let mut bad = Raw::client(&host.address).await;
             bad.bytes(&bytes).await;
             assert!(bad.until(|_| None::<()>).await.is_none(), "it is closed");
-            sound.send(submit(u64::from(bytes[0]) << 32 | bytes.len() as u64, "read")).await;
-            assert_eq!(sound.answer().await.unwrap().0.outcome, Outcome::Succeeded as i32);
+            sound
+                .send(submit(
+                    u64::from(bytes[0]) << 32 | bytes.len() as u64,
+                    "read",
+                ))
+                .await;
+            assert_eq!(
+                sound.answer().await.unwrap().0.outcome,
+                Outcome::Succeeded as i32
+            );
         }
         // Half a frame, then nothing: the request was never taken.
         let mut half = Raw::client(&host.address).await;
@@ -221,7 +296,10 @@
             tokio::task::yield_now().await;
         }
         let (answer, body) = c.answer().await.unwrap();
-        assert_eq!((answer.id, answer.outcome, &body[..]), (4, Outcome::Succeeded as i32, &b"the bytes"[..]));
+        assert_eq!(
+            (answer.id, answer.outcome, &body[..]),
+            (4, Outcome::Succeeded as i32, &b"the bytes"[..])
+        );
         let counts = host.stop().await;
         assert_eq!((counts.taken, counts.done), (1, 1));
     });
@@ -243,10 +321,18 @@
         assert_eq!(attempt.mark, "mark-1");
         drop(n);
         let (answer, _) = c.answer().await.unwrap();
-        assert_eq!(answer.outcome, Outcome::Failed as i32, "after the last byte nobody knows");
+        assert_eq!(
+            answer.outcome,
+            Outcome::Failed as i32,
+            "after the last byte nobody knows"
+        );
         let mut again = greet(&nl, 1).await;
         c.send(submit(2, "trip")).await;
-        assert_eq!(again.attempt().await.unwrap().mark, "mark-2", "the first is not sent again");
+        assert_eq!(
+            again.attempt().await.unwrap().mark,
+            "mark-2",
+            "the first is not sent again"
+        );
         host.task.abort();
     });
 }
@@ -263,26 +349,49 @@
         let node = stand_in(&d, inner);
         let first = host(&d, hl).await;
         let mut c = Raw::client(&first.address).await;
-        c.send(Frame::from(submit(1, "write")).with_body(Bytes::from_static(b"trip record"))).await;
+        c.send(Frame::from(submit(1, "write")).with_body(Bytes::from_static(b"trip record")))
+            .await;
         let mut n = greet(&nl, 77).await;
         let attempt = n.attempt().await.unwrap();
-        let mut direct =
-            Raw { stream: TcpStream::connect(&inner_address).await.unwrap(), buf: BytesMut::new() };
-        direct.send(Hello { role: Role::Host as i32, name: "h1".into(), ..Hello::default() }).await;
-        direct.send(Frame::from(attempt.clone()).with_body(Bytes::from_static(b"trip record"))).await;
-        let ran = direct.until(|f| if let Message::AttemptAnswer(a) = f.message { Some(a) } else { None });
+        let mut direct = Raw {
+            stream: TcpStream::connect(&inner_address).await.unwrap(),
+            buf: BytesMut::new(),
+        };
+        direct
+            .send(Hello {
+                role: Role::Host as i32,
+                name: "h1".into(),
+                ..Hello::default()
+            })
+            .await;
+        direct
+            .send(Frame::from(attempt.clone()).with_body(Bytes::from_static(b"trip record")))
+            .await;
+        let ran = direct.until(|f| {
+            if let Message::AttemptAnswer(a) = f.message {
+                Some(a)
+            } else {
+                None
+            }
+        });
         let ran = ran.await.unwrap();
         assert!(ran.ran);
         first.task.abort();
-        assert!(c.until(|_| None::<()>).await.is_none(), "the client sees its host gone");
+        assert!(
+            c.until(|_| None::<()>).await.is_none(),
+            "the client sees its host gone"
+        );
         drop((n, nl));
         // Its successor, with nothing but the document, and the node itself now at the address it knows.
         let (hl, ha) = free().await;
         let second = host(&document(&ha, &inner_address), hl).await;
         let mut c = Raw::client(&second.address).await;
         c.send(
-            Frame::from(Submit { repeat: 1, ..submit(1, "write") })
-                .with_body(Bytes::from_static(b"trip record")),
+            Frame::from(Submit {
+                repeat: 1,
+                ..submit(1, "write")
+            })
+            .with_body(Bytes::from_static(b"trip record")),
         )
         .await;
         let (answer, _) = c.answer().await.unwrap();
@@ -292,8 +401,20 @@
             "the first one's answer"
         );
         // The node's own word: a third attempt with the mark does not run either.
-        direct.send(Frame::from(Attempt { attempt: 99, repeat: 2, ..attempt })).await;
-        let third = direct.until(|f| if let Message::AttemptAnswer(a) = f.message { Some(a) } else { None });
+        direct
+            .send(Frame::from(Attempt {
+                attempt: 99,
+                repeat: 2,
+                ..attempt
+            }))
+            .await;
+        let third = direct.until(|f| {
+            if let Message::AttemptAnswer(a) = f.message {
+                Some(a)
+            } else {
+                None
+            }
+        });
         assert!(!third.await.unwrap().ran);
         assert_eq!(second.stop().await.done, 1);
         node.abort();
@@ -314,16 +435,20 @@
                     result: AttemptResult::Succeeded as i32,
                     ..AttemptAnswer::default()
                 };
-                n.send(Frame::from(a).with_body(Bytes::from(vec![7; 500_000]))).await;
+                n.send(Frame::from(a).with_body(Bytes::from(vec![7; 500_000])))
+                    .await;
             }
         });
         let mut deaf = Raw::client(&host.address).await;
         let mut sound = Raw::client(&host.address).await;
         for id in 0..40 {
             // Sooner or later the host takes no more of it.
-            if timeout(Duration::from_millis(200), deaf.stream.write_all(&wire(submit(id, "read"))))
-                .await
-                .is_err()
+            if timeout(
+                Duration::from_millis(200),
+                deaf.stream.write_all(&wire(submit(id, "read"))),
+            )
+            .await
+            .is_err()
             {
                 break;
             }
@@ -336,7 +461,11 @@
         tokio::time::sleep(Duration::from_secs(3)).await;
         while deaf.next().await.is_some() {}
         let counts = host.stop().await;
-        assert!(counts.most_held < 40 * 500_000, "{} bytes held at most", counts.most_held);
+        assert!(
+            counts.most_held < 40 * 500_000,
+            "{} bytes held at most",
+            counts.most_held
+        );
         nodes.abort();
     });
 }
@@ -358,8 +487,16 @@
         }
         // All taken, since frames of one connection are in order.
         c.send(submit(7777, "nothing")).await;
-        let first =
-            c.until(|f| if let Message::NotTaken(n) = f.message { Some(n) } else { None }).await.unwrap();
+        let first = c
+            .until(|f| {
+                if let Message::NotTaken(n) = f.message {
+                    Some(n)
+                } else {
+                    None
+                }
+            })
+            .await
+            .unwrap();
         assert_eq!((first.id, first.leaving), (7777, false));
         let stopping = tokio::spawn(host.stop());
         let mut answered = std::collections::BTreeMap::new();
@@ -408,7 +545,10 @@
         }
         assert_eq!(done, 200, "each is sent again on the next connection");
         let counts = host.stop().await;
-        assert!(counts.nodes_met_again >= 20 && counts.nodes_restarted == 0, "{counts:?}");
+        assert!(
+            counts.nodes_met_again >= 20 && counts.nodes_restarted == 0,
+            "{counts:?}"
+        );
         nodes.abort();
     });
 }
--- a/crates/cli/tests/platform/races.rs
+++ b/crates/cli/tests/platform/races.rs
@@ -33,7 +33,10 @@
     while let Some(text) = read_message(client) {
         all.push(text[9..12].to_string());
     }
-    (all, client.get_mut().read(&mut [0; 1]).is_ok_and(|n| n == 0))
+    (
+        all,
+        client.get_mut().read(&mut [0; 1]).is_ok_and(|n| n == 0),
+    )
 }
 
 /// SIGTERM, with a request whose node hangs until the last moment: its answer is written before the process
@@ -53,7 +56,11 @@
         if signals == 2 {
             host.signal(Signal::SIGTERM);
         }
-        assert_eq!(read_responses(&mut open), (vec!["500".to_string()], true), "{signals}");
+        assert_eq!(
+            read_responses(&mut open),
+            (vec!["500".to_string()], true),
+            "{signals}"
+        );
         drop(open);
         assert_eq!(host.child.wait().unwrap().code(), Some(0), "{signals}");
         assert!(requests.try_recv().is_err(), "{signals}: sent once");
@@ -108,7 +115,10 @@
         // Longer than connections may rest, and than the host takes more while it leaves.
         host.signal(Signal::SIGSTOP);
         std::thread::sleep(Duration::from_millis(2_300));
-        resting.iter_mut().enumerate().for_each(|(i, c)| send_request(c, 101 + i as u64));
+        resting
+            .iter_mut()
+            .enumerate()
+            .for_each(|(i, c)| send_request(c, 101 + i as u64));
         host.signal(Signal::SIGCONT);
         for (i, c) in resting.iter_mut().enumerate() {
             let (statuses, in_order) = if leaving {
@@ -140,12 +150,18 @@
 impl LateNode {
     fn new() -> LateNode {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        listener
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         // One more than it says may wait; further ones hang.
         let fill = vec![TcpStream::connect(address).unwrap()];
-        LateNode { listener, address, fill }
+        LateNode {
+            listener,
+            address,
+            fill,
+        }
     }
 
     /// From here connections come up, the next time that the system tries. Says what comes on any of them.
@@ -173,9 +189,13 @@
 /// than may wait, and many at once. Nothing is sent for it when the connection comes up; who stays is served.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_a_late_connect() {
-    for (how, leaves) in
-        [("in order", true), ("reset", true), ("behind bytes", true), ("burst", true), ("stays", false)]
-    {
+    for (how, leaves) in [
+        ("in order", true),
+        ("reset", true),
+        ("behind bytes", true),
+        ("burst", true),
+        ("stays", false),
+    ] {
         let late = LateNode::new();
         let (address, _polls) = discovery(late.address);
         let text = document_with_times(address, 6000, 6000)
@@ -184,7 +204,9 @@
         host.ready();
         let clients = if how == "burst" { 12 } else { 1 };
         let mut all: Vec<_> = (0..clients).map(|_| host.client()).collect();
-        all.iter_mut().enumerate().for_each(|(i, c)| send_request(c, 1 + i as u64));
+        all.iter_mut()
+            .enumerate()
+            .for_each(|(i, c)| send_request(c, 1 + i as u64));
         // They have been read once a request sent after them is answered.
         host.ready();
         if how == "behind bytes" {
@@ -206,7 +228,11 @@
         if !leaves {
             assert_eq!(read_status(&mut all[0]).as_deref(), Some("200"), "{how}");
         }
-        let trace = |t: &String| t.split_once("X-Trace-Id: ").map(|t| t.1[12..16].to_string()).unwrap();
+        let trace = |t: &String| {
+            t.split_once("X-Trace-Id: ")
+                .map(|t| t.1[12..16].to_string())
+                .unwrap()
+        };
         let mut sent: Vec<_> = received.try_iter().map(|t| trace(&t)).collect();
         sent.sort();
         let wanted: &[&str] = if leaves { &["0077"] } else { &["0001", "0077"] };
@@ -248,8 +274,12 @@
     let mut silent_clients = Vec::new();
     for _ in 0..90 {
         let mut c = host.client();
-        c.get_mut().set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-        let _ = c.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
+        c.get_mut()
+            .set_read_timeout(Some(Duration::from_millis(50)))
+            .unwrap();
+        let _ = c
+            .get_mut()
+            .write_all(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
         let _ = read_message(&mut c);
         silent_clients.push(c);
     }
@@ -276,10 +306,16 @@
 fn resources(host: &Host) -> Resources {
     let proc_dir = format!("/proc/{}", host.child.id());
     let process_status = std::fs::read_to_string(format!("{proc_dir}/status")).unwrap();
-    let peak = process_status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+    let peak = process_status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .unwrap();
     let kb: usize = peak.trim().trim_end_matches(" kB").parse().unwrap();
     let descriptors = std::fs::read_dir(format!("{proc_dir}/fd")).unwrap().count();
-    Resources { descriptors, peak_memory_mb: kb >> 10 }
+    Resources {
+        descriptors,
+        peak_memory_mb: kb >> 10,
+    }
 }
 
 /// Floods, many silent clients, endless pipelined messages, and nodes whose answers never end or cannot be
@@ -293,10 +329,14 @@
         let trace = text.split_once("X-Trace-Id: ").map_or("", |t| &t.1[..16]);
         Some(match &trace[14..] {
             "aa" => {
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string() + &"40\r\n".repeat(9000)
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string()
+                    + &"40\r\n".repeat(9000)
             }
             "bb" => "HTTP/1.1 100 Continue\r\n\r\n".repeat(4000),
-            "cc" => format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(400_000)),
+            "cc" => format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
+                "x".repeat(400_000)
+            ),
             "dd" => "\u{1}\u{2} noise".repeat(5000),
             _ => reply("made for it") + &reply("another's"),
         })
@@ -319,17 +359,29 @@
     host.ready();
     let mut usual_client = host.client();
     send_request(&mut usual_client, 1);
-    assert!(read_message(&mut usual_client).unwrap().ends_with("made for it"));
+    assert!(
+        read_message(&mut usual_client)
+            .unwrap()
+            .ends_with("made for it")
+    );
     drop(usual_client);
     let before = resources(&host).descriptors;
     for round in 0..6u64 {
         // Silent; half a message; many at once and gone; without end; noise.
-        let silent: Vec<_> = (0..60).map(|_| TcpStream::connect(host.address).unwrap()).collect();
-        let mut half: Vec<_> = (0..20).map(|_| TcpStream::connect(host.address).unwrap()).collect();
-        half.iter_mut().for_each(|c| _ = c.write_all(b"PUT /read/0000"));
+        let silent: Vec<_> = (0..60)
+            .map(|_| TcpStream::connect(host.address).unwrap())
+            .collect();
+        let mut half: Vec<_> = (0..20)
+            .map(|_| TcpStream::connect(host.address).unwrap())
+            .collect();
+        half.iter_mut()
+            .for_each(|c| _ = c.write_all(b"PUT /read/0000"));
         let mut gone = host.client();
-        (0..300)
-            .for_each(|i| _ = gone.get_mut().write_all(request_text(0x1000 + round * 400 + i).as_bytes()));
+        (0..300).for_each(|i| {
+            _ = gone
+                .get_mut()
+                .write_all(request_text(0x1000 + round * 400 + i).as_bytes())
+        });
         drop(gone);
         let mut endless = TcpStream::connect(host.address).unwrap();
         let _ = endless.write_all(b"PUT /read/00 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
@@ -352,7 +404,10 @@
             for usual_client in 1..=8 {
                 send_request(&mut c, trace + (usual_client << 32));
                 let answer = read_message(&mut c).unwrap_or_default();
-                assert!(answer.ends_with("made for it"), "{round} {malformed:x}: {answer}");
+                assert!(
+                    answer.ends_with("made for it"),
+                    "{round} {malformed:x}: {answer}"
+                );
             }
         }
         assert!(resources(&host).descriptors <= 64, "{round}");
@@ -367,7 +422,10 @@
         }
         std::thread::sleep(Duration::from_millis(25));
     }
-    panic!("{} descriptors, before {before}", resources(&host).descriptors);
+    panic!(
+        "{} descriptors, before {before}",
+        resources(&host).descriptors
+    );
 }
 
 /// A process that starts again while discovery is refused, silent, or silent in the middle of its answer is
@@ -375,7 +433,10 @@
 #[test]
 fn a_restarted_host_is_ready_without_discovery() {
     let (node_address, _asked) = node(Some(reply("made by the node")));
-    let refuses = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let refuses = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let silent = serve(|_| None);
     let half = serve(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,".into()));
     let known = format!(
@@ -387,6 +448,9 @@
         host.ready();
         let mut c = host.client();
         send_request(&mut c, 1);
-        assert!(read_message(&mut c).unwrap().ends_with("made by the node"), "{what}");
+        assert!(
+            read_message(&mut c).unwrap().ends_with("made by the node"),
+            "{what}"
+        );
     }
 }
--- a/crates/cli/tests/platform/rig.rs
+++ b/crates/cli/tests/platform/rig.rs
@@ -56,7 +56,10 @@
 }
 
 pub fn reply(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// A discovery service with one node. Reports the first line of each poll, and lets long polls wait.
@@ -104,7 +107,11 @@
         let file = dir.path().join("config.json");
         std::fs::write(&file, document).unwrap();
         let mut child = Command::new("/bin/sh")
-            .args(["-c", "ulimit -n 64; exec \"$0\" platform", env!("CARGO_BIN_EXE_gullsail")])
+            .args([
+                "-c",
+                "ulimit -n 64; exec \"$0\" platform",
+                env!("CARGO_BIN_EXE_gullsail"),
+            ])
             .env("PROXY_CONFIG", &file)
             .stderr(Stdio::piped())
             .spawn()
@@ -112,7 +119,13 @@
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|l| _ = sender.send(l)));
-        let mut host = Host { child, address: "127.0.0.1:0".parse().unwrap(), log, file, _dir: dir };
+        let mut host = Host {
+            child,
+            address: "127.0.0.1:0".parse().unwrap(),
+            log,
+            file,
+            _dir: dir,
+        };
         let line = host.line("serves clients at=");
         host.address = line.rsplit('=').next().unwrap().parse().unwrap();
         host
@@ -121,7 +134,10 @@
     /// The next line of the log that holds this.
     pub fn line(&self, part: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(SOON).unwrap_or_else(|_| panic!("no line with {part}"));
+            let line = self
+                .log
+                .recv_timeout(SOON)
+                .unwrap_or_else(|_| panic!("no line with {part}"));
             if line.contains(part) {
                 return line;
             }
@@ -141,7 +157,9 @@
     pub fn ready(&self) {
         loop {
             let mut c = self.client();
-            c.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").unwrap();
+            c.get_mut()
+                .write_all(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+                .unwrap();
             if read_message(&mut c).is_some_and(|t| t.starts_with("HTTP/1.1 200")) {
                 return;
             }
@@ -164,7 +182,10 @@
 }
 
 pub fn send_request(client: &mut BufReader<TcpStream>, trace: u64) {
-    client.get_mut().write_all(request_text(trace).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request_text(trace).as_bytes())
+        .unwrap();
 }
 
 pub fn read_status(client: &mut BufReader<TcpStream>) -> Option<String> {
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -23,11 +23,21 @@
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().display().to_string();
     let out = gullsail(&["scenario", name, "--record", &path]);
-    assert!(out.status.success(), "{}\n{}", text(&out.stdout), text(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}\n{}",
+        text(&out.stdout),
+        text(&out.stderr)
+    );
     // Judged again from the recording alone, with the same verdict.
     let again = gullsail(&["audit", &path]);
     assert!(again.status.success(), "{}", text(&again.stdout));
-    let rules = |s: String| s.lines().filter(|l| l.contains("kept")).map(str::to_string).collect::<Vec<_>>();
+    let rules = |s: String| {
+        s.lines()
+            .filter(|l| l.contains("kept"))
+            .map(str::to_string)
+            .collect::<Vec<_>>()
+    };
     let again = rules(text(&again.stdout));
     // The head of the table, seven rules; one for budgets between zones, two for a fleet and two for its
     // rates to nodes, where there are some.
@@ -58,7 +68,13 @@
 
 #[test]
 fn the_scenarios_of_a_fleet_pass() {
-    for name in ["budget-cut", "budget-join", "budget-takeover", "budget-storm", "budget-new"] {
+    for name in [
+        "budget-cut",
+        "budget-join",
+        "budget-takeover",
+        "budget-storm",
+        "budget-new",
+    ] {
         day(name);
     }
 }
@@ -96,7 +112,11 @@
     .unwrap();
     let bad = bad.display().to_string();
     let own = dir.path().join("own.kdl");
-    std::fs::write(&own, "include \"bad.kdl\"\nday \"own\" lasts=\"1s\" { ask \"r\" rate=5; }\n").unwrap();
+    std::fs::write(
+        &own,
+        "include \"bad.kdl\"\nday \"own\" lasts=\"1s\" { ask \"r\" rate=5; }\n",
+    )
+    .unwrap();
     let own = own.display().to_string();
     let cases: [(&[&str], &str); 7] = [
         (&["scenario", &own], "no plan is called \"x\""),
@@ -110,6 +130,10 @@
     for (arguments, says) in cases {
         let out = gullsail(arguments);
         assert_eq!(out.status.code(), Some(2), "{arguments:?}");
-        assert!(text(&out.stderr).contains(says), "{arguments:?}: {}", text(&out.stderr));
+        assert!(
+            text(&out.stderr).contains(says),
+            "{arguments:?}: {}",
+            text(&out.stderr)
+        );
     }
 }
--- a/crates/cli/tests/service.rs
+++ b/crates/cli/tests/service.rs
@@ -21,14 +21,25 @@
         w.play(minutes(6.0));
         quiet.push(w.size_metrics());
     }
-    assert!(w.answered > 20_000 && w.incarnations > 10 && w.taken_documents > 100, "too little happened");
+    assert!(
+        w.answered > 20_000 && w.incarnations > 10 && w.taken_documents > 100,
+        "too little happened"
+    );
     let [taken, _, done, ..] = w.outcomes();
-    assert!(done * 2 > taken, "{done} done of {taken}: that is no service");
+    assert!(
+        done * 2 > taken,
+        "{done} done of {taken}: that is no service"
+    );
     for name in quiet[0].keys() {
-        let of = |part: &[BTreeMap<&str, usize>]| part.iter().map(|l| l[name]).sum::<usize>() / part.len();
+        let of = |part: &[BTreeMap<&str, usize>]| {
+            part.iter().map(|l| l[name]).sum::<usize>() / part.len()
+        };
         let (first, last) = (of(&quiet[..2]), of(&quiet[4..]));
         // The account fills up to a bound of its own, tested in `zones`.
         let fills = *name == "core.account" && last <= world::HOSTS * world::ACCOUNT;
-        assert!(fills || last <= first + first / 4 + 12, "{name}: {first} at first, {last} at last");
+        assert!(
+            fills || last <= first + first / 4 + 12,
+            "{name}: {first} at first, {last} at last"
+        );
     }
 }
--- a/crates/cli/tests/shortages/main.rs
+++ b/crates/cli/tests/shortages/main.rs
@@ -19,7 +19,11 @@
 #[test]
 fn a_log_that_nobody_reads_holds_up_nothing() {
     let dir = tempfile::tempdir().unwrap();
-    std::fs::write(dir.path().join("main.kdl"), deployment(&node(&NodeControl::answering()), "")).unwrap();
+    std::fs::write(
+        dir.path().join("main.kdl"),
+        deployment(&node(&NodeControl::answering()), ""),
+    )
+    .unwrap();
     let mut host = Host::start(dir.path(), "", "debug", Stdio::piped());
     let log = host.child.stderr.take().unwrap();
     // Each is two lines at least: far more than a pipe and the queue hold.
@@ -28,7 +32,10 @@
     }
     let mut client = Socket::client(&host.address);
     for id in 0..20 {
-        assert!(client.served(id), "transfer {id} with nobody reading the log");
+        assert!(
+            client.served(id),
+            "transfer {id} with nobody reading the log"
+        );
     }
     assert_eq!(status(dir.path())["counts"]["done"], 20);
     let (sender, lines) = std::sync::mpsc::channel();
@@ -40,7 +47,10 @@
     let end = Instant::now() + LONG;
     let mut lost = None;
     while lost.is_none() && Instant::now() < end {
-        lost = lines.recv_timeout(LONG).ok().filter(|l| l.contains("log_lines_lost"));
+        lost = lines
+            .recv_timeout(LONG)
+            .ok()
+            .filter(|l| l.contains("log_lines_lost"));
     }
     assert!(
         lost.is_some_and(|l| l.contains("the log's reader does not keep up")),
@@ -53,13 +63,27 @@
 /// A log on a full disk, and one in a file that may not grow: writing fails, and that is all.
 #[test]
 fn a_log_without_room_holds_up_nothing() {
-    let full = || Stdio::from(std::fs::OpenOptions::new().write(true).open("/dev/full").unwrap());
+    let full = || {
+        Stdio::from(
+            std::fs::OpenOptions::new()
+                .write(true)
+                .open("/dev/full")
+                .unwrap(),
+        )
+    };
     for limited in [false, true] {
         let dir = tempfile::tempdir().unwrap();
-        std::fs::write(dir.path().join("main.kdl"), deployment(&node(&NodeControl::answering()), ""))
-            .unwrap();
+        std::fs::write(
+            dir.path().join("main.kdl"),
+            deployment(&node(&NodeControl::answering()), ""),
+        )
+        .unwrap();
         let file = || Stdio::from(std::fs::File::create(dir.path().join("log")).unwrap());
-        let (limit, stderr) = if limited { ("ulimit -f 8; ", file()) } else { ("", full()) };
+        let (limit, stderr) = if limited {
+            ("ulimit -f 8; ", file())
+        } else {
+            ("", full())
+        };
         let host = Host::start(dir.path(), limit, "debug", stderr);
         for _ in 0..300 {
             drop(TcpStream::connect(&host.address).unwrap());
@@ -84,8 +108,12 @@
     let control = NodeControl::answering();
     std::fs::write(dir.path().join("main.kdl"), deployment(&node(&control), "")).unwrap();
     let log = dir.path().join("log");
-    let host =
-        Host::start(dir.path(), "ulimit -n 64; ", "info", Stdio::from(std::fs::File::create(&log).unwrap()));
+    let host = Host::start(
+        dir.path(),
+        "ulimit -n 64; ",
+        "info",
+        Stdio::from(std::fs::File::create(&log).unwrap()),
+    );
     let mut first = Socket::client(&host.address);
     assert!(first.served(1));
     let mut many: Vec<Socket> = (0..150).map(|_| Socket::client(&host.address)).collect();
@@ -99,9 +127,17 @@
         assert!(Instant::now() < end, "the node is met again: {state}");
     };
     assert!(first.served(2), "over a new connection to the node");
-    assert!(state["counts"]["links_refused"].as_u64().unwrap() > 50, "{state}");
+    assert!(
+        state["counts"]["links_refused"].as_u64().unwrap() > 50,
+        "{state}"
+    );
     // Some of the many are accepted, and the others were refused at once.
-    many.iter().for_each(|socket| socket.stream.set_read_timeout(Some(Duration::from_millis(100))).unwrap());
+    many.iter().for_each(|socket| {
+        socket
+            .stream
+            .set_read_timeout(Some(Duration::from_millis(100)))
+            .unwrap()
+    });
     let inside = many.iter_mut().filter_map(|socket| socket.next()).count();
     assert!((5..60).contains(&inside), "{inside} of 150 are in");
     let lines = std::fs::read_to_string(&log).unwrap();
@@ -125,7 +161,11 @@
     let dir = tempfile::tempdir().unwrap();
     let control = NodeControl::default();
     let bounds = "bounds held-bytes=\"16MiB\" body-bytes=\"1MiB\" open=200\n";
-    std::fs::write(dir.path().join("main.kdl"), deployment(&node(&control), bounds)).unwrap();
+    std::fs::write(
+        dir.path().join("main.kdl"),
+        deployment(&node(&control), bounds),
+    )
+    .unwrap();
     // In KiB of address space: some threads' stacks and the program; a tenth of what is offered.
     let host = Host::start(dir.path(), "ulimit -v 500000; ", "info", Stdio::null());
     let writers: Vec<_> = (0..40)
@@ -133,12 +173,17 @@
             let address = host.address.clone();
             std::thread::spawn(move || {
                 let mut socket = Socket::client(&address);
-                socket.stream.set_write_timeout(Some(Duration::from_secs(1))).unwrap();
+                socket
+                    .stream
+                    .set_write_timeout(Some(Duration::from_secs(1)))
+                    .unwrap();
                 let mut sent = 0;
                 while sent < 25 && socket.submit(sent, "trip", MIB).is_ok() {
                     sent += 1;
                 }
-                let _ = socket.stream.set_read_timeout(Some(Duration::from_millis(500)));
+                let _ = socket
+                    .stream
+                    .set_read_timeout(Some(Duration::from_millis(500)));
                 socket
             })
         })
@@ -146,7 +191,10 @@
     let writers: Vec<Socket> = writers.into_iter().map(|w| w.join().unwrap()).collect();
     let state = status(dir.path());
     let most = state["counts"]["most_held"].as_u64().unwrap();
-    assert!(most > 8 * MIB as u64 && most < 64 * MIB as u64, "{most} bytes held at most");
+    assert!(
+        most > 8 * MIB as u64 && most < 64 * MIB as u64,
+        "{most} bytes held at most"
+    );
     assert!(state["counts"]["held_back"].as_u64().unwrap() > 0);
     drop(writers);
     control.answers.store(true, Ordering::SeqCst);
@@ -178,7 +226,8 @@
 #[test]
 fn a_document_is_formatted_whole_or_not_at_all() {
     let dir = tempfile::tempdir().unwrap();
-    let untidy = deployment("n", "").replace('\n', "\n\n\n") + &"// a comment that is kept\n".repeat(100);
+    let untidy =
+        deployment("n", "").replace('\n', "\n\n\n") + &"// a comment that is kept\n".repeat(100);
     let file = dir.path().join("main.kdl");
     std::fs::write(&file, &untidy).unwrap();
     let program = env!("CARGO_BIN_EXE_gullsail");
@@ -188,7 +237,11 @@
         .output()
         .unwrap();
     assert!(!out.status.success());
-    assert_eq!(std::fs::read_to_string(&file).unwrap(), untidy, "nothing is lost");
+    assert_eq!(
+        std::fs::read_to_string(&file).unwrap(),
+        untidy,
+        "nothing is lost"
+    );
     // By a link, with its permissions, where there is room.
     let link = dir.path().join("link.kdl");
     std::os::unix::fs::symlink("main.kdl", &link).unwrap();
@@ -216,13 +269,22 @@
     std::fs::write(&main, format!("include \"pipe.kdl\"\n{valid}")).unwrap();
     let out = gullsail(dir.path(), &["reload", "h1.sock"]);
     let output = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert_eq!((out.status.code(), output.contains("it is no regular file")), (Some(2), true), "{output}");
+    assert_eq!(
+        (out.status.code(), output.contains("it is no regular file")),
+        (Some(2), true),
+        "{output}"
+    );
     assert!(output.starts_with("main.kdl:1:"), "{output}");
     std::fs::write(&main, &valid).unwrap();
     let both: Vec<_> = (0..2)
         .map(|_| {
             let mut client = Command::new(env!("CARGO_BIN_EXE_gullsail"));
-            client.current_dir(dir.path()).args(["reload", "h1.sock"]).stdout(Stdio::piped()).spawn().unwrap()
+            client
+                .current_dir(dir.path())
+                .args(["reload", "h1.sock"])
+                .stdout(Stdio::piped())
+                .spawn()
+                .unwrap()
         })
         .collect();
     for child in both {
@@ -234,7 +296,10 @@
     while status(dir.path())["open"] != 1 {}
     let id = nix::unistd::Pid::from_raw(host.child.id() as i32);
     nix::sys::signal::kill(id, nix::sys::signal::Signal::SIGTERM).unwrap();
-    client.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+    client
+        .stream
+        .set_read_timeout(Some(Duration::from_millis(50)))
+        .unwrap();
     let end = Instant::now() + LONG;
     for id in 2.. {
         client.submit(id, "trip", 0).unwrap();
@@ -245,14 +310,21 @@
         assert!(Instant::now() < end, "it is told to leave");
     }
     let out = gullsail(dir.path(), &["reload", "h1.sock"]);
-    let output = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() != Some(0) && output.contains("this host is leaving"), "{output}");
+    let output =
+        String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
+    assert!(
+        out.status.code() != Some(0) && output.contains("this host is leaving"),
+        "{output}"
+    );
     // The socket's file is another process's now; then nobody waits any more, so it leaves.
     std::fs::remove_file(dir.path().join("h1.sock")).unwrap();
     std::fs::write(dir.path().join("h1.sock"), "mine").unwrap();
     drop(client);
     assert_eq!(host.stop(), Some(0));
-    assert_eq!(std::fs::read_to_string(dir.path().join("h1.sock")).unwrap(), "mine");
+    assert_eq!(
+        std::fs::read_to_string(dir.path().join("h1.sock")).unwrap(),
+        "mine"
+    );
 }
 
 /// Lines on the control socket from an older host, which tells less, and a newer one, which tells more.
@@ -267,8 +339,13 @@
             2,
         ),
     ] {
-        let Ok(ControlReply::Status(state)) = serde_json::from_str(line) else { panic!("{line}") };
-        assert_eq!((state.host.as_str(), state.open, state.counts.rejected), ("h1", open, rejected));
+        let Ok(ControlReply::Status(state)) = serde_json::from_str(line) else {
+            panic!("{line}")
+        };
+        assert_eq!(
+            (state.host.as_str(), state.open, state.counts.rejected),
+            ("h1", open, rejected)
+        );
     }
 }
 
@@ -278,16 +355,27 @@
 fn half_frames_are_bounded() {
     let dir = tempfile::tempdir().unwrap();
     let bounds = "bounds held-bytes=\"32MiB\" body-bytes=\"16MiB\" client-stall=\"250ms\"\n";
-    std::fs::write(dir.path().join("main.kdl"), deployment(&node(&NodeControl::answering()), bounds))
-        .unwrap();
+    std::fs::write(
+        dir.path().join("main.kdl"),
+        deployment(&node(&NodeControl::answering()), bounds),
+    )
+    .unwrap();
     let host = Host::start(dir.path(), "ulimit -v 500000; ", "info", Stdio::null());
-    let socket =
-        Submit { id: 1, request_class: "trip".into(), volume: "v".into(), units: 1.0, ..Submit::default() };
+    let socket = Submit {
+        id: 1,
+        request_class: "trip".into(),
+        volume: "v".into(),
+        units: 1.0,
+        ..Submit::default()
+    };
     let whole = wire(Frame::from(socket).with_body(Bytes::from(vec![1; 16 << 20])));
     let half_sent: Vec<Socket> = (0..32)
         .map(|_| {
             let mut client = Socket::client(&host.address);
-            client.stream.set_write_timeout(Some(Duration::from_millis(20))).unwrap();
+            client
+                .stream
+                .set_write_timeout(Some(Duration::from_millis(20)))
+                .unwrap();
             // It waits, unread, or is let go.
             let _ = client.stream.write_all(&whole[..15 << 20]);
             client
@@ -299,10 +387,15 @@
     loop {
         let mut client = Socket::client(&host.address);
         client.stream.set_write_timeout(Some(LONG)).unwrap();
-        if client.submit(7, "trip", 16 << 20).is_ok() && client.outcome() == Some(Outcome::Succeeded as i32) {
+        if client.submit(7, "trip", 16 << 20).is_ok()
+            && client.outcome() == Some(Outcome::Succeeded as i32)
+        {
             break;
         }
-        assert!(Instant::now() < end, "a whole large one is taken once there is room");
+        assert!(
+            Instant::now() < end,
+            "a whole large one is taken once there is room"
+        );
     }
     drop(half_sent);
     assert_eq!(host.stop(), Some(0));
--- a/crates/cli/tests/shortages/rig.rs
+++ b/crates/cli/tests/shortages/rig.rs
@@ -2,7 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 use gullsail_protocol::{
-    AttemptAnswer, AttemptResult, Bounds, Frame, Handle, Hello, Message, Outcome, Role, Submit, decode,
+    AttemptAnswer, AttemptResult, Bounds, Frame, Handle, Hello, Message, Outcome, Role, Submit,
+    decode,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -24,7 +25,11 @@
 }
 
 pub fn gullsail(dir: &Path, arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_gullsail")).current_dir(dir).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_gullsail"))
+        .current_dir(dir)
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 /// A host under a limit of its shell; ended by its own id.
@@ -36,8 +41,9 @@
 impl Host {
     pub fn start(dir: &Path, limit: &str, log: &str, stderr: Stdio) -> Host {
         let program = env!("CARGO_BIN_EXE_gullsail");
-        let line =
-            format!("{limit}exec {program} --log-level {log} host main.kdl --name h1 --control h1.sock");
+        let line = format!(
+            "{limit}exec {program} --log-level {log} host main.kdl --name h1 --control h1.sock"
+        );
         let mut child = Command::new("sh")
             .current_dir(dir)
             .args(["-c", &line])
@@ -46,13 +52,21 @@
             .spawn()
             .unwrap();
         let mut output = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut output).unwrap();
-        let output: serde_json::Value = serde_json::from_str(&output).expect("it says where it listens");
+        BufReader::new(child.stdout.take().unwrap())
+            .read_line(&mut output)
+            .unwrap();
+        let output: serde_json::Value =
+            serde_json::from_str(&output).expect("it says where it listens");
         assert!(
-            output["incarnation"].as_u64().is_some_and(|n| n > 0 && n < 1 << 53),
+            output["incarnation"]
+                .as_u64()
+                .is_some_and(|n| n > 0 && n < 1 << 53),
             "exact in every reader: {output}"
         );
-        Host { child, address: output["address"].as_str().unwrap().into() }
+        Host {
+            child,
+            address: output["address"].as_str().unwrap().into(),
+        }
     }
 
     pub fn stop(mut self) -> Option<i32> {
@@ -92,13 +106,23 @@
 impl Socket {
     fn new(stream: TcpStream) -> Socket {
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Socket { stream, buf: BytesMut::new() }
+        Socket {
+            stream,
+            buf: BytesMut::new(),
+        }
     }
 
     pub fn client(address: &str) -> Socket {
         let mut socket = Socket::new(TcpStream::connect(address).unwrap());
         // It may be hung up on at once.
-        let _ = socket.send(Hello { role: Role::Client as i32, name: "c".into(), ..Hello::default() }.into());
+        let _ = socket.send(
+            Hello {
+                role: Role::Client as i32,
+                name: "c".into(),
+                ..Hello::default()
+            }
+            .into(),
+        );
         socket
     }
 
@@ -126,7 +150,10 @@
             request_class: request_class.into(),
             volume: "v".into(),
             units: 1.0,
-            handle: Some(Handle { shard: 1, object: id }),
+            handle: Some(Handle {
+                shard: 1,
+                object: id,
+            }),
             timeout_us: 20_000_000,
             ..Submit::default()
         };
@@ -182,7 +209,10 @@
 
 fn serve_attempts(stream: TcpStream, control: &NodeControl) -> Option<()> {
     let mut socket = Socket::new(stream);
-    socket.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+    socket
+        .stream
+        .set_read_timeout(Some(Duration::from_millis(50)))
+        .unwrap();
     let hello = Hello {
         role: Role::Node as i32,
         name: "n1".to_string(),
@@ -203,7 +233,8 @@
             Err(_) => return None,
         }
         while let Some(frame) = decode(&mut socket.buf, Bounds::DEFAULT).unwrap() {
-            if let (Message::Attempt(attempt), true) = (frame.message, control.answers.load(Ordering::SeqCst))
+            if let (Message::Attempt(attempt), true) =
+                (frame.message, control.answers.load(Ordering::SeqCst))
             {
                 let answer = AttemptAnswer {
                     attempt: attempt.attempt,
--- a/crates/config-transition/src/notice.rs
+++ b/crates/config-transition/src/notice.rs
@@ -21,13 +21,18 @@
 impl RevisionNotice {
     /// Whether the host at this place is known to follow the revision or a later one.
     pub(crate) fn includes(&self, place: usize) -> bool {
-        self.hosts.get(place / 8).is_some_and(|byte| byte & (1 << (place % 8)) != 0)
+        self.hosts
+            .get(place / 8)
+            .is_some_and(|byte| byte & (1 << (place % 8)) != 0)
     }
 
     /// Whether it reports on a host that the other does not.
     pub(crate) fn has_more_than(&self, other: &RevisionNotice) -> bool {
         let others = other.hosts.iter().copied().chain(std::iter::repeat(0));
-        self.hosts.iter().zip(others).any(|(ours, theirs)| ours & !theirs != 0)
+        self.hosts
+            .iter()
+            .zip(others)
+            .any(|(ours, theirs)| ours & !theirs != 0)
     }
 }
 
--- a/crates/config-transition/src/revision_limits.rs
+++ b/crates/config-transition/src/revision_limits.rs
@@ -30,8 +30,15 @@
     fn limit_for(&self, host: HostId, share: Option<f64>) -> Option<Limit> {
         let limit = self.limit?;
         let count = self.hosts.len().max(1) as f64;
-        let share = if self.through(host) { share.unwrap_or(1.0 / count) } else { 0.0 };
-        Some(Limit { rate: limit.rate * share, burst: limit.burst * share })
+        let share = if self.through(host) {
+            share.unwrap_or(1.0 / count)
+        } else {
+            0.0
+        };
+        Some(Limit {
+            rate: limit.rate * share,
+            burst: limit.burst * share,
+        })
     }
 }
 
@@ -49,7 +56,8 @@
     pub(crate) fn same_limits_as(&self, other: &RevisionLimits) -> bool {
         let same = |a: &SharedLimit, b: &SharedLimit| a.limit == b.limit && a.hosts == b.hosts;
         let mut pairs = self.volumes.iter().zip(&other.volumes);
-        self.volumes.len() == other.volumes.len() && pairs.all(|(a, b)| a.0 == b.0 && same(a.1, b.1))
+        self.volumes.len() == other.volumes.len()
+            && pairs.all(|(a, b)| a.0 == b.0 && same(a.1, b.1))
     }
 
     /// What a host may send for a volume by this revision alone; `None`: without a limit. For a volume that
@@ -63,7 +71,10 @@
 /// The lower of two limits, rate and burst each by itself.
 pub(crate) fn lower(a: Option<Limit>, b: Option<Limit>) -> Option<Limit> {
     match (a, b) {
-        (Some(a), Some(b)) => Some(Limit { rate: a.rate.min(b.rate), burst: a.burst.min(b.burst) }),
+        (Some(a), Some(b)) => Some(Limit {
+            rate: a.rate.min(b.rate),
+            burst: a.burst.min(b.burst),
+        }),
         (one, other) => one.or(other),
     }
 }
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -57,7 +57,12 @@
 impl ConfigTransition {
     /// `chain` is the revision to follow and those named before it; none of `hosts` hosts is older than the
     /// oldest of them. An empty chain states no limit.
-    pub fn new(me: HostId, hosts: u32, mut chain: Vec<RevisionLimits>, now: Instant) -> ConfigTransition {
+    pub fn new(
+        me: HostId,
+        hosts: u32,
+        mut chain: Vec<RevisionLimits>,
+        now: Instant,
+    ) -> ConfigTransition {
         chain.sort_by_key(|limits| limits.revision);
         let oldest = chain.first().map_or(Revision(0), |limits| limits.revision);
         if chain.is_empty() {
@@ -78,7 +83,9 @@
         transition.arrive();
         // A host that starts takes its even shares by itself.
         let volumes = transition.current().volumes.keys();
-        transition.reported = volumes.map(|id| (*id, transition.even_allocation(*id))).collect();
+        transition.reported = volumes
+            .map(|id| (*id, transition.even_allocation(*id)))
+            .collect();
         transition
     }
 
@@ -106,11 +113,27 @@
     /// Revisions that all hosts are beyond are dropped. A host that is out holds up nobody: it uses its floor
     /// by the revision that it follows, which is retained as long as it may.
     fn drop_outdated(&mut self) {
-        let reached = || self.reached.iter().zip(0..).map(|(revision, number)| (HostId(number), *revision));
+        let reached = || {
+            self.reached
+                .iter()
+                .zip(0..)
+                .map(|(revision, number)| (HostId(number), *revision))
+        };
         let active = reached().filter(|(host, _)| !self.out.contains(host));
-        let oldest_active = active.map(|(_, revision)| revision).min().unwrap_or_default();
-        let oldest = reached().map(|(_, revision)| revision).min().unwrap_or_default();
-        while self.chain.len() > 1 && self.chain.front().is_some_and(|p| p.revision < oldest_active) {
+        let oldest_active = active
+            .map(|(_, revision)| revision)
+            .min()
+            .unwrap_or_default();
+        let oldest = reached()
+            .map(|(_, revision)| revision)
+            .min()
+            .unwrap_or_default();
+        while self.chain.len() > 1
+            && self
+                .chain
+                .front()
+                .is_some_and(|p| p.revision < oldest_active)
+        {
             self.retained.extend(self.chain.pop_front());
         }
         self.retained.retain(|limits| limits.revision >= oldest);
@@ -135,21 +158,31 @@
     pub fn lagging_hosts(&self, volume: VolumeId) -> impl Iterator<Item = LaggingHost> {
         let current = self.revision();
         let counted = self.retained.iter().chain(&self.chain);
-        counted.filter(move |limits| limits.revision < current).flat_map(move |limits| {
-            let shared = limits.volumes.get(&volume).filter(|shared| shared.limit.is_some());
-            let lags = move |host: &&HostId| {
-                let reached = self.reached.get(host.0 as usize);
-                reached.is_none_or(|reached| *reached <= limits.revision)
-            };
-            shared.into_iter().flat_map(move |shared| {
-                let lagging = shared.hosts.iter().filter(lags);
-                lagging.map(|host| LaggingHost { host: *host, sharing: shared.hosts.len() })
+        counted
+            .filter(move |limits| limits.revision < current)
+            .flat_map(move |limits| {
+                let shared = limits
+                    .volumes
+                    .get(&volume)
+                    .filter(|shared| shared.limit.is_some());
+                let lags = move |host: &&HostId| {
+                    let reached = self.reached.get(host.0 as usize);
+                    reached.is_none_or(|reached| *reached <= limits.revision)
+                };
+                shared.into_iter().flat_map(move |shared| {
+                    let lagging = shared.hosts.iter().filter(lags);
+                    lagging.map(|host| LaggingHost {
+                        host: *host,
+                        sharing: shared.hosts.len(),
+                    })
+                })
             })
-        })
     }
 
     fn share(&self, volume: VolumeId) -> Option<f64> {
-        self.shares.as_ref().map(|shares| shares.get(&volume).copied().unwrap_or_default())
+        self.shares
+            .as_ref()
+            .map(|shares| shares.get(&volume).copied().unwrap_or_default())
     }
 
     /// Follows the next revision, given with those before it, oldest first. One of the same number must state
@@ -158,11 +191,16 @@
     /// # Errors
     /// The chain does not go on from the revision in force, or does not reach back to all that other hosts
     /// may still follow: nothing is changed then.
-    pub fn go_on(&mut self, chain: Vec<RevisionLimits>, now: Instant) -> Result<(), TransitionError> {
+    pub fn go_on(
+        &mut self,
+        chain: Vec<RevisionLimits>,
+        now: Instant,
+    ) -> Result<(), TransitionError> {
         let held = self.revision();
         let next = self.check_next(&chain)?;
         self.chain.pop_back();
-        self.chain.extend(chain.into_iter().filter(|limits| limits.revision >= held));
+        self.chain
+            .extend(chain.into_iter().filter(|limits| limits.revision >= held));
         if next > held {
             self.arrive();
             self.next_round = now;
@@ -176,7 +214,10 @@
     fn check_next(&self, chain: &[RevisionLimits]) -> Result<Revision, TransitionError> {
         let held = self.revision();
         let (Some(first), Some(last)) = (chain.first(), chain.last()) else {
-            return Err(TransitionError::NotLater { held, next: Revision(0) });
+            return Err(TransitionError::NotLater {
+                held,
+                next: Revision(0),
+            });
         };
         let next = last.revision;
         if next < held {
@@ -187,7 +228,11 @@
             Some(_) if next == held => return Err(TransitionError::SameRevision(held)),
             Some(_) => return Err(TransitionError::Other(held)),
             None => {
-                let after = chain.iter().rev().nth(1).map_or(next, |limits| limits.revision);
+                let after = chain
+                    .iter()
+                    .rev()
+                    .nth(1)
+                    .map_or(next, |limits| limits.revision);
                 return Err(TransitionError::NotNext { held, after, next });
             }
         }
@@ -209,26 +254,49 @@
         let revision = self.revision();
         let reached = self.reached.iter().zip(0..);
         let behind = reached.filter(move |(reached, _)| **reached < revision);
-        behind.map(|(_, number)| HostId(number)).filter(|host| !self.out.contains(host))
+        behind
+            .map(|(_, number)| HostId(number))
+            .filter(|host| !self.out.contains(host))
     }
 
     /// What this host may send for a volume; `None`: no limit is to be kept.
     pub fn limit_of(&self, volume: VolumeId) -> Option<Limit> {
         let share = self.share(volume);
-        let limits = self.chain.iter().map(|limits| limits.limit_for(volume, self.me, share));
+        let limits = self
+            .chain
+            .iter()
+            .map(|limits| limits.limit_for(volume, self.me, share));
         limits.fold(None, lower)
     }
 
     /// The allocation by the current revision alone, with an even share.
     fn even_allocation(&self, id: VolumeId) -> VolumeAllocation {
-        match self.current().volumes.get(&id).filter(|shared| shared.through(self.me)) {
+        match self
+            .current()
+            .volumes
+            .get(&id)
+            .filter(|shared| shared.through(self.me))
+        {
             Some(shared) => {
                 let hosts = shared.hosts.len() as u32;
-                VolumeAllocation { volume: id, plan: shared.plan, hosts, part: None }
+                VolumeAllocation {
+                    volume: id,
+                    plan: shared.plan,
+                    hosts,
+                    part: None,
+                }
             }
             None => {
-                let part = Some(Limit { rate: 0.0, burst: 0.0 });
-                VolumeAllocation { volume: id, plan: PlanId::default(), hosts: 0, part }
+                let part = Some(Limit {
+                    rate: 0.0,
+                    burst: 0.0,
+                });
+                VolumeAllocation {
+                    volume: id,
+                    plan: PlanId::default(),
+                    hosts: 0,
+                    part,
+                }
             }
         }
     }
@@ -241,14 +309,21 @@
         let limit = self.limit_of(id);
         let even_limit = self.current().limit_for(id, self.me, None);
         // An even share is left to whoever holds it: rounding must not make two different limits of one.
-        VolumeAllocation { part: limit.filter(|_| limit != even_limit), ..even }
+        VolumeAllocation {
+            part: limit.filter(|_| limit != even_limit),
+            ..even
+        }
     }
 
     /// The allocations that changed since this was last called, of all volumes of the chain and those served
     /// before.
     pub fn changed(&mut self) -> Vec<VolumeAllocation> {
         let mut ids: BTreeSet<VolumeId> = self.reported.keys().copied().collect();
-        ids.extend(self.chain.iter().flat_map(|limits| limits.volumes.keys().copied()));
+        ids.extend(
+            self.chain
+                .iter()
+                .flat_map(|limits| limits.volumes.keys().copied()),
+        );
         let allocations = ids.into_iter().map(|id| self.allocation(id));
         let is_new = |new: &VolumeAllocation| self.reported.get(&new.volume) != Some(new);
         let changed: Vec<VolumeAllocation> = allocations.filter(is_new).collect();
@@ -258,7 +333,8 @@
         // Reported as gone, and named by no revision of the chain: nothing is left to compare with.
         let chain = &self.chain;
         let is_named = |id: &VolumeId| chain.iter().any(|limits| limits.volumes.contains_key(id));
-        self.reported.retain(|id, allocation| allocation.hosts > 0 || is_named(id));
+        self.reported
+            .retain(|id, allocation| allocation.hosts > 0 || is_named(id));
         changed
     }
 }
--- a/crates/config-transition/src/transition/notices.rs
+++ b/crates/config-transition/src/transition/notices.rs
@@ -36,14 +36,26 @@
                 hosts[place / 8] |= 1 << (place % 8);
             }
         }
-        RevisionNotice { held: self.revision(), revision, hosts }
+        RevisionNotice {
+            held: self.revision(),
+            revision,
+            hosts,
+        }
     }
 
     /// Takes a notice of another host.
-    pub fn handle_notice(&mut self, from: HostId, notice: &RevisionNotice, now: Instant) -> NoticeOutcome {
+    pub fn handle_notice(
+        &mut self,
+        from: HostId,
+        notice: &RevisionNotice,
+        now: Instant,
+    ) -> NoticeOutcome {
         let known = self.reached.get(from.0 as usize).copied();
         let Some(known) = known.filter(|_| from != self.me) else {
-            return NoticeOutcome { effect: NoticeEffect::Nothing, reply: None };
+            return NoticeOutcome {
+                effect: NoticeEffect::Nothing,
+                reply: None,
+            };
         };
         let went_back = notice.held < known;
         let news = self.learn(from, notice);
@@ -54,13 +66,20 @@
         }
         let ours = self.notice(notice.revision);
         let effect = if went_back {
-            NoticeEffect::WentBack { from: known, to: notice.held }
+            NoticeEffect::WentBack {
+                from: known,
+                to: notice.held,
+            }
         } else if news {
             NoticeEffect::News
         } else {
             NoticeEffect::Nothing
         };
-        let reply = if ours.has_more_than(notice) { Some(ours) } else { None };
+        let reply = if ours.has_more_than(notice) {
+            Some(ours)
+        } else {
+            None
+        };
         NoticeOutcome { effect, reply }
     }
 
@@ -79,7 +98,11 @@
     pub fn next(&self) -> Option<Instant> {
         let done = self.settled() && self.final_rounds == 0;
         let has_others = self.reached.len() > 1;
-        if done || self.revision() == Revision(0) || !has_others { None } else { Some(self.next_round) }
+        if done || self.revision() == Revision(0) || !has_others {
+            None
+        } else {
+            Some(self.next_round)
+        }
     }
 
     /// The notices to send now.
@@ -98,6 +121,11 @@
         let places = rand::seq::index::sample(rng, others, FANOUT.min(others)).into_iter();
         // Places among the others: from this host's own on, each is one further.
         let hosts = places.map(|place| HostId((place + usize::from(place >= me)) as u32));
-        hosts.map(|to| AddressedNotice { to, notice: notice.clone() }).collect()
+        hosts
+            .map(|to| AddressedNotice {
+                to,
+                notice: notice.clone(),
+            })
+            .collect()
     }
 }
--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -19,11 +19,19 @@
 fn revision_limits(revision: u64, volumes: &[(u64, Option<f64>, &[u32])]) -> RevisionLimits {
     let shared = |limit: Option<f64>, hosts: &[u32]| SharedLimit {
         plan: PlanId(0),
-        limit: limit.map(|rate| Limit { rate, burst: rate * 3.0 }),
+        limit: limit.map(|rate| Limit {
+            rate,
+            burst: rate * 3.0,
+        }),
         hosts: hosts.iter().copied().map(HostId).collect(),
     };
-    let volumes = volumes.iter().map(|(id, limit, hosts)| (VolumeId(*id), shared(*limit, hosts)));
-    RevisionLimits { revision: Revision(revision), volumes: volumes.collect() }
+    let volumes = volumes
+        .iter()
+        .map(|(id, limit, hosts)| (VolumeId(*id), shared(*limit, hosts)));
+    RevisionLimits {
+        revision: Revision(revision),
+        volumes: volumes.collect(),
+    }
 }
 
 /// Some revisions of two volumes that follow each other.
@@ -31,13 +39,18 @@
     let limits = |revision| {
         let mut volumes = Vec::new();
         for id in 0..2 {
-            let limit = rng.random_bool(0.85).then(|| f64::from(rng.random_range(1..100u32)));
+            let limit = rng
+                .random_bool(0.85)
+                .then(|| f64::from(rng.random_range(1..100u32)));
             let through: Vec<u32> = (0..hosts).filter(|_| rng.random_bool(0.6)).collect();
             if rng.random_bool(0.9) && !through.is_empty() {
                 volumes.push((id, limit, through));
             }
         }
-        let volumes: Vec<_> = volumes.iter().map(|(id, l, h)| (*id, *l, h.as_slice())).collect();
+        let volumes: Vec<_> = volumes
+            .iter()
+            .map(|(id, l, h)| (*id, *l, h.as_slice()))
+            .collect();
         revision_limits(revision, &volumes)
     };
     (1..=count).map(limits).collect()
@@ -70,21 +83,42 @@
 impl Run {
     /// All hosts are down, with the first revision in their files.
     fn new(hosts: usize, revisions: Vec<RevisionLimits>, rng: ChaCha8Rng) -> Run {
-        let hosts = (0..hosts).map(|_| Host { file: 0, transition: None }).collect();
-        Run { hosts, revisions, in_flight: Vec::new(), rng, now: at(0), needed: 0 }
+        let hosts = (0..hosts)
+            .map(|_| Host {
+                file: 0,
+                transition: None,
+            })
+            .collect();
+        Run {
+            hosts,
+            revisions,
+            in_flight: Vec::new(),
+            rng,
+            now: at(0),
+            needed: 0,
+        }
     }
 
     /// What is given with a revision: all before it, back to the oldest that any host has in its file.
     fn chain(&self, last: usize) -> Vec<RevisionLimits> {
-        let oldest = self.hosts.iter().map(|host| host.file).min().unwrap_or_default();
+        let oldest = self
+            .hosts
+            .iter()
+            .map(|host| host.file)
+            .min()
+            .unwrap_or_default();
         self.revisions[oldest..=last].to_vec()
     }
 
     fn start(&mut self, host: usize) {
         let chain = self.chain(self.hosts[host].file);
         let count = self.hosts.len() as u32;
-        self.hosts[host].transition =
-            Some(ConfigTransition::new(HostId(host as u32), count, chain, self.now));
+        self.hosts[host].transition = Some(ConfigTransition::new(
+            HostId(host as u32),
+            count,
+            chain,
+            self.now,
+        ));
     }
 
     fn go_on(&mut self, host: usize, to: usize) {
@@ -108,40 +142,67 @@
     fn send_due(&mut self, lost: f64) {
         let longest_ms = if lost > 0.0 { 3000.0 } else { 30.0 };
         for (from, host) in self.hosts.iter_mut().enumerate() {
-            let Some(transition) = &mut host.transition else { continue };
+            let Some(transition) = &mut host.transition else {
+                continue;
+            };
             for sent in transition.due_notices(self.now, &mut self.rng) {
                 let delay = Span::from_millis(self.rng.random_range(1.0..longest_ms));
                 let arrives = self.now + delay;
                 let from = HostId(from as u32);
-                self.in_flight.push(InFlight { arrives, from, to: sent.to, notice: sent.notice });
+                self.in_flight.push(InFlight {
+                    arrives,
+                    from,
+                    to: sent.to,
+                    notice: sent.notice,
+                });
             }
         }
     }
 
     fn deliver_due(&mut self, lost: f64) {
         let now = self.now;
-        let due: Vec<InFlight> = self.in_flight.extract_if(.., |sent| sent.arrives <= now).collect();
-        for InFlight { from, to, notice, .. } in due {
+        let due: Vec<InFlight> = self
+            .in_flight
+            .extract_if(.., |sent| sent.arrives <= now)
+            .collect();
+        for InFlight {
+            from, to, notice, ..
+        } in due
+        {
             let arrives = u32::from(self.rng.random_bool(1.0 - lost));
             let repeated = u32::from(self.rng.random_bool(lost / 3.0));
             for _ in 0..arrives + repeated {
-                let Some(transition) = &mut self.hosts[to.0 as usize].transition else { continue };
+                let Some(transition) = &mut self.hosts[to.0 as usize].transition else {
+                    continue;
+                };
                 if let Some(reply) = transition.handle_notice(from, &notice, now).reply {
                     let arrives = now + Span::from_millis(1.0);
-                    self.in_flight.push(InFlight { arrives, from: to, to: from, notice: reply });
+                    self.in_flight.push(InFlight {
+                        arrives,
+                        from: to,
+                        to: from,
+                        notice: reply,
+                    });
                 }
             }
         }
     }
 
     fn running(&self) -> impl Iterator<Item = &ConfigTransition> {
-        self.hosts.iter().filter_map(|host| host.transition.as_ref())
+        self.hosts
+            .iter()
+            .filter_map(|host| host.transition.as_ref())
     }
 
     /// Whether every volume's limit by the oldest revision holds over all hosts.
     fn check(&mut self) {
-        let Some(oldest) = self.running().map(ConfigTransition::revision).min() else { return };
-        let unlimited = Limit { rate: 1e9, burst: 1e9 };
+        let Some(oldest) = self.running().map(ConfigTransition::revision).min() else {
+            return;
+        };
+        let unlimited = Limit {
+            rate: 1e9,
+            burst: 1e9,
+        };
         let mut needed = 0;
         for (id, shared) in &self.revisions[oldest.0 as usize - 1].volumes {
             let Some(limit) = shared.limit else { continue };
@@ -152,7 +213,10 @@
                 rate += own.rate;
                 burst += own.burst;
             }
-            assert!(rate <= limit.rate + 1e-9 && burst <= limit.burst + 1e-9, "{rate} of {limit:?}");
+            assert!(
+                rate <= limit.rate + 1e-9 && burst <= limit.burst + 1e-9,
+                "{rate} of {limit:?}"
+            );
             needed += u32::from(self.rate_by_own_revisions(*id) > limit.rate + 1e-9);
         }
         self.needed += needed;
@@ -163,7 +227,11 @@
         let rates = self.hosts.iter().zip(0..).filter_map(|(host, number)| {
             let revision = host.transition.as_ref()?.revision();
             let limits = &self.revisions[revision.0 as usize - 1];
-            Some(limits.limit_for(id, HostId(number), None).map_or(1e9, |limit| limit.rate))
+            Some(
+                limits
+                    .limit_for(id, HostId(number), None)
+                    .map_or(1e9, |limit| limit.rate),
+            )
         });
         rates.sum()
     }
@@ -174,7 +242,11 @@
         let file = self.hosts[host].file;
         let is_up = self.hosts[host].transition.is_some();
         let later: Vec<usize> = (file + 1..self.revisions.len()).collect();
-        match (self.rng.random_range(0..4), is_up, later.choose(&mut self.rng)) {
+        match (
+            self.rng.random_range(0..4),
+            is_up,
+            later.choose(&mut self.rng),
+        ) {
             (0, true, _) => self.hosts[host].transition = None,
             (_, false, to) => {
                 // Its file may have been changed while it was down.
@@ -220,9 +292,16 @@
     run.settle();
     let last = run.revisions.last().unwrap();
     for (number, transition) in (0..).zip(run.running()) {
-        assert_eq!(transition.missing().collect::<Vec<_>>(), [], "host {number} waits");
+        assert_eq!(
+            transition.missing().collect::<Vec<_>>(),
+            [],
+            "host {number} waits"
+        );
         for id in [VolumeId(0), VolumeId(1)] {
-            assert_eq!(transition.limit_of(id), last.limit_for(id, HostId(number), None));
+            assert_eq!(
+                transition.limit_of(id),
+                last.limit_for(id, HostId(number), None)
+            );
         }
     }
     assert_eq!(run.running().count(), count as usize);
@@ -231,8 +310,11 @@
 
 #[test]
 fn limits_never_sum_to_more_than_the_oldest_revision_states() {
-    let mut runner =
-        TestRunner::new(Config { cases: 150, rng_seed: RngSeed::Fixed(11), ..Config::default() });
+    let mut runner = TestRunner::new(Config {
+        cases: 150,
+        rng_seed: RngSeed::Fixed(11),
+        ..Config::default()
+    });
     let needed = std::cell::Cell::new(0);
     let cases = (any::<u64>(), 2..7u32);
     let result = runner.run(&cases, |(seed, hosts)| {
@@ -248,7 +330,8 @@
 #[test]
 fn limits_on_the_way() {
     let old = revision_limits(1, &[(7, Some(60.0), &[0, 1])]);
-    let rate = |transition: &ConfigTransition| transition.limit_of(VolumeId(7)).map(|limit| limit.rate);
+    let rate =
+        |transition: &ConfigTransition| transition.limit_of(VolumeId(7)).map(|limit| limit.rate);
     // the limit after; what hosts 0 and 2 may send once host 0 alone, then all have changed
     let cases = [
         (Some(60.0), [20.0, 0.0], [20.0, 20.0]),
@@ -257,8 +340,9 @@
     ];
     for (limit, first, then) in cases {
         let chain = vec![old.clone(), revision_limits(2, &[(7, limit, &[0, 1, 2])])];
-        let mut hosts: Vec<_> =
-            (0..3).map(|me| ConfigTransition::new(HostId(me), 3, vec![old.clone()], at(0))).collect();
+        let mut hosts: Vec<_> = (0..3)
+            .map(|me| ConfigTransition::new(HostId(me), 3, vec![old.clone()], at(0)))
+            .collect();
         assert_eq!(hosts[0].changed(), []);
         hosts[0].go_on(chain.clone(), at(1)).unwrap();
         hosts[2].go_on(chain.clone(), at(1)).unwrap();
@@ -297,13 +381,33 @@
         (&[4], chain(&[4, 5]), None),
         (&[4], chain(&[3, 4, 5, 6]), None),
         (&[4], chain(&[4]), None),
-        (&[4], vec![other(4, 9.0)], Some("limits or hosts of volumes change, and revision 4 is the one")),
-        (&[4], vec![other(4, 9.0), limits(5)], Some("the document named for revision 4 is not the one")),
+        (
+            &[4],
+            vec![other(4, 9.0)],
+            Some("limits or hosts of volumes change, and revision 4 is the one"),
+        ),
+        (
+            &[4],
+            vec![other(4, 9.0), limits(5)],
+            Some("the document named for revision 4 is not the one"),
+        ),
         (&[4], chain(&[2]), Some("revision 2 is not later than 4")),
         (&[4], chain(&[]), Some("revision 0 is not later than 4")),
-        (&[4], chain(&[5, 6]), Some("revision 6 comes after 5, but this host holds to 4")),
-        (&[3, 4], chain(&[4, 5]), Some("not known to have gone past revision 3")),
-        (&[3, 4], chain(&[4]), Some("not known to have gone past revision 3")),
+        (
+            &[4],
+            chain(&[5, 6]),
+            Some("revision 6 comes after 5, but this host holds to 4"),
+        ),
+        (
+            &[3, 4],
+            chain(&[4, 5]),
+            Some("not known to have gone past revision 3"),
+        ),
+        (
+            &[3, 4],
+            chain(&[4]),
+            Some("not known to have gone past revision 3"),
+        ),
         (&[3, 4], chain(&[3, 4, 5]), None),
     ];
     for (held, next, refused) in cases {
@@ -337,12 +441,23 @@
         (1, notice(4, 5, &[0xff, 0xff, 0xff]), NoticeEffect::News),
         (0, notice(9, 9, &[0b111]), NoticeEffect::Nothing),
         (77, notice(9, 9, &[0b111]), NoticeEffect::Nothing),
-        (1, notice(3, 3, &[]), NoticeEffect::WentBack { from: Revision(4), to: Revision(3) }),
+        (
+            1,
+            notice(3, 3, &[]),
+            NoticeEffect::WentBack {
+                from: Revision(4),
+                to: Revision(3),
+            },
+        ),
     ];
     for (from, notice, expected) in cases {
         let chain = vec![revision_limits(4, &[]), revision_limits(5, &[])];
         let mut t = ConfigTransition::new(HostId(0), 3, chain, at(0));
-        assert_eq!(t.handle_notice(HostId(from), &notice, at(1)).effect, expected, "{notice:?}");
+        assert_eq!(
+            t.handle_notice(HostId(from), &notice, at(1)).effect,
+            expected,
+            "{notice:?}"
+        );
     }
 }
 
@@ -359,11 +474,22 @@
     (1..count).for_each(|host| run.go_on(host, 1));
     run.hosts[0].transition = None;
     run.pass(60_000, 0.0);
-    let waiting = |run: &Run| run.running().filter(|transition| !transition.settled()).count();
+    let waiting = |run: &Run| {
+        run.running()
+            .filter(|transition| !transition.settled())
+            .count()
+    };
     assert_eq!(waiting(&run), 199, "one that is down is waited for");
-    assert!(run.running().all(|transition| transition.missing().collect::<Vec<_>>() == [HostId(0)]));
+    assert!(
+        run.running()
+            .all(|transition| transition.missing().collect::<Vec<_>>() == [HostId(0)])
+    );
     let later = run.now + Span::from_micros(9_000_000);
-    let notices = run.hosts[1].transition.as_mut().unwrap().due_notices(later, &mut run.rng);
+    let notices = run.hosts[1]
+        .transition
+        .as_mut()
+        .unwrap()
+        .due_notices(later, &mut run.rng);
     assert_eq!(notices.len(), 3);
     assert!(notices[0].notice.hosts.len() <= 25);
     run.hosts[0].file = 1;
--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -46,11 +46,16 @@
     let request_classes: Vec<_> = all("stream-type").map(|n| request_class(r, n)).collect();
     let servers: Vec<_> = all("machine").map(|n| server(r, n)).collect();
     let hosts: Vec<_> = all("host").map(|n| host(r, n, &names.zones)).collect();
-    let nodes: Vec<_> = all("node").map(|n| node(r, n, &names.zones, &names.servers)).collect();
+    let nodes: Vec<_> = all("node")
+        .map(|n| node(r, n, &names.zones, &names.servers))
+        .collect();
     let (list, list_late) = endpoint_list(document, r);
     let mut config = default_config();
     config.hosts = hosts.len() as u32;
-    config.request_classes = request_classes.iter().map(|s| s.decisions.clone()).collect();
+    config.request_classes = request_classes
+        .iter()
+        .map(|s| s.decisions.clone())
+        .collect();
     let (rules, bounds) = read_figures(document, r, &mut config);
     let plans: Vec<_> = all("plan").map(|n| plan(r, n, rules.unit)).collect();
     config.plans = plans.iter().map(|p| p.decisions.clone()).collect();
@@ -72,7 +77,11 @@
     };
     let routes = routes::read(document, r, &known);
     let place = revision(document, r);
-    let volumes_by_name = volumes.iter().enumerate().map(|(place, v)| (v.name.clone(), place)).collect();
+    let volumes_by_name = volumes
+        .iter()
+        .enumerate()
+        .map(|(place, v)| (v.name.clone(), place))
+        .collect();
     let built = Deployment {
         unit: rules.unit,
         routes,
@@ -123,7 +132,8 @@
 ) -> Vec<NamedCrossZoneBudget> {
     let mut budgets = Vec::new();
     for n in entries(document, "crossing") {
-        let budget = cross_zone_budgets::read(r, n, &names.zones, &names.plans, hosts, everyone, max_bytes);
+        let budget =
+            cross_zone_budgets::read(r, n, &names.zones, &names.plans, hosts, everyone, max_bytes);
         budgets.extend(budget);
     }
     cross_zone_budgets::together(r, document, &budgets);
@@ -141,7 +151,12 @@
         if !TOP.contains(&name) && !KEPT.contains(&name) {
             let known: Vec<_> = TOP.iter().map(|k| format!("`{k}`")).collect();
             let help = Some(format!("known are {}", known.join(", ")));
-            r.report("unknown-node", format!("`{name}` is no entry of a deployment"), n.name().span(), help);
+            r.report(
+                "unknown-node",
+                format!("`{name}` is no entry of a deployment"),
+                n.name().span(),
+                help,
+            );
         }
     }
 }
@@ -166,7 +181,12 @@
     for kind in ["node", "stream-type", "volume", "pool"] {
         named(r, kind);
     }
-    EntryNames { zones, plans, hosts, servers }
+    EntryNames {
+        zones,
+        plans,
+        hosts,
+        servers,
+    }
 }
 
 fn host(r: &mut Reader, n: &KdlNode, zones: &Names) -> Place {
@@ -177,13 +197,19 @@
 /// The list service, and how late it tells what it knows.
 fn endpoint_list(document: &KdlDocument, r: &mut Reader) -> (Place, Span) {
     let mut late = Span::ZERO;
-    let mut list =
-        Place { name: "list".into(), zone: ZoneId(0), address: String::new(), listen: String::new() };
+    let mut list = Place {
+        name: "list".into(),
+        zone: ZoneId(0),
+        address: String::new(),
+        listen: String::new(),
+    };
     if let Some(n) = single(r, document, "list") {
         r.only(n, 0, &["address", "listen", "late"], &[]);
         late = r.span_at(n, "late").unwrap_or_default();
         list.address = r.text_at(n, "address").unwrap_or_default();
-        list.listen = r.text_at(n, "listen").unwrap_or_else(|| list.address.clone());
+        list.listen = r
+            .text_at(n, "listen")
+            .unwrap_or_else(|| list.address.clone());
     }
     (list, late)
 }
@@ -203,7 +229,11 @@
 }
 
 /// All entries of figures; those of the decisions go into their configuration.
-fn read_figures(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) -> (Rules, HostBounds) {
+fn read_figures(
+    document: &KdlDocument,
+    r: &mut Reader,
+    config: &mut SchedulerConfig,
+) -> (Rules, HostBounds) {
     let rules = rules(document, r, config);
     slow_start(document, r, config);
     retry_budget(document, r, config);
@@ -221,16 +251,31 @@
 }
 
 fn rules(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) -> Rules {
-    let mut rules = Rules { unit: None, drain_grace: Span::from_millis(1000.0) };
-    let Some(n) = single(r, document, "rules") else { return rules };
-    let known =
-        ["tick", "drain-grace", "order-settle", "most-units", "share-part", "spare-part", "advice", "unit"];
+    let mut rules = Rules {
+        unit: None,
+        drain_grace: Span::from_millis(1000.0),
+    };
+    let Some(n) = single(r, document, "rules") else {
+        return rules;
+    };
+    let known = [
+        "tick",
+        "drain-grace",
+        "order-settle",
+        "most-units",
+        "share-part",
+        "spare-part",
+        "advice",
+        "unit",
+    ];
     r.only(n, 0, &known, &[]);
     rules.unit = n.entry("unit").map(|_| r.bytes(n, "unit", 0).max(1) as f64);
     config.tick = r.span_at(n, "tick").unwrap_or(config.tick);
     rules.drain_grace = r.span_at(n, "drain-grace").unwrap_or(rules.drain_grace);
     config.order_settle = r.span_at(n, "order-settle").unwrap_or_default();
-    config.max_units = r.number_at(n, "most-units", 0.0).unwrap_or(config.max_units);
+    config.max_units = r
+        .number_at(n, "most-units", 0.0)
+        .unwrap_or(config.max_units);
     config.within_share_value = r.part_at(n, "share-part").unwrap_or(1.0);
     config.beyond_share_value = r.part_at(n, "spare-part").unwrap_or(1.0);
     config.max_retry_after = r.span_at(n, "advice");
@@ -238,7 +283,9 @@
 }
 
 fn slow_start(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) {
-    let Some(n) = single(r, document, "cold") else { return };
+    let Some(n) = single(r, document, "cold") else {
+        return;
+    };
     r.only(n, 0, &["units", "window", "first-part", "ramp"], &[]);
     config.slow_start = SlowStart {
         units: r.number(n, "units", 0.0),
@@ -249,7 +296,9 @@
 }
 
 fn retry_budget(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) {
-    let Some(n) = single(r, document, "legs") else { return };
+    let Some(n) = single(r, document, "legs") else {
+        return;
+    };
     r.only(n, 0, &["most", "free", "share", "window"], &[]);
     config.max_attempts = r.whole(n, "most", 1, 3);
     config.retry_budget = r.span_at(n, "window").map(|window| RetryBudget {
@@ -259,11 +308,20 @@
     });
 }
 
-fn single<'a>(r: &mut Reader, document: &'a KdlDocument, kind: &'static str) -> Option<&'a KdlNode> {
+fn single<'a>(
+    r: &mut Reader,
+    document: &'a KdlDocument,
+    kind: &'static str,
+) -> Option<&'a KdlNode> {
     let mut found = entries(document, kind);
     let first = found.next();
     for second in found {
-        r.report("twice", format!("a second `{kind}`"), second.name().span(), None);
+        r.report(
+            "twice",
+            format!("a second `{kind}`"),
+            second.name().span(),
+            None,
+        );
     }
     first
 }
@@ -273,7 +331,12 @@
     for (missing, what) in [(hosts.is_empty(), "host"), (volumes.is_empty(), "volume")] {
         // Where a file could not be read, it is that.
         if missing && !r.unread() {
-            r.report("missing", format!("a deployment needs a `{what}`"), (top.offset(), 0).into(), None);
+            r.report(
+                "missing",
+                format!("a deployment needs a `{what}`"),
+                (top.offset(), 0).into(),
+                None,
+            );
         }
     }
 }
@@ -281,12 +344,21 @@
 /// Ids are hashes of names: two that fall together would be one to the decisions.
 fn check_ids(r: &mut Reader, d: &Deployment, document: &KdlDocument) {
     let volumes = d.volumes.iter().map(|v| ("volume", &v.name, v.id.0));
-    let nodes = d.nodes.iter().map(|n| ("node", &n.place.name, node_id(&n.place.name).0));
+    let nodes = d
+        .nodes
+        .iter()
+        .map(|n| ("node", &n.place.name, node_id(&n.place.name).0));
     let mut seen: BTreeMap<(&str, u64), &String> = BTreeMap::new();
     for (kind, name, id) in volumes.chain(nodes) {
         if let Some(other) = seen.insert((kind, id), name).filter(|other| *other != name) {
-            let message = format!("{kind} \"{name}\" and \"{other}\" have the same number: rename one");
-            r.report("same-number", message, (document.span().offset(), 0).into(), None);
+            let message =
+                format!("{kind} \"{name}\" and \"{other}\" have the same number: rename one");
+            r.report(
+                "same-number",
+                message,
+                (document.span().offset(), 0).into(),
+                None,
+            );
         }
     }
 }
@@ -297,7 +369,11 @@
     for n in nodes {
         let name = r.text(n, 0, "a name");
         if let Some(place) = first.get(&name).filter(|_| !name.is_empty()) {
-            r.twice(format!("a second `{}` \"{name}\"", n.name().value()), n.span(), *place);
+            r.twice(
+                format!("a second `{}` \"{name}\"", n.name().value()),
+                n.span(),
+                *place,
+            );
         } else {
             first.insert(name.clone(), n.span().offset());
         }
--- a/crates/configuration/src/cross_zone_budgets.rs
+++ b/crates/configuration/src/cross_zone_budgets.rs
@@ -23,42 +23,77 @@
         for key in ["from", "to"] {
             if let Some(e) = n.entry(key) {
                 let help = Some("a budget is for a pair of zones, or for a plan in all".into());
-                r.report("contradiction", format!("`{key}` does not go with `plan`"), e.span(), help);
+                r.report(
+                    "contradiction",
+                    format!("`{key}` does not go with `plan`"),
+                    e.span(),
+                    help,
+                );
             }
         }
         BudgetScope::Plan(PlanId(r.refer_at(n, "plan", "plan", plans)?))
     } else {
-        let (from, to) = (r.refer_at(n, "from", "zone", zones), r.refer_at(n, "to", "zone", zones));
+        let (from, to) = (
+            r.refer_at(n, "from", "zone", zones),
+            r.refer_at(n, "to", "zone", zones),
+        );
         let (from, to) = (ZoneId(from?), ZoneId(to?));
         if from == to {
-            r.report("contradiction", "nothing crosses from a zone to itself".into(), n.span(), None);
+            r.report(
+                "contradiction",
+                "nothing crosses from a zone to itself".into(),
+                n.span(),
+                None,
+            );
         }
         BudgetScope::ZonePair(from, to)
     };
     let rate = r.bytes_a_second(n, "limit");
     let burst = r.bytes(n, "burst", 0) as f64;
     if n.entry("burst").is_none() {
-        r.report("missing", "`crossing` needs `burst`".into(), n.name().span(), None);
+        r.report(
+            "missing",
+            "`crossing` needs `burst`".into(),
+            n.name().span(),
+            None,
+        );
     }
     let hard = r.flag(n, "hard");
     let (name, hosts) = match of {
         BudgetScope::Plan(p) => (format!("plan {}", plans.list()[p.0]), everyone.clone()),
         BudgetScope::ZonePair(from, to) => {
             let near = |p: &Place| p.zone == from || p.zone == to;
-            let hosts = places.iter().enumerate().filter(|(_, p)| near(p)).map(|(h, _)| HostId(h as u32));
-            (format!("{} to {}", zones.list()[from.0], zones.list()[to.0]), hosts.collect())
+            let hosts = places
+                .iter()
+                .enumerate()
+                .filter(|(_, p)| near(p))
+                .map(|(h, _)| HostId(h as u32));
+            (
+                format!("{} to {}", zones.list()[from.0], zones.list()[to.0]),
+                hosts.collect(),
+            )
         }
     };
     let least = 2.0 * max_bytes * hosts.len() as f64;
     if r.reported() == before && burst < least {
-        let message =
-            format!("a burst of {burst} bytes is too small for the {} hosts that share it", hosts.len());
-        let help =
-            format!("each part must hold two of the largest bodies ({max_bytes} bytes): {least} or more");
+        let message = format!(
+            "a burst of {burst} bytes is too small for the {} hosts that share it",
+            hosts.len()
+        );
+        let help = format!(
+            "each part must hold two of the largest bodies ({max_bytes} bytes): {least} or more"
+        );
         r.report("burst-too-small", message, n.span(), Some(help));
     }
     let id = demand_report::carried(VolumeId(number(&format!("crossing/{name}"))));
-    Some(NamedCrossZoneBudget { name, id, of, limit: Limit { rate, burst }, hard, hosts })
+    Some(NamedCrossZoneBudget {
+        name,
+        id,
+        of,
+        limit: Limit { rate, burst },
+        hard,
+        hosts,
+    })
 }
 
 pub(crate) fn together(r: &mut Reader, document: &KdlDocument, all: &[NamedCrossZoneBudget]) {
@@ -73,9 +108,15 @@
         }
     }
     // A plan's budget that all pairs together could not fill says nothing.
-    let pairs = all.iter().filter(|c| matches!(c.of, BudgetScope::ZonePair(..)));
+    let pairs = all
+        .iter()
+        .filter(|c| matches!(c.of, BudgetScope::ZonePair(..)));
     let sum: f64 = pairs.clone().map(|c| c.limit.rate).sum();
-    for (c, n) in all.iter().zip(&nodes).filter(|(c, _)| matches!(c.of, BudgetScope::Plan(_))) {
+    for (c, n) in all
+        .iter()
+        .zip(&nodes)
+        .filter(|(c, _)| matches!(c.of, BudgetScope::Plan(_)))
+    {
         if pairs.clone().next().is_some() && c.limit.rate > sum {
             let message = format!("{} may cross more than all pairs of zones together", c.name);
             r.warn("over-limit", message, n.span(), None);
--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -45,8 +45,11 @@
 
     /// What the decisions at one host are told.
     pub fn config(&self, me: HostId) -> SchedulerConfig {
-        let zone =
-            self.hosts.get(me.0 as usize).map(|h| h.zone).filter(|_| !self.cross_zone_budgets.is_empty());
+        let zone = self
+            .hosts
+            .get(me.0 as usize)
+            .map(|h| h.zone)
+            .filter(|_| !self.cross_zone_budgets.is_empty());
         SchedulerConfig {
             me,
             zone,
@@ -62,14 +65,21 @@
             of: c.of,
             limit: c.limit,
             hard: c.hard,
-            hosts: if c.hosts.binary_search(&me).is_ok() { c.hosts.len() as u32 } else { 0 },
+            hosts: if c.hosts.binary_search(&me).is_ok() {
+                c.hosts.len() as u32
+            } else {
+                0
+            },
         };
         self.cross_zone_budgets.iter().map(share).collect()
     }
 
     /// The number of a host, by its name.
     pub fn host(&self, name: &str) -> Option<HostId> {
-        self.hosts.iter().position(|h| h.name == name).map(|p| HostId(p as u32))
+        self.hosts
+            .iter()
+            .position(|h| h.name == name)
+            .map(|p| HostId(p as u32))
     }
 
     /// A volume, by its name.
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -47,7 +47,11 @@
 
 /// All changes from one deployment to another.
 pub fn diff(old: &Deployment, new: &Deployment) -> Vec<Change> {
-    let mut d = Differ { old, new, changes: Vec::new() };
+    let mut d = Differ {
+        old,
+        new,
+        changes: Vec::new(),
+    };
     d.rules();
     d.request_classes();
     d.plans();
@@ -66,13 +70,24 @@
         if from != to {
             let (of, what, why) = (of.to_string(), what.to_string(), why.to_string());
             let while_serving = class == Class::Safe;
-            self.changes.push(Change { of, what, from, to, class, while_serving, why, hosts: Vec::new() });
+            self.changes.push(Change {
+                of,
+                what,
+                from,
+                to,
+                class,
+                while_serving,
+                why,
+                hosts: Vec::new(),
+            });
         }
     }
 
     /// What was noted since there were so many can be made while serving.
     fn can_serve(&mut self, since: usize) {
-        self.changes[since..].iter_mut().for_each(|c| c.while_serving |= c.class == Class::Dangerous);
+        self.changes[since..]
+            .iter_mut()
+            .for_each(|c| c.while_serving |= c.class == Class::Dangerous);
     }
 
     /// Ids are places: the order of these counts.
@@ -80,7 +95,11 @@
         let names = |d: &Deployment| {
             let types: Vec<_> = d.request_classes.iter().map(|s| s.name.clone()).collect();
             let hosts: Vec<_> = d.hosts.iter().map(|h| h.name.clone()).collect();
-            [("stream types", types), ("hosts", hosts), ("zones", d.zones.clone())]
+            [
+                ("stream types", types),
+                ("hosts", hosts),
+                ("zones", d.zones.clone()),
+            ]
         };
         for ((what, a), (_, b)) in names(self.old).into_iter().zip(names(self.new)) {
             let sorted = |names: &[String]| names.iter().cloned().collect::<BTreeSet<_>>();
@@ -88,7 +107,11 @@
                 let why = "hosts number them by their places, and the numbers must not change";
                 self.change(what, "order", say(&a), say(&b), Class::Restart, why);
             } else if what == "zones" {
-                let class = if b.starts_with(&a) { Class::Safe } else { Class::Restart };
+                let class = if b.starts_with(&a) {
+                    Class::Safe
+                } else {
+                    Class::Restart
+                };
                 let why = "a new one at the end takes no number from another";
                 self.change(what, "names", say(&a), say(&b), class, why);
             } else if what == "hosts" && self.joins() && !b.starts_with(&a) {
@@ -113,61 +136,155 @@
         let (a, b) = (index(self.old), index(self.new));
         if a.is_empty() != b.is_empty() {
             let why = "whether zones count is read at a start only";
-            let say = |m: &BTreeMap<_, _>| if m.is_empty() { "none".to_string() } else { "some".to_string() };
-            self.change("crossings", "budgets", say(&a), say(&b), Class::Restart, why);
+            let say = |m: &BTreeMap<_, _>| {
+                if m.is_empty() {
+                    "none".to_string()
+                } else {
+                    "some".to_string()
+                }
+            };
+            self.change(
+                "crossings",
+                "budgets",
+                say(&a),
+                say(&b),
+                Class::Restart,
+                why,
+            );
         }
         for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
-            let (from, to) = (a.get(name).map_or("none".into(), say), b.get(name).map_or("none".into(), say));
+            let (from, to) = (
+                a.get(name).map_or("none".into(), say),
+                b.get(name).map_or("none".into(), say),
+            );
             let why = "each host keeps to the lower of its parts until all have followed";
-            self.change(&format!("crossing {name}"), "budget", from, to, Class::Safe, why);
+            self.change(
+                &format!("crossing {name}"),
+                "budget",
+                from,
+                to,
+                Class::Safe,
+                why,
+            );
         }
     }
 
     fn rest(&mut self) {
         let bounds = |d: &Deployment| say(&d.bounds);
         let (a, b) = (bounds(self.old), bounds(self.new));
-        self.change("bounds", "figures", a, b, Class::Restart, "sockets are bound by them from their start");
+        self.change(
+            "bounds",
+            "figures",
+            a,
+            b,
+            Class::Restart,
+            "sockets are bound by them from their start",
+        );
         let fleet = |d: &Deployment| d.fleet.as_ref().map_or("none".to_string(), say);
-        let why =
-            "hosts that hold to different leases, voters or floors could use more than the whole together";
-        self.change("fleet", "figures", fleet(self.old), fleet(self.new), Class::Restart, why);
-        let maintenance =
-            |d: &Deployment| d.maintenance.as_ref().map_or("none".to_string(), values::maintenance);
+        let why = "hosts that hold to different leases, voters or floors could use more than the whole together";
+        self.change(
+            "fleet",
+            "figures",
+            fleet(self.old),
+            fleet(self.new),
+            Class::Restart,
+            why,
+        );
+        let maintenance = |d: &Deployment| {
+            d.maintenance
+                .as_ref()
+                .map_or("none".to_string(), values::maintenance)
+        };
         let why = "whoever decides and those who let go must hold to the same times";
-        self.change("works", "figures", maintenance(self.old), maintenance(self.new), Class::Restart, why);
+        self.change(
+            "works",
+            "figures",
+            maintenance(self.old),
+            maintenance(self.new),
+            Class::Restart,
+            why,
+        );
         let list = |d: &Deployment| d.list.address.clone();
         let (a, b) = (list(self.old), list(self.new));
-        self.change("list", "address", a, b, Class::Restart, "it is read at a start only");
+        self.change(
+            "list",
+            "address",
+            a,
+            b,
+            Class::Restart,
+            "it is read at a start only",
+        );
         let servers = |d: &Deployment| {
-            say(&d.servers.iter().map(|m| (&m.name, values::server(m))).collect::<BTreeMap<_, _>>())
+            say(&d
+                .servers
+                .iter()
+                .map(|m| (&m.name, values::server(m)))
+                .collect::<BTreeMap<_, _>>())
         };
         let (a, b) = (servers(self.old), servers(self.new));
-        self.change("machines", "figures", a, b, Class::Safe, "they are the stand-ins'; no host reads them");
+        self.change(
+            "machines",
+            "figures",
+            a,
+            b,
+            Class::Safe,
+            "they are the stand-ins'; no host reads them",
+        );
     }
 
     fn pools(&mut self) {
         let index = |d: &Deployment| -> BTreeMap<String, String> {
-            let zones =
-                |p: &Pool| p.zones.iter().filter_map(|z| d.zones.get(z.0)).cloned().collect::<Vec<_>>();
-            d.routes.pools.iter().map(|p| (p.name.clone(), say(&(zones(p), &p.kinds)))).collect()
+            let zones = |p: &Pool| {
+                p.zones
+                    .iter()
+                    .filter_map(|z| d.zones.get(z.0))
+                    .cloned()
+                    .collect::<Vec<_>>()
+            };
+            d.routes
+                .pools
+                .iter()
+                .map(|p| (p.name.clone(), say(&(zones(p), &p.kinds))))
+                .collect()
         };
         let (a, b) = (index(self.old), index(self.new));
         let none = "none".to_string();
         let why = "new objects go there from now on; what lies somewhere stays";
         for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
             let (from, to) = (a.get(name).unwrap_or(&none), b.get(name).unwrap_or(&none));
-            self.change(&format!("pool \"{name}\""), "nodes", from.clone(), to.clone(), Class::Safe, why);
+            self.change(
+                &format!("pool \"{name}\""),
+                "nodes",
+                from.clone(),
+                to.clone(),
+                Class::Safe,
+                why,
+            );
         }
         let pools = |d: &Deployment, name: &str| -> BTreeMap<String, String> {
-            let Some(volume) = d.volume_at(name) else { return BTreeMap::new() };
-            let types = d.request_classes.iter().enumerate().filter(|(_, s)| s.write);
-            let to = |place| d.routes.name(d.routes.pool(volume, RequestClassId(place))).to_string();
-            types.map(|(place, s)| (s.name.clone(), to(place))).collect()
+            let Some(volume) = d.volume_at(name) else {
+                return BTreeMap::new();
+            };
+            let types = d
+                .request_classes
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.write);
+            let to = |place| {
+                d.routes
+                    .name(d.routes.pool(volume, RequestClassId(place)))
+                    .to_string()
+            };
+            types
+                .map(|(place, s)| (s.name.clone(), to(place)))
+                .collect()
         };
         for v in &self.new.volumes {
             let (a, b) = (pools(self.old, &v.name), pools(self.new, &v.name));
             for (request_class, to) in &b {
-                let Some(from) = a.get(request_class) else { continue };
+                let Some(from) = a.get(request_class) else {
+                    continue;
+                };
                 let what = format!("pool of {request_class}");
                 self.change(
                     &format!("volume \"{}\"", v.name),
@@ -191,13 +308,27 @@
         c("tick", say(&a.tick), say(&b.tick));
         c("order-settle", say(&a.order_settle), say(&b.order_settle));
         c("most-units", say(&a.max_units), say(&b.max_units));
-        c("share-part", say(&a.within_share_value), say(&b.within_share_value));
-        c("spare-part", say(&a.beyond_share_value), say(&b.beyond_share_value));
+        c(
+            "share-part",
+            say(&a.within_share_value),
+            say(&b.within_share_value),
+        );
+        c(
+            "spare-part",
+            say(&a.beyond_share_value),
+            say(&b.beyond_share_value),
+        );
         c("advice", say(&a.max_retry_after), say(&b.max_retry_after));
         c(
             "legs",
-            say(&(a.max_attempts, a.retry_budget.map(|l| (l.free, l.share, l.window)))),
-            say(&(b.max_attempts, b.retry_budget.map(|l| (l.free, l.share, l.window)))),
+            say(&(
+                a.max_attempts,
+                a.retry_budget.map(|l| (l.free, l.share, l.window)),
+            )),
+            say(&(
+                b.max_attempts,
+                b.retry_budget.map(|l| (l.free, l.share, l.window)),
+            )),
         );
         c("drain-grace", say(&graces.0), say(&graces.1));
         let (x, y) = (a.slow_start, b.slow_start);
@@ -214,7 +345,10 @@
 
     fn request_classes(&mut self) {
         let index = |d: &Deployment| -> BTreeMap<String, String> {
-            d.request_classes.iter().map(|s| (s.name.clone(), values::request_class(s))).collect()
+            d.request_classes
+                .iter()
+                .map(|s| (s.name.clone(), values::request_class(s)))
+                .collect()
         };
         let (a, b) = (index(self.old), index(self.new));
         for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
@@ -232,7 +366,14 @@
                 && b.contains_key(name);
             if changed {
                 let why = "transfers that may have run by the old effect would be repeated by the new one";
-                self.change(&of, "effect", from.clone(), to.clone(), Class::Dangerous, why);
+                self.change(
+                    &of,
+                    "effect",
+                    from.clone(),
+                    to.clone(),
+                    Class::Dangerous,
+                    why,
+                );
             } else {
                 self.change(
                     &of,
@@ -248,19 +389,31 @@
 
     fn plans(&mut self) {
         let none = "none".to_string();
-        let names: BTreeSet<String> =
-            self.old.plans.iter().chain(&self.new.plans).map(|p| p.name.clone()).collect();
+        let names: BTreeSet<String> = self
+            .old
+            .plans
+            .iter()
+            .chain(&self.new.plans)
+            .map(|p| p.name.clone())
+            .collect();
         for name in names {
             let find = |d: &Deployment| d.plans.iter().find(|p| p.name == name).cloned();
             let of = format!("plan \"{name}\"");
             let (Some(a), Some(b)) = (find(self.old), find(self.new)) else {
-                let is = |d: &Deployment| if find(d).is_some() { "defined".into() } else { none.clone() };
+                let is = |d: &Deployment| {
+                    if find(d).is_some() {
+                        "defined".into()
+                    } else {
+                        none.clone()
+                    }
+                };
                 let (from, to) = (is(self.old), is(self.new));
                 let why = "volumes that have it, or had it, say what that means";
                 self.change(&of, "plan", from, to, Class::Safe, why);
                 continue;
             };
-            let limit = |p: &crate::deployment::NamedPlan| p.decisions.limit.map(|l| (l.rate, l.burst));
+            let limit =
+                |p: &crate::deployment::NamedPlan| p.decisions.limit.map(|l| (l.rate, l.burst));
             let (x, y) = (limit(&a), limit(&b));
             let lowered = match (x, y) {
                 (None, Some(_)) => true,
@@ -275,7 +428,10 @@
                     "it is under what its volumes are sized for: what they ask beyond is put off",
                 )
             } else {
-                (Class::Safe, "each host keeps to the lower of its parts until all have followed")
+                (
+                    Class::Safe,
+                    "each host keeps to the lower of its parts until all have followed",
+                )
             };
             let before = self.changes.len();
             self.change(&of, "limit", say(&x), say(&y), class, why);
@@ -297,9 +453,30 @@
                 Class::Safe,
                 safe,
             );
-            self.change(&of, "weight", say(&a.decisions.weight), say(&b.decisions.weight), Class::Safe, safe);
-            self.change(&of, "price", say(&a.decisions.price), say(&b.decisions.price), Class::Safe, safe);
-            self.change(&of, "slack", say(&a.slack), say(&b.slack), Class::Safe, "hosts do not use it");
+            self.change(
+                &of,
+                "weight",
+                say(&a.decisions.weight),
+                say(&b.decisions.weight),
+                Class::Safe,
+                safe,
+            );
+            self.change(
+                &of,
+                "price",
+                say(&a.decisions.price),
+                say(&b.decisions.price),
+                Class::Safe,
+                safe,
+            );
+            self.change(
+                &of,
+                "slack",
+                say(&a.slack),
+                say(&b.slack),
+                Class::Safe,
+                "hosts do not use it",
+            );
         }
     }
 }
--- a/crates/configuration/src/diff/volumes.rs
+++ b/crates/configuration/src/diff/volumes.rs
@@ -4,26 +4,55 @@
 
 impl Differ<'_> {
     fn hosts_of(d: &Deployment, v: &NamedVolume) -> BTreeSet<String> {
-        v.hosts.iter().filter_map(|h: &HostId| d.hosts.get(h.0 as usize)).map(|h| h.name.clone()).collect()
+        v.hosts
+            .iter()
+            .filter_map(|h: &HostId| d.hosts.get(h.0 as usize))
+            .map(|h| h.name.clone())
+            .collect()
     }
 
     pub(super) fn volumes(&mut self) {
-        let names: BTreeSet<String> =
-            self.old.volumes.iter().chain(&self.new.volumes).map(|v| v.name.clone()).collect();
+        let names: BTreeSet<String> = self
+            .old
+            .volumes
+            .iter()
+            .chain(&self.new.volumes)
+            .map(|v| v.name.clone())
+            .collect();
         for name in names {
             let of = format!("volume \"{name}\"");
-            let (a, b) = (self.old.volume(&name).cloned(), self.new.volume(&name).cloned());
+            let (a, b) = (
+                self.old.volume(&name).cloned(),
+                self.new.volume(&name).cloned(),
+            );
             let (a, b) = match (a, b) {
                 (Some(a), Some(b)) => (a, b),
                 (Some(_), None) => {
-                    let (why, before) = ("its clients are turned away from then on", self.changes.len());
-                    self.change(&of, "volume", "there".into(), "none".into(), Class::Dangerous, why);
+                    let (why, before) = (
+                        "its clients are turned away from then on",
+                        self.changes.len(),
+                    );
+                    self.change(
+                        &of,
+                        "volume",
+                        "there".into(),
+                        "none".into(),
+                        Class::Dangerous,
+                        why,
+                    );
                     self.can_serve(before);
                     continue;
                 }
                 _ => {
                     let why = "nothing of it is under way";
-                    self.change(&of, "volume", "none".into(), "there".into(), Class::Safe, why);
+                    self.change(
+                        &of,
+                        "volume",
+                        "none".into(),
+                        "there".into(),
+                        Class::Safe,
+                        why,
+                    );
                     continue;
                 }
             };
@@ -31,9 +60,15 @@
             let (x, y) = (plan(self.old, &a), plan(self.new, &b));
             let limit = y.decisions.limit.map_or(f64::INFINITY, |l| l.rate);
             let (class, why) = if limit < x.decisions.nominal_rate.max(x.decisions.reserve) {
-                (Class::Dangerous, "the new plan's limit is under what the volume was sized for")
+                (
+                    Class::Dangerous,
+                    "the new plan's limit is under what the volume was sized for",
+                )
             } else {
-                (Class::Safe, "each host keeps to the lower of its parts until all have followed")
+                (
+                    Class::Safe,
+                    "each host keeps to the lower of its parts until all have followed",
+                )
             };
             let before = self.changes.len();
             self.change(&of, "plan", x.name, y.name, class, why);
@@ -46,7 +81,10 @@
                     "a host leaves its set: its clients there are turned away and must go elsewhere",
                 )
             } else {
-                (Class::Safe, "a host that joins sends nothing for it until the others have followed")
+                (
+                    Class::Safe,
+                    "a host that joins sends nothing for it until the others have followed",
+                )
             };
             let before = self.changes.len();
             self.change(&of, "hosts", say(&x), say(&y), class, why);
@@ -63,13 +101,21 @@
             d.hosts
                 .iter()
                 .enumerate()
-                .map(|(i, h)| (h.name.clone(), (h.address.clone(), zone(h.zone.0), i as u32)))
+                .map(|(i, h)| {
+                    (
+                        h.name.clone(),
+                        (h.address.clone(), zone(h.zone.0), i as u32),
+                    )
+                })
                 .collect()
         };
         let (a, b) = (index(self.old), index(self.new));
         for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
             let of = format!("host \"{name}\"");
-            let (from, to) = (a.get(name).map_or("none".into(), say), b.get(name).map_or("none".into(), say));
+            let (from, to) = (
+                a.get(name).map_or("none".into(), say),
+                b.get(name).map_or("none".into(), say),
+            );
             let new = !a.contains_key(name);
             let why = if new && self.joins() {
                 "it is a member once it runs and the others have this document"
@@ -88,14 +134,22 @@
     pub(super) fn nodes(&mut self) {
         let index = |d: &Deployment| -> BTreeMap<String, (i64, String, String)> {
             let zone = |z: usize| d.zones.get(z).cloned().unwrap_or_default();
-            let place =
-                |n: &crate::deployment::NodePlace| (n.shard.0, zone(n.place.zone.0), n.place.address.clone());
-            d.nodes.iter().filter(|n| !n.spare).map(|n| (n.place.name.clone(), place(n))).collect()
+            let place = |n: &crate::deployment::NodePlace| {
+                (n.shard.0, zone(n.place.zone.0), n.place.address.clone())
+            };
+            d.nodes
+                .iter()
+                .filter(|n| !n.spare)
+                .map(|n| (n.place.name.clone(), place(n)))
+                .collect()
         };
         let (a, b) = (index(self.old), index(self.new));
         for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
             let of = format!("node \"{name}\"");
-            let (from, to) = (a.get(name).map_or("none".into(), say), b.get(name).map_or("none".into(), say));
+            let (from, to) = (
+                a.get(name).map_or("none".into(), say),
+                b.get(name).map_or("none".into(), say),
+            );
             self.change(
                 &of,
                 "place",
@@ -105,8 +159,9 @@
                 "hosts follow the node list; the document is where they start from",
             );
         }
-        let shards =
-            |m: &BTreeMap<String, (i64, String, String)>| m.values().map(|n| n.0).collect::<BTreeSet<_>>();
+        let shards = |m: &BTreeMap<String, (i64, String, String)>| {
+            m.values().map(|n| n.0).collect::<BTreeSet<_>>()
+        };
         let before = self.changes.len();
         for shard in shards(&a).difference(&shards(&b)) {
             let why = "no node is left that holds it: reads of its data can't be served";
--- a/crates/configuration/src/diff_values.rs
+++ b/crates/configuration/src/diff_values.rs
@@ -18,8 +18,13 @@
 
 /// A request class with all its figures.
 pub fn request_class(class: &NamedRequestClass) -> String {
-    let RequestClass { idempotency, latency_objective, priority_weight, late_weight, in_order } =
-        &class.decisions;
+    let RequestClass {
+        idempotency,
+        latency_objective,
+        priority_weight,
+        late_weight,
+        in_order,
+    } = &class.decisions;
     let idempotency = idempotency_text(idempotency);
     format!(
         "StreamType {{ effect: {idempotency}, slo_time: {latency_objective:?}, benefit: {priority_weight:?}, \
@@ -30,8 +35,22 @@
 
 /// The document's entry on machines that go out for maintenance.
 pub fn maintenance(config: &MaintenanceConfig) -> String {
-    let MaintenanceConfig { at_once, in_zone, in_pool, keep, keep_shard, busy, .. } = config;
-    let MaintenanceConfig { longest, watched, blind, rests, .. } = config;
+    let MaintenanceConfig {
+        at_once,
+        in_zone,
+        in_pool,
+        keep,
+        keep_shard,
+        busy,
+        ..
+    } = config;
+    let MaintenanceConfig {
+        longest,
+        watched,
+        blind,
+        rests,
+        ..
+    } = config;
     plain(&format_args!(
         "WorksTerms {{ at_once: {at_once}, in_zone: {in_zone}, in_pool: {in_pool}, keep: {keep:?}, \
          keep_cell: {keep_shard:?}, busy: {busy:?}, longest: {longest:?}, watched: {watched:?}, blind: {blind:?}, \
@@ -41,7 +60,17 @@
 
 /// What a simulated node's server can do.
 pub fn server(server: &Server) -> String {
-    let Server { name, cores, unit, queue, pause, pause_every, put_off, flush_every, falls_over } = server;
+    let Server {
+        name,
+        cores,
+        unit,
+        queue,
+        pause,
+        pause_every,
+        put_off,
+        flush_every,
+        falls_over,
+    } = server;
     plain(&format_args!(
         "Machine {{ name: {name:?}, cores: {cores}, unit: {unit:?}, queue: {queue}, pause: {pause:?}, \
          pause_every: {pause_every:?}, put_off: {put_off:?}, flush_every: {flush_every:?}, falls_over: {falls_over:?} }}"
--- a/crates/configuration/src/entry_processes.rs
+++ b/crates/configuration/src/entry_processes.rs
@@ -14,13 +14,28 @@
         0
     };
     let listen = r.text_at(n, "listen").unwrap_or_else(|| address.clone());
-    Place { name: r.text(n, 0, "a name"), zone: ZoneId(zone), address, listen }
+    Place {
+        name: r.text(n, 0, "a name"),
+        zone: ZoneId(zone),
+        address,
+        listen,
+    }
 }
 
 pub(crate) fn node(r: &mut Reader, n: &KdlNode, zones: &Names, servers: &Names) -> NodePlace {
-    r.only(n, 1, &["cell", "zone", "kind", "address", "listen", "machine", "spare"], &[]);
-    let server =
-        if n.entry("machine").is_some() { r.refer_at(n, "machine", "machine", servers) } else { None };
+    r.only(
+        n,
+        1,
+        &[
+            "cell", "zone", "kind", "address", "listen", "machine", "spare",
+        ],
+        &[],
+    );
+    let server = if n.entry("machine").is_some() {
+        r.refer_at(n, "machine", "machine", servers)
+    } else {
+        None
+    };
     _ = r.number(n, "cell", 0.0);
     let shard = ShardId(i64::from(r.whole(n, "cell", 0, 0)));
     NodePlace {
@@ -33,7 +48,16 @@
 }
 
 pub(crate) fn server(r: &mut Reader, n: &KdlNode) -> Server {
-    let known = ["cores", "unit", "queue", "pause", "pause-every", "put-off", "flush-every", "falls-over"];
+    let known = [
+        "cores",
+        "unit",
+        "queue",
+        "pause",
+        "pause-every",
+        "put-off",
+        "flush-every",
+        "falls-over",
+    ];
     r.only(n, 1, &known, &[]);
     Server {
         name: r.text(n, 0, "a name"),
@@ -41,9 +65,13 @@
         unit: r.span(n, "unit"),
         queue: r.whole(n, "queue", 0, 32),
         pause: r.span_at(n, "pause").unwrap_or_default(),
-        pause_every: r.span_at(n, "pause-every").unwrap_or(Span::from_millis(5000.0)),
+        pause_every: r
+            .span_at(n, "pause-every")
+            .unwrap_or(Span::from_millis(5000.0)),
         put_off: r.part_at(n, "put-off").unwrap_or_default(),
-        flush_every: r.span_at(n, "flush-every").unwrap_or(Span::from_millis(2000.0)),
+        flush_every: r
+            .span_at(n, "flush-every")
+            .unwrap_or(Span::from_millis(2000.0)),
         falls_over: r.number_at(n, "falls-over", 1.0).unwrap_or(2.0),
     }
 }
--- a/crates/configuration/src/explain.rs
+++ b/crates/configuration/src/explain.rs
@@ -14,7 +14,10 @@
         "outside",
         "An include leads out of the folder of the first file. Everything that a configuration holds lies below that folder, so that it can be copied and reviewed as one.",
     ),
-    ("loop", "Files include each other in a circle. Move what both need into a third file."),
+    (
+        "loop",
+        "Files include each other in a circle. Move what both need into a third file.",
+    ),
     (
         "too-deep",
         "Files or templates lie more than 16 deep within each other, or entries and comments more than 64.",
@@ -23,14 +26,20 @@
         "too-much",
         "The configuration is larger than is plausible: 64 MiB of text, or 1,000,000 entries once templates are in place.",
     ),
-    ("unknown-node", "An entry that has no meaning here. `gullsail check` names those that do."),
+    (
+        "unknown-node",
+        "An entry that has no meaning here. `gullsail check` names those that do.",
+    ),
     ("unknown-key", "A property that this entry does not have."),
     ("unknown-word", "A word that is none of those allowed here."),
     (
         "unknown-name",
         "A name that nothing bears: a plan, host, zone, machine, template or parameter that is defined nowhere.",
     ),
-    ("too-many", "More values without a name than the entry takes."),
+    (
+        "too-many",
+        "More values without a name than the entry takes.",
+    ),
     ("missing", "Something that has to be there is not."),
     (
         "twice",
@@ -89,8 +98,14 @@
         "same-number",
         "Two names have the same number (a hash): to the decisions they would be one. Rename one.",
     ),
-    ("unused", "A definition that nothing refers to. It does no harm; it may be a misspelt name elsewhere."),
-    ("zone-empty", "A zone without a node: new objects of its hosts always cross to another zone."),
+    (
+        "unused",
+        "A definition that nothing refers to. It does no harm; it may be a misspelt name elsewhere.",
+    ),
+    (
+        "zone-empty",
+        "A zone without a node: new objects of its hosts always cross to another zone.",
+    ),
     (
         "cold-too-small",
         "What a cold node bears in any case is less than one largest transfer: such a transfer can only go to a cold node as a lone leg.",
@@ -103,7 +118,10 @@
         "tick-long",
         "Hosts answer by two ticks before the expiry at the latest. A tick that is long against an SLO time leaves little of it.",
     ),
-    ("over-limit", "A figure that the limit, or what the nodes can do, will never let be reached."),
+    (
+        "over-limit",
+        "A figure that the limit, or what the nodes can do, will never let be reached.",
+    ),
     (
         "served-last",
         "A factor of 0 makes the benefit of its transfers nothing, so all others go before them.",
--- a/crates/configuration/src/fleet.rs
+++ b/crates/configuration/src/fleet.rs
@@ -16,20 +16,39 @@
 /// So many a second, as `"40/s"`; more than none.
 fn a_second(r: &mut Reader, n: &KdlNode, key: &str) -> Option<f64> {
     let text = r.text_at(n, key)?;
-    let rate = text.strip_suffix("/s").and_then(|t| t.trim().parse::<f64>().ok());
+    let rate = text
+        .strip_suffix("/s")
+        .and_then(|t| t.trim().parse::<f64>().ok());
     let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
     if rate.is_none() {
         let span = n.entry(key).map_or(n.span(), |e| e.span());
         let help = format!("so many a second to one node, from all hosts together: {key}=\"40/s\"");
-        r.report("wrong-kind", format!("`{key}` is \"{text}\""), span, Some(help));
+        r.report(
+            "wrong-kind",
+            format!("`{key}` is \"{text}\""),
+            span,
+            Some(help),
+        );
     }
     rate
 }
 
 /// `None`: there is none, or it is off.
-pub(crate) fn read(r: &mut Reader, n: Option<&KdlNode>, hosts: &[Place], tick: Span) -> Option<NamedFleet> {
+pub(crate) fn read(
+    r: &mut Reader,
+    n: Option<&KdlNode>,
+    hosts: &[Place],
+    tick: Span,
+) -> Option<NamedFleet> {
     let n = n?;
-    r.only(n, 1, &["lease", "drift", "voters", "floor", "connects", "probes", "off"], &[]);
+    r.only(
+        n,
+        1,
+        &[
+            "lease", "drift", "voters", "floor", "connects", "probes", "off",
+        ],
+        &[],
+    );
     let before = r.reported();
     let fleet = NamedFleet {
         name: r.text(n, 0, "the fleet's name"),
@@ -61,7 +80,11 @@
             "a lease is renewed four times, at least a tick apart: {} ms or more",
             tick.millis() * 8.0
         );
-        wrong("lease", format!("a lease of {ms} ms, with a tick of {} ms", tick.millis()), help);
+        wrong(
+            "lease",
+            format!("a lease of {ms} ms, with a tick of {} ms", tick.millis()),
+            help,
+        );
     }
     if fleet.drift > MOST_DRIFT {
         let help = format!("at most {MOST_DRIFT}: a clock that runs so unevenly is broken");
@@ -70,15 +93,30 @@
     if fleet.voters as usize > hosts.len() || fleet.voters > MOST_VOTERS {
         let most = MOST_VOTERS.min(hosts.len() as u32);
         let message = format!("{} voters among {} hosts", fleet.voters, hosts.len());
-        wrong("voters", message, format!("at most {most}: the document's first so many hosts"));
+        wrong(
+            "voters",
+            message,
+            format!("at most {most}: the document's first so many hosts"),
+        );
     }
     let off = r.flag(n, "off");
     let zone = |p: &Place| p.zone;
-    let zones = |p: &[Place]| p.iter().map(zone).collect::<std::collections::BTreeSet<_>>().len();
+    let zones = |p: &[Place]| {
+        p.iter()
+            .map(zone)
+            .collect::<std::collections::BTreeSet<_>>()
+            .len()
+    };
     let voters = hosts.get(..fleet.voters as usize).unwrap_or(hosts);
     if !off && fleet.voters > 2 && zones(voters) == 1 && zones(hosts) > 1 {
-        let help = "with that zone nobody decides: let the document's first hosts lie in different zones";
-        r.warn("voters-together", "all voters are in one zone".into(), n.span(), Some(help.into()));
+        let help =
+            "with that zone nobody decides: let the document's first hosts lie in different zones";
+        r.warn(
+            "voters-together",
+            "all voters are in one zone".into(),
+            n.span(),
+            Some(help.into()),
+        );
     }
     (!off && r.reported() == before).then_some(fleet)
 }
--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -19,10 +19,20 @@
     let parse = |text: &str| {
         KdlDocument::parse_v2(text).map_err(|e| {
             let first = e.diagnostics.first();
-            let message = first.and_then(|d| d.message.clone()).unwrap_or_else(|| "this is not KDL".into());
-            let before = first.and_then(|d| text.get(..d.span.offset())).unwrap_or_default();
+            let message = first
+                .and_then(|d| d.message.clone())
+                .unwrap_or_else(|| "this is not KDL".into());
+            let before = first
+                .and_then(|d| text.get(..d.span.offset()))
+                .unwrap_or_default();
             let line = before.matches('\n').count() + 1;
-            let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
+            let column = before
+                .rsplit('\n')
+                .next()
+                .unwrap_or_default()
+                .chars()
+                .count()
+                + 1;
             format!("line {line}, column {column}: {message}")
         })
     };
@@ -45,8 +55,12 @@
     // What the library drops besides: comments between values and before a block.
     let kept = comments(&out);
     if let Some(lost) = comments(&text).iter().find(|c| !kept.contains(c)) {
-        let line = text.find(lost).map_or(1, |at| text[..at].matches('\n').count() + 1);
-        return Err(format!("line {line}: \"{lost}\" would be lost; give it a line of its own"));
+        let line = text
+            .find(lost)
+            .map_or(1, |at| text[..at].matches('\n').count() + 1);
+        return Err(format!(
+            "line {line}: \"{lost}\" would be lost; give it a line of its own"
+        ));
     }
     let plain = |d: &KdlDocument| {
         let mut d = d.clone();
@@ -89,7 +103,9 @@
         let (found, after) = (rest.as_bytes()[at], &rest[at + 1..]);
         match found {
             b'\\' if quoted => {
-                rest = after.get(after.chars().next().map_or(0, char::len_utf8)..).unwrap_or_default();
+                rest = after
+                    .get(after.chars().next().map_or(0, char::len_utf8)..)
+                    .unwrap_or_default();
                 continue;
             }
             b'"' => quoted = !quoted,
--- a/crates/configuration/src/maintenance.rs
+++ b/crates/configuration/src/maintenance.rs
@@ -17,7 +17,17 @@
     fleet: Option<&NamedFleet>,
 ) -> Option<MaintenanceConfig> {
     let n = n?;
-    let known = ["at-once", "in-zone", "in-pool", "keep", "keep-cell", "busy", "longest", "watched", "blind"];
+    let known = [
+        "at-once",
+        "in-zone",
+        "in-pool",
+        "keep",
+        "keep-cell",
+        "busy",
+        "longest",
+        "watched",
+        "blind",
+    ];
     r.only(n, 0, &known, &["rest"]);
     let before = r.reported();
     let at_once = r.whole(n, "at-once", 1, 1);
@@ -45,7 +55,10 @@
         );
         return None;
     };
-    for (key, most) in [("in-zone", maintenance.in_zone), ("in-pool", maintenance.in_pool)] {
+    for (key, most) in [
+        ("in-zone", maintenance.in_zone),
+        ("in-pool", maintenance.in_pool),
+    ] {
         if most > maintenance.at_once {
             wrong(
                 key,
@@ -55,11 +68,21 @@
         }
     }
     if maintenance.keep >= 1.0 {
-        wrong("keep", "no capacity may go".into(), "keep=0.8: a fifth of it may be away".into());
+        wrong(
+            "keep",
+            "no capacity may go".into(),
+            "keep=0.8: a fifth of it may be away".into(),
+        );
     }
-    if maintenance.longest > Span::ZERO && maintenance.blind > MOST_BLIND || maintenance.blind < fleet.lease {
+    if maintenance.longest > Span::ZERO && maintenance.blind > MOST_BLIND
+        || maintenance.blind < fleet.lease
+    {
         let help = format!("from one lease ({} ms) to an hour", fleet.lease.millis());
-        wrong("blind", format!("a blind time of {} ms", maintenance.blind.millis()), help);
+        wrong(
+            "blind",
+            format!("a blind time of {} ms", maintenance.blind.millis()),
+            help,
+        );
     }
     (r.reported() == before).then_some(maintenance)
 }
@@ -73,7 +96,12 @@
         if let [Some(from), Some(to)] = times {
             if from == to {
                 let help = "from=\"07:00\" to=\"19:00\": one that never ends lets nobody go";
-                r.report("contradiction", "a rest of no length".into(), rest.span(), Some(help.into()));
+                r.report(
+                    "contradiction",
+                    "a rest of no length".into(),
+                    rest.span(),
+                    Some(help.into()),
+                );
             }
             rests.push((from, to));
         }
@@ -84,7 +112,9 @@
 /// Of a day, as `"07:30"`, in seconds.
 fn time(r: &mut Reader, n: &KdlNode, key: &str) -> Option<u32> {
     let text = r.text_at(n, key).unwrap_or_default();
-    let parts = text.split_once(':').map(|(h, m)| (h.parse::<u32>(), m.parse::<u32>()));
+    let parts = text
+        .split_once(':')
+        .map(|(h, m)| (h.parse::<u32>(), m.parse::<u32>()));
     let time = match parts {
         Some((Ok(h), Ok(m))) if h < 24 && m < 60 => Some(h * 3600 + m * 60),
         _ => None,
@@ -92,7 +122,12 @@
     if time.is_none() {
         let span = n.entry(key).map_or(n.span(), |e| e.span());
         let help = "a time of day in UTC: from=\"07:00\" to=\"19:00\"".to_string();
-        r.report("wrong-kind", format!("`{key}` is \"{text}\""), span, Some(help));
+        r.report(
+            "wrong-kind",
+            format!("`{key}` is \"{text}\""),
+            span,
+            Some(help),
+        );
     }
     time
 }
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -71,17 +71,29 @@
         Some(Box::new(self.code))
     }
     fn severity(&self) -> Option<Severity> {
-        Some(if self.weight == Weight::Error { Severity::Error } else { Severity::Warning })
+        Some(if self.weight == Weight::Error {
+            Severity::Error
+        } else {
+            Severity::Warning
+        })
     }
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        let all: Vec<_> = self.help.iter().chain(&self.see).map(String::as_str).collect();
+        let all: Vec<_> = self
+            .help
+            .iter()
+            .chain(&self.see)
+            .map(String::as_str)
+            .collect();
         (!all.is_empty()).then(|| Box::new(all.join("; ")) as Box<dyn fmt::Display>)
     }
     fn source_code(&self) -> Option<&dyn SourceCode> {
         Some(&self.source)
     }
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        Some(Box::new(std::iter::once(LabeledSpan::new_with_span(Some("here".into()), self.at))))
+        Some(Box::new(std::iter::once(LabeledSpan::new_with_span(
+            Some("here".into()),
+            self.at,
+        ))))
     }
 }
 
@@ -95,11 +107,18 @@
 }
 
 fn count(problems: usize) -> String {
-    if problems == 1 { "1 problem".into() } else { format!("{problems} problems") }
+    if problems == 1 {
+        "1 problem".into()
+    } else {
+        format!("{problems} problems")
+    }
 }
 
 /// The known word that is nearest to what stands there, if any is near.
 pub fn meant(found: &str, known: &[&str]) -> Option<String> {
-    let near = known.iter().map(|k| (strsim::damerau_levenshtein(found, k), k)).min()?;
+    let near = known
+        .iter()
+        .map(|k| (strsim::damerau_levenshtein(found, k), k))
+        .min()?;
     (near.0 <= found.len().max(3) / 3).then(|| format!("did you mean `{}`?", near.1))
 }
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -18,14 +18,27 @@
 
 /// `Ok(None)`: there is none.
 fn range(text: &str) -> Result<Option<Range<'_>>, String> {
-    let Some((before, rest)) = text.split_once('{') else { return Ok(None) };
-    let Some((inside, after)) = rest.split_once('}').filter(|(inside, _)| inside.contains("..")) else {
+    let Some((before, rest)) = text.split_once('{') else {
+        return Ok(None);
+    };
+    let Some((inside, after)) = rest
+        .split_once('}')
+        .filter(|(inside, _)| inside.contains(".."))
+    else {
         return Ok(None);
     };
     let wrong = || format!("\"{{{inside}}}\" is no range");
     let (from, to) = inside.split_once("..").ok_or_else(wrong)?;
-    let number = |s: &str| s.bytes().all(|b| b.is_ascii_digit()).then(|| s.parse::<u64>().ok()).flatten();
-    let (first, last) = (number(from).ok_or_else(wrong)?, number(to).ok_or_else(wrong)?);
+    let number = |s: &str| {
+        s.bytes()
+            .all(|b| b.is_ascii_digit())
+            .then(|| s.parse::<u64>().ok())
+            .flatten()
+    };
+    let (first, last) = (
+        number(from).ok_or_else(wrong)?,
+        number(to).ok_or_else(wrong)?,
+    );
     if last < first {
         return Err(format!("the range {inside} counts down"));
     }
@@ -37,7 +50,13 @@
         return Err("two ranges in one text".into());
     }
     let padded = from.len() > 1 && from.starts_with('0');
-    Ok(Some(Range { before, after, first, count, width: if padded { from.len() } else { 0 } }))
+    Ok(Some(Range {
+        before,
+        after,
+        first,
+        count,
+        width: if padded { from.len() } else { 0 },
+    }))
 }
 
 impl Range<'_> {
@@ -46,12 +65,19 @@
         if self.before.is_empty() && self.after.is_empty() && self.width == 0 {
             return KdlValue::Integer(i128::from(number));
         }
-        KdlValue::String(format!("{}{number:0width$}{}", self.before, self.after, width = self.width))
+        KdlValue::String(format!(
+            "{}{number:0width$}{}",
+            self.before,
+            self.after,
+            width = self.width
+        ))
     }
 }
 
 fn found<'a>(e: &'a KdlEntry, r: &mut Reader) -> Option<Range<'a>> {
-    let KdlValue::String(text) = e.value() else { return None };
+    let KdlValue::String(text) = e.value() else {
+        return None;
+    };
     range(text).unwrap_or_else(|why| {
         let help = Some("a range is two numbers that count up: \"h{01..40}\"".into());
         r.report("range", why, e.span(), help);
@@ -76,7 +102,12 @@
         match found(e, r).map(|range| range.count) {
             Some(other) if count > 1 && other != count => {
                 let message = format!("a range of {other} in an entry with one of {count}");
-                r.report("range", message, e.span(), Some("ranges of an entry count up together".into()));
+                r.report(
+                    "range",
+                    message,
+                    e.span(),
+                    Some("ranges of an entry count up together".into()),
+                );
                 return Vec::new();
             }
             Some(other) => count = count.max(other),
@@ -106,10 +137,16 @@
 
 /// In the values of entries within an entry, ranges become values in place.
 fn lists(node: &mut KdlNode, r: &mut Reader) {
-    let Some(children) = node.children_mut() else { return };
+    let Some(children) = node.children_mut() else {
+        return;
+    };
     for child in children.nodes_mut() {
         lists(child, r);
-        if !child.entries().iter().any(|e| e.value().as_string().is_some_and(|s| s.contains('{'))) {
+        if !child
+            .entries()
+            .iter()
+            .any(|e| e.value().as_string().is_some_and(|s| s.contains('{')))
+        {
             continue;
         }
         let mut all = Vec::with_capacity(child.entries().len());
@@ -123,7 +160,8 @@
                     }
                 }
                 Some(_) => {
-                    let message = "a range can't be a property of an entry within another".to_string();
+                    let message =
+                        "a range can't be a property of an entry within another".to_string();
                     r.report("range", message, e.span(), None);
                 }
                 None => all.push(e.clone()),
--- a/crates/configuration/src/reader.rs
+++ b/crates/configuration/src/reader.rs
@@ -44,7 +44,10 @@
     document: &'a KdlDocument,
     kind: &'static str,
 ) -> impl DoubleEndedIterator<Item = &'a KdlNode> {
-    document.nodes().iter().filter(move |n| n.name().value() == kind)
+    document
+        .nodes()
+        .iter()
+        .filter(move |n| n.name().value() == kind)
 }
 
 struct Reported {
@@ -68,7 +71,10 @@
 
 impl Reader {
     pub(crate) fn new(name: &str) -> Reader {
-        Reader { name: name.into(), ..Reader::default() }
+        Reader {
+            name: name.into(),
+            ..Reader::default()
+        }
     }
 
     /// Parses one file; its places are moved to its own stretch.
@@ -81,13 +87,21 @@
         }
         match KdlDocument::parse_v2(text) {
             Ok(mut document) => {
-                document.nodes_mut().iter_mut().for_each(|n| shift(n, start as isize));
+                document
+                    .nodes_mut()
+                    .iter_mut()
+                    .for_each(|n| shift(n, start as isize));
                 document
             }
             Err(e) => {
                 for d in e.diagnostics {
                     let message = d.message.unwrap_or_else(|| "this is not KDL".into());
-                    self.report("syntax", message, (d.span.offset() + start, d.span.len()).into(), d.help);
+                    self.report(
+                        "syntax",
+                        message,
+                        (d.span.offset() + start, d.span.len()).into(),
+                        d.help,
+                    );
                 }
                 KdlDocument::new()
             }
@@ -100,7 +114,10 @@
 
     /// The text that holds a place once more, for a use of a template; by how much its places move.
     pub(crate) fn again(&mut self, place: usize, used_at: usize) -> isize {
-        let found = self.sources.find(place).map(|(s, _)| (s.name.clone(), s.text.clone()));
+        let found = self
+            .sources
+            .find(place)
+            .map(|(s, _)| (s.name.clone(), s.text.clone()));
         let (name, text) = found.unwrap_or_default();
         let old = self.sources.start(place);
         self.sources.add(name, text, Some(used_at)) as isize - old as isize
@@ -112,7 +129,11 @@
 
     /// Where the parameters that a value was filled with were given first; empty: it stands in its own place.
     pub fn given_at(&self, place: usize) -> Vec<String> {
-        let from = self.filled.get(&place).map(Vec::as_slice).unwrap_or_default();
+        let from = self
+            .filled
+            .get(&place)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         from.iter()
             .flat_map(|from| match self.given_at(*from) {
                 first if first.is_empty() => vec![self.origin(*from)],
@@ -135,32 +156,72 @@
     /// # Errors
     /// What was found; warnings alone are no error and come with what was built.
     pub fn close<T>(self, built: T) -> Result<(T, Vec<Problem>), Problems> {
-        let Reader { name, sources, mut reported, .. } = self;
+        let Reader {
+            name,
+            sources,
+            mut reported,
+            ..
+        } = self;
         reported.sort_by_key(|n| n.at.offset());
         let errors = reported.iter().any(|n| n.weight == Weight::Error);
         // With errors about, a warning is mostly one's consequence: what is misspelt is used nowhere.
         reported.retain(|n| !errors || n.weight == Weight::Error);
         let problems: Vec<_> = reported.into_iter().map(|n| locate(&sources, n)).collect();
-        if errors { Err(Problems { name, problems }) } else { Ok((built, problems)) }
+        if errors {
+            Err(Problems { name, problems })
+        } else {
+            Ok((built, problems))
+        }
     }
 
     /// Records an error at a place.
-    pub fn report(&mut self, code: &'static str, message: String, at: SourceSpan, help: Option<String>) {
-        self.reported.push(Reported { code, weight: Weight::Error, message, at, help, see: Vec::new() });
+    pub fn report(
+        &mut self,
+        code: &'static str,
+        message: String,
+        at: SourceSpan,
+        help: Option<String>,
+    ) {
+        self.reported.push(Reported {
+            code,
+            weight: Weight::Error,
+            message,
+            at,
+            help,
+            see: Vec::new(),
+        });
     }
 
     /// Records a warning at a place.
-    pub fn warn(&mut self, code: &'static str, message: String, at: SourceSpan, help: Option<String>) {
-        self.reported.push(Reported { code, weight: Weight::Warning, message, at, help, see: Vec::new() });
+    pub fn warn(
+        &mut self,
+        code: &'static str,
+        message: String,
+        at: SourceSpan,
+        help: Option<String>,
+    ) {
+        self.reported.push(Reported {
+            code,
+            weight: Weight::Warning,
+            message,
+            at,
+            help,
+            see: Vec::new(),
+        });
     }
 
     /// A part of the text could not be had, so that what is missing may stand there.
     pub(crate) fn unread(&self) -> bool {
-        self.reported.iter().any(|n| ["syntax", "file", "too-deep", "too-much"].contains(&n.code))
+        self.reported
+            .iter()
+            .any(|n| ["syntax", "file", "too-deep", "too-much"].contains(&n.code))
     }
 
     pub(crate) fn noted_errors(&self) -> usize {
-        self.reported.iter().filter(|n| n.weight == Weight::Error).count()
+        self.reported
+            .iter()
+            .filter(|n| n.weight == Weight::Error)
+            .count()
     }
 
     /// How much is wrong so far: what depends on a value that can't be read is not judged by its stand-in.
@@ -174,15 +235,34 @@
     }
 
     /// Something that does not go with something else, and where that stands.
-    pub fn conflict(&mut self, code: &'static str, message: String, at: SourceSpan, see: &str, other: usize) {
+    pub fn conflict(
+        &mut self,
+        code: &'static str,
+        message: String,
+        at: SourceSpan,
+        see: &str,
+        other: usize,
+    ) {
         let see = vec![format!("{see} {}", self.sources.say(other))];
-        self.reported.push(Reported { code, weight: Weight::Error, message, at, help: None, see });
+        self.reported.push(Reported {
+            code,
+            weight: Weight::Error,
+            message,
+            at,
+            help: None,
+            see,
+        });
     }
 
     /// A name that nothing bears.
     pub fn unknown(&mut self, at: SourceSpan, what: &str, name: &str, names: &[String]) {
         let known: Vec<_> = names.iter().map(String::as_str).collect();
-        self.report("unknown-name", format!("no {what} is called \"{name}\""), at, meant(name, &known));
+        self.report(
+            "unknown-name",
+            format!("no {what} is called \"{name}\""),
+            at,
+            meant(name, &known),
+        );
     }
 
     /// Complains about properties, arguments and children that are not known; `arguments` is how many may
@@ -196,10 +276,20 @@
             match e.name() {
                 Some(key) if !known.contains(&key.value()) => {
                     let help = meant(key.value(), known);
-                    self.report("unknown-key", format!("`{what}` has no `{}`", key.value()), e.span(), help);
+                    self.report(
+                        "unknown-key",
+                        format!("`{what}` has no `{}`", key.value()),
+                        e.span(),
+                        help,
+                    );
                 }
                 Some(key) if seen.insert(key.value(), ()).is_some() => {
-                    self.report("twice", format!("`{}` stands here twice", key.value()), e.span(), None);
+                    self.report(
+                        "twice",
+                        format!("`{}` stands here twice", key.value()),
+                        e.span(),
+                        None,
+                    );
                 }
                 None if unnamed > arguments => {
                     let message = format!("`{what}` takes {arguments} value(s) without a name");
@@ -208,16 +298,31 @@
                 _ => {}
             }
         }
-        for child in node.iter_children().filter(|c| !children.contains(&c.name().value())) {
+        for child in node
+            .iter_children()
+            .filter(|c| !children.contains(&c.name().value()))
+        {
             let (name, help) = (child.name().value(), meant(child.name().value(), children));
-            self.report("unknown-node", format!("`{name}` can't stand in `{what}`"), child.span(), help);
+            self.report(
+                "unknown-node",
+                format!("`{name}` can't stand in `{what}`"),
+                child.span(),
+                help,
+            );
         }
     }
 }
 
 /// Finds the file and line of what was noted, and by which uses of templates it came there.
 fn locate(sources: &Sources, n: Reported) -> Problem {
-    let Reported { code, weight, message, at, help, mut see } = n;
+    let Reported {
+        code,
+        weight,
+        message,
+        at,
+        help,
+        mut see,
+    } = n;
     let (file, line, column) = sources.line(at.offset()).unwrap_or(("", 1, 1));
     let (file, found) = (file.to_string(), sources.find(at.offset()));
     let mut via = found.and_then(|(s, _)| s.via);
@@ -225,8 +330,22 @@
         see.push(format!("used at {}", sources.say(place)));
         via = sources.find(place).and_then(|(s, _)| s.via);
     }
-    let (text, offset) = found.map_or_else(|| (Arc::from(""), 0), |(s, offset)| (s.text.clone(), offset));
+    let (text, offset) = found.map_or_else(
+        || (Arc::from(""), 0),
+        |(s, offset)| (s.text.clone(), offset),
+    );
     let length = at.len().min(text.len() - offset);
     let source = NamedSource::new(&file, text);
-    Problem { code, weight, message, help, file, line, column, see, source, at: (offset, length).into() }
+    Problem {
+        code,
+        weight,
+        message,
+        help,
+        file,
+        line,
+        column,
+        see,
+        source,
+        at: (offset, length).into(),
+    }
 }
--- a/crates/configuration/src/reader_values.rs
+++ b/crates/configuration/src/reader_values.rs
@@ -17,13 +17,23 @@
     }
 
     fn wrong<T: Default>(&mut self, e: &KdlEntry, wanted: &str, help: Option<String>) -> T {
-        self.report("wrong-kind", format!("{} is not {wanted}", e.value()), e.span(), help);
+        self.report(
+            "wrong-kind",
+            format!("{} is not {wanted}", e.value()),
+            e.span(),
+            help,
+        );
         T::default()
     }
 
     /// The argument without a name at that place.
     pub fn text(&mut self, node: &KdlNode, place: usize, what: &str) -> String {
-        match node.entries().iter().filter(|e| e.name().is_none()).nth(place) {
+        match node
+            .entries()
+            .iter()
+            .filter(|e| e.name().is_none())
+            .nth(place)
+        {
             Some(e) => self.text_of(e),
             None => {
                 let message = format!("`{}` needs {what}", node.name().value());
@@ -36,7 +46,11 @@
     pub(crate) fn text_of(&mut self, e: &KdlEntry) -> String {
         match e.value() {
             KdlValue::String(s) => s.clone(),
-            _ => self.wrong(e, "a text", Some(format!("write it in quotes: \"{}\"", e.value()))),
+            _ => self.wrong(
+                e,
+                "a text",
+                Some(format!("write it in quotes: \"{}\"", e.value())),
+            ),
         }
     }
 
@@ -79,9 +93,13 @@
 
     /// A whole number under a key, or what holds otherwise.
     pub fn whole(&mut self, node: &KdlNode, key: &str, least: u32, otherwise: u32) -> u32 {
-        let Some(e) = self.entry(node, key, false) else { return otherwise };
+        let Some(e) = self.entry(node, key, false) else {
+            return otherwise;
+        };
         match e.value() {
-            KdlValue::Integer(n) if *n >= i128::from(least) && *n <= i128::from(u32::MAX) => *n as u32,
+            KdlValue::Integer(n) if *n >= i128::from(least) && *n <= i128::from(u32::MAX) => {
+                *n as u32
+            }
             _ => self.wrong(e, &format!("a whole number of at least {least}"), None),
         }
     }
@@ -94,8 +112,12 @@
     /// A span, such as `"150ms"`; `None` where it is not given.
     pub fn span_at(&mut self, node: &KdlNode, key: &str) -> Option<Span> {
         let e = self.entry(node, key, false)?;
-        let help = || Some("a span is written with its unit in quotes: \"150ms\", \"1.5s\", \"2min\"".into());
-        let KdlValue::String(s) = e.value() else { return Some(self.wrong(e, "a span", help())) };
+        let help = || {
+            Some("a span is written with its unit in quotes: \"150ms\", \"1.5s\", \"2min\"".into())
+        };
+        let KdlValue::String(s) = e.value() else {
+            return Some(self.wrong(e, "a span", help()));
+        };
         Some(span(s).unwrap_or_else(|| self.wrong(e, "a span", help())))
     }
 
@@ -107,15 +129,27 @@
 
     /// Bytes with their unit, such as `"256MiB"`.
     pub fn bytes(&mut self, node: &KdlNode, key: &str, otherwise: usize) -> usize {
-        let Some(e) = self.entry(node, key, false) else { return otherwise };
-        let help =
-            || Some("bytes are written with their unit in quotes: \"4096B\", \"64KiB\", \"16MB\"".into());
-        let KdlValue::String(s) = e.value() else { return self.wrong(e, "a number of bytes", help()) };
+        let Some(e) = self.entry(node, key, false) else {
+            return otherwise;
+        };
+        let help = || {
+            Some(
+                "bytes are written with their unit in quotes: \"4096B\", \"64KiB\", \"16MB\""
+                    .into(),
+            )
+        };
+        let KdlValue::String(s) = e.value() else {
+            return self.wrong(e, "a number of bytes", help());
+        };
         let unit = s.trim_end().ends_with(|c: char| c.is_ascii_alphabetic());
         match s
             .parse::<bytesize::ByteSize>()
             .ok()
-            .and_then(|b| usize::try_from(b.as_u64()).ok().filter(|bytes| *bytes < 1 << 60))
+            .and_then(|b| {
+                usize::try_from(b.as_u64())
+                    .ok()
+                    .filter(|bytes| *bytes < 1 << 60)
+            })
             .filter(|_| unit)
         {
             Some(bytes) if bytes > 0 => bytes,
@@ -125,19 +159,32 @@
 
     /// A rate in units a second: `"40units/s"`, or in bytes, such as `"16MiB/s"`, where it is known how many
     /// a unit stands for. `None` where it is not given.
-    pub fn rate_at(&mut self, node: &KdlNode, key: &str, least: f64, unit: Option<f64>) -> Option<f64> {
+    pub fn rate_at(
+        &mut self,
+        node: &KdlNode,
+        key: &str,
+        least: f64,
+        unit: Option<f64>,
+    ) -> Option<f64> {
         let e = self.entry(node, key, false)?;
-        let help = || Some("a rate is written with its unit in quotes: \"40units/s\", \"16MiB/s\"".into());
-        let KdlValue::String(s) = e.value() else { return Some(self.wrong(e, "a rate", help())) };
+        let help =
+            || Some("a rate is written with its unit in quotes: \"40units/s\", \"16MiB/s\"".into());
+        let KdlValue::String(s) = e.value() else {
+            return Some(self.wrong(e, "a rate", help()));
+        };
         let Some(amount) = s.trim_end().strip_suffix("/s") else {
             return Some(self.wrong(e, "a rate", help()));
         };
         let rate = if let Some(units) = amount.trim_end().strip_suffix("units") {
             units.trim().parse::<f64>().ok()
         } else if amount.ends_with(|c: char| c.is_ascii_alphabetic()) {
-            let bytes = amount.parse::<bytesize::ByteSize>().ok().map(|b| b.as_u64() as f64);
+            let bytes = amount
+                .parse::<bytesize::ByteSize>()
+                .ok()
+                .map(|b| b.as_u64() as f64);
             if let (Some(_), None) = (bytes, unit) {
-                let help = Some("rules unit=\"64KiB\" says how many bytes a unit stands for".into());
+                let help =
+                    Some("rules unit=\"64KiB\" says how many bytes a unit stands for".into());
                 let message = format!("`{key}` is in bytes, and nothing says how many are a unit");
                 self.report("no-unit", message, e.span(), help);
                 return Some(0.0);
@@ -155,11 +202,19 @@
 
     /// Bytes a second, such as `"20MiB/s"`; more than none.
     pub fn bytes_a_second(&mut self, node: &KdlNode, key: &str) -> f64 {
-        let Some(e) = self.entry(node, key, true) else { return 0.0 };
-        let help = || Some("bytes a second are written with their unit in quotes: \"20MiB/s\"".into());
-        let KdlValue::String(s) = e.value() else { return self.wrong(e, "a rate in bytes", help()) };
+        let Some(e) = self.entry(node, key, true) else {
+            return 0.0;
+        };
+        let help =
+            || Some("bytes a second are written with their unit in quotes: \"20MiB/s\"".into());
+        let KdlValue::String(s) = e.value() else {
+            return self.wrong(e, "a rate in bytes", help());
+        };
         let amount = s.strip_suffix("/s").filter(|a| a.ends_with('B'));
-        match amount.and_then(|a| a.parse::<bytesize::ByteSize>().ok()).map(|b| b.as_u64()) {
+        match amount
+            .and_then(|a| a.parse::<bytesize::ByteSize>().ok())
+            .map(|b| b.as_u64())
+        {
             Some(bytes) if bytes > 0 && bytes < 1 << 60 => bytes as f64,
             _ => self.wrong(e, "a rate in bytes", help()),
         }
@@ -171,9 +226,10 @@
         let part = match e.value() {
             KdlValue::Integer(n) => Some(*n as f64),
             KdlValue::Float(x) => Some(*x),
-            KdlValue::String(s) => {
-                s.strip_suffix('%').and_then(|p| p.trim().parse().ok()).map(|p: f64| p / 100.0)
-            }
+            KdlValue::String(s) => s
+                .strip_suffix('%')
+                .and_then(|p| p.trim().parse().ok())
+                .map(|p: f64| p / 100.0),
             _ => None,
         };
         let help = Some("a part of the whole is written 0.3 or \"30%\"".into());
@@ -190,14 +246,25 @@
     }
 
     /// One of some words.
-    pub fn keyword<T: Copy>(&mut self, node: &KdlNode, key: &str, keywords: &[(&str, T)]) -> Option<T> {
+    pub fn keyword<T: Copy>(
+        &mut self,
+        node: &KdlNode,
+        key: &str,
+        keywords: &[(&str, T)],
+    ) -> Option<T> {
         let e = self.entry(node, key, true)?;
         let text = self.text_of(e);
         let found = keywords.iter().find(|w| w.0 == text).map(|w| w.1);
         if found.is_none() {
             let known: Vec<_> = keywords.iter().map(|w| w.0).collect();
-            let help = meant(&text, &known).or_else(|| Some(format!("one of: {}", known.join(", "))));
-            self.report("unknown-word", format!("`{key}` can't be \"{text}\""), e.span(), help);
+            let help =
+                meant(&text, &known).or_else(|| Some(format!("one of: {}", known.join(", "))));
+            self.report(
+                "unknown-word",
+                format!("`{key}` can't be \"{text}\""),
+                e.span(),
+                help,
+            );
         }
         found
     }
@@ -213,7 +280,13 @@
     }
 
     /// The place of what the text under a key names.
-    pub fn refer_at(&mut self, node: &KdlNode, key: &str, what: &str, names: &Names) -> Option<usize> {
+    pub fn refer_at(
+        &mut self,
+        node: &KdlNode,
+        key: &str,
+        what: &str,
+        names: &Names,
+    ) -> Option<usize> {
         let e = self.entry(node, key, true)?;
         self.refer(e, what, names)
     }
@@ -221,7 +294,9 @@
 
 /// `"1.5s"`, `"150ms"` and whatever else `humantime` reads, with a fraction before one unit allowed.
 fn span(s: &str) -> Option<Span> {
-    let digits = s.find(|c: char| !(c.is_ascii_digit() || c == '.')).unwrap_or(s.len());
+    let digits = s
+        .find(|c: char| !(c.is_ascii_digit() || c == '.'))
+        .unwrap_or(s.len());
     let (number, unit) = s.split_at(digits);
     let micros = if number.contains('.') {
         let one = humantime::parse_duration(&format!("1{unit}")).ok()?;
--- a/crates/configuration/src/resolve.rs
+++ b/crates/configuration/src/resolve.rs
@@ -50,7 +50,12 @@
     };
     resolver.file(name, None);
     for (name, t) in resolver.templates.iter().filter(|(_, t)| !t.used) {
-        resolver.r.warn("unused", format!("template \"{name}\" is used nowhere"), t.node.name().span(), None);
+        resolver.r.warn(
+            "unused",
+            format!("template \"{name}\" is used nowhere"),
+            t.node.name().span(),
+            None,
+        );
     }
     let mut document = KdlDocument::new();
     *document.nodes_mut() = resolver.out;
@@ -108,13 +113,19 @@
     fn include(&mut self, from: &str, node: &KdlNode) {
         self.r.only(node, usize::MAX, &[], &[]);
         if node.entries().is_empty() {
-            self.r.report("missing", "`include` needs a file".into(), node.span(), None);
+            self.r.report(
+                "missing",
+                "`include` needs a file".into(),
+                node.span(),
+                None,
+            );
         }
         for e in node.entries() {
             let text = self.r.text_of(e);
             let Some(name) = beside(from, &text) else {
                 let help = Some(
-                    "files are named from the one that includes them, below the first one's folder".into(),
+                    "files are named from the one that includes them, below the first one's folder"
+                        .into(),
                 );
                 self.r.report(
                     "outside",
@@ -127,13 +138,22 @@
             let names = if text.contains(['*', '?', '[']) {
                 match self.loader.matching(&name) {
                     Ok(names) if names.is_empty() => {
-                        self.r.report("file", format!("no file matches \"{text}\""), e.span(), None);
+                        self.r.report(
+                            "file",
+                            format!("no file matches \"{text}\""),
+                            e.span(),
+                            None,
+                        );
                         continue;
                     }
                     // A pattern that matches its own file does not mean it.
-                    Ok(names) => names.into_iter().filter(|n| !self.chain.contains(n)).collect(),
+                    Ok(names) => names
+                        .into_iter()
+                        .filter(|n| !self.chain.contains(n))
+                        .collect(),
                     Err(why) => {
-                        self.r.report("file", format!("\"{text}\": {why}"), e.span(), None);
+                        self.r
+                            .report("file", format!("\"{text}\": {why}"), e.span(), None);
                         continue;
                     }
                 }
@@ -144,7 +164,8 @@
                 if let Some(place) = self.chain.iter().position(|c| *c == name) {
                     let mut way = self.chain[place..].to_vec();
                     way.push(name.clone());
-                    let message = format!("files include each other in a loop: {}", way.join(" -> "));
+                    let message =
+                        format!("files include each other in a loop: {}", way.join(" -> "));
                     self.r.report("loop", message, e.span(), None);
                 } else if self.chain.len() >= DEPTH {
                     let message = format!("more than {DEPTH} files within each other");
@@ -161,15 +182,25 @@
         let mut defaults = BTreeMap::new();
         for e in node.entries() {
             if let Some(key) = e.name() {
-                defaults.insert(key.value().to_string(), (e.value().clone(), e.span().offset()));
+                defaults.insert(
+                    key.value().to_string(),
+                    (e.value().clone(), e.span().offset()),
+                );
             }
         }
         if let Some(first) = self.templates.get(&name) {
             let first = first.node.span().offset();
-            return self.r.twice(format!("a second template \"{name}\""), node.span(), first);
+            return self
+                .r
+                .twice(format!("a second template \"{name}\""), node.span(), first);
         }
         if node.children().is_none_or(|c| c.nodes().is_empty()) {
-            self.r.report("missing", format!("template \"{name}\" holds nothing"), node.span(), None);
+            self.r.report(
+                "missing",
+                format!("template \"{name}\" holds nothing"),
+                node.span(),
+                None,
+            );
         }
         let mut names = BTreeSet::new();
         parameters(node, &mut names);
@@ -179,7 +210,14 @@
                 self.r.warn("unused", message, e.span(), None);
             }
         }
-        self.templates.insert(name, Template { node: node.clone(), defaults, used: false });
+        self.templates.insert(
+            name,
+            Template {
+                node: node.clone(),
+                defaults,
+                used: false,
+            },
+        );
     }
 
     /// Puts a template's entries in place. Each use has a stretch of its own in the sources, so that a
@@ -199,7 +237,10 @@
         let node = t.node.clone();
         for e in at.entries() {
             if let Some(key) = e.name() {
-                values.insert(key.value().to_string(), (e.value().clone(), e.span().offset()));
+                values.insert(
+                    key.value().to_string(),
+                    (e.value().clone(), e.span().offset()),
+                );
             }
         }
         let by = self.r.again(node.span().offset(), at.span().offset());
@@ -216,7 +257,8 @@
                 }
                 "template" | "include" => {
                     let message = format!("`{}` can't stand in a template", child.name().value());
-                    self.r.report("unknown-node", message, child.name().span(), None);
+                    self.r
+                        .report("unknown-node", message, child.name().span(), None);
                 }
                 _ => self.keep(child),
             }
@@ -224,7 +266,8 @@
         for e in at.entries() {
             if let Some(key) = e.name().filter(|k| !needed.contains(k.value())) {
                 let known: Vec<String> = needed.iter().cloned().collect();
-                self.r.unknown(e.span(), "parameter of this template", key.value(), &known);
+                self.r
+                    .unknown(e.span(), "parameter of this template", key.value(), &known);
             }
         }
     }
@@ -232,7 +275,9 @@
     /// A text that is `$name` becomes the value of that name; `$name` within a text, its text.
     fn fill(&mut self, node: &mut KdlNode, values: &Values, needed: &mut BTreeSet<String>) {
         for e in node.entries_mut() {
-            let KdlValue::String(text) = e.value() else { continue };
+            let KdlValue::String(text) = e.value() else {
+                continue;
+            };
             let (text, at) = (text.clone(), e.span());
             if !text.contains('$') {
                 continue;
@@ -242,15 +287,16 @@
             let mut whole = None;
             while let Some((before, after)) = rest.split_once('$') {
                 filled += before;
-                let end =
-                    after.find(|c: char| !(c.is_ascii_alphanumeric() || c == '_')).unwrap_or(after.len());
+                let end = after
+                    .find(|c: char| !(c.is_ascii_alphanumeric() || c == '_'))
+                    .unwrap_or(after.len());
                 let (name, tail) = after.split_at(end);
                 needed.insert(name.to_string());
                 match values.get(name) {
                     Some((v, from)) => {
                         self.r.comes_from(at.offset(), *from);
-                        whole =
-                            (before.is_empty() && tail.is_empty() && filled.is_empty()).then(|| v.clone());
+                        whole = (before.is_empty() && tail.is_empty() && filled.is_empty())
+                            .then(|| v.clone());
                         filled += &v.as_string().map_or_else(|| v.to_string(), str::to_string);
                     }
                     None => {
@@ -277,8 +323,9 @@
     for child in node.iter_children() {
         for text in child.entries().iter().filter_map(|e| e.value().as_string()) {
             for after in text.split('$').skip(1) {
-                let end =
-                    after.find(|c: char| !(c.is_ascii_alphanumeric() || c == '_')).unwrap_or(after.len());
+                let end = after
+                    .find(|c: char| !(c.is_ascii_alphanumeric() || c == '_'))
+                    .unwrap_or(after.len());
                 names.insert(after[..end].to_string());
             }
         }
@@ -294,7 +341,8 @@
         // Files that go together were changed together, and one half of that was read before.
         for name in loader.changed() {
             let at = reader.sources.of_file(&name);
-            let message = format!("{name} changed while the configuration was read: check it again");
+            let message =
+                format!("{name} changed while the configuration was read: check it again");
             reader.report("file", message, (at, 0).into(), None);
         }
         (document, reader)
--- a/crates/configuration/src/revision_entry.rs
+++ b/crates/configuration/src/revision_entry.rs
@@ -10,10 +10,17 @@
 }
 
 pub(crate) fn read(document: &KdlDocument, r: &mut Reader) -> RevisionPlace {
-    let Some(n) = entry(document) else { return RevisionPlace::default() };
+    let Some(n) = entry(document) else {
+        return RevisionPlace::default();
+    };
     r.only(n, 1, &["after"], &[]);
     let number = n.entries().iter().find(|e| e.name().is_none());
-    let revision = match number.map(|e| (e, e.value().as_integer().and_then(|i| u64::try_from(i).ok()))) {
+    let revision = match number.map(|e| {
+        (
+            e,
+            e.value().as_integer().and_then(|i| u64::try_from(i).ok()),
+        )
+    }) {
         Some((_, Some(revision))) if revision > 0 => revision,
         Some((e, _)) => {
             r.report(
@@ -25,9 +32,17 @@
             0
         }
         None => {
-            r.report("missing", "`revision` needs its number".into(), n.span(), Some("revision 1".into()));
+            r.report(
+                "missing",
+                "`revision` needs its number".into(),
+                n.span(),
+                Some("revision 1".into()),
+            );
             0
         }
     };
-    RevisionPlace { revision: Revision(revision), after: r.text_at(n, "after") }
+    RevisionPlace {
+        revision: Revision(revision),
+        after: r.text_at(n, "after"),
+    }
 }
--- a/crates/configuration/src/revisions.rs
+++ b/crates/configuration/src/revisions.rs
@@ -23,10 +23,20 @@
     let volumes = d.volumes.iter().map(|v| (v.id, shared(v)));
     // Budgets between zones are limits like others.
     let budget = |c: &NamedCrossZoneBudget| {
-        (c.id, SharedLimit { plan: Default::default(), limit: Some(c.limit), hosts: c.hosts.clone() })
+        (
+            c.id,
+            SharedLimit {
+                plan: Default::default(),
+                limit: Some(c.limit),
+                hosts: c.hosts.clone(),
+            },
+        )
     };
     let volumes = volumes.chain(d.cross_zone_budgets.iter().map(budget));
-    RevisionLimits { revision: d.place.revision, volumes: volumes.collect() }
+    RevisionLimits {
+        revision: d.place.revision,
+        volumes: volumes.collect(),
+    }
 }
 
 pub(crate) fn load(
@@ -37,7 +47,9 @@
     let (document, mut r) = Reader::open(loader, name);
     let mut built = builder::build(&document, &mut r);
     let mut line = Vec::new();
-    if let (Some(n), Some(after), true) = (entry(&document), &built.place.after, r.noted_errors() == 0) {
+    if let (Some(n), Some(after), true) =
+        (entry(&document), &built.place.after, r.noted_errors() == 0)
+    {
         let at = n.entry("after").map_or(n.span(), |e| e.span());
         match before(loader, name, after, chain, &built) {
             Ok(earlier) => line = earlier,
@@ -70,15 +82,27 @@
     };
     let chain = [chain, &[name.to_string()]].concat();
     if chain.contains(&file) {
-        return Err((format!("documents come after each other in a circle: {}", chain.join(" -> ")), None));
+        return Err((
+            format!(
+                "documents come after each other in a circle: {}",
+                chain.join(" -> ")
+            ),
+            None,
+        ));
     }
     let (earlier, _) = load(loader, &file, &chain).map_err(|e| {
-        let first = e.problems.first().map(|p| format!("{}:{}:{}: {}", p.file, p.line, p.column, p.message));
+        let first = e
+            .problems
+            .first()
+            .map(|p| format!("{}:{}:{}: {}", p.file, p.line, p.column, p.message));
         (format!("the document before, {file}, is not sound"), first)
     })?;
     if earlier.place.revision >= d.place.revision {
         let (its, ours) = (earlier.place.revision.0, d.place.revision.0);
-        return Err((format!("{file} has revision {its}, which is not before {ours}"), None));
+        return Err((
+            format!("{file} has revision {its}, which is not before {ours}"),
+            None,
+        ));
     }
     let names = |d: &Deployment| d.hosts.iter().map(|h| h.name.clone()).collect::<Vec<_>>();
     // Where hosts settle among themselves who belongs, others may come at the end.
@@ -86,7 +110,10 @@
     if names(&earlier) != names(d) && !joins {
         let help = "hosts are known to each other by their places: change them with all of them stopped; \
                     with a `fleet` new ones can stand at the end";
-        return Err((format!("{file} has other hosts, or in another order"), Some(help.into())));
+        return Err((
+            format!("{file} has other hosts, or in another order"),
+            Some(help.into()),
+        ));
     }
     Ok(earlier.line)
 }
