--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -63,18 +63,28 @@
 impl Routes {
     /// Where a volume's new object of that request class may lie. Places are those of the deployment.
     pub fn pool(&self, volume: usize, request_class: RequestClassId) -> PoolId {
-        self.table.get(volume * self.request_classes + request_class.0).copied().unwrap_or(PoolId::ALL)
+        self.table
+            .get(volume * self.request_classes + request_class.0)
+            .copied()
+            .unwrap_or(PoolId::ALL)
     }
 
     /// The pools that a node of that zone and kind is in, beside that of all.
     pub fn pools_of(&self, zone: ZoneId, kind: &str) -> Vec<PoolId> {
-        let holds = self.pools.iter().enumerate().filter(|(_, p)| p.holds(zone, kind));
+        let holds = self
+            .pools
+            .iter()
+            .enumerate()
+            .filter(|(_, p)| p.holds(zone, kind));
         holds.map(|(place, _)| PoolId(place + 1)).collect()
     }
 
     /// The name of a pool.
     pub fn name(&self, pool: PoolId) -> &str {
-        pool.0.checked_sub(1).and_then(|place| self.pools.get(place)).map_or(ALL, |p| &p.name)
+        pool.0
+            .checked_sub(1)
+            .and_then(|place| self.pools.get(place))
+            .map_or(ALL, |p| &p.name)
     }
 }
 
@@ -89,14 +99,25 @@
 
 /// The values of all children of that name.
 fn values<'a>(n: &'a KdlNode, name: &'static str) -> impl Iterator<Item = &'a kdl::KdlEntry> {
-    n.iter_children().filter(move |c| c.name().value() == name).flat_map(|c| c.entries())
+    n.iter_children()
+        .filter(move |c| c.name().value() == name)
+        .flat_map(|c| c.entries())
 }
 
 fn pool(r: &mut Reader, n: &KdlNode, known: &Known) -> Pool {
     r.only(n, 1, &[], &["zone", "kind"]);
-    n.iter_children().for_each(|c| r.only(c, usize::MAX, &[], &[]));
-    let zones = values(n, "zone").filter_map(|e| r.refer(e, "zone", known.zones)).map(ZoneId).collect();
-    let kinds: Names = known.nodes.iter().map(|node| node.kind.clone()).filter(|k| !k.is_empty()).collect();
+    n.iter_children()
+        .for_each(|c| r.only(c, usize::MAX, &[], &[]));
+    let zones = values(n, "zone")
+        .filter_map(|e| r.refer(e, "zone", known.zones))
+        .map(ZoneId)
+        .collect();
+    let kinds: Names = known
+        .nodes
+        .iter()
+        .map(|node| node.kind.clone())
+        .filter(|k| !k.is_empty())
+        .collect();
     let found = values(n, "kind").map(|e| {
         let kind = r.text_of(e);
         if kinds.position(&kind).is_none() && !known.nodes.is_empty() {
@@ -115,21 +136,32 @@
 
 fn route(r: &mut Reader, n: &KdlNode, pools: &Names, known: &Known) -> Route {
     r.only(n, 0, &["to"], &["volume", "plan", "stream-type"]);
-    n.iter_children().for_each(|c| r.only(c, usize::MAX, &[], &[]));
+    n.iter_children()
+        .for_each(|c| r.only(c, usize::MAX, &[], &[]));
     let to = r.refer_at(n, "to", "pool", pools).unwrap_or_default();
     let plans: Names = known.plans.iter().map(|p| p.name.clone()).collect();
-    let types: Names = known.request_classes.iter().map(|s| s.name.clone()).collect();
+    let types: Names = known
+        .request_classes
+        .iter()
+        .map(|s| s.name.clone())
+        .collect();
     let mut request_classes = BTreeSet::new();
     for e in values(n, "stream-type") {
-        let Some(place) = r.refer(e, "stream type", &types) else { continue };
+        let Some(place) = r.refer(e, "stream type", &types) else {
+            continue;
+        };
         request_classes.insert(place);
         if !known.request_classes[place].write {
-            let message =
-                format!("\"{}\" is read where its data lies: no route leads it", types.list()[place]);
+            let message = format!(
+                "\"{}\" is read where its data lies: no route leads it",
+                types.list()[place]
+            );
             r.warn("no-effect", message, e.span(), None);
         }
     }
-    let plans = values(n, "plan").filter_map(|e| r.refer(e, "plan", &plans)).collect();
+    let plans = values(n, "plan")
+        .filter_map(|e| r.refer(e, "plan", &plans))
+        .collect();
     let mut volumes = Vec::new();
     for e in values(n, "volume") {
         let text = r.text_of(e);
@@ -142,38 +174,82 @@
                 }
                 volumes.push(pattern);
             }
-            Err(why) => r.report("wrong-kind", format!("\"{text}\" is no pattern: {why}"), e.span(), None),
+            Err(why) => r.report(
+                "wrong-kind",
+                format!("\"{text}\" is no pattern: {why}"),
+                e.span(),
+                None,
+            ),
         }
     }
-    Route { to: PoolId(to), volumes, plans, request_classes }
+    Route {
+        to: PoolId(to),
+        volumes,
+        plans,
+        request_classes,
+    }
 }
 
 /// Reads pools and routes, and looks at whether they make sense together.
 pub fn read(document: &KdlDocument, r: &mut Reader, known: &Known) -> Routes {
     let before = r.reported();
-    let pools: Vec<Pool> = entries(document, "pool").map(|n| pool(r, n, known)).collect();
-    let names: Names = std::iter::once(ALL.to_string()).chain(pools.iter().map(|p| p.name.clone())).collect();
-    let routes: Vec<Route> = entries(document, "route").map(|n| route(r, n, &names, known)).collect();
-    let mut built = Routes { pools, routes, table: Vec::new(), request_classes: known.request_classes.len() };
+    let pools: Vec<Pool> = entries(document, "pool")
+        .map(|n| pool(r, n, known))
+        .collect();
+    let names: Names = std::iter::once(ALL.to_string())
+        .chain(pools.iter().map(|p| p.name.clone()))
+        .collect();
+    let routes: Vec<Route> = entries(document, "route")
+        .map(|n| route(r, n, &names, known))
+        .collect();
+    let mut built = Routes {
+        pools,
+        routes,
+        table: Vec::new(),
+        request_classes: known.request_classes.len(),
+    };
     for (place, n) in entries(document, "pool").enumerate() {
         let nodes = known.nodes.iter().filter(|node| !node.spare);
         let p = &built.pools[place];
-        let found = nodes.clone().filter(|node| p.holds(node.place.zone, &node.kind)).count();
+        let found = nodes
+            .clone()
+            .filter(|node| p.holds(node.place.zone, &node.kind))
+            .count();
         if found == 0 && !known.nodes.is_empty() && r.reported() == before {
             let message = format!("no node is in pool \"{}\"", p.name);
-            let help = Some("each of its nodes must be in one of its zones and of one of its kinds".into());
+            let help = Some(
+                "each of its nodes must be in one of its zones and of one of its kinds".into(),
+            );
             r.report("pool-empty", message, n.span(), help);
         } else if found == nodes.count() && !known.nodes.is_empty() {
             let message = format!("pool \"{}\" holds every node, as \"{ALL}\" does", p.name);
             r.warn("no-effect", message, n.span(), None);
-        } else if !built.routes.iter().any(|route| route.to == PoolId(place + 1)) {
-            r.warn("unused", format!("pool \"{}\" is used by no route", p.name), n.span(), None);
+        } else if !built
+            .routes
+            .iter()
+            .any(|route| route.to == PoolId(place + 1))
+        {
+            r.warn(
+                "unused",
+                format!("pool \"{}\" is used by no route", p.name),
+                n.span(),
+                None,
+            );
         }
     }
-    let Some(last) = entries(document, "route").last() else { return built };
+    let Some(last) = entries(document, "route").last() else {
+        return built;
+    };
     if !built.routes.last().is_some_and(Route::is_rest) && r.reported() == before {
-        let help = Some(format!("end with `route to=\"{ALL}\"`, or with another pool for all the rest"));
-        r.report("no-rest", "the last route does not take all the rest".into(), last.span(), help);
+        let help = Some(format!(
+            "end with `route to=\"{ALL}\"`, or with another pool for all the rest"
+        ));
+        r.report(
+            "no-rest",
+            "the last route does not take all the rest".into(),
+            last.span(),
+            help,
+        );
     }
     if let [.., second, rest] = built.routes.as_slice()
         && second.to == rest.to
@@ -181,7 +257,12 @@
     {
         let n = entries(document, "route").nth(built.routes.len() - 2);
         let message = "the rest goes there anyway".to_string();
-        r.warn("no-effect", message, n.map_or(last.span(), |n| n.span()), None);
+        r.warn(
+            "no-effect",
+            message,
+            n.map_or(last.span(), |n| n.span()),
+            None,
+        );
     }
     if r.reported() == before || built.routes.iter().any(Route::is_rest) {
         fill(document, r, known, &mut built, before);
@@ -196,17 +277,26 @@
     let mut instead: Vec<Option<usize>> = vec![None; built.routes.len()];
     for v in known.volumes {
         for request_class in 0..known.request_classes.len() {
-            let takes = built.routes.iter().enumerate().filter(|(_, route)| route.takes(v, request_class));
+            let takes = built
+                .routes
+                .iter()
+                .enumerate()
+                .filter(|(_, route)| route.takes(v, request_class));
             let mut takes = takes.map(|(place, _)| place);
             let first = takes.next();
-            built.table.push(first.map_or(PoolId::ALL, |place| built.routes[place].to));
+            built
+                .table
+                .push(first.map_or(PoolId::ALL, |place| built.routes[place].to));
             if let (Some(first), true) = (first, known.request_classes[request_class].write) {
                 taken[first] += 1;
                 takes.for_each(|later| _ = instead[later].get_or_insert(first));
             }
         }
     }
-    if r.reported() > before || known.volumes.is_empty() || !known.request_classes.iter().any(|s| s.write) {
+    if r.reported() > before
+        || known.volumes.is_empty()
+        || !known.request_classes.iter().any(|s| s.write)
+    {
         return;
     }
     let places: Vec<_> = entries(document, "route").map(|n| n.span()).collect();
@@ -216,8 +306,8 @@
             // The rest may be empty today.
             _ if rest && place + 1 == taken.len() => {}
             Some(first) => {
-                let message =
-                    "this route can never match: routes before it take all that it would".to_string();
+                let message = "this route can never match: routes before it take all that it would"
+                    .to_string();
                 r.conflict(
                     "route-never",
                     message,
@@ -228,7 +318,8 @@
             }
             None => {
                 let message =
-                    "this route can never match: no volume and stream type that writes fit it".into();
+                    "this route can never match: no volume and stream type that writes fit it"
+                        .into();
                 r.report("route-never", message, places[place], None);
             }
         }
--- a/crates/configuration/src/source_map.rs
+++ b/crates/configuration/src/source_map.rs
@@ -63,15 +63,24 @@
     /// # Errors
     /// The root can't be found.
     pub fn new(root: &Path) -> Result<Files, LoadError> {
-        let root = root.canonicalize().map_err(|e| LoadError::Other(e.to_string()))?;
-        Ok(Files { root, had: RefCell::default() })
+        let root = root
+            .canonicalize()
+            .map_err(|e| LoadError::Other(e.to_string()))?;
+        Ok(Files {
+            root,
+            had: RefCell::default(),
+        })
     }
 
     fn inside(&self, name: &str) -> Result<PathBuf, LoadError> {
-        let path = self.root.join(name).canonicalize().map_err(|e| match e.kind() {
-            std::io::ErrorKind::NotFound => LoadError::Missing,
-            _ => LoadError::Other(e.to_string()),
-        })?;
+        let path = self
+            .root
+            .join(name)
+            .canonicalize()
+            .map_err(|e| match e.kind() {
+                std::io::ErrorKind::NotFound => LoadError::Missing,
+                _ => LoadError::Other(e.to_string()),
+            })?;
         if path.starts_with(&self.root) {
             Ok(path)
         } else {
@@ -85,7 +94,9 @@
         let other = |e: std::io::Error| LoadError::Other(e.to_string());
         let path = self.inside(name)?;
         let stamp = || -> Result<Stamp, LoadError> {
-            path.metadata().map(|m| (m.len(), m.modified().ok())).map_err(other)
+            path.metadata()
+                .map(|m| (m.len(), m.modified().ok()))
+                .map_err(other)
         };
         // A pipe or a device may never end, or never begin.
         if !path.metadata().map_err(other)?.is_file() {
@@ -105,7 +116,8 @@
 
     fn matching(&self, pattern: &str) -> Result<Vec<String>, LoadError> {
         let whole = self.root.join(pattern);
-        let found = glob::glob(&whole.to_string_lossy()).map_err(|e| LoadError::Other(e.to_string()))?;
+        let found =
+            glob::glob(&whole.to_string_lossy()).map_err(|e| LoadError::Other(e.to_string()))?;
         let names = found.flatten().filter(|p| p.is_file()).filter_map(|p| {
             let name = p.strip_prefix(&self.root).ok()?;
             Some(name.to_string_lossy().into_owned())
@@ -119,7 +131,10 @@
             Some((m.len(), m.modified().ok()))
         };
         let had = self.had.borrow();
-        had.iter().filter(|(name, stamp)| is(name).as_ref() != Some(*stamp)).map(|h| h.0.clone()).collect()
+        had.iter()
+            .filter(|(name, stamp)| is(name).as_ref() != Some(*stamp))
+            .map(|h| h.0.clone())
+            .collect()
     }
 }
 
@@ -134,8 +149,16 @@
 
     fn matching(&self, pattern: &str) -> Result<Vec<String>, LoadError> {
         let pattern = glob::Pattern::new(pattern).map_err(|e| LoadError::Other(e.to_string()))?;
-        let options = glob::MatchOptions { require_literal_separator: true, ..Default::default() };
-        Ok(self.0.keys().filter(|name| pattern.matches_with(name, options)).cloned().collect())
+        let options = glob::MatchOptions {
+            require_literal_separator: true,
+            ..Default::default()
+        };
+        Ok(self
+            .0
+            .keys()
+            .filter(|name| pattern.matches_with(name, options))
+            .cloned()
+            .collect())
     }
 }
 
@@ -173,8 +196,16 @@
 impl Sources {
     /// Gives a text its stretch; all places in it are past the number that comes back.
     pub fn add(&mut self, name: Arc<str>, text: Arc<str>, via: Option<usize>) -> usize {
-        let start = self.stretches.last().map_or(0, |s| s.start + s.text.len() + 1);
-        self.stretches.push(Segment { name, text, start, via });
+        let start = self
+            .stretches
+            .last()
+            .map_or(0, |s| s.start + s.text.len() + 1);
+        self.stretches.push(Segment {
+            name,
+            text,
+            start,
+            via,
+        });
         start
     }
 
@@ -190,17 +221,27 @@
         let (segment, at) = self.find(place)?;
         let before = segment.text.get(..at)?;
         let line = before.rsplit('\n').next().unwrap_or_default();
-        Some((&segment.name, before.matches('\n').count() + 1, line.chars().count() + 1))
+        Some((
+            &segment.name,
+            before.matches('\n').count() + 1,
+            line.chars().count() + 1,
+        ))
     }
 
     /// `file:line:column`.
     pub fn say(&self, place: usize) -> String {
-        self.line(place).map_or_else(String::new, |(file, line, column)| format!("{file}:{line}:{column}"))
+        self.line(place)
+            .map_or_else(String::new, |(file, line, column)| {
+                format!("{file}:{line}:{column}")
+            })
     }
 
     /// Where a file begins.
     pub fn of_file(&self, name: &str) -> usize {
-        self.stretches.iter().find(|s| &*s.name == name).map_or(0, |s| s.start)
+        self.stretches
+            .iter()
+            .find(|s| &*s.name == name)
+            .map_or(0, |s| s.start)
     }
 
     /// The start of the stretch that holds a place.
@@ -244,7 +285,8 @@
 
 /// Moves all places in a node.
 pub fn shift(node: &mut KdlNode, by: isize) {
-    let moved = |s: SourceSpan| -> SourceSpan { (s.offset().saturating_add_signed(by), s.len()).into() };
+    let moved =
+        |s: SourceSpan| -> SourceSpan { (s.offset().saturating_add_signed(by), s.len()).into() };
     let span = moved(node.span());
     node.set_span(span);
     let span = moved(node.name().span());
--- a/crates/configuration/tests/collection.rs
+++ b/crates/configuration/tests/collection.rs
@@ -30,7 +30,13 @@
                     files.insert(name.trim().into(), body.into());
                 }
             }
-            Case { code, place, part: words.next().unwrap_or_default(), files: Memory(files), text }
+            Case {
+                code,
+                place,
+                part: words.next().unwrap_or_default(),
+                files: Memory(files),
+                text,
+            }
         })
         .collect()
 }
@@ -41,9 +47,15 @@
         format!("{} {help} {} in {}", p.message, p.see.join(" "), p.file)
     };
     let hit = found.iter().find(|p| {
-        p.code == case.code && format!("{}:{}", p.line, p.column) == case.place && said(p).contains(case.part)
+        p.code == case.code
+            && format!("{}:{}", p.line, p.column) == case.place
+            && said(p).contains(case.part)
     });
-    let all = || found.iter().map(|p| format!("  {} {}:{} {}", p.code, p.line, p.column, said(p)));
+    let all = || {
+        found
+            .iter()
+            .map(|p| format!("  {} {}:{} {}", p.code, p.line, p.column, said(p)))
+    };
     match hit {
         Some(p) if explain::explain(p.code).is_some() => Ok(()),
         Some(p) => Err(format!("{} is not explained", p.code)),
@@ -60,11 +72,16 @@
 
 #[test]
 fn each_is_named_with_its_place() {
-    let (broken, doubtful) = include_str!("collection.txt").split_once("### WARNINGS\n").unwrap();
+    let (broken, doubtful) = include_str!("collection.txt")
+        .split_once("### WARNINGS\n")
+        .unwrap();
     let (broken, doubtful) = (cases(broken), cases(doubtful));
     let mut wrong = Vec::new();
     for c in &broken {
-        let found = load(&c.files, "main.kdl").err().map(|e| e.problems).unwrap_or_default();
+        let found = load(&c.files, "main.kdl")
+            .err()
+            .map(|e| e.problems)
+            .unwrap_or_default();
         wrong.extend(judge(c, &found).err());
     }
     for c in &doubtful {
@@ -77,8 +94,18 @@
             c.text
         );
     }
-    assert!(wrong.is_empty(), "{} of them:\n{}", wrong.len(), wrong.join("\n\n"));
-    assert!(load(&Memory([("b".into(), BASE.into())].into()), "b").unwrap().1.is_empty());
+    assert!(
+        wrong.is_empty(),
+        "{} of them:\n{}",
+        wrong.len(),
+        wrong.join("\n\n")
+    );
+    assert!(
+        load(&Memory([("b".into(), BASE.into())].into()), "b")
+            .unwrap()
+            .1
+            .is_empty()
+    );
     // So many, and no two alike.
     for (cases, least) in [(&broken, 120), (&doubtful, 40)] {
         let mut texts: Vec<_> = cases.iter().map(|c| c.text).collect();
--- a/crates/configuration/tests/diff.rs
+++ b/crates/configuration/tests/diff.rs
@@ -7,7 +7,10 @@
 fn values_stand_as_an_earlier_version_wrote_them() {
     let old = parse("old.kdl", include_str!("diff/old.kdl")).unwrap();
     let new = parse("new.kdl", include_str!("diff/new.kdl")).unwrap();
-    let changes: Vec<_> = diff(&old, &new).iter().map(|c| serde_json::to_string(c).unwrap()).collect();
+    let changes: Vec<_> = diff(&old, &new)
+        .iter()
+        .map(|c| serde_json::to_string(c).unwrap())
+        .collect();
     let expected: Vec<_> = include_str!("diff/changes.jsonl").lines().collect();
     assert_eq!(changes, expected);
 }
--- a/crates/configuration/tests/documents.rs
+++ b/crates/configuration/tests/documents.rs
@@ -26,13 +26,22 @@
     let d = parse("sound.kdl", SOUND).unwrap();
     let f = d.config(HostId(1));
     assert_eq!((f.me, f.hosts, f.max_attempts), (HostId(1), 2, 3));
-    assert_eq!((f.tick, f.slow_start.window), (Span::from_millis(20.0), Span::from_millis(1500.0)));
+    assert_eq!(
+        (f.tick, f.slow_start.window),
+        (Span::from_millis(20.0), Span::from_millis(1500.0))
+    );
     assert_eq!(
         f.request_classes[1].idempotency,
-        Idempotency::WithKey { scope: IdempotencyScope::Shard, window: Span::from_millis(5000.0) }
+        Idempotency::WithKey {
+            scope: IdempotencyScope::Shard,
+            window: Span::from_millis(5000.0)
+        }
     );
     assert!(f.request_classes[1].in_order && d.request_classes[1].write);
-    assert_eq!(f.plans[0].limit.map(|l| (l.rate, l.burst)), Some((40.0, 64.0)));
+    assert_eq!(
+        f.plans[0].limit.map(|l| (l.rate, l.burst)),
+        Some((40.0, 64.0))
+    );
     assert_eq!(*d.volumes[0].hosts, [HostId(0), HostId(1)]);
     assert_eq!(d.volumes[1].hosts.len(), 2, "none stated: all");
     assert_eq!(d.volume("v1").unwrap().id.0 >> 48, 0, "six bytes travel");
@@ -43,28 +52,168 @@
 fn what_is_wrong_is_named_with_its_place() {
     // what is replaced in the sound document, by what, code, line, column, a part of message or help
     let cases = [
-        ("slo=\"150ms\"", "slo=150", "wrong-kind", 6, 40, "with its unit"),
+        (
+            "slo=\"150ms\"",
+            "slo=150",
+            "wrong-kind",
+            6,
+            40,
+            "with its unit",
+        ),
         ("slo=\"150ms\"", "slo=\"150\"", "wrong-kind", 6, 40, "span"),
-        ("slo=\"150ms\"", "slow=\"150ms\"", "unknown-key", 6, 40, "did you mean `slo`"),
-        ("slo=\"150ms\"", "slo=\"3s\"", "slo-past-expiry", 6, 1, "longer than the expiry"),
-        ("effect=\"repeatable\"", "effect=\"repeatible\"", "unknown-word", 6, 20, "`repeatable`"),
-        ("effect=\"repeatable\"", "effect=\"repeatable\" group=\"all\"", "contradiction", 6, 40, "keyed"),
+        (
+            "slo=\"150ms\"",
+            "slow=\"150ms\"",
+            "unknown-key",
+            6,
+            40,
+            "did you mean `slo`",
+        ),
+        (
+            "slo=\"150ms\"",
+            "slo=\"3s\"",
+            "slo-past-expiry",
+            6,
+            1,
+            "longer than the expiry",
+        ),
+        (
+            "effect=\"repeatable\"",
+            "effect=\"repeatible\"",
+            "unknown-word",
+            6,
+            20,
+            "`repeatable`",
+        ),
+        (
+            "effect=\"repeatable\"",
+            "effect=\"repeatable\" group=\"all\"",
+            "contradiction",
+            6,
+            40,
+            "keyed",
+        ),
         ("expiry=\"1.2s\"", "", "missing", 6, 1, "`expiry`"),
-        ("first-part=0.2", "first-part=20", "wrong-kind", 4, 29, "0 to 1"),
-        ("first-part=0.2", "first-part=\"20ms\"", "wrong-kind", 4, 29, "30%"),
-        ("first-part=0.2", "first-part=\"120%\"", "wrong-kind", 4, 29, "0 to 1"),
-        ("list address", "bounds held-bytes=5\nlist address", "wrong-kind", 14, 8, "with their unit"),
-        ("list address", "bounds held-bytes=\"5\"\nlist address", "wrong-kind", 14, 8, "with their unit"),
-        ("list address", "bounds held-bytes=\"5s\"\nlist address", "wrong-kind", 14, 8, "64KiB"),
-        ("list address", "bounds held-bytes=\"-5MB\"\nlist address", "wrong-kind", 14, 8, "64KiB"),
-        ("list address", "bounds connect=\"5MB\"\nlist address", "wrong-kind", 14, 8, "a span is written"),
-        ("list address", "bounds connect=\"9999999999h\"\nlist address", "wrong-kind", 14, 8, "a span"),
-        ("limit=\"40units/s\"", "limit=#nan", "wrong-kind", 8, 13, "a rate is written"),
-        ("limit=\"40units/s\"", "limit=40", "wrong-kind", 8, 13, "with its unit"),
-        ("limit=\"40units/s\"", "limit=\"NaNunits/s\"", "wrong-kind", 8, 13, "a rate"),
-        ("limit=\"40units/s\"", "limit=\"infunits/s\"", "wrong-kind", 8, 13, "a rate"),
-        ("limit=\"40units/s\"", "limit=\"-1units/s\"", "wrong-kind", 8, 13, "at least"),
-        ("limit=\"40units/s\"", "limit=\"1MiB/s\"", "no-unit", 8, 13, "unit=\"64KiB\""),
+        (
+            "first-part=0.2",
+            "first-part=20",
+            "wrong-kind",
+            4,
+            29,
+            "0 to 1",
+        ),
+        (
+            "first-part=0.2",
+            "first-part=\"20ms\"",
+            "wrong-kind",
+            4,
+            29,
+            "30%",
+        ),
+        (
+            "first-part=0.2",
+            "first-part=\"120%\"",
+            "wrong-kind",
+            4,
+            29,
+            "0 to 1",
+        ),
+        (
+            "list address",
+            "bounds held-bytes=5\nlist address",
+            "wrong-kind",
+            14,
+            8,
+            "with their unit",
+        ),
+        (
+            "list address",
+            "bounds held-bytes=\"5\"\nlist address",
+            "wrong-kind",
+            14,
+            8,
+            "with their unit",
+        ),
+        (
+            "list address",
+            "bounds held-bytes=\"5s\"\nlist address",
+            "wrong-kind",
+            14,
+            8,
+            "64KiB",
+        ),
+        (
+            "list address",
+            "bounds held-bytes=\"-5MB\"\nlist address",
+            "wrong-kind",
+            14,
+            8,
+            "64KiB",
+        ),
+        (
+            "list address",
+            "bounds connect=\"5MB\"\nlist address",
+            "wrong-kind",
+            14,
+            8,
+            "a span is written",
+        ),
+        (
+            "list address",
+            "bounds connect=\"9999999999h\"\nlist address",
+            "wrong-kind",
+            14,
+            8,
+            "a span",
+        ),
+        (
+            "limit=\"40units/s\"",
+            "limit=#nan",
+            "wrong-kind",
+            8,
+            13,
+            "a rate is written",
+        ),
+        (
+            "limit=\"40units/s\"",
+            "limit=40",
+            "wrong-kind",
+            8,
+            13,
+            "with its unit",
+        ),
+        (
+            "limit=\"40units/s\"",
+            "limit=\"NaNunits/s\"",
+            "wrong-kind",
+            8,
+            13,
+            "a rate",
+        ),
+        (
+            "limit=\"40units/s\"",
+            "limit=\"infunits/s\"",
+            "wrong-kind",
+            8,
+            13,
+            "a rate",
+        ),
+        (
+            "limit=\"40units/s\"",
+            "limit=\"-1units/s\"",
+            "wrong-kind",
+            8,
+            13,
+            "at least",
+        ),
+        (
+            "limit=\"40units/s\"",
+            "limit=\"1MiB/s\"",
+            "no-unit",
+            8,
+            13,
+            "unit=\"64KiB\"",
+        ),
         (
             "usual=\"10units/s\"",
             "usual=\"10units/s\" reserve=\"60units/s\"",
@@ -73,15 +222,64 @@
             1,
             "under the reserve",
         ),
-        ("burst=64", "burst=31", "burst-too-small", 15, 1, "32 or more"),
-        ("host \"h2\"", "host \"h1\"", "twice", 12, 1, "second `host`"),
-        ("\"h1\" \"h2\"", "\"h1\" \"h3\"", "unknown-name", 15, 38, "did you mean"),
+        (
+            "burst=64",
+            "burst=31",
+            "burst-too-small",
+            15,
+            1,
+            "32 or more",
+        ),
+        (
+            "host \"h2\"",
+            "host \"h1\"",
+            "twice",
+            12,
+            1,
+            "second `host`",
+        ),
+        (
+            "\"h1\" \"h2\"",
+            "\"h1\" \"h3\"",
+            "unknown-name",
+            15,
+            38,
+            "did you mean",
+        ),
         ("\"h1\" \"h2\"", "\"h1\" \"h1\"", "twice", 15, 38, "twice"),
-        ("plan=\"gold\"", "plan=\"golt\"", "unknown-name", 16, 13, "did you mean `gold`"),
+        (
+            "plan=\"gold\"",
+            "plan=\"golt\"",
+            "unknown-name",
+            16,
+            13,
+            "did you mean `gold`",
+        ),
         ("cell=0", "cell=\"0\"", "wrong-kind", 13, 11, "number"),
-        ("list address", "lost address", "unknown-node", 14, 1, "`list`"),
-        ("zone=\"a\" address=\"127.0.0.1:7001\"", "", "missing", 11, 1, "`zone`"),
-        ("volume \"v2\" plan=\"gold\"", "volume \"v2\" plan=\"gold\" {", "syntax", 16, 25, ""),
+        (
+            "list address",
+            "lost address",
+            "unknown-node",
+            14,
+            1,
+            "`list`",
+        ),
+        (
+            "zone=\"a\" address=\"127.0.0.1:7001\"",
+            "",
+            "missing",
+            11,
+            1,
+            "`zone`",
+        ),
+        (
+            "volume \"v2\" plan=\"gold\"",
+            "volume \"v2\" plan=\"gold\" {",
+            "syntax",
+            16,
+            25,
+            "",
+        ),
     ];
     for (old, new, code, line, column, part) in cases {
         assert!(SOUND.contains(old), "{old}");
@@ -97,8 +295,16 @@
 
 #[test]
 fn all_problems_come_in_one_go() {
-    let text = SOUND.replace("slo=\"150ms\"", "slo=1").replace("plan=\"gold\"", "plan=\"x\"");
+    let text = SOUND
+        .replace("slo=\"150ms\"", "slo=1")
+        .replace("plan=\"gold\"", "plan=\"x\"");
     let problems = parse("broken.kdl", &text).unwrap_err();
-    assert_eq!(problems.problems.iter().map(|p| p.code).collect::<Vec<_>>(), ["wrong-kind", "unknown-name"]);
-    assert!(problems.to_string().contains("2 problems in broken.kdl"), "{problems}");
+    assert_eq!(
+        problems.problems.iter().map(|p| p.code).collect::<Vec<_>>(),
+        ["wrong-kind", "unknown-name"]
+    );
+    assert!(
+        problems.to_string().contains("2 problems in broken.kdl"),
+        "{problems}"
+    );
 }
--- a/crates/configuration/tests/files.rs
+++ b/crates/configuration/tests/files.rs
@@ -33,9 +33,18 @@
         Ok((_, warnings)) => warnings,
         Err(e) => e.problems,
     };
-    let say =
-        |p: &Problem| format!("{} {} {}", p.message, p.help.clone().unwrap_or_default(), p.see.join(" "));
-    problems.iter().map(|p| (p.code, p.file.clone(), p.line, p.column, say(p))).collect()
+    let say = |p: &Problem| {
+        format!(
+            "{} {} {}",
+            p.message,
+            p.help.clone().unwrap_or_default(),
+            p.see.join(" ")
+        )
+    };
+    problems
+        .iter()
+        .map(|p| (p.code, p.file.clone(), p.line, p.column, say(p)))
+        .collect()
 }
 
 #[test]
@@ -63,8 +72,19 @@
     let (d, warnings) = load(&files(&format!("{text}{REST}")), "main.kdl").unwrap();
     assert!(warnings.is_empty(), "{warnings:?}");
     let names: Vec<_> = d.volumes.iter().map(|v| v.name.as_str()).collect();
-    assert_eq!(names, ["zeroth", "first", "second", "desk-a", "desk-b", "other-a", "other-b"]);
-    assert_eq!((d.plans[d.volumes[5].plan.0].name.as_str(), d.volumes[5].hosts.len()), ("q", 1));
+    assert_eq!(
+        names,
+        [
+            "zeroth", "first", "second", "desk-a", "desk-b", "other-a", "other-b"
+        ]
+    );
+    assert_eq!(
+        (
+            d.plans[d.volumes[5].plan.0].name.as_str(),
+            d.volumes[5].hosts.len()
+        ),
+        ("q", 1)
+    );
 }
 
 #[test]
@@ -81,11 +101,46 @@
             11,
             "b.kdl -> c.kdl -> d.kdl -> b.kdl",
         ),
-        ("== main.kdl\ninclude \"main.kdl\"\n", "loop", "main.kdl", 1, 9, "main.kdl -> main.kdl"),
-        ("== main.kdl\ninclude \"rest.kdl\" \"nowhere.kdl\"\n", "file", "main.kdl", 1, 20, "no such file"),
-        ("== main.kdl\ninclude \"rest.kdl\" \"none/*.kdl\"\n", "file", "main.kdl", 1, 20, "no file matches"),
-        ("== main.kdl\ninclude \"rest.kdl\" \"[.kdl\"\n", "file", "main.kdl", 1, 20, "[.kdl"),
-        ("== main.kdl\ninclude \"../x.kdl\"\n", "outside", "main.kdl", 1, 9, "leads out"),
+        (
+            "== main.kdl\ninclude \"main.kdl\"\n",
+            "loop",
+            "main.kdl",
+            1,
+            9,
+            "main.kdl -> main.kdl",
+        ),
+        (
+            "== main.kdl\ninclude \"rest.kdl\" \"nowhere.kdl\"\n",
+            "file",
+            "main.kdl",
+            1,
+            20,
+            "no such file",
+        ),
+        (
+            "== main.kdl\ninclude \"rest.kdl\" \"none/*.kdl\"\n",
+            "file",
+            "main.kdl",
+            1,
+            20,
+            "no file matches",
+        ),
+        (
+            "== main.kdl\ninclude \"rest.kdl\" \"[.kdl\"\n",
+            "file",
+            "main.kdl",
+            1,
+            20,
+            "[.kdl",
+        ),
+        (
+            "== main.kdl\ninclude \"../x.kdl\"\n",
+            "outside",
+            "main.kdl",
+            1,
+            9,
+            "leads out",
+        ),
         (
             "== main.kdl\ninclude \"a/b.kdl\"\n== a/b.kdl\ninclude \"../../x.kdl\"\n",
             "outside",
@@ -94,10 +149,38 @@
             9,
             "",
         ),
-        ("== main.kdl\ninclude \"/etc/x.kdl\"\n", "outside", "main.kdl", 1, 9, "leads out"),
-        ("== main.kdl\ninclude 5\n", "wrong-kind", "main.kdl", 1, 9, "a text"),
-        ("== main.kdl\ninclude\n", "missing", "main.kdl", 1, 1, "needs a file"),
-        ("== main.kdl\ninclude \"rest.kdl\" x=1\n", "unknown-key", "main.kdl", 1, 20, "has no `x`"),
+        (
+            "== main.kdl\ninclude \"/etc/x.kdl\"\n",
+            "outside",
+            "main.kdl",
+            1,
+            9,
+            "leads out",
+        ),
+        (
+            "== main.kdl\ninclude 5\n",
+            "wrong-kind",
+            "main.kdl",
+            1,
+            9,
+            "a text",
+        ),
+        (
+            "== main.kdl\ninclude\n",
+            "missing",
+            "main.kdl",
+            1,
+            1,
+            "needs a file",
+        ),
+        (
+            "== main.kdl\ninclude \"rest.kdl\" x=1\n",
+            "unknown-key",
+            "main.kdl",
+            1,
+            20,
+            "has no `x`",
+        ),
         // A duplicate that an include hides says where the first stands.
         (
             "== main.kdl\ninclude \"rest.kdl\"\nhost \"h1\" zone=\"a\"\n",
@@ -190,7 +273,14 @@
             1,
             "main.kdl:2:1",
         ),
-        ("== main.kdl\ninclude \"rest.kdl\"\ntemplate \"t\"\n", "missing", "main.kdl", 2, 1, "holds nothing"),
+        (
+            "== main.kdl\ninclude \"rest.kdl\"\ntemplate \"t\"\n",
+            "missing",
+            "main.kdl",
+            2,
+            1,
+            "holds nothing",
+        ),
         // Warnings.
         (
             "== main.kdl\ninclude \"rest.kdl\"\ntemplate \"t\" {\n  plan \"z\"\n}\n",
@@ -273,11 +363,18 @@
         } else {
             text.replacen("\n== ", &format!("\n{V}== "), 1)
         };
-        let text = if text.contains("volume") { text } else { text + V };
+        let text = if text.contains("volume") {
+            text
+        } else {
+            text + V
+        };
         let all = found(&text);
         let place = (*code, file.to_string(), *line, *column);
         let hit = all.iter().find(|f| (f.0, f.1.clone(), f.2, f.3) == place);
-        assert!(hit.is_some_and(|f| f.4.contains(part)), "{place:?} {part}\n{all:#?}\n{text}");
+        assert!(
+            hit.is_some_and(|f| f.4.contains(part)),
+            "{place:?} {part}\n{all:#?}\n{text}"
+        );
         assert!(explain::explain(code).is_some(), "{code}");
     }
 }
@@ -298,7 +395,10 @@
     std::fs::create_dir(&root).unwrap();
     let write = |name: &str, bytes: &[u8]| std::fs::write(root.join(name), bytes).unwrap();
     write("bytes.kdl", b"zone \"a\"\nzone \"\xff\"\n");
-    std::fs::File::create(root.join("huge.kdl")).unwrap().set_len(100 << 20).unwrap();
+    std::fs::File::create(root.join("huge.kdl"))
+        .unwrap()
+        .set_len(100 << 20)
+        .unwrap();
     std::fs::write(dir.path().join("secret.kdl"), "zone \"s\"").unwrap();
     std::os::unix::fs::symlink(dir.path().join("secret.kdl"), root.join("link.kdl")).unwrap();
     let files = Files::new(&root).unwrap();
@@ -310,27 +410,53 @@
     ] {
         write("main.kdl", format!("include \"{name}\"\n").as_bytes());
         let e = load(&files, "main.kdl").unwrap_err();
-        let p = e.problems.iter().find(|p| p.code == code && p.message.contains(says));
-        assert!(p.is_some_and(|p| (p.line, p.column) == (1, 9)), "{name}: {:?}", e.problems);
+        let p = e
+            .problems
+            .iter()
+            .find(|p| p.code == code && p.message.contains(says));
+        assert!(
+            p.is_some_and(|p| (p.line, p.column) == (1, 9)),
+            "{name}: {:?}",
+            e.problems
+        );
     }
     // Nesting that would blow the parser's stack.
     for deep in ["a {", "/* ", "a (b)(c) { "] {
         write("deep.kdl", deep.repeat(100_000).as_bytes());
         let e = load(&files, "deep.kdl").unwrap_err();
-        assert!(e.problems.iter().any(|p| p.code == "too-deep"), "{:?}", e.problems);
+        assert!(
+            e.problems.iter().any(|p| p.code == "too-deep"),
+            "{:?}",
+            e.problems
+        );
         assert!(format(&deep.repeat(100_000)).is_err());
     }
     // Braces in texts and comments nest nothing.
-    write("flat.kdl", std::format!("zone \"{0}\" // {0}\n", "{".repeat(500)).as_bytes());
-    assert!(load(&files, "flat.kdl").unwrap_err().problems.iter().all(|p| p.code == "missing"));
+    write(
+        "flat.kdl",
+        std::format!("zone \"{0}\" // {0}\n", "{".repeat(500)).as_bytes(),
+    );
+    assert!(
+        load(&files, "flat.kdl")
+            .unwrap_err()
+            .problems
+            .iter()
+            .all(|p| p.code == "missing")
+    );
 }
 
 #[test]
 fn formatting_keeps_meaning_and_comments() {
     let cases = [
-        ("plan   \"p\"   limit=\"5units/s\"  // why\n", "plan p limit=\"5units/s\" // why\n"),
+        (
+            "plan   \"p\"   limit=\"5units/s\"  // why\n",
+            "plan p limit=\"5units/s\" // why\n",
+        ),
         ("// first\r\nzone \"a\"\r\n", "// first\nzone a\n"),
-        ("volume \"v\" plan=\"p\" {hosts \"h1\";}\n", "volume v plan=p {\n    hosts h1\n}\n"),
+        (
+            "volume \"v\" plan=\"p\" {hosts \"h1\";}\n",
+            "volume v plan=p {\n    hosts h1\n}\n",
+        ),
     ];
     for (text, wanted) in cases {
         let out = format(text).unwrap();
@@ -338,7 +464,10 @@
         assert_eq!(format(&out).unwrap(), out);
     }
     let lost = format("plan \"p\" /* here */ limit=\"5units/s\"\n").unwrap_err();
-    assert!(lost.contains("line 1") && lost.contains("/* here */"), "{lost}");
+    assert!(
+        lost.contains("line 1") && lost.contains("/* here */"),
+        "{lost}"
+    );
     let broken = format("zone \"a\"\nplan \"p\" {\n").unwrap_err();
     assert!(broken.starts_with("line "), "{broken}");
 }
@@ -357,31 +486,70 @@
     // the new document, what changed, its class
     let cases = [
         (base.clone(), vec![]),
-        (document(120, "\"h1\" \"h2\"", shards), vec![("plan \"p\"", "limit", Class::Safe)]),
-        (document(80, "\"h1\" \"h2\"", shards), vec![("plan \"p\"", "limit", Class::Safe)]),
-        (document(50, "\"h1\" \"h2\"", shards), vec![("plan \"p\"", "limit", Class::Dangerous)]),
-        (document(100, "\"h1\"", shards), vec![("volume \"v\"", "hosts", Class::Dangerous)]),
-        (document(100, "\"h1\" \"h2\" \"h3\"", shards), vec![("volume \"v\"", "hosts", Class::Safe)]),
+        (
+            document(120, "\"h1\" \"h2\"", shards),
+            vec![("plan \"p\"", "limit", Class::Safe)],
+        ),
+        (
+            document(80, "\"h1\" \"h2\"", shards),
+            vec![("plan \"p\"", "limit", Class::Safe)],
+        ),
+        (
+            document(50, "\"h1\" \"h2\"", shards),
+            vec![("plan \"p\"", "limit", Class::Dangerous)],
+        ),
+        (
+            document(100, "\"h1\"", shards),
+            vec![("volume \"v\"", "hosts", Class::Dangerous)],
+        ),
+        (
+            document(100, "\"h1\" \"h2\" \"h3\"", shards),
+            vec![("volume \"v\"", "hosts", Class::Safe)],
+        ),
         (document(100, "\"h2\" \"h1\"", shards), vec![]),
         (
             document(100, "\"h1\" \"h2\"", "node \"n1\" cell=1\n"),
-            vec![("node \"n2\"", "place", Class::Safe), ("cell 2", "nodes", Class::Dangerous)],
+            vec![
+                ("node \"n2\"", "place", Class::Safe),
+                ("cell 2", "nodes", Class::Dangerous),
+            ],
+        ),
+        (
+            base.replace("slo=\"1s\"", "slo=\"900ms\""),
+            vec![("stream-type \"r\"", "figures", Class::Restart)],
+        ),
+        (
+            base.replace("repeatable", "unrepeatable"),
+            vec![("stream-type \"r\"", "effect", Class::Dangerous)],
+        ),
+        (
+            base.replace("host \"h3\"\n", ""),
+            vec![("host \"h3\"", "place", Class::Dangerous)],
+        ),
+        (
+            base.clone() + "rules tick=\"5ms\"\n",
+            vec![("rules", "tick", Class::Restart)],
+        ),
+        (
+            base.clone() + "volume \"w\" plan=\"p\"\n",
+            vec![("volume \"w\"", "volume", Class::Safe)],
         ),
-        (base.replace("slo=\"1s\"", "slo=\"900ms\""), vec![("stream-type \"r\"", "figures", Class::Restart)]),
-        (base.replace("repeatable", "unrepeatable"), vec![("stream-type \"r\"", "effect", Class::Dangerous)]),
-        (base.replace("host \"h3\"\n", ""), vec![("host \"h3\"", "place", Class::Dangerous)]),
-        (base.clone() + "rules tick=\"5ms\"\n", vec![("rules", "tick", Class::Restart)]),
-        (base.clone() + "volume \"w\" plan=\"p\"\n", vec![("volume \"w\"", "volume", Class::Safe)]),
         (
             base.replace("volume \"v\"", "volume \"x\""),
-            vec![("volume \"v\"", "volume", Class::Dangerous), ("volume \"x\"", "volume", Class::Safe)],
+            vec![
+                ("volume \"v\"", "volume", Class::Dangerous),
+                ("volume \"x\"", "volume", Class::Safe),
+            ],
         ),
     ];
     let old = parse("old.kdl", &base).unwrap();
     for (text, wanted) in cases {
         let new = parse("new.kdl", &text).unwrap_or_else(|e| panic!("{:?}", e.problems));
         let found = diff(&old, &new);
-        let found: Vec<_> = found.iter().map(|c| (c.of.as_str(), c.what.as_str(), c.class)).collect();
+        let found: Vec<_> = found
+            .iter()
+            .map(|c| (c.of.as_str(), c.what.as_str(), c.class))
+            .collect();
         assert_eq!(found, wanted, "{text}");
     }
 }
@@ -392,7 +560,8 @@
     let end = prop_oneof![Just("\n"), Just(";"), Just(" // said\n"), Just("\n\n\n")];
     let volume = (0u32..50, 1u32..4, gap, end);
     proptest::collection::vec(volume, 1..12).prop_map(|volumes| {
-        let mut text = String::from("host \"h1\"\nhost \"h2\" ; host \"h3\"\n/* a note */ plan \"p\"\n");
+        let mut text =
+            String::from("host \"h1\"\nhost \"h2\" ; host \"h3\"\n/* a note */ plan \"p\"\n");
         for (place, (plan, hosts, gap, end)) in volumes.into_iter().enumerate() {
             let hosts: String = (1..=hosts).map(|h| format!(" \"h{h}\"")).collect();
             text += &format!("plan{gap}\"p{place}\"{gap}reserve=\"{plan}units/s\"{end}");
@@ -436,23 +605,42 @@
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let read = |path: &std::path::Path| std::fs::read_to_string(path).unwrap();
     let mut all = Vec::new();
-    for (folder, firsts) in
-        [("examples/town", vec!["town.kdl"]), ("examples/studio", vec!["studio.kdl", "studio-3.kdl"])]
-    {
+    for (folder, firsts) in [
+        ("examples/town", vec!["town.kdl"]),
+        ("examples/studio", vec!["studio.kdl", "studio-3.kdl"]),
+    ] {
         let folder = root.join(folder);
-        let found = glob::glob(&folder.join("**/*.kdl").to_string_lossy()).unwrap().flatten();
-        let name = |p: &std::path::Path| p.strip_prefix(&folder).unwrap().to_string_lossy().into_owned();
+        let found = glob::glob(&folder.join("**/*.kdl").to_string_lossy())
+            .unwrap()
+            .flatten();
+        let name = |p: &std::path::Path| {
+            p.strip_prefix(&folder)
+                .unwrap()
+                .to_string_lossy()
+                .into_owned()
+        };
         let files: BTreeMap<_, _> = found.map(|p| (name(&p), read(&p))).collect();
-        all.extend(firsts.into_iter().map(|first| (first.to_string(), Memory(files.clone()))));
+        all.extend(
+            firsts
+                .into_iter()
+                .map(|first| (first.to_string(), Memory(files.clone()))),
+        );
     }
     let days = root.join("crates/scenario/days");
     let (fleet, many) = (read(&days.join("fleet.kdl")), read(&days.join("many.kdl")));
-    let scripts = glob::glob(&days.join("*.kdl").to_string_lossy()).unwrap().flatten();
+    let scripts = glob::glob(&days.join("*.kdl").to_string_lossy())
+        .unwrap()
+        .flatten();
     for script in scripts.filter(|p| !p.ends_with("fleet.kdl") && !p.ends_with("many.kdl")) {
-        let of_many = ["budget-many", "budget-sixty"].iter().any(|n| script.to_string_lossy().contains(n));
+        let of_many = ["budget-many", "budget-sixty"]
+            .iter()
+            .any(|n| script.to_string_lossy().contains(n));
         let hosts = if of_many { &many } else { &fleet };
         let text = format!("{hosts}\n{}", read(&script));
-        all.push(("day.kdl".into(), Memory([("day.kdl".to_string(), text)].into())));
+        all.push((
+            "day.kdl".into(),
+            Memory([("day.kdl".to_string(), text)].into()),
+        ));
     }
     assert!(all.len() > 20);
     all
@@ -464,17 +652,24 @@
     for (first, files) in shipped() {
         let (a, warnings) = load(&files, &first).unwrap_or_else(|e| panic!("{:?}", e.problems));
         assert!(warnings.is_empty(), "{first}: {warnings:?}");
-        let formatted = files.0.iter().map(|(name, text)| (name.clone(), format(text).unwrap()));
+        let formatted = files
+            .0
+            .iter()
+            .map(|(name, text)| (name.clone(), format(text).unwrap()));
         let formatted: BTreeMap<_, _> = formatted.collect();
         for (name, text) in &formatted {
             assert_eq!(&format(text).unwrap(), text, "{name}");
             // Days' texts are put together of two, and keep their columns.
-            assert!(name == "day.kdl" || files.0[name] == *text, "{name} is not formatted");
+            assert!(
+                name == "day.kdl" || files.0[name] == *text,
+                "{name} is not formatted"
+            );
         }
         let (b, _) = load(&Memory(formatted), &first).unwrap();
         assert_eq!(diff(&a, &b), vec![], "{first}");
         assert!(
-            first == "day.kdl" || (a.hosts.len() == 200 && a.nodes.iter().filter(|n| !n.spare).count() == 60)
+            first == "day.kdl"
+                || (a.hosts.len() == 200 && a.nodes.iter().filter(|n| !n.spare).count() == 60)
         );
     }
 }
@@ -507,17 +702,28 @@
     for (asked, late) in [("b.kdl", true), ("a.kdl", false), ("never.kdl", false)] {
         let dir = tempfile::tempdir().unwrap();
         let write = |name: &str, text: &str| std::fs::write(dir.path().join(name), text).unwrap();
-        write("main.kdl", "include \"a.kdl\" \"b.kdl\" \"rest.kdl\"\nvolume \"x\" plan=\"old\"\n");
+        write(
+            "main.kdl",
+            "include \"a.kdl\" \"b.kdl\" \"rest.kdl\"\nvolume \"x\" plan=\"old\"\n",
+        );
         write("a.kdl", "plan \"old\"\n");
         write("b.kdl", "plan \"r\"\n");
         write("rest.kdl", REST.split_once('\n').unwrap().1);
         let files = Files::new(dir.path()).unwrap();
-        let writes = (dir.path().join("a.kdl"), asked, "plan \"old\" // and longer\n");
+        let writes = (
+            dir.path().join("a.kdl"),
+            asked,
+            "plan \"old\" // and longer\n",
+        );
         let found = load(&Busy { files, writes }, "main.kdl");
         assert_eq!(found.is_err(), late, "{asked}");
         if let Err(e) = found {
             let p = &e.problems[0];
-            assert_eq!((p.code, p.file.as_str(), p.line), ("file", "a.kdl", 1), "{p}");
+            assert_eq!(
+                (p.code, p.file.as_str(), p.line),
+                ("file", "a.kdl", 1),
+                "{p}"
+            );
         }
     }
 }
--- a/crates/configuration/tests/fuzz.rs
+++ b/crates/configuration/tests/fuzz.rs
@@ -50,15 +50,22 @@
 /// Documents, and what is included beside each so that it is sound, or broken in one way only.
 fn corpus() -> Vec<(String, &'static str)> {
     let base = include_str!("base.kdl");
-    let (broken, doubtful) = include_str!("collection.txt").split_once("### WARNINGS").unwrap();
+    let (broken, doubtful) = include_str!("collection.txt")
+        .split_once("### WARNINGS")
+        .unwrap();
     let texts = |part: &'static str| {
-        part.split("### ").filter_map(|c| Some(c.split_once('\n')?.1)).filter(|t| !t.contains("== "))
+        part.split("### ")
+            .filter_map(|c| Some(c.split_once('\n')?.1))
+            .filter(|t| !t.contains("== "))
     };
     let mut all: Vec<(String, &str)> = texts(broken).map(|t| (t.to_string(), base)).collect();
     // Sound ones as often.
     for _ in 0..3 {
         all.extend(texts(doubtful).map(|t| (t.to_string(), base)));
-        all.push((include_str!("../../../examples/studio/studio-3.kdl").into(), ""));
+        all.push((
+            include_str!("../../../examples/studio/studio-3.kdl").into(),
+            "",
+        ));
         all.push((include_str!("../../scenario/days/fleet.kdl").into(), ""));
     }
     all
@@ -79,7 +86,10 @@
         // Often a change that leaves its form whole.
         if rng.random_bool(0.5) {
             let mut lines: Vec<&str> = text.lines().collect();
-            let (a, b) = (rng.random_range(0..=lines.len()), rng.random_range(0..=lines.len()));
+            let (a, b) = (
+                rng.random_range(0..=lines.len()),
+                rng.random_range(0..=lines.len()),
+            );
             if a < lines.len() && b < lines.len() {
                 lines.swap(a, b);
             }
@@ -89,7 +99,10 @@
         }
         let (a, b) = (place(&text, rng), place(&text, rng));
         let (from, to) = (a.min(b), a.max(b).min(a.min(b) + 16));
-        let to = (from..=to).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(from);
+        let to = (from..=to)
+            .rev()
+            .find(|at| text.is_char_boundary(*at))
+            .unwrap_or(from);
         let piece = text[from..to].to_string();
         match rng.random_range(0..4) {
             0 => text.replace_range(from..to, ""),
@@ -104,8 +117,10 @@
 #[test]
 fn whatever_stands_there_is_read_to_its_end() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
-    let (cases, seed) =
-        (number("GULLSAIL_FUZZ_CASES").unwrap_or(1500), number("GULLSAIL_FUZZ_SEED").unwrap_or(7));
+    let (cases, seed) = (
+        number("GULLSAIL_FUZZ_CASES").unwrap_or(1500),
+        number("GULLSAIL_FUZZ_SEED").unwrap_or(7),
+    );
     let corpus = corpus();
     let (mut sound, mut broken) = (0, 0);
     for case in 0..cases {
@@ -114,13 +129,20 @@
         let text = changed(text, &mut rng);
         let main = format!("{text}\ninclude \"a.kdl\"\n");
         let files = |main: String| {
-            Memory(BTreeMap::from([("main.kdl".into(), main), ("a.kdl".into(), beside.to_string())]))
+            Memory(BTreeMap::from([
+                ("main.kdl".into(), main),
+                ("a.kdl".into(), beside.to_string()),
+            ]))
         };
         let problems = match load(&files(main.clone()), "main.kdl") {
             Ok((d, warnings)) => {
                 sound += 1;
                 if let Ok(formatted) = format::format(&main) {
-                    assert_eq!(format::format(&formatted).as_ref(), Ok(&formatted), "case {case}\n{main}");
+                    assert_eq!(
+                        format::format(&formatted).as_ref(),
+                        Ok(&formatted),
+                        "case {case}\n{main}"
+                    );
                     let (again, _) = load(&files(formatted), "main.kdl")
                         .unwrap_or_else(|e| panic!("case {case}: {:?}\n{main}", e.problems));
                     assert_eq!(diff(&d, &again), vec![], "case {case}\n{main}");
@@ -134,7 +156,11 @@
             }
         };
         for p in problems {
-            let of = if p.file == "a.kdl" { *beside } else { main.as_str() };
+            let of = if p.file == "a.kdl" {
+                *beside
+            } else {
+                main.as_str()
+            };
             assert!(
                 p.line <= of.matches('\n').count() + 1 && p.line >= 1 && p.column >= 1,
                 "case {case}: {p:?}"
@@ -142,10 +168,20 @@
             assert!(explain::explain(p.code).is_some(), "{}", p.code);
             assert!(
                 p.file != "main.kdl"
-                    || p.column <= of.lines().nth(p.line - 1).unwrap_or_default().chars().count() + 1
+                    || p.column
+                        <= of
+                            .lines()
+                            .nth(p.line - 1)
+                            .unwrap_or_default()
+                            .chars()
+                            .count()
+                            + 1
             );
         }
     }
     // Neither all broken nor all sound: both ways are gone.
-    assert!(sound * 20 > cases && broken * 2 > cases, "{sound} sound, {broken} broken");
+    assert!(
+        sound * 20 > cases && broken * 2 > cases,
+        "{sound} sound, {broken} broken"
+    );
 }
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -77,7 +77,14 @@
         sink: &Sink<K>,
         tasks: &mut JoinSet<()>,
     ) -> Link {
-        Link::open_within(stream, key, ReadLimits { bounds, room: None }, queue, sink, tasks)
+        Link::open_within(
+            stream,
+            key,
+            ReadLimits { bounds, room: None },
+            queue,
+            sink,
+            tasks,
+        )
     }
 
     /// The same with limits on what is read: frames that come in take their room first, where there is one.
@@ -92,14 +99,23 @@
         // Small frames must not wait for each other; a socket that refuses this is about to break anyway.
         let _ = stream.set_nodelay(true);
         // A machine that went away sends nothing more: without this its connection would stay open for ever.
-        let alive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE / 4);
+        let alive = TcpKeepalive::new()
+            .with_time(KEEPALIVE)
+            .with_interval(KEEPALIVE / 4);
         let _ = SockRef::from(&stream).set_tcp_keepalive(&alive);
         let (from, to) = stream.into_split();
         let (frames, queued) = mpsc::channel(queue);
         let (reading, may_read) = watch::channel(true);
         let events = sink.clone();
         tasks.spawn(async move {
-            let reader = Reader { from, key, limits, sink: &events, may_read, partial: None };
+            let reader = Reader {
+                from,
+                key,
+                limits,
+                sink: &events,
+                may_read,
+                partial: None,
+            };
             let why = reader.run().await;
             // The owner may be gone already.
             let _ = events.send((key, LinkEvent::Closed(why))).await;
@@ -108,10 +124,15 @@
         let gone = reading.subscribe();
         tasks.spawn(async move {
             if let Err(e) = writer::write(to, key, queued, gone, &events).await {
-                let _ = events.send((key, LinkEvent::Closed(format!("write: {e}")))).await;
+                let _ = events
+                    .send((key, LinkEvent::Closed(format!("write: {e}"))))
+                    .await;
             }
         });
-        Link { frames: Some(frames), reading }
+        Link {
+            frames: Some(frames),
+            reading,
+        }
     }
 
     /// Queues a frame.
@@ -128,7 +149,11 @@
     /// # Errors
     /// [`Full`]: the frame is not queued.
     pub fn send_by(&self, frame: Frame, until: Option<Instant>) -> Result<(), Full> {
-        self.frames.as_ref().ok_or(Full)?.try_send(QueuedFrame { frame, until }).map_err(|_| Full)
+        self.frames
+            .as_ref()
+            .ok_or(Full)?
+            .try_send(QueuedFrame { frame, until })
+            .map_err(|_| Full)
     }
 
     /// Writes what is queued and then ends this direction alone; reading goes on.
@@ -138,6 +163,7 @@
 
     /// Stops or goes on reading: back-pressure for the other side.
     pub fn reading(&self, on: bool) {
-        self.reading.send_if_modified(|was| std::mem::replace(was, on) != on);
+        self.reading
+            .send_if_modified(|was| std::mem::replace(was, on) != on);
     }
 }
--- a/crates/connections/src/reader.rs
+++ b/crates/connections/src/reader.rs
@@ -54,14 +54,21 @@
             if self.may_read.wait_for(|on| *on).await.is_err() {
                 return Err(CLOSED_HERE.into());
             }
-            let Some(frame) = decode(buf, self.limits.bounds).map_err(|broken| broken.to_string())? else {
+            let Some(frame) =
+                decode(buf, self.limits.bounds).map_err(|broken| broken.to_string())?
+            else {
                 return Ok(());
             };
             if let Some(room) = &self.limits.room {
                 room.take(frame.len()).await;
             }
             self.partial = None;
-            if self.sink.send((self.key, LinkEvent::Frame(frame))).await.is_err() {
+            if self
+                .sink
+                .send((self.key, LinkEvent::Frame(frame)))
+                .await
+                .is_err()
+            {
                 return Err("nobody listens".into());
             }
         }
@@ -70,10 +77,16 @@
     /// Takes room for a large frame of which a part has come. `Ok(false)`: the owner changed whether this is
     /// read, so begin again.
     async fn take_partial_room(&mut self, buf: &BytesMut) -> Result<bool, String> {
-        let Some(room) = self.limits.room.as_ref().filter(|room| room.bounds_partial_frames()) else {
+        let Some(room) = self
+            .limits
+            .room
+            .as_ref()
+            .filter(|room| room.bounds_partial_frames())
+        else {
             return Ok(true);
         };
-        let Some(whole) = announced(buf).filter(|whole| *whole > AHEAD && self.partial.is_none()) else {
+        let Some(whole) = announced(buf).filter(|whole| *whole > AHEAD && self.partial.is_none())
+        else {
             return Ok(true);
         };
         tokio::select! {
@@ -90,7 +103,11 @@
 
     /// Reads what has come, or waits until the owner changes whether this is read.
     async fn read(&mut self, buf: &mut BytesMut) -> Result<(), String> {
-        let stall_limit = self.limits.room.as_ref().and_then(|room| room.stall_limit());
+        let stall_limit = self
+            .limits
+            .room
+            .as_ref()
+            .and_then(|room| room.stall_limit());
         let stall_limit = stall_limit.unwrap_or(Duration::MAX);
         tokio::select! {
             read = self.from.read_buf(buf) => match read {
--- a/crates/connections/src/room.rs
+++ b/crates/connections/src/room.rs
@@ -25,7 +25,11 @@
     /// In bytes. A frame larger than all of it takes all of it.
     pub fn new(all: usize) -> Room {
         let all = all.clamp(1, u32::MAX as usize);
-        Room { free: Arc::new(Semaphore::new(all)), all, partial: None }
+        Room {
+            free: Arc::new(Semaphore::new(all)),
+            all,
+            partial: None,
+        }
     }
 
     /// For connections that others open: as much room again for frames beyond [`gullsail_protocol::AHEAD`]
@@ -33,7 +37,10 @@
     /// that makes no progress within such a frame for `stall_limit` is closed.
     pub fn of_strangers(&self, stall_limit: Duration) -> Room {
         let free = Arc::new(Semaphore::new(self.all));
-        Room { partial: Some(PartialFrames { free, stall_limit }), ..self.clone() }
+        Room {
+            partial: Some(PartialFrames { free, stall_limit }),
+            ..self.clone()
+        }
     }
 
     fn share(&self, bytes: usize) -> u32 {
@@ -56,7 +63,12 @@
     pub(crate) async fn take_partial(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let partial = self.partial.as_ref()?;
         // The semaphore is never closed.
-        partial.free.clone().acquire_many_owned(self.share(bytes)).await.ok()
+        partial
+            .free
+            .clone()
+            .acquire_many_owned(self.share(bytes))
+            .await
+            .ok()
     }
 
     /// How long a frame of which a part has come may make no progress.
--- a/crates/connections/src/writer.rs
+++ b/crates/connections/src/writer.rs
@@ -49,7 +49,11 @@
 }
 
 /// Writes all, however long the other side takes; once the link was dropped, for [`LINGER`] at most.
-async fn put(to: &mut OwnedWriteHalf, bytes: &Bytes, gone: &mut watch::Receiver<bool>) -> io::Result<()> {
+async fn put(
+    to: &mut OwnedWriteHalf,
+    bytes: &Bytes,
+    gone: &mut watch::Receiver<bool>,
+) -> io::Result<()> {
     let dropped = async {
         while gone.changed().await.is_ok() {}
         sleep(LINGER).await;
--- a/crates/connections/tests/until.rs
+++ b/crates/connections/tests/until.rs
@@ -11,7 +11,9 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_frame_is_not_written_after_its_time() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let there = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let there = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (here, _) = listener.accept().await.unwrap();
     let (sink, mut inbox) = mpsc::channel(16);
     let mut tasks = JoinSet::new();
@@ -20,14 +22,24 @@
     let now = Instant::now();
     let frames: Vec<_> = (1..=3).map(|id| Frame::from(Withdraw { id })).collect();
     let all: usize = frames.iter().map(Frame::len).sum();
-    let untils = [None, Some(now - Duration::from_millis(1)), Some(now + Duration::from_secs(60))];
+    let untils = [
+        None,
+        Some(now - Duration::from_millis(1)),
+        Some(now + Duration::from_secs(60)),
+    ];
     for (frame, until) in frames.into_iter().zip(untils) {
         from.send_by(frame, until).unwrap();
     }
     let (mut came, mut written) = (Vec::new(), 0);
     while came.len() < 2 || written < all {
         match inbox.recv().await.unwrap() {
-            (_, LinkEvent::Frame(Frame { message: Message::Withdraw(w), .. })) => came.push(w.id),
+            (
+                _,
+                LinkEvent::Frame(Frame {
+                    message: Message::Withdraw(w),
+                    ..
+                }),
+            ) => came.push(w.id),
             // It is off the sender's hands all the same.
             (_, LinkEvent::Written(bytes)) => written += bytes,
             (who, other) => panic!("{who}: {other:?}"),
--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -28,8 +28,11 @@
     let mut shares: Vec<u64> = demands.iter().map(|member| floor(member.host)).collect();
     let floors: u64 = shares.iter().sum();
     let mut rest = u64::from(WHOLE).saturating_sub(kept + floors);
-    let shortfall = |place: usize| u64::from(budget.least).saturating_sub(floor(demands[place].host));
-    let asking: Vec<usize> = (0..demands.len()).filter(|place| demands[*place].demand > 0.0).collect();
+    let shortfall =
+        |place: usize| u64::from(budget.least).saturating_sub(floor(demands[place].host));
+    let asking: Vec<usize> = (0..demands.len())
+        .filter(|place| demands[*place].demand > 0.0)
+        .collect();
     let needed: u64 = asking.iter().map(|place| shortfall(*place)).sum();
     if needed > rest {
         take_turns(&mut shares, &asking, shortfall, rest, turn);
@@ -40,8 +43,17 @@
         }
         divide_by_demand(&mut shares, demands, rest);
     }
-    let capped = shares.into_iter().map(|share| share.min(u64::from(WHOLE)) as u32);
-    demands.iter().zip(capped).map(|(member, share)| HostShare { host: member.host, share }).collect()
+    let capped = shares
+        .into_iter()
+        .map(|share| share.min(u64::from(WHOLE)) as u32);
+    demands
+        .iter()
+        .zip(capped)
+        .map(|(member, share)| HostShare {
+            host: member.host,
+            share,
+        })
+        .collect()
 }
 
 /// Too little to be split: some members hold one largest request's share now, others in the next turn.
@@ -69,7 +81,11 @@
     let total: f64 = demands.iter().map(|member| member.demand).sum();
     let even = if total > 0.0 { EVEN_PART } else { 1.0 };
     for (share, member) in shares.iter_mut().zip(demands) {
-        let by_demand = if total > 0.0 { (1.0 - even) * member.demand / total } else { 0.0 };
+        let by_demand = if total > 0.0 {
+            (1.0 - even) * member.demand / total
+        } else {
+            0.0
+        };
         *share += (rest as f64 * (even / demands.len() as f64 + by_demand)) as u64;
     }
 }
--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -40,7 +40,11 @@
 
     /// Floors and budgets are others from now on.
     pub fn config_changed(&mut self, config: &FleetConfig) {
-        self.sums = config.budgets.iter().map(|(id, budget)| (*id, budget.floors())).collect();
+        self.sums = config
+            .budgets
+            .iter()
+            .map(|(id, budget)| (*id, budget.floors()))
+            .collect();
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
         // Each entry is counted anew, on top of the floors that the sums begin with.
         for host in hosts {
@@ -58,18 +62,29 @@
 
     /// What may be in use of a budget at one host.
     pub fn most(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
-        let most = self.hosts.get(&host).and_then(|entry| entry.most.get(&id)).copied();
+        let most = self
+            .hosts
+            .get(&host)
+            .and_then(|entry| entry.most.get(&id))
+            .copied();
         most.unwrap_or_default().max(budget.floor(host))
     }
 
     /// Until when a host may use more than its floors; `None`: it does not.
     pub fn until(&self, host: HostId) -> Option<Instant> {
-        self.hosts.get(&host)?.grants.iter().map(|grant| grant.until).max()
+        self.hosts
+            .get(&host)?
+            .grants
+            .iter()
+            .map(|grant| grant.until)
+            .max()
     }
 
     /// Brings the sums in line with the grants of one host.
     fn recount(&mut self, config: &FleetConfig, host: HostId) {
-        let Some(entry) = self.hosts.get_mut(&host) else { return };
+        let Some(entry) = self.hosts.get_mut(&host) else {
+            return;
+        };
         let mut most = Shares::new();
         for grant in &entry.grants {
             raise(&mut most, &grant.shares);
@@ -89,7 +104,14 @@
     }
 
     /// Counts a grant until it is released or its lease is over.
-    pub fn grant(&mut self, config: &FleetConfig, host: HostId, serial: u64, until: Instant, shares: Shares) {
+    pub fn grant(
+        &mut self,
+        config: &FleetConfig,
+        host: HostId,
+        serial: u64,
+        until: Instant,
+        shares: Shares,
+    ) {
         let entry = self.hosts.entry(host).or_default();
         if entry.grants.len() >= MAX_GRANTS {
             // The two oldest become one grant that covers both.
@@ -98,7 +120,11 @@
             next.until = next.until.max(oldest.until);
             raise(&mut next.shares, &oldest.shares);
         }
-        entry.grants.push(Grant { serial, until, shares });
+        entry.grants.push(Grant {
+            serial,
+            until,
+            shares,
+        });
         self.recount(config, host);
     }
 
@@ -130,7 +156,9 @@
 
     /// The most that may be granted to a host of a budget, beside what all others may be using.
     pub fn available(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
-        let others = self.sum(id).saturating_sub(u64::from(self.most(id, budget, host)));
+        let others = self
+            .sum(id)
+            .saturating_sub(u64::from(self.most(id, budget, host)));
         u64::from(WHOLE).saturating_sub(others) as u32
     }
 }
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -27,12 +27,18 @@
     /// What a host uses without a lease, at most.
     pub fn floor(&self, host: HostId) -> u32 {
         let own = self.current_floor(host);
-        self.lagging_hosts.get(&host).map_or(own, |lagging| own.max(*lagging))
+        self.lagging_hosts
+            .get(&host)
+            .map_or(own, |lagging| own.max(*lagging))
     }
 
     /// The floor by the current revision alone.
     fn current_floor(&self, host: HostId) -> u32 {
-        if self.through.binary_search(&host).is_ok() { self.floor } else { 0 }
+        if self.through.binary_search(&host).is_ok() {
+            self.floor
+        } else {
+            0
+        }
     }
 
     /// The sum of all hosts' floors.
@@ -115,5 +121,9 @@
 /// The share that holds `largest` of what a token bucket of size `store` holds, rounded up; the whole where
 /// the bucket is smaller.
 pub fn least(largest: f64, store: f64) -> u32 {
-    if largest < store { (f64::from(WHOLE) * largest / store).ceil() as u32 } else { WHOLE }
+    if largest < store {
+        (f64::from(WHOLE) * largest / store).ceil() as u32
+    } else {
+        WHOLE
+    }
 }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -88,7 +88,10 @@
     /// What each host may be using of a budget, of the hosts that may use it.
     pub fn shares_in_use(&self, id: VolumeId, budget: &Budget) -> Vec<HostShare> {
         let hosts = budget.through.iter().chain(budget.lagging_hosts.keys());
-        let share = |host: &HostId| HostShare { host: *host, share: self.ledger.most(id, budget, *host) };
+        let share = |host: &HostId| HostShare {
+            host: *host,
+            share: self.ledger.most(id, budget, *host),
+        };
         let mut shares: Vec<HostShare> = hosts.map(share).collect();
         shares.sort_unstable();
         shares.dedup();
@@ -129,7 +132,9 @@
         if some_out {
             self.start_epoch();
         }
-        if !self.takeover_complete && (now >= self.takeover_ends(config) || self.all_reported(config)) {
+        if !self.takeover_complete
+            && (now >= self.takeover_ends(config) || self.all_reported(config))
+        {
             self.takeover_complete = true;
             self.divided_at = None;
         }
@@ -140,11 +145,20 @@
     /// under its name may still hold something.
     fn all_reported(&self, config: &FleetConfig) -> bool {
         let complete = self.members.len() as u32 == config.hosts;
-        complete && self.members.values().all(|member| !member.first_held.is_empty())
+        complete
+            && self
+                .members
+                .values()
+                .all(|member| !member.first_held.is_empty())
     }
 
     /// A host asks for a lease, or to renew it.
-    pub fn renew(&mut self, config: &FleetConfig, renewal: Renewal, now: Instant) -> RenewalOutcome {
+    pub fn renew(
+        &mut self,
+        config: &FleetConfig,
+        renewal: Renewal,
+        now: Instant,
+    ) -> RenewalOutcome {
         let ProcessId { host, incarnation } = renewal.process;
         // What a member wrote before it knew of this term may arrive late, and it may have accepted more from
         // an earlier coordinator since. Found by a random world. It costs the member one more message.
@@ -167,11 +181,15 @@
         self.divide(config, now);
         self.serial += 1;
         let shares = self.shares(config, host);
-        self.ledger.grant(config, host, self.serial, until, shares.clone());
+        self.ledger
+            .grant(config, host, self.serial, until, shares.clone());
         if let Some(member) = self.members.get_mut(&host) {
             member.until = until;
         }
-        RenewalOutcome::Granted { serial: self.serial, shares }
+        RenewalOutcome::Granted {
+            serial: self.serial,
+            shares,
+        }
     }
 
     fn renew_member(&mut self, config: &FleetConfig, renewal: Renewal, now: Instant) {
@@ -202,33 +220,50 @@
         };
         self.members.insert(host, member);
         if !renewal.held.is_empty() && !self.takeover_complete {
-            self.ledger.grant(config, host, renewal.serial, until, renewal.held);
+            self.ledger
+                .grant(config, host, renewal.serial, until, renewal.held);
         }
         self.start_epoch();
     }
 
     /// What is granted to a host now.
     fn shares(&self, config: &FleetConfig, host: HostId) -> Shares {
-        let budgets = config.budgets.iter().filter(|(_, b)| b.through.binary_search(&host).is_ok());
-        budgets.map(|(id, budget)| (*id, self.share(*id, budget, host))).collect()
+        let budgets = config
+            .budgets
+            .iter()
+            .filter(|(_, b)| b.through.binary_search(&host).is_ok());
+        budgets
+            .map(|(id, budget)| (*id, self.share(*id, budget, host)))
+            .collect()
     }
 
     fn share(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let floor = budget.floor(host);
         let target = if self.takeover_complete {
-            self.targets.get(&id).and_then(|targets| targets.get(&host)).copied().unwrap_or(floor)
+            self.targets
+                .get(&id)
+                .and_then(|targets| targets.get(&host))
+                .copied()
+                .unwrap_or(floor)
         } else {
             let first_held = self.members.get(&host).map(|member| &member.first_held);
-            first_held.and_then(|held| held.get(&id)).copied().unwrap_or_default()
+            first_held
+                .and_then(|held| held.get(&id))
+                .copied()
+                .unwrap_or_default()
         };
         // Never below the floor, which the host uses again without a lease, and never more than the others
         // leave.
-        target.min(self.ledger.available(id, budget, host)).max(floor)
+        target
+            .min(self.ledger.available(id, budget, host))
+            .max(floor)
     }
 
     /// Computes the shares that members should have, if it is time to.
     fn divide(&mut self, config: &FleetConfig, now: Instant) {
-        let recent = self.divided_at.is_some_and(|at| now - at < config.lease.times(DIVIDE_LEASES));
+        let recent = self
+            .divided_at
+            .is_some_and(|at| now - at < config.lease.times(DIVIDE_LEASES));
         if recent || !self.takeover_complete {
             return;
         }
@@ -244,11 +279,16 @@
     fn divide_budget(&mut self, id: VolumeId, budget: &Budget, turn: u64) {
         let demand_of = |host: &HostId| {
             let member = self.members.get(host).filter(|member| member.is_active())?;
-            Some(HostDemand { host: *host, demand: member.demand.get(&id).copied().unwrap_or_default() })
+            Some(HostDemand {
+                host: *host,
+                demand: member.demand.get(&id).copied().unwrap_or_default(),
+            })
         };
         let demands: Vec<HostDemand> = budget.through.iter().filter_map(demand_of).collect();
-        let own: u64 =
-            demands.iter().map(|member| u64::from(self.ledger.most(id, budget, member.host))).sum();
+        let own: u64 = demands
+            .iter()
+            .map(|member| u64::from(self.ledger.most(id, budget, member.host)))
+            .sum();
         let kept = self.ledger.sum(id).saturating_sub(own);
         let new = divide(budget, &demands, kept, turn);
         let old = self.targets.entry(id).or_default();
--- a/crates/fleet/src/coordinator/member.rs
+++ b/crates/fleet/src/coordinator/member.rs
@@ -23,9 +23,14 @@
 impl MemberState {
     /// The state with this number in a message.
     pub fn from_number(number: u32) -> Option<MemberState> {
-        [MemberState::Member, MemberState::Suspected, MemberState::Out, MemberState::Left]
-            .into_iter()
-            .find(|state| *state as u32 == number)
+        [
+            MemberState::Member,
+            MemberState::Suspected,
+            MemberState::Out,
+            MemberState::Left,
+        ]
+        .into_iter()
+        .find(|state| *state as u32 == number)
     }
 
     /// It may hold a lease.
--- a/crates/fleet/src/delayed_increase.rs
+++ b/crates/fleet/src/delayed_increase.rs
@@ -22,7 +22,10 @@
 impl DelayedIncrease {
     /// `window`: how long an increase is delayed.
     pub fn new(window: Span) -> DelayedIncrease {
-        DelayedIncrease { window, held: VecDeque::new() }
+        DelayedIncrease {
+            window,
+            held: VecDeque::new(),
+        }
     }
 
     /// `share` is held from now on. Returns what may be used of it now, and when to call again at the latest.
@@ -32,7 +35,11 @@
             self.held.push_back(HeldSince { at: now, share });
         }
         // The first counts until the next has been held for a window.
-        while self.held.get(1).is_some_and(|next| now - next.at >= self.window) {
+        while self
+            .held
+            .get(1)
+            .is_some_and(|next| now - next.at >= self.window)
+        {
             self.held.pop_front();
         }
         let usable = self.held.front().map_or(0, |first| first.share);
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -37,12 +37,18 @@
 impl Demand {
     /// Clients ask for so many units of a budget.
     pub fn add(&mut self, budget: VolumeId, units: f64, now: Instant) {
-        let entry = self.0.entry(budget).or_insert(DecayingSum { sum: 0.0, as_of: now });
+        let entry = self.0.entry(budget).or_insert(DecayingSum {
+            sum: 0.0,
+            as_of: now,
+        });
         if now - entry.as_of < HALF_LIFE.times(DECAY_STEP) {
             entry.sum += units;
             return;
         }
-        *entry = DecayingSum { sum: entry.at(now) + units, as_of: now };
+        *entry = DecayingSum {
+            sum: entry.at(now) + units,
+            as_of: now,
+        };
     }
 
     /// Units a second, of each budget that is asked for.
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -87,10 +87,18 @@
 
 impl Fleet {
     /// `incarnation` and `seed` are drawn anew each time a host starts.
-    pub fn new(config: Arc<FleetConfig>, me: HostId, incarnation: u64, seed: u64, now: Instant) -> Fleet {
+    pub fn new(
+        config: Arc<FleetConfig>,
+        me: HostId,
+        incarnation: u64,
+        seed: u64,
+        now: Instant,
+    ) -> Fleet {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ incarnation);
         let acceptor = Acceptor::new(&config, now);
-        let wait = config.coordinator_lease().times(rng.random_range(FIRST_TRY_LEASES));
+        let wait = config
+            .coordinator_lease()
+            .times(rng.random_range(FIRST_TRY_LEASES));
         // Rounds begin at the clock's milliseconds: above those of earlier incarnations, unless clocks are
         // far off. Nothing relies on it: an acceptor accepts a ballot of one incarnation only.
         let round = (now.micros() / 1000).max(0) as u64;
@@ -132,7 +140,11 @@
         if self.fenced || self.is_leaving() {
             return 0;
         }
-        let floor = self.config.budgets.get(&budget).map_or(0, |budget| budget.floor(self.me));
+        let floor = self
+            .config
+            .budgets
+            .get(&budget)
+            .map_or(0, |budget| budget.floor(self.me));
         self.lease_holder.share(budget, now).unwrap_or(floor)
     }
 
@@ -166,7 +178,10 @@
             let state = MemberState::from_number(member.state);
             matches!(state, Some(MemberState::Out | MemberState::Left))
         };
-        self.members.iter().filter(is_out).map(|member| HostId(member.host))
+        self.members
+            .iter()
+            .filter(is_out)
+            .map(|member| HostId(member.host))
     }
 
     /// Everything that it held is given back, or there is nobody to give it back to.
@@ -182,7 +197,10 @@
     /// [`Fleet::changed`].
     pub fn handle(&mut self, now: Instant, event: Event) {
         self.expire(now);
-        if !matches!(event, Event::DemandObserved { .. } | Event::ServersObserved { .. }) {
+        if !matches!(
+            event,
+            Event::DemandObserved { .. } | Event::ServersObserved { .. }
+        ) {
             self.due = now;
         }
         match event {
@@ -230,7 +248,9 @@
             self.advance_candidate();
             self.advance_coordinator();
             self.send_commands();
-            let renewal = self.lease_holder.next_renewal(&self.config, now, &mut self.rng);
+            let renewal = self
+                .lease_holder
+                .next_renewal(&self.config, now, &mut self.rng);
             if let Some(renewal) = renewal {
                 self.send_renewal(renewal);
             }
@@ -270,12 +290,20 @@
         if self.lease_holder.expire(self.now) {
             self.counts.leases_lost += 1;
             self.changed = true;
-            warn!(member = self.me.0, epoch = self.epoch, "lease is over: floors count until there is one");
+            warn!(
+                member = self.me.0,
+                epoch = self.epoch,
+                "lease is over: floors count until there is one"
+            );
         }
         if self.coordinator.is_some() && self.candidate.held(self.now).is_none() {
             self.coordinator = None;
             self.maintenance_coordinator = None;
-            warn!(member = self.me.0, epoch = self.epoch, "no longer coordinator: its lease is over");
+            warn!(
+                member = self.me.0,
+                epoch = self.epoch,
+                "no longer coordinator: its lease is over"
+            );
         }
         self.expire_maintenance();
     }
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -19,12 +19,18 @@
 
 impl Fleet {
     pub(super) fn advance_coordinator(&mut self) {
-        let Some(coordinator) = &mut self.coordinator else { return };
+        let Some(coordinator) = &mut self.coordinator else {
+            return;
+        };
         let suspects = coordinator.advance(&self.config, self.now);
         let ballot = coordinator.ballot;
         let missing = coordinator.missing_hosts(&self.config);
         for host in suspects {
-            warn!(member = host.0, epoch = self.epoch, "suspected: silent for half of its lease");
+            warn!(
+                member = host.0,
+                epoch = self.epoch,
+                "suspected: silent for half of its lease"
+            );
             // That one host does not reach it proves nothing: others may.
             for relay in self.relays(host) {
                 self.poll(host, ballot, Some(relay));
@@ -44,21 +50,37 @@
     /// Other members, drawn anew each time, that may reach a host that this one does not.
     pub(super) fn relays(&mut self, host: HostId) -> Vec<HostId> {
         let me = self.me;
-        let is_member =
-            |member: &&FleetMember| MemberState::from_number(member.state) == Some(MemberState::Member);
-        let members = self.members.iter().filter(is_member).map(|member| HostId(member.host));
-        members.filter(|other| *other != host && *other != me).choose_multiple(&mut self.rng, RELAYS)
+        let is_member = |member: &&FleetMember| {
+            MemberState::from_number(member.state) == Some(MemberState::Member)
+        };
+        let members = self
+            .members
+            .iter()
+            .filter(is_member)
+            .map(|member| HostId(member.host));
+        members
+            .filter(|other| *other != host && *other != me)
+            .choose_multiple(&mut self.rng, RELAYS)
     }
 
     /// Asks a host for a renewal.
     pub(super) fn poll(&mut self, host: HostId, ballot: Ballot, via: Option<HostId>) {
         let message = self.new_message(FleetWhat::Ask, host, 0);
-        self.send(FleetMessage { round: ballot.round, by: ballot.by, ..message }, via);
+        self.send(
+            FleetMessage {
+                round: ballot.round,
+                by: ballot.by,
+                ..message
+            },
+            via,
+        );
     }
 
     /// What this host knows of members is what its own coordinator knows.
     pub(super) fn follow_coordinator(&mut self) {
-        let Some(coordinator) = &self.coordinator else { return };
+        let Some(coordinator) = &self.coordinator else {
+            return;
+        };
         let epoch_changed = coordinator.epoch != self.epoch;
         self.epoch = coordinator.epoch;
         let to_message = |(host, member): (&HostId, &Member)| FleetMember {
@@ -93,12 +115,22 @@
             RenewalOutcome::Outdated => return self.poll(process.host, ballot, via),
             RenewalOutcome::Fenced => {
                 let incarnation = process.incarnation;
-                warn!(member = process.host.0, incarnation, "refused: another process holds this name");
+                warn!(
+                    member = process.host.0,
+                    incarnation, "refused: another process holds this name"
+                );
                 self.new_message(FleetWhat::Fence, process.host, incarnation)
             }
-            RenewalOutcome::Granted { serial, shares } => self.grant(message, process, serial, &shares),
+            RenewalOutcome::Granted { serial, shares } => {
+                self.grant(message, process, serial, &shares)
+            }
+        };
+        let answer = FleetMessage {
+            number: message.number,
+            round: ballot.round,
+            by: ballot.by,
+            ..answer
         };
-        let answer = FleetMessage { number: message.number, round: ballot.round, by: ballot.by, ..answer };
         self.send(answer, Some(link));
     }
 
@@ -112,9 +144,17 @@
     ) -> FleetMessage {
         self.counts.granted += 1;
         let maintenance = self.maintenance_renewed(renewal);
-        let part = |(id, share): (&VolumeId, &u32)| FleetPart { budget: id.0, share: *share, asked: 0.0 };
+        let part = |(id, share): (&VolumeId, &u32)| FleetPart {
+            budget: id.0,
+            share: *share,
+            asked: 0.0,
+        };
         // The members are sent to hosts that do not know them yet.
-        let members = if renewal.epoch == self.epoch { Vec::new() } else { self.members.clone() };
+        let members = if renewal.epoch == self.epoch {
+            Vec::new()
+        } else {
+            self.members.clone()
+        };
         FleetMessage {
             serial,
             parts: shares.iter().map(part).collect(),
@@ -126,7 +166,9 @@
 
     /// A member leaves.
     pub(super) fn leave_received(&mut self, message: &FleetMessage, link: HostId) {
-        let Some(coordinator) = &mut self.coordinator else { return };
+        let Some(coordinator) = &mut self.coordinator else {
+            return;
+        };
         let process = messages::sender(message);
         coordinator.leave(&self.config, process);
         if let Some(maintenance_coordinator) = &mut self.maintenance_coordinator {
@@ -147,6 +189,11 @@
         via,
         serial: message.serial,
         demand: message.parts.iter().map(demand).collect::<BTreeMap<_, _>>(),
-        held: message.parts.iter().filter(is_held).map(messages::part).collect(),
+        held: message
+            .parts
+            .iter()
+            .filter(is_held)
+            .map(messages::part)
+            .collect(),
     }
 }
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -12,7 +12,10 @@
 
 impl Fleet {
     fn process(&self) -> ProcessId {
-        ProcessId { host: self.me, incarnation: self.incarnation }
+        ProcessId {
+            host: self.me,
+            incarnation: self.incarnation,
+        }
     }
 
     pub(super) fn advance_candidate(&mut self) {
@@ -22,9 +25,14 @@
             return;
         }
         let own = self.process();
-        let taken = self.acceptor.live(self.now).filter(|lease| lease.holder != own);
+        let taken = self
+            .acceptor
+            .live(self.now)
+            .filter(|lease| lease.holder != own);
         let taken_until = taken.map(|lease| lease.until);
-        let request = self.candidate.advance(&self.config, taken_until, self.now, &mut self.rng);
+        let request = self
+            .candidate
+            .advance(&self.config, taken_until, self.now, &mut self.rng);
         if let Some(request) = request {
             self.ask_voters(request);
         }
@@ -33,11 +41,18 @@
     pub(super) fn ask_voters(&mut self, request: CandidateRequest) {
         let (what, ballot, number) = match request {
             CandidateRequest::Prepare(ballot) => (FleetWhat::Prepare, ballot, 0),
-            CandidateRequest::Propose(proposal) => (FleetWhat::Propose, proposal.ballot, proposal.number),
+            CandidateRequest::Propose(proposal) => {
+                (FleetWhat::Propose, proposal.ballot, proposal.number)
+            }
         };
         for voter in self.config.voters().collect::<Vec<_>>() {
             let message = self.new_message(what, voter, 0);
-            let message = FleetMessage { number, round: ballot.round, by: ballot.by, ..message };
+            let message = FleetMessage {
+                number,
+                round: ballot.round,
+                by: ballot.by,
+                ..message
+            };
             self.send(message, None);
         }
     }
@@ -50,7 +65,8 @@
         let reply = if request.what() == FleetWhat::Prepare {
             self.acceptor.prepare(ballot, process, self.now)
         } else {
-            self.acceptor.propose(&self.config, ballot, process, self.now)
+            self.acceptor
+                .propose(&self.config, ballot, process, self.now)
         };
         let (what, ballot, number) = match reply {
             AcceptorReply::Recovering => return,
@@ -59,7 +75,12 @@
             AcceptorReply::Accepted => (FleetWhat::Accept, ballot, request.number),
         };
         let message = self.new_message(what, process.host, process.incarnation);
-        let message = FleetMessage { round: ballot.round, by: ballot.by, number, ..message };
+        let message = FleetMessage {
+            round: ballot.round,
+            by: ballot.by,
+            number,
+            ..message
+        };
         self.send(message, Some(link));
     }
 
@@ -68,7 +89,9 @@
         let from = HostId(promise.from);
         let ballot = messages::ballot(promise);
         let taken = promise.number > 0;
-        let request = self.candidate.promised(&self.config, from, ballot, taken, self.now);
+        let request = self
+            .candidate
+            .promised(&self.config, from, ballot, taken, self.now);
         if let Some(request) = request {
             self.ask_voters(request);
         }
@@ -76,8 +99,14 @@
 
     pub(super) fn acceptance_received(&mut self, acceptance: &FleetMessage) {
         let ballot = messages::ballot(acceptance);
-        let proposal = Proposal { ballot, number: acceptance.number };
-        if !self.candidate.accepted(&self.config, HostId(acceptance.from), proposal, self.now) {
+        let proposal = Proposal {
+            ballot,
+            number: acceptance.number,
+        };
+        if !self
+            .candidate
+            .accepted(&self.config, HostId(acceptance.from), proposal, self.now)
+        {
             return;
         }
         match &mut self.coordinator {
@@ -91,10 +120,16 @@
         // Above every epoch that this host or its voters know of: a ballot's round is above those before it,
         // and begins at the clock's milliseconds, should all have forgotten.
         self.epoch = (self.epoch + 1).max(ballot.round);
-        info!(member = self.me.0, epoch = self.epoch, round = ballot.round, "coordinator from now on");
+        info!(
+            member = self.me.0,
+            epoch = self.epoch,
+            round = ballot.round,
+            "coordinator from now on"
+        );
         self.coordinator = Some(Coordinator::new(&self.config, ballot, self.epoch, self.now));
         let order_book = self.maintenance.order_book.clone();
-        self.maintenance_coordinator = Some(MaintenanceCoordinator::new(ballot, order_book, self.now));
+        self.maintenance_coordinator =
+            Some(MaintenanceCoordinator::new(ballot, order_book, self.now));
         self.next_poll = self.now;
         self.advance_coordinator();
     }
@@ -102,14 +137,25 @@
     /// Gives the coordinator lease back, if this host holds it: what it granted others stays in force, and
     /// the next coordinator asks them. Whether it held it.
     pub(super) fn resign(&mut self) -> bool {
-        let Some(lease) = self.candidate.held(self.now) else { return false };
+        let Some(lease) = self.candidate.held(self.now) else {
+            return false;
+        };
         self.candidate.resign();
         self.coordinator = None;
         self.maintenance_coordinator = None;
         let me = self.me;
-        for voter in self.config.voters().filter(|voter| *voter != me).collect::<Vec<_>>() {
+        for voter in self
+            .config
+            .voters()
+            .filter(|voter| *voter != me)
+            .collect::<Vec<_>>()
+        {
             let message = self.new_message(FleetWhat::Release, voter, 0);
-            let message = FleetMessage { round: lease.ballot.round, by: lease.ballot.by, ..message };
+            let message = FleetMessage {
+                round: lease.ballot.round,
+                by: lease.ballot.by,
+                ..message
+            };
             self.send(message, None);
         }
         let own = self.process();
--- a/crates/fleet/src/fleet/maintenance.rs
+++ b/crates/fleet/src/fleet/maintenance.rs
@@ -5,8 +5,8 @@
 use super::operator_commands::PendingCommands;
 use crate::lease::Ballot;
 use crate::maintenance::{
-    Order, OrderBook, OrderBookVersion, SERVED, ServerId, ServerObservation, ServerRole, Servers, Stage,
-    may_use,
+    Order, OrderBook, OrderBookVersion, SERVED, ServerId, ServerObservation, ServerRole, Servers,
+    Stage, may_use,
 };
 use gullsail_protocol::{FleetMaintenance, FleetMessage};
 use gullsail_scheduler_api::{HostId, Instant, Span};
@@ -33,20 +33,37 @@
 
 /// The version of the order book that a message speaks of.
 pub(super) fn version(maintenance: &FleetMaintenance) -> OrderBookVersion {
-    let ballot = Ballot { round: maintenance.round, by: maintenance.by };
-    OrderBookVersion { ballot, count: maintenance.count }
+    let ballot = Ballot {
+        round: maintenance.round,
+        by: maintenance.by,
+    };
+    OrderBookVersion {
+        ballot,
+        count: maintenance.count,
+    }
 }
 
 impl Fleet {
     /// May this host send to a server at that point? Yes, where there is no maintenance.
     pub fn may_use(&self, server: ServerId, now: Instant) -> bool {
-        let Some(config) = &self.config.maintenance else { return true };
+        let Some(config) = &self.config.maintenance else {
+            return true;
+        };
         if self.fenced || self.is_leaving() {
             return false;
         }
-        let Some(until) = self.maintenance.confirmed_until else { return false };
+        let Some(until) = self.maintenance.confirmed_until else {
+            return false;
+        };
         let lost = Some(until).filter(|until| now >= *until);
-        may_use(self.maintenance.order_book.as_ref(), config, self.config.drift, lost, server, now)
+        may_use(
+            self.maintenance.order_book.as_ref(),
+            config,
+            self.config.drift,
+            lost,
+            server,
+            now,
+        )
     }
 
     /// The order book as it is known here, from the coordinator's newest message.
@@ -56,7 +73,10 @@
 
     /// Each order as it is known here, for operators.
     pub fn orders(&self) -> impl Iterator<Item = &Order> {
-        self.maintenance.order_book.iter().flat_map(|order_book| &order_book.orders)
+        self.maintenance
+            .order_book
+            .iter()
+            .flat_map(|order_book| &order_book.orders)
     }
 
     /// The host itself is to go offline: it takes no new requests, and leaves once all are answered.
@@ -73,12 +93,16 @@
     pub(super) fn server_of(&self, host: HostId) -> Option<ServerId> {
         let is_host = |seen: &ServerObservation| seen.what == ServerRole::Host(host.0);
         let mut servers = self.maintenance.servers.iter();
-        servers.find(|(_, seen)| is_host(seen)).map(|(server, _)| *server)
+        servers
+            .find(|(_, seen)| is_host(seen))
+            .map(|(server, _)| *server)
     }
 
     /// Notes that the confirmed lease is over, or that the host is blind by now.
     pub(super) fn expire_maintenance(&mut self) {
-        let (Some(config), Some(until)) = (&self.config.maintenance, self.maintenance.confirmed_until) else {
+        let (Some(config), Some(until)) =
+            (&self.config.maintenance, self.maintenance.confirmed_until)
+        else {
             return;
         };
         let since = self.now - until;
@@ -86,7 +110,10 @@
         let blind = since >= config.blind_held(self.config.drift);
         self.changed |= lost != self.maintenance.lost || blind != self.maintenance.blind;
         if blind && !self.maintenance.blind {
-            warn!(member = self.me.0, "out of touch for too long: nothing is sent to any machine");
+            warn!(
+                member = self.me.0,
+                "out of touch for too long: nothing is sent to any machine"
+            );
         }
         self.maintenance.lost = lost;
         self.maintenance.blind = blind;
@@ -99,7 +126,10 @@
         let lost = state.confirmed_until.filter(|_| !state.lost);
         let blind = state.confirmed_until.filter(|_| !state.blind);
         let blind = blind.map(|until| until + config.blind_held(self.config.drift));
-        [state.commands.next(), lost, blind].into_iter().flatten().min()
+        [state.commands.next(), lost, blind]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Adds to a renewal what this host reports of maintenance.
@@ -107,13 +137,21 @@
         if self.config.maintenance.is_none() {
             return renewal;
         }
-        let served = self.demand.rates(self.now).find(|(id, _)| *id == SERVED).map_or(0.0, |(_, rate)| rate);
+        let served = self
+            .demand
+            .rates(self.now)
+            .find(|(id, _)| *id == SERVED)
+            .map_or(0.0, |(_, rate)| rate);
         let state = &self.maintenance;
         let order_book = state.order_book.as_ref();
-        let version = order_book.map(|order_book| order_book.version).unwrap_or_default();
+        let version = order_book
+            .map(|order_book| order_book.version)
+            .unwrap_or_default();
         // A coordinator elected since may not know it.
         let earlier = order_book.filter(|book| book.version.ballot != self.lease_holder.ballot());
-        let member_for = state.first_lease_at.map_or(0.0, |at| (self.now - at).millis());
+        let member_for = state
+            .first_lease_at
+            .map_or(0.0, |at| (self.now - at).millis());
         let report = FleetMaintenance {
             line: earlier.map(|order_book| order_book.to_message(self.now)),
             round: version.ballot.round,
@@ -124,7 +162,10 @@
             served: served as f32,
             command: None,
         };
-        FleetMessage { maintenance: Some(Box::new(report)), ..renewal }
+        FleetMessage {
+            maintenance: Some(Box::new(report)),
+            ..renewal
+        }
     }
 
     /// A grant has come: what it says of maintenance.
@@ -133,29 +174,44 @@
         if self.config.maintenance.is_none() {
             return;
         }
-        let Some(report) = grant.maintenance.as_ref() else { return };
+        let Some(report) = grant.maintenance.as_ref() else {
+            return;
+        };
         self.follow_order_book(report);
         // A coordinator that does not know the order book yet may grant a lease to a host whose own copy is
         // old, which would then send to a server that is offline. Found by a random world. The cost falls on
         // hosts whose coordinator finds no majority that remembers one.
         let newest = version(report);
-        let confirmed = self.maintenance.order_book.as_ref().is_some_and(|book| book.version == newest);
+        let confirmed = self
+            .maintenance
+            .order_book
+            .as_ref()
+            .is_some_and(|book| book.version == newest);
         if report.count > 0 && confirmed {
             self.maintenance.confirmed_until = self.lease_holder.until();
             self.expire_maintenance();
         }
         if self.going_offline() && self.resign() {
-            info!(member = self.me.0, "its machine goes: another decides from now on");
+            info!(
+                member = self.me.0,
+                "its machine goes: another decides from now on"
+            );
         }
     }
 
     /// Replaces the order book by a newer one.
     fn follow_order_book(&mut self, report: &FleetMaintenance) {
         let message = report.line.as_ref();
-        let Some(newer) = message.and_then(|message| OrderBook::from_message(message, self.now)) else {
+        let Some(newer) = message.and_then(|message| OrderBook::from_message(message, self.now))
+        else {
             return;
         };
-        if self.maintenance.order_book.as_ref().is_none_or(|known| known.version < newer.version) {
+        if self
+            .maintenance
+            .order_book
+            .as_ref()
+            .is_none_or(|known| known.version < newer.version)
+        {
             self.maintenance.order_book = Some(newer);
             self.changed = true;
         }
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -21,14 +21,19 @@
         if self.config.maintenance.is_none() {
             return true;
         }
-        let Some(coordinator) = &self.maintenance_coordinator else { return true };
+        let Some(coordinator) = &self.maintenance_coordinator else {
+            return true;
+        };
         let server = self.server_of(process.host);
         server.is_none_or(|server| coordinator.may_join(server, process.incarnation))
     }
 
     /// A member has renewed its lease: takes what it reports of maintenance. Returns the newest version, and
     /// the order book where the member does not know it.
-    pub(super) fn maintenance_renewed(&mut self, renewal: &FleetMessage) -> Option<Box<FleetMaintenance>> {
+    pub(super) fn maintenance_renewed(
+        &mut self,
+        renewal: &FleetMessage,
+    ) -> Option<Box<FleetMaintenance>> {
         let config = self.config.clone();
         let maintenance = config.maintenance.as_ref()?;
         let coordinator = self.maintenance_coordinator.as_mut()?;
@@ -39,18 +44,27 @@
             host,
             incarnation: renewal.from_incarnation,
             known: Some(known).filter(|known| known.count > 0),
-            released: message.let_go.iter().map(|server| ServerId(*server)).collect(),
+            released: message
+                .let_go
+                .iter()
+                .map(|server| ServerId(*server))
+                .collect(),
             member_for: Span::from_millis(message.member_for_ms.min(MAX_MILLIS) as f64),
             served: f64::from(message.served),
         };
         coordinator.renewal_reported(&config, maintenance, report, self.now);
-        let reported = message.line.as_ref().and_then(|line| OrderBook::from_message(line, self.now));
+        let reported = message
+            .line
+            .as_ref()
+            .and_then(|line| OrderBook::from_message(line, self.now));
         if let Some(order_book) = reported {
             coordinator.order_book_reported(order_book);
         }
         coordinator.lease_granted(host, self.now);
         let order_book = coordinator.order_book();
-        let newest = order_book.map(|order_book| order_book.version).unwrap_or_default();
+        let newest = order_book
+            .map(|order_book| order_book.version)
+            .unwrap_or_default();
         let unknown = order_book.filter(|order_book| order_book.version != known);
         Some(Box::new(FleetMaintenance {
             line: unknown.map(|order_book| order_book.to_message(self.now)),
@@ -63,14 +77,19 @@
 
     pub(super) fn advance_maintenance_coordinator(&mut self) {
         let config = self.config.clone();
-        let Some(maintenance) = &config.maintenance else { return };
+        let Some(maintenance) = &config.maintenance else {
+            return;
+        };
         let servers = self.servers_with_hosts();
         let (Some(coordinator), Some(maintenance_coordinator)) =
             (&self.coordinator, &mut self.maintenance_coordinator)
         else {
             return;
         };
-        let active = coordinator.members.iter().filter(|(_, member)| member.is_active());
+        let active = coordinator
+            .members
+            .iter()
+            .filter(|(_, member)| member.is_active());
         let members: BTreeSet<u32> = active.map(|(host, _)| host.0).collect();
         let seconds = self.now.micros().div_euclid(1_000_000);
         let snapshot = FleetSnapshot {
@@ -95,7 +114,9 @@
     /// The servers as this host observes them, and of hosts what the coordinator knows: which process runs,
     /// and whether it is a member.
     fn servers_with_hosts(&self) -> Servers {
-        let Some(coordinator) = &self.coordinator else { return Servers::new() };
+        let Some(coordinator) = &self.coordinator else {
+            return Servers::new();
+        };
         let mut servers = self.maintenance.servers.clone();
         for server in servers.values_mut() {
             if let ServerRole::Host(host) = server.what {
@@ -110,26 +131,45 @@
     /// An operator's command has come from the host that the operator gave it to.
     pub(super) fn command_received(&mut self, message: &FleetMessage, link: HostId) {
         let config = self.config.clone();
-        let command = message.maintenance.as_ref().and_then(|maintenance| maintenance.command.as_ref());
-        let (Some(maintenance), Some(coordinator), Some(command)) =
-            (&config.maintenance, &mut self.maintenance_coordinator, command)
-        else {
+        let command = message
+            .maintenance
+            .as_ref()
+            .and_then(|maintenance| maintenance.command.as_ref());
+        let (Some(maintenance), Some(coordinator), Some(command)) = (
+            &config.maintenance,
+            &mut self.maintenance_coordinator,
+            command,
+        ) else {
             return self.count_dropped("not the coordinator");
         };
-        let decision =
-            coordinator.command(&config, maintenance, command, &self.maintenance.servers, self.now);
+        let decision = coordinator.command(
+            &config,
+            maintenance,
+            command,
+            &self.maintenance.servers,
+            self.now,
+        );
         let result = match decision {
             CommandDecision::Pending => return,
             CommandDecision::Accepted => FleetCommand::default(),
-            CommandDecision::Refused { server, refusal } => {
-                FleetCommand { refused: server.0, why: refusal.to_string(), ..FleetCommand::default() }
-            }
+            CommandDecision::Refused { server, refusal } => FleetCommand {
+                refused: server.0,
+                why: refusal.to_string(),
+                ..FleetCommand::default()
+            },
+        };
+        let maintenance = FleetMaintenance {
+            command: Some(result),
+            ..FleetMaintenance::default()
         };
-        let maintenance = FleetMaintenance { command: Some(result), ..FleetMaintenance::default() };
         let answer = FleetMessage {
             number: message.number,
             maintenance: Some(Box::new(maintenance)),
-            ..self.new_message(FleetWhat::Heard, HostId(message.from), message.from_incarnation)
+            ..self.new_message(
+                FleetWhat::Heard,
+                HostId(message.from),
+                message.from_incarnation,
+            )
         };
         self.send(answer, Some(link));
     }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -11,7 +11,9 @@
 
 impl Fleet {
     pub(super) fn send_renewal(&mut self, renewal: RenewalRequest) {
-        let Some(coordinator) = self.lease_holder.coordinator() else { return };
+        let Some(coordinator) = self.lease_holder.coordinator() else {
+            return;
+        };
         let serial = self.lease_holder.lease().map_or(0, |lease| lease.serial);
         let parts = self.renewal_parts();
         let ballot = self.lease_holder.ballot();
@@ -35,7 +37,10 @@
     /// What this host holds and is asked for, by budget.
     fn renewal_parts(&mut self) -> Vec<FleetPart> {
         let mut parts: BTreeMap<VolumeId, FleetPart> = BTreeMap::new();
-        let new_part = |id: VolumeId| FleetPart { budget: id.0, ..FleetPart::default() };
+        let new_part = |id: VolumeId| FleetPart {
+            budget: id.0,
+            ..FleetPart::default()
+        };
         if let Some(lease) = self.lease_holder.lease() {
             for (id, share) in &lease.shares {
                 parts.entry(*id).or_insert_with(|| new_part(*id)).share = *share;
@@ -52,24 +57,49 @@
     /// A coordinator asks for a renewal.
     pub(super) fn poll_received(&mut self, poll: &FleetMessage, link: HostId) {
         let ballot = messages::ballot(poll);
-        if !self.lease_holder.accept_poll(HostId(poll.from), ballot, self.now) {
+        if !self
+            .lease_holder
+            .accept_poll(HostId(poll.from), ballot, self.now)
+        {
             // It may be a later coordinator whose voters have all forgotten: it goes on above the ballot that
             // is reported here.
             let known = self.lease_holder.ballot();
-            let message = self.new_message(FleetWhat::Refuse, HostId(poll.from), poll.from_incarnation);
-            self.send(FleetMessage { round: known.round, by: known.by, ..message }, Some(link));
+            let message =
+                self.new_message(FleetWhat::Refuse, HostId(poll.from), poll.from_incarnation);
+            self.send(
+                FleetMessage {
+                    round: known.round,
+                    by: known.by,
+                    ..message
+                },
+                Some(link),
+            );
             return self.count_dropped("of an earlier coordinator");
         }
         let number = self.lease_holder.register_renewal(self.now);
-        self.send_renewal(RenewalRequest { number, detour: link.0 != poll.from });
+        self.send_renewal(RenewalRequest {
+            number,
+            detour: link.0 != poll.from,
+        });
     }
 
     /// A coordinator grants a lease.
     pub(super) fn grant_received(&mut self, message: &FleetMessage) {
         let shares: Shares = message.parts.iter().map(messages::part).collect();
-        let grant = GrantId { ballot: messages::ballot(message), serial: message.serial };
-        let before: Vec<u32> = self.config.budgets.keys().map(|id| self.share(*id)).collect();
-        if !self.lease_holder.accept_grant(&self.config, grant, message.number, shares, self.now) {
+        let grant = GrantId {
+            ballot: messages::ballot(message),
+            serial: message.serial,
+        };
+        let before: Vec<u32> = self
+            .config
+            .budgets
+            .keys()
+            .map(|id| self.share(*id))
+            .collect();
+        if !self
+            .lease_holder
+            .accept_grant(&self.config, grant, message.number, shares, self.now)
+        {
             return self.count_dropped("a grant that is over, or of an earlier coordinator");
         }
         if std::mem::take(&mut self.fenced) {
@@ -89,7 +119,10 @@
 
     /// A coordinator reports that another process holds a lease under this host's name.
     pub(super) fn fence_received(&mut self) {
-        warn!(member = self.me.0, "another process holds this host's name: nothing is used");
+        warn!(
+            member = self.me.0,
+            "another process holds this host's name: nothing is used"
+        );
         self.fenced = true;
         self.lease_holder.release();
         self.changed = true;
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -12,12 +12,18 @@
 
 /// The ballot that a message speaks of.
 pub(super) fn ballot(message: &FleetMessage) -> Ballot {
-    Ballot { round: message.round, by: message.by }
+    Ballot {
+        round: message.round,
+        by: message.by,
+    }
 }
 
 /// The process that wrote a message.
 pub(super) fn sender(message: &FleetMessage) -> ProcessId {
-    ProcessId { host: HostId(message.from), incarnation: message.from_incarnation }
+    ProcessId {
+        host: HostId(message.from),
+        incarnation: message.from_incarnation,
+    }
 }
 
 /// The budget and the share that a part of a message speaks of.
@@ -27,7 +33,12 @@
 
 impl Fleet {
     /// A message of this host without contents. `to_incarnation` 0: to whichever process bears the name.
-    pub(super) fn new_message(&self, what: FleetWhat, to: HostId, to_incarnation: u64) -> FleetMessage {
+    pub(super) fn new_message(
+        &self,
+        what: FleetWhat,
+        to: HostId,
+        to_incarnation: u64,
+    ) -> FleetMessage {
         FleetMessage {
             fleet: self.config.fleet,
             rules: RULES,
@@ -46,7 +57,9 @@
         if message.to == self.me.0 {
             return self.loopback.push_back(message);
         }
-        let to = via.filter(|via| *via != self.me).unwrap_or(HostId(message.to));
+        let to = via
+            .filter(|via| *via != self.me)
+            .unwrap_or(HostId(message.to));
         self.counts.messages_out += 1;
         self.outputs.push(Output { to, message });
     }
@@ -102,7 +115,8 @@
 
     fn is_sound(&self, maintenance: &FleetMaintenance) -> bool {
         let order_book = maintenance.line.as_ref();
-        let readable = order_book.is_none_or(|book| OrderBook::from_message(book, self.now).is_some());
+        let readable =
+            order_book.is_none_or(|book| OrderBook::from_message(book, self.now).is_some());
         readable && maintenance.served.is_finite() && maintenance.served >= 0.0
     }
 
@@ -112,7 +126,10 @@
             return self.count_dropped("passed on twice");
         }
         self.counts.passed_on += 1;
-        self.outputs.push(Output { to: HostId(message.to), message });
+        self.outputs.push(Output {
+            to: HostId(message.to),
+            message,
+        });
     }
 
     /// Leads a message to the part of the fleet that it is for.
@@ -131,15 +148,20 @@
             FleetWhat::Ask if stays => self.poll_received(&message, link),
             // The announcement was lost, or there was no coordinator yet.
             FleetWhat::Ask if announced => {
-                let answer =
-                    self.new_message(FleetWhat::Leave, HostId(message.from), message.from_incarnation);
+                let answer = self.new_message(
+                    FleetWhat::Leave,
+                    HostId(message.from),
+                    message.from_incarnation,
+                );
                 self.send(answer, Some(link));
             }
             FleetWhat::Renew => self.renewal_received(&message, link),
             FleetWhat::Grant if stays => self.grant_received(&message),
             FleetWhat::Leave => self.leave_received(&message, link),
             FleetWhat::Left if announced => self.departure = Departure::Complete,
-            FleetWhat::Fence if ballot(&message) >= self.lease_holder.ballot() => self.fence_received(),
+            FleetWhat::Fence if ballot(&message) >= self.lease_holder.ballot() => {
+                self.fence_received()
+            }
             FleetWhat::OperatorCommand => self.command_received(&message, link),
             FleetWhat::Heard => self.command_answered(&message),
             FleetWhat::Unknown => self.count_dropped("of an unknown kind"),
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -40,7 +40,8 @@
 
     fn refuse(&mut self, number: u64, command: &FleetCommand, refusal: CommandRefusal) {
         let server = ServerId(command.servers.first().copied().unwrap_or_default());
-        self.answers.push((number, Err((server, refusal.to_string()))));
+        self.answers
+            .push((number, Err((server, refusal.to_string()))));
     }
 }
 
@@ -60,7 +61,14 @@
             return commands.refuse(number, &command, CommandRefusal::TooManyCommands);
         }
         let until = self.now + self.config.lease.times(GIVE_UP_LEASES);
-        commands.pending.insert(number, PendingCommand { command, next: self.now, until });
+        commands.pending.insert(
+            number,
+            PendingCommand {
+                command,
+                next: self.now,
+                until,
+            },
+        );
         self.send_commands();
     }
 
@@ -87,8 +95,13 @@
     }
 
     fn send_command(&mut self, number: u64, command: FleetCommand) {
-        let Some(coordinator) = self.lease_holder.coordinator() else { return };
-        let maintenance = FleetMaintenance { command: Some(command), ..FleetMaintenance::default() };
+        let Some(coordinator) = self.lease_holder.coordinator() else {
+            return;
+        };
+        let maintenance = FleetMaintenance {
+            command: Some(command),
+            ..FleetMaintenance::default()
+        };
         let message = FleetMessage {
             number,
             maintenance: Some(Box::new(maintenance)),
@@ -103,7 +116,9 @@
     /// The coordinator has answered a command.
     pub(super) fn command_answered(&mut self, message: &FleetMessage) {
         let maintenance = message.maintenance.as_ref();
-        let Some(result) = maintenance.and_then(|maintenance| maintenance.command.as_ref()) else { return };
+        let Some(result) = maintenance.and_then(|maintenance| maintenance.command.as_ref()) else {
+            return;
+        };
         let commands = &mut self.maintenance.commands;
         if commands.pending.remove(&message.number).is_some() {
             let result = if result.why.is_empty() {
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -13,7 +13,8 @@
         let coordinator = self.coordinator.as_ref();
         let held = coordinator.and(self.candidate.held(self.now));
         let takes_over = coordinator.filter(|coordinator| !coordinator.takeover_complete());
-        let recovering_until = Some(self.acceptor.recovering_until()).filter(|until| *until > self.now);
+        let recovering_until =
+            Some(self.acceptor.recovering_until()).filter(|until| *until > self.now);
         Status {
             me: self.me.0,
             epoch: self.epoch,
@@ -21,12 +22,28 @@
             coordinator: self.lease_holder.coordinator().map(|host| host.0),
             decides_for_ms: held.map(|lease| self.millis_until(lease.until)),
             takes_over_ms: takes_over.map(|c| self.millis_until(c.takeover_ends(&self.config))),
-            lease_ms: self.lease_holder.until().map(|until| self.millis_until(until)),
+            lease_ms: self
+                .lease_holder
+                .until()
+                .map(|until| self.millis_until(until)),
             recovering_ms: recovering_until.map(|until| self.millis_until(until)),
             fenced: self.fenced,
-            members: self.members.iter().filter_map(|member| self.member_status(member)).collect(),
-            budgets: self.config.budgets.iter().map(|(id, budget)| self.budget_status(*id, budget)).collect(),
-            dropped: self.dropped.iter().map(|(cause, count)| (cause.to_string(), *count)).collect(),
+            members: self
+                .members
+                .iter()
+                .filter_map(|member| self.member_status(member))
+                .collect(),
+            budgets: self
+                .config
+                .budgets
+                .iter()
+                .map(|(id, budget)| self.budget_status(*id, budget))
+                .collect(),
+            dropped: self
+                .dropped
+                .iter()
+                .map(|(cause, count)| (cause.to_string(), *count))
+                .collect(),
             counts: self.counts,
         }
     }
@@ -37,7 +54,8 @@
 
     fn member_status(&self, member: &FleetMember) -> Option<MemberStatus> {
         let coordinator = self.coordinator.as_ref();
-        let known = coordinator.and_then(|coordinator| coordinator.members.get(&HostId(member.host)));
+        let known =
+            coordinator.and_then(|coordinator| coordinator.members.get(&HostId(member.host)));
         Some(MemberStatus {
             host: member.host,
             incarnation: member.incarnation,
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -21,4 +21,6 @@
 pub use crate::ballot::Ballot;
 pub use crate::process_id::ProcessId;
 pub use acceptor::{Acceptor, AcceptorReply, LiveLease};
-pub use candidate::{CandidateRequest, HeldLease, LeaseCandidate, Proposal, renewal_check_interval};
+pub use candidate::{
+    CandidateRequest, HeldLease, LeaseCandidate, Proposal, renewal_check_interval,
+};
--- a/crates/fleet/src/lease/acceptor.rs
+++ b/crates/fleet/src/lease/acceptor.rs
@@ -69,7 +69,10 @@
     /// The lease that is live here, if there is one.
     pub fn live(&self, now: Instant) -> Option<LiveLease> {
         let accepted = self.accepted.filter(|accepted| now < accepted.until)?;
-        Some(LiveLease { holder: accepted.holder, until: accepted.until })
+        Some(LiveLease {
+            holder: accepted.holder,
+            until: accepted.until,
+        })
     }
 
     /// A later ballot is promised, or the same one to another incarnation.
@@ -93,7 +96,10 @@
         if self.live(now).is_some_and(|lease| lease.holder != process) {
             return AcceptorReply::Promised { taken: true };
         }
-        self.promised = Promise { ballot, incarnation: process.incarnation };
+        self.promised = Promise {
+            ballot,
+            incarnation: process.incarnation,
+        };
         AcceptorReply::Promised { taken: false }
     }
 
@@ -111,8 +117,14 @@
         if self.is_superseded(ballot, process.incarnation) {
             return AcceptorReply::Refused(self.promised.ballot);
         }
-        self.promised = Promise { ballot, incarnation: process.incarnation };
-        self.accepted = Some(Acceptance { holder: process, until: now + config.coordinator_lease() });
+        self.promised = Promise {
+            ballot,
+            incarnation: process.incarnation,
+        };
+        self.accepted = Some(Acceptance {
+            holder: process,
+            until: now + config.coordinator_lease(),
+        });
         AcceptorReply::Accepted
     }
 
--- a/crates/fleet/src/lease/candidate.rs
+++ b/crates/fleet/src/lease/candidate.rs
@@ -79,7 +79,14 @@
     /// `round`: where to begin, in most cases above the rounds of earlier incarnations. Nothing is sought
     /// before `from`.
     pub fn new(me: HostId, round: u64, from: Instant) -> LeaseCandidate {
-        LeaseCandidate { me, phase: Phase::Idle, held: None, round, next: from, proposals: 0 }
+        LeaseCandidate {
+            me,
+            phase: Phase::Idle,
+            held: None,
+            round,
+            next: from,
+            proposals: 0,
+        }
     }
 
     /// The lease, while it is held.
@@ -89,7 +96,8 @@
 
     /// When to call [`LeaseCandidate::advance`] at the latest.
     pub fn next(&self) -> Instant {
-        self.held.map_or(self.next, |lease| lease.until.min(self.next))
+        self.held
+            .map_or(self.next, |lease| lease.until.min(self.next))
     }
 
     /// Gives the lease back.
@@ -120,7 +128,9 @@
             return Some(self.propose(lease.ballot, now));
         }
         // Spread at random: two candidates at the same moment would rule each other out.
-        let wait = config.coordinator_lease().times(rng.random_range(RETRY_LEASES));
+        let wait = config
+            .coordinator_lease()
+            .times(rng.random_range(RETRY_LEASES));
         if let Some(until) = taken_until.filter(|until| *until > now) {
             self.phase = Phase::Idle;
             self.next = until + wait;
@@ -132,7 +142,10 @@
 
     fn prepare(&mut self, now: Instant) -> CandidateRequest {
         self.round += 1;
-        let ballot = Ballot { round: self.round, by: self.me.0 };
+        let ballot = Ballot {
+            round: self.round,
+            by: self.me.0,
+        };
         self.start_preparing(ballot, now);
         CandidateRequest::Prepare(ballot)
     }
@@ -155,7 +168,13 @@
         taken: bool,
         now: Instant,
     ) -> Option<CandidateRequest> {
-        let Phase::Preparing { ballot, sent_at, promised_by, taken_at } = &mut self.phase else {
+        let Phase::Preparing {
+            ballot,
+            sent_at,
+            promised_by,
+            taken_at,
+        } = &mut self.phase
+        else {
             return None;
         };
         // A ballot must not be proposed long after it was prepared: a voter that has restarted since may have
@@ -175,14 +194,34 @@
 
     fn propose(&mut self, ballot: Ballot, now: Instant) -> CandidateRequest {
         self.proposals += 1;
-        let proposal = Proposal { ballot, number: self.proposals };
-        self.phase = Phase::Proposing { proposal, sent_at: now, accepted_by: BTreeSet::new() };
+        let proposal = Proposal {
+            ballot,
+            number: self.proposals,
+        };
+        self.phase = Phase::Proposing {
+            proposal,
+            sent_at: now,
+            accepted_by: BTreeSet::new(),
+        };
         CandidateRequest::Propose(proposal)
     }
 
     /// A voter has accepted a proposal. Whether this acceptance granted or renewed the lease.
-    pub fn accepted(&mut self, config: &FleetConfig, from: HostId, accepted: Proposal, now: Instant) -> bool {
-        let Phase::Proposing { proposal, sent_at, accepted_by } = &mut self.phase else { return false };
+    pub fn accepted(
+        &mut self,
+        config: &FleetConfig,
+        from: HostId,
+        accepted: Proposal,
+        now: Instant,
+    ) -> bool {
+        let Phase::Proposing {
+            proposal,
+            sent_at,
+            accepted_by,
+        } = &mut self.phase
+        else {
+            return false;
+        };
         let until = *sent_at + config.held_coordinator_lease();
         // Late acceptances do not count: a lease is renewed by the same ballot, and an acceptance of an
         // earlier proposal would extend the holder's belief beyond the voters'. Found by a random world in
@@ -194,7 +233,10 @@
         if accepted_by.len() < config.majority() {
             return false;
         }
-        let granted = HeldLease { ballot: proposal.ballot, until };
+        let granted = HeldLease {
+            ballot: proposal.ballot,
+            until,
+        };
         if self.held.is_none() {
             self.next = now + config.coordinator_lease().times(RENEW_LEASES);
         }
--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -148,7 +148,10 @@
             return None;
         }
         let number = self.register_renewal(now);
-        Some(RenewalRequest { number, detour: silent >= config.lease.times(DETOUR_LEASES) })
+        Some(RenewalRequest {
+            number,
+            detour: silent >= config.lease.times(DETOUR_LEASES),
+        })
     }
 
     /// A renewal is sent now. Returns its number.
@@ -157,7 +160,10 @@
         if self.sent.len() >= MAX_RENEWALS {
             self.sent.pop_front();
         }
-        self.sent.push_back(SentRenewal { number: self.number, sent_at: now });
+        self.sent.push_back(SentRenewal {
+            number: self.number,
+            sent_at: now,
+        });
         self.number
     }
 
@@ -171,7 +177,9 @@
         shares: Shares,
         now: Instant,
     ) -> bool {
-        let Some(sent) = self.sent.iter().find(|sent| sent.number == renewal) else { return false };
+        let Some(sent) = self.sent.iter().find(|sent| sent.number == renewal) else {
+            return false;
+        };
         let until = sent.sent_at + config.held_lease();
         // A grant that was long on its way, or comes from a host that is no longer coordinator. The cost:
         // where the way takes a lease, nothing is ever held.
@@ -187,7 +195,11 @@
         self.ballot = grant.ballot;
         self.last_contact = now;
         self.newest = grant;
-        self.lease = Some(Lease { serial: grant.serial, until, shares });
+        self.lease = Some(Lease {
+            serial: grant.serial,
+            until,
+            shares,
+        });
         true
     }
 
--- a/crates/fleet/src/maintenance/access.rs
+++ b/crates/fleet/src/maintenance/access.rs
@@ -17,8 +17,13 @@
 ) -> bool {
     // A host that has just started knows nobody's order. The cost: where all hosts start at once, none sends
     // to any server until a coordinator has sent an order book.
-    let Some(order_book) = order_book else { return false };
-    let stage = order_book.order(server).map(|order| order.stage).filter(|stage| stage.open());
+    let Some(order_book) = order_book else {
+        return false;
+    };
+    let stage = order_book
+        .order(server)
+        .map(|order| order.stage)
+        .filter(|stage| stage.open());
     match lease_lost {
         None => stage.is_none_or(|stage| !stage.barred()),
         // There may be orders that this host does not know. The cost: hosts without a coordinator serve
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -18,11 +18,17 @@
 
 impl Blocker {
     fn by_itself(reason: impl Into<String>) -> Option<Blocker> {
-        Some(Blocker { by_others: false, reason: reason.into() })
+        Some(Blocker {
+            by_others: false,
+            reason: reason.into(),
+        })
     }
 
     fn by_others(reason: impl Into<String>) -> Option<Blocker> {
-        Some(Blocker { by_others: true, reason: reason.into() })
+        Some(Blocker {
+            by_others: true,
+            reason: reason.into(),
+        })
     }
 }
 
@@ -36,13 +42,24 @@
     let Some(seen) = snapshot.servers.get(&order.server) else {
         return Blocker::by_itself("nobody knows this machine any more");
     };
-    let check = Check { order_book, config, snapshot, order, seen, failed: !snapshot.is_well(seen) };
-    check.quiet_hours().or_else(|| check.coordinator_goes_last()).or_else(|| check.too_many_away()).or_else(
-        || match seen.what {
+    let check = Check {
+        order_book,
+        config,
+        snapshot,
+        order,
+        seen,
+        failed: !snapshot.is_well(seen),
+    };
+    check
+        .quiet_hours()
+        .or_else(|| check.coordinator_goes_last())
+        .or_else(|| check.too_many_away())
+        .or_else(|| match seen.what {
             ServerRole::Host(host) => check.quorum(host),
-            ServerRole::Node { shard, can, .. } => check.shard(shard).or_else(|| check.capacity(can)),
-        },
-    )
+            ServerRole::Node { shard, can, .. } => {
+                check.shard(shard).or_else(|| check.capacity(can))
+            }
+        })
 }
 
 /// One order, with everything it is judged by.
@@ -67,23 +84,37 @@
 impl Check<'_> {
     /// Another server is away by its order.
     fn is_ordered_away(&self, server: ServerId) -> bool {
-        server != self.order.server && self.order_book.order(server).is_some_and(|other| other.stage.away())
+        server != self.order.server
+            && self
+                .order_book
+                .order(server)
+                .is_some_and(|other| other.stage.away())
     }
 
     /// Another server is away, by its order or since it failed.
     fn is_away(&self, server: ServerId, seen: &ServerObservation) -> bool {
-        self.is_ordered_away(server) || (server != self.order.server && !self.snapshot.is_well(seen))
+        self.is_ordered_away(server)
+            || (server != self.order.server && !self.snapshot.is_well(seen))
     }
 
     fn quiet_hours(&self) -> Option<Blocker> {
         let second = self.snapshot.second_of_day;
-        let (from, to) = self.config.rests.iter().find(|(from, to)| is_within(*from, *to, second))?;
-        Blocker::by_itself(format!("none goes between {} and {}", clock(*from), clock(*to)))
+        let (from, to) = self
+            .config
+            .rests
+            .iter()
+            .find(|(from, to)| is_within(*from, *to, second))?;
+        Blocker::by_itself(format!(
+            "none goes between {} and {}",
+            clock(*from),
+            clock(*to)
+        ))
     }
 
     fn coordinator_goes_last(&self) -> Option<Blocker> {
         let is_coordinator = self.seen.what == ServerRole::Host(self.snapshot.coordinator);
-        let is_ahead = |other: &Order| other.server != self.order.server && other.stage <= Stage::Draining;
+        let is_ahead =
+            |other: &Order| other.server != self.order.server && other.stage <= Stage::Draining;
         if is_coordinator && self.order_book.open().any(is_ahead) {
             return Blocker::by_itself("it decides, and goes last");
         }
@@ -93,21 +124,45 @@
     /// Servers that are away count towards the limits. For a server that has failed, which is away already,
     /// others that have failed do not count, but those under maintenance do.
     fn counts_as_away(&self, server: ServerId, seen: &ServerObservation) -> bool {
-        if self.failed { self.is_ordered_away(server) } else { exists(seen) && self.is_away(server, seen) }
+        if self.failed {
+            self.is_ordered_away(server)
+        } else {
+            exists(seen) && self.is_away(server, seen)
+        }
     }
 
     fn too_many_away(&self) -> Option<Blocker> {
         let servers = self.snapshot.servers.iter();
         let away = servers.filter(|(server, seen)| self.counts_as_away(**server, seen));
         let away: Vec<&ServerObservation> = away.map(|(_, seen)| seen).collect();
-        let in_zone = away.iter().filter(|other| other.zone == self.seen.zone).count();
-        let in_pool = away.iter().filter(|other| same_pool(other, self.seen)).count();
+        let in_zone = away
+            .iter()
+            .filter(|other| other.zone == self.seen.zone)
+            .count();
+        let in_pool = away
+            .iter()
+            .filter(|other| same_pool(other, self.seen))
+            .count();
         let limits = [
-            Limit { most: self.config.at_once, count: away.len(), scope: "in all" },
-            Limit { most: self.config.in_zone, count: in_zone, scope: "in its zone" },
-            Limit { most: self.config.in_pool, count: in_pool, scope: "in its pool" },
+            Limit {
+                most: self.config.at_once,
+                count: away.len(),
+                scope: "in all",
+            },
+            Limit {
+                most: self.config.in_zone,
+                count: in_zone,
+                scope: "in its zone",
+            },
+            Limit {
+                most: self.config.in_pool,
+                count: in_pool,
+                scope: "in its pool",
+            },
         ];
-        let reached = limits.into_iter().find(|limit| limit.count as u32 >= limit.most)?;
+        let reached = limits
+            .into_iter()
+            .find(|limit| limit.count as u32 >= limit.most)?;
         let Limit { most, count, scope } = reached;
         Blocker::by_others(format!("{count} of {most} away {scope}"))
     }
@@ -117,12 +172,21 @@
         if self.failed {
             return None;
         }
-        let going = self.snapshot.servers.iter().filter(|(server, _)| self.is_ordered_away(**server));
+        let going = self
+            .snapshot
+            .servers
+            .iter()
+            .filter(|(server, _)| self.is_ordered_away(**server));
         let going: BTreeSet<u32> = going.filter_map(|(_, seen)| host_of(seen)).collect();
         let members = self.snapshot.members.iter();
-        let staying: Vec<u32> =
-            members.copied().filter(|host| *host != me && !going.contains(host)).collect();
-        let voters = staying.iter().filter(|host| **host < self.snapshot.voters).count() as u32;
+        let staying: Vec<u32> = members
+            .copied()
+            .filter(|host| *host != me && !going.contains(host))
+            .collect();
+        let voters = staying
+            .iter()
+            .filter(|host| **host < self.snapshot.voters)
+            .count() as u32;
         let too_few_hosts = staying.len() as u32 <= self.snapshot.hosts / 2;
         if too_few_hosts || voters <= self.snapshot.voters / 2 {
             return Blocker::by_others("too few hosts would be left to decide");
@@ -132,9 +196,16 @@
 
     fn nodes(&self) -> impl Iterator<Item = Node> {
         self.snapshot.servers.iter().filter_map(|(server, seen)| {
-            let ServerRole::Node { shard, can, .. } = seen.what else { return None };
+            let ServerRole::Node { shard, can, .. } = seen.what else {
+                return None;
+            };
             let stays = *server != self.order.server && !self.is_away(*server, seen);
-            Some(Node { shard, capacity: can, exists: exists(seen), stays })
+            Some(Node {
+                shard,
+                capacity: can,
+                exists: exists(seen),
+                stays,
+            })
         })
     }
 
@@ -142,9 +213,15 @@
         if self.order.shard_away {
             return None;
         }
-        let holders = || self.nodes().filter(|node| node.shard == shard && node.exists);
+        let holders = || {
+            self.nodes()
+                .filter(|node| node.shard == shard && node.exists)
+        };
         let all: f64 = holders().map(|node| node.capacity).sum();
-        let rest: f64 = holders().filter(|node| node.stays).map(|node| node.capacity).sum();
+        let rest: f64 = holders()
+            .filter(|node| node.stays)
+            .map(|node| node.capacity)
+            .sum();
         if rest < (self.config.keep_shard * all).max(f64::MIN_POSITIVE) {
             return Blocker::by_itself(format!("cell {shard} would be left with too few holders"));
         }
@@ -155,8 +232,16 @@
         if self.failed {
             return None;
         }
-        let all: f64 = self.nodes().filter(|node| node.exists).map(|node| node.capacity).sum();
-        let rest: f64 = self.nodes().filter(|node| node.stays).map(|node| node.capacity).sum();
+        let all: f64 = self
+            .nodes()
+            .filter(|node| node.exists)
+            .map(|node| node.capacity)
+            .sum();
+        let rest: f64 = self
+            .nodes()
+            .filter(|node| node.stays)
+            .map(|node| node.capacity)
+            .sum();
         let keep = self.config.keep;
         if rest < keep * all - CAPACITY_TOLERANCE {
             let stays = rest / all * 100.0;
@@ -189,7 +274,11 @@
 }
 
 fn host_of(seen: &ServerObservation) -> Option<u32> {
-    if let ServerRole::Host(host) = seen.what { Some(host) } else { None }
+    if let ServerRole::Host(host) = seen.what {
+        Some(host)
+    } else {
+        None
+    }
 }
 
 fn same_pool(a: &ServerObservation, b: &ServerObservation) -> bool {
@@ -202,7 +291,11 @@
 
 /// Whether a second of the day lies in a range that may go beyond midnight.
 fn is_within(from: u32, to: u32, second: u32) -> bool {
-    if from <= to { (from..to).contains(&second) } else { second >= from || second < to }
+    if from <= to {
+        (from..to).contains(&second)
+    } else {
+        second >= from || second < to
+    }
 }
 
 fn clock(second: u32) -> String {
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -73,7 +73,11 @@
 
     /// A member reports its order book to a coordinator that may not know it.
     pub fn order_book_reported(&mut self, order_book: OrderBook) {
-        if self.newest_reported.as_ref().is_none_or(|newest| newest.version < order_book.version) {
+        if self
+            .newest_reported
+            .as_ref()
+            .is_none_or(|newest| newest.version < order_book.version)
+        {
             self.newest_reported = Some(order_book);
         }
     }
@@ -82,12 +86,17 @@
     fn count_change(&mut self) -> Option<u64> {
         let order_book = self.order_book.as_mut()?;
         let count = order_book.version.count + 1;
-        order_book.version = OrderBookVersion { ballot: self.ballot, count };
+        order_book.version = OrderBookVersion {
+            ballot: self.ballot,
+            count,
+        };
         Some(count)
     }
 
     fn set_stage(&mut self, server: ServerId, stage: Stage, now: Instant) {
-        let Some(count) = self.count_change() else { return };
+        let Some(count) = self.count_change() else {
+            return;
+        };
         let order_book = self.order_book.as_mut();
         if let Some(order) = order_book.and_then(|order_book| order_book.order_mut(server)) {
             order.stage = stage;
@@ -122,7 +131,10 @@
         if self.informed.len() < enough {
             order_book.anew = self.ballot.round;
         }
-        order_book.version = OrderBookVersion { ballot: self.ballot, count: order_book.version.count + 1 };
+        order_book.version = OrderBookVersion {
+            ballot: self.ballot,
+            count: order_book.version.count + 1,
+        };
         self.first_count = order_book.version.count;
         // Stages that an earlier coordinator counted are known by a host that knows this version.
         for order in &mut order_book.orders {
@@ -143,7 +155,9 @@
     ) {
         self.follow_ballot(ballot);
         self.adopt(config, takeover_complete);
-        let Some(order_book) = &self.order_book else { return };
+        let Some(order_book) = &self.order_book else {
+            return;
+        };
         let count_before = order_book.version.count;
         let mut plan = StagePlan::default();
         for order in order_book.open() {
@@ -151,8 +165,12 @@
         }
         let restarted = restarted_hosts(order_book, snapshot);
         let is_forgotten = |order: &&Order| order.stage.over() && order.aged(now) >= SHOWN;
-        let forgotten: Vec<u64> =
-            order_book.orders.iter().filter(is_forgotten).map(|order| order.number).collect();
+        let forgotten: Vec<u64> = order_book
+            .orders
+            .iter()
+            .filter(is_forgotten)
+            .map(|order| order.number)
+            .collect();
         for change in &plan.changes {
             self.set_stage(change.server, change.stage, now);
         }
@@ -160,7 +178,10 @@
         self.forget(&forgotten);
         let mut updates = plan.updates;
         updates.extend(self.start_next(maintenance, now, snapshot));
-        let moved = self.order_book.as_ref().is_some_and(|book| book.version.count != count_before);
+        let moved = self
+            .order_book
+            .as_ref()
+            .is_some_and(|book| book.version.count != count_before);
         self.publish_waits(updates, moved, config, now);
     }
 
@@ -171,7 +192,9 @@
         }
         self.count_change();
         if let Some(order_book) = &mut self.order_book {
-            order_book.orders.retain(|order| !numbers.contains(&order.number));
+            order_book
+                .orders
+                .retain(|order| !numbers.contains(&order.number));
         }
     }
 
@@ -182,12 +205,17 @@
         now: Instant,
         snapshot: &FleetSnapshot,
     ) -> Vec<WaitUpdate> {
-        let Some(order_book) = &self.order_book else { return Vec::new() };
+        let Some(order_book) = &self.order_book else {
+            return Vec::new();
+        };
         let selection = select_next(order_book, maintenance, snapshot);
         if let Some(server) = selection.next {
             let number = order_book.order(server).map_or(0, |order| order.number);
             self.set_stage(server, Stage::Draining, now);
-            let incarnation = snapshot.servers.get(&server).map_or(0, |seen| seen.incarnation);
+            let incarnation = snapshot
+                .servers
+                .get(&server)
+                .map_or(0, |seen| seen.incarnation);
             for order in self.order_book.iter_mut().flat_map(|book| &mut book.orders) {
                 if order.stage == Stage::Approved && order.number < number {
                     order.passed += 1;
@@ -198,19 +226,32 @@
             }
         }
         let waiting = selection.waiting.into_iter();
-        waiting.map(|wait| WaitUpdate::new(wait.server, wait.reason)).collect()
+        waiting
+            .map(|wait| WaitUpdate::new(wait.server, wait.reason))
+            .collect()
     }
 
     /// What orders wait for is part of the order book, but when only that changes, a new version is published
     /// less often than hosts come and go: a new version is sent to all hosts, and with hundreds of hosts that
     /// release a server one by one there would be one at each of their renewals.
-    fn publish_waits(&mut self, updates: Vec<WaitUpdate>, moved: bool, config: &FleetConfig, now: Instant) {
+    fn publish_waits(
+        &mut self,
+        updates: Vec<WaitUpdate>,
+        moved: bool,
+        config: &FleetConfig,
+        now: Instant,
+    ) {
         if !moved && now - self.published_at < config.lease.times(PUBLISH_LEASES) {
             return;
         }
         self.published_at = now;
         let mut changed = false;
-        for WaitUpdate { server, waits, hosts } in updates {
+        for WaitUpdate {
+            server,
+            waits,
+            hosts,
+        } in updates
+        {
             let order_book = self.order_book.as_mut();
             if let Some(order) = order_book.and_then(|order_book| order_book.order_mut(server)) {
                 changed |= order.waits != waits || order.hosts != hosts;
@@ -226,7 +267,9 @@
     /// May this process of a host be a member? While the host drains it must learn so; once it has left, only
     /// another process may join, where a restart is how it returns.
     pub fn may_join(&self, server: ServerId, incarnation: u64) -> bool {
-        let Some(order) = self.order_book.as_ref().and_then(|book| book.order(server)) else { return true };
+        let Some(order) = self.order_book.as_ref().and_then(|book| book.order(server)) else {
+            return true;
+        };
         match order.stage {
             Stage::Draining => true,
             stage => !stage.barred() || order.returns && order.incarnation != incarnation,
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -41,9 +41,13 @@
 impl CommandKind {
     /// The kind with this number in a message.
     pub fn from_number(number: u32) -> Option<CommandKind> {
-        [CommandKind::TakeOffline, CommandKind::Return, CommandKind::Cancel]
-            .into_iter()
-            .find(|kind| *kind as u32 == number)
+        [
+            CommandKind::TakeOffline,
+            CommandKind::Return,
+            CommandKind::Cancel,
+        ]
+        .into_iter()
+        .find(|kind| *kind as u32 == number)
     }
 }
 
@@ -62,23 +66,40 @@
         let (Some(kind), Some(order_book)) = (kind, &self.order_book) else {
             return CommandDecision::Pending;
         };
-        let named: Vec<ServerId> = command.servers.iter().map(|server| ServerId(*server)).collect();
+        let named: Vec<ServerId> = command
+            .servers
+            .iter()
+            .map(|server| ServerId(*server))
+            .collect();
         for server in &named {
             if let Some(refusal) = refusal(order_book, maintenance, servers, kind, *server) {
-                return CommandDecision::Refused { server: *server, refusal };
+                return CommandDecision::Refused {
+                    server: *server,
+                    refusal,
+                };
             }
         }
-        let added = named.iter().filter(|server| open_order(order_book, **server).is_none()).count();
+        let added = named
+            .iter()
+            .filter(|server| open_order(order_book, **server).is_none())
+            .count();
         if kind == CommandKind::TakeOffline && order_book.open().count() + added > MAX_ORDERS {
             let server = named.first().copied().unwrap_or_default();
-            return CommandDecision::Refused { server, refusal: CommandRefusal::TooManyOrders };
+            return CommandDecision::Refused {
+                server,
+                refusal: CommandRefusal::TooManyOrders,
+            };
         }
         let mut latest = 0;
         for server in named {
             self.apply(maintenance, command, kind, server, now);
             latest = latest.max(self.version_to_commit(kind, server));
         }
-        if self.is_committed(config, latest) { CommandDecision::Accepted } else { CommandDecision::Pending }
+        if self.is_committed(config, latest) {
+            CommandDecision::Accepted
+        } else {
+            CommandDecision::Pending
+        }
     }
 
     /// Does what a command wants of one server, unless it is done already.
@@ -90,7 +111,10 @@
         server: ServerId,
         now: Instant,
     ) {
-        let open = self.order_book.as_ref().and_then(|order_book| open_order(order_book, server));
+        let open = self
+            .order_book
+            .as_ref()
+            .and_then(|order_book| open_order(order_book, server));
         match (kind, open.map(|order| order.stage)) {
             (CommandKind::TakeOffline, None) => self.request(maintenance, server, command, now),
             (CommandKind::Return, Some(Stage::Drained | Stage::Offline | Stage::Overdue)) => {
@@ -106,8 +130,12 @@
     /// The count that a majority must know before a command on this server counts; 0: any. An order that has
     /// gone beyond its request is known to a majority already.
     fn version_to_commit(&self, kind: CommandKind, server: ServerId) -> u64 {
-        let order = self.order_book.as_ref().and_then(|order_book| order_book.order(server));
-        let relevant = |order: &&Order| kind != CommandKind::TakeOffline || order.stage == Stage::Requested;
+        let order = self
+            .order_book
+            .as_ref()
+            .and_then(|order_book| order_book.order(server));
+        let relevant =
+            |order: &&Order| kind != CommandKind::TakeOffline || order.stage == Stage::Requested;
         order.filter(relevant).map_or(0, |order| order.version)
     }
 
@@ -118,8 +146,12 @@
         command: &FleetCommand,
         now: Instant,
     ) {
-        let Some(version) = self.count_change() else { return };
-        let Some(order_book) = &mut self.order_book else { return };
+        let Some(version) = self.count_change() else {
+            return;
+        };
+        let Some(order_book) = &mut self.order_book else {
+            return;
+        };
         // An order that is over makes way for the new one.
         order_book.orders.retain(|order| order.server != server);
         let longest = if command.longest_ms == 0 {
@@ -160,17 +192,25 @@
     kind: CommandKind,
     server: ServerId,
 ) -> Option<CommandRefusal> {
-    let Some(seen) = servers.get(&server) else { return Some(CommandRefusal::UnknownServer) };
+    let Some(seen) = servers.get(&server) else {
+        return Some(CommandRefusal::UnknownServer);
+    };
     let open = open_order(order_book, server).map(|order| order.stage);
     match (kind, open) {
         (CommandKind::TakeOffline, None) => permanent_blocker(maintenance, servers, server),
         (CommandKind::TakeOffline, Some(_)) => None,
         (CommandKind::Return, None) => refusal_unless_last(order_book, server, Stage::Done),
-        (CommandKind::Return, Some(stage)) if stage < Stage::Drained => Some(CommandRefusal::NotOffline),
+        (CommandKind::Return, Some(stage)) if stage < Stage::Drained => {
+            Some(CommandRefusal::NotOffline)
+        }
         (CommandKind::Return, Some(_)) => None,
         (CommandKind::Cancel, None) => refusal_unless_last(order_book, server, Stage::Cancelled),
-        (CommandKind::Cancel, Some(stage)) if stage >= Stage::Drained => Some(CommandRefusal::AlreadyOffline),
-        (CommandKind::Cancel, Some(Stage::Draining)) if matches!(seen.what, ServerRole::Host(_)) => {
+        (CommandKind::Cancel, Some(stage)) if stage >= Stage::Drained => {
+            Some(CommandRefusal::AlreadyOffline)
+        }
+        (CommandKind::Cancel, Some(Stage::Draining))
+            if matches!(seen.what, ServerRole::Host(_)) =>
+        {
             Some(CommandRefusal::HostIsDraining)
         }
         (CommandKind::Cancel, Some(_)) => None,
@@ -178,7 +218,15 @@
 }
 
 /// There is no open order. That is as the command wants it where the last one ended in this stage.
-fn refusal_unless_last(order_book: &OrderBook, server: ServerId, stage: Stage) -> Option<CommandRefusal> {
+fn refusal_unless_last(
+    order_book: &OrderBook,
+    server: ServerId,
+    stage: Stage,
+) -> Option<CommandRefusal> {
     let last = order_book.order(server).map(|order| order.stage);
-    if last == Some(stage) { None } else { Some(CommandRefusal::NoOrder) }
+    if last == Some(stage) {
+        None
+    } else {
+        Some(CommandRefusal::NoOrder)
+    }
 }
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -27,7 +27,11 @@
 
 impl WaitUpdate {
     pub(super) fn new(server: ServerId, waits: impl Into<String>) -> WaitUpdate {
-        WaitUpdate { server, waits: waits.into(), hosts: Vec::new() }
+        WaitUpdate {
+            server,
+            waits: waits.into(),
+            hosts: Vec::new(),
+        }
     }
 }
 
@@ -40,11 +44,18 @@
 
 impl StagePlan {
     fn change(&mut self, order: &Order, stage: Stage) {
-        self.changes.push(StageChange { server: order.server, stage });
+        self.changes.push(StageChange {
+            server: order.server,
+            stage,
+        });
     }
 
     fn wait(&mut self, order: &Order, waits: &str, hosts: Vec<u32>) {
-        self.updates.push(WaitUpdate { server: order.server, waits: waits.into(), hosts });
+        self.updates.push(WaitUpdate {
+            server: order.server,
+            waits: waits.into(),
+            hosts,
+        });
     }
 }
 
@@ -55,13 +66,19 @@
 }
 
 /// Hosts that died while they drained and have restarted: they have to drain again.
-pub(super) fn restarted_hosts(order_book: &OrderBook, snapshot: &FleetSnapshot) -> Vec<RestartedHost> {
+pub(super) fn restarted_hosts(
+    order_book: &OrderBook,
+    snapshot: &FleetSnapshot,
+) -> Vec<RestartedHost> {
     let restarted = |order: &Order| {
         let seen = snapshot.servers.get(&order.server)?;
         let is_host = matches!(seen.what, ServerRole::Host(_));
         let is_other = seen.incarnation != 0 && seen.incarnation != order.incarnation;
         let restarted = order.stage == Stage::Draining && is_host && is_other;
-        restarted.then_some(RestartedHost { order: order.number, incarnation: seen.incarnation })
+        restarted.then_some(RestartedHost {
+            order: order.number,
+            incarnation: seen.incarnation,
+        })
     };
     order_book.open().filter_map(restarted).collect()
 }
@@ -121,7 +138,9 @@
             return plan.wait(order, "hosts have not let go", using);
         }
         // Hosts whose process never reported that it released the server, and whose lease was waited for.
-        let unreported = users.iter().filter(|host| !self.has_released(**host, order));
+        let unreported = users
+            .iter()
+            .filter(|host| !self.has_released(**host, order));
         plan.change(order, Stage::Drained);
         plan.wait(order, "", unreported.map(|host| host.0).collect());
     }
@@ -132,7 +151,10 @@
         }
         self.count_change();
         for host in restarted {
-            let orders = self.order_book.iter_mut().flat_map(|order_book| &mut order_book.orders);
+            let orders = self
+                .order_book
+                .iter_mut()
+                .flat_map(|order_book| &mut order_book.orders);
             for order in orders.filter(|order| order.number == host.order) {
                 order.incarnation = host.incarnation;
             }
@@ -149,8 +171,11 @@
 ) {
     // A process that started before the server went offline, and of which the coordinator learns late, is no
     // return.
-    let offline_for =
-        if order.stage == Stage::Offline { order.aged(now) } else { order.longest + order.aged(now) };
+    let offline_for = if order.stage == Stage::Offline {
+        order.aged(now)
+    } else {
+        order.longest + order.aged(now)
+    };
     let has_returned = seen.is_some_and(|seen| {
         let restarted = seen.incarnation != 0 && seen.incarnation != order.incarnation;
         restarted && seen.up < offline_for && snapshot.is_well(seen)
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -70,10 +70,20 @@
             served: 0.0,
             others_until: unreported_until.min(earlier_until),
         };
-        let usage = self.usage.entry(report.host).or_insert_with(|| first.clone());
+        let usage = self
+            .usage
+            .entry(report.host)
+            .or_insert_with(|| first.clone());
         if usage.incarnation != report.incarnation {
-            let process_until = if usage.left { now } else { lease_and_blind(usage.granted_at) };
-            *usage = HostUsage { others_until: usage.others_until.max(process_until), ..first };
+            let process_until = if usage.left {
+                now
+            } else {
+                lease_and_blind(usage.granted_at)
+            };
+            *usage = HostUsage {
+                others_until: usage.others_until.max(process_until),
+                ..first
+            };
         }
         usage.known = report.known;
         usage.released = report.released;
@@ -105,24 +115,36 @@
     /// Units a second, by all hosts that renewed within a lease.
     pub fn served(&self, config: &FleetConfig, now: Instant) -> f64 {
         let is_current = |usage: &&HostUsage| !usage.left && now - usage.granted_at < config.lease;
-        self.usage.values().filter(is_current).map(|usage| usage.served).sum()
+        self.usage
+            .values()
+            .filter(is_current)
+            .map(|usage| usage.served)
+            .sum()
     }
 
     /// Whether a majority of all hosts knows the version of the order book with this count, or a later one.
     pub(super) fn is_committed(&self, config: &FleetConfig, count: u64) -> bool {
-        let version = OrderBookVersion { ballot: self.ballot, count };
+        let version = OrderBookVersion {
+            ballot: self.ballot,
+            count,
+        };
         let knows = |usage: &&HostUsage| usage.known.is_some_and(|known| known >= version);
         self.usage.values().filter(knows).count() >= majority_of_hosts(config)
     }
 
     /// Whether a host has reported that it released an order's server.
     pub(super) fn has_released(&self, host: HostId, order: &Order) -> bool {
-        self.usage.get(&host).is_some_and(|usage| self.is_released(usage, order))
+        self.usage
+            .get(&host)
+            .is_some_and(|usage| self.is_released(usage, order))
     }
 
     /// A report that was made with an older order book says nothing: the host may have used the server since.
     fn is_released(&self, usage: &HostUsage, order: &Order) -> bool {
-        let draining = OrderBookVersion { ballot: self.ballot, count: order.version };
+        let draining = OrderBookVersion {
+            ballot: self.ballot,
+            count: order.version,
+        };
         let knows = usage.known.is_some_and(|known| known >= draining);
         usage.left || knows && usage.released.contains(&order.server)
     }
@@ -135,23 +157,34 @@
         host: HostId,
         order: &Order,
     ) -> Instant {
-        let Some(usage) = self.usage.get(&host) else { return self.unreported_until(config, maintenance) };
+        let Some(usage) = self.usage.get(&host) else {
+            return self.unreported_until(config, maintenance);
+        };
         // What an earlier process under its name knew is not known here.
         if self.is_released(usage, order) {
             return usage.others_until;
         }
         // A host that knows an order book with this order in it uses the server no longer than its lease
         // lasts.
-        let requested = OrderBookVersion { ballot: self.ballot, count: self.count_with(order) };
+        let requested = OrderBookVersion {
+            ballot: self.ballot,
+            count: self.count_with(order),
+        };
         let knows = usage.known.is_some_and(|known| known >= requested);
         let blind = if knows { Span::ZERO } else { maintenance.blind };
-        usage.others_until.max(usage.granted_at + config.lease + blind)
+        usage
+            .others_until
+            .max(usage.granted_at + config.lease + blind)
     }
 
     /// The count of this coordinator's first version of the order book that has an order in it.
     fn count_with(&self, order: &Order) -> u64 {
         let own = order.number >> COUNT_BITS == self.ballot.round;
-        let count = if own { order.number & ((1 << COUNT_BITS) - 1) } else { 0 };
+        let count = if own {
+            order.number & ((1 << COUNT_BITS) - 1)
+        } else {
+            0
+        };
         count.max(self.first_count)
     }
 }
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -58,7 +58,10 @@
 
     /// No host may send to the server.
     pub fn barred(self) -> bool {
-        matches!(self, Stage::Draining | Stage::Drained | Stage::Offline | Stage::Overdue)
+        matches!(
+            self,
+            Stage::Draining | Stage::Drained | Stage::Offline | Stage::Overdue
+        )
     }
 
     /// The server counts as away for maintenance.
--- a/crates/fleet/src/maintenance/order_book.rs
+++ b/crates/fleet/src/maintenance/order_book.rs
@@ -38,12 +38,18 @@
 impl OrderBook {
     /// The newest order for a server.
     pub fn order(&self, server: ServerId) -> Option<&Order> {
-        self.orders.iter().rev().find(|order| order.server == server)
+        self.orders
+            .iter()
+            .rev()
+            .find(|order| order.server == server)
     }
 
     /// The newest order for a server, to be changed.
     pub(super) fn order_mut(&mut self, server: ServerId) -> Option<&mut Order> {
-        self.orders.iter_mut().rev().find(|order| order.server == server)
+        self.orders
+            .iter_mut()
+            .rev()
+            .find(|order| order.server == server)
     }
 
     /// Orders that are neither done nor cancelled.
@@ -58,7 +64,11 @@
             by: self.version.ballot.by,
             count: self.version.count,
             anew: self.anew,
-            orders: self.orders.iter().map(|order| order_to_message(order, now)).collect(),
+            orders: self
+                .orders
+                .iter()
+                .map(|order| order_to_message(order, now))
+                .collect(),
         }
     }
 
@@ -67,11 +77,24 @@
         if message.count == 0 || message.orders.len() > 2 * MAX_ORDERS {
             return None;
         }
-        let orders = message.orders.iter().map(|order| order_from_message(order, now));
+        let orders = message
+            .orders
+            .iter()
+            .map(|order| order_from_message(order, now));
         let orders = orders.collect::<Option<Vec<Order>>>()?;
-        let ballot = Ballot { round: message.round, by: message.by };
-        let version = OrderBookVersion { ballot, count: message.count };
-        Some(OrderBook { version, orders, anew: message.anew })
+        let ballot = Ballot {
+            round: message.round,
+            by: message.by,
+        };
+        let version = OrderBookVersion {
+            ballot,
+            count: message.count,
+        };
+        Some(OrderBook {
+            version,
+            orders,
+            anew: message.anew,
+        })
     }
 }
 
--- a/crates/fleet/src/maintenance/selection.rs
+++ b/crates/fleet/src/maintenance/selection.rs
@@ -67,10 +67,17 @@
 
 /// Overtaken orders first, then servers that do not work, then by age.
 fn approved_in_sequence<'a>(order_book: &'a OrderBook, snapshot: &FleetSnapshot) -> Vec<&'a Order> {
-    let approved = order_book.orders.iter().filter(|order| order.stage == Stage::Approved);
+    let approved = order_book
+        .orders
+        .iter()
+        .filter(|order| order.stage == Stage::Approved);
     let mut approved: Vec<&Order> = approved.collect();
-    let is_well =
-        |order: &Order| snapshot.servers.get(&order.server).is_none_or(|seen| snapshot.is_well(seen));
+    let is_well = |order: &Order| {
+        snapshot
+            .servers
+            .get(&order.server)
+            .is_none_or(|seen| snapshot.is_well(seen))
+    };
     approved.sort_by_key(|order| (order.passed < MAX_OVERTAKEN, is_well(order), order.number));
     approved
 }
@@ -81,7 +88,9 @@
     servers: &Servers,
     server: ServerId,
 ) -> Option<CommandRefusal> {
-    let ServerRole::Node { can, .. } = servers.get(&server)?.what else { return None };
+    let ServerRole::Node { can, .. } = servers.get(&server)?.what else {
+        return None;
+    };
     let capacity = |seen: &ServerObservation| match seen.what {
         ServerRole::Node { can, .. } => Some(can),
         ServerRole::Host(_) => None,
@@ -89,5 +98,8 @@
     let all: f64 = servers.values().filter_map(capacity).sum();
     let rest = all - can;
     let too_little = rest < config.keep * all - CAPACITY_TOLERANCE;
-    too_little.then(|| CommandRefusal::TooLittleCapacity { remaining: rest / all, keep: config.keep })
+    too_little.then(|| CommandRefusal::TooLittleCapacity {
+        remaining: rest / all,
+        keep: config.keep,
+    })
 }
--- a/crates/fleet/src/maintenance/server.rs
+++ b/crates/fleet/src/maintenance/server.rs
@@ -9,7 +9,9 @@
 pub const SERVED: VolumeId = VolumeId(u64::MAX - 3);
 
 /// A storage node or a host, by its name's number.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ServerId(pub u64);
 
 /// What a host observes of a server by itself.
--- a/crates/fleet/src/maintenance/snapshot.rs
+++ b/crates/fleet/src/maintenance/snapshot.rs
@@ -35,8 +35,11 @@
 
     /// Both are nodes, or both are hosts: one takes up the capacity or the places that the other needs.
     pub(super) fn share_limits(&self, a: ServerId, b: ServerId) -> bool {
-        let is_host =
-            |server: ServerId| self.servers.get(&server).map(|seen| matches!(seen.what, ServerRole::Host(_)));
+        let is_host = |server: ServerId| {
+            self.servers
+                .get(&server)
+                .map(|seen| matches!(seen.what, ServerRole::Host(_)))
+        };
         is_host(a) == is_host(b)
     }
 }
--- a/crates/fleet/src/rate_pacer.rs
+++ b/crates/fleet/src/rate_pacer.rs
@@ -50,20 +50,35 @@
     ///
     /// # Errors
     /// It is not this host's turn; holds when to ask again.
-    pub fn take(&mut self, interval: Span, now: Instant, rng: &mut impl Rng) -> Result<(), Instant> {
+    pub fn take(
+        &mut self,
+        interval: Span,
+        now: Instant,
+        rng: &mut impl Rng,
+    ) -> Result<(), Instant> {
         if interval <= Span::ZERO {
             return Ok(());
         }
-        let recent = self.credit.filter(|credit| credit.gained(interval, now) < IDLE_INTERVALS);
+        let recent = self
+            .credit
+            .filter(|credit| credit.gained(interval, now) < IDLE_INTERVALS);
         let amount = match recent {
             Some(credit) => credit.amount + credit.gained(interval, now),
             None => rng.random_range(0.0..1.0),
         };
         if amount < 1.0 - ROUNDING {
-            self.credit = Some(Credit { amount, as_of: now, interval });
+            self.credit = Some(Credit {
+                amount,
+                as_of: now,
+                interval,
+            });
             return Err(now + interval.times(1.0 - amount).max(MIN_WAIT));
         }
-        self.credit = Some(Credit { amount: amount.min(1.0) - 1.0, as_of: now, interval });
+        self.credit = Some(Credit {
+            amount: amount.min(1.0) - 1.0,
+            as_of: now,
+            interval,
+        });
         Ok(())
     }
 }
--- a/crates/fleet/tests/exploration.rs
+++ b/crates/fleet/tests/exploration.rs
@@ -48,7 +48,12 @@
 
 fn fleet_config() -> Arc<FleetConfig> {
     let through = (0..3).map(HostId).collect();
-    let budget = Budget { through, floor: 100_000, lagging_hosts: BTreeMap::new(), least: 1000 };
+    let budget = Budget {
+        through,
+        floor: 100_000,
+        lagging_hosts: BTreeMap::new(),
+        least: 1000,
+    };
     let lease = Span::from_micros(LEASE);
     Arc::new(FleetConfig {
         fleet: 7,
@@ -82,16 +87,30 @@
     fn start(&mut self, h: u32) {
         self.incarnations += 1;
         let incarnation = u64::from(h + 1) << 32 | self.incarnations;
-        self.hosts[h as usize] =
-            Some(Fleet::new(fleet_config(), HostId(h), incarnation, u64::from(h), self.clock(h)));
+        self.hosts[h as usize] = Some(Fleet::new(
+            fleet_config(),
+            HostId(h),
+            incarnation,
+            u64::from(h),
+            self.clock(h),
+        ));
         self.still[h as usize] = false;
     }
 
     fn turn(&mut self, h: u32) {
         let now = self.clock(h);
-        let Some(f) = self.hosts[h as usize].as_mut().filter(|_| !self.still[h as usize]) else { return };
+        let Some(f) = self.hosts[h as usize]
+            .as_mut()
+            .filter(|_| !self.still[h as usize])
+        else {
+            return;
+        };
         f.advance(now);
-        let sent = f.outputs().map(|output| InFlight { from: h, to: output.to.0, message: output.message });
+        let sent = f.outputs().map(|output| InFlight {
+            from: h,
+            to: output.to.0,
+            message: output.message,
+        });
         self.in_flight.extend(sent);
     }
 
@@ -101,8 +120,17 @@
             self.in_flight.remove(place);
         }
         let now = self.clock(to);
-        if let Some(f) = self.hosts[to as usize].as_mut().filter(|_| !self.still[to as usize]) {
-            f.handle(now, Event::Message { link: HostId(from), message });
+        if let Some(f) = self.hosts[to as usize]
+            .as_mut()
+            .filter(|_| !self.still[to as usize])
+        {
+            f.handle(
+                now,
+                Event::Message {
+                    link: HostId(from),
+                    message,
+                },
+            );
             self.turn(to);
         }
     }
@@ -122,7 +150,13 @@
     fn set_demand(&mut self, h: u32, units: f64) {
         let now = self.clock(h);
         if let Some(f) = &mut self.hosts[h as usize] {
-            f.handle(now, Event::DemandObserved { budget: BUDGET, units });
+            f.handle(
+                now,
+                Event::DemandObserved {
+                    budget: BUDGET,
+                    units,
+                },
+            );
         }
     }
 
@@ -132,7 +166,12 @@
         let mut all: Vec<Step> = in_flight.clone().map(Step::Delivered).collect();
         all.extend([LEASE / 8, LEASE / 2, LEASE * 11 / 10].map(Step::TimePasses));
         if self.faults < 2 {
-            all.extend(in_flight.clone().map(Step::Lost).chain(in_flight.map(Step::Repeated)));
+            all.extend(
+                in_flight
+                    .clone()
+                    .map(Step::Lost)
+                    .chain(in_flight.map(Step::Repeated)),
+            );
             for h in 0..3 {
                 match (&self.hosts[h as usize], self.still[h as usize]) {
                     (None, _) => all.push(Step::Starts(h)),
@@ -172,16 +211,28 @@
     /// What does not hold now, if anything; of the hosts that run and do not stand still.
     fn violation(&self) -> Option<String> {
         let runs = (0..3).filter(|h| !self.still[*h as usize]);
-        let runs: Vec<_> = runs.filter_map(|h| Some((h, self.hosts[h as usize].as_ref()?))).collect();
-        let shares: Vec<_> = runs.iter().map(|(h, f)| (*h, f.share_at(BUDGET, self.clock(*h)))).collect();
-        let deciding = runs.iter().filter(|(h, f)| f.decides(self.clock(*h))).count();
+        let runs: Vec<_> = runs
+            .filter_map(|h| Some((h, self.hosts[h as usize].as_ref()?)))
+            .collect();
+        let shares: Vec<_> = runs
+            .iter()
+            .map(|(h, f)| (*h, f.share_at(BUDGET, self.clock(*h))))
+            .collect();
+        let deciding = runs
+            .iter()
+            .filter(|(h, f)| f.decides(self.clock(*h)))
+            .count();
         let sum: u32 = shares.iter().map(|s| s.1).sum();
         (sum > WHOLE || deciding > 1).then(|| format!("{shares:?} in use, {deciding} decide"))
     }
 
     fn fingerprint(&self) -> u64 {
         let mut h = DefaultHasher::new();
-        format!("{:?}{:?}{:?}{}", self.hosts, self.in_flight, self.still, self.now).hash(&mut h);
+        format!(
+            "{:?}{:?}{:?}{}",
+            self.hosts, self.in_flight, self.still, self.now
+        )
+        .hash(&mut h);
         h.finish()
     }
 }
@@ -204,7 +255,10 @@
 
 #[test]
 fn no_order_of_events_breaks_the_invariants() {
-    let depth = std::env::var("FLEET_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(5);
+    let depth = std::env::var("FLEET_DEPTH")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(5);
     let mut starting = State::new();
     starting.calm(LEASE - 20_000);
     starting.now += LEASE / 4;
@@ -216,7 +270,9 @@
     (0..3).for_each(|h| moving.turn(h));
     let mut coordinator_died = moving.clone();
     let coordinator = (0..3).find(|h| {
-        coordinator_died.hosts[*h as usize].as_ref().is_some_and(|f| f.decides(coordinator_died.clock(*h)))
+        coordinator_died.hosts[*h as usize]
+            .as_ref()
+            .is_some_and(|f| f.decides(coordinator_died.clock(*h)))
     });
     let coordinator = coordinator.expect("a coordinator is elected by now");
     coordinator_died.hosts[coordinator as usize] = None;
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -13,7 +13,12 @@
 const B: VolumeId = VolumeId(1);
 
 fn budget(hosts: u32, floor: u32, least: u32) -> Budget {
-    Budget { through: (0..hosts).map(HostId).collect(), floor, lagging_hosts: BTreeMap::new(), least }
+    Budget {
+        through: (0..hosts).map(HostId).collect(),
+        floor,
+        lagging_hosts: BTreeMap::new(),
+        least,
+    }
 }
 
 fn fleet_config(hosts: u32) -> FleetConfig {
@@ -38,7 +43,10 @@
 }
 
 fn grant_id(round: u64, serial: u64) -> GrantId {
-    GrantId { ballot: ballot(round), serial }
+    GrantId {
+        ballot: ballot(round),
+        serial,
+    }
 }
 
 /// A member that was polled by a coordinator of round 5.
@@ -80,12 +88,21 @@
 #[test]
 fn a_grant_counts_from_its_renewal_and_only_forwards() {
     let config = fleet_config(2);
-    let grant =
-        |round, serial, renewal, at, accepted, share| Grant { round, serial, renewal, at, accepted, share };
+    let grant = |round, serial, renewal, at, accepted, share| Grant {
+        round,
+        serial,
+        renewal,
+        at,
+        accepted,
+        share,
+    };
     let cases = [
         vec![grant(5, 1, 1, 100, true, Some(1))],
         // A lease less the drift after the renewal was sent it is over.
-        vec![grant(5, 1, 1, 979, true, Some(1)), grant(5, 2, 1, 981, false, None)],
+        vec![
+            grant(5, 1, 1, 979, true, Some(1)),
+            grant(5, 2, 1, 981, false, None),
+        ],
         // An older grant, a repeated one, one for a renewal that was never sent.
         vec![
             grant(5, 2, 1, 100, true, Some(2)),
@@ -111,7 +128,11 @@
             let id = grant_id(grant.round, grant.serial);
             let accepted = holder.accept_grant(&config, id, grant.renewal, shares, ms(grant.at));
             assert_eq!(accepted, grant.accepted, "case {case}, grant {step}");
-            assert_eq!(holder.share(B, ms(grant.at)), grant.share, "case {case}, grant {step}");
+            assert_eq!(
+                holder.share(B, ms(grant.at)),
+                grant.share,
+                "case {case}, grant {step}"
+            );
         }
     }
 }
@@ -121,7 +142,10 @@
     let config = fleet_config(2);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut holder = LeaseHolder::new(ms(0));
-    assert!(holder.next_renewal(&config, ms(1000), &mut rng).is_none(), "no coordinator is known");
+    assert!(
+        holder.next_renewal(&config, ms(1000), &mut rng).is_none(),
+        "no coordinator is known"
+    );
     holder.accept_poll(HostId(0), ballot(5), ms(1000));
     let mut renewals = Vec::new();
     for at in 1001..5000 {
@@ -131,23 +155,37 @@
     }
     // For two leases, then it knows of no coordinator any more.
     assert!((7..=10).contains(&renewals.len()), "{renewals:?}");
-    assert!(renewals.iter().all(|(at, detour)| *detour == (*at >= 1500)), "{renewals:?}");
+    assert!(
+        renewals.iter().all(|(at, detour)| *detour == (*at >= 1500)),
+        "{renewals:?}"
+    );
     assert_eq!(holder.coordinator(), None);
 }
 
 fn renewal(host: u32, round: u64, serial: u64, held: u32) -> Renewal {
     Renewal {
-        process: ProcessId { host: HostId(host), incarnation: 7 },
+        process: ProcessId {
+            host: HostId(host),
+            incarnation: 7,
+        },
         ballot: ballot(round),
         via: None,
         serial,
         demand: BTreeMap::new(),
-        held: if held > 0 { [(B, held)].into() } else { BTreeMap::new() },
+        held: if held > 0 {
+            [(B, held)].into()
+        } else {
+            BTreeMap::new()
+        },
     }
 }
 
 fn granted(outcome: RenewalOutcome) -> Option<u32> {
-    if let RenewalOutcome::Granted { shares, .. } = outcome { shares.get(&B).copied() } else { None }
+    if let RenewalOutcome::Granted { shares, .. } = outcome {
+        shares.get(&B).copied()
+    } else {
+        None
+    }
 }
 
 /// A new coordinator grants what each host reports it holds, and more only when all have reported or one
@@ -170,13 +208,20 @@
         let first = coordinator.renew(&config, renewal(0, 9, 5, 300_000), ms(1));
         assert_eq!(granted(first), Some(300_000));
         if let Some(held) = other {
-            coordinator.renew(&config, renewal(1, 9, u64::from(held > 0), held), ms(reported_at));
+            coordinator.renew(
+                &config,
+                renewal(1, 9, u64::from(held > 0), held),
+                ms(reported_at),
+            );
         }
         for step in (reported_at..at).step_by(5) {
             coordinator.advance(&config, ms(step));
         }
         let share = granted(coordinator.renew(&config, renewal(0, 9, 5, 300_000), ms(at))).unwrap();
-        assert!(share.abs_diff(expected) <= 50_000, "{other:?} at {at}: {share}, {expected} expected");
+        assert!(
+            share.abs_diff(expected) <= 50_000,
+            "{other:?} at {at}: {share}, {expected} expected"
+        );
     }
     // What was written before its sender knew of this term says nothing of what is held now.
     let mut coordinator = Coordinator::new(&config, ballot(9), 1, ms(0));
@@ -229,27 +274,87 @@
     const K: u32 = 1000;
     type Case = (&'static [f64], u64, u32, u64, &'static [u32]);
     let cases: [Case; 8] = [
-        (&[0.0, 0.0, 0.0, 0.0], 0, 1, 0, &[250 * K, 250 * K, 250 * K, 250 * K]),
-        (&[10.0, 0.0, 0.0, 0.0], 0, 1, 0, &[790 * K, 70 * K, 70 * K, 70 * K]),
-        (&[30.0, 10.0, 0.0, 0.0], 0, 1, 0, &[610 * K, 250 * K, 70 * K, 70 * K]),
-        (&[10.0, 10.0, 0.0, 0.0], 600_000, 1, 0, &[145 * K, 145 * K, 55 * K, 55 * K]),
+        (
+            &[0.0, 0.0, 0.0, 0.0],
+            0,
+            1,
+            0,
+            &[250 * K, 250 * K, 250 * K, 250 * K],
+        ),
+        (
+            &[10.0, 0.0, 0.0, 0.0],
+            0,
+            1,
+            0,
+            &[790 * K, 70 * K, 70 * K, 70 * K],
+        ),
+        (
+            &[30.0, 10.0, 0.0, 0.0],
+            0,
+            1,
+            0,
+            &[610 * K, 250 * K, 70 * K, 70 * K],
+        ),
+        (
+            &[10.0, 10.0, 0.0, 0.0],
+            600_000,
+            1,
+            0,
+            &[145 * K, 145 * K, 55 * K, 55 * K],
+        ),
         // A whole request for each member that asks comes first.
-        (&[99.0, 1.0, 0.0, 0.0], 0, 200 * K, 0, &[650 * K, 210 * K, 70 * K, 70 * K]),
+        (
+            &[99.0, 1.0, 0.0, 0.0],
+            0,
+            200 * K,
+            0,
+            &[650 * K, 210 * K, 70 * K, 70 * K],
+        ),
         // Two of four at a time.
-        (&[1.0, 1.0, 1.0, 1.0], 0, 400 * K, 0, &[500 * K, 400 * K, 50 * K, 50 * K]),
-        (&[1.0, 1.0, 1.0, 1.0], 0, 400 * K, 1, &[50 * K, 500 * K, 400 * K, 50 * K]),
-        (&[1.0, 1.0, 1.0, 1.0], 0, 400 * K, 3, &[400 * K, 50 * K, 50 * K, 500 * K]),
+        (
+            &[1.0, 1.0, 1.0, 1.0],
+            0,
+            400 * K,
+            0,
+            &[500 * K, 400 * K, 50 * K, 50 * K],
+        ),
+        (
+            &[1.0, 1.0, 1.0, 1.0],
+            0,
+            400 * K,
+            1,
+            &[50 * K, 500 * K, 400 * K, 50 * K],
+        ),
+        (
+            &[1.0, 1.0, 1.0, 1.0],
+            0,
+            400 * K,
+            3,
+            &[400 * K, 50 * K, 50 * K, 500 * K],
+        ),
     ];
     for (demands, kept, least, turn, expected) in cases {
         let budget = budget(4, 50 * K, least);
         let members = demands.iter().enumerate();
-        let members = members.map(|(host, demand)| HostDemand { host: HostId(host as u32), demand: *demand });
+        let members = members.map(|(host, demand)| HostDemand {
+            host: HostId(host as u32),
+            demand: *demand,
+        });
         let members: Vec<HostDemand> = members.collect();
         let shares = divide(&budget, &members, kept, turn);
         let shares: Vec<u32> = shares.into_iter().map(|member| member.share).collect();
         let sum: u64 = shares.iter().map(|share| u64::from(*share)).sum();
-        assert!(sum + kept <= u64::from(WHOLE) && sum + kept > u64::from(WHOLE) - 10, "{shares:?}");
-        let near = shares.iter().zip(expected).all(|(a, b)| a.abs_diff(*b) <= 50 * K);
-        assert!(near, "{demands:?} {kept} {least} {turn}: {shares:?}, {expected:?} expected");
+        assert!(
+            sum + kept <= u64::from(WHOLE) && sum + kept > u64::from(WHOLE) - 10,
+            "{shares:?}"
+        );
+        let near = shares
+            .iter()
+            .zip(expected)
+            .all(|(a, b)| a.abs_diff(*b) <= 50 * K);
+        assert!(
+            near,
+            "{demands:?} {kept} {least} {turn}: {shares:?}, {expected:?} expected"
+        );
     }
 }
--- a/crates/fleet/tests/maintenance/access.rs
+++ b/crates/fleet/tests/maintenance/access.rs
@@ -17,7 +17,12 @@
 fn what_a_host_may_send_to_goes_by_its_order_book_and_its_lease() {
     use Stage::*;
     let at = |ms: i64| Instant::from_micros(ms * 1000);
-    let case = |stage, lease_lost, now, may| Case { stage, lease_lost, now, may };
+    let case = |stage, lease_lost, now, may| Case {
+        stage,
+        lease_lost,
+        now,
+        may,
+    };
     let cases = [
         case(None, None, 0, true),
         case(Some(Requested), None, 0, true),
@@ -37,11 +42,33 @@
         case(Some(Done), Some(100), 200, true),
     ];
     let config = maintenance_config();
-    for Case { stage, lease_lost, now, may } in cases {
+    for Case {
+        stage,
+        lease_lost,
+        now,
+        may,
+    } in cases
+    {
         let orders = stage.map(|stage| order(1, stage, 0)).into_iter().collect();
-        let order_book = OrderBook { orders, ..OrderBook::default() };
-        let got = may_use(Some(&order_book), &config, 0.0, lease_lost.map(at), SERVER, at(now));
-        assert_eq!(got, may, "{stage:?}, no lease since {lease_lost:?}, at {now}");
+        let order_book = OrderBook {
+            orders,
+            ..OrderBook::default()
+        };
+        let got = may_use(
+            Some(&order_book),
+            &config,
+            0.0,
+            lease_lost.map(at),
+            SERVER,
+            at(now),
+        );
+        assert_eq!(
+            got, may,
+            "{stage:?}, no lease since {lease_lost:?}, at {now}"
+        );
     }
-    assert!(!may_use(None, &config, 0.0, None, SERVER, at(0)), "a host that knows no order book");
+    assert!(
+        !may_use(None, &config, 0.0, None, SERVER, at(0)),
+        "a host that knows no order book"
+    );
 }
--- a/crates/fleet/tests/maintenance/coordinator.rs
+++ b/crates/fleet/tests/maintenance/coordinator.rs
@@ -10,7 +10,11 @@
 use std::collections::BTreeSet;
 
 fn command(kind: CommandKind) -> FleetCommand {
-    FleetCommand { kind: kind as u32, servers: vec![SERVER.0], ..FleetCommand::default() }
+    FleetCommand {
+        kind: kind as u32,
+        servers: vec![SERVER.0],
+        ..FleetCommand::default()
+    }
 }
 
 /// All three hosts renew. Host 0 is last known in its first incarnation at 2000, and from then on in this
@@ -21,8 +25,16 @@
         let restarted = later && incarnation == 2;
         let report = RenewalReport {
             incarnation: if later { incarnation } else { 1 },
-            released: if released { BTreeSet::from([SERVER]) } else { BTreeSet::new() },
-            member_for: if restarted { Span::ZERO } else { Span::from_millis(19_000.0) },
+            released: if released {
+                BTreeSet::from([SERVER])
+            } else {
+                BTreeSet::new()
+            },
+            member_for: if restarted {
+                Span::ZERO
+            } else {
+                Span::from_millis(19_000.0)
+            },
             ..report(host, driver.version())
         };
         driver.renew(report, ms(at));
@@ -38,12 +50,18 @@
     for (incarnation, drained_at) in [(1, 2500), (2, 6000)] {
         let mut driver = Driver::new(3, 2, None, ms(-20_000));
         renew_all(&mut driver, incarnation, 0, false);
-        let command = FleetCommand { shard_away: true, ..command(CommandKind::TakeOffline) };
+        let command = FleetCommand {
+            shard_away: true,
+            ..command(CommandKind::TakeOffline)
+        };
         assert_eq!(driver.command(&command, ms(0)), CommandDecision::Pending);
         for at in [500, 1000, 1500, 2000] {
             renew_all(&mut driver, incarnation, at, false);
         }
-        assert_eq!(driver.command(&command, ms(2000)), CommandDecision::Accepted);
+        assert_eq!(
+            driver.command(&command, ms(2000)),
+            CommandDecision::Accepted
+        );
         assert_eq!(driver.stage(), Some(Stage::Draining));
         let mut went_at = None;
         for at in (2500..12_000).step_by(500) {
@@ -59,8 +77,15 @@
 }
 
 fn order_book(round: u64, stage: Stage) -> OrderBook {
-    let version = OrderBookVersion { ballot: Ballot { round, by: 0 }, count: 3 };
-    OrderBook { version, orders: vec![order(1, stage, 0)], anew: 0 }
+    let version = OrderBookVersion {
+        ballot: Ballot { round, by: 0 },
+        count: 3,
+    };
+    OrderBook {
+        version,
+        orders: vec![order(1, stage, 0)],
+        anew: 0,
+    }
 }
 
 /// What is taken over: the stage of the order, and whether the order book was begun anew.
@@ -74,7 +99,12 @@
 /// of them; where too many hosts have just started for that ever to be, it begins anew and says so.
 #[test]
 fn an_order_book_is_taken_over_from_enough_hosts_or_begun_anew() {
-    let taken = |stage, anew| Some(TakenOver { stage: Some(stage), anew });
+    let taken = |stage, anew| {
+        Some(TakenOver {
+            stage: Some(stage),
+            anew,
+        })
+    };
     // what each host that reports remembers, by round (0: nothing); what is taken over
     type Case = (&'static [u64], Option<TakenOver>);
     let cases: [Case; 6] = [
@@ -101,23 +131,47 @@
             }
         }
         driver.advance(ms(500), false);
-        assert_eq!(driver.coordinator.order_book(), None, "{rounds:?}: before earlier grants are over");
+        assert_eq!(
+            driver.coordinator.order_book(),
+            None,
+            "{rounds:?}: before earlier grants are over"
+        );
         driver.advance(ms(1000), true);
         // What is approved may go in the same step.
-        let stage =
-            driver.stage().map(|stage| if stage == Stage::Draining { Stage::Approved } else { stage });
+        let stage = driver.stage().map(|stage| {
+            if stage == Stage::Draining {
+                Stage::Approved
+            } else {
+                stage
+            }
+        });
         let order_book = driver.coordinator.order_book();
-        let got = order_book.map(|order_book| TakenOver { stage, anew: order_book.anew != 0 });
+        let got = order_book.map(|order_book| TakenOver {
+            stage,
+            anew: order_book.anew != 0,
+        });
         assert_eq!(got, expected, "{rounds:?}");
     }
 }
 
 /// All five hosts renew and have released the server. The first `informed` know the newest order book, the
 /// others `old`.
-fn all_released(driver: &mut Driver, at: i64, informed: u32, old: Option<OrderBookVersion>) -> Option<Stage> {
+fn all_released(
+    driver: &mut Driver,
+    at: i64,
+    informed: u32,
+    old: Option<OrderBookVersion>,
+) -> Option<Stage> {
     for host in 0..5 {
-        let known = if host < informed { driver.version() } else { old };
-        let report = RenewalReport { released: BTreeSet::from([SERVER]), ..report(host, known) };
+        let known = if host < informed {
+            driver.version()
+        } else {
+            old
+        };
+        let report = RenewalReport {
+            released: BTreeSet::from([SERVER]),
+            ..report(host, known)
+        };
         driver.renew(report, ms(at));
     }
     driver.advance(ms(at), true);
@@ -136,14 +190,32 @@
         "nobody knows the order book that was taken over"
     );
     let taken_over = driver.version();
-    assert_eq!(all_released(&mut driver, 100, 5, taken_over), Some(Stage::Drained));
-    assert_eq!(all_released(&mut driver, 200, 2, taken_over), Some(Stage::Drained), "two of five know");
+    assert_eq!(
+        all_released(&mut driver, 100, 5, taken_over),
+        Some(Stage::Drained)
+    );
+    assert_eq!(
+        all_released(&mut driver, 200, 2, taken_over),
+        Some(Stage::Drained),
+        "two of five know"
+    );
     let decision = driver.command(&command(CommandKind::Cancel), ms(200));
-    let CommandDecision::Refused { refusal, .. } = decision else { panic!("{decision:?}") };
+    let CommandDecision::Refused { refusal, .. } = decision else {
+        panic!("{decision:?}")
+    };
     assert!(refusal.to_string().contains("out already"));
-    assert_eq!(all_released(&mut driver, 300, 3, taken_over), Some(Stage::Offline));
+    assert_eq!(
+        all_released(&mut driver, 300, 3, taken_over),
+        Some(Stage::Offline)
+    );
     let decision = driver.command(&command(CommandKind::Cancel), ms(300));
     assert!(matches!(decision, CommandDecision::Refused { .. }));
-    assert_eq!(driver.command(&command(CommandKind::Return), ms(300)), CommandDecision::Pending);
-    assert_eq!(all_released(&mut driver, 350, 3, taken_over), Some(Stage::Returning));
+    assert_eq!(
+        driver.command(&command(CommandKind::Return), ms(300)),
+        CommandDecision::Pending
+    );
+    assert_eq!(
+        all_released(&mut driver, 350, 3, taken_over),
+        Some(Stage::Returning)
+    );
 }
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -3,10 +3,12 @@
 
 use gullsail_fleet::FleetConfig;
 use gullsail_fleet::lease::Ballot;
-use gullsail_fleet::maintenance::coordinator::{CommandDecision, MaintenanceCoordinator, RenewalReport};
+use gullsail_fleet::maintenance::coordinator::{
+    CommandDecision, MaintenanceCoordinator, RenewalReport,
+};
 use gullsail_fleet::maintenance::{
-    FleetSnapshot, MaintenanceConfig, Order, OrderBook, OrderBookVersion, ServerId, ServerObservation,
-    ServerRole, Servers, Stage,
+    FleetSnapshot, MaintenanceConfig, Order, OrderBook, OrderBookVersion, ServerId,
+    ServerObservation, ServerRole, Servers, Stage,
 };
 use gullsail_protocol::FleetCommand;
 use gullsail_scheduler_api::{HostId, Instant, Span};
@@ -48,13 +50,27 @@
 /// Nodes 1 to 6: two for each shard, odd ones in zone 0, with a capacity of 100 each; servers 11 to 15 are
 /// hosts 0 to 4, each in a zone of its own from 2 on.
 pub fn servers() -> Servers {
-    let observation =
-        |what, zone| ServerObservation { what, zone, well: true, incarnation: 1, up: Span::ZERO };
+    let observation = |what, zone| ServerObservation {
+        what,
+        zone,
+        well: true,
+        incarnation: 1,
+        up: Span::ZERO,
+    };
     let node = |n: u64| {
-        let what = ServerRole::Node { shard: (n as i64 + 1) / 2, pool: 0, can: 100.0 };
+        let what = ServerRole::Node {
+            shard: (n as i64 + 1) / 2,
+            pool: 0,
+            can: 100.0,
+        };
         (ServerId(n), observation(what, n as u32 % 2))
     };
-    let host = |h: u32| (ServerId(11 + u64::from(h)), observation(ServerRole::Host(h), 2 + h));
+    let host = |h: u32| {
+        (
+            ServerId(11 + u64::from(h)),
+            observation(ServerRole::Host(h), 2 + h),
+        )
+    };
     (1..=6).map(node).chain((0..5).map(host)).collect()
 }
 
@@ -84,7 +100,15 @@
     hosts: u32,
     coordinator: u32,
 ) -> FleetSnapshot<'a> {
-    FleetSnapshot { servers, members, hosts, voters: 3, served: 0.0, coordinator, second_of_day: 40_000 }
+    FleetSnapshot {
+        servers,
+        members,
+        hosts,
+        voters: 3,
+        served: 0.0,
+        coordinator,
+        second_of_day: 40_000,
+    }
 }
 
 /// What the tests ask of the coordinator, all about server 1.
@@ -120,7 +144,8 @@
     }
 
     pub fn report(&mut self, report: RenewalReport, now: Instant) {
-        self.coordinator.renewal_reported(&self.config, &self.maintenance, report, now);
+        self.coordinator
+            .renewal_reported(&self.config, &self.maintenance, report, now);
     }
 
     /// The report, and the lease that answers it.
@@ -143,17 +168,22 @@
     }
 
     pub fn command(&mut self, command: &FleetCommand, now: Instant) -> CommandDecision {
-        self.coordinator.command(&self.config, &self.maintenance, command, &self.servers, now)
+        self.coordinator
+            .command(&self.config, &self.maintenance, command, &self.servers, now)
     }
 
     pub fn version(&self) -> Option<OrderBookVersion> {
-        self.coordinator.order_book().map(|order_book| order_book.version)
+        self.coordinator
+            .order_book()
+            .map(|order_book| order_book.version)
     }
 
     /// The stage of server 1's order.
     pub fn stage(&self) -> Option<Stage> {
         let order_book = self.coordinator.order_book();
-        order_book.and_then(|order_book| order_book.order(SERVER)).map(|order| order.stage)
+        order_book
+            .and_then(|order_book| order_book.order(SERVER))
+            .map(|order| order.stage)
     }
 }
 
