--- a/crates/fleet/tests/maintenance/selection.rs
+++ b/crates/fleet/tests/maintenance/selection.rs
@@ -39,7 +39,10 @@
     },
     // Requested is not approved; one in its zone is away; a place that is free goes to a server that can have
     // it.
-    Case { orders: &[(1, Requested, 0)], ..CASE },
+    Case {
+        orders: &[(1, Requested, 0)],
+        ..CASE
+    },
     Case {
         orders: &[(1, Offline, 0), (3, Approved, 0), (4, Approved, 0)],
         next: Some(4),
@@ -52,10 +55,23 @@
         ..CASE
     },
     // Servers whose orders are done or cancelled are not away.
-    Case { orders: &[(1, Done, 0), (3, Approved, 0)], next: Some(3), ..CASE },
+    Case {
+        orders: &[(1, Done, 0), (3, Approved, 0)],
+        next: Some(3),
+        ..CASE
+    },
     // The other holder of its shard is away, or failed by itself.
-    Case { orders: &[(1, Offline, 0), (2, Approved, 0)], waiting: &[(2, "cell 1 would be left")], ..CASE },
-    Case { orders: &[(1, Approved, 0)], failed: &[2], waiting: &[(1, "cell 1 would be left")], ..CASE },
+    Case {
+        orders: &[(1, Offline, 0), (2, Approved, 0)],
+        waiting: &[(2, "cell 1 would be left")],
+        ..CASE
+    },
+    Case {
+        orders: &[(1, Approved, 0)],
+        failed: &[2],
+        waiting: &[(1, "cell 1 would be left")],
+        ..CASE
+    },
     // A failed one goes first, and takes nothing away by going; but no more are under maintenance than may
     // be.
     Case {
@@ -72,10 +88,25 @@
         ..CASE
     },
     // Three of six would stay, of which half must; two of six would not do.
-    Case { orders: &[(1, Approved, 0)], failed: &[4, 6], waiting: &[(1, "2 of 2 away in all")], ..CASE },
+    Case {
+        orders: &[(1, Approved, 0)],
+        failed: &[4, 6],
+        waiting: &[(1, "2 of 2 away in all")],
+        ..CASE
+    },
     // What is served now must fit: five do 500 units, nine tenths of that may be busy.
-    Case { orders: &[(1, Approved, 0)], served: 449.0, next: Some(1), ..CASE },
-    Case { orders: &[(1, Approved, 0)], served: 451.0, waiting: &[(1, "no room to spare")], ..CASE },
+    Case {
+        orders: &[(1, Approved, 0)],
+        served: 449.0,
+        next: Some(1),
+        ..CASE
+    },
+    Case {
+        orders: &[(1, Approved, 0)],
+        served: 451.0,
+        waiting: &[(1, "no room to spare")],
+        ..CASE
+    },
     // None goes at night.
     Case {
         orders: &[(1, Approved, 0)],
@@ -83,7 +114,12 @@
         waiting: &[(1, "none goes between 22:00 and 06:00")],
         ..CASE
     },
-    Case { orders: &[(1, Approved, 0)], second_of_day: 21_600, next: Some(1), ..CASE },
+    Case {
+        orders: &[(1, Approved, 0)],
+        second_of_day: 21_600,
+        next: Some(1),
+        ..CASE
+    },
     // The coordinator (host 0) goes last; most hosts and voters (the first three) must be left.
     Case {
         orders: &[(11, Approved, 0), (1, Approved, 0)],
@@ -112,8 +148,13 @@
 
 fn check(case: &Case) {
     let Case { orders, failed, .. } = case;
-    let listed = orders.iter().map(|(server, stage, passed)| order(*server, *stage, *passed));
-    let order_book = OrderBook { orders: listed.collect(), ..OrderBook::default() };
+    let listed = orders
+        .iter()
+        .map(|(server, stage, passed)| order(*server, *stage, *passed));
+    let order_book = OrderBook {
+        orders: listed.collect(),
+        ..OrderBook::default()
+    };
     let mut servers = servers();
     for server in *failed {
         servers.get_mut(&ServerId(*server)).unwrap().well = false;
@@ -125,9 +166,17 @@
         ..snapshot(&servers, &members, 5, 0)
     };
     let got = select_next(&order_book, &maintenance_config(), &snapshot);
-    assert_eq!(got.next, case.next.map(ServerId), "{orders:?} {failed:?}: {:?}", got.waiting);
+    assert_eq!(
+        got.next,
+        case.next.map(ServerId),
+        "{orders:?} {failed:?}: {:?}",
+        got.waiting
+    );
     for (server, expected) in case.waiting {
-        let wait = got.waiting.iter().find(|wait| wait.server == ServerId(*server));
+        let wait = got
+            .waiting
+            .iter()
+            .find(|wait| wait.server == ServerId(*server));
         let reason = wait.map(|wait| wait.reason.as_str()).unwrap_or_default();
         assert!(
             reason.contains(expected),
@@ -138,7 +187,12 @@
 
 #[test]
 fn too_few_voters_and_capacity_hold_it_up() {
-    let mut config = MaintenanceConfig { at_once: 9, in_zone: 9, in_pool: 9, ..maintenance_config() };
+    let mut config = MaintenanceConfig {
+        at_once: 9,
+        in_zone: 9,
+        in_pool: 9,
+        ..maintenance_config()
+    };
     let servers = servers();
     let members: BTreeSet<u32> = (0..5).collect();
     // offline, next, whether it goes
@@ -151,11 +205,21 @@
         (&[14], 11, true),
     ];
     for (offline, server, goes) in cases {
-        let mut orders: Vec<_> = offline.iter().map(|server| order(*server, Offline, 0)).collect();
+        let mut orders: Vec<_> = offline
+            .iter()
+            .map(|server| order(*server, Offline, 0))
+            .collect();
         orders.push(order(server, Approved, 0));
-        let order_book = OrderBook { orders, ..OrderBook::default() };
+        let order_book = OrderBook {
+            orders,
+            ..OrderBook::default()
+        };
         let selection = select_next(&order_book, &config, &snapshot(&servers, &members, 5, 9));
-        assert_eq!(selection.next == Some(ServerId(server)), goes, "{offline:?}, then {server}");
+        assert_eq!(
+            selection.next == Some(ServerId(server)),
+            goes,
+            "{offline:?}, then {server}"
+        );
     }
     assert_eq!(permanent_blocker(&config, &servers, ServerId(1)), None);
     config.keep = 0.9;
--- a/crates/fleet/tests/messages.rs
+++ b/crates/fleet/tests/messages.rs
@@ -49,7 +49,9 @@
 /// A renewal of the other host, in this incarnation, with the newest ballot that it was asked with.
 fn renewal(f: &mut Fleet, incarnation: u64, at: i64) -> FleetMessage {
     f.advance(ms(at));
-    let polls = f.outputs().filter(|output| output.message.what() == FleetWhat::Ask);
+    let polls = f
+        .outputs()
+        .filter(|output| output.message.what() == FleetWhat::Ask);
     let newest = polls.map(|output| output.message).next_back();
     let (round, by) = newest.map_or((u64::MAX >> 20, 0), |poll| (poll.round, poll.by));
     FleetMessage {
@@ -69,8 +71,17 @@
     // Time has gone on meanwhile; a point before the last one changes nothing.
     (at - 1000..at).step_by(10).for_each(|at| f.advance(ms(at)));
     f.outputs().for_each(drop);
-    f.handle(ms(at), Event::Message { link: HostId(1), message });
-    f.outputs().filter(|output| output.to == HostId(1)).map(|output| output.message.what()).collect()
+    f.handle(
+        ms(at),
+        Event::Message {
+            link: HostId(1),
+            message,
+        },
+    );
+    f.outputs()
+        .filter(|output| output.to == HostId(1))
+        .map(|output| output.message.what())
+        .collect()
 }
 
 #[test]
@@ -81,23 +92,47 @@
         (|message| message.rules = 2, "of other rules"),
         (|message| message.from = 9, "of an unknown host"),
         (|message| message.to = 9, "of an unknown host"),
-        (|message| message.from = 0, "of another process with this host's name"),
-        (|message| message.to_incarnation = 99, "for an earlier process of this name"),
+        (
+            |message| message.from = 0,
+            "of another process with this host's name",
+        ),
+        (
+            |message| message.to_incarnation = 99,
+            "for an earlier process of this name",
+        ),
         (|message| message.what = 77, "of an unknown kind"),
-        (|message| message.what = FleetWhat::Left as i32, "out of place"),
-        (|message| message.parts[0].asked = f32::NAN, "with figures that make no sense"),
-        (|message| message.parts[0].share = WHOLE + 1, "with figures that make no sense"),
+        (
+            |message| message.what = FleetWhat::Left as i32,
+            "out of place",
+        ),
+        (
+            |message| message.parts[0].asked = f32::NAN,
+            "with figures that make no sense",
+        ),
+        (
+            |message| message.parts[0].share = WHOLE + 1,
+            "with figures that make no sense",
+        ),
     ];
     for (place, (damage, cause)) in cases.into_iter().enumerate() {
         let mut f = coordinator();
         let mut message = renewal(&mut f, 21, 3500);
-        message.parts = vec![FleetPart { budget: 1, share: 0, asked: 3.0 }];
+        message.parts = vec![FleetPart {
+            budget: 1,
+            share: 0,
+            asked: 3.0,
+        }];
         damage(&mut message);
         let state = |f: &Fleet| (f.epoch(), f.share(VolumeId(1)), f.status().members.len());
         let before = state(&f);
         assert_eq!(answers(&mut f, message, 3501), [], "case {place}");
         assert_eq!(state(&f), before, "case {place}");
-        assert_eq!(f.status().dropped.get(cause), Some(&1), "case {place}: {:?}", f.status().dropped);
+        assert_eq!(
+            f.status().dropped.get(cause),
+            Some(&1),
+            "case {place}: {:?}",
+            f.status().dropped
+        );
     }
 }
 
@@ -107,7 +142,10 @@
     let mut f = coordinator();
     let first = renewal(&mut f, 21, 3500);
     assert_eq!(answers(&mut f, first.clone(), 3501), [FleetWhat::Grant]);
-    let second = FleetMessage { from_incarnation: 22, ..first.clone() };
+    let second = FleetMessage {
+        from_incarnation: 22,
+        ..first.clone()
+    };
     assert_eq!(answers(&mut f, second.clone(), 3700), [FleetWhat::Fence]);
     assert_eq!(answers(&mut f, first, 3800), [FleetWhat::Grant]);
     assert_eq!(
@@ -127,7 +165,13 @@
         to_incarnation: 22,
         ..second
     };
-    other.handle(ms(10), Event::Message { link: HostId(0), message: fence });
+    other.handle(
+        ms(10),
+        Event::Message {
+            link: HostId(0),
+            message: fence,
+        },
+    );
     assert_eq!((other.share(VolumeId(1)), other.status().fenced), (0, true));
 }
 
@@ -144,19 +188,36 @@
         to: 2,
         ..FleetMessage::default()
     };
-    f.handle(ms(1), Event::Message { link: HostId(1), message: message.clone() });
+    f.handle(
+        ms(1),
+        Event::Message {
+            link: HostId(1),
+            message: message.clone(),
+        },
+    );
     assert_eq!(
-        f.outputs().map(|output| (output.to, output.message)).collect::<Vec<_>>(),
+        f.outputs()
+            .map(|output| (output.to, output.message))
+            .collect::<Vec<_>>(),
         [(HostId(2), message.clone())]
     );
-    f.handle(ms(2), Event::Message { link: HostId(2), message });
+    f.handle(
+        ms(2),
+        Event::Message {
+            link: HostId(2),
+            message,
+        },
+    );
     assert_eq!(f.outputs().count(), 0);
     assert_eq!(f.status().dropped.get("passed on twice"), Some(&1));
 }
 
 /// With a coordinator lease of one second.
 fn slow_config() -> FleetConfig {
-    FleetConfig { lease: Span::from_millis(2000.0), ..(*fleet_config(3, 3)).clone() }
+    FleetConfig {
+        lease: Span::from_millis(2000.0),
+        ..(*fleet_config(3, 3)).clone()
+    }
 }
 
 /// How an acceptor replies to ballots, step by step; of two candidates, and after a restart of the acceptor.
@@ -164,28 +225,67 @@
 fn an_acceptor_is_bound_by_earlier_replies_and_silent_while_it_recovers() {
     use AcceptorReply::*;
     let config = slow_config();
-    let first = ProcessId { host: HostId(1), incarnation: 21 };
-    let second = ProcessId { host: HostId(2), incarnation: 31 };
-    let restarted = ProcessId { host: HostId(1), incarnation: 22 };
+    let first = ProcessId {
+        host: HostId(1),
+        incarnation: 21,
+    };
+    let second = ProcessId {
+        host: HostId(2),
+        incarnation: 31,
+    };
+    let restarted = ProcessId {
+        host: HostId(1),
+        incarnation: 22,
+    };
     let ballot = |round, by| Ballot { round, by };
     let mut a = Acceptor::new(&config, ms(0));
     // For two leases what an earlier incarnation promised may be in force.
     assert_eq!(a.prepare(ballot(9, 1), first, ms(1999)), Recovering);
-    assert_eq!(a.propose(&config, ballot(9, 1), first, ms(1999)), Recovering);
-    assert_eq!(a.prepare(ballot(9, 1), first, ms(2000)), Promised { taken: false });
-    assert_eq!(a.prepare(ballot(8, 2), second, ms(2001)), Refused(ballot(9, 1)));
-    assert_eq!(a.propose(&config, ballot(8, 2), second, ms(2001)), Refused(ballot(9, 1)));
-    assert_eq!(a.propose(&config, ballot(9, 1), restarted, ms(2002)), Refused(ballot(9, 1)));
+    assert_eq!(
+        a.propose(&config, ballot(9, 1), first, ms(1999)),
+        Recovering
+    );
+    assert_eq!(
+        a.prepare(ballot(9, 1), first, ms(2000)),
+        Promised { taken: false }
+    );
+    assert_eq!(
+        a.prepare(ballot(8, 2), second, ms(2001)),
+        Refused(ballot(9, 1))
+    );
+    assert_eq!(
+        a.propose(&config, ballot(8, 2), second, ms(2001)),
+        Refused(ballot(9, 1))
+    );
+    assert_eq!(
+        a.propose(&config, ballot(9, 1), restarted, ms(2002)),
+        Refused(ballot(9, 1))
+    );
     assert_eq!(a.propose(&config, ballot(9, 1), first, ms(2002)), Accepted);
     // Live for a lease; any other candidate learns so, and takes no ballot away by asking.
-    assert_eq!(a.prepare(ballot(12, 2), second, ms(3001)), Promised { taken: true });
+    assert_eq!(
+        a.prepare(ballot(12, 2), second, ms(3001)),
+        Promised { taken: true }
+    );
     assert_eq!(a.propose(&config, ballot(9, 1), first, ms(3001)), Accepted);
-    assert_eq!(a.prepare(ballot(12, 2), second, ms(4000)), Promised { taken: true });
-    assert_eq!(a.prepare(ballot(12, 2), second, ms(4001)), Promised { taken: false });
-    assert_eq!(a.propose(&config, ballot(9, 1), first, ms(4002)), Refused(ballot(12, 2)));
+    assert_eq!(
+        a.prepare(ballot(12, 2), second, ms(4000)),
+        Promised { taken: true }
+    );
+    assert_eq!(
+        a.prepare(ballot(12, 2), second, ms(4001)),
+        Promised { taken: false }
+    );
+    assert_eq!(
+        a.propose(&config, ballot(9, 1), first, ms(4002)),
+        Refused(ballot(12, 2))
+    );
     a.propose(&config, ballot(12, 2), second, ms(4003));
     a.release(first);
-    assert!(a.live(ms(4004)).is_some(), "only the holder releases the lease");
+    assert!(
+        a.live(ms(4004)).is_some(),
+        "only the holder releases the lease"
+    );
     a.release(second);
     assert!(a.live(ms(4004)).is_none());
 }
@@ -199,7 +299,9 @@
     for (late, goes_on) in [(500, true), (997, true), (999, false), (1500, false)] {
         let mut candidate = LeaseCandidate::new(HostId(0), 5, ms(0));
         let request = candidate.advance(&config, None, ms(0), &mut rng);
-        let Some(CandidateRequest::Prepare(ballot)) = request else { panic!("{request:?}") };
+        let Some(CandidateRequest::Prepare(ballot)) = request else {
+            panic!("{request:?}")
+        };
         assert_eq!(
             candidate.promised(&config, HostId(0), ballot, false, ms(late)),
             None,
@@ -224,7 +326,10 @@
     candidate.accepted(config, HostId(0), proposal, accepted_at);
     assert!(candidate.accepted(config, HostId(2), proposal, accepted_at));
     let held = candidate.held(accepted_at).unwrap();
-    assert_eq!(held.until, ms(proposed_at) + config.held_coordinator_lease());
+    assert_eq!(
+        held.until,
+        ms(proposed_at) + config.held_coordinator_lease()
+    );
 }
 
 /// The fields of a message that are drawn.
@@ -233,11 +338,23 @@
 fn fields() -> impl Strategy<Value = Fields> {
     let part = (0u64..3, any::<u32>(), any::<f32>());
     let parts = prop::collection::vec(part, 0..3);
-    (0i32..14, 0u32..4, 0u32..4, any::<u64>(), any::<u32>(), any::<u64>(), parts)
+    (
+        0i32..14,
+        0u32..4,
+        0u32..4,
+        any::<u64>(),
+        any::<u32>(),
+        any::<u64>(),
+        parts,
+    )
 }
 
 fn drawn_message((what, from, to, round, by, number, parts): Fields) -> FleetMessage {
-    let part = |(budget, share, asked)| FleetPart { budget, share, asked };
+    let part = |(budget, share, asked)| FleetPart {
+        budget,
+        share,
+        asked,
+    };
     FleetMessage {
         fleet: 7,
         rules: 1,
--- a/crates/fleet/tests/rate_pacer.rs
+++ b/crates/fleet/tests/rate_pacer.rs
@@ -36,10 +36,18 @@
         for (place, from) in all.iter().enumerate() {
             for (more, to) in all[place..].iter().enumerate() {
                 let most = 10.0 * (to - from) + hosts as f64 + 1.0;
-                assert!((more + 1) as f64 <= most, "{hosts} hosts: {} from {from} to {to}", more + 1);
+                assert!(
+                    (more + 1) as f64 <= most,
+                    "{hosts} hosts: {} from {from} to {to}",
+                    more + 1
+                );
             }
         }
-        assert!(all.len() as f64 >= 0.9 * 600.0 - hosts as f64, "{hosts} hosts: {} in all", all.len());
+        assert!(
+            all.len() as f64 >= 0.9 * 600.0 - hosts as f64,
+            "{hosts} hosts: {} in all",
+            all.len()
+        );
         // Not all at the beginning, as they would be with one each to spend.
         let first = all.iter().filter(|at| **at < 1.0).count();
         assert!(first <= 25, "{hosts} hosts: {first} in the first second");
--- a/crates/fleet/tests/world/faults.rs
+++ b/crates/fleet/tests/world/faults.rs
@@ -46,7 +46,11 @@
             7 => self.leave_unless_still(host),
             _ => {
                 let idle = self.rng.random_bool(0.3);
-                let units = if idle { 0.0 } else { self.rng.random_range(0.0..50.0) };
+                let units = if idle {
+                    0.0
+                } else {
+                    self.rng.random_range(0.0..50.0)
+                };
                 self.set_demand(host, units);
             }
         }
--- a/crates/fleet/tests/world/harness.rs
+++ b/crates/fleet/tests/world/harness.rs
@@ -29,10 +29,18 @@
     let budget = |through: Vec<u32>, least| {
         let floor = WHOLE * 3 / 10 / through.len() as u32;
         let through = through.into_iter().map(HostId).collect();
-        Budget { through, floor, lagging_hosts: BTreeMap::new(), least }
+        Budget {
+            through,
+            floor,
+            lagging_hosts: BTreeMap::new(),
+            least,
+        }
     };
     let some = (0..hosts).filter(|host| host % 2 == 0).collect();
-    let budgets = [(VolumeId(1), budget((0..hosts).collect(), least)), (VolumeId(2), budget(some, 1000))];
+    let budgets = [
+        (VolumeId(1), budget((0..hosts).collect(), least)),
+        (VolumeId(2), budget(some, 1000)),
+    ];
     FleetConfig {
         fleet: 7,
         hosts,
@@ -46,8 +54,14 @@
 
 /// Something that is to happen at some time.
 pub enum Scheduled {
-    Message { to: u32, link: u32, message: FleetMessage },
-    Timer { host: u32 },
+    Message {
+        to: u32,
+        link: u32,
+        message: FleetMessage,
+    },
+    Timer {
+        host: u32,
+    },
     Fault,
 }
 
@@ -119,7 +133,10 @@
         maintenance: Option<MaintenanceConfig>,
     ) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let config = Arc::new(FleetConfig { maintenance, ..fleet_config(hosts, least, drift) });
+        let config = Arc::new(FleetConfig {
+            maintenance,
+            ..fleet_config(hosts, least, drift)
+        });
         let new_host = |_| Host {
             fleet: None,
             ahead: rng.random_range(0..100 * SECOND),
@@ -175,7 +192,8 @@
 
     pub fn schedule(&mut self, at: i64, scheduled: Scheduled) {
         self.last_scheduled += 1;
-        self.queue.push(Reverse((at.max(self.now), self.last_scheduled)));
+        self.queue
+            .push(Reverse((at.max(self.now), self.last_scheduled)));
         self.scheduled.insert(self.last_scheduled, scheduled);
     }
 
@@ -191,7 +209,13 @@
         host.still_until = 0;
         host.waiting.clear();
         let incarnation = (u64::from(number) + 1) << 32 | host.incarnations;
-        host.fleet = Some(Fleet::new(self.config.clone(), HostId(number), incarnation, self.seed, now));
+        host.fleet = Some(Fleet::new(
+            self.config.clone(),
+            HostId(number),
+            incarnation,
+            self.seed,
+            now,
+        ));
         self.turn(number);
     }
 
@@ -204,12 +228,22 @@
     }
 
     /// An operator's command, given to a host.
-    pub fn command(&mut self, host: u32, kind: CommandKind, servers: &[ServerId], more: FleetCommand) -> u64 {
+    pub fn command(
+        &mut self,
+        host: u32,
+        kind: CommandKind,
+        servers: &[ServerId],
+        more: FleetCommand,
+    ) -> u64 {
         self.last_command += 1;
         let number = self.last_command;
         let now = self.clock(host, self.now);
         let servers = servers.iter().map(|server| server.0).collect();
-        let command = FleetCommand { kind: kind as u32, servers, ..more };
+        let command = FleetCommand {
+            kind: kind as u32,
+            servers,
+            ..more
+        };
         if let Some(fleet) = &mut self.hosts[host as usize].fleet {
             fleet.handle(now, Event::OperatorCommand { number, command });
         }
@@ -220,7 +254,9 @@
     /// Carries out what a host wants, and sets its timer anew.
     pub fn turn(&mut self, host: u32) {
         let now = self.clock(host, self.now);
-        let Some(fleet) = &mut self.hosts[host as usize].fleet else { return };
+        let Some(fleet) = &mut self.hosts[host as usize].fleet else {
+            return;
+        };
         fleet.advance(now);
         if fleet.going_offline() {
             // All requests that it took are answered at once.
@@ -232,7 +268,9 @@
         if self.config.maintenance.is_some() {
             self.observe_servers(host, now);
         }
-        let Some(fleet) = &mut self.hosts[host as usize].fleet else { return };
+        let Some(fleet) = &mut self.hosts[host as usize].fleet else {
+            return;
+        };
         let outputs: Vec<_> = fleet.outputs().collect();
         let next = fleet.next();
         let wait = ((next - now).micros().max(200) as f64 / self.hosts[host as usize].rate) as i64;
@@ -247,10 +285,17 @@
 
     pub fn run(&mut self, span: i64) {
         let end = self.now + span;
-        while let Some(Reverse((at, id))) = self.queue.peek().copied().filter(|Reverse(next)| next.0 <= end) {
+        while let Some(Reverse((at, id))) = self
+            .queue
+            .peek()
+            .copied()
+            .filter(|Reverse(next)| next.0 <= end)
+        {
             self.queue.pop();
             self.now = at;
-            let Some(scheduled) = self.scheduled.remove(&id) else { continue };
+            let Some(scheduled) = self.scheduled.remove(&id) else {
+                continue;
+            };
             match scheduled {
                 Scheduled::Timer { host } if self.hosts[host as usize].timer_at > at => continue,
                 Scheduled::Timer { host } => self.timer(host),
@@ -286,7 +331,13 @@
         let clock = self.clock(number, self.now);
         if let Some(fleet) = &mut self.hosts[number as usize].fleet {
             for budget in self.config.budgets.keys().filter(|_| units > 0.0) {
-                fleet.handle(clock, Event::DemandObserved { budget: *budget, units });
+                fleet.handle(
+                    clock,
+                    Event::DemandObserved {
+                        budget: *budget,
+                        units,
+                    },
+                );
             }
         }
         for (link, message) in waiting {
@@ -297,15 +348,24 @@
 
     /// What is in use of a budget, by the hosts that run.
     pub fn in_use(&self, budget: u64) -> u64 {
-        (0..self.hosts.len() as u32).map(|host| u64::from(self.share(host, budget))).sum()
+        (0..self.hosts.len() as u32)
+            .map(|host| u64::from(self.share(host, budget)))
+            .sum()
     }
 
     pub fn share(&self, host: u32, budget: u64) -> u32 {
         let fleet = self.hosts[host as usize].fleet.as_ref();
-        fleet.map_or(0, |fleet| fleet.share_at(VolumeId(budget), self.clock(host, self.now)))
+        fleet.map_or(0, |fleet| {
+            fleet.share_at(VolumeId(budget), self.clock(host, self.now))
+        })
     }
 }
 
 fn first_nodes(count: u64) -> Vec<Node> {
-    (0..count).map(|place| Node { incarnation: place + 1, well: true }).collect()
+    (0..count)
+        .map(|place| Node {
+            incarnation: place + 1,
+            well: true,
+        })
+        .collect()
 }
--- a/crates/fleet/tests/world/invariants.rs
+++ b/crates/fleet/tests/world/invariants.rs
@@ -26,8 +26,10 @@
     /// No more than the whole of any budget is in use.
     fn check_shares(&mut self, running: &[u32]) {
         for budget in self.config.budgets.keys() {
-            let shares: Vec<(u32, u32)> =
-                running.iter().map(|host| (*host, self.share(*host, budget.0))).collect();
+            let shares: Vec<(u32, u32)> = running
+                .iter()
+                .map(|host| (*host, self.share(*host, budget.0)))
+                .collect();
             let sum: u64 = shares.iter().map(|(_, share)| u64::from(*share)).sum();
             self.largest_sum = self.largest_sum.max(sum);
             assert!(
@@ -42,8 +44,11 @@
     /// Nothing is sent to a server that is offline, and no more servers are away than may be, by the orders
     /// that any host knew at any time.
     fn check_maintenance(&self, running: &[u32]) {
-        let Some(maintenance) = &self.config.maintenance else { return };
-        let is_away = |stage: &&Stage| matches!(stage, Stage::Offline | Stage::Overdue | Stage::Returning);
+        let Some(maintenance) = &self.config.maintenance else {
+            return;
+        };
+        let is_away =
+            |stage: &&Stage| matches!(stage, Stage::Offline | Stage::Overdue | Stage::Returning);
         let away = self.orders.stages.values().filter(is_away).count();
         assert!(
             away <= maintenance.at_once as usize,
@@ -63,10 +68,16 @@
         if server.0 >= FIRST_NODE {
             let uses = |host: &&u32| {
                 let clock = self.clock(**host, self.now);
-                self.fleet(**host).is_some_and(|fleet| fleet.may_use(server, clock))
+                self.fleet(**host)
+                    .is_some_and(|fleet| fleet.may_use(server, clock))
             };
             let using: Vec<_> = running.iter().filter(uses).collect();
-            assert!(using.is_empty(), "seed {}, at {}: {using:?} send to {server:?}", self.seed, self.now);
+            assert!(
+                using.is_empty(),
+                "seed {}, at {}: {using:?} send to {server:?}",
+                self.seed,
+                self.now
+            );
             return;
         }
         // The host may have restarted, and not know its order yet: then it does not leave.
@@ -87,7 +98,12 @@
             self.fleet(**host).is_some_and(|fleet| fleet.decides(clock))
         };
         let deciding: Vec<u32> = running.iter().filter(decides).copied().collect();
-        assert!(deciding.len() <= 1, "seed {}, at {}: {deciding:?} decide", self.seed, self.now);
+        assert!(
+            deciding.len() <= 1,
+            "seed {}, at {}: {deciding:?} decide",
+            self.seed,
+            self.now
+        );
         for host in deciding {
             *self.coordinators.entry(host).or_default() += 1;
         }
--- a/crates/fleet/tests/world/main.rs
+++ b/crates/fleet/tests/world/main.rs
@@ -93,13 +93,19 @@
             used = used.max(w.in_use(1));
         }
         let shares: Vec<_> = (0..hosts).map(|host| w.share(host, 1)).collect();
-        assert!(used > 900_000, "seed {seed}: {used} in use after all is well: {shares:?}");
+        assert!(
+            used > 900_000,
+            "seed {seed}: {used} in use after all is well: {shares:?}"
+        );
         for (host, count) in w.coordinators {
             *coordinators.entry(host).or_insert(0u64) += count;
         }
     }
     let few = seeds(60).count() < 10;
-    assert!(few || coordinators.len() >= 3, "many hosts have been coordinator: {coordinators:?}");
+    assert!(
+        few || coordinators.len() >= 3,
+        "many hosts have been coordinator: {coordinators:?}"
+    );
 }
 
 /// What is done to a fleet, and which host must have more than its floor three leases later.
@@ -115,7 +121,13 @@
 }
 
 fn hard_cases() -> [HardCase; 7] {
-    let case = |name, served, fault| HardCase { name, fault, served, spare_hosts: 0, idle: None };
+    let case = |name, served, fault| HardCase {
+        name,
+        fault,
+        served,
+        spare_hosts: 0,
+        idle: None,
+    };
     [
         HardCase {
             spare_hosts: 12,
@@ -130,7 +142,9 @@
             others.for_each(|host| w.cut_both(host, 7, 6 * LEASE));
         }),
         case("half die within a second", None, |w| {
-            (0..12).filter(|host| host % 2 == 1).for_each(|host| w.kill(host));
+            (0..12)
+                .filter(|host| host % 2 == 1)
+                .for_each(|host| w.kill(host));
         }),
         case("all die and come back", None, |w| {
             (0..12).for_each(|host| w.kill(host));
@@ -145,11 +159,15 @@
                 pairs.for_each(|(a, b)| w.cut_both(a, b, 20 * LEASE));
             })
         },
-        case("back within the lease of its earlier incarnation", Some(9), |w| {
-            w.kill(9);
-            w.run(LEASE / 4);
-            w.start(9);
-        }),
+        case(
+            "back within the lease of its earlier incarnation",
+            Some(9),
+            |w| {
+                w.kill(9);
+                w.run(LEASE / 4);
+                w.start(9);
+            },
+        ),
         case("a connection flaps twenty times", Some(3), |w| {
             for _ in 0..20 {
                 w.cut_both(0, 3, LEASE / 10);
@@ -183,11 +201,17 @@
     w.run(4 * LEASE);
     if let Some(host) = case.served.filter(|_| loss == 0.0) {
         let floor = w.config.budgets[&VolumeId(1)].floor;
-        assert!(w.share(host, 1) > floor, "{name}, seed {seed}: h{host} has its floor alone");
+        assert!(
+            w.share(host, 1) > floor,
+            "{name}, seed {seed}: h{host} has its floor alone"
+        );
     }
     w.run(8 * LEASE);
     let down = w.hosts.iter().filter(|host| host.fleet.is_none()).count();
     let idle = case.idle.unwrap_or(down as f64 / f64::from(hosts)) * 0.3;
     let used = w.in_use(1) as f64 / f64::from(WHOLE);
-    assert!(used > 0.93 - idle - loss, "{name}, seed {seed}: {used} in use, {idle} idle");
+    assert!(
+        used > 0.93 - idle - loss,
+        "{name}, seed {seed}: {used} in use, {idle} idle"
+    );
 }
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -35,11 +35,17 @@
 
 fn stage(w: &World, server: ServerId) -> Option<Stage> {
     let stages = w.orders.stages.iter().filter(|((of, _), _)| *of == server);
-    stages.max_by_key(|((_, number), _)| *number).map(|(_, stage)| *stage)
+    stages
+        .max_by_key(|((_, number), _)| *number)
+        .map(|(_, stage)| *stage)
 }
 
 fn away(returns: bool) -> FleetCommand {
-    FleetCommand { shard_away: true, returns, ..FleetCommand::default() }
+    FleetCommand {
+        shard_away: true,
+        returns,
+        ..FleetCommand::default()
+    }
 }
 
 /// What operators do meanwhile: a server that is offline is switched off, started anew after a while, and
@@ -53,14 +59,22 @@
         for server in shown_offline(w) {
             if server.0 >= FIRST_NODE {
                 let place = (server.0 - FIRST_NODE) as usize;
-                w.nodes[place] = Node { incarnation: w.nodes[place].incarnation + 1, well: true };
+                w.nodes[place] = Node {
+                    incarnation: w.nodes[place].incarnation + 1,
+                    well: true,
+                };
             } else {
                 let host = server.0 as u32 - 1;
                 w.kill(host);
                 w.start(host);
             }
             let through = w.rng.random_range(0..w.config.hosts);
-            w.command(through, CommandKind::Return, &[server], FleetCommand::default());
+            w.command(
+                through,
+                CommandKind::Return,
+                &[server],
+                FleetCommand::default(),
+            );
         }
     }
 }
@@ -76,10 +90,15 @@
 /// What each host knows, for a failure's message.
 fn known_orders(w: &World) -> String {
     let one = |host: &Host| {
-        let Some(fleet) = &host.fleet else { return "down".to_string() };
+        let Some(fleet) = &host.fleet else {
+            return "down".to_string();
+        };
         let status = fleet.status();
         let orders = fleet.orders().map(|order| {
-            format!("{}#{} {:?} {} {:?}", order.server.0, order.number, order.stage, order.waits, order.hosts)
+            format!(
+                "{}#{} {:?} {} {:?}",
+                order.server.0, order.number, order.stage, order.waits, order.hosts
+            )
         });
         let orders: Vec<String> = orders.collect();
         let version = fleet.line().map(|order_book| order_book.version);
@@ -96,7 +115,14 @@
 /// How many orders are open, by the host that knows of most; 1 where no host knows an order book.
 fn open_orders(w: &World) -> usize {
     let fleets = w.hosts.iter().filter_map(|host| host.fleet.as_ref());
-    fleets.map(|fleet| fleet.line().map_or(1, |order_book| order_book.open().count())).max().unwrap_or(1)
+    fleets
+        .map(|fleet| {
+            fleet
+                .line()
+                .map_or(1, |order_book| order_book.open().count())
+        })
+        .max()
+        .unwrap_or(1)
 }
 
 /// A command for a random server, some given twice, some withdrawn.
@@ -106,7 +132,11 @@
     } else {
         host(w.rng.random_range(0..hosts))
     };
-    let kind = if w.rng.random_bool(0.8) { CommandKind::TakeOffline } else { CommandKind::Cancel };
+    let kind = if w.rng.random_bool(0.8) {
+        CommandKind::TakeOffline
+    } else {
+        CommandKind::Cancel
+    };
     for _ in 0..w.rng.random_range(1..3) {
         let through = w.rng.random_range(0..hosts);
         let returns = w.rng.random_bool(0.5);
@@ -147,7 +177,12 @@
         }
         assert_eq!(open_orders(&w), 0, "seed {seed}: {}", known_orders(&w));
         orders += w.orders.stages.len();
-        done += w.orders.stages.values().filter(|stage| **stage == Stage::Done).count();
+        done += w
+            .orders
+            .stages
+            .values()
+            .filter(|stage| **stage == Stage::Done)
+            .count();
         anew += w.orders.anew.len();
     }
     if seeds(60).count() >= 60 {
@@ -169,12 +204,24 @@
         w.run(2 * LEASE);
         assert_eq!(stage(&w, node(0)), Some(Stage::Offline));
         assert_eq!(w.orders.stages.len(), 1);
-        assert_eq!(w.answers.iter().filter(|(_, result)| result.is_ok()).count(), 2, "{:?}", w.answers);
+        assert_eq!(
+            w.answers
+                .iter()
+                .filter(|(_, result)| result.is_ok())
+                .count(),
+            2,
+            "{:?}",
+            w.answers
+        );
         // Known late: it had started before it was offline.
         w.nodes[0].incarnation = 98;
         w.up = Span::from_millis(60_000.0);
         w.run(2 * LEASE);
-        assert_eq!(stage(&w, node(0)), Some(Stage::Offline), "returns {returns}");
+        assert_eq!(
+            stage(&w, node(0)),
+            Some(Stage::Offline),
+            "returns {returns}"
+        );
         w.nodes[0].incarnation = 99;
         w.up = Span::ZERO;
         w.run(2 * LEASE);
@@ -196,8 +243,13 @@
 #[ignore = "figures, not a verdict: cargo test -p gullsail-fleet --release --test world line_by_size -- --ignored --nocapture"]
 fn line_by_size() {
     for (hosts, nodes) in [(24, 24), (100, 60), (300, 200)] {
-        let config =
-            MaintenanceConfig { at_once: 4, in_zone: 4, in_pool: 4, keep: 0.8, ..maintenance_config() };
+        let config = MaintenanceConfig {
+            at_once: 4,
+            in_zone: 4,
+            in_pool: 4,
+            keep: 0.8,
+            ..maintenance_config()
+        };
         let mut w = World::with_drift(hosts, 1, 10_000, DRIFT, Some(config)).with_nodes(nodes);
         w.run(5 * LEASE);
         w.messages.fill(0);
@@ -207,19 +259,33 @@
         // One of each two that hold a shard, up to forty.
         let servers: Vec<ServerId> = (0..nodes).step_by(2).take(40).map(node).collect();
         let at = w.now;
-        let command = FleetCommand { returns: true, ..FleetCommand::default() };
+        let command = FleetCommand {
+            returns: true,
+            ..FleetCommand::default()
+        };
         w.command(hosts / 2, CommandKind::TakeOffline, &servers, command);
         let mut restarted: BTreeSet<ServerId> = BTreeSet::new();
-        let done =
-            |w: &World| servers.iter().filter(|server| stage(w, **server) == Some(Stage::Done)).count();
+        let done = |w: &World| {
+            servers
+                .iter()
+                .filter(|server| stage(w, **server) == Some(Stage::Done))
+                .count()
+        };
         while done(&w) < servers.len() && w.now - at < 600 * SECOND {
             w.run(50_000);
-            let offline = servers.iter().filter(|server| stage(&w, **server) == Some(Stage::Offline));
-            let offline: Vec<ServerId> =
-                offline.copied().filter(|server| restarted.insert(*server)).collect();
+            let offline = servers
+                .iter()
+                .filter(|server| stage(&w, **server) == Some(Stage::Offline));
+            let offline: Vec<ServerId> = offline
+                .copied()
+                .filter(|server| restarted.insert(*server))
+                .collect();
             for server in offline {
                 let place = (server.0 - FIRST_NODE) as usize;
-                w.nodes[place] = Node { incarnation: w.nodes[place].incarnation + 1000, well: true };
+                w.nodes[place] = Node {
+                    incarnation: w.nodes[place].incarnation + 1000,
+                    well: true,
+                };
             }
         }
         let leases = (w.now - at) as f64 / LEASE as f64;
--- a/crates/fleet/tests/world/network.rs
+++ b/crates/fleet/tests/world/network.rs
@@ -15,7 +15,11 @@
 
 impl World {
     pub fn cut(&mut self, from: u32, to: u32, span: i64) {
-        self.cuts.push(Cut { from, to, until: self.now + span });
+        self.cuts.push(Cut {
+            from,
+            to,
+            until: self.now + span,
+        });
     }
 
     pub fn cut_both(&mut self, a: u32, b: u32, span: i64) {
@@ -31,12 +35,22 @@
         if is_cut || self.rng.random_bool(self.loss) {
             return;
         }
-        let copies = if self.loss > 0.0 && self.rng.random_bool(0.05) { 2 } else { 1 };
+        let copies = if self.loss > 0.0 && self.rng.random_bool(0.05) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             // Mostly fast; some take a good part of a lease, so that messages overtake each other.
             let slow = self.loss > 0.0 && self.rng.random_bool(0.03);
-            let delay = self.rng.random_range(100..if slow { 2 * LEASE } else { 3000 });
-            let message = Scheduled::Message { to, link: from, message: message.clone() };
+            let delay = self
+                .rng
+                .random_range(100..if slow { 2 * LEASE } else { 3000 });
+            let message = Scheduled::Message {
+                to,
+                link: from,
+                message: message.clone(),
+            };
             self.schedule(self.now + delay, message);
         }
     }
@@ -44,7 +58,13 @@
     pub fn deliver(&mut self, to: u32, link: u32, message: FleetMessage) {
         let now = self.clock(to, self.now);
         if let Some(fleet) = &mut self.hosts[to as usize].fleet {
-            fleet.handle(now, Event::Message { link: HostId(link), message });
+            fleet.handle(
+                now,
+                Event::Message {
+                    link: HostId(link),
+                    message,
+                },
+            );
         }
         self.turn(to);
     }
--- a/crates/fleet/tests/world/servers.rs
+++ b/crates/fleet/tests/world/servers.rs
@@ -2,7 +2,9 @@
 
 use crate::harness::{FIRST_NODE, Node, World};
 use gullsail_fleet::Event;
-use gullsail_fleet::maintenance::{OrderBook, ServerId, ServerObservation, ServerRole, Servers, Stage};
+use gullsail_fleet::maintenance::{
+    OrderBook, ServerId, ServerObservation, ServerRole, Servers, Stage,
+};
 use gullsail_scheduler_api::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,7 +38,11 @@
     fn servers(&self) -> Servers {
         let node = |(place, node): (usize, &Node)| {
             let seen = ServerObservation {
-                what: ServerRole::Node { shard: place as i64 / 2, pool: 0, can: 100.0 },
+                what: ServerRole::Node {
+                    shard: place as i64 / 2,
+                    pool: 0,
+                    can: 100.0,
+                },
                 zone: place as u32 % 2,
                 well: node.well,
                 incarnation: node.incarnation,
@@ -54,7 +60,12 @@
             };
             (ServerId(u64::from(number) + 1), seen)
         };
-        self.nodes.iter().enumerate().map(node).chain((0..self.config.hosts).map(host)).collect()
+        self.nodes
+            .iter()
+            .enumerate()
+            .map(node)
+            .chain((0..self.config.hosts).map(host))
+            .collect()
     }
 }
 
@@ -81,10 +92,15 @@
             return;
         }
         for order in &order_book.orders {
-            let stage = self.stages.entry((order.server, order.number)).or_insert(order.stage);
+            let stage = self
+                .stages
+                .entry((order.server, order.number))
+                .or_insert(order.stage);
             *stage = order.stage.max(*stage);
             // A newer order is taken only once the one before it is over.
-            let before = self.stages.range_mut((order.server, 0)..(order.server, order.number));
+            let before = self
+                .stages
+                .range_mut((order.server, 0)..(order.server, order.number));
             for (_, stage) in before.filter(|(_, stage)| stage.open()) {
                 *stage = Stage::Done;
             }
--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -40,7 +40,10 @@
     /// The state.
     State(oneshot::Sender<State>),
     /// A proposal, given the number of who waits for its outcome.
-    Propose(Box<dyn FnOnce(RequesterId) -> Input + Send>, oneshot::Sender<ProposalOutcome>),
+    Propose(
+        Box<dyn FnOnce(RequesterId) -> Input + Send>,
+        oneshot::Sender<ProposalOutcome>,
+    ),
     /// An operator command.
     OperatorCommand(OperatorCommand, oneshot::Sender<CommandOutcome>),
 }
@@ -65,7 +68,10 @@
 
 fn file_at(path: &Path) -> Option<FileId> {
     let metadata = std::fs::symlink_metadata(path).ok()?;
-    Some(FileId { device: metadata.dev(), inode: metadata.ino() })
+    Some(FileId {
+        device: metadata.dev(),
+        inode: metadata.ino(),
+    })
 }
 
 impl Control {
@@ -111,7 +117,11 @@
         }
     }
 
-    async fn answer(&self, mut stream: UnixStream, to_loop: &mpsc::Sender<LoopRequest>) -> io::Result<()> {
+    async fn answer(
+        &self,
+        mut stream: UnixStream,
+        to_loop: &mpsc::Sender<LoopRequest>,
+    ) -> io::Result<()> {
         let (from, mut to) = stream.split();
         let mut line = String::new();
         let mut from = BufReader::new(from.take(MAX_LINE_BYTES));
@@ -119,9 +129,13 @@
         let request = serde_json::from_str(&line);
         let reply = match request {
             Ok(request) => self.reply(request, to_loop).await,
-            Err(e) => Some(ControlReply::Error { why: format!("not understood: {e}") }),
+            Err(e) => Some(ControlReply::Error {
+                why: format!("not understood: {e}"),
+            }),
         };
-        let reply = reply.unwrap_or(ControlReply::Error { why: "this host is leaving".into() });
+        let reply = reply.unwrap_or(ControlReply::Error {
+            why: "this host is leaving".into(),
+        });
         let mut text = serde_json::to_string(&reply)?;
         text.push('\n');
         tokio::time::timeout(REQUESTER_TIMEOUT, to.write_all(text.as_bytes())).await?
@@ -140,17 +154,25 @@
             }
             ControlRequest::Reload { insist } => self.reload(insist, to_loop).await,
             ControlRequest::OperatorCommand(command) => {
-                let outcome =
-                    query_loop(to_loop, |reply| LoopRequest::OperatorCommand(command, reply)).await?;
+                let outcome = query_loop(to_loop, |reply| {
+                    LoopRequest::OperatorCommand(command, reply)
+                })
+                .await?;
                 Some(match outcome {
                     Ok(()) => ControlReply::CommandTaken,
-                    Err(error) => ControlReply::TurnedDown { why: vec![error.to_string()] },
+                    Err(error) => ControlReply::TurnedDown {
+                        why: vec![error.to_string()],
+                    },
                 })
             }
         }
     }
 
-    async fn reload(&self, insist: bool, to_loop: &mpsc::Sender<LoopRequest>) -> Option<ControlReply> {
+    async fn reload(
+        &self,
+        insist: bool,
+        to_loop: &mpsc::Sender<LoopRequest>,
+    ) -> Option<ControlReply> {
         let from = query_loop(to_loop, LoopRequest::Deployment).await?;
         let (changes, to) = match self.read_configuration(&from).await {
             Ok(Proposed { changes, to }) => (changes, to),
@@ -159,17 +181,27 @@
         let kept_changes = changes.clone();
         let both = (from.clone(), to.clone());
         let propose = move |requester| {
-            let proposal = crate::core::config_change::Proposal { requester, from, to, changes, insist };
+            let proposal = crate::core::config_change::Proposal {
+                requester,
+                from,
+                to,
+                changes,
+                insist,
+            };
             Input::Propose(Box::new(proposal))
         };
-        let outcome = query_loop(to_loop, |reply| LoopRequest::Propose(Box::new(propose), reply)).await?;
+        let outcome = query_loop(to_loop, |reply| {
+            LoopRequest::Propose(Box::new(propose), reply)
+        })
+        .await?;
         // The last reference to the configuration that is not served by is dropped here, not in the loop;
         // nothing comes of it.
         let _ = tokio::task::spawn_blocking(move || drop(both)).await;
         Some(match outcome {
-            ProposalOutcome::Taken { revision } => {
-                ControlReply::Taken { revision: revision.0, changes: kept_changes }
-            }
+            ProposalOutcome::Taken { revision } => ControlReply::Taken {
+                revision: revision.0,
+                changes: kept_changes,
+            },
             ProposalOutcome::TurnedDown(why) => ControlReply::TurnedDown { why },
         })
     }
@@ -177,15 +209,17 @@
     /// Reads the configuration and compares it with the current one; else the reply that says why not.
     async fn read_configuration(&self, from: &Arc<Deployment>) -> Result<Proposed, ControlReply> {
         if self.read_in_progress() {
-            let why =
-                "the document is still being read for an earlier reload; the one that is served by stays";
+            let why = "the document is still being read for an earlier reload; the one that is served by stays";
             return Err(ControlReply::Error { why: why.into() });
         }
         let (result, received) = oneshot::channel();
         let (load, from) = (self.load.clone(), from.clone());
         let reading = tokio::task::spawn_blocking(move || {
             // The requester may have given up.
-            let _ = result.send(load().map(|to| Proposed { changes: diff(&from, &to), to: Arc::new(to) }));
+            let _ = result.send(load().map(|to| Proposed {
+                changes: diff(&from, &to),
+                to: Arc::new(to),
+            }));
         });
         if let Ok(mut kept) = self.reading.lock() {
             *kept = Some(reading);
@@ -193,9 +227,9 @@
         match tokio::time::timeout(self.read_timeout, received).await {
             Ok(Ok(Ok(proposed))) => Ok(proposed),
             Ok(Ok(Err(problems))) => Err(ControlReply::Broken { problems }),
-            Ok(Err(_)) => {
-                Err(ControlReply::Error { why: "the document could not be read: its reader failed".into() })
-            }
+            Ok(Err(_)) => Err(ControlReply::Error {
+                why: "the document could not be read: its reader failed".into(),
+            }),
             Err(_) => {
                 let why = format!(
                     "the document was not read within {:?}; the one that is served by stays",
@@ -207,7 +241,9 @@
     }
 
     fn read_in_progress(&self) -> bool {
-        let Ok(mut reading) = self.reading.lock() else { return false };
+        let Ok(mut reading) = self.reading.lock() else {
+            return false;
+        };
         reading.take_if(|task| task.is_finished());
         reading.is_some()
     }
--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -22,7 +22,11 @@
 
 impl From<AttemptOutcome> for AttemptReport {
     fn from(outcome: AttemptOutcome) -> AttemptReport {
-        AttemptReport { outcome, used: None, answer_bytes: 0 }
+        AttemptReport {
+            outcome,
+            used: None,
+            answer_bytes: 0,
+        }
     }
 }
 
@@ -45,7 +49,10 @@
         // It waits for the connection, no longer than one takes to be made: until then it certainly never
         // ran.
         n.pending.insert(attempt);
-        self.at(now + self.deployment.bounds.connect.min(lasts), TimerKind::Attempt(attempt));
+        self.at(
+            now + self.deployment.bounds.connect.min(lasts),
+            TimerKind::Attempt(attempt),
+        );
         self.connect_nodes();
     }
 
@@ -69,12 +76,20 @@
     /// Sends an attempt over its node's connection.
     pub(super) fn send_attempt(&mut self, attempt: AttemptId) {
         let now = self.now;
-        let Some(out) = self.requests.attempt(attempt) else { return };
+        let Some(out) = self.requests.attempt(attempt) else {
+            return;
+        };
         let (request, node, number, left) = (out.request, out.node, out.number, out.ends - now);
         // It may have waited for the connection, and its node began to drain meanwhile.
-        let ready = self.nodes.get(node).filter(|n| n.state == EndpointState::Ready && !n.barred);
+        let ready = self
+            .nodes
+            .get(node)
+            .filter(|n| n.state == EndpointState::Ready && !n.barred);
         let link = ready.and_then(|n| n.connection.up());
-        let Some((link, open)) = link.zip(self.requests.get(request)).filter(|_| left > Span::ZERO) else {
+        let Some((link, open)) = link
+            .zip(self.requests.get(request))
+            .filter(|_| left > Span::ZERO)
+        else {
             return self.attempt_ended(attempt, AttemptOutcome::NotSent);
         };
         let submit = &open.submit;
@@ -104,7 +119,9 @@
     /// Reports to the scheduler how an attempt ended; once for each attempt.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, report: impl Into<AttemptReport>) {
         let report: AttemptReport = report.into();
-        let Some(out) = self.requests.attempt_ended(attempt) else { return };
+        let Some(out) = self.requests.attempt_ended(attempt) else {
+            return;
+        };
         if let Some(n) = self.nodes.get(out.node) {
             n.pending.remove(&attempt);
         }
@@ -126,7 +143,9 @@
 
     /// The timer of an attempt: for its connection, or for its answer.
     pub(super) fn on_attempt_deadline(&mut self, attempt: AttemptId) {
-        let Some(out) = self.requests.attempt(attempt) else { return };
+        let Some(out) = self.requests.attempt(attempt) else {
+            return;
+        };
         match out.sent {
             None => self.attempt_ended(attempt, AttemptOutcome::Unreachable),
             Some(_) if out.ends <= self.now => {
@@ -152,13 +171,24 @@
         let attempt = AttemptId(answer.attempt);
         self.count_attempt_answer(node, &answer, bytes);
         // Late, or another node's: nothing waits for it here.
-        let Some(out) = self.requests.attempt(attempt).filter(|o| o.node == node && o.sent.is_some()) else {
+        let Some(out) = self
+            .requests
+            .attempt(attempt)
+            .filter(|o| o.node == node && o.sent.is_some())
+        else {
             self.counts.late_node_answers += 1;
-            debug!(attempt = answer.attempt, node = node.0, "late answer of a node: discarded");
+            debug!(
+                attempt = answer.attempt,
+                node = node.0,
+                "late answer of a node: discarded"
+            );
             return;
         };
         let request = out.request;
-        let used = answer.used_plus_one.checked_sub(1).map(|percent| f64::from(percent) / 100.0);
+        let used = answer
+            .used_plus_one
+            .checked_sub(1)
+            .map(|percent| f64::from(percent) / 100.0);
         let outcome = match AttemptResult::try_from(answer.result) {
             Ok(AttemptResult::Succeeded) => AttemptOutcome::Succeeded,
             Ok(AttemptResult::Rejected) => AttemptOutcome::Rejected,
@@ -168,26 +198,53 @@
         if outcome == AttemptOutcome::Succeeded {
             self.request_succeeded(request, &answer, body);
         } else if !answer.reason.is_empty() {
-            debug!(attempt = answer.attempt, node = node.0, reason = answer.reason, "leg not done");
+            debug!(
+                attempt = answer.attempt,
+                node = node.0,
+                reason = answer.reason,
+                "leg not done"
+            );
         }
-        self.attempt_ended(attempt, AttemptReport { outcome, used, answer_bytes: bytes });
+        self.attempt_ended(
+            attempt,
+            AttemptReport {
+                outcome,
+                used,
+                answer_bytes: bytes,
+            },
+        );
     }
 
     fn count_attempt_answer(&mut self, node: NodeId, answer: &AttemptAnswer, bytes: usize) {
         let zone = self.node_zone(node);
-        let out = self.requests.attempt(AttemptId(answer.attempt)).filter(|o| o.node == node);
-        let attempt = out.map(|o| AnsweredAttempt { request: o.request, number: o.number });
+        let out = self
+            .requests
+            .attempt(AttemptId(answer.attempt))
+            .filter(|o| o.node == node);
+        let attempt = out.map(|o| AnsweredAttempt {
+            request: o.request,
+            number: o.number,
+        });
         let awaited = attempt.is_some_and(|a| self.requests.get(a.request).is_some());
         let used = awaited && answer.result == AttemptResult::Succeeded as i32;
         self.count_answer(zone, attempt, bytes, used);
     }
 
-    fn request_succeeded(&mut self, request: RequestId, answer: &AttemptAnswer, body: bytes::Bytes) {
+    fn request_succeeded(
+        &mut self,
+        request: RequestId,
+        answer: &AttemptAnswer,
+        body: bytes::Bytes,
+    ) {
         let open = self.requests.get(request);
         let handle = answer.handle.or(open.and_then(|o| o.submit.handle));
         let units = open.map_or(0.0, |o| o.submit.units);
         self.record_served(units);
-        let answer = FinalAnswer { handle, body, ..FinalAnswer::from(Outcome::Succeeded) };
+        let answer = FinalAnswer {
+            handle,
+            body,
+            ..FinalAnswer::from(Outcome::Succeeded)
+        };
         self.answer(request, answer);
     }
 
--- a/crates/host/src/core/back_pressure.rs
+++ b/crates/host/src/core/back_pressure.rs
@@ -12,12 +12,15 @@
         self.counts.most_held = self.counts.most_held.max(held as u64);
         let full = self.requests.open() >= b.most_open as usize || held >= b.most_held;
         // Some room first, so that reading does not go on and off with each frame.
-        let roomy =
-            self.requests.open() < b.most_open as usize / 10 * 9 + 1 && held < b.most_held / 10 * 9 + 1;
+        let roomy = self.requests.open() < b.most_open as usize / 10 * 9 + 1
+            && held < b.most_held / 10 * 9 + 1;
         if full != self.at_capacity && (full || roomy) {
             self.at_capacity = full;
             self.counts.held_back += u64::from(full);
-            let clients = self.links.iter().filter(|(_, l)| matches!(l.peer_kind, PeerKind::Client));
+            let clients = self
+                .links
+                .iter()
+                .filter(|(_, l)| matches!(l.peer_kind, PeerKind::Client));
             for link in clients.map(|(id, _)| *id).collect::<Vec<_>>() {
                 self.update_reading(link);
             }
@@ -26,7 +29,11 @@
 
     pub(super) fn update_reading(&mut self, id: LinkId) {
         let most = self.deployment.bounds.most_unsent;
-        let Some(link) = self.links.get_mut(&id).filter(|l| matches!(l.peer_kind, PeerKind::Client)) else {
+        let Some(link) = self
+            .links
+            .get_mut(&id)
+            .filter(|l| matches!(l.peer_kind, PeerKind::Client))
+        else {
             return;
         };
         let on = !self.at_capacity && link.unsent < most;
--- a/crates/host/src/core/clock.rs
+++ b/crates/host/src/core/clock.rs
@@ -50,7 +50,12 @@
 
 impl PeerClock {
     /// Takes in the answer to one query.
-    pub fn learn(&mut self, queried_at: Instant, reading: Instant, answered_at: Instant) -> Learned {
+    pub fn learn(
+        &mut self,
+        queried_at: Instant,
+        reading: Instant,
+        answered_at: Instant,
+    ) -> Learned {
         if answered_at < queried_at || answered_at - queried_at > MAX_ROUND_TRIP {
             return Learned::Nothing;
         }
@@ -61,22 +66,37 @@
             most: reading - queried_at + uncertainty,
         };
         let Some(before) = self.bounds(answered_at) else {
-            self.known = Some(Measurement { offset: measured, at: answered_at });
+            self.known = Some(Measurement {
+                offset: measured,
+                at: answered_at,
+            });
             return Learned::First;
         };
-        let both =
-            ClockOffset { least: before.least.max(measured.least), most: before.most.min(measured.most) };
+        let both = ClockOffset {
+            least: before.least.max(measured.least),
+            most: before.most.min(measured.most),
+        };
         let stepped = both.least > both.most;
         let offset = if stepped { measured } else { both };
-        self.known = Some(Measurement { offset, at: answered_at });
-        if stepped { Learned::Stepped } else { Learned::Narrowed }
+        self.known = Some(Measurement {
+            offset,
+            at: answered_at,
+        });
+        if stepped {
+            Learned::Stepped
+        } else {
+            Learned::Narrowed
+        }
     }
 
     /// The bounds by now, wider by what both clocks may have drifted; `None`: nothing is known yet.
     pub fn bounds(&self, now: Instant) -> Option<ClockOffset> {
         let Measurement { offset, at } = self.known?;
         let drift = (now - at).max(Span::ZERO).times(DRIFT);
-        Some(ClockOffset { least: offset.least - drift, most: offset.most + drift })
+        Some(ClockOffset {
+            least: offset.least - drift,
+            most: offset.most + drift,
+        })
     }
 
     /// What must be added to a point of the peer's clock to have the earliest that it can be by ours. A
@@ -88,6 +108,7 @@
 
     /// Whether it is certainly further from ours than that.
     pub fn too_far(&self, now: Instant, apart: Span) -> bool {
-        self.bounds(now).is_some_and(|offset| offset.least > apart || offset.most < Span::ZERO - apart)
+        self.bounds(now)
+            .is_some_and(|offset| offset.least > apart || offset.most < Span::ZERO - apart)
     }
 }
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -37,14 +37,19 @@
 
 /// The changes that can't be made now, each with its reason.
 fn refusals(changes: &[Change], insist: bool) -> Vec<String> {
-    let refused = changes.iter().filter(|c| !c.while_serving || (c.class == Class::Dangerous && !insist));
+    let refused = changes
+        .iter()
+        .filter(|c| !c.while_serving || (c.class == Class::Dangerous && !insist));
     let line = |c: &Change| {
         let need = match c.class {
             Class::Dangerous if c.while_serving => "dangerous, and not insisted on",
             Class::Dangerous => "dangerous, and not to be made while serving",
             _ => "needs a restart",
         };
-        format!("{} {}: {} -> {}: {need}: {}", c.of, c.what, c.from, c.to, c.why)
+        format!(
+            "{} {}: {} -> {}: {need}: {}",
+            c.of, c.what, c.from, c.to, c.why
+        )
     };
     refused.map(line).collect()
 }
@@ -53,7 +58,9 @@
     /// Applies a proposal or refuses it, and reports the outcome.
     pub(super) fn propose(&mut self, p: Proposal) {
         let outcome = match self.apply_proposal(&p) {
-            Ok(()) => ProposalOutcome::Taken { revision: self.config_transition.revision() },
+            Ok(()) => ProposalOutcome::Taken {
+                revision: self.config_transition.revision(),
+            },
             Err(why) => ProposalOutcome::TurnedDown(why),
         };
         match &outcome {
@@ -66,7 +73,10 @@
             changes = p.changes.len(),
             "another document"
         );
-        self.outputs.push(Output::ProposalDecided { requester: p.requester, outcome });
+        self.outputs.push(Output::ProposalDecided {
+            requester: p.requester,
+            outcome,
+        });
     }
 
     fn apply_proposal(&mut self, p: &Proposal) -> Result<(), Vec<String>> {
@@ -74,21 +84,29 @@
             return Err(vec!["this host is leaving".into()]);
         }
         if !Arc::ptr_eq(&p.from, &self.deployment) {
-            return Err(vec!["another document was taken meanwhile: ask again".into()]);
+            return Err(vec![
+                "another document was taken meanwhile: ask again".into(),
+            ]);
         }
         let refusals = refusals(&p.changes, p.insist);
         if !refusals.is_empty() {
             return Err(refusals);
         }
-        self.config_transition.go_on(p.to.line.clone(), self.now).map_err(|e| vec![e.to_string()])?;
+        self.config_transition
+            .go_on(p.to.line.clone(), self.now)
+            .map_err(|e| vec![e.to_string()])?;
         let old = std::mem::replace(&mut self.deployment, p.to.clone());
-        self.config_transition.joined(self.deployment.hosts.len() as u32);
+        self.config_transition
+            .joined(self.deployment.hosts.len() as u32);
         self.update_fleet_config();
         // Positions of plans may differ now, so the plans are reported even if no allocation changes.
         self.report_config(true);
         if old.routes.pools != self.deployment.routes.pools || old.zones != self.deployment.zones {
             let entries = self.nodes.reassign_pools(&self.deployment);
-            self.events.push(Event::EndpointList { update_kind: UpdateKind::Delta, entries });
+            self.events.push(Event::EndpointList {
+                update_kind: UpdateKind::Delta,
+                entries,
+            });
         }
         self.schedule_revision_round();
         Ok(())
@@ -117,8 +135,10 @@
 
     /// Sets the timer of the next round of revision reports, if there is to be one.
     pub(super) fn schedule_revision_round(&mut self) {
-        let Some(at) =
-            self.config_transition.next().filter(|at| self.next_revision_round.is_none_or(|set| *at < set))
+        let Some(at) = self
+            .config_transition
+            .next()
+            .filter(|at| self.next_revision_round.is_none_or(|set| *at < set))
         else {
             return;
         };
@@ -138,21 +158,42 @@
     }
 
     fn send_revision(&mut self, to: HostId, report: RevisionNotice) {
-        let RevisionNotice { held, revision, hosts } = report;
-        self.send_to_peer(to, Frame::from(Reached { held: held.0, revision: revision.0, hosts }));
+        let RevisionNotice {
+            held,
+            revision,
+            hosts,
+        } = report;
+        self.send_to_peer(
+            to,
+            Frame::from(Reached {
+                held: held.0,
+                revision: revision.0,
+                hosts,
+            }),
+        );
     }
 
     /// A peer reports which revisions hosts hold.
     pub(super) fn peer_revision(&mut self, from: HostId, r: Reached) {
-        let report =
-            RevisionNotice { held: Revision(r.held), revision: Revision(r.revision), hosts: r.hosts };
-        let outcome = self.config_transition.handle_notice(from, &report, self.now);
+        let report = RevisionNotice {
+            held: Revision(r.held),
+            revision: Revision(r.revision),
+            hosts: r.hosts,
+        };
+        let outcome = self
+            .config_transition
+            .handle_notice(from, &report, self.now);
         match outcome.effect {
             NoticeEffect::Nothing => {}
             NoticeEffect::News => self.report_config(false),
             NoticeEffect::WentBack { from: before, to } => {
                 let peer = from.0;
-                warn!(peer, before = before.0, now = to.0, "a host went back to an older document");
+                warn!(
+                    peer,
+                    before = before.0,
+                    now = to.0,
+                    "a host went back to an older document"
+                );
             }
         }
         if let Some(report) = outcome.reply {
--- a/crates/host/src/core/connection_table.rs
+++ b/crates/host/src/core/connection_table.rs
@@ -39,7 +39,10 @@
 impl PeerKind {
     /// Whether the other side opened the connection.
     fn is_incoming(&self) -> bool {
-        matches!(self, PeerKind::Unidentified { .. } | PeerKind::Client | PeerKind::IncomingPeer(_))
+        matches!(
+            self,
+            PeerKind::Unidentified { .. } | PeerKind::Client | PeerKind::IncomingPeer(_)
+        )
     }
 }
 
@@ -71,7 +74,9 @@
     /// A connection that this host requested is established: both sides introduce themselves.
     pub(super) fn connected(&mut self, id: LinkId) {
         let hello = self.hello();
-        let Some(link) = self.links.get(&id) else { return };
+        let Some(link) = self.links.get(&id) else {
+            return;
+        };
         let connection = match link.peer_kind {
             PeerKind::Node(node) => self.nodes.get(node).map(|n| &mut n.connection),
             PeerKind::OutgoingPeer(host) => self.peers.get_mut(&host).map(|p| &mut p.connection),
@@ -102,7 +107,9 @@
     }
 
     pub(super) fn on_response_deadline(&mut self, id: LinkId) {
-        let Some(link) = self.links.get(&id) else { return };
+        let Some(link) = self.links.get(&id) else {
+            return;
+        };
         if link.response_deadline.is_none_or(|by| by > self.now) {
             return;
         }
@@ -119,7 +126,13 @@
         let name = self.deployment.hosts[self.me.0 as usize].name.clone();
         let age_us = (self.now - self.started_at).micros();
         let role = Role::Host as i32;
-        Frame::from(Hello { role, name, incarnation: self.incarnation, age_us, shard_plus_one: 0 })
+        Frame::from(Hello {
+            role,
+            name,
+            incarnation: self.incarnation,
+            age_us,
+            shard_plus_one: 0,
+        })
     }
 
     pub(super) fn send(&mut self, to: LinkId, frame: Frame) {
@@ -129,17 +142,25 @@
     /// Sends a frame that is of no use after `until`.
     pub(super) fn send_by(&mut self, to: LinkId, frame: Frame, until: Option<Instant>) {
         self.count_frame(to, &frame, true);
-        let Some(link) = self.links.get_mut(&to) else { return };
+        let Some(link) = self.links.get_mut(&to) else {
+            return;
+        };
         if link.unsent == 0 {
             link.no_progress_since = self.now;
         }
         link.unsent += frame.len();
         self.unsent += frame.len();
-        self.outputs.push(Output::Send { link: to, frame, until });
+        self.outputs.push(Output::Send {
+            link: to,
+            frame,
+            until,
+        });
     }
 
     pub(super) fn written(&mut self, id: LinkId, bytes: usize) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         let bytes = bytes.min(link.unsent);
         link.unsent -= bytes;
         link.no_progress_since = self.now;
@@ -157,13 +178,18 @@
 
     /// A connection ended, whoever closed it.
     pub(super) fn link_ended(&mut self, id: LinkId, why: &str) {
-        let Some(link) = self.links.remove(&id) else { return };
+        let Some(link) = self.links.remove(&id) else {
+            return;
+        };
         self.counts.links_broken += 1;
         self.unsent -= link.unsent;
         self.incoming_links -= usize::from(link.peer_kind.is_incoming());
         match link.peer_kind {
             PeerKind::Unidentified { .. } => {
-                info!(link = id.0, why, "connection ended before it said whose it is")
+                info!(
+                    link = id.0,
+                    why, "connection ended before it said whose it is"
+                )
             }
             PeerKind::Client => self.client_link_ended(id, why),
             PeerKind::IncomingPeer(peer) => debug!(peer = peer.host.0, why, "peer gone"),
--- a/crates/host/src/core/counters.rs
+++ b/crates/host/src/core/counters.rs
@@ -93,7 +93,10 @@
     pub fn stood_still(&mut self, span: Span) {
         warn!(ms = span.millis(), "this process stood still");
         self.counts.stood_still += 1;
-        self.counts.longest_still_us = self.counts.longest_still_us.max(span.micros().max(0) as u64);
+        self.counts.longest_still_us = self
+            .counts
+            .longest_still_us
+            .max(span.micros().max(0) as u64);
     }
 
     /// What was counted since the start.
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -37,13 +37,31 @@
 
     pub(super) fn endpoint_list_update(&mut self, update: EndpointListUpdate) {
         self.poll_endpoints = false;
-        debug!(version = update.version, whole = update.whole, entries = update.entries.len(), "node list");
-        let entries = self.nodes.listed(update.whole, update.entries, &self.deployment, self.now);
+        debug!(
+            version = update.version,
+            whole = update.whole,
+            entries = update.entries.len(),
+            "node list"
+        );
+        let entries = self
+            .nodes
+            .listed(update.whole, update.entries, &self.deployment, self.now);
         for (shard, names) in self.nodes.duplicate_shards() {
-            warn!(shard = shard.0, nodes = names.join(" "), "the list names two ready nodes with one cell");
+            warn!(
+                shard = shard.0,
+                nodes = names.join(" "),
+                "the list names two ready nodes with one cell"
+            );
         }
-        let update_kind = if update.whole { UpdateKind::Snapshot } else { UpdateKind::Delta };
-        self.events.push(Event::EndpointList { update_kind, entries });
+        let update_kind = if update.whole {
+            UpdateKind::Snapshot
+        } else {
+            UpdateKind::Delta
+        };
+        self.events.push(Event::EndpointList {
+            update_kind,
+            entries,
+        });
         self.connect_nodes();
     }
 }
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -37,7 +37,13 @@
 impl Core {
     pub(super) fn start_fleet(&mut self, seed: u64) {
         if let Some(fleet_config) = self.fleet_config() {
-            self.fleet = Some(Fleet::new(Arc::new(fleet_config), self.me, self.incarnation, seed, self.now));
+            self.fleet = Some(Fleet::new(
+                Arc::new(fleet_config),
+                self.me,
+                self.incarnation,
+                seed,
+                self.now,
+            ));
             self.apply_shares();
             self.fleet_turn();
         }
@@ -73,7 +79,9 @@
     /// This host's interval between two of what all hosts together do so many times a second; zero: as often
     /// as it likes.
     fn interval(&self, budget: VolumeId, rate: Option<f64>) -> Span {
-        let (Some(fleet), Some(rate)) = (&self.fleet, rate) else { return Span::ZERO };
+        let (Some(fleet), Some(rate)) = (&self.fleet, rate) else {
+            return Span::ZERO;
+        };
         let own_rate = f64::from(fleet.share(budget)) / f64::from(WHOLE) * rate;
         if own_rate > 0.0 {
             Span::from_millis(1e3 / own_rate).min(LONGEST_INTERVAL)
@@ -84,8 +92,13 @@
 
     /// Whether a connection to the node may be opened now. `Err`: when to try again.
     pub(super) fn may_connect(&mut self, node: NodeId) -> Result<(), Instant> {
-        let interval = self.interval(CONNECT_BUDGET, self.deployment.fleet.as_ref().and_then(|f| f.connects));
-        let Some(n) = self.nodes.get(node) else { return Ok(()) };
+        let interval = self.interval(
+            CONNECT_BUDGET,
+            self.deployment.fleet.as_ref().and_then(|f| f.connects),
+        );
+        let Some(n) = self.nodes.get(node) else {
+            return Ok(());
+        };
         let may = n.rate_pacer.take(interval, self.now, &mut self.rng);
         self.record_demand(CONNECT_BUDGET, 1.0);
         may
@@ -104,7 +117,8 @@
         }
         let d = self.deployment.clone();
         let counts = |scope: &BudgetScope| {
-            *scope == BudgetScope::ZonePair(from, to) || plan.is_some_and(|p| *scope == BudgetScope::Plan(p))
+            *scope == BudgetScope::ZonePair(from, to)
+                || plan.is_some_and(|p| *scope == BudgetScope::Plan(p))
         };
         for c in d.cross_zone_budgets.iter().filter(|c| counts(&c.of)) {
             self.record_demand(c.id, bytes as f64);
@@ -126,11 +140,18 @@
         for output in outputs {
             self.send_to_peer(output.to, Frame::from(output.message));
         }
-        if changed || self.next_slow_start_increase.is_some_and(|at| at <= self.now) {
+        if changed
+            || self
+                .next_slow_start_increase
+                .is_some_and(|at| at <= self.now)
+        {
             self.apply_shares();
         }
         self.maintenance_turn(changed);
-        if self.next_fleet_turn.is_none_or(|at| at <= self.now || next < at) {
+        if self
+            .next_fleet_turn
+            .is_none_or(|at| at <= self.now || next < at)
+        {
             // A timer that is replaced fires all the same, for nothing.
             let at = next.max(self.now + Span::from_micros(1000));
             self.next_fleet_turn = Some(at);
@@ -143,7 +164,11 @@
         let Some(fleet) = &self.fleet else { return };
         let d = self.deployment.clone();
         let share = |id: VolumeId| f64::from(fleet.share(id)) / f64::from(WHOLE);
-        let ids = d.volumes.iter().map(|v| v.id).chain(d.cross_zone_budgets.iter().map(|c| c.id));
+        let ids = d
+            .volumes
+            .iter()
+            .map(|v| v.id)
+            .chain(d.cross_zone_budgets.iter().map(|c| c.id));
         let shares: BTreeMap<VolumeId, f64> = ids.map(|id| (id, share(id))).collect();
         let slow_start_share = fleet.share(SLOW_START_BUDGET);
         let offline: BTreeSet<HostId> = fleet.out().collect();
@@ -151,7 +176,8 @@
         self.log_shares();
         self.config_transition.settle(shares, offline);
         let allocations = self.config_transition.changed();
-        let (slow_start_share, next_increase) = self.slow_start_share.hold(slow_start_share, self.now);
+        let (slow_start_share, next_increase) =
+            self.slow_start_share.hold(slow_start_share, self.now);
         self.next_slow_start_increase = next_increase;
         if let Some(at) = next_increase {
             self.at(at, TimerKind::Fleet);
@@ -184,24 +210,41 @@
 
     fn fleet_membership(&self, slow_start_share: u32) -> FleetMembership {
         let slow_start_share = Some(f64::from(slow_start_share) / f64::from(WHOLE));
-        let probe_interval =
-            self.interval(PROBE_BUDGET, self.deployment.fleet.as_ref().and_then(|f| f.probes));
-        FleetMembership { hosts: self.deployment.hosts.len() as u32, slow_start_share, probe_interval }
+        let probe_interval = self.interval(
+            PROBE_BUDGET,
+            self.deployment.fleet.as_ref().and_then(|f| f.probes),
+        );
+        FleetMembership {
+            hosts: self.deployment.hosts.len() as u32,
+            slow_start_share,
+            probe_interval,
+        }
     }
 
     /// Logs what this host may use from now on, and for how long: a line for each change, with all budgets,
     /// so only where it is enabled. The scenario runner parses these lines.
     fn log_shares(&self) {
-        let Some(fleet) = self.fleet.as_ref().filter(|_| enabled!(target: "gullsail_parts", Level::DEBUG))
+        let Some(fleet) = self
+            .fleet
+            .as_ref()
+            .filter(|_| enabled!(target: "gullsail_parts", Level::DEBUG))
         else {
             return;
         };
         let (parts, lease) = fleet.parts();
-        let held: BTreeMap<_, _> =
-            parts.filter_map(|(id, share)| Some((self.budget_name(id.0)?, share))).collect();
-        let (epoch, held) = (fleet.epoch(), serde_json::to_string(&held).unwrap_or_default());
+        let held: BTreeMap<_, _> = parts
+            .filter_map(|(id, share)| Some((self.budget_name(id.0)?, share)))
+            .collect();
+        let (epoch, held) = (
+            fleet.epoch(),
+            serde_json::to_string(&held).unwrap_or_default(),
+        );
         let lasts_us = lease.map_or(-1, Span::micros);
-        let member = self.deployment.hosts.get(self.me.0 as usize).map_or("", |h| h.name.as_str());
+        let member = self
+            .deployment
+            .hosts
+            .get(self.me.0 as usize)
+            .map_or("", |h| h.name.as_str());
         let incarnation = self.incarnation;
         debug!(target: "gullsail_parts", member, incarnation, epoch, lasts_us, parts = held, "parts");
     }
@@ -224,11 +267,19 @@
     pub fn fleet(&self) -> Option<FleetView> {
         let (fleet, named) = (self.fleet.as_ref()?, self.deployment.fleet.as_ref()?);
         let status = fleet.status();
-        let names = status.budgets.iter().filter_map(|b| Some((b.budget, self.budget_name(b.budget)?)));
+        let names = status
+            .budgets
+            .iter()
+            .filter_map(|b| Some((b.budget, self.budget_name(b.budget)?)));
         Some(FleetView {
             name: named.name.clone(),
             lease_ms: named.lease.millis(),
-            hosts: self.deployment.hosts.iter().map(|h| h.name.clone()).collect(),
+            hosts: self
+                .deployment
+                .hosts
+                .iter()
+                .map(|h| h.name.clone())
+                .collect(),
             budgets: names.collect(),
             status,
         })
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -21,14 +21,20 @@
     pub(super) fn handle_frame(&mut self, id: LinkId, frame: Frame, aged: bool) {
         let (name, bytes) = (frame.message.name(), frame.len());
         self.count_frame(id, &frame, false);
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.last_frame_at = self.now;
         match (&link.peer_kind, frame.message) {
-            (_, Message::Newer { kind }) => debug!(link = id.0, kind, "kind of a newer version: skipped"),
+            (_, Message::Newer { kind }) => {
+                debug!(link = id.0, kind, "kind of a newer version: skipped")
+            }
             (PeerKind::Unidentified { .. }, Message::Hello(hello)) => self.identify_link(id, hello),
             (PeerKind::Client, Message::Submit(s)) => self.submit(id, s, frame.body, aged),
             (PeerKind::Client, Message::Withdraw(w)) => self.withdraw(id, w.id),
-            (PeerKind::IncomingPeer(_), Message::DemandReport(l)) => self.demand_report(id, l.bytes),
+            (PeerKind::IncomingPeer(_), Message::DemandReport(l)) => {
+                self.demand_report(id, l.bytes)
+            }
             (PeerKind::IncomingPeer(_), Message::ClockReply(t)) => self.clock_reply(id, t),
             (PeerKind::IncomingPeer(peer), Message::Reached(r)) => {
                 let host = peer.host;
@@ -40,7 +46,13 @@
             }
             (PeerKind::OutgoingPeer(_), Message::ClockQuery(a)) => {
                 let clock_us = self.now.micros();
-                self.send(id, Frame::from(ClockReply { asked_us: a.asked_us, clock_us }));
+                self.send(
+                    id,
+                    Frame::from(ClockReply {
+                        asked_us: a.asked_us,
+                        clock_us,
+                    }),
+                );
             }
             (PeerKind::OutgoingPeer(host), Message::Hello(hello)) => {
                 let host = *host;
@@ -66,7 +78,11 @@
                 self.endpoint_list_lost(&r.reason);
             }
             _ => {
-                warn!(link = id.0, frame = name, "a frame that this side may not send: link ended");
+                warn!(
+                    link = id.0,
+                    frame = name,
+                    "a frame that this side may not send: link ended"
+                );
                 self.close_link(id, "a frame that this side may not send");
             }
         }
@@ -86,11 +102,18 @@
                         too_far: false,
                     })
                 }
-                None => return self.close_link(id, "calls itself a host that the document does not know"),
+                None => {
+                    return self
+                        .close_link(id, "calls itself a host that the document does not know");
+                }
             },
             _ => return self.close_link(id, "only clients and hosts connect to a host"),
         };
-        let peer = if let PeerKind::IncomingPeer(peer) = &peer_kind { Some(peer.host) } else { None };
+        let peer = if let PeerKind::IncomingPeer(peer) = &peer_kind {
+            Some(peer.host)
+        } else {
+            None
+        };
         let mut sent = 0;
         if let Some(link) = self.links.get_mut(&id) {
             if let PeerKind::Unidentified { sent: bytes } = link.peer_kind {
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -14,7 +14,9 @@
     /// dropped.
     pub fn accept(&mut self, now: Instant) -> Option<LinkId> {
         self.now = self.now.max(now);
-        if self.stopping || (self.incoming_links >= self.max_incoming_links && !self.close_idle_client()) {
+        if self.stopping
+            || (self.incoming_links >= self.max_incoming_links && !self.close_idle_client())
+        {
             self.counts.links_refused += 1;
             return None;
         }
@@ -42,9 +44,15 @@
         let idle = |id: LinkId, l: &Link| {
             matches!(l.peer_kind, PeerKind::Client) && l.unsent == 0 && !self.requests.has_any(id)
         };
-        let oldest = self.links.iter().filter(|(id, l)| idle(**id, l)).min_by_key(|(_, l)| l.last_frame_at);
+        let oldest = self
+            .links
+            .iter()
+            .filter(|(id, l)| idle(**id, l))
+            .min_by_key(|(_, l)| l.last_frame_at);
         let patience = self.deployment.bounds.client_stall;
-        let Some(id) = oldest.filter(|(_, l)| self.now - l.last_frame_at > patience).map(|(id, _)| *id)
+        let Some(id) = oldest
+            .filter(|(_, l)| self.now - l.last_frame_at > patience)
+            .map(|(id, _)| *id)
         else {
             return false;
         };
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -124,14 +124,27 @@
 
     /// This host's name.
     pub(super) fn name(&self) -> String {
-        self.deployment.hosts.get(self.me.0 as usize).map_or(String::new(), |h| h.name.clone())
+        self.deployment
+            .hosts
+            .get(self.me.0 as usize)
+            .map_or(String::new(), |h| h.name.clone())
     }
 
     pub(super) fn server_name(&self, server: ServerId) -> String {
-        let node = self.nodes.iter().find(|(id, _)| of_node(*id) == server).map(|(_, n)| n.name.clone());
-        let host =
-            || self.deployment.hosts.iter().find(|h| of_host(&h.name) == server).map(|h| h.name.clone());
-        node.or_else(host).unwrap_or_else(|| format!("machine {}", server.0))
+        let node = self
+            .nodes
+            .iter()
+            .find(|(id, _)| of_node(*id) == server)
+            .map(|(_, n)| n.name.clone());
+        let host = || {
+            self.deployment
+                .hosts
+                .iter()
+                .find(|h| of_host(&h.name) == server)
+                .map(|h| h.name.clone())
+        };
+        node.or_else(host)
+            .unwrap_or_else(|| format!("machine {}", server.0))
     }
 
     /// The servers of these names. A zone's name stands for all that is in it.
@@ -141,12 +154,23 @@
         for name in names {
             let before = all.len();
             if let Some(zone) = d.zones.iter().position(|z| z == name) {
-                let nodes =
-                    self.nodes.iter().filter(|(_, n)| n.zone.0 == zone && n.state == EndpointState::Ready);
+                let nodes = self
+                    .nodes
+                    .iter()
+                    .filter(|(_, n)| n.zone.0 == zone && n.state == EndpointState::Ready);
                 all.extend(nodes.map(|(id, _)| of_node(id)));
-                all.extend(d.hosts.iter().filter(|h| h.zone.0 == zone).map(|h| of_host(&h.name)));
+                all.extend(
+                    d.hosts
+                        .iter()
+                        .filter(|h| h.zone.0 == zone)
+                        .map(|h| of_host(&h.name)),
+                );
             }
-            if self.nodes.iter().any(|(id, n)| n.name == *name && id == node_id(name)) {
+            if self
+                .nodes
+                .iter()
+                .any(|(id, n)| n.name == *name && id == node_id(name))
+            {
                 all.push(of_node(node_id(name)));
             }
             if d.host(name).is_some() {
@@ -167,24 +191,38 @@
     fn unknown_name(&self, name: &str) -> CommandError {
         let d = &self.deployment;
         let nodes: Vec<String> = self.nodes.iter().map(|(_, n)| n.name.clone()).collect();
-        let known = d.hosts.iter().map(|h| &h.name).chain(&nodes).chain(&d.zones);
+        let known = d
+            .hosts
+            .iter()
+            .map(|h| &h.name)
+            .chain(&nodes)
+            .chain(&d.zones);
         let known: Vec<&str> = known.map(String::as_str).collect();
         let hint = meant(name, &known).map_or(String::new(), |m| format!("; {m}"));
-        CommandError::UnknownName { name: name.to_string(), hint }
+        CommandError::UnknownName {
+            name: name.to_string(),
+            hint,
+        }
     }
 
     /// Hands an operator command to the fleet, or refuses it at once.
     pub(super) fn command(&mut self, requester: RequesterId, command: OperatorCommand) {
         match self.fleet_command(command) {
             Err(error) => {
-                self.outputs.push(Output::CommandOutcome { requester, outcome: Err(error) });
+                self.outputs.push(Output::CommandOutcome {
+                    requester,
+                    outcome: Err(error),
+                });
             }
             Ok(command) => {
                 let until = self.now + COMMAND_TIMEOUT;
                 self.pending_commands.retain(|_, until| *until > self.now);
                 self.pending_commands.insert(requester, until);
                 self.at(until, TimerKind::Fleet);
-                self.notify_fleet(FleetEvent::OperatorCommand { number: requester, command });
+                self.notify_fleet(FleetEvent::OperatorCommand {
+                    number: requester,
+                    command,
+                });
             }
         }
     }
@@ -211,10 +249,15 @@
     /// What operators see of maintenance; `None`: it is not configured.
     pub fn maintenance_view(&self) -> Option<MaintenanceView> {
         let fleet = self.fleet.as_ref().filter(|_| self.maintenance())?;
-        let name =
-            |h: &u32| self.deployment.hosts.get(*h as usize).map_or(format!("host {h}"), |h| h.name.clone());
+        let name = |h: &u32| {
+            self.deployment
+                .hosts
+                .get(*h as usize)
+                .map_or(format!("host {h}"), |h| h.name.clone())
+        };
         let line = fleet.line();
-        let before = |o: &Order| line.map_or(0, |l| l.open().filter(|b| b.number < o.number).count());
+        let before =
+            |o: &Order| line.map_or(0, |l| l.open().filter(|b| b.number < o.number).count());
         let order = |o: &Order| OrderView {
             server: self.server_name(o.server),
             before: before(o),
--- a/crates/host/src/core/mod.rs
+++ b/crates/host/src/core/mod.rs
@@ -131,7 +131,13 @@
 
 impl Core {
     /// `seed` and `incarnation` are drawn anew for each incarnation of a host.
-    pub fn new(deployment: Arc<Deployment>, me: HostId, seed: u64, incarnation: u64, now: Instant) -> Core {
+    pub fn new(
+        deployment: Arc<Deployment>,
+        me: HostId,
+        seed: u64,
+        incarnation: u64,
+        now: Instant,
+    ) -> Core {
         let nodes = Nodes::from_document(&deployment);
         let mut core = Core {
             me,
@@ -179,12 +185,18 @@
             deployment,
         };
         let remembered = core.nodes.iter().map(|(id, n)| n.entry(id, None)).collect();
-        core.events.push(Event::EndpointList { update_kind: UpdateKind::StaleSnapshot, entries: remembered });
+        core.events.push(Event::EndpointList {
+            update_kind: UpdateKind::StaleSnapshot,
+            entries: remembered,
+        });
         core.start_config_transition();
         core.start_fleet(seed);
         core.start_maintenance();
         core.connect_nodes();
-        core.at(now + core.deployment.bounds.clock_every, TimerKind::ClockQueries);
+        core.at(
+            now + core.deployment.bounds.clock_every,
+            TimerKind::ClockQueries,
+        );
         core.at(now + SWEEP_INTERVAL, TimerKind::Sweep);
         core
     }
@@ -196,7 +208,9 @@
             Input::Connected(link) => self.connected(link),
             Input::ConnectFailed(link, why) => self.link_ended(link, &why),
             Input::Frame(link, frame) => self.handle_frame(link, frame, false),
-            Input::DelayedFrame(link, frame, waited) => self.handle_delayed_frame(link, frame, waited),
+            Input::DelayedFrame(link, frame, waited) => {
+                self.handle_delayed_frame(link, frame, waited)
+            }
             Input::Written(link, bytes) => self.written(link, bytes),
             Input::Closed(link, why) => self.link_ended(link, &why),
             Input::Propose(proposal) => self.propose(*proposal),
@@ -207,7 +221,10 @@
 
     fn stop(&mut self) {
         if !self.stopping {
-            info!(open = self.requests.open(), "stopping: nothing new is taken");
+            info!(
+                open = self.requests.open(),
+                "stopping: nothing new is taken"
+            );
             self.stopping = true;
         }
     }
@@ -235,7 +252,10 @@
     /// Ends a stopping host once everything is answered. It stays a little longer for operator commands: a
     /// host that is taken offline by a command must not exit before the operator has the result.
     fn finish_if_answered(&mut self) {
-        let commands_finished = self.pending_commands.values().all(|until| *until <= self.now);
+        let commands_finished = self
+            .pending_commands
+            .values()
+            .all(|until| *until <= self.now);
         if !self.stopping || !commands_finished || self.requests.open() != 0 || self.finished {
             return;
         }
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -29,7 +29,9 @@
 
     /// A node's first frame: it must be the node that the endpoint list named.
     pub(super) fn node_hello(&mut self, id: LinkId, node: NodeId, hello: Hello) {
-        let Some(n) = self.nodes.get(node) else { return self.close_link(id, "forgotten") };
+        let Some(n) = self.nodes.get(node) else {
+            return self.close_link(id, "forgotten");
+        };
         let (is_node, same_name) = (hello.role == Role::Node as i32, n.name == hello.name);
         if !is_node || !same_name || n.shard != ShardId(hello.shard_plus_one - 1) {
             warn!(
@@ -47,9 +49,16 @@
 
     /// A node identified itself: its start is reported to the scheduler before anything is sent to it.
     fn node_up(&mut self, node: NodeId, link: LinkId, incarnation: u64, age: Span) {
-        let same_process = self.nodes.get(node).is_some_and(|n| n.incarnation == Some(incarnation));
-        let Some(greeted) = self.nodes.greeted(node, incarnation, age, self.now) else { return };
-        let Some(n) = self.nodes.get(node) else { return };
+        let same_process = self
+            .nodes
+            .get(node)
+            .is_some_and(|n| n.incarnation == Some(incarnation));
+        let Some(greeted) = self.nodes.greeted(node, incarnation, age, self.now) else {
+            return;
+        };
+        let Some(n) = self.nodes.get(node) else {
+            return;
+        };
         n.connection.is_up(link);
         let pending = std::mem::take(&mut n.pending);
         let name = &n.name;
@@ -62,7 +71,10 @@
         }
         self.response_received(link);
         let entries = vec![greeted.endpoint];
-        self.events.push(Event::EndpointList { update_kind: UpdateKind::SelfReported, entries });
+        self.events.push(Event::EndpointList {
+            update_kind: UpdateKind::SelfReported,
+            entries,
+        });
         // What waited was decided for the process before, or for one whose start was not known: while the
         // node warms up it is not all sent at once, but decided anew. None of it ran.
         let warming_up = !same_process && age < self.deployment.figures().slow_start.ramp;
@@ -80,9 +92,16 @@
     pub(super) fn node_connection_lost(&mut self, node: NodeId, why: &str) {
         let redial = self.deployment.bounds.redial;
         let attempts = self.requests.at_node(node);
-        let Some(n) = self.nodes.get(node) else { return };
+        let Some(n) = self.nodes.get(node) else {
+            return;
+        };
         if n.connection.up().is_some() {
-            warn!(node = n.name, why, attempts = attempts.len(), "connection to node broke");
+            warn!(
+                node = n.name,
+                why,
+                attempts = attempts.len(),
+                "connection to node broke"
+            );
         } else {
             debug!(node = n.name, why, "no connection to node");
         }
@@ -94,7 +113,11 @@
             self.at(retry_at, TimerKind::ReconnectNode(node));
         }
         for attempt in attempts {
-            if self.requests.attempt(attempt).is_some_and(|out| out.sent.is_some()) {
+            if self
+                .requests
+                .attempt(attempt)
+                .is_some_and(|out| out.sent.is_some())
+            {
                 self.attempt_ended(attempt, AttemptOutcome::ConnectionLost);
             } else if gone {
                 self.attempt_ended(attempt, AttemptOutcome::Unreachable);
--- a/crates/host/src/core/nodes.rs
+++ b/crates/host/src/core/nodes.rs
@@ -99,7 +99,10 @@
             return start.at;
         }
         let start = Some(now - age.max(Span::ZERO));
-        self.starts.push_back(NodeStart { incarnation, at: start });
+        self.starts.push_back(NodeStart {
+            incarnation,
+            at: start,
+        });
         if self.starts.len() > REMEMBERED {
             self.starts.pop_front();
         }
@@ -124,13 +127,18 @@
 
     /// Its state for the scheduler.
     pub fn entry(&self, id: NodeId, started: Option<Instant>) -> Endpoint {
-        let since =
-            |started: Option<Instant>| started.unwrap_or_default() + Span::from_micros(self.times_unbarred);
+        let since = |started: Option<Instant>| {
+            started.unwrap_or_default() + Span::from_micros(self.times_unbarred)
+        };
         Endpoint {
             node: id,
             shard: self.shard,
             zone: self.zone,
-            state: if self.barred { self.state.max(EndpointState::Draining) } else { self.state },
+            state: if self.barred {
+                self.state.max(EndpointState::Draining)
+            } else {
+                self.state
+            },
             // What is not known of it yet must not look like a start that it had.
             started: match (self.barred, self.times_unbarred) {
                 (true, _) => None,
@@ -155,10 +163,20 @@
             address: n.place.address.clone(),
             kind: n.kind.clone(),
             pools: d.routes.pools_of(n.place.zone, &n.kind),
-            ..NodeSide::new(n.place.name.clone(), n.shard, n.place.zone, EndpointState::Ready)
+            ..NodeSide::new(
+                n.place.name.clone(),
+                n.shard,
+                n.place.zone,
+                EndpointState::Ready,
+            )
         };
         Nodes {
-            all: d.nodes.iter().filter(|n| !n.spare).map(|n| (node_id(&n.place.name), side(n))).collect(),
+            all: d
+                .nodes
+                .iter()
+                .filter(|n| !n.spare)
+                .map(|n| (node_id(&n.place.name), side(n)))
+                .collect(),
         }
     }
 
@@ -188,7 +206,12 @@
         let mut entries = Vec::with_capacity(update.len());
         for e in update {
             let id = node_id(&e.name);
-            let zone = ZoneId(d.zones.iter().position(|z| *z == e.zone).unwrap_or(usize::MAX));
+            let zone = ZoneId(
+                d.zones
+                    .iter()
+                    .position(|z| *z == e.zone)
+                    .unwrap_or(usize::MAX),
+            );
             let state = match ListedState::try_from(e.state) {
                 Ok(ListedState::Ready) => EndpointState::Ready,
                 Ok(ListedState::Gone) => EndpointState::Gone,
@@ -196,8 +219,10 @@
                 Ok(ListedState::Draining) | Err(_) => EndpointState::Draining,
             };
             let shard = ShardId(e.shard);
-            let side =
-                self.all.entry(id).or_insert_with(|| NodeSide::new(e.name.clone(), shard, zone, state));
+            let side = self
+                .all
+                .entry(id)
+                .or_insert_with(|| NodeSide::new(e.name.clone(), shard, zone, state));
             side.address = e.address;
             side.shard = shard;
             side.zone = zone;
@@ -211,11 +236,23 @@
     }
 
     /// A node's first frame on a connection: its start is certain now. `None`: the node is forgotten.
-    pub fn greeted(&mut self, id: NodeId, incarnation: u64, age: Span, now: Instant) -> Option<Greeted> {
+    pub fn greeted(
+        &mut self,
+        id: NodeId,
+        incarnation: u64,
+        age: Span,
+        now: Instant,
+    ) -> Option<Greeted> {
         let side = self.all.get_mut(&id)?;
         let started = side.start(incarnation, age, now);
-        let restarted = side.incarnation.replace(incarnation).is_some_and(|before| before != incarnation);
-        Some(Greeted { endpoint: side.entry(id, started), restarted })
+        let restarted = side
+            .incarnation
+            .replace(incarnation)
+            .is_some_and(|before| before != incarnation);
+        Some(Greeted {
+            endpoint: side.entry(id, started),
+            restarted,
+        })
     }
 
     /// Another configuration has other pools: all nodes as they are now, for the scheduler.
@@ -223,13 +260,20 @@
         for n in self.all.values_mut() {
             n.pools = d.routes.pools_of(n.zone, &n.kind);
         }
-        self.all.iter().map(|(id, n)| n.entry(*id, n.newest_start().at)).collect()
+        self.all
+            .iter()
+            .map(|(id, n)| n.entry(*id, n.newest_start().at))
+            .collect()
     }
 
     /// Ready nodes that hold the same shard as another, which only a hand-over explains.
     pub fn duplicate_shards(&self) -> BTreeMap<ShardId, Vec<&str>> {
         let mut shards: BTreeMap<ShardId, Vec<&str>> = BTreeMap::new();
-        for n in self.all.values().filter(|n| n.state == EndpointState::Ready) {
+        for n in self
+            .all
+            .values()
+            .filter(|n| n.state == EndpointState::Ready)
+        {
             shards.entry(n.shard).or_default().push(&n.name);
         }
         shards.retain(|_, nodes| nodes.len() > 1);
@@ -242,6 +286,7 @@
             n.gone = (n.state == EndpointState::Gone).then(|| n.gone.unwrap_or(now));
         }
         let needed = |n: &NodeSide| !n.pending.is_empty() || n.connection.link().is_some();
-        self.all.retain(|_, n| needed(n) || n.gone.is_none_or(|since| now - since <= FORGET));
+        self.all
+            .retain(|_, n| needed(n) || n.gone.is_none_or(|since| now - since <= FORGET));
     }
 }
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -25,9 +25,19 @@
         let bounds = self.clock.bounds(now).unwrap_or_default();
         let (peer, least, most) = (self.host.0, bounds.least.millis(), bounds.most.millis());
         match learned {
-            Learned::First => info!(peer, ahead_ms_least = least, ahead_ms_most = most, "clock of peer"),
+            Learned::First => info!(
+                peer,
+                ahead_ms_least = least,
+                ahead_ms_most = most,
+                "clock of peer"
+            ),
             Learned::Stepped => {
-                warn!(peer, ahead_ms_least = least, ahead_ms_most = most, "clock of peer was set")
+                warn!(
+                    peer,
+                    ahead_ms_least = least,
+                    ahead_ms_most = most,
+                    "clock of peer was set"
+                )
             }
             Learned::Narrowed | Learned::Nothing => {}
         }
@@ -57,7 +67,9 @@
     }
 
     pub(super) fn send_to_peer(&mut self, to: HostId, frame: Frame) {
-        let Some(place) = self.deployment.hosts.get(to.0 as usize) else { return };
+        let Some(place) = self.deployment.hosts.get(to.0 as usize) else {
+            return;
+        };
         let peer = self.peers.entry(to).or_default();
         if let Some(link) = peer.connection.up() {
             return self.send(link, frame);
@@ -75,15 +87,26 @@
     }
 
     pub(super) fn query_clock(&mut self, link: LinkId) {
-        self.send(link, Frame::from(ClockQuery { asked_us: self.now.micros() }));
+        self.send(
+            link,
+            Frame::from(ClockQuery {
+                asked_us: self.now.micros(),
+            }),
+        );
     }
 
     pub(super) fn peer_hello(&mut self, id: LinkId, host: HostId, hello: Hello) {
-        let expected = self.deployment.hosts.get(host.0 as usize).is_some_and(|h| h.name == hello.name);
+        let expected = self
+            .deployment
+            .hosts
+            .get(host.0 as usize)
+            .is_some_and(|h| h.name == hello.name);
         if hello.role != Role::Host as i32 || !expected {
             return self.close_link(id, "another process answers at the peer's address");
         }
-        let Some(peer) = self.peers.get_mut(&host) else { return };
+        let Some(peer) = self.peers.get_mut(&host) else {
+            return;
+        };
         peer.connection.is_up(id);
         let waiting = std::mem::take(&mut peer.waiting);
         self.response_received(id);
@@ -96,9 +119,14 @@
     pub(super) fn clock_reply(&mut self, id: LinkId, reply: ClockReply) {
         let max_apart = self.deployment.bounds.clock_apart;
         let now = self.now;
-        let Some(peer) = self.incoming_peer(id) else { return };
-        let learned =
-            peer.clock.learn(Instant::from_micros(reply.asked_us), Instant::from_micros(reply.clock_us), now);
+        let Some(peer) = self.incoming_peer(id) else {
+            return;
+        };
+        let learned = peer.clock.learn(
+            Instant::from_micros(reply.asked_us),
+            Instant::from_micros(reply.clock_us),
+            now,
+        );
         let was_too_far = peer.too_far;
         peer.too_far = peer.clock.too_far(now, max_apart);
         peer.log_clock(&learned, was_too_far, now);
@@ -115,12 +143,21 @@
     /// limit.
     pub(super) fn demand_report(&mut self, id: LinkId, bytes: Vec<u8>) {
         let now = self.now;
-        let Some(peer) = self.incoming_peer(id) else { return };
-        let offset = if peer.too_far { None } else { peer.clock.earliest(now) };
+        let Some(peer) = self.incoming_peer(id) else {
+            return;
+        };
+        let offset = if peer.too_far {
+            None
+        } else {
+            peer.clock.earliest(now)
+        };
         let from = peer.host;
         if let Some(offset) = offset {
             self.counts.demand_reports_received += 1;
-            self.events.push(Event::PeerMessage { from, bytes: demand_report::moved(&bytes, offset) });
+            self.events.push(Event::PeerMessage {
+                from,
+                bytes: demand_report::moved(&bytes, offset),
+            });
         } else if peer.too_far || peer.waiting.len() >= MAX_WAITING_FRAMES {
             self.counts.demand_reports_dropped += 1;
         } else {
--- a/crates/host/src/core/reconnect.rs
+++ b/crates/host/src/core/reconnect.rs
@@ -43,7 +43,11 @@
 
     /// The connection, if it is up.
     pub fn up(&self) -> Option<LinkId> {
-        if let ConnectionState::Up(link) = self.state { Some(link) } else { None }
+        if let ConnectionState::Up(link) = self.state {
+            Some(link)
+        } else {
+            None
+        }
     }
 
     /// The other side has identified itself.
@@ -57,7 +61,9 @@
     /// same node do not reconnect to it together. `waits` are the first and the longest.
     pub fn lost(&mut self, now: Instant, waits: (Span, Span), rng: &mut impl Rng) -> Instant {
         let (first, longest) = waits;
-        let wait = first.times(f64::from(1u32 << self.failed.min(20))).min(longest);
+        let wait = first
+            .times(f64::from(1u32 << self.failed.min(20)))
+            .min(longest);
         let at = now + wait.times(rng.random_range(0.5..=1.0));
         self.failed += 1;
         self.state = ConnectionState::Waiting(at);
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -18,7 +18,12 @@
 
 impl From<Outcome> for FinalAnswer {
     fn from(outcome: Outcome) -> FinalAnswer {
-        FinalAnswer { outcome, handle: None, retry_after: Span::ZERO, body: bytes::Bytes::new() }
+        FinalAnswer {
+            outcome,
+            handle: None,
+            retry_after: Span::ZERO,
+            body: bytes::Bytes::new(),
+        }
     }
 }
 
@@ -48,8 +53,15 @@
     /// read it.
     fn check_submit(&self, submit: &Submit, body: &bytes::Bytes) -> Result<RequestPlaces, String> {
         let d = &self.deployment;
-        let Some(place) = d.request_classes.iter().position(|s| s.name == submit.request_class) else {
-            return Err(format!("no stream type is called \"{}\"", submit.request_class));
+        let Some(place) = d
+            .request_classes
+            .iter()
+            .position(|s| s.name == submit.request_class)
+        else {
+            return Err(format!(
+                "no stream type is called \"{}\"",
+                submit.request_class
+            ));
         };
         let Some(at) = d.volume_at(&submit.volume) else {
             return Err(format!("no volume is called \"{}\"", submit.volume));
@@ -57,10 +69,16 @@
         let (volume, request_class) = (&d.volumes[at], &d.request_classes[place]);
         let most = d.figures().max_units;
         if !volume.through(self.me) {
-            return Err(format!("volume \"{}\" does not come through this host", volume.name));
+            return Err(format!(
+                "volume \"{}\" does not come through this host",
+                volume.name
+            ));
         }
         if !(submit.units > 0.0 && submit.units <= most) {
-            return Err(format!("{} units; more than 0 and at most {most} can be taken", submit.units));
+            return Err(format!(
+                "{} units; more than 0 and at most {most} can be taken",
+                submit.units
+            ));
         }
         // The scheduler ends what is open two ticks ahead of its deadline: this request it could only answer
         // as too late, and a loop that is held up for those two ticks would answer late.
@@ -73,7 +91,10 @@
         if !request_class.write && !body.is_empty() {
             return Err("a read has no body".into());
         }
-        Ok(RequestPlaces { volume: at, request_class: place })
+        Ok(RequestPlaces {
+            volume: at,
+            request_class: place,
+        })
     }
 
     fn admit(
@@ -99,22 +120,40 @@
             object: object(&submit),
             timeout: Span::from_micros(submit.timeout_us).min(request_class.deadline),
             volume_hosts: volume.hosts.len() as u32,
-            pool: d.routes.pool(places.volume, RequestClassId(places.request_class)),
+            pool: d
+                .routes
+                .pool(places.volume, RequestClassId(places.request_class)),
             bytes: (ATTEMPT_HEAD + names + body.len()) as f64,
         };
         let write = request_class.write;
         let deadline = self.now + request.timeout;
-        let id = self.requests.take(OpenRequest { link, submit, write, body, deadline, aged, attempts: 0 });
+        let id = self.requests.take(OpenRequest {
+            link,
+            submit,
+            write,
+            body,
+            deadline,
+            aged,
+            attempts: 0,
+        });
         self.counts.taken += 1;
         self.record_request_demand(request.volume, request.units);
-        self.events.push(Event::RequestArrived(Request { id, ..request }));
+        self.events
+            .push(Event::RequestArrived(Request { id, ..request }));
     }
 
     /// Tells a client that its request is not accepted; nothing was decided on it. `leaving`: this host
     /// stops.
     pub(super) fn refuse(&mut self, link: LinkId, id: u64, reason: String, leaving: bool) {
         self.counts.not_taken += 1;
-        self.send(link, Frame::from(NotTaken { id, reason, leaving }));
+        self.send(
+            link,
+            Frame::from(NotTaken {
+                id,
+                reason,
+                leaving,
+            }),
+        );
     }
 
     /// A client no longer wants what it calls by this name.
@@ -138,12 +177,21 @@
             Action::StartAttempt { id, node, time_out } => self.start_attempt(id, node, time_out),
             Action::Reject { id, retry_after } => {
                 let retry_after = retry_after.unwrap_or(Span::ZERO);
-                self.answer(id, FinalAnswer { retry_after, ..FinalAnswer::from(Outcome::Rejected) });
+                self.answer(
+                    id,
+                    FinalAnswer {
+                        retry_after,
+                        ..FinalAnswer::from(Outcome::Rejected)
+                    },
+                );
             }
             Action::Fail { id } => self.answer(id, FinalAnswer::from(Outcome::Failed)),
-            Action::BudgetOverrun { cross_zone_budget, bytes, cause, .. } => {
-                self.record_overrun(cross_zone_budget, bytes, cause)
-            }
+            Action::BudgetOverrun {
+                cross_zone_budget,
+                bytes,
+                cause,
+                ..
+            } => self.record_overrun(cross_zone_budget, bytes, cause),
             Action::WatchEndpoints => self.connect_endpoint_list(),
             Action::SetTimer { id, at } => self.at(at, TimerKind::Scheduler(id)),
             Action::SendToPeer { to, bytes } => self.send_demand_report(to, bytes),
@@ -152,14 +200,21 @@
 
     /// The one final answer. A request that has it is no longer open, so there is no second.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
-        let Some(open) = self.requests.end(id) else { return };
+        let Some(open) = self.requests.end(id) else {
+            return;
+        };
         // Keeps rule 1 after the process stood still: the client's timeout is over, and it may have tried
         // elsewhere. Otherwise answers are due two ticks before the deadline.
         if self.now > open.deadline {
             self.counts.answers_withheld += 1;
             if open.aged && open.attempts == 0 {
                 // The client may still wait, and nothing of the request ran.
-                self.refuse(open.link, open.submit.id, "its time may be up".into(), false);
+                self.refuse(
+                    open.link,
+                    open.submit.id,
+                    "its time may be up".into(),
+                    false,
+                );
             }
             return;
         }
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -96,7 +96,11 @@
     }
     /// The lengths of its collections.
     pub fn size_metrics(&self) -> RequestSizes {
-        RequestSizes { open: self.open.len(), named: self.named.len(), attempts: self.attempts.len() }
+        RequestSizes {
+            open: self.open.len(),
+            named: self.named.len(),
+            attempts: self.attempts.len(),
+        }
     }
     /// An open request.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
@@ -127,12 +131,18 @@
 
     /// Is any of a client's requests open?
     pub fn has_any(&self, link: LinkId) -> bool {
-        self.named.range((link, 0)..=(link, u64::MAX)).next().is_some()
+        self.named
+            .range((link, 0)..=(link, u64::MAX))
+            .next()
+            .is_some()
     }
 
     /// A client's open requests.
     pub fn of_link(&self, link: LinkId) -> Vec<RequestId> {
-        self.named.range((link, 0)..=(link, u64::MAX)).map(|(_, id)| *id).collect()
+        self.named
+            .range((link, 0)..=(link, u64::MAX))
+            .map(|(_, id)| *id)
+            .collect()
     }
 
     /// Starts an attempt of an open request; it never lasts beyond the deadline. The request counts it.
@@ -147,11 +157,20 @@
         let left = open.deadline - now;
         let lasts = time_out.map_or(left, |t| t.min(left));
         self.last_attempt += 1;
-        let attempt =
-            AttemptOut { request: id, number: open.attempts, node, made: now, sent: None, ends: now + lasts };
+        let attempt = AttemptOut {
+            request: id,
+            number: open.attempts,
+            node,
+            made: now,
+            sent: None,
+            ends: now + lasts,
+        };
         open.attempts += 1;
         self.attempts.insert(AttemptId(self.last_attempt), attempt);
-        Some(StartedAttempt { id: AttemptId(self.last_attempt), lasts })
+        Some(StartedAttempt {
+            id: AttemptId(self.last_attempt),
+            lasts,
+        })
     }
 
     /// An attempt that has not ended.
@@ -166,7 +185,11 @@
 
     /// The attempts at a node, in the order they were made.
     pub fn at_node(&self, node: NodeId) -> Vec<AttemptId> {
-        self.attempts.iter().filter(|(_, l)| l.node == node).map(|(id, _)| *id).collect()
+        self.attempts
+            .iter()
+            .filter(|(_, l)| l.node == node)
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
 
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -33,7 +33,11 @@
             self.drain_barred_nodes();
             self.report_servers();
             self.next_server_check = self.now + OBSERVATION_INTERVAL;
-            if self.nodes.iter().any(|(_, n)| n.barred && n.connection.link().is_some()) {
+            if self
+                .nodes
+                .iter()
+                .any(|(_, n)| n.barred && n.connection.link().is_some())
+            {
                 self.at(self.next_server_check, TimerKind::Fleet);
             }
         }
@@ -49,7 +53,8 @@
                 server: self.server_name(server),
                 reason: reason.to_string(),
             });
-            self.outputs.push(Output::CommandOutcome { requester, outcome });
+            self.outputs
+                .push(Output::CommandOutcome { requester, outcome });
         }
     }
 
@@ -66,7 +71,9 @@
         let mut entries = Vec::new();
         let mut waiting = Vec::new();
         for (id, barred) in &changed {
-            let Some(n) = self.nodes.get(*id) else { continue };
+            let Some(n) = self.nodes.get(*id) else {
+                continue;
+            };
             n.bar(*barred);
             entries.push(n.entry(*id, n.newest_start().at));
             if *barred {
@@ -74,7 +81,10 @@
             }
         }
         if !entries.is_empty() {
-            let event = Event::EndpointList { update_kind: UpdateKind::Delta, entries };
+            let event = Event::EndpointList {
+                update_kind: UpdateKind::Delta,
+                entries,
+            };
             self.insert_after_last(event, |e| {
                 matches!(e, Event::ConfigChanged { .. } | Event::EndpointList { .. })
             });
@@ -124,27 +134,44 @@
 
     pub(super) fn observe_node(&self, n: &NodeSide) -> ServerObservation {
         let d = &self.deployment;
-        let server = d.node(&n.name).and_then(|place| d.servers.get(place.server));
+        let server = d
+            .node(&n.name)
+            .and_then(|place| d.servers.get(place.server));
         let can = server.map_or(1.0, gullsail_configuration::Server::can);
         let start = n.newest_start();
         ServerObservation {
-            what: ServerRole::Node { shard: n.shard.0, pool: number(&n.kind), can },
+            what: ServerRole::Node {
+                shard: n.shard.0,
+                pool: number(&n.kind),
+                can,
+            },
             zone: n.zone.0 as u32,
             well: n.state == EndpointState::Ready && (n.barred || n.connection.up().is_some()),
             incarnation: start.incarnation,
-            up: start.at.map_or(Span::ZERO, |at| (self.now - at).max(Span::ZERO)),
+            up: start
+                .at
+                .map_or(Span::ZERO, |at| (self.now - at).max(Span::ZERO)),
         }
     }
 
     /// Logs when this host knew which stage of which order. The scenario runner parses these lines.
     pub(super) fn log_stages(&mut self) {
-        let Some(line) = self.fleet.as_ref().and_then(Fleet::line) else { return };
-        let stages: Vec<_> = line.orders.iter().map(|o| (o.number, o.server, o.stage)).collect();
+        let Some(line) = self.fleet.as_ref().and_then(Fleet::line) else {
+            return;
+        };
+        let stages: Vec<_> = line
+            .orders
+            .iter()
+            .map(|o| (o.number, o.server, o.stage))
+            .collect();
         for (number, server, stage) in stages {
             let known = self.logged_stages.insert(number, stage);
             if known != Some(stage) {
-                let (member, incarnation, name) = (self.name(), self.incarnation, self.server_name(server));
-                let stage = serde_json::to_value(stage).ok().and_then(|s| s.as_str().map(str::to_string));
+                let (member, incarnation, name) =
+                    (self.name(), self.incarnation, self.server_name(server));
+                let stage = serde_json::to_value(stage)
+                    .ok()
+                    .and_then(|s| s.as_str().map(str::to_string));
                 let stage = stage.unwrap_or_default();
                 debug!(target: "gullsail_works", member, incarnation, number, server = name, stage, "stage");
             }
--- a/crates/host/src/core/timers.rs
+++ b/crates/host/src/core/timers.rs
@@ -51,7 +51,8 @@
     }
 
     fn reconnect_node(&mut self, node: NodeId) {
-        let waits = |n: &&mut nodes::NodeSide| matches!(n.connection.state, ConnectionState::Waiting(_));
+        let waits =
+            |n: &&mut nodes::NodeSide| matches!(n.connection.state, ConnectionState::Waiting(_));
         if let Some(n) = self.nodes.get(node).filter(waits) {
             n.connection.state = ConnectionState::Idle;
             self.connect_nodes();
@@ -59,31 +60,43 @@
     }
 
     fn reconnect_peer(&mut self, host: HostId) {
-        let waits = |p: &&mut OutgoingPeer| matches!(p.connection.state, ConnectionState::Waiting(_));
+        let waits =
+            |p: &&mut OutgoingPeer| matches!(p.connection.state, ConnectionState::Waiting(_));
         if let Some(peer) = self.peers.get_mut(&host).filter(waits) {
             peer.connection.state = ConnectionState::Idle;
         }
     }
 
     fn query_clocks(&mut self) {
-        let peers = self.links.iter().filter(|(_, l)| matches!(l.peer_kind, PeerKind::IncomingPeer(_)));
+        let peers = self
+            .links
+            .iter()
+            .filter(|(_, l)| matches!(l.peer_kind, PeerKind::IncomingPeer(_)));
         let peers: Vec<LinkId> = peers.map(|(id, _)| *id).collect();
         for link in peers {
             self.query_clock(link);
         }
-        self.at(self.now + self.deployment.bounds.clock_every, TimerKind::ClockQueries);
+        self.at(
+            self.now + self.deployment.bounds.clock_every,
+            TimerKind::ClockQueries,
+        );
     }
 
     fn sweep(&mut self) {
         let patience = self.deployment.bounds.client_stall;
         let stalled = |l: &Link| l.unsent > 0 && self.now - l.no_progress_since > patience;
         let stalled = self.links.iter().filter(|(_, l)| stalled(l));
-        let stalled: Vec<_> = stalled.map(|(id, l)| (*id, matches!(l.peer_kind, PeerKind::Client))).collect();
+        let stalled: Vec<_> = stalled
+            .map(|(id, l)| (*id, matches!(l.peer_kind, PeerKind::Client)))
+            .collect();
         for (link, is_client) in stalled {
             if is_client {
                 warn!(link = link.0, "client takes none of its answers: let go");
             } else {
-                warn!(link = link.0, "the other side takes none of what is sent to it: let go");
+                warn!(
+                    link = link.0,
+                    "the other side takes none of what is sent to it: let go"
+                );
             }
             self.close_link(link, "takes none of what is sent to it");
         }
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -62,25 +62,51 @@
 impl Core {
     /// The ledger and the overruns of this incarnation, by name.
     pub fn zone_traffic(&self) -> ZoneTraffic {
-        let volumes = self.deployment.volumes.iter().map(|v| (v.id, v.name.as_str()));
+        let volumes = self
+            .deployment
+            .volumes
+            .iter()
+            .map(|v| (v.id, v.name.as_str()));
         let volumes: BTreeMap<VolumeId, &str> = volumes.collect();
         let flows = self.ledger.since(None).into_iter();
         ZoneTraffic {
-            crossed: flows.map(|(flow, total)| self.named_flow(&flow, total, &volumes)).collect(),
-            overruns: self.overruns.all().map(|overrun| self.named_overrun(overrun)).collect(),
+            crossed: flows
+                .map(|(flow, total)| self.named_flow(&flow, total, &volumes))
+                .collect(),
+            overruns: self
+                .overruns
+                .all()
+                .map(|overrun| self.named_overrun(overrun))
+                .collect(),
         }
     }
 
     fn named_flow(&self, flow: &Flow, total: Total, volumes: &BTreeMap<VolumeId, &str>) -> Crossed {
         let d = &self.deployment;
-        let zone = |z: ZoneId| d.zones.get(z.0).cloned().unwrap_or_else(|| "unknown".into());
-        let volume = |of: FlowOf| volumes.get(&of.volume).copied().unwrap_or_default().to_string();
-        let request_class = flow.of.and_then(|of| d.request_classes.get(of.request_class.0));
+        let zone = |z: ZoneId| {
+            d.zones
+                .get(z.0)
+                .cloned()
+                .unwrap_or_else(|| "unknown".into())
+        };
+        let volume = |of: FlowOf| {
+            volumes
+                .get(&of.volume)
+                .copied()
+                .unwrap_or_default()
+                .to_string()
+        };
+        let request_class = flow
+            .of
+            .and_then(|of| d.request_classes.get(of.request_class.0));
         Crossed {
             from: zone(flow.from),
             to: zone(flow.to),
             reason: flow.reason,
-            plan: flow.of.map(|of| self.plan_name(of.plan)).unwrap_or_default(),
+            plan: flow
+                .of
+                .map(|of| self.plan_name(of.plan))
+                .unwrap_or_default(),
             volume: flow.of.map(volume).unwrap_or_default(),
             request_class: request_class.map(|s| s.name.clone()).unwrap_or_default(),
             total,
@@ -107,7 +133,11 @@
     }
 
     fn plan_name(&self, plan: PlanId) -> String {
-        self.deployment.plans.get(plan.0).map(|p| p.name.clone()).unwrap_or_default()
+        self.deployment
+            .plans
+            .get(plan.0)
+            .map(|p| p.name.clone())
+            .unwrap_or_default()
     }
 
     /// This host's zone. `None` where there are no cross-zone budgets: then nothing is counted, and counting
@@ -121,12 +151,17 @@
     /// host.
     pub(super) fn count_frame(&mut self, link: LinkId, frame: &Frame, out: bool) {
         let Some(here) = self.here() else { return };
-        if matches!(frame.message, Message::Attempt(_) | Message::AttemptAnswer(_)) {
+        if matches!(
+            frame.message,
+            Message::Attempt(_) | Message::AttemptAnswer(_)
+        ) {
             return;
         }
         match self.links.get(&link).map(|l| &l.peer_kind) {
             Some(PeerKind::Node(node)) => {
-                let Some(there) = self.nodes.get(*node).map(|n| n.zone) else { return };
+                let Some(there) = self.nodes.get(*node).map(|n| n.zone) else {
+                    return;
+                };
                 let (from, to) = if out { (here, there) } else { (there, here) };
                 self.count_peer_bytes(from, to, frame.len());
             }
@@ -150,12 +185,27 @@
     }
 
     fn count_peer_bytes(&mut self, from: ZoneId, to: ZoneId, bytes: usize) {
-        self.ledger.count(self.now, Flow { from, to, reason: Reason::Peers, of: None }, bytes, false);
+        self.ledger.count(
+            self.now,
+            Flow {
+                from,
+                to,
+                reason: Reason::Peers,
+                of: None,
+            },
+            bytes,
+            false,
+        );
     }
 
     fn flow(&self, from: ZoneId, to: ZoneId, request: RequestId, attempt: u32) -> Flow {
         let Some(open) = self.requests.get(request) else {
-            return Flow { from, to, reason: Reason::Further, of: None };
+            return Flow {
+                from,
+                to,
+                reason: Reason::Further,
+                of: None,
+            };
         };
         let reason = match (attempt, open.submit.handle.is_some()) {
             (0, true) => Reason::Bound,
@@ -163,7 +213,11 @@
             _ => Reason::Further,
         };
         let volume = self.deployment.volume(&open.submit.volume);
-        let place = self.deployment.request_classes.iter().position(|s| s.name == open.submit.request_class);
+        let place = self
+            .deployment
+            .request_classes
+            .iter()
+            .position(|s| s.name == open.submit.request_class);
         Flow {
             from,
             to,
@@ -177,8 +231,16 @@
     }
 
     /// Counts an attempt that is sent to a node in that zone.
-    pub(super) fn count_attempt(&mut self, zone: ZoneId, request: RequestId, attempt: u32, bytes: usize) {
-        let Some(here) = self.here().filter(|here| *here != zone) else { return };
+    pub(super) fn count_attempt(
+        &mut self,
+        zone: ZoneId,
+        request: RequestId,
+        attempt: u32,
+        bytes: usize,
+    ) {
+        let Some(here) = self.here().filter(|here| *here != zone) else {
+            return;
+        };
         let flow = self.flow(here, zone, request, attempt);
         self.count(flow, bytes, false);
     }
@@ -191,8 +253,15 @@
         bytes: usize,
         used: bool,
     ) {
-        let Some(here) = self.here().filter(|here| *here != zone) else { return };
-        let none = Flow { from: zone, to: here, reason: Reason::Further, of: None };
+        let Some(here) = self.here().filter(|here| *here != zone) else {
+            return;
+        };
+        let none = Flow {
+            from: zone,
+            to: here,
+            reason: Reason::Further,
+            of: None,
+        };
         let flow = attempt.map_or(none, |a| self.flow(zone, here, a.request, a.number));
         self.count(flow, bytes, !used);
     }
@@ -206,7 +275,13 @@
     }
 
     /// The scheduler went beyond a budget.
-    pub(super) fn record_overrun(&mut self, cross_zone_budget: VolumeId, bytes: f64, cause: OverrunCause) {
-        self.overruns.record(self.now, cross_zone_budget, bytes, cause);
+    pub(super) fn record_overrun(
+        &mut self,
+        cross_zone_budget: VolumeId,
+        bytes: f64,
+        cause: OverrunCause,
+    ) {
+        self.overruns
+            .record(self.now, cross_zone_budget, bytes, cause);
     }
 }
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -137,13 +137,24 @@
 }
 
 impl Runtime {
-    fn new(process: HostProcess, listener: TcpListener, sink: mpsc::Sender<(LinkId, LinkEvent)>) -> Runtime {
-        let HostProcess { deployment, me, seed, incarnation, clock } = process;
+    fn new(
+        process: HostProcess,
+        listener: TcpListener,
+        sink: mpsc::Sender<(LinkId, LinkEvent)>,
+    ) -> Runtime {
+        let HostProcess {
+            deployment,
+            me,
+            seed,
+            incarnation,
+            clock,
+        } = process;
         let bounds = deployment.bounds.frame;
         // Frames that wait to be handled: a part of what may be held, and at least one of the largest.
         let room = Room::new((deployment.bounds.most_held / 4).max(bounds.message + bounds.body));
         let max_incoming_links = sockets::max_incoming_links(&deployment);
-        let stall_limit = Duration::from_micros(deployment.bounds.client_stall.micros().max(0) as u64);
+        let stall_limit =
+            Duration::from_micros(deployment.bounds.client_stall.micros().max(0) as u64);
         let incoming_room = room.of_strangers(stall_limit);
         let mut core = Core::new(deployment, me, seed, incarnation, clock.now());
         core.set_max_incoming_links(max_incoming_links);
@@ -152,8 +163,14 @@
             core,
             clock,
             outputs: Vec::new(),
-            limits: ReadLimits { bounds, room: Some(room.clone()) },
-            incoming_limits: ReadLimits { bounds, room: Some(incoming_room) },
+            limits: ReadLimits {
+                bounds,
+                room: Some(room.clone()),
+            },
+            incoming_limits: ReadLimits {
+                bounds,
+                room: Some(incoming_room),
+            },
             room,
             sink,
             links: BTreeMap::new(),
@@ -194,7 +211,11 @@
         match output {
             Output::Send { link, frame, until } => {
                 let until = until.map(|until| self.clock.at(until));
-                if self.links.get(&link).is_some_and(|l| l.send_by(frame, until).is_err()) {
+                if self
+                    .links
+                    .get(&link)
+                    .is_some_and(|l| l.send_by(frame, until).is_err())
+                {
                     overfull.push(link);
                 }
             }
--- a/crates/host/src/runtime/control_requests.rs
+++ b/crates/host/src/runtime/control_requests.rs
@@ -56,7 +56,8 @@
             LoopRequest::OperatorCommand(command, reply) => {
                 let requester = self.requesters.next_id();
                 self.requesters.commands.insert(requester, reply);
-                self.core.handle(self.clock.now(), Input::OperatorCommand(requester, command));
+                self.core
+                    .handle(self.clock.now(), Input::OperatorCommand(requester, command));
             }
         }
     }
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -27,11 +27,15 @@
 /// How many connections others may open: nodes, peers and the endpoint list come first, with two descriptors
 /// each since they may be replaced and connect anew; a quarter is left to others in any case.
 pub(super) fn max_incoming_links(d: &Deployment) -> usize {
-    let descriptors = getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
+    let descriptors =
+        getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
     let kept = RESERVED_DESCRIPTORS + 2 * (d.nodes.len() + d.hosts.len() + 1);
     let left = descriptors.saturating_sub(kept);
     if left < descriptors / 4 {
-        warn!(descriptors, kept, "few file descriptors for this document: raise the limit");
+        warn!(
+            descriptors,
+            kept, "few file descriptors for this document: raise the limit"
+        );
     }
     left.max(descriptors / 4)
 }
@@ -45,7 +49,11 @@
 
 impl AcceptErrors {
     pub(super) fn new(now: Instant) -> AcceptErrors {
-        AcceptErrors { accept_from: now, log_from: now, unlogged: 0 }
+        AcceptErrors {
+            accept_from: now,
+            log_from: now,
+            unlogged: 0,
+        }
     }
 
     /// When the next connection is accepted at the earliest.
@@ -66,7 +74,9 @@
 
 /// The next connection that somebody opens, not before `from`; never ready without a listener.
 pub(super) async fn accept(listener: Option<&TcpListener>, from: Instant) -> io::Result<TcpStream> {
-    let Some(listener) = listener else { return std::future::pending().await };
+    let Some(listener) = listener else {
+        return std::future::pending().await;
+    };
     if from > Instant::now() {
         tokio::time::sleep_until(from).await;
     }
@@ -110,14 +120,23 @@
         // The core's first frame to it is among its outputs, so the link must stand before those.
         if let Some(id) = self.core.accept(self.clock.now()) {
             let limits = self.incoming_limits.clone();
-            let link = Link::open_within(stream, id, limits, OUTBOX_FRAMES, &self.sink, &mut self.tasks);
+            let link = Link::open_within(
+                stream,
+                id,
+                limits,
+                OUTBOX_FRAMES,
+                &self.sink,
+                &mut self.tasks,
+            );
             self.links.insert(id, link);
         }
     }
 
     /// A connection attempt ended, well or not.
     pub(super) fn connected(&mut self, connected: Option<(LinkId, io::Result<TcpStream>)>) {
-        let Some((id, connected)) = connected else { return };
+        let Some((id, connected)) = connected else {
+            return;
+        };
         // Else it was closed meanwhile.
         if self.connect_tasks.remove(&id).is_none() {
             return;
@@ -125,7 +144,14 @@
         let input = match connected {
             Ok(stream) => {
                 let limits = self.limits.clone();
-                let link = Link::open_within(stream, id, limits, OUTBOX_FRAMES, &self.sink, &mut self.tasks);
+                let link = Link::open_within(
+                    stream,
+                    id,
+                    limits,
+                    OUTBOX_FRAMES,
+                    &self.sink,
+                    &mut self.tasks,
+                );
                 self.links.insert(id, link);
                 Input::Connected(id)
             }
--- a/crates/host/src/stall_detector.rs
+++ b/crates/host/src/stall_detector.rs
@@ -41,13 +41,17 @@
 impl StallDetector {
     /// A loop that begins now.
     pub fn new(now: Instant) -> StallDetector {
-        StallDetector { last_turn: now, stall: None }
+        StallDetector {
+            last_turn: now,
+            stall: None,
+        }
     }
 
     /// Records a turn of the loop; returns how long the process stood still before it, if it did.
     /// `queue_empty`: nothing waits to be handled.
     pub fn turn(&mut self, now: Instant, queue_empty: bool) -> Option<Duration> {
-        self.stall.take_if(|stall| queue_empty && now.duration_since(stall.ended) > DOUBT);
+        self.stall
+            .take_if(|stall| queue_empty && now.duration_since(stall.ended) > DOUBT);
         let before = std::mem::replace(&mut self.last_turn, now);
         let interval = now.duration_since(before);
         if interval < STALL {
@@ -66,7 +70,8 @@
 
     /// Whether only what came in is to be handled for now, and nothing is to be decided.
     pub fn settling(&self) -> bool {
-        self.stall.is_some_and(|stall| self.last_turn < stall.ended + SETTLE)
+        self.stall
+            .is_some_and(|stall| self.last_turn < stall.ended + SETTLE)
     }
 
     /// When the loop has to turn at the latest, if it is otherwise wanted at `requested`.
--- a/crates/host/tests/host/bounds.rs
+++ b/crates/host/tests/host/bounds.rs
@@ -12,16 +12,26 @@
 /// before once it reads again.
 #[test]
 fn bytes_to_a_node_that_reads_nothing_are_bounded() {
-    let d = document(&[("open=50", "open=50 held-bytes=\"20000B\" body-bytes=\"10000B\"")]);
+    let d = document(&[(
+        "open=50",
+        "open=50 held-bytes=\"20000B\" body-bytes=\"10000B\"",
+    )]);
     let mut r = Rig::new(&d, 0, START);
     let (c, n) = (r.client(), r.node_up("n1", 11, ms(1e7)));
     r.stuck.insert(n);
     // One for each object: attempts go out together.
     (0..4).for_each(|id| write(&mut r, c, id, "v", 3000));
     r.pass(ms(1600.0));
-    let HeldLoad { open_requests: open, bytes: held, .. } = r.core.load();
+    let HeldLoad {
+        open_requests: open,
+        bytes: held,
+        ..
+    } = r.core.load();
     assert_eq!(open, 0, "they were answered");
-    assert!(held >= 3000 * 4, "what waits for the node is counted: {held}");
+    assert!(
+        held >= 3000 * 4,
+        "what waits for the node is counted: {held}"
+    );
     assert!(!r.closed.contains(&n));
     r.pass(ms(3000.0));
     assert!(r.closed.contains(&n), "client-stall has passed");
@@ -46,11 +56,18 @@
     r.frame(later, Withdraw { id: 1 });
     r.submit(busy, 5, "read");
     r.pass(ms(900.0));
-    assert!(r.core.accept(r.now).is_some(), "the idle one goes after client-stall");
+    assert!(
+        r.core.accept(r.now).is_some(),
+        "the idle one goes after client-stall"
+    );
     r.settle();
     let closed = [idle, busy, later].map(|link| r.closed.contains(&link));
     assert_eq!(closed, [true, false, false]);
-    assert_eq!(r.core.accept(r.now), None, "one look each 0.1 s, and nobody else is idle");
+    assert_eq!(
+        r.core.accept(r.now),
+        None,
+        "one look each 0.1 s, and nobody else is idle"
+    );
     assert_eq!(r.core.counts().links_refused, 2);
     r.handle(Input::Closed(later, "gone".into()));
     assert!(r.core.accept(r.now).is_some(), "there is room again");
--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -16,8 +16,12 @@
 fn after(change: &[(&str, &str)], revision: &str) -> Arc<Deployment> {
     let text = text_of(change) + revision;
     let first = text_of(&[]) + FIRST;
-    let files = [("new.kdl".to_string(), text), ("first.kdl".to_string(), first)];
-    let (d, _) = load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems));
+    let files = [
+        ("new.kdl".to_string(), text),
+        ("first.kdl".to_string(), first),
+    ];
+    let (d, _) =
+        load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems));
     Arc::new(d)
 }
 
@@ -25,10 +29,21 @@
     after(&[], FIRST)
 }
 
-pub fn propose(r: &mut Rig, from: &Arc<Deployment>, to: &Arc<Deployment>, insist: bool) -> ProposalOutcome {
+pub fn propose(
+    r: &mut Rig,
+    from: &Arc<Deployment>,
+    to: &Arc<Deployment>,
+    insist: bool,
+) -> ProposalOutcome {
     let changes = diff(from, to);
     let (from, to) = (from.clone(), to.clone());
-    r.handle(Input::Propose(Box::new(Proposal { requester: 7, from, to, changes, insist })));
+    r.handle(Input::Propose(Box::new(Proposal {
+        requester: 7,
+        from,
+        to,
+        changes,
+        insist,
+    })));
     let (requester, reply) = r.proposals_decided.pop().unwrap();
     assert_eq!(requester, 7);
     reply
@@ -39,19 +54,34 @@
 fn documents_get_their_first_numbers() {
     let old = document(&[]);
     let numbered = |change: &[(&str, &str)], revision: &str| {
-        let files =
-            [("new.kdl".to_string(), text_of(change) + revision), ("old.kdl".to_string(), text_of(&[]))];
+        let files = [
+            ("new.kdl".to_string(), text_of(change) + revision),
+            ("old.kdl".to_string(), text_of(&[])),
+        ];
         Arc::new(load(&Memory(files.into()), "new.kdl").unwrap().0)
     };
     for (revision, why) in [
         ("revision 1 after=\"old.kdl\"\n", None),
-        ("revision 1\n", Some("revision 1 comes after 1, but this host holds to 0")),
-        ("", Some("revision 0 is the one that this host holds to: give the document the next number")),
+        (
+            "revision 1\n",
+            Some("revision 1 comes after 1, but this host holds to 0"),
+        ),
+        (
+            "",
+            Some(
+                "revision 0 is the one that this host holds to: give the document the next number",
+            ),
+        ),
     ] {
         let mut r = Rig::new(&old, 0, START);
-        match (propose(&mut r, &old, &numbered(&[LIMIT], revision), false), why) {
+        match (
+            propose(&mut r, &old, &numbered(&[LIMIT], revision), false),
+            why,
+        ) {
             (ProposalOutcome::Taken { revision }, None) => assert_eq!(revision.0, 1),
-            (ProposalOutcome::TurnedDown(all), Some(why)) => assert!(all[0].contains(why), "{all:?}"),
+            (ProposalOutcome::TurnedDown(all), Some(why)) => {
+                assert!(all[0].contains(why), "{all:?}")
+            }
             (reply, _) => panic!("{revision}: {reply:?}"),
         }
     }
@@ -63,20 +93,43 @@
     let old = first();
     let mut r = Rig::new(&old, 0, START);
     let second = after(&[LIMIT], SECOND);
-    assert!(matches!(propose(&mut r, &old, &second, false), ProposalOutcome::Taken { .. }));
+    assert!(matches!(
+        propose(&mut r, &old, &second, false),
+        ProposalOutcome::Taken { .. }
+    ));
     let alone = after(&[LIMIT], "revision 2\nroute to=\"all\"\n");
     match propose(&mut r, &second, &alone, true) {
         ProposalOutcome::TurnedDown(why) => {
-            assert!(why[0].contains("gone past revision 1: keep naming it"), "{why:?}")
+            assert!(
+                why[0].contains("gone past revision 1: keep naming it"),
+                "{why:?}"
+            )
         }
         taken => panic!("{taken:?}"),
     }
     // The other host says that it has followed.
     let link = r.core.accept(r.now).unwrap();
-    r.frame(link, Hello { role: Role::Host as i32, name: "h2".into(), ..Hello::default() });
-    r.frame(link, Reached { held: 2, revision: 2, hosts: vec![0b10] });
+    r.frame(
+        link,
+        Hello {
+            role: Role::Host as i32,
+            name: "h2".into(),
+            ..Hello::default()
+        },
+    );
+    r.frame(
+        link,
+        Reached {
+            held: 2,
+            revision: 2,
+            hosts: vec![0b10],
+        },
+    );
     assert!(r.core.hosts_behind().is_empty());
-    assert!(matches!(propose(&mut r, &second, &alone, false), ProposalOutcome::Taken { .. }));
+    assert!(matches!(
+        propose(&mut r, &second, &alone, false),
+        ProposalOutcome::Taken { .. }
+    ));
 }
 
 const SECOND: &str = "revision 2 after=\"first.kdl\"\nroute to=\"all\"\n";
@@ -85,17 +138,50 @@
 #[test]
 fn documents_are_taken_whole_or_not_at_all() {
     type Case<'a> = (&'a [(&'a str, &'a str)], &'a str, bool, Option<&'a str>);
-    let host_leaves = ("volume \"w\" plan=\"held\"", "volume \"w\" plan=\"held\" { hosts \"h2\"; }");
+    let host_leaves = (
+        "volume \"w\" plan=\"held\"",
+        "volume \"w\" plan=\"held\" { hosts \"h2\"; }",
+    );
     // what is changed, the revision, insisted on, why it is turned down
     let cases: [Case; 14] = [
         (&[], FIRST, false, None),
         (&[LIMIT], SECOND, false, None),
-        (&[("slack=0", "slack=0 weight=3 price=2")], FIRST, false, None),
-        (&[("plan \"held\"", "plan \"new\"\nplan \"held\"")], FIRST, false, None),
-        (&[("volume \"w\"", "volume \"x\" plan=\"free\"\nvolume \"w\"")], SECOND, false, None),
-        (&[LIMIT], FIRST, false, Some("revision 1 is the one that this host holds to")),
-        (&[LIMIT], "route to=\"all\"\n", false, Some("not later than 1")),
-        (&[LIMIT], "revision 2\nroute to=\"all\"\n", false, Some("this host holds to 1")),
+        (
+            &[("slack=0", "slack=0 weight=3 price=2")],
+            FIRST,
+            false,
+            None,
+        ),
+        (
+            &[("plan \"held\"", "plan \"new\"\nplan \"held\"")],
+            FIRST,
+            false,
+            None,
+        ),
+        (
+            &[("volume \"w\"", "volume \"x\" plan=\"free\"\nvolume \"w\"")],
+            SECOND,
+            false,
+            None,
+        ),
+        (
+            &[LIMIT],
+            FIRST,
+            false,
+            Some("revision 1 is the one that this host holds to"),
+        ),
+        (
+            &[LIMIT],
+            "route to=\"all\"\n",
+            false,
+            Some("not later than 1"),
+        ),
+        (
+            &[LIMIT],
+            "revision 2\nroute to=\"all\"\n",
+            false,
+            Some("this host holds to 1"),
+        ),
         (
             &[("tick=\"20ms\"", "tick=\"9ms\"")],
             FIRST,
@@ -126,10 +212,15 @@
         let to = after(change, revision);
         match (propose(&mut r, &old, &to, insist), why) {
             (ProposalOutcome::Taken { .. }, None) => {}
-            (ProposalOutcome::TurnedDown(all), Some(why)) => assert!(all.join("\n").contains(why), "{all:?}"),
+            (ProposalOutcome::TurnedDown(all), Some(why)) => {
+                assert!(all.join("\n").contains(why), "{all:?}")
+            }
             (reply, _) => panic!("{change:?} {revision}: {reply:?}"),
         }
-        assert!(Arc::ptr_eq(r.core.deployment(), if why.is_none() { &to } else { &old }));
+        assert!(Arc::ptr_eq(
+            r.core.deployment(),
+            if why.is_none() { &to } else { &old }
+        ));
         // What was under way goes on, and new requests are taken.
         r.answer(n1, r.attempts(n1)[0].attempt, AttemptResult::Succeeded);
         r.submit(c, 6, "read");
@@ -141,7 +232,9 @@
         // What was compared with a document that is no longer served by is not taken.
         if why.is_none() {
             let stale = propose(&mut r, &old, &after(&[], FIRST), true);
-            assert!(matches!(stale, ProposalOutcome::TurnedDown(all) if all[0].contains("meanwhile")));
+            assert!(
+                matches!(stale, ProposalOutcome::TurnedDown(all) if all[0].contains("meanwhile"))
+            );
         }
     }
 }
@@ -157,15 +250,28 @@
     (1..=60).for_each(|id| r.submit_to(c, id, "read", "w", 1));
     let sent = r.attempts(n1).len() as u64;
     assert!((4..60).contains(&sent), "{sent}");
-    let leaves = ("volume \"w\" plan=\"held\"", "volume \"w\" plan=\"held\" { hosts \"h2\"; }");
+    let leaves = (
+        "volume \"w\" plan=\"held\"",
+        "volume \"w\" plan=\"held\" { hosts \"h2\"; }",
+    );
     let to = after(&[leaves], SECOND);
-    assert!(matches!(propose(&mut r, &old, &to, true), ProposalOutcome::Taken { .. }));
-    let rejected = (1..=60).filter(|id| r.outcomes(c, *id) == [Outcome::Rejected]).count() as u64;
+    assert!(matches!(
+        propose(&mut r, &old, &to, true),
+        ProposalOutcome::Taken { .. }
+    ));
+    let rejected = (1..=60)
+        .filter(|id| r.outcomes(c, *id) == [Outcome::Rejected])
+        .count() as u64;
     assert_eq!(rejected, 60 - sent, "at once");
-    r.attempts(n1).into_iter().for_each(|l| r.answer(n1, l.attempt, AttemptResult::Succeeded));
+    r.attempts(n1)
+        .into_iter()
+        .for_each(|l| r.answer(n1, l.attempt, AttemptResult::Succeeded));
     assert!((1..=60).all(|id| r.outcomes(c, id).len() == 1));
     r.submit_to(c, 99, "read", "w", 1);
-    assert_eq!(r.not_taken(c), ["volume \"w\" does not come through this host"]);
+    assert_eq!(
+        r.not_taken(c),
+        ["volume \"w\" does not come through this host"]
+    );
 }
 
 /// New objects go where the routes of the document lead, from the moment it is taken.
@@ -176,8 +282,9 @@
         ("node \"n2\" cell=2", "node \"n2\" cell=2 kind=\"chip\""),
     ];
     let pools = "revision 1\npool \"slow\" { kind \"disk\"; }\npool \"fast\" { kind \"chip\"; }\n";
-    let routes =
-        |volume: &str| format!("{pools}route to=\"slow\" {{ volume \"{volume}\"; }}\nroute to=\"fast\"\n");
+    let routes = |volume: &str| {
+        format!("{pools}route to=\"slow\" {{ volume \"{volume}\"; }}\nroute to=\"fast\"\n")
+    };
     let old = after(&kinds, &routes("v"));
     let mut r = Rig::new(&old, 0, START);
     let (c, nodes) = (r.client(), r.nodes_up());
@@ -199,12 +306,19 @@
                 r.answer(link, attempt.attempt, AttemptResult::Succeeded);
             }
         }
-        [nodes.0, nodes.1]
-            .map(|n| r.attempts(n).iter().filter(|l| l.mark[1..].parse::<u64>().unwrap() >= first).count())
+        [nodes.0, nodes.1].map(|n| {
+            r.attempts(n)
+                .iter()
+                .filter(|l| l.mark[1..].parse::<u64>().unwrap() >= first)
+                .count()
+        })
     };
     assert_eq!(put(&mut r, 100), [12, 0]);
     let to = after(&kinds, &routes("far"));
-    assert!(matches!(propose(&mut r, &old, &to, false), ProposalOutcome::Taken { .. }));
+    assert!(matches!(
+        propose(&mut r, &old, &to, false),
+        ProposalOutcome::Taken { .. }
+    ));
     assert_eq!(put(&mut r, 200), [0, 12]);
 }
 
@@ -225,7 +339,9 @@
             // The volume is known by its old place, and its bucket full.
             r.submit_to(c, 1, "read", volume, 1);
             r.pass(ms(20.0));
-            r.attempts(n1).into_iter().for_each(|l| r.answer(n1, l.attempt, AttemptResult::Succeeded));
+            r.attempts(n1)
+                .into_iter()
+                .for_each(|l| r.answer(n1, l.attempt, AttemptResult::Succeeded));
             r.pass(ms(4000.0));
             assert!(matches!(
                 propose(&mut r, &old, &after(&[change], FIRST), false),
@@ -238,8 +354,13 @@
                     r.answer(link, attempt.attempt, AttemptResult::Succeeded);
                 }
             }
-            let done = (100..200).filter(|id| r.outcomes(c, *id) == [Outcome::Succeeded]).count();
-            assert!((least..=most).contains(&done), "{change:?} {volume}: {done}");
+            let done = (100..200)
+                .filter(|id| r.outcomes(c, *id) == [Outcome::Succeeded])
+                .count();
+            assert!(
+                (least..=most).contains(&done),
+                "{change:?} {volume}: {done}"
+            );
         }
     }
 }
--- a/crates/host/tests/host/clocks.rs
+++ b/crates/host/tests/host/clocks.rs
@@ -53,12 +53,27 @@
     let at = |ms: f64| Instant::from_millis(ms);
     let mut c = PeerClock::default();
     assert_eq!(c.learn(at(0.0), at(500.0), at(2.0)), Learned::First);
-    assert_eq!(c.learn(at(1000.0), at(1500.5), at(1001.0)), Learned::Narrowed);
-    assert_eq!(c.learn(at(2000.0), at(1000.0), at(2001.0)), Learned::Stepped);
+    assert_eq!(
+        c.learn(at(1000.0), at(1500.5), at(1001.0)),
+        Learned::Narrowed
+    );
+    assert_eq!(
+        c.learn(at(2000.0), at(1000.0), at(2001.0)),
+        Learned::Stepped
+    );
     // Half a microsecond of drift within the exchange, rounded, and two for readings cut to whole ones.
-    assert_eq!(c.bounds(at(2001.0)), Some(ClockOffset { least: ms(-1001.003), most: ms(-999.997) }));
+    assert_eq!(
+        c.bounds(at(2001.0)),
+        Some(ClockOffset {
+            least: ms(-1001.003),
+            most: ms(-999.997)
+        })
+    );
     // An answer that took longer than a second narrows nothing.
-    assert_eq!(c.learn(at(3000.0), at(9000.0), at(5000.0)), Learned::Nothing);
+    assert_eq!(
+        c.learn(at(3000.0), at(9000.0), at(5000.0)),
+        Learned::Nothing
+    );
     let far = |c: &PeerClock, apart: f64| c.too_far(at(2001.0), ms(apart));
     assert!(far(&c, 500.0) && !far(&c, 1500.0));
 }
@@ -109,12 +124,24 @@
         let d = document(&[]);
         let now = Instant::from_micros(1_000_000_000);
         let ahead = vec![Span::ZERO, apart];
-        let hosts: Vec<_> = (0..2).map(|h| Rig::new(&d, h, now + ahead[h as usize])).collect();
+        let hosts: Vec<_> = (0..2)
+            .map(|h| Rig::new(&d, h, now + ahead[h as usize]))
+            .collect();
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let other_ends = BTreeMap::new();
         let carried = Vec::new();
         let seen = vec![Seen::default(); 2];
-        let mut pair = Pair { hosts, ahead, other_ends, carried, seen, rng, now, lose, first: Vec::new() };
+        let mut pair = Pair {
+            hosts,
+            ahead,
+            other_ends,
+            carried,
+            seen,
+            rng,
+            now,
+            lose,
+            first: Vec::new(),
+        };
         pair.hosts.iter_mut().for_each(|h| _ = h.nodes_up());
         pair
     }
@@ -129,14 +156,20 @@
                 (h.connects[connects..].to_vec(), h.sent[sent..].to_vec())
             };
             let host = &self.hosts[from];
-            self.seen[from] = Seen { connects: host.connects.len(), sent: host.sent.len() };
+            self.seen[from] = Seen {
+                connects: host.connects.len(),
+                sent: host.sent.len(),
+            };
             for ConnectRequest { link, address, .. } in new_connects {
                 let now = self.hosts[to].now;
                 if address == format!("h{}", to + 1)
                     && let Some(there) = self.hosts[to].core.accept(now)
                 {
                     let here = HostEnd { host: from, link };
-                    let there = HostEnd { host: to, link: there };
+                    let there = HostEnd {
+                        host: to,
+                        link: there,
+                    };
                     self.other_ends.insert(here, there);
                     self.other_ends.insert(there, here);
                     self.hosts[to].settle();
@@ -146,7 +179,10 @@
             for SentFrame { link, frame, .. } in new_sent {
                 if let Message::Attempt(attempt) = &frame.message {
                     if attempt.number == 0 {
-                        self.first.push(FirstAttempt { at: self.now, units: attempt.units });
+                        self.first.push(FirstAttempt {
+                            at: self.now,
+                            units: attempt.units,
+                        });
                     }
                     let done = AttemptAnswer {
                         attempt: attempt.attempt,
@@ -154,19 +190,37 @@
                         ..AttemptAnswer::default()
                     };
                     let input = Input::Frame(link, done.into());
-                    self.carried.push(Carried { at: self.now + ms(5.0), host: from, input });
-                } else if let Some(there) = self.other_ends.get(&HostEnd { host: from, link }).copied() {
+                    self.carried.push(Carried {
+                        at: self.now + ms(5.0),
+                        host: from,
+                        input,
+                    });
+                } else if let Some(there) =
+                    self.other_ends.get(&HostEnd { host: from, link }).copied()
+                {
                     let is_report = matches!(frame.message, Message::DemandReport(_));
                     if is_report && self.rng.random_bool(self.lose) {
                         continue;
                     }
-                    let times = if is_report && self.rng.random_bool(0.1) { 2 } else { 1 };
+                    let times = if is_report && self.rng.random_bool(0.1) {
+                        2
+                    } else {
+                        1
+                    };
                     for _ in 0..times {
                         // Mostly a few milliseconds, now and then long enough to be stale.
-                        let late = if self.rng.random_bool(0.1) { 1500.0 } else { 20.0 };
+                        let late = if self.rng.random_bool(0.1) {
+                            1500.0
+                        } else {
+                            20.0
+                        };
                         let delay = ms(1.0 + self.rng.random_range(0.0..late));
                         let input = Input::Frame(there.link, frame.clone());
-                        self.carried.push(Carried { at: self.now + delay, host: there.host, input });
+                        self.carried.push(Carried {
+                            at: self.now + delay,
+                            host: there.host,
+                            input,
+                        });
                     }
                 }
             }
@@ -181,8 +235,9 @@
             self.hosts[h].pass(rest);
         }
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.carried).into_iter().partition(|c| c.at <= now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.carried)
+            .into_iter()
+            .partition(|c| c.at <= now);
         self.carried = later;
         for Carried { host, input, .. } in due {
             self.hosts[host].handle(input);
@@ -236,22 +291,48 @@
 #[test]
 fn a_limit_holds_with_clocks_a_second_apart() {
     // Too far apart, demand reports are dropped, and each host keeps to its even share.
-    let TenSeconds { sent: alone, lowest, received, dropped } = ten_seconds(5000.0, 0.0);
+    let TenSeconds {
+        sent: alone,
+        lowest,
+        received,
+        dropped,
+    } = ten_seconds(5000.0, 0.0);
     assert!(lowest >= -1e-6, "{lowest} below the store");
-    assert!(received == 0 && dropped > 3, "{received} received, {dropped} dropped");
+    assert!(
+        received == 0 && dropped > 3,
+        "{received} received, {dropped} dropped"
+    );
     for lose in [0.0, 0.1, 0.5] {
-        let TenSeconds { sent: alike, lowest, .. } = ten_seconds(0.0, lose);
+        let TenSeconds {
+            sent: alike,
+            lowest,
+            ..
+        } = ten_seconds(0.0, lose);
         println!("{lose} lost: {alike} units, {alone} with no demand reports at all");
         assert!(lowest >= -1e-6, "{lose} lost: {lowest} below the store");
-        assert!(alike > alone * 1.15, "{lose} lost: {alike} units, {alone} with no demand reports at all");
+        assert!(
+            alike > alone * 1.15,
+            "{lose} lost: {alike} units, {alone} with no demand reports at all"
+        );
         for apart in [1000.0, -1000.0, 300.0] {
-            let TenSeconds { sent, lowest, received, dropped } = ten_seconds(apart, lose);
-            assert!(lowest >= -1e-6, "{apart} ms apart, {lose} lost: {lowest} below the store");
+            let TenSeconds {
+                sent,
+                lowest,
+                received,
+                dropped,
+            } = ten_seconds(apart, lose);
+            assert!(
+                lowest >= -1e-6,
+                "{apart} ms apart, {lose} lost: {lowest} below the store"
+            );
             assert!(
                 (sent / alike - 1.0).abs() < 0.12,
                 "{apart} ms apart, {lose} lost: {sent} units, not {alike}"
             );
-            assert!(received > 10 && dropped <= 8, "{received} received, {dropped} dropped");
+            assert!(
+                received > 10 && dropped <= 8,
+                "{received} received, {dropped} dropped"
+            );
         }
     }
 }
--- a/crates/host/tests/host/control_compatibility.rs
+++ b/crates/host/tests/host/control_compatibility.rs
@@ -50,29 +50,76 @@
 
 #[test]
 fn a_state_of_an_earlier_version_is_read_into_the_right_fields() {
-    let ControlReply::Status(state) = serde_json::from_str(STATE).unwrap() else { panic!("not a state") };
+    let ControlReply::Status(state) = serde_json::from_str(STATE).unwrap() else {
+        panic!("not a state")
+    };
     assert_eq!((state.host.as_str(), state.revision), ("h1", 7));
     assert_eq!(state.behind, ["h2", "h3"]);
-    assert_eq!((state.open, state.attempts_out, state.held_bytes), (11, 12, 13));
+    assert_eq!(
+        (state.open, state.attempts_out, state.held_bytes),
+        (11, 12, 13)
+    );
     let c = &state.counts;
-    assert_eq!((c.taken, c.not_taken, c.done, c.rejected, c.failed), (101, 102, 103, 104, 105));
-    assert_eq!((c.clients_left, c.attempts, c.late_node_answers, c.links_broken), (106, 107, 108, 109));
+    assert_eq!(
+        (c.taken, c.not_taken, c.done, c.rejected, c.failed),
+        (101, 102, 103, 104, 105)
+    );
+    assert_eq!(
+        (
+            c.clients_left,
+            c.attempts,
+            c.late_node_answers,
+            c.links_broken
+        ),
+        (106, 107, 108, 109)
+    );
     assert_eq!(c.demand_reports_sent, 110);
     assert_eq!(c.demand_reports_received, 111);
     assert_eq!(c.demand_reports_dropped, 112);
-    assert_eq!((c.nodes_restarted, c.nodes_met_again, c.list_lost), (113, 114, 115));
-    assert_eq!((c.links_refused, c.held_back, c.longest_step_us, c.long_steps), (116, 117, 118, 119));
-    assert_eq!((c.stood_still, c.longest_still_us, c.aged, c.answers_withheld), (120, 121, 122, 123));
+    assert_eq!(
+        (c.nodes_restarted, c.nodes_met_again, c.list_lost),
+        (113, 114, 115)
+    );
+    assert_eq!(
+        (
+            c.links_refused,
+            c.held_back,
+            c.longest_step_us,
+            c.long_steps
+        ),
+        (116, 117, 118, 119)
+    );
+    assert_eq!(
+        (
+            c.stood_still,
+            c.longest_still_us,
+            c.aged,
+            c.answers_withheld
+        ),
+        (120, 121, 122, 123)
+    );
     assert_eq!((c.documents_taken, c.documents_turned_down), (124, 125));
     assert_eq!((c.most_open, c.most_held), (126, 127));
     let flow = &state.crossed[0];
-    assert_eq!((flow.from.as_str(), flow.to.as_str(), flow.reason), ("a", "b", Reason::Further));
+    assert_eq!(
+        (flow.from.as_str(), flow.to.as_str(), flow.reason),
+        ("a", "b", Reason::Further)
+    );
     assert_eq!((flow.plan.as_str(), flow.volume.as_str()), ("base", "v"));
     assert_eq!(flow.request_class, "read");
-    assert_eq!((flow.total.frames, flow.total.bytes, flow.total.for_nothing), (201, 202, 203));
+    assert_eq!(
+        (flow.total.frames, flow.total.bytes, flow.total.for_nothing),
+        (201, 202, 203)
+    );
     let overrun = &state.past[0];
-    assert_eq!((overrun.budget.as_str(), overrun.cause.as_str()), ("a-b", "further legs"));
-    assert_eq!((overrun.from_us, overrun.to_us, overrun.bytes), (301, 302, 303));
+    assert_eq!(
+        (overrun.budget.as_str(), overrun.cause.as_str()),
+        ("a-b", "further legs")
+    );
+    assert_eq!(
+        (overrun.from_us, overrun.to_us, overrun.bytes),
+        (301, 302, 303)
+    );
     let fleet = state.fleet.as_ref().unwrap();
     assert_eq!((fleet.name.as_str(), fleet.lease_ms), ("f", 401.5));
     assert_eq!(fleet.budgets, [(402, "v".to_string())]);
@@ -81,7 +128,10 @@
     let order = &maintenance.orders[0];
     assert_eq!((order.server.as_str(), order.before), ("n1", 501));
     assert_eq!((order.for_ms, order.longest_ms), (502.5, 503.5));
-    assert_eq!((order.waits.as_str(), order.reason.as_str()), ("for its leases", "disks"));
+    assert_eq!(
+        (order.waits.as_str(), order.reason.as_str()),
+        ("for its leases", "disks")
+    );
     assert_eq!(order.hosts, ["h2"]);
 }
 
@@ -118,13 +168,19 @@
         "ask": "word", "kind": "out", "names": ["n1", "a"], "longest_ms": 601, "cell_away": true,
         "returns": true, "reason": "disks",
     });
-    let texts = [json!({ "ask": "reload", "insist": true }), json!({ "ask": "status" }), command.clone()];
+    let texts = [
+        json!({ "ask": "reload", "insist": true }),
+        json!({ "ask": "status" }),
+        command.clone(),
+    ];
     for text in texts {
         let request: ControlRequest = serde_json::from_value(text.clone()).unwrap();
         assert_eq!(serde_json::to_value(&request).unwrap(), text);
     }
     let request: ControlRequest = serde_json::from_value(command).unwrap();
-    let ControlRequest::OperatorCommand(command) = request else { panic!("not a command") };
+    let ControlRequest::OperatorCommand(command) = request else {
+        panic!("not a command")
+    };
     let expected = OperatorCommand {
         kind: "out".into(),
         names: vec!["n1".into(), "a".into()],
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -40,7 +40,11 @@
         let mut r = rig();
         let c = r.client();
         let up = !matches!(end, End::NeverSent);
-        let n = if up { r.node_up("n1", 11, ms(1e7)) } else { LinkId(0) };
+        let n = if up {
+            r.node_up("n1", 11, ms(1e7))
+        } else {
+            LinkId(0)
+        };
         r.submit(c, 5, request_class);
         assert_eq!(r.attempts(n).len(), usize::from(up), "case {place}");
         r.pass(ms(10.0));
@@ -55,9 +59,20 @@
         }
         r.pass(ms(3000.0));
         let sent = r.new_attempts();
-        assert_eq!((sent.len(), r.outcomes(c, 5)), (attempts, vec![outcome]), "case {place}");
-        assert!(sent.iter().all(|s| s.attempt.mark == "m5"), "a repeat is known by its mark");
-        assert!(sent.iter().enumerate().all(|(number, s)| s.attempt.number == number as u32));
+        assert_eq!(
+            (sent.len(), r.outcomes(c, 5)),
+            (attempts, vec![outcome]),
+            "case {place}"
+        );
+        assert!(
+            sent.iter().all(|s| s.attempt.mark == "m5"),
+            "a repeat is known by its mark"
+        );
+        assert!(
+            sent.iter()
+                .enumerate()
+                .all(|(number, s)| s.attempt.number == number as u32)
+        );
     }
 }
 
@@ -68,7 +83,11 @@
     r.submit(c, 5, "read");
     let attempt = r.attempts(n)[0].attempt;
     r.pass(ms(1000.0));
-    assert!(r.on(n).any(|f| f.message == Message::Cancel(Cancel { attempt })), "the node is told");
+    assert!(
+        r.on(n)
+            .any(|f| f.message == Message::Cancel(Cancel { attempt })),
+        "the node is told"
+    );
     assert_eq!(r.outcomes(c, 5), [Outcome::Rejected]);
     r.answer(n, attempt, AttemptResult::Succeeded);
     // And answers to what was never asked, or was asked of another node.
@@ -85,7 +104,12 @@
     let attempt = r.attempts(n1)[0].attempt;
     r.answer(n2, attempt, AttemptResult::Succeeded);
     assert_eq!(r.outcomes(c, 5), []);
-    r.answer_with(n1, attempt, AttemptResult::Succeeded, Bytes::from_static(b"bytes"));
+    r.answer_with(
+        n1,
+        attempt,
+        AttemptResult::Succeeded,
+        Bytes::from_static(b"bytes"),
+    );
     assert_eq!(r.outcomes(c, 5), [Outcome::Succeeded]);
     assert!(r.on(c).any(|f| f.body == "bytes"));
 }
@@ -128,8 +152,14 @@
         r.answer(n, attempt.attempt, AttemptResult::Succeeded);
     }
     r.pass(ms(2000.0));
-    assert_eq!((r.on(c).count(), r.outcomes(other, 5)), (before, vec![Outcome::Succeeded]));
-    assert_eq!((r.core.counts().clients_left, r.core.load().open_requests), (2, 0));
+    assert_eq!(
+        (r.on(c).count(), r.outcomes(other, 5)),
+        (before, vec![Outcome::Succeeded])
+    );
+    assert_eq!(
+        (r.core.counts().clients_left, r.core.load().open_requests),
+        (2, 0)
+    );
 }
 
 /// A attempt fails and its client leaves before the decisions hear of either: they ask for one more attempt,
@@ -142,8 +172,11 @@
         let c = r.client();
         r.submit(c, id, "read");
         let attempt = r.attempts(n).last().unwrap().attempt;
-        let failed =
-            AttemptAnswer { attempt, result: AttemptResult::Failed as i32, ..AttemptAnswer::default() };
+        let failed = AttemptAnswer {
+            attempt,
+            result: AttemptResult::Failed as i32,
+            ..AttemptAnswer::default()
+        };
         r.core.handle(r.now, Input::Frame(n, failed.into()));
         r.core.handle(r.now, Input::Closed(c, "gone".into()));
         r.settle();
@@ -156,7 +189,9 @@
         }
     }
     assert_eq!(r.core.load().attempts_out, 0, "no leg is out");
-    let done = (1000..1160).filter(|id| r.outcomes(stays, *id) == [Outcome::Succeeded]).count();
+    let done = (1000..1160)
+        .filter(|id| r.outcomes(stays, *id) == [Outcome::Succeeded])
+        .count();
     assert_eq!(done, 160, "the node has room throughout");
 }
 
@@ -168,19 +203,70 @@
         request_class: "read".into(),
         volume: "v".into(),
         units: 1.0,
-        handle: Some(Handle { shard: 1, object: 1 }),
+        handle: Some(Handle {
+            shard: 1,
+            object: 1,
+        }),
         timeout_us: 1_000_000,
         ..Submit::default()
     };
     let cases = [
-        (Submit { request_class: "raed".into(), ..good.clone() }, "no stream type is called \"raed\""),
-        (Submit { volume: "x".into(), ..good.clone() }, "no volume is called \"x\""),
-        (Submit { volume: "far".into(), ..good.clone() }, "does not come through this host"),
-        (Submit { units: 9.0, ..good.clone() }, "9 units; more than 0 and at most 8"),
-        (Submit { units: f64::NAN, ..good.clone() }, "NaN units"),
-        (Submit { timeout_us: 0, ..good.clone() }, "its time is up"),
-        (Submit { timeout_us: 40_000, ..good.clone() }, "less than two ticks"),
-        (Submit { handle: None, ..good.clone() }, "needs the handle"),
+        (
+            Submit {
+                request_class: "raed".into(),
+                ..good.clone()
+            },
+            "no stream type is called \"raed\"",
+        ),
+        (
+            Submit {
+                volume: "x".into(),
+                ..good.clone()
+            },
+            "no volume is called \"x\"",
+        ),
+        (
+            Submit {
+                volume: "far".into(),
+                ..good.clone()
+            },
+            "does not come through this host",
+        ),
+        (
+            Submit {
+                units: 9.0,
+                ..good.clone()
+            },
+            "9 units; more than 0 and at most 8",
+        ),
+        (
+            Submit {
+                units: f64::NAN,
+                ..good.clone()
+            },
+            "NaN units",
+        ),
+        (
+            Submit {
+                timeout_us: 0,
+                ..good.clone()
+            },
+            "its time is up",
+        ),
+        (
+            Submit {
+                timeout_us: 40_000,
+                ..good.clone()
+            },
+            "less than two ticks",
+        ),
+        (
+            Submit {
+                handle: None,
+                ..good.clone()
+            },
+            "needs the handle",
+        ),
     ];
     let c = r.client();
     for (s, reason) in cases {
@@ -221,13 +307,27 @@
     // A newer kind is skipped.
     let mut r = rig();
     let c = r.client();
-    r.frame(c, Frame { message: Message::Newer { kind: 500 }, body: Bytes::new() });
+    r.frame(
+        c,
+        Frame {
+            message: Message::Newer { kind: 500 },
+            body: Bytes::new(),
+        },
+    );
     assert_eq!(r.closed, []);
     // A stranger that says nothing, a node that answers at another's address.
     let stranger = r.core.accept(r.now).unwrap();
     let n = r.connection_to("n1").unwrap();
     r.handle(Input::Connected(n));
-    r.frame(n, Hello { role: Role::Node as i32, name: "n2".into(), shard_plus_one: 3, ..Hello::default() });
+    r.frame(
+        n,
+        Hello {
+            role: Role::Node as i32,
+            name: "n2".into(),
+            shard_plus_one: 3,
+            ..Hello::default()
+        },
+    );
     assert_eq!(r.closed, [n]);
     r.pass(ms(1000.0));
     assert!(r.closed.contains(&stranger) && !r.closed.contains(&c));
@@ -240,7 +340,11 @@
     for id in 0..50 {
         r.submit(c, id, "read");
     }
-    assert_eq!(r.reading.get(&c), Some(&false), "as many as may be are open");
+    assert_eq!(
+        r.reading.get(&c),
+        Some(&false),
+        "as many as may be are open"
+    );
     r.pass(ms(3000.0));
     assert_eq!(r.reading.get(&c), Some(&true), "they are answered");
     assert_eq!(r.core.counts().held_back, 1);
@@ -251,9 +355,17 @@
     for id in 0..5 {
         r.submit(slow, id, "read");
         let attempt = r.attempts(n).last().unwrap().attempt;
-        r.answer_with(n, attempt, AttemptResult::Succeeded, Bytes::from(vec![0; 1000]));
+        r.answer_with(
+            n,
+            attempt,
+            AttemptResult::Succeeded,
+            Bytes::from(vec![0; 1000]),
+        );
     }
-    assert_eq!((r.reading.get(&slow), r.reading.get(&c)), (Some(&false), None));
+    assert_eq!(
+        (r.reading.get(&slow), r.reading.get(&c)),
+        (Some(&false), None)
+    );
     assert!(r.core.load().bytes >= 4000, "what waits for it is counted");
     r.pass(ms(5000.0));
     assert_eq!((r.closed.contains(&slow), r.core.load().bytes), (true, 0));
@@ -264,19 +376,39 @@
 #[test]
 fn what_waited_while_the_process_stood_still_has_less_time() {
     // ttl and wait in ms; whether it is taken, and the most of its time that an attempt of it has
-    let cases = [(1500, 0, true, 400), (1500, 100, true, 300), (1500, 1470, false, 0), (300, 800, false, 0)];
+    let cases = [
+        (1500, 0, true, 400),
+        (1500, 100, true, 300),
+        (1500, 1470, false, 0),
+        (300, 800, false, 0),
+    ];
     for (timeout, waited, taken, lasts) in cases {
         let mut r = rig();
         let (c, (n, _)) = (r.client(), r.nodes_up());
         r.submit(c, 1, "read");
-        let submit =
-            Submit { timeout_us: timeout * 1000, id: 9, mark: "m9".into(), ..r.submitted("read", "v", 1) };
-        r.handle(Input::DelayedFrame(c, Frame::from(submit), ms(waited as f64)));
+        let submit = Submit {
+            timeout_us: timeout * 1000,
+            id: 9,
+            mark: "m9".into(),
+            ..r.submitted("read", "v", 1)
+        };
+        r.handle(Input::DelayedFrame(
+            c,
+            Frame::from(submit),
+            ms(waited as f64),
+        ));
         assert_eq!(
             (r.not_taken(c).is_empty(), r.attempts(n).len()),
             (taken, 1 + usize::from(taken)),
             "{waited}"
         );
-        assert!(r.attempts(n).iter().skip(1).all(|l| l.time_out_us <= lasts * 1000), "{:?}", r.attempts(n));
+        assert!(
+            r.attempts(n)
+                .iter()
+                .skip(1)
+                .all(|l| l.time_out_us <= lasts * 1000),
+            "{:?}",
+            r.attempts(n)
+        );
     }
 }
--- a/crates/host/tests/host/model.rs
+++ b/crates/host/tests/host/model.rs
@@ -55,7 +55,14 @@
 impl NodeState {
     fn ready(incarnation: u64, started_at: Instant, free_at: Instant) -> NodeState {
         let state = ListedState::Ready;
-        NodeState { incarnation, started_at, state, error_rate: 0.0, slowdown: 1.0, free_at }
+        NodeState {
+            incarnation,
+            started_at,
+            state,
+            error_rate: 0.0,
+            slowdown: 1.0,
+            free_at,
+        }
     }
 }
 
@@ -93,7 +100,10 @@
     fn new(seed: u64) -> World {
         let d = document(&[
             ("legs most=3", "legs most=3 free=1 share=0.02 window=\"1s\""),
-            ("effect=\"unrepeatable\"", "effect=\"unrepeatable\" in-order=#true"),
+            (
+                "effect=\"unrepeatable\"",
+                "effect=\"unrepeatable\" in-order=#true",
+            ),
             ("open=50", "open=500"),
             ("4000B", "4MB"),
         ]);
@@ -127,13 +137,19 @@
     fn start_host(&mut self, h: usize, incarnation: u32) -> Side {
         let host = HostId(h as u32);
         self.model.step();
-        self.model.host_started(self.now, host, &self.d.config(host));
+        self.model
+            .host_started(self.now, host, &self.d.config(host));
         // A newborn knows its document, and learns of drains from the list.
-        let entries = (0..2).map(|n| self.entry(n, ListedState::Ready, None)).collect();
+        let entries = (0..2)
+            .map(|n| self.entry(n, ListedState::Ready, None))
+            .collect();
         self.model.saw(
             self.now,
             host,
-            &Event::EndpointList { update_kind: UpdateKind::StaleSnapshot, entries },
+            &Event::EndpointList {
+                update_kind: UpdateKind::StaleSnapshot,
+                entries,
+            },
         );
         let mut rig = Rig::new(&self.d, h as u32, self.now);
         let client = rig.client();
@@ -160,7 +176,13 @@
             ListedState::Gone => EndpointState::Gone,
         };
         let node = gullsail_configuration::node_id(NAMES[n]);
-        Endpoint { node, shard: ShardId(n as i64 + 1), state, started, ..Endpoint::default() }
+        Endpoint {
+            node,
+            shard: ShardId(n as i64 + 1),
+            state,
+            started,
+            ..Endpoint::default()
+        }
     }
 
     /// Hands an input over, then reports to the model what came of it.
@@ -175,7 +197,9 @@
     }
 
     fn ended(&mut self, h: usize, attempt: u64, outcome: AttemptOutcome) {
-        let Some(out) = self.hosts[h].out.remove(&attempt) else { return };
+        let Some(out) = self.hosts[h].out.remove(&attempt) else {
+            return;
+        };
         let end = AttemptEnd {
             id: out.request,
             attempt: out.number,
@@ -199,14 +223,30 @@
             let found = match frame.message {
                 Message::Attempt(l) => {
                     let id = RequestId(l.mark[1..].parse().unwrap());
-                    let n = self.hosts[h].links.iter().position(|x| *x == Some(link)).unwrap();
+                    let n = self.hosts[h]
+                        .links
+                        .iter()
+                        .position(|x| *x == Some(link))
+                        .unwrap();
                     let number = self.hosts[h].attempts.entry(id).or_default();
                     let place = *number;
                     *number += 1;
-                    let out = AttemptOut { request: id, number: place, link };
+                    let out = AttemptOut {
+                        request: id,
+                        number: place,
+                        link,
+                    };
                     self.hosts[h].out.insert(l.attempt, out);
                     let node = gullsail_configuration::node_id(NAMES[n]);
-                    let found = self.model.did(at, host, &Action::StartAttempt { id, node, time_out: None });
+                    let found = self.model.did(
+                        at,
+                        host,
+                        &Action::StartAttempt {
+                            id,
+                            node,
+                            time_out: None,
+                        },
+                    );
                     self.node_takes(h, n, link, &l);
                     found
                 }
@@ -217,9 +257,14 @@
                 Message::Answer(a) => {
                     let id = RequestId(a.id);
                     match Outcome::try_from(a.outcome) {
-                        Ok(Outcome::Rejected) => {
-                            self.model.did(at, host, &Action::Reject { id, retry_after: None })
-                        }
+                        Ok(Outcome::Rejected) => self.model.did(
+                            at,
+                            host,
+                            &Action::Reject {
+                                id,
+                                retry_after: None,
+                            },
+                        ),
                         Ok(Outcome::Failed) => self.model.did(at, host, &Action::Fail { id }),
                         _ => Ok(()),
                     }
@@ -238,14 +283,19 @@
         let shard = self.rng.random_range(1..=2);
         let key = self.rng.random_range(0..4u64);
         let units = self.rng.random_range(1.0..4.0);
-        let handle = (kind == 0 || self.rng.random_bool(0.7)).then_some(Handle { shard, object: id });
+        let handle =
+            (kind == 0 || self.rng.random_bool(0.7)).then_some(Handle { shard, object: id });
         let s = Submit {
             id,
             request_class: ["read", "write", "trip"][kind].into(),
             volume: ["v", "w"][usize::from(held)].into(),
             units,
             handle,
-            order_key: if kind == 2 { format!("k{key}") } else { String::new() },
+            order_key: if kind == 2 {
+                format!("k{key}")
+            } else {
+                String::new()
+            },
             mark: format!("m{id}"),
             repeat: 0,
             // Mostly a first try; some are a next one, or impatient.
@@ -273,12 +323,20 @@
         let client = self.hosts[h].client;
         let before = self.hosts[h].rig.core.counts().not_taken;
         self.handle(h, Input::Frame(client, s.into()));
-        assert_eq!(self.hosts[h].rig.core.counts().not_taken, before, "at {} ms", now.millis());
+        assert_eq!(
+            self.hosts[h].rig.core.counts().not_taken,
+            before,
+            "at {} ms",
+            now.millis()
+        );
     }
 
     /// Answers of nodes that are due at a host.
     fn deliver_mail(&mut self, h: usize) {
-        let due: Vec<Mail> = self.mail.extract_if(.., |m| m.host == h && m.at <= self.now).collect();
+        let due: Vec<Mail> = self
+            .mail
+            .extract_if(.., |m| m.host == h && m.at <= self.now)
+            .collect();
         for m in due {
             let host = &self.hosts[h];
             if m.incarnation != host.incarnation || !host.links.contains(&Some(m.link)) {
@@ -291,8 +349,11 @@
                 _ => AttemptOutcome::Failed,
             };
             self.ended(h, m.attempt, outcome);
-            let answer =
-                AttemptAnswer { attempt: m.attempt, result: m.result as i32, ..AttemptAnswer::default() };
+            let answer = AttemptAnswer {
+                attempt: m.attempt,
+                result: m.result as i32,
+                ..AttemptAnswer::default()
+            };
             self.handle(h, Input::Frame(m.link, answer.into()));
         }
     }
@@ -328,7 +389,9 @@
 
 #[test]
 fn whole_hosts_keep_the_rules() {
-    let by_hand = std::env::var("GULLSAIL_SEED").ok().and_then(|s| s.parse::<u64>().ok());
+    let by_hand = std::env::var("GULLSAIL_SEED")
+        .ok()
+        .and_then(|s| s.parse::<u64>().ok());
     let mut tested = [0; 7];
     for seed in by_hand.map_or(1..=14, |seed| seed..=seed) {
         let mut w = World::new(seed);
@@ -336,12 +399,20 @@
         if let Some(breach) = w.breaches.first() {
             panic!("seed {seed}: {breach}");
         }
-        tested.iter_mut().zip(w.model.tested).for_each(|(sum, n)| *sum += n);
+        tested
+            .iter_mut()
+            .zip(w.model.tested)
+            .for_each(|(sum, n)| *sum += n);
         // Each has one answer at most, over the socket too.
         for side in &w.hosts {
-            (1..=w.last).for_each(|id| assert!(side.rig.outcomes(side.client, id).len() <= 1, "seed {seed}"));
+            (1..=w.last).for_each(|id| {
+                assert!(side.rig.outcomes(side.client, id).len() <= 1, "seed {seed}")
+            });
         }
     }
     println!("put to the test: {tested:?}");
-    assert!(by_hand.is_some() || tested.iter().all(|n| *n >= 30), "some rule was hardly tested: {tested:?}");
+    assert!(
+        by_hand.is_some() || tested.iter().all(|n| *n >= 30),
+        "some rule was hardly tested: {tested:?}"
+    );
 }
--- a/crates/host/tests/host/model/surroundings.rs
+++ b/crates/host/tests/host/model/surroundings.rs
@@ -9,14 +9,29 @@
         node.free_at =
             node.free_at.max(now) + Span::from_millis(l.units / (CAN * part) * 1e3 * node.slowdown);
         let result = if self.rng.random_bool(node.error_rate) {
-            if self.rng.random_bool(0.3) { AttemptResult::Rejected } else { AttemptResult::Failed }
+            if self.rng.random_bool(0.3) {
+                AttemptResult::Rejected
+            } else {
+                AttemptResult::Failed
+            }
         } else {
             AttemptResult::Succeeded
         };
-        let answered_at = if result == AttemptResult::Succeeded { node.free_at } else { now };
+        let answered_at = if result == AttemptResult::Succeeded {
+            node.free_at
+        } else {
+            now
+        };
         let at = answered_at + ms(2.0);
         let incarnation = self.hosts[h].incarnation;
-        self.mail.push(Mail { at, host: h, incarnation, link, attempt: l.attempt, result });
+        self.mail.push(Mail {
+            at,
+            host: h,
+            incarnation,
+            link,
+            attempt: l.attempt,
+            result,
+        });
     }
 
     /// New connections: nodes and the list answer, peers do not.
@@ -29,13 +44,21 @@
             if address == "list" {
                 self.hosts[h].list = Some(link);
                 self.handle(h, Input::Connected(link));
-                let hello = Hello { role: Role::List as i32, name: "list".into(), ..Hello::default() };
+                let hello = Hello {
+                    role: Role::List as i32,
+                    name: "list".into(),
+                    ..Hello::default()
+                };
                 self.handle(h, Input::Frame(link, hello.into()));
                 (0..2).for_each(|n| self.list(h, n));
             } else if let Some(n) = NAMES.iter().position(|name| *name == address) {
                 self.hosts[h].links[n] = Some(link);
                 self.handle(h, Input::Connected(link));
-                let NodeState { incarnation, started_at, .. } = self.nodes[n];
+                let NodeState {
+                    incarnation,
+                    started_at,
+                    ..
+                } = self.nodes[n];
                 let hello = Hello {
                     role: Role::Node as i32,
                     name: address,
@@ -43,8 +66,15 @@
                     age_us: (self.now - started_at).micros(),
                     shard_plus_one: n as i64 + 2,
                 };
-                let entries = vec![self.entry(n, self.hosts[h].last_list_state[n], Some(started_at))];
-                self.saw(h, &Event::EndpointList { update_kind: UpdateKind::SelfReported, entries });
+                let entries =
+                    vec![self.entry(n, self.hosts[h].last_list_state[n], Some(started_at))];
+                self.saw(
+                    h,
+                    &Event::EndpointList {
+                        update_kind: UpdateKind::SelfReported,
+                        entries,
+                    },
+                );
                 self.handle(h, Input::Frame(link, hello.into()));
             } else {
                 self.handle(h, Input::ConnectFailed(link, "refused".into()));
@@ -53,17 +83,32 @@
     }
 
     pub(super) fn reset(&mut self, h: usize, n: usize) {
-        let Some(link) = self.hosts[h].links[n].take() else { return };
+        let Some(link) = self.hosts[h].links[n].take() else {
+            return;
+        };
         self.model.step();
-        let attempts: Vec<u64> =
-            self.hosts[h].out.iter().filter(|(_, out)| out.link == link).map(|(l, _)| *l).collect();
-        attempts.into_iter().for_each(|attempt| self.ended(h, attempt, AttemptOutcome::ConnectionLost));
+        let attempts: Vec<u64> = self.hosts[h]
+            .out
+            .iter()
+            .filter(|(_, out)| out.link == link)
+            .map(|(l, _)| *l)
+            .collect();
+        attempts
+            .into_iter()
+            .for_each(|attempt| self.ended(h, attempt, AttemptOutcome::ConnectionLost));
         self.handle(h, Input::Closed(link, "reset".into()));
     }
 
     pub(super) fn list(&mut self, h: usize, n: usize) {
-        let Some(link) = self.hosts[h].list else { return };
-        let NodeState { incarnation, started_at, state, .. } = self.nodes[n];
+        let Some(link) = self.hosts[h].list else {
+            return;
+        };
+        let NodeState {
+            incarnation,
+            started_at,
+            state,
+            ..
+        } = self.nodes[n];
         let entry = ListedEndpoint {
             name: NAMES[n].into(),
             address: NAMES[n].into(),
@@ -76,10 +121,24 @@
         self.model.step();
         self.hosts[h].last_list_state[n] = state;
         let entries = vec![self.entry(n, state, Some(started_at))];
-        self.saw(h, &Event::EndpointList { update_kind: UpdateKind::Delta, entries });
+        self.saw(
+            h,
+            &Event::EndpointList {
+                update_kind: UpdateKind::Delta,
+                entries,
+            },
+        );
         self.handle(
             h,
-            Input::Frame(link, EndpointListUpdate { version: 1, whole: false, entries: vec![entry] }.into()),
+            Input::Frame(
+                link,
+                EndpointListUpdate {
+                    version: 1,
+                    whole: false,
+                    entries: vec![entry],
+                }
+                .into(),
+            ),
         );
     }
 
--- a/crates/host/tests/host/nodes.rs
+++ b/crates/host/tests/host/nodes.rs
@@ -61,7 +61,10 @@
         (vec![], false),
         (vec![entry(Ready, 11, 9_999_000)], false),
         (vec![entry(Ready, 12, 5)], true),
-        (vec![entry(Gone, 11, 9_999_000), entry(Ready, 11, 9_999_000)], false),
+        (
+            vec![entry(Gone, 11, 9_999_000), entry(Ready, 11, 9_999_000)],
+            false,
+        ),
     ];
     for (place, (news, may)) in cases.into_iter().enumerate() {
         let mut r = rig();
@@ -69,7 +72,14 @@
         let n = r.node_up("n1", 11, ms(1e7));
         let list = r.connection_to("list").unwrap();
         r.handle(Input::Connected(list));
-        r.frame(list, Hello { role: Role::List as i32, name: "list".into(), ..Hello::default() });
+        r.frame(
+            list,
+            Hello {
+                role: Role::List as i32,
+                name: "list".into(),
+                ..Hello::default()
+            },
+        );
         r.frame(list, entry(Draining, 11, 1_000_000));
         r.handle(Input::Closed(n, "reset".into()));
         r.pass(ms(50.0));
@@ -103,13 +113,38 @@
             seen = r.connects.len();
             r.pass(ms(1.0));
         }
-        assert_eq!(r.outcomes(c, 5), [Outcome::Rejected], "it never ran, and is told so");
-        let answered = r.sent.iter().find(|s| matches!(s.frame.message, Message::Answer(_))).unwrap().at;
-        assert!(answered - START <= ms(650.0), "{}", (answered - START).millis());
-        let connects: Vec<_> = r.connects.iter().filter(|c| c.address == "n1").map(|c| c.at).collect();
-        assert!((5..=40).contains(&connects.len()), "{} tries in six seconds", connects.len());
+        assert_eq!(
+            r.outcomes(c, 5),
+            [Outcome::Rejected],
+            "it never ran, and is told so"
+        );
+        let answered = r
+            .sent
+            .iter()
+            .find(|s| matches!(s.frame.message, Message::Answer(_)))
+            .unwrap()
+            .at;
+        assert!(
+            answered - START <= ms(650.0),
+            "{}",
+            (answered - START).millis()
+        );
+        let connects: Vec<_> = r
+            .connects
+            .iter()
+            .filter(|c| c.address == "n1")
+            .map(|c| c.at)
+            .collect();
+        assert!(
+            (5..=40).contains(&connects.len()),
+            "{} tries in six seconds",
+            connects.len()
+        );
         let gaps: Vec<_> = connects.windows(2).map(|w| w[1] - w[0]).collect();
-        assert!(gaps.iter().all(|g| *g <= ms(500.0 + 1000.0)), "no wait past the longest");
+        assert!(
+            gaps.iter().all(|g| *g <= ms(500.0 + 1000.0)),
+            "no wait past the longest"
+        );
         assert!(gaps.last() > gaps.first(), "waits grow");
     }
 }
@@ -120,7 +155,14 @@
     let (c, (n1, _)) = (r.client(), r.nodes_up());
     let list = r.connection_to("list").unwrap();
     r.handle(Input::Connected(list));
-    r.frame(list, Hello { role: Role::List as i32, name: "list".into(), ..Hello::default() });
+    r.frame(
+        list,
+        Hello {
+            role: Role::List as i32,
+            name: "list".into(),
+            ..Hello::default()
+        },
+    );
     let entry = |name: &str, incarnation| ListedEndpoint {
         name: name.into(),
         address: name.into(),
@@ -131,19 +173,39 @@
     };
     r.frame(
         list,
-        EndpointListUpdate { version: 1, whole: true, entries: vec![entry("n1", 11), entry("n9", 19)] },
+        EndpointListUpdate {
+            version: 1,
+            whole: true,
+            entries: vec![entry("n1", 11), entry("n9", 19)],
+        },
     );
     let n9 = r.connection_to("n9").unwrap();
     r.handle(Input::Connected(n9));
     let (role, name) = (Role::Node as i32, "n9".to_string());
-    r.frame(n9, Hello { role, name, incarnation: 19, age_us: 1 << 40, shard_plus_one: 2 });
+    r.frame(
+        n9,
+        Hello {
+            role,
+            name,
+            incarnation: 19,
+            age_us: 1 << 40,
+            shard_plus_one: 2,
+        },
+    );
     for id in 0..40 {
         r.submit(c, id, "read");
     }
     for attempt in r.new_attempts() {
-        r.answer(attempt.link, attempt.attempt.attempt, AttemptResult::Succeeded);
+        r.answer(
+            attempt.link,
+            attempt.attempt.attempt,
+            AttemptResult::Succeeded,
+        );
     }
-    assert!(!r.attempts(n1).is_empty() && !r.attempts(n9).is_empty(), "both serve the cell");
+    assert!(
+        !r.attempts(n1).is_empty() && !r.attempts(n9).is_empty(),
+        "both serve the cell"
+    );
 }
 
 /// The list: a refusal, a silent service and a broken watch are each told to the decisions once, which ask
