--- a/crates/host/tests/host/other_configurations.rs
+++ b/crates/host/tests/host/other_configurations.rs
@@ -20,14 +20,25 @@
     r.pass(ms(3000.0));
     (1..=3).for_each(|id| r.submit_to(c, id, "read", ["v", "w"][id as usize % 2], 1));
     let others = |line: &&str| !line.starts_with("plan") && !line.starts_with("volume");
-    let text = text_of(&[]).lines().filter(others).collect::<Vec<_>>().join("\n");
+    let text = text_of(&[])
+        .lines()
+        .filter(others)
+        .collect::<Vec<_>>()
+        .join("\n");
     let text = text
         + "\nplan \"z\"\nvolume \"z\" plan=\"z\" { hosts \"h2\"; }\nroute to=\"all\"\nrevision 2 after=\"first.kdl\"\n";
     let before = text_of(&[]) + "revision 1\nroute to=\"all\"\n";
-    let files = [("new.kdl".to_string(), text), ("first.kdl".to_string(), before)];
-    let (new, _) = load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems));
+    let files = [
+        ("new.kdl".to_string(), text),
+        ("first.kdl".to_string(), before),
+    ];
+    let (new, _) =
+        load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems));
     let new = Arc::new(new);
-    assert!(matches!(propose(&mut r, &old, &new, true), ProposalOutcome::Taken { .. }));
+    assert!(matches!(
+        propose(&mut r, &old, &new, true),
+        ProposalOutcome::Taken { .. }
+    ));
     for l in r.attempts(n) {
         r.frame(
             n,
@@ -53,13 +64,22 @@
     let old = first();
     let whole = text_of(&[("limit=\"40units/s\"", "limit=\"50units/s\"")]);
     let (head, tail) = whole.split_at(whole.find("host \"h1\"").unwrap());
-    let main = format!("include \"tail.kdl\"\n{head}route to=\"all\"\nrevision 2 after=\"first.kdl\"\n");
+    let main =
+        format!("include \"tail.kdl\"\n{head}route to=\"all\"\nrevision 2 after=\"first.kdl\"\n");
     let before = text_of(&[]) + "revision 1\nroute to=\"all\"\n";
     let (mut taken_main, mut taken_tail, mut down) = (0, 0, 0);
     for (cuts_main, length) in [(true, main.len()), (false, tail.len())] {
         for cut in 0..length {
-            let (main, tail) = if cuts_main { (&main[..cut], tail) } else { (&main[..], &tail[..cut]) };
-            let files = [("new.kdl", main), ("tail.kdl", tail), ("first.kdl", &before)];
+            let (main, tail) = if cuts_main {
+                (&main[..cut], tail)
+            } else {
+                (&main[..], &tail[..cut])
+            };
+            let files = [
+                ("new.kdl", main),
+                ("tail.kdl", tail),
+                ("first.kdl", &before),
+            ];
             let files = files.map(|(name, text)| (name.to_string(), text.to_string()));
             let Ok((d, _)) = load(&Memory(files.into()), "new.kdl") else {
                 down += 1;
@@ -74,8 +94,15 @@
                 ProposalOutcome::Taken { revision } => {
                     assert_eq!(revision.0, 2);
                     assert!(Arc::ptr_eq(r.core.deployment(), &new), "whole");
-                    assert!(changes.iter().all(|c| c.class == Class::Safe), "cut {cut}: {changes:?}");
-                    *(if cuts_main { &mut taken_main } else { &mut taken_tail }) += 1;
+                    assert!(
+                        changes.iter().all(|c| c.class == Class::Safe),
+                        "cut {cut}: {changes:?}"
+                    );
+                    *(if cuts_main {
+                        &mut taken_main
+                    } else {
+                        &mut taken_tail
+                    }) += 1;
                 }
                 ProposalOutcome::TurnedDown(why) => {
                     assert!(!why.is_empty());
@@ -88,7 +115,10 @@
         }
     }
     // Only the line end of its last line may lack: nothing is lost with that.
-    assert!(taken_main <= 1 && down > 500, "{taken_main} {taken_tail} {down}");
+    assert!(
+        taken_main <= 1 && down > 500,
+        "{taken_main} {taken_tail} {down}"
+    );
     println!(
         "taken: {taken_main} cuts of the first file, {taken_tail} of the included one; turned down: {down}"
     );
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -14,8 +14,15 @@
         request_class: "trip".into(),
         volume: volume.into(),
         units: 1.0,
-        handle: Some(Handle { shard: 1, object: id }),
-        order_key: if volume == "w" { "key".into() } else { String::new() },
+        handle: Some(Handle {
+            shard: 1,
+            object: id,
+        }),
+        order_key: if volume == "w" {
+            "key".into()
+        } else {
+            String::new()
+        },
         mark: format!("m{id}"),
         timeout_us: 1_500_000,
         ..Submit::default()
@@ -44,7 +51,14 @@
 pub fn list_says(r: &mut Rig, state: ListedState) {
     let list = r.connection_to("list").unwrap();
     r.handle(Input::Connected(list));
-    r.frame(list, Hello { role: Role::List as i32, name: "list".into(), ..Hello::default() });
+    r.frame(
+        list,
+        Hello {
+            role: Role::List as i32,
+            name: "list".into(),
+            ..Hello::default()
+        },
+    );
     let entry = ListedEndpoint {
         name: "n1".into(),
         address: "n1".into(),
@@ -54,11 +68,23 @@
         age_us: 10_000_000_000,
         ..ListedEndpoint::default()
     };
-    r.frame(list, EndpointListUpdate { version: 1, whole: false, entries: vec![entry] });
+    r.frame(
+        list,
+        EndpointListUpdate {
+            version: 1,
+            whole: false,
+            entries: vec![entry],
+        },
+    );
 }
 
 fn held(r: &Rig, name: &str) -> usize {
-    r.core.size_metrics().into_iter().find(|l| l.0 == name).unwrap().1
+    r.core
+        .size_metrics()
+        .into_iter()
+        .find(|l| l.0 == name)
+        .unwrap()
+        .1
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -103,7 +129,10 @@
 
 /// A host that was brought to this stage of request 5.
 fn bring_to(stage: Stage) -> Played {
-    let ordered = ("effect=\"unrepeatable\"", "effect=\"unrepeatable\" in-order=#true");
+    let ordered = (
+        "effect=\"unrepeatable\"",
+        "effect=\"unrepeatable\" in-order=#true",
+    );
     let d = document(&[ordered, ("limit=\"40units/s\"", "limit=\"1units/s\"")]);
     let mut r = Rig::new(&d, 0, START);
     let (c, other) = (r.client(), r.client());
@@ -147,12 +176,22 @@
             r.answer(n, attempt, AttemptResult::Succeeded);
         }
     }
-    Played { r, client: c, node: n, others }
+    Played {
+        r,
+        client: c,
+        node: n,
+        others,
+    }
 }
 
 /// What happens to it there.
 fn apply(p: &mut Played, stage: Stage, end: End) {
-    let Played { r, client: c, node: n, .. } = p;
+    let Played {
+        r,
+        client: c,
+        node: n,
+        ..
+    } = p;
     let (c, n) = (*c, *n);
     match end {
         End::Withdrawn => r.frame(c, Withdraw { id: 5 }),
@@ -182,7 +221,13 @@
     use End::*;
     use Outcome::{Failed, Rejected, Succeeded};
     use Stage::*;
-    let case = |stage, end, answers, attempts, cancelled| Case { stage, end, answers, attempts, cancelled };
+    let case = |stage, end, answers, attempts, cancelled| Case {
+        stage,
+        end,
+        answers,
+        attempts,
+        cancelled,
+    };
     let cases: [Case; 40] = [
         case(Queued, Withdrawn, &[], 0, false),
         case(Queued, ClientGone, &[], 0, false),
@@ -231,21 +276,36 @@
         let what = format!("{stage:?} {end:?}");
         let mut p = bring_to(stage);
         let open = p.others + usize::from(stage != Answered);
-        assert_eq!(p.r.core.load().open_requests, open, "{what}: it stands there");
+        assert_eq!(
+            p.r.core.load().open_requests,
+            open,
+            "{what}: it stands there"
+        );
         apply(&mut p, stage, end);
         check(p, case, &what);
     }
 }
 
 fn check(p: Played, case: &Case, what: &str) {
-    let Played { mut r, client: c, .. } = p;
+    let Played {
+        mut r, client: c, ..
+    } = p;
     r.pass(ms(1600.0));
     assert_eq!(r.outcomes(c, 5), case.answers, "{what}");
-    let seen: Vec<_> = r.new_attempts().into_iter().filter(|s| s.attempt.mark == "m5").collect();
+    let seen: Vec<_> = r
+        .new_attempts()
+        .into_iter()
+        .filter(|s| s.attempt.mark == "m5")
+        .collect();
     assert_eq!(seen.len(), case.attempts, "{what}");
-    let cancelled = seen
-        .iter()
-        .any(|s| r.on(s.link).any(|f| f.message == Message::Cancel(Cancel { attempt: s.attempt.attempt })));
+    let cancelled = seen.iter().any(|s| {
+        r.on(s.link).any(|f| {
+            f.message
+                == Message::Cancel(Cancel {
+                    attempt: s.attempt.attempt,
+                })
+        })
+    });
     assert_eq!(cancelled, case.cancelled, "{what}");
     nothing_is_held(&r, what);
     let counts = r.core.counts();
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -117,10 +117,18 @@
                 match output {
                     Output::Send { link, frame, .. } => {
                         written.push((link, frame.len()));
-                        self.sent.push(SentFrame { at: self.now, link, frame });
+                        self.sent.push(SentFrame {
+                            at: self.now,
+                            link,
+                            frame,
+                        });
                     }
                     Output::Connect { link, address } => {
-                        self.connects.push(ConnectRequest { at: self.now, link, address });
+                        self.connects.push(ConnectRequest {
+                            at: self.now,
+                            link,
+                            address,
+                        });
                     }
                     Output::Close { link } => self.closed.push(link),
                     Output::Reading { link, on } => _ = self.reading.insert(link, on),
@@ -137,7 +145,9 @@
             if written.is_empty() {
                 return;
             }
-            written.into_iter().for_each(|(l, bytes)| self.core.handle(self.now, Input::Written(l, bytes)));
+            written
+                .into_iter()
+                .for_each(|(l, bytes)| self.core.handle(self.now, Input::Written(l, bytes)));
         }
     }
 
@@ -162,13 +172,24 @@
 
     pub fn client(&mut self) -> LinkId {
         let link = self.core.accept(self.now).unwrap();
-        self.frame(link, Hello { role: Role::Client as i32, name: "c".into(), ..Hello::default() });
+        self.frame(
+            link,
+            Hello {
+                role: Role::Client as i32,
+                name: "c".into(),
+                ..Hello::default()
+            },
+        );
         link
     }
 
     /// The newest connection that is asked for to this address.
     pub fn connection_to(&self, address: &str) -> Option<LinkId> {
-        self.connects.iter().rev().find(|c| c.address == address).map(|c| c.link)
+        self.connects
+            .iter()
+            .rev()
+            .find(|c| c.address == address)
+            .map(|c| c.link)
     }
 
     pub fn node_up(&mut self, name: &str, incarnation: u64, age: Span) -> LinkId {
@@ -176,22 +197,46 @@
         self.handle(Input::Connected(link));
         let shard_plus_one = name[1..].parse::<i64>().unwrap() + 1;
         let (role, name, age_us) = (Role::Node as i32, name.to_string(), age.micros());
-        self.frame(link, Hello { role, name, incarnation, age_us, shard_plus_one });
+        self.frame(
+            link,
+            Hello {
+                role,
+                name,
+                incarnation,
+                age_us,
+                shard_plus_one,
+            },
+        );
         link
     }
 
     /// Both nodes, warm.
     pub fn nodes_up(&mut self) -> (LinkId, LinkId) {
-        (self.node_up("n1", 11, ms(1e7)), self.node_up("n2", 12, ms(1e7)))
+        (
+            self.node_up("n1", 11, ms(1e7)),
+            self.node_up("n2", 12, ms(1e7)),
+        )
     }
 
     pub fn submit(&mut self, link: LinkId, id: u64, request_class: &str) {
         self.submit_to(link, id, request_class, "v", 1);
     }
 
-    pub fn submit_to(&mut self, link: LinkId, id: u64, request_class: &str, volume: &str, shard: i64) {
+    pub fn submit_to(
+        &mut self,
+        link: LinkId,
+        id: u64,
+        request_class: &str,
+        volume: &str,
+        shard: i64,
+    ) {
         let handle = Some(Handle { shard, object: id });
-        let s = Submit { id, handle, mark: format!("m{id}"), ..self.submitted(request_class, volume, shard) };
+        let s = Submit {
+            id,
+            handle,
+            mark: format!("m{id}"),
+            ..self.submitted(request_class, volume, shard)
+        };
         self.frame(link, s);
     }
 
@@ -208,22 +253,35 @@
     }
 
     pub fn on(&self, link: LinkId) -> impl Iterator<Item = &Frame> {
-        self.sent.iter().filter(move |s| s.link == link).map(|s| &s.frame)
+        self.sent
+            .iter()
+            .filter(move |s| s.link == link)
+            .map(|s| &s.frame)
     }
 
     pub fn attempts(&self, link: LinkId) -> Vec<Attempt> {
-        let attempt = |f: &Frame| if let Message::Attempt(l) = &f.message { Some(l.clone()) } else { None };
+        let attempt = |f: &Frame| {
+            if let Message::Attempt(l) = &f.message {
+                Some(l.clone())
+            } else {
+                None
+            }
+        };
         self.on(link).filter_map(attempt).collect()
     }
 
     /// Those that were not seen by an earlier call, on whatever link.
     pub fn new_attempts(&mut self) -> Vec<SentAttempt> {
-        let new = self.sent[self.taken..].iter().filter_map(|s| match &s.frame.message {
-            Message::Attempt(attempt) => {
-                Some(SentAttempt { at: s.at, link: s.link, attempt: attempt.clone() })
-            }
-            _ => None,
-        });
+        let new = self.sent[self.taken..]
+            .iter()
+            .filter_map(|s| match &s.frame.message {
+                Message::Attempt(attempt) => Some(SentAttempt {
+                    at: s.at,
+                    link: s.link,
+                    attempt: attempt.clone(),
+                }),
+                _ => None,
+            });
         let new = new.collect();
         self.taken = self.sent.len();
         new
@@ -250,7 +308,12 @@
     }
 
     pub fn answer_with(&mut self, link: LinkId, attempt: u64, result: AttemptResult, body: Bytes) {
-        let a = AttemptAnswer { attempt, result: result as i32, ran: true, ..AttemptAnswer::default() };
+        let a = AttemptAnswer {
+            attempt,
+            result: result as i32,
+            ran: true,
+            ..AttemptAnswer::default()
+        };
         self.frame(link, Frame::from(a).with_body(body));
     }
 }
--- a/crates/host/tests/host/stall_detector.rs
+++ b/crates/host/tests/host/stall_detector.rs
@@ -16,26 +16,56 @@
 
 #[test]
 fn late_turns_show_that_the_process_stood_still() {
-    let case = |turns, last, waited| Case { turns, last, waited };
+    let case = |turns, last, waited| Case {
+        turns,
+        last,
+        waited,
+    };
     let cases = [
         case(&[(20, true), (40, true), (60, true)], None, None),
         case(&[(20, true), (79, true)], None, None),
         case(&[(20, true), (3020, false)], Some(3000), Some(3000)),
         // Twice in a row: what waits may have come in the first.
-        case(&[(20, true), (820, false), (1620, false)], Some(800), Some(1600)),
+        case(
+            &[(20, true), (820, false), (1620, false)],
+            Some(800),
+            Some(1600),
+        ),
         // In doubt until the queue was empty, some time after.
-        case(&[(20, true), (820, false), (840, true), (980, false)], Some(140), Some(960)),
-        case(&[(20, true), (820, false), (870, false), (925, true)], None, None),
+        case(
+            &[(20, true), (820, false), (840, true), (980, false)],
+            Some(140),
+            Some(960),
+        ),
+        case(
+            &[(20, true), (820, false), (870, false), (925, true)],
+            None,
+            None,
+        ),
     ];
     let began = Instant::now();
-    for Case { turns, last, waited } in cases {
+    for Case {
+        turns,
+        last,
+        waited,
+    } in cases
+    {
         let mut detector = StallDetector::new(began);
         let ms = Duration::from_millis;
-        let reports = turns.iter().map(|(at, empty)| detector.turn(began + ms(*at), *empty));
+        let reports = turns
+            .iter()
+            .map(|(at, empty)| detector.turn(began + ms(*at), *empty));
         let reported = reports.last().flatten();
         let now = began + ms(turns[turns.len() - 1].0);
-        assert_eq!((reported, detector.waited(now)), (last.map(ms), waited.map(ms)), "{turns:?}");
+        assert_eq!(
+            (reported, detector.waited(now)),
+            (last.map(ms), waited.map(ms)),
+            "{turns:?}"
+        );
         assert_eq!(detector.settling(), last.is_some(), "{turns:?}");
-        assert!(detector.next_turn(None) <= now + MAX_TURN_INTERVAL, "{turns:?}");
+        assert!(
+            detector.next_turn(None) <= now + MAX_TURN_INTERVAL,
+            "{turns:?}"
+        );
     }
 }
--- a/crates/host/tests/host/waiting_attempts.rs
+++ b/crates/host/tests/host/waiting_attempts.rs
@@ -24,11 +24,26 @@
         let n = r.connection_to("n1").unwrap();
         r.handle(Input::Connected(n));
         list_says(&mut r, state);
-        let hello = Hello { name: "n1".into(), incarnation: 11, age_us: 10_000_025_000, ..Hello::default() };
-        r.frame(n, Hello { role: Role::Node as i32, shard_plus_one: 2, ..hello });
+        let hello = Hello {
+            name: "n1".into(),
+            incarnation: 11,
+            age_us: 10_000_025_000,
+            ..Hello::default()
+        };
+        r.frame(
+            n,
+            Hello {
+                role: Role::Node as i32,
+                shard_plus_one: 2,
+                ..hello
+            },
+        );
         r.pass(ms(1600.0));
         assert_eq!(r.new_attempts().len(), 0, "{state:?}");
-        assert_eq!((r.outcomes(c, 5), r.outcomes(c, 6)), (vec![Outcome::Rejected], vec![Outcome::Rejected]));
+        assert_eq!(
+            (r.outcomes(c, 5), r.outcomes(c, 6)),
+            (vec![Outcome::Rejected], vec![Outcome::Rejected])
+        );
         nothing_is_held(&r, "drained");
     }
 }
@@ -51,15 +66,31 @@
         r.submit_to(c, id, "read", "v", 2);
         if let Some(l) = r.attempts(n2).last().filter(|l| l.mark == format!("m{id}")) {
             let failed = [101, 160].contains(&id) && l.number == 0;
-            r.answer(n2, l.attempt, if failed { AttemptResult::Failed } else { AttemptResult::Succeeded });
+            r.answer(
+                n2,
+                l.attempt,
+                if failed {
+                    AttemptResult::Failed
+                } else {
+                    AttemptResult::Succeeded
+                },
+            );
         }
-        if let Some(l) = r.attempts(n2).last().filter(|l| l.number > 0 && l.mark == format!("m{id}")) {
+        if let Some(l) = r
+            .attempts(n2)
+            .last()
+            .filter(|l| l.number > 0 && l.mark == format!("m{id}"))
+        {
             r.answer(n2, l.attempt, AttemptResult::Succeeded);
         }
         r.pass(ms(10.0));
     }
-    let further: Vec<Instant> =
-        r.new_attempts().into_iter().filter(|s| s.attempt.number > 0).map(|s| s.at).collect();
+    let further: Vec<Instant> = r
+        .new_attempts()
+        .into_iter()
+        .filter(|s| s.attempt.number > 0)
+        .map(|s| s.at)
+        .collect();
     assert!(further.len() >= 2, "{further:?}");
     let near = further.windows(2).find(|w| w[1] - w[0] < ms(1000.0));
     assert_eq!(near, None, "one in any second: {further:?}");
@@ -71,7 +102,10 @@
 fn tokens_of_attempts_that_wait_are_not_filled_up_behind_them() {
     let (rate, burst) = (40.0, 64.0);
     let mut r = Rig::new(
-        &document(&[("volume \"w\" plan=\"held\"", "volume \"w\" plan=\"held\" { hosts \"h1\"; }")]),
+        &document(&[(
+            "volume \"w\" plan=\"held\"",
+            "volume \"w\" plan=\"held\" { hosts \"h1\"; }",
+        )]),
         0,
         START,
     );
@@ -97,7 +131,11 @@
     r.node_up("n1", 11, ms(1e7 + 5000.0));
     for id in 10..90 {
         r.submit_to(c, id, "read", "w", 2);
-        for l in r.attempts(n2).into_iter().filter(|l| l.mark == format!("m{id}")) {
+        for l in r
+            .attempts(n2)
+            .into_iter()
+            .filter(|l| l.mark == format!("m{id}"))
+        {
             r.answer(n2, l.attempt, AttemptResult::Succeeded);
         }
     }
@@ -105,8 +143,16 @@
     let mut level = burst;
     let mut level_at = START;
     let mut lowest = burst;
-    let sent: Vec<_> = r.new_attempts().into_iter().filter(|s| s.attempt.volume == "w").collect();
-    assert!(sent.len() > 60 && sent.iter().any(|s| s.link != n2), "{}", sent.len());
+    let sent: Vec<_> = r
+        .new_attempts()
+        .into_iter()
+        .filter(|s| s.attempt.volume == "w")
+        .collect();
+    assert!(
+        sent.len() > 60 && sent.iter().any(|s| s.link != n2),
+        "{}",
+        sent.len()
+    );
     for SentAttempt { at, attempt, .. } in sent {
         level = f64::min(level + rate * (at - level_at).secs(), burst) - attempt.units;
         level_at = at;
@@ -128,7 +174,9 @@
         }
         for _ in 0..400 {
             let attempts = r.new_attempts();
-            attempts.into_iter().for_each(|s| r.answer(n, s.attempt.attempt, AttemptResult::Succeeded));
+            attempts
+                .into_iter()
+                .for_each(|s| r.answer(n, s.attempt.attempt, AttemptResult::Succeeded));
         }
         // It breaks with no attempt out: the decisions hear nothing of it.
         r.new_attempts();
@@ -138,7 +186,11 @@
         r.node_up("n1", incarnation, ms(age));
         let sent: f64 = r.new_attempts().iter().map(|s| s.attempt.units).sum();
         // Six units are borne, for two hosts.
-        assert_eq!(sent <= 6.0, cold, "{sent} units to incarnation {incarnation}");
+        assert_eq!(
+            sent <= 6.0,
+            cold,
+            "{sent} units to incarnation {incarnation}"
+        );
         r.pass(ms(1600.0));
         assert!((1..=30).all(|id| r.outcomes(c, id).len() == 1));
         nothing_is_held(&r, "cold");
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -38,7 +38,10 @@
             Framing::Length(n) => State::Plain(n as usize),
             Framing::Chunked => State::Size,
         };
-        Ok(Body { state, read: BytesMut::new() })
+        Ok(Body {
+            state,
+            read: BytesMut::new(),
+        })
     }
 
     pub(crate) fn read(&self) -> usize {
@@ -65,22 +68,32 @@
                 State::Plain(_) => self.state = State::Complete,
                 State::Data(_) => self.state = State::End,
                 State::Size => {
-                    let Some(line) = line(held)? else { return Ok(false) };
+                    let Some(line) = line(held)? else {
+                        return Ok(false);
+                    };
                     let size = size(&line)?;
                     if size > (most - self.read.len().min(most)) as u64 {
                         return Err(Fault::BodyTooLong);
                     }
-                    self.state = if size == 0 { State::Trailer(0) } else { State::Data(size as usize) };
+                    self.state = if size == 0 {
+                        State::Trailer(0)
+                    } else {
+                        State::Data(size as usize)
+                    };
                 }
                 State::End => {
-                    let Some(line) = line(held)? else { return Ok(false) };
+                    let Some(line) = line(held)? else {
+                        return Ok(false);
+                    };
                     if !line.is_empty() {
                         return Err(Fault::Chunk);
                     }
                     self.state = State::Size;
                 }
                 State::Trailer(n) => {
-                    let Some(line) = line(held)? else { return Ok(false) };
+                    let Some(line) = line(held)? else {
+                        return Ok(false);
+                    };
                     *n += 1;
                     if *n > MAX_TRAILERS {
                         return Err(Fault::Chunk);
@@ -98,20 +111,32 @@
 /// A line without its end, which is CR LF and nothing else.
 fn line(held: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
     let Some(end) = held.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
-        return if held.len() >= MAX_LINE_BYTES { Err(Fault::Chunk) } else { Ok(None) };
+        return if held.len() >= MAX_LINE_BYTES {
+            Err(Fault::Chunk)
+        } else {
+            Ok(None)
+        };
     };
     let mut line = held.split_to(end + 1);
     if !line.ends_with(b"\r\n") {
         return Err(Fault::Chunk);
     }
     line.truncate(end - 1);
-    if line.iter().any(|b| matches!(b, b'\r' | 0)) { Err(Fault::Chunk) } else { Ok(Some(line)) }
+    if line.iter().any(|b| matches!(b, b'\r' | 0)) {
+        Err(Fault::Chunk)
+    } else {
+        Ok(Some(line))
+    }
 }
 
 /// Hexadecimal digits, perhaps followed by an extension, which is ignored.
 fn size(line: &[u8]) -> Result<u64, Fault> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default();
-    let well_formed = !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| well_formed).ok_or(Fault::Chunk)?;
+    let well_formed =
+        !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits)
+        .ok()
+        .filter(|_| well_formed)
+        .ok_or(Fault::Chunk)?;
     u64::from_str_radix(text, 16).map_err(|_| Fault::Chunk)
 }
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -78,7 +78,11 @@
 
     /// Bytes that are held: unread ones, and those of a body that is not whole.
     pub fn holds(&self) -> usize {
-        self.unread.len() + self.partial.as_ref().map_or(0, |partial| partial.body.read())
+        self.unread.len()
+            + self
+                .partial
+                .as_ref()
+                .map_or(0, |partial| partial.body.read())
     }
 
     /// Nothing is held: between two messages.
@@ -100,11 +104,15 @@
             if self.partial.is_none() && !self.read_head()? {
                 return Ok(None);
             }
-            let Some(partial) = &mut self.partial else { return Ok(None) };
+            let Some(partial) = &mut self.partial else {
+                return Ok(None);
+            };
             if !partial.body.take(&mut self.unread, self.bounds.body)? {
                 return Ok(None);
             }
-            let Some(PartialMessage { mut message, body }) = self.partial.take() else { return Ok(None) };
+            let Some(PartialMessage { mut message, body }) = self.partial.take() else {
+                return Ok(None);
+            };
             message.body = body.whole();
             self.no_head = !self.unread.contains(&b'\n');
             if self.unread.is_empty() {
@@ -133,7 +141,9 @@
             Direction::Requests => parse_request(&self.unread)?,
             Direction::Responses => parse_response(&self.unread)?,
         };
-        let Some(head) = parsed else { return self.incomplete_head() };
+        let Some(head) = parsed else {
+            return self.incomplete_head();
+        };
         if head.length > self.bounds.head {
             return Err(Fault::HeadTooLong);
         }
@@ -160,33 +170,53 @@
     }
 
     fn incomplete_head(&self) -> Result<bool, Fault> {
-        if self.unread.len() > self.bounds.head { Err(Fault::HeadTooLong) } else { Ok(false) }
+        if self.unread.len() > self.bounds.head {
+            Err(Fault::HeadTooLong)
+        } else {
+            Ok(false)
+        }
     }
 }
 
 fn parse_request(bytes: &[u8]) -> Result<Option<ParsedHead>, Fault> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEAD_LINES];
     let mut request = httparse::Request::new(&mut lines);
-    let Some(length) = parsed_length(request.parse(bytes))? else { return Ok(None) };
-    let (Some(method), Some(target), Some(version)) = (request.method, request.path, request.version) else {
+    let Some(length) = parsed_length(request.parse(bytes))? else {
+        return Ok(None);
+    };
+    let (Some(method), Some(target), Some(version)) =
+        (request.method, request.path, request.version)
+    else {
         return Err(Fault::Unreadable);
     };
     let start = Start::Request {
         method: Bytes::copy_from_slice(method.as_bytes()),
         target: Bytes::copy_from_slice(target.as_bytes()),
     };
-    Ok(Some(ParsedHead { length, start, version, fields: copy_fields(request.headers) }))
+    Ok(Some(ParsedHead {
+        length,
+        start,
+        version,
+        fields: copy_fields(request.headers),
+    }))
 }
 
 fn parse_response(bytes: &[u8]) -> Result<Option<ParsedHead>, Fault> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEAD_LINES];
     let mut response = httparse::Response::new(&mut lines);
-    let Some(length) = parsed_length(response.parse(bytes))? else { return Ok(None) };
+    let Some(length) = parsed_length(response.parse(bytes))? else {
+        return Ok(None);
+    };
     let (Some(status), Some(version)) = (response.code, response.version) else {
         return Err(Fault::Unreadable);
     };
     let fields = copy_fields(response.headers);
-    Ok(Some(ParsedHead { length, start: Start::Answer { status }, version, fields }))
+    Ok(Some(ParsedHead {
+        length,
+        start: Start::Answer { status },
+        version,
+        fields,
+    }))
 }
 
 fn copy_fields(lines: &[httparse::Header]) -> Vec<Field> {
@@ -210,5 +240,6 @@
 
 /// Does a comma-separated list, as `Connection` holds it, contain this option?
 fn lists_option(list: &[u8], option: &[u8]) -> bool {
-    list.split(|b| *b == b',').any(|item| item.trim_ascii().eq_ignore_ascii_case(option))
+    list.split(|b| *b == b',')
+        .any(|item| item.trim_ascii().eq_ignore_ascii_case(option))
 }
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -16,7 +16,12 @@
     let length = find(fields, "content-length");
     let coding = find(fields, "transfer-encoding");
     let is_response = matches!(start, Start::Answer { .. });
-    let never_has_body = matches!(start, Start::Answer { status: 100..=199 | 204 | 304 });
+    let never_has_body = matches!(
+        start,
+        Start::Answer {
+            status: 100..=199 | 204 | 304
+        }
+    );
     match (length, coding) {
         (Found::Several, _) | (Found::One(_), Found::One(_) | Found::Several) => {
             Err(Fault::ConflictingFraming)
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -59,7 +59,9 @@
 }
 
 pub(crate) fn find<'a>(fields: &'a [Field], name: &str) -> Found<'a> {
-    let mut matching = fields.iter().filter(|field| field.name.eq_ignore_ascii_case(name.as_bytes()));
+    let mut matching = fields
+        .iter()
+        .filter(|field| field.name.eq_ignore_ascii_case(name.as_bytes()));
     match (matching.next(), matching.next()) {
         (None, _) => Found::None,
         (Some(field), None) => Found::One(&field.value),
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -5,7 +5,9 @@
 
 pub mod documents;
 
-use good_lp::{Expression, ResolutionError, Solution, SolverModel, Variable, microlp, variable, variables};
+use good_lp::{
+    Expression, ResolutionError, Solution, SolverModel, Variable, microlp, variable, variables,
+};
 use std::collections::BTreeSet;
 
 /// One volume's new objects.
@@ -113,11 +115,16 @@
     fn bounds(&self) -> Vec<Bound> {
         let nodes = (0..self.zones.len()).map(Bound::Nodes);
         let budgets = (0..self.budgets.len()).map(Bound::Budget);
-        nodes.chain(budgets).chain((0..self.demands.len()).map(Bound::Zones)).collect()
+        nodes
+            .chain(budgets)
+            .chain((0..self.demands.len()).map(Bound::Zones))
+            .collect()
     }
 
     fn budget(&self, from: usize, to: usize) -> Option<usize> {
-        self.budgets.iter().position(|b| b.from == from && b.to == to)
+        self.budgets
+            .iter()
+            .position(|b| b.from == from && b.to == to)
     }
 
     /// With these bounds alone; `Ok(None)`: no plan keeps them.
@@ -129,7 +136,9 @@
             let may = |to: &usize| !kept.contains(&Bound::Zones(v)) || d.zones.contains(to);
             let mut row = |from: usize| -> Vec<Option<Variable>> {
                 let used = d.from[from] > 0.0;
-                (0..zones).map(|to| (used && may(&to)).then(|| all.add(variable().min(0.0)))).collect()
+                (0..zones)
+                    .map(|to| (used && may(&to)).then(|| all.add(variable().min(0.0))))
+                    .collect()
             };
             flows.push((0..zones).map(&mut row).collect());
         }
@@ -138,12 +147,32 @@
                 .flat_map(move |v| (0..zones).flat_map(move |a| (0..zones).map(move |b| (v, a, b))))
         };
         let sum = |of: &dyn Fn(usize, usize, usize) -> f64| -> Expression {
-            each().filter_map(|(v, a, b)| Some(of(v, a, b) * flows[v][a][b]?)).sum()
+            each()
+                .filter_map(|(v, a, b)| Some(of(v, a, b) * flows[v][a][b]?))
+                .sum()
+        };
+        let price = |a: usize, b: usize| {
+            self.price
+                .get(a)
+                .and_then(|row| row.get(b))
+                .copied()
+                .unwrap_or(0.0)
         };
-        let price = |a: usize, b: usize| self.price.get(a).and_then(|row| row.get(b)).copied().unwrap_or(0.0);
         // Among plans that cost alike, one that crosses less.
-        let largest = self.price.iter().flatten().copied().fold(0.0, f64::max).max(1.0);
-        let cost = sum(&|_, a, b| if a == b { 0.0 } else { price(a, b) + largest * TOLERANCE });
+        let largest = self
+            .price
+            .iter()
+            .flatten()
+            .copied()
+            .fold(0.0, f64::max)
+            .max(1.0);
+        let cost = sum(&|_, a, b| {
+            if a == b {
+                0.0
+            } else {
+                price(a, b) + largest * TOLERANCE
+            }
+        });
         let mut model = all.minimise(cost).using(microlp);
         for (v, d) in self.demands.iter().enumerate() {
             for (a, asked) in d.from.iter().enumerate().filter(|(_, asked)| **asked > 0.0) {
@@ -154,12 +183,19 @@
         for bound in kept {
             match *bound {
                 Bound::Nodes(z) => {
-                    let work = sum(&|v, _, b| if b == z { self.demands[v].units_a_byte } else { 0.0 });
+                    let work = sum(&|v, _, b| {
+                        if b == z {
+                            self.demands[v].units_a_byte
+                        } else {
+                            0.0
+                        }
+                    });
                     model = model.with(work.leq(self.capacity[z]));
                 }
                 Bound::Budget(place) => {
                     let b = &self.budgets[place];
-                    let crosses = sum(&|_, from, to| f64::from(u8::from(from == b.from && to == b.to)));
+                    let crosses =
+                        sum(&|_, from, to| f64::from(u8::from(from == b.from && to == b.to)));
                     model = model.with(crosses.leq(b.limit));
                 }
                 Bound::Zones(_) => {}
@@ -167,11 +203,21 @@
         }
         match model.solve() {
             Ok(solution) => {
-                let value = |at: &Option<Variable>| at.map_or(0.0, |var| solution.value(var).max(0.0));
-                let flows: Vec<Vec<Vec<f64>>> =
-                    flows.iter().map(|v| v.iter().map(|a| a.iter().map(value).collect()).collect()).collect();
-                let cost =
-                    each().map(|(v, a, b)| if a == b { 0.0 } else { flows[v][a][b] * price(a, b) }).sum();
+                let value =
+                    |at: &Option<Variable>| at.map_or(0.0, |var| solution.value(var).max(0.0));
+                let flows: Vec<Vec<Vec<f64>>> = flows
+                    .iter()
+                    .map(|v| v.iter().map(|a| a.iter().map(value).collect()).collect())
+                    .collect();
+                let cost = each()
+                    .map(|(v, a, b)| {
+                        if a == b {
+                            0.0
+                        } else {
+                            flows[v][a][b] * price(a, b)
+                        }
+                    })
+                    .sum();
                 Ok(Some(Solved { flows, cost }))
             }
             Err(ResolutionError::Infeasible) => Ok(None),
@@ -185,20 +231,36 @@
     /// No plan keeps all bounds, with a smallest set of those that clash; or the solver gave up.
     pub fn plan(&self) -> Result<Plan, NoPlan> {
         let all: BTreeSet<Bound> = self.bounds().into_iter().collect();
-        let Some(solved) = self.solve(&all)? else { return Err(NoPlan::Clash(self.clash(all)?)) };
+        let Some(solved) = self.solve(&all)? else {
+            return Err(NoPlan::Clash(self.clash(all)?));
+        };
         let zones = self.zones.len();
         let sum = |of: &dyn Fn(usize, usize, usize) -> bool| -> f64 {
             let each = solved.flows.iter().enumerate().flat_map(|(v, rows)| {
-                rows.iter()
-                    .enumerate()
-                    .flat_map(move |(a, row)| row.iter().enumerate().map(move |(b, y)| (v, a, b, *y)))
+                rows.iter().enumerate().flat_map(move |(a, row)| {
+                    row.iter().enumerate().map(move |(b, y)| (v, a, b, *y))
+                })
             });
-            each.filter(|(v, a, b, _)| of(*v, *a, *b)).map(|e| e.3).sum()
+            each.filter(|(v, a, b, _)| of(*v, *a, *b))
+                .map(|e| e.3)
+                .sum()
+        };
+        let to = (0..self.demands.len()).map(|v| {
+            (0..zones)
+                .map(|z| sum(&|w, _, b| w == v && b == z))
+                .collect()
+        });
+        let crosses = |a| {
+            (0..zones)
+                .map(|b| {
+                    if a == b {
+                        0.0
+                    } else {
+                        sum(&|_, x, y| x == a && y == b)
+                    }
+                })
+                .collect()
         };
-        let to =
-            (0..self.demands.len()).map(|v| (0..zones).map(|z| sum(&|w, _, b| w == v && b == z)).collect());
-        let crosses =
-            |a| (0..zones).map(|b| if a == b { 0.0 } else { sum(&|_, x, y| x == a && y == b) }).collect();
         let mut plan = Plan {
             to: to.collect(),
             crosses: (0..zones).map(crosses).collect(),
@@ -206,8 +268,12 @@
             binding: Vec::new(),
         };
         for bound in all {
-            let Some(Relaxed { question, step }) = self.relax(bound) else { continue };
-            let cost = question.solve(&self.bounds().into_iter().collect())?.map_or(plan.cost, |s| s.cost);
+            let Some(Relaxed { question, step }) = self.relax(bound) else {
+                continue;
+            };
+            let cost = question
+                .solve(&self.bounds().into_iter().collect())?
+                .map_or(plan.cost, |s| s.cost);
             let saves = (plan.cost - cost) / step;
             if (plan.cost - cost) > plan.cost.max(1e-12) * TOLERANCE {
                 plan.binding.push(Binding { bound, saves });
@@ -223,7 +289,10 @@
         match bound {
             Bound::Nodes(zone) if self.node_capacity[zone] > 0.0 => {
                 question.capacity[zone] += question.node_capacity[zone];
-                Some(Relaxed { question, step: 1.0 })
+                Some(Relaxed {
+                    question,
+                    step: 1.0,
+                })
             }
             Bound::Budget(index) => {
                 // A thousandth: the value of a byte here, not that of a flood.
@@ -251,7 +320,10 @@
     pub fn say(&self, bound: Bound) -> String {
         match bound {
             Bound::Nodes(z) => {
-                format!("what the nodes of {} can do, {:.0} units a second", self.zones[z], self.capacity[z])
+                format!(
+                    "what the nodes of {} can do, {:.0} units a second",
+                    self.zones[z], self.capacity[z]
+                )
             }
             Bound::Budget(place) => {
                 let b = &self.budgets[place];
--- a/crates/placement/tests/plans.rs
+++ b/crates/placement/tests/plans.rs
@@ -14,7 +14,11 @@
         zones: zones.iter().copied().collect(),
         units_a_byte: 1.0,
     };
-    let budget = |(from, to, most): &(usize, usize, f64)| Budget { from: *from, to: *to, limit: *most };
+    let budget = |(from, to, most): &(usize, usize, f64)| Budget {
+        from: *from,
+        to: *to,
+        limit: *most,
+    };
     let price = |a: usize, b: usize| if a == 2 || b == 2 { 5.0 } else { 1.0 };
     Question {
         zones: ["a", "b", "c"].map(String::from).into(),
@@ -22,7 +26,9 @@
         node_capacity: vec![10.0; 3],
         demands: demands.iter().map(demand).collect(),
         budgets: budgets.iter().map(budget).collect(),
-        price: (0..3).map(|a| (0..3).map(|b| price(a, b)).collect()).collect(),
+        price: (0..3)
+            .map(|a| (0..3).map(|b| price(a, b)).collect())
+            .collect(),
     }
 }
 
@@ -43,7 +49,14 @@
     );
     let cases: [Case; 7] = [
         // All at home.
-        ([100.0, 100.0, 100.0], &[("v", [30.0, 20.0, 0.0], ANY)], &[], &[[30.0, 20.0, 0.0]], 0.0, &[]),
+        (
+            [100.0, 100.0, 100.0],
+            &[("v", [30.0, 20.0, 0.0], ANY)],
+            &[],
+            &[[30.0, 20.0, 0.0]],
+            0.0,
+            &[],
+        ),
         // Home is too small: the rest goes where it is cheap.
         (
             [20.0, 100.0, 100.0],
@@ -72,7 +85,14 @@
             &[(Nodes(1), 10.0)],
         ),
         // Budgets that nothing needs do not bind.
-        ([100.0, 100.0, 100.0], &[("v", [9.0, 0.0, 0.0], ANY)], &[(0, 1, 0.0)], &[[9.0, 0.0, 0.0]], 0.0, &[]),
+        (
+            [100.0, 100.0, 100.0],
+            &[("v", [9.0, 0.0, 0.0], ANY)],
+            &[(0, 1, 0.0)],
+            &[[9.0, 0.0, 0.0]],
+            0.0,
+            &[],
+        ),
         // Demand in a zone without nodes.
         (
             [100.0, 100.0, 0.0],
@@ -91,12 +111,26 @@
         let near = |a: f64, b: f64| (a - b).abs() < 1e-3;
         assert!(near(plan.cost, cost), "case {place}: {plan:?}");
         assert!(
-            plan.to.iter().flatten().zip(to.iter().flatten()).all(|(a, b)| near(*a, *b)),
+            plan.to
+                .iter()
+                .flatten()
+                .zip(to.iter().flatten())
+                .all(|(a, b)| near(*a, *b)),
             "case {place}: {plan:?}"
         );
         let found: Vec<_> = plan.binding.iter().map(|b| b.bound).collect();
-        assert_eq!(found, binding.iter().map(|b| b.0).collect::<Vec<_>>(), "case {place}: {plan:?}");
-        assert!(plan.binding.iter().zip(binding).all(|(a, b)| near(a.saves, b.1)), "case {place}: {plan:?}");
+        assert_eq!(
+            found,
+            binding.iter().map(|b| b.0).collect::<Vec<_>>(),
+            "case {place}: {plan:?}"
+        );
+        assert!(
+            plan.binding
+                .iter()
+                .zip(binding)
+                .all(|(a, b)| near(a.saves, b.1)),
+            "case {place}: {plan:?}"
+        );
     }
 }
 
@@ -105,15 +139,26 @@
     use Bound::*;
     let cases: [(Question, &[Bound]); 4] = [
         // More than all nodes together can do.
-        (question([1.0, 1.0, 1.0], &[("v", [9.0, 0.0, 0.0], ANY)], &[]), &[Nodes(0), Nodes(1), Nodes(2)]),
+        (
+            question([1.0, 1.0, 1.0], &[("v", [9.0, 0.0, 0.0], ANY)], &[]),
+            &[Nodes(0), Nodes(1), Nodes(2)],
+        ),
         // It may lie in one zone, which is too small; the other volume, and other zones, are no part of it.
         (
-            question([99.0, 5.0, 99.0], &[("w", [9.0, 0.0, 0.0], ANY), ("v", [9.0, 0.0, 0.0], &[1])], &[]),
+            question(
+                [99.0, 5.0, 99.0],
+                &[("w", [9.0, 0.0, 0.0], ANY), ("v", [9.0, 0.0, 0.0], &[1])],
+                &[],
+            ),
             &[Nodes(1), Zones(1)],
         ),
         // It may not be where it comes from, and may not cross.
         (
-            question([99.0; 3], &[("v", [9.0, 0.0, 0.0], &[1])], &[(0, 1, 3.0), (0, 2, 3.0)]),
+            question(
+                [99.0; 3],
+                &[("v", [9.0, 0.0, 0.0], &[1])],
+                &[(0, 1, 3.0), (0, 2, 3.0)],
+            ),
             &[Budget(0), Zones(0)],
         ),
         // Home is full, and both ways out are too narrow.
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -48,7 +48,10 @@
         };
         let time_left = open.deadline - now;
         let timeout = time_out.map_or(time_left, |t| t.min(time_left));
-        let key = AttemptKey { request: id, number: open.attempts_started };
+        let key = AttemptKey {
+            request: id,
+            number: open.attempts_started,
+        };
         open.attempts_started += 1;
         open.attempts_in_flight += 1;
         let attempt = Attempt {
@@ -63,7 +66,8 @@
         if !self.may_still_send(key) {
             return self.end_attempt(key, AttemptOutcome::NotSent, None);
         }
-        self.timers.set(now + timeout, TimerEvent::AttemptTimeout(key));
+        self.timers
+            .set(now + timeout, TimerEvent::AttemptTimeout(key));
         if let Some(conn) = self.take_idle_connection(node) {
             self.send_attempt(key, conn);
         } else {
@@ -74,9 +78,13 @@
     /// May the attempt be sent now? Since it was decided its node may have begun to drain or been restarted,
     /// the request may have been answered, or its time may be over.
     pub(super) fn may_still_send(&mut self, key: AttemptKey) -> bool {
-        let Some(attempt) = self.attempts.get(&key).copied() else { return false };
+        let Some(attempt) = self.attempts.get(&key).copied() else {
+            return false;
+        };
         let now = self.now;
-        let Some(open) = self.requests.get(key.request) else { return false };
+        let Some(open) = self.requests.get(key.request) else {
+            return false;
+        };
         let idempotency = self.config.request_classes[open.request_class.0].idempotency;
         let wanted = open.client.is_some() && may_repeat(open, idempotency, now);
         wanted
@@ -88,12 +96,19 @@
     /// Writes it to a connection that is established and free.
     pub(super) fn send_attempt(&mut self, key: AttemptKey, conn: ConnectionId) {
         let now = self.now;
-        let Some(attempt) = self.attempts.get_mut(&key) else { return };
+        let Some(attempt) = self.attempts.get_mut(&key) else {
+            return;
+        };
         attempt.progress = AttemptProgress::Writing(conn);
         let time_left = attempt.deadline - now;
         let decided_at = attempt.decided_at;
-        let Some(open) = self.requests.get(key.request) else { return };
-        open.first_execution.get_or_insert(FirstExecution { attempt: key.number, decided_at });
+        let Some(open) = self.requests.get(key.request) else {
+            return;
+        };
+        open.first_execution.get_or_insert(FirstExecution {
+            attempt: key.number,
+            decided_at,
+        });
         let bytes = open.head.message(time_left, &open.body);
         let seen = self.nodes.mark_busy(conn, key);
         self.outputs.push(Output::Send { conn, bytes, seen });
@@ -114,12 +129,18 @@
     }
 
     pub(super) fn connection_wait_timed_out(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(&key).copied() else { return };
+        let Some(attempt) = self.attempts.get(&key).copied() else {
+            return;
+        };
         if attempt.progress != AttemptProgress::WaitingForConnection {
             return;
         }
         let was_connecting = self.nodes.stop_waiting(attempt.node, key);
-        let outcome = if was_connecting { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent };
+        let outcome = if was_connecting {
+            AttemptOutcome::Unreachable
+        } else {
+            AttemptOutcome::NotSent
+        };
         self.end_attempt(key, outcome, None);
     }
 
@@ -141,8 +162,15 @@
     }
 
     /// Reports the outcome to the scheduler.
-    pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome, used: Option<f64>) {
-        let Some(attempt) = self.attempts.remove(&key) else { return };
+    pub(super) fn end_attempt(
+        &mut self,
+        key: AttemptKey,
+        outcome: AttemptOutcome,
+        used: Option<f64>,
+    ) {
+        let Some(attempt) = self.attempts.remove(&key) else {
+            return;
+        };
         self.metrics.count_outcome(outcome);
         let finished = self.requests.attempt_ended(key, outcome);
         self.events.push(Event::AttemptEnded(AttemptEnd {
--- a/crates/platform/src/core/clients/capacity.rs
+++ b/crates/platform/src/core/clients/capacity.rs
@@ -26,7 +26,9 @@
         self.metrics.connections_accepted += 1;
         self.make_room_for_clients(1);
         let conn = self.next_connection_id();
-        self.clients.entries.insert(conn, Client::new(Decoder::requests(BOUNDS), self.now));
+        self.clients
+            .entries
+            .insert(conn, Client::new(Decoder::requests(BOUNDS), self.now));
         self.schedule_idle_check();
         conn
     }
@@ -91,8 +93,13 @@
                 && client.decoder.is_empty()
                 && (client.messages_answered > 0 || now - client.since >= min_age)
         };
-        let idle: Vec<_> =
-            self.clients.entries.iter().filter(|(_, client)| is_idle(client)).map(|(id, _)| *id).collect();
+        let idle: Vec<_> = self
+            .clients
+            .entries
+            .iter()
+            .filter(|(_, client)| is_idle(client))
+            .map(|(id, _)| *id)
+            .collect();
         for conn in idle {
             self.close_idle_client(conn);
         }
@@ -102,15 +109,25 @@
     pub(in super::super) fn end_clients(&mut self) {
         self.close_idle_clients(Span::ZERO);
         let receiving = |client: &Client| client.state == ClientState::Reading && !client.closing;
-        let receiving: Vec<_> =
-            self.clients.entries.iter().filter(|(_, client)| receiving(client)).map(|(id, _)| *id).collect();
+        let receiving: Vec<_> = self
+            .clients
+            .entries
+            .iter()
+            .filter(|(_, client)| receiving(client))
+            .map(|(id, _)| *id)
+            .collect();
         for conn in receiving {
             self.refuse(conn, RequestError::ShuttingDown, false);
         }
     }
 
     fn close_idle_client(&mut self, conn: ConnectionId) {
-        if let Some(client) = self.clients.entries.get_mut(&conn).filter(|client| !client.closing) {
+        if let Some(client) = self
+            .clients
+            .entries
+            .get_mut(&conn)
+            .filter(|client| !client.closing)
+        {
             client.closing = true;
             let seen = client.bytes_received;
             self.outputs.push(Output::CloseIdle { conn, seen });
--- a/crates/platform/src/core/clients/input.rs
+++ b/crates/platform/src/core/clients/input.rs
@@ -16,7 +16,9 @@
 impl Core {
     pub(in super::super) fn client_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let now = self.now;
-        let Some(client) = self.clients.entries.get_mut(&conn) else { return };
+        let Some(client) = self.clients.entries.get_mut(&conn) else {
+            return;
+        };
         client.bytes_received += bytes.len() as u64;
         match client.state {
             ClientState::Finishing | ClientState::WriteClosed => return,
@@ -43,7 +45,9 @@
         // The connection whose message has taken longest is refused: complete messages of usual clients
         // arrive at once.
         while self.clients.buffered_bytes > self.clients.max_buffered_bytes {
-            let Some(slowest) = self.clients.slowest_message() else { break };
+            let Some(slowest) = self.clients.slowest_message() else {
+                break;
+            };
             self.refuse(slowest, RequestError::OutOfMemory, false);
         }
     }
@@ -51,7 +55,9 @@
     /// All of its response is with the operating system: what waited behind it is read.
     pub(in super::super) fn client_written(&mut self, conn: ConnectionId) {
         let now = self.now;
-        let Some(client) = self.clients.entries.get_mut(&conn) else { return };
+        let Some(client) = self.clients.entries.get_mut(&conn) else {
+            return;
+        };
         if client.state != ClientState::Responding {
             return;
         }
@@ -62,7 +68,9 @@
 
     /// Its last response is written and this side's direction is closed.
     pub(in super::super) fn client_write_closed(&mut self, conn: ConnectionId) {
-        let Some(client) = self.clients.entries.get_mut(&conn) else { return };
+        let Some(client) = self.clients.entries.get_mut(&conn) else {
+            return;
+        };
         self.clients.buffered_bytes -= client.decoder.holds();
         client.state = ClientState::WriteClosed;
         client.closing = false;
@@ -70,7 +78,9 @@
     }
 
     pub(in super::super) fn client_closed(&mut self, conn: ConnectionId) {
-        let Some(client) = self.clients.remove(conn) else { return };
+        let Some(client) = self.clients.remove(conn) else {
+            return;
+        };
         if let ClientState::Busy { request, .. } = client.state {
             self.metrics.clients_disconnected += 1;
             self.requests.take_client(request);
@@ -103,7 +113,11 @@
     fn handle_message(&mut self, conn: ConnectionId, message: &Message) {
         let keep_alive = message.stays;
         if is_health_check(message) {
-            let status = if self.ready { HttpStatus::OK } else { HttpStatus::INTERNAL_ERROR };
+            let status = if self.ready {
+                HttpStatus::OK
+            } else {
+                HttpStatus::INTERNAL_ERROR
+            };
             return self.reply(conn, status, keep_alive, |encoder| encoder.body(b""));
         }
         let parsed = match request_parser::parse(message, &self.names, &self.config, &self.reach) {
@@ -121,7 +135,10 @@
         };
         self.metrics.requests += 1;
         if let Some(client) = self.clients.entries.get_mut(&conn) {
-            client.state = ClientState::Busy { request: request.id, keep_alive };
+            client.state = ClientState::Busy {
+                request: request.id,
+                keep_alive,
+            };
         }
         self.events.push(Event::RequestArrived(request));
     }
@@ -129,7 +146,9 @@
 
 fn is_health_check(message: &Message) -> bool {
     match &message.start {
-        Start::Request { method, target } => method.as_ref() == b"GET" && target.as_ref() == b"/_health",
+        Start::Request { method, target } => {
+            method.as_ref() == b"GET" && target.as_ref() == b"/_health"
+        }
         Start::Answer { .. } => false,
     }
 }
--- a/crates/platform/src/core/clients/mod.rs
+++ b/crates/platform/src/core/clients/mod.rs
@@ -28,7 +28,10 @@
     /// Between messages, or receiving one.
     Reading,
     /// Its request is open.
-    Busy { request: RequestId, keep_alive: bool },
+    Busy {
+        request: RequestId,
+        keep_alive: bool,
+    },
     /// Its response is being written; what waits behind it is parsed then.
     Responding,
     /// It has its last response, which is being written.
@@ -68,7 +71,11 @@
 
     /// Its place is free in a moment.
     fn is_ending(&self) -> bool {
-        self.closing || matches!(self.state, ClientState::Finishing | ClientState::WriteClosed)
+        self.closing
+            || matches!(
+                self.state,
+                ClientState::Finishing | ClientState::WriteClosed
+            )
     }
 
     /// Whether, and before which others, it may be closed in favour of a new connection.
@@ -138,12 +145,18 @@
 
     /// How many there are without those that are ending.
     fn staying(&self) -> usize {
-        self.entries.values().filter(|client| !client.is_ending()).count()
+        self.entries
+            .values()
+            .filter(|client| !client.is_ending())
+            .count()
     }
 
     /// The first by rank among those that have one, then the oldest.
     fn first_ranked<R: Ord>(&self, rank: impl Fn(&Client) -> Option<R>) -> Option<ConnectionId> {
-        let ranked = self.entries.iter().filter_map(|(id, client)| Some((rank(client)?, client.since, *id)));
+        let ranked = self
+            .entries
+            .iter()
+            .filter_map(|(id, client)| Some((rank(client)?, client.since, *id)));
         ranked.min().map(|(_, _, id)| id)
     }
 
@@ -159,9 +172,12 @@
 
     /// The one whose incomplete message has taken longest.
     fn slowest_message(&self) -> Option<ConnectionId> {
-        let incomplete = |client: &Client| client.state == ClientState::Reading && !client.decoder.is_empty();
+        let incomplete =
+            |client: &Client| client.state == ClientState::Reading && !client.decoder.is_empty();
         let receiving = self.entries.iter().filter(|(_, client)| incomplete(client));
-        receiving.min_by_key(|(_, client)| client.since).map(|(id, _)| *id)
+        receiving
+            .min_by_key(|(_, client)| client.since)
+            .map(|(id, _)| *id)
     }
 
     /// Takes it out of the table, with what was buffered for it.
--- a/crates/platform/src/core/clients/responses.rs
+++ b/crates/platform/src/core/clients/responses.rs
@@ -20,8 +20,13 @@
         let now = self.now;
         let soft_limit = self.clients.soft_limit;
         let over_limit = self.clients.len() > soft_limit && self.clients.staying() > soft_limit;
-        let Some(client) = self.clients.entries.get_mut(&conn) else { return };
-        if !matches!(client.state, ClientState::Reading | ClientState::Busy { .. }) {
+        let Some(client) = self.clients.entries.get_mut(&conn) else {
+            return;
+        };
+        if !matches!(
+            client.state,
+            ClientState::Reading | ClientState::Busy { .. }
+        ) {
             return;
         }
         let keep_alive =
@@ -30,7 +35,10 @@
         if !keep_alive {
             encoder = encoder.field("Connection", b"close");
         }
-        self.outputs.push(Output::Respond { conn, bytes: encode_rest(encoder) });
+        self.outputs.push(Output::Respond {
+            conn,
+            bytes: encode_rest(encoder),
+        });
         client.since = now;
         client.messages_answered += 1;
         if keep_alive {
@@ -44,12 +52,16 @@
     pub(super) fn refuse(&mut self, conn: ConnectionId, why: RequestError, keep_alive: bool) {
         *self.metrics.invalid_requests.entry(why).or_default() += 1;
         self.reply(conn, why.status(), keep_alive, |encoder| {
-            encoder.field("Content-Type", b"text/plain").body(why.expected().as_bytes())
+            encoder
+                .field("Content-Type", b"text/plain")
+                .body(why.expected().as_bytes())
         });
     }
 
     fn finish_client(&mut self, conn: ConnectionId) {
-        let Some(client) = self.clients.entries.get_mut(&conn) else { return };
+        let Some(client) = self.clients.entries.get_mut(&conn) else {
+            return;
+        };
         self.clients.buffered_bytes -= client.decoder.holds();
         client.state = ClientState::Finishing;
         client.decoder = Decoder::requests(BOUNDS);
@@ -63,9 +75,14 @@
         status: HttpStatus,
         encode_rest: impl FnOnce(Encoder) -> Bytes,
     ) -> bool {
-        let Some(conn) = self.requests.take_client(id) else { return false };
+        let Some(conn) = self.requests.take_client(id) else {
+            return false;
+        };
         let keep_alive = match self.clients.entries.get(&conn).map(|client| &client.state) {
-            Some(ClientState::Busy { request, keep_alive }) if *request == id => *keep_alive,
+            Some(ClientState::Busy {
+                request,
+                keep_alive,
+            }) if *request == id => *keep_alive,
             _ => return false,
         };
         self.reply(conn, status, keep_alive, encode_rest);
@@ -79,7 +96,9 @@
 
     pub(in super::super) fn reject(&mut self, id: RequestId, retry_after: Option<Span>) {
         let answered = self.respond(id, HttpStatus::UNAVAILABLE, |encoder| match retry_after {
-            Some(wait) => encoder.number("Retry-After", format_args!("{:.3}", wait.secs())).body(b""),
+            Some(wait) => encoder
+                .number("Retry-After", format_args!("{:.3}", wait.secs()))
+                .body(b""),
             None => encoder.body(b""),
         });
         self.metrics.rejected += u64::from(answered);
--- a/crates/platform/src/core/discovery/endpoint_list.rs
+++ b/crates/platform/src/core/discovery/endpoint_list.rs
@@ -5,7 +5,9 @@
 use super::super::node_connections::ListedNode;
 use super::OLDER_LIST_TIMEOUT;
 use crate::settings_document::{EndpointEntry, Page, PageItem};
-use gullsail_scheduler_api::{Endpoint, EndpointState, Event, Instant, NodeId, ShardId, UpdateKind};
+use gullsail_scheduler_api::{
+    Endpoint, EndpointState, Event, Instant, NodeId, ShardId, UpdateKind,
+};
 use gullsail_scheduler_settings::hash;
 use tracing::{info, warn};
 
@@ -37,7 +39,11 @@
         }
         self.ready = true;
         if page.whole || !nodes.is_empty() {
-            let update_kind = if page.whole { UpdateKind::Snapshot } else { UpdateKind::Delta };
+            let update_kind = if page.whole {
+                UpdateKind::Snapshot
+            } else {
+                UpdateKind::Delta
+            };
             self.apply_list(update_kind, &nodes);
         }
         self.rule_out_old_restarts();
@@ -45,7 +51,10 @@
     }
 
     fn check_version(&mut self, conn: ConnectionId, page: &Page) -> Result<(), PageError> {
-        let asked_whole = self.discovery.connection(conn).is_some_and(|c| c.version.is_none());
+        let asked_whole = self
+            .discovery
+            .connection(conn)
+            .is_some_and(|c| c.version.is_none());
         if !page.whole && asked_whole {
             return Err(PageError::DeltaForSnapshot);
         }
@@ -54,7 +63,10 @@
             // Nodes that it does not hold yet would be taken for gone.
             let since = *self.discovery.older_since.get_or_insert(self.now);
             if self.now - since < OLDER_LIST_TIMEOUT {
-                return Err(PageError::OlderVersion { version: page.version, newest });
+                return Err(PageError::OlderVersion {
+                    version: page.version,
+                    newest,
+                });
             }
         }
         Ok(())
@@ -100,7 +112,10 @@
                 continue;
             }
             if self.metrics.discovery_entries_skipped == 0 {
-                warn!(node = name, "an entry of the list cannot be read and is skipped");
+                warn!(
+                    node = name,
+                    "an entry of the list cannot be read and is skipped"
+                );
             }
             self.metrics.discovery_entries_skipped += 1;
             let known = name.and_then(|name| self.nodes.listed(NodeId(hash(name))));
@@ -126,7 +141,10 @@
             started: (entry.started_ms > 0.0).then_some(Instant::from_millis(entry.started_ms)),
             pools: Vec::new(),
         };
-        Some(ListedNode { endpoint, address: entry.address.clone() })
+        Some(ListedNode {
+            endpoint,
+            address: entry.address.clone(),
+        })
     }
 
     fn apply_list(&mut self, update_kind: UpdateKind, listed: &[ListedNode]) {
@@ -141,6 +159,9 @@
             self.node_listed(node);
         }
         let entries = listed.iter().map(|n| n.endpoint.clone()).collect();
-        self.events.push(Event::EndpointList { update_kind, entries });
+        self.events.push(Event::EndpointList {
+            update_kind,
+            entries,
+        });
     }
 }
--- a/crates/platform/src/core/discovery/mod.rs
+++ b/crates/platform/src/core/discovery/mod.rs
@@ -39,7 +39,10 @@
 /// take to report.
 const OLDER_LIST_TIMEOUT: Span = Span::from_micros(6_000_000);
 /// Lists may be indented: some thousand nodes, whatever other bodies may hold.
-const LIST_BOUNDS: Bounds = Bounds { head: BOUNDS.head, body: 1 << 20 };
+const LIST_BOUNDS: Bounds = Bounds {
+    head: BOUNDS.head,
+    body: 1 << 20,
+};
 
 /// A connection to discovery and the one poll that is open on it.
 #[derive(Debug)]
@@ -93,11 +96,17 @@
     }
 
     pub(super) fn owns(&self, conn: ConnectionId) -> bool {
-        self.current.iter().chain(&self.suspect).any(|c| c.conn == conn)
+        self.current
+            .iter()
+            .chain(&self.suspect)
+            .any(|c| c.conn == conn)
     }
 
     fn connection(&mut self, conn: ConnectionId) -> Option<&mut DiscoveryConnection> {
-        self.current.iter_mut().chain(&mut self.suspect).find(|c| c.conn == conn)
+        self.current
+            .iter_mut()
+            .chain(&mut self.suspect)
+            .find(|c| c.conn == conn)
     }
 
     /// The time since its last answer.
@@ -114,9 +123,15 @@
 impl Core {
     fn discovery_patience(&self) -> Patience {
         if self.config.poll_endpoints {
-            Patience { answer_timeout: ANSWER_TIMEOUT, max_retry_delay: MAX_RETRY_DELAY }
+            Patience {
+                answer_timeout: ANSWER_TIMEOUT,
+                max_retry_delay: MAX_RETRY_DELAY,
+            }
         } else {
-            Patience { answer_timeout: AGENT_ANSWER_TIMEOUT, max_retry_delay: AGENT_MAX_RETRY_DELAY }
+            Patience {
+                answer_timeout: AGENT_ANSWER_TIMEOUT,
+                max_retry_delay: AGENT_MAX_RETRY_DELAY,
+            }
         }
     }
 
@@ -143,7 +158,8 @@
         let poll = self.discovery.last_poll;
         if let Some(connection) = self.discovery.connection(conn) {
             connection.poll = poll;
-            self.timers.set(self.now + within, TimerEvent::DiscoveryTimeout(poll));
+            self.timers
+                .set(self.now + within, TimerEvent::DiscoveryTimeout(poll));
         }
     }
 
@@ -151,15 +167,22 @@
     pub(super) fn poll_discovery(&mut self, conn: ConnectionId) {
         let host = self.discovery.address.clone();
         let list_timeout = self.discovery_patience().answer_timeout;
-        let Some(connection) = self.discovery.connection(conn) else { return };
+        let Some(connection) = self.discovery.connection(conn) else {
+            return;
+        };
         let (target, within) = match connection.version {
             None => ("/catalog/members".to_string(), list_timeout),
             Some(version) => {
                 let target = format!("/catalog/members?after={version}&wait_ms={POLL_WAIT_MS}");
-                (target, Span::from_millis(POLL_WAIT_MS as f64) + ANSWER_TIMEOUT)
+                (
+                    target,
+                    Span::from_millis(POLL_WAIT_MS as f64) + ANSWER_TIMEOUT,
+                )
             }
         };
-        let bytes = Encoder::request(b"GET", target.as_bytes()).field("Host", host.as_bytes()).bare();
+        let bytes = Encoder::request(b"GET", target.as_bytes())
+            .field("Host", host.as_bytes())
+            .bare();
         let seen = connection.bytes_received;
         self.outputs.push(Output::Send { conn, bytes, seen });
         self.expect_answer(conn, within);
@@ -167,14 +190,22 @@
 
     /// The poll is not answered in time: the next connection is made beside this one.
     pub(super) fn discovery_timed_out(&mut self, poll: u64) {
-        let Some(silent) = self.discovery.current.take_if(|c| c.poll == poll) else { return };
+        let Some(silent) = self.discovery.current.take_if(|c| c.poll == poll) else {
+            return;
+        };
         self.report_discovery_lost("it says nothing");
         let now = self.now;
-        let expired = self.discovery.suspect.take_if(|c| now - c.since >= SUSPECT_TIMEOUT);
+        let expired = self
+            .discovery
+            .suspect
+            .take_if(|c| now - c.since >= SUSPECT_TIMEOUT);
         let closed = match &self.discovery.suspect {
             Some(_) => Some(silent),
             None => {
-                self.discovery.suspect = Some(DiscoveryConnection { since: now, ..silent });
+                self.discovery.suspect = Some(DiscoveryConnection {
+                    since: now,
+                    ..silent
+                });
                 expired
             }
         };
@@ -202,13 +233,18 @@
         }
         self.discovery.current = None;
         let doublings = f64::from(1u32 << self.discovery.failures_in_row.min(10));
-        let delay = MIN_RETRY_DELAY.times(doublings).min(self.discovery_patience().max_retry_delay);
+        let delay = MIN_RETRY_DELAY
+            .times(doublings)
+            .min(self.discovery_patience().max_retry_delay);
         self.report_discovery_lost(why);
-        self.timers.set(self.now + delay, TimerEvent::DiscoveryRetry);
+        self.timers
+            .set(self.now + delay, TimerEvent::DiscoveryRetry);
     }
 
     pub(super) fn discovery_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        let Some(connection) = self.discovery.connection(conn) else { return };
+        let Some(connection) = self.discovery.connection(conn) else {
+            return;
+        };
         connection.bytes_received += bytes.len() as u64;
         connection.decoder.feed(bytes);
         let answer = connection.decoder.take();
@@ -237,9 +273,15 @@
         self.metrics.reloads += 1;
         let same_config = format!("{:?}", document.config) == format!("{:?}", self.config);
         if !same_config || document.peers != self.peers || document.names != self.names {
-            warn!("settings and peers change only with a start: of the new document, discovery counts");
+            warn!(
+                "settings and peers change only with a start: of the new document, discovery counts"
+            );
         }
-        info!(from = self.discovery.address, to = document.discovery, "another document");
+        info!(
+            from = self.discovery.address,
+            to = document.discovery,
+            "another document"
+        );
         let moved = self.discovery.address != document.discovery;
         for old in self.discovery.take_connections() {
             self.outputs.push(Output::Close { conn: old.conn });
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -45,7 +45,10 @@
 use tracing::info;
 
 /// How large messages may be, both ways; the platform's page says so.
-pub const BOUNDS: Bounds = Bounds { head: 16 << 10, body: 64 << 10 };
+pub const BOUNDS: Bounds = Bounds {
+    head: 16 << 10,
+    body: 64 << 10,
+};
 /// Between log lines with the metrics.
 const METRICS_INTERVAL: Span = Span::from_micros(5_000_000);
 /// After so long without discovery a host serves with the endpoints that it remembers.
@@ -91,12 +94,22 @@
 impl Core {
     /// A host that begins to connect to discovery; `descriptors`: how many the process itself may hold.
     pub fn new(document: SettingsDocument, descriptors: usize, now: Instant) -> Core {
-        let sockets = document.limits.sockets.min(descriptors).max(RESERVED_DESCRIPTORS + 8);
+        let sockets = document
+            .limits
+            .sockets
+            .min(descriptors)
+            .max(RESERVED_DESCRIPTORS + 8);
         let shared = sockets - RESERVED_DESCRIPTORS;
         let for_clients = (shared as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize;
         let memory_mb = document.limits.memory_mb;
         let bytes = |fraction: f64| (memory_mb * fraction * 1e6) as usize;
-        info!(host = document.name, sockets, of_clients = for_clients, memory_mb, "starting");
+        info!(
+            host = document.name,
+            sockets,
+            of_clients = for_clients,
+            memory_mb,
+            "starting"
+        );
         let mut core = Core {
             now,
             scheduler: Scheduler::new(document.config.clone(), document.seed, now),
@@ -122,8 +135,10 @@
             core.restore_endpoints(&page);
         }
         core.connect_discovery();
-        core.timers.set(now + READY_TIMEOUT, TimerEvent::ReadyTimeout);
-        core.timers.set(now + METRICS_INTERVAL, TimerEvent::LogMetrics);
+        core.timers
+            .set(now + READY_TIMEOUT, TimerEvent::ReadyTimeout);
+        core.timers
+            .set(now + METRICS_INTERVAL, TimerEvent::LogMetrics);
         core
     }
 
@@ -141,7 +156,9 @@
             Input::Received(conn, bytes) if self.discovery.owns(conn) => {
                 self.discovery_received(conn, &bytes);
             }
-            Input::Received(conn, bytes) if self.clients.contains(conn) => self.client_received(conn, &bytes),
+            Input::Received(conn, bytes) if self.clients.contains(conn) => {
+                self.client_received(conn, &bytes)
+            }
             Input::Received(conn, bytes) => self.node_received(conn, &bytes),
             Input::Written(conn) if self.clients.contains(conn) => self.client_written(conn),
             Input::Written(conn) => self.node_written(conn),
@@ -231,7 +248,8 @@
             TimerEvent::ReadyTimeout => self.ready = true,
             TimerEvent::LogMetrics => {
                 self.log_metrics("counts");
-                self.timers.set(self.now + METRICS_INTERVAL, TimerEvent::LogMetrics);
+                self.timers
+                    .set(self.now + METRICS_INTERVAL, TimerEvent::LogMetrics);
             }
             TimerEvent::ShutdownStage => self.advance_shutdown(),
             TimerEvent::Exit => self.exit(),
@@ -243,7 +261,8 @@
         let has_connections = self.clients.len() > 0 || self.nodes.connection_count() > 0;
         if !self.idle_check_scheduled && has_connections {
             self.idle_check_scheduled = true;
-            self.timers.set(self.now + IDLE_CHECK_INTERVAL, TimerEvent::IdleCheck);
+            self.timers
+                .set(self.now + IDLE_CHECK_INTERVAL, TimerEvent::IdleCheck);
         }
     }
 
@@ -275,7 +294,10 @@
             Action::SendToPeer { to, bytes } => {
                 if let Some(address) = self.peers.get(to.0 as usize) {
                     self.metrics.peer_messages_sent += 1;
-                    self.outputs.push(Output::Datagram { to: *address, bytes: bytes.into() });
+                    self.outputs.push(Output::Datagram {
+                        to: *address,
+                        bytes: bytes.into(),
+                    });
                 }
             }
         }
@@ -285,7 +307,10 @@
         match self.peers.iter().position(|peer| *peer == from) {
             Some(host) if bytes.len() <= MAX_PEER_MESSAGE_BYTES => {
                 self.metrics.peer_messages_received += 1;
-                self.events.push(Event::PeerMessage { from: HostId(host as u32), bytes: bytes.to_vec() });
+                self.events.push(Event::PeerMessage {
+                    from: HostId(host as u32),
+                    bytes: bytes.to_vec(),
+                });
             }
             _ => self.metrics.foreign_datagrams += 1,
         }
--- a/crates/platform/src/core/node_connections/connecting.rs
+++ b/crates/platform/src/core/node_connections/connecting.rs
@@ -18,7 +18,11 @@
     /// Discovery lists a node, anew or with changes.
     pub(in super::super) fn node_listed(&mut self, listed: &ListedNode) {
         let node = listed.endpoint.node;
-        let n = self.nodes.nodes.entry(node).or_insert_with(|| Node::new(listed.clone()));
+        let n = self
+            .nodes
+            .nodes
+            .entry(node)
+            .or_insert_with(|| Node::new(listed.clone()));
         if n.listed.endpoint.started != listed.endpoint.started {
             n.unexplained_loss = None;
         }
@@ -27,7 +31,11 @@
         let ready = n.is_ready();
         if moved || !ready {
             // Attempts to a node that is not ready end at once; else they connect to the node's new address.
-            let ended = if ready { VecDeque::new() } else { std::mem::take(&mut n.waiting) };
+            let ended = if ready {
+                VecDeque::new()
+            } else {
+                std::mem::take(&mut n.waiting)
+            };
             for key in ended {
                 self.end_attempt(key, AttemptOutcome::NotSent, None);
             }
@@ -38,21 +46,37 @@
 
     /// Attempts in flight go on; their connections are not used again, and the others are closed.
     fn retire_connections(&mut self, node: NodeId) {
-        let unused = |c: &NodeConnection| c.node == node && !matches!(c.state, ConnectionState::Busy(_));
-        let unused: Vec<_> =
-            self.nodes.connections.iter().filter(|(_, c)| unused(c)).map(|(id, _)| *id).collect();
+        let unused =
+            |c: &NodeConnection| c.node == node && !matches!(c.state, ConnectionState::Busy(_));
+        let unused: Vec<_> = self
+            .nodes
+            .connections
+            .iter()
+            .filter(|(_, c)| unused(c))
+            .map(|(id, _)| *id)
+            .collect();
         for conn in unused {
             self.close_node_connection(conn);
         }
-        for connection in self.nodes.connections.values_mut().filter(|c| c.node == node) {
+        for connection in self
+            .nodes
+            .connections
+            .values_mut()
+            .filter(|c| c.node == node)
+        {
             connection.stale = true;
         }
     }
 
     /// Discovery does not list the node any more.
     pub(in super::super) fn node_unlisted(&mut self, node: NodeId) {
-        let Some(listed) = self.nodes.listed(node).cloned() else { return };
-        let endpoint = Endpoint { state: EndpointState::Gone, ..listed.endpoint };
+        let Some(listed) = self.nodes.listed(node).cloned() else {
+            return;
+        };
+        let endpoint = Endpoint {
+            state: EndpointState::Gone,
+            ..listed.endpoint
+        };
         self.node_listed(&ListedNode { endpoint, ..listed });
     }
 
@@ -71,15 +95,25 @@
             return self.end_attempt(key, AttemptOutcome::NotSent, None);
         };
         n.waiting.push_back(key);
-        self.timers.set(self.now + self.reach.connect_time_out, TimerEvent::ConnectionWaitTimeout(key));
+        self.timers.set(
+            self.now + self.reach.connect_time_out,
+            TimerEvent::ConnectionWaitTimeout(key),
+        );
         self.connect_for_waiting(node);
     }
 
     /// As many connections are being made as attempts wait, within the bound on descriptors.
     fn connect_for_waiting(&mut self, node: NodeId) {
-        while self.nodes.nodes.get(&node).is_some_and(Node::needs_connection) {
+        while self
+            .nodes
+            .nodes
+            .get(&node)
+            .is_some_and(Node::needs_connection)
+        {
             if self.nodes.connection_count() >= self.nodes.max_connections {
-                let Some(idle) = self.nodes.longest_idle() else { return };
+                let Some(idle) = self.nodes.longest_idle() else {
+                    return;
+                };
                 // Closing it gives the free place to an attempt that waits, perhaps to this node: so it is
                 // checked anew.
                 self.close_node_connection(idle);
@@ -90,7 +124,9 @@
     }
 
     fn connect_to(&mut self, node: NodeId) {
-        let Some(n) = self.nodes.nodes.get_mut(&node) else { return };
+        let Some(n) = self.nodes.nodes.get_mut(&node) else {
+            return;
+        };
         n.connecting += 1;
         let address = n.listed.address.clone();
         let conn = self.next_connection_id();
@@ -107,7 +143,10 @@
         self.nodes.connections.insert(conn, connection);
         self.metrics.node_connections_opened += 1;
         self.outputs.push(Output::Connect { conn, address });
-        self.timers.set(self.now + self.reach.connect_time_out, TimerEvent::ConnectTimeout(conn));
+        self.timers.set(
+            self.now + self.reach.connect_time_out,
+            TimerEvent::ConnectTimeout(conn),
+        );
         self.schedule_idle_check();
     }
 
@@ -123,7 +162,9 @@
 
     pub(in super::super) fn node_connected(&mut self, conn: ConnectionId) {
         let now = self.now;
-        let Some(connection) = self.nodes.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.nodes.connections.get_mut(&conn) else {
+            return;
+        };
         if connection.state != ConnectionState::Connecting {
             return;
         }
@@ -140,13 +181,21 @@
 
     /// It goes to the attempt that has waited longest and may still be sent, else it becomes idle.
     pub(super) fn connection_free(&mut self, conn: ConnectionId, node: NodeId) {
-        while let Some(key) = self.nodes.nodes.get_mut(&node).and_then(|n| n.waiting.pop_front()) {
+        while let Some(key) = self
+            .nodes
+            .nodes
+            .get_mut(&node)
+            .and_then(|n| n.waiting.pop_front())
+        {
             if self.may_still_send(key) {
                 return self.send_attempt(key, conn);
             }
             self.end_attempt(key, AttemptOutcome::NotSent, None);
         }
-        match (self.nodes.connections.get_mut(&conn), self.nodes.nodes.get_mut(&node)) {
+        match (
+            self.nodes.connections.get_mut(&conn),
+            self.nodes.nodes.get_mut(&node),
+        ) {
             (Some(connection), Some(n)) if n.is_ready() => {
                 connection.state = ConnectionState::Idle;
                 connection.idle_since = self.now;
@@ -158,8 +207,12 @@
 
     /// The node had closed the connection before: nothing was written, so the attempt takes another one.
     pub(in super::super) fn node_not_written(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.nodes.connections.get(&conn) else { return };
-        let ConnectionState::Busy(key) = connection.state else { return };
+        let Some(connection) = self.nodes.connections.get(&conn) else {
+            return;
+        };
+        let ConnectionState::Busy(key) = connection.state else {
+            return;
+        };
         let node = connection.node;
         self.metrics.idle_connections_closed += 1;
         self.close_node_connection(conn);
@@ -177,7 +230,9 @@
 
     /// Closed by the node, or never established.
     pub(in super::super) fn node_connection_closed(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.nodes.remove(conn) else { return };
+        let Some(connection) = self.nodes.remove(conn) else {
+            return;
+        };
         let node = connection.node;
         match connection.state {
             ConnectionState::Connecting => {
@@ -203,13 +258,20 @@
     }
 
     fn fail_first_waiting(&mut self, node: NodeId) {
-        if let Some(key) = self.nodes.nodes.get_mut(&node).and_then(|n| n.waiting.pop_front()) {
+        if let Some(key) = self
+            .nodes
+            .nodes
+            .get_mut(&node)
+            .and_then(|n| n.waiting.pop_front())
+        {
             self.end_attempt(key, AttemptOutcome::Unreachable, None);
         }
     }
 
     pub(in super::super) fn connect_timed_out(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.nodes.connections.get(&conn) else { return };
+        let Some(connection) = self.nodes.connections.get(&conn) else {
+            return;
+        };
         if connection.state == ConnectionState::Connecting {
             let node = connection.node;
             self.metrics.connect_failures += 1;
@@ -220,17 +282,29 @@
 
     /// Closed by this host.
     pub(in super::super) fn close_node_connection(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.nodes.remove(conn) else { return };
+        let Some(connection) = self.nodes.remove(conn) else {
+            return;
+        };
         self.outputs.push(Output::Close { conn });
         self.place_freed(connection.node);
     }
 
     /// The place goes to an attempt that waits for the same node, else to one that waits for any.
     fn place_freed(&mut self, node: NodeId) {
-        if self.nodes.nodes.get(&node).is_some_and(Node::needs_connection) {
+        if self
+            .nodes
+            .nodes
+            .get(&node)
+            .is_some_and(Node::needs_connection)
+        {
             return self.connect_for_waiting(node);
         }
-        let other = self.nodes.nodes.iter().find(|(_, n)| n.needs_connection()).map(|(id, _)| *id);
+        let other = self
+            .nodes
+            .nodes
+            .iter()
+            .find(|(_, n)| n.needs_connection())
+            .map(|(id, _)| *id);
         if let Some(other) = other {
             self.connect_for_waiting(other);
         }
@@ -240,9 +314,15 @@
     pub(in super::super) fn close_aged_connections(&mut self) {
         let max_age = self.reach.keep_alive.times(IDLE_AGE_FRACTION);
         let now = self.now;
-        let aged = |c: &NodeConnection| c.state == ConnectionState::Idle && now - c.idle_since >= max_age;
-        let aged: Vec<_> =
-            self.nodes.connections.iter().filter(|(_, c)| aged(c)).map(|(id, _)| *id).collect();
+        let aged =
+            |c: &NodeConnection| c.state == ConnectionState::Idle && now - c.idle_since >= max_age;
+        let aged: Vec<_> = self
+            .nodes
+            .connections
+            .iter()
+            .filter(|(_, c)| aged(c))
+            .map(|(id, _)| *id)
+            .collect();
         for conn in aged {
             self.close_node_connection(conn);
         }
--- a/crates/platform/src/core/node_connections/liveness.rs
+++ b/crates/platform/src/core/node_connections/liveness.rs
@@ -19,7 +19,12 @@
 impl UnexplainedLoss {
     /// The sign comes on a connection that was established before the loss, and was not in flight at that
     /// time.
-    fn survived_by(&self, established_at: Instant, written_at: Option<Instant>, now: Instant) -> bool {
+    fn survived_by(
+        &self,
+        established_at: Instant,
+        written_at: Option<Instant>,
+        now: Instant,
+    ) -> bool {
         established_at < self.at
             && written_at.is_some_and(|written| written > self.at || now - self.at >= MAX_IN_FLIGHT)
     }
@@ -27,18 +32,30 @@
     /// The sign comes so soon after the loss, and the loss so soon after the sign before, that no restart
     /// fits between.
     fn too_short_for_restart(&self, now: Instant) -> bool {
-        now - self.at < MIN_RESTART && self.last_alive.is_some_and(|alive| self.at - alive < MIN_RETURN)
+        now - self.at < MIN_RESTART
+            && self
+                .last_alive
+                .is_some_and(|alive| self.at - alive < MIN_RETURN)
     }
 }
 
 impl Core {
     /// A connection to the node was established, or a response to a message came that was written at
     /// `written_at`.
-    pub(super) fn node_alive(&mut self, node: NodeId, established_at: Instant, written_at: Option<Instant>) {
+    pub(super) fn node_alive(
+        &mut self,
+        node: NodeId,
+        established_at: Instant,
+        written_at: Option<Instant>,
+    ) {
         let now = self.now;
-        let Some(n) = self.nodes.nodes.get_mut(&node) else { return };
+        let Some(n) = self.nodes.nodes.get_mut(&node) else {
+            return;
+        };
         n.last_alive = Some(now);
-        let Some(loss) = n.unexplained_loss else { return };
+        let Some(loss) = n.unexplained_loss else {
+            return;
+        };
         if loss.survived_by(established_at, written_at, now) || loss.too_short_for_restart(now) {
             self.rule_out_restart(node);
         }
@@ -49,15 +66,24 @@
     pub(super) fn record_loss(&mut self, node: NodeId) {
         let now = self.now;
         let ramp = self.config.slow_start.ramp;
-        let Some(n) = self.nodes.nodes.get_mut(&node) else { return };
-        if n.unexplained_loss.is_none_or(|earlier| now - earlier.at >= ramp) {
-            n.unexplained_loss = Some(UnexplainedLoss { at: now, last_alive: n.last_alive });
+        let Some(n) = self.nodes.nodes.get_mut(&node) else {
+            return;
+        };
+        if n.unexplained_loss
+            .is_none_or(|earlier| now - earlier.at >= ramp)
+        {
+            n.unexplained_loss = Some(UnexplainedLoss {
+                at: now,
+                last_alive: n.last_alive,
+            });
         }
     }
 
     /// The scheduler learns that the node's process is as old as discovery says.
     fn rule_out_restart(&mut self, node: NodeId) {
-        let Some(n) = self.nodes.nodes.get_mut(&node).filter(|n| n.is_ready()) else { return };
+        let Some(n) = self.nodes.nodes.get_mut(&node).filter(|n| n.is_ready()) else {
+            return;
+        };
         n.unexplained_loss = None;
         self.metrics.restarts_ruled_out += 1;
         self.events.push(Event::EndpointList {
@@ -70,8 +96,17 @@
     /// delay.
     pub(in super::super) fn rule_out_old_restarts(&mut self) {
         let now = self.now;
-        let old = |n: &Node| n.unexplained_loss.is_some_and(|loss| now - loss.at >= DISCOVERY_DELAY);
-        let old: Vec<_> = self.nodes.nodes.iter().filter(|(_, n)| old(n)).map(|(id, _)| *id).collect();
+        let old = |n: &Node| {
+            n.unexplained_loss
+                .is_some_and(|loss| now - loss.at >= DISCOVERY_DELAY)
+        };
+        let old: Vec<_> = self
+            .nodes
+            .nodes
+            .iter()
+            .filter(|(_, n)| old(n))
+            .map(|(id, _)| *id)
+            .collect();
         for node in old {
             self.rule_out_restart(node);
         }
--- a/crates/platform/src/core/node_connections/mod.rs
+++ b/crates/platform/src/core/node_connections/mod.rs
@@ -97,7 +97,11 @@
 
 impl NodeConnections {
     pub(super) fn new(max_connections: usize) -> NodeConnections {
-        NodeConnections { nodes: BTreeMap::new(), connections: BTreeMap::new(), max_connections }
+        NodeConnections {
+            nodes: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            max_connections,
+        }
     }
 
     /// How many connections there are, to all nodes.
@@ -119,7 +123,9 @@
     }
 
     pub(super) fn zone(&self, node: NodeId) -> ZoneId {
-        self.nodes.get(&node).map_or(ZoneId::default(), |n| n.listed.endpoint.zone)
+        self.nodes
+            .get(&node)
+            .map_or(ZoneId::default(), |n| n.listed.endpoint.zone)
     }
 
     pub(super) fn is_ready(&self, node: NodeId) -> bool {
@@ -132,14 +138,18 @@
 
     /// The connection carries an attempt from now on. Returns how many bytes were received on it so far.
     pub(super) fn mark_busy(&mut self, conn: ConnectionId, key: AttemptKey) -> u64 {
-        let Some(connection) = self.connections.get_mut(&conn) else { return 0 };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return 0;
+        };
         connection.state = ConnectionState::Busy(key);
         connection.bytes_received
     }
 
     /// Says whether a connection to the node was being made.
     pub(super) fn stop_waiting(&mut self, node: NodeId, key: AttemptKey) -> bool {
-        let Some(n) = self.nodes.get_mut(&node) else { return false };
+        let Some(n) = self.nodes.get_mut(&node) else {
+            return false;
+        };
         n.waiting.retain(|waiting| *waiting != key);
         n.connecting > 0
     }
@@ -155,13 +165,18 @@
     }
 
     fn longest_idle(&self) -> Option<ConnectionId> {
-        let idle = self.connections.iter().filter(|(_, c)| c.state == ConnectionState::Idle);
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.state == ConnectionState::Idle);
         idle.min_by_key(|(_, c)| c.idle_since).map(|(id, _)| *id)
     }
 
     /// Forgets a node that is gone and has neither connections nor waiting attempts.
     fn forget_if_gone(&mut self, node: NodeId) {
-        let Some(n) = self.nodes.get(&node) else { return };
+        let Some(n) = self.nodes.get(&node) else {
+            return;
+        };
         let in_use = !n.waiting.is_empty() || self.connections.values().any(|c| c.node == node);
         if n.listed.endpoint.state == EndpointState::Gone && !in_use {
             self.nodes.remove(&node);
--- a/crates/platform/src/core/node_connections/responses.rs
+++ b/crates/platform/src/core/node_connections/responses.rs
@@ -11,10 +11,16 @@
 
 impl Core {
     pub(in super::super) fn node_written(&mut self, conn: ConnectionId) {
-        let Some(connection) = self.nodes.connections.get(&conn) else { return };
-        let ConnectionState::Busy(key) = connection.state else { return };
+        let Some(connection) = self.nodes.connections.get(&conn) else {
+            return;
+        };
+        let ConnectionState::Busy(key) = connection.state else {
+            return;
+        };
         let early_input = connection.early_input;
-        let Some(attempt) = self.attempts.get_mut(&key) else { return };
+        let Some(attempt) = self.attempts.get_mut(&key) else {
+            return;
+        };
         if attempt.progress != AttemptProgress::Writing(conn) {
             return;
         }
@@ -28,14 +34,20 @@
     }
 
     pub(in super::super) fn node_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        let Some(connection) = self.nodes.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.nodes.connections.get_mut(&conn) else {
+            return;
+        };
         connection.bytes_received += bytes.len() as u64;
         let ConnectionState::Busy(key) = connection.state else {
             // No request is open on it: whatever this is, a response behind it would be taken for another's.
             self.metrics.unsolicited_input += 1;
             return self.close_node_connection(conn);
         };
-        if self.attempts.get(&key).is_some_and(|a| a.progress == AttemptProgress::Writing(conn)) {
+        if self
+            .attempts
+            .get(&key)
+            .is_some_and(|a| a.progress == AttemptProgress::Writing(conn))
+        {
             // It was read before the message was written, so it is no response to it, nor the beginning of
             // one. Whether the message was written is for the connection's task to say, and it says so next.
             self.metrics.unsolicited_input += 1;
@@ -47,7 +59,11 @@
             Ok(None) => {}
             Ok(Some(message)) => self.handle_response(conn, key, &message),
             Err(fault) => {
-                *self.metrics.malformed_responses.entry(fault.to_string()).or_default() += 1;
+                *self
+                    .metrics
+                    .malformed_responses
+                    .entry(fault.to_string())
+                    .or_default() += 1;
                 debug!(conn = conn.0, %fault, "an answer that cannot be read");
                 self.close_node_connection(conn);
                 self.end_attempt(key, AttemptOutcome::Failed, None);
@@ -56,14 +72,20 @@
     }
 
     fn handle_response(&mut self, conn: ConnectionId, key: AttemptKey, message: &Message) {
-        let Start::Answer { status } = message.start else { return };
-        let Some(connection) = self.nodes.connections.get(&conn) else { return };
+        let Start::Answer { status } = message.start else {
+            return;
+        };
+        let Some(connection) = self.nodes.connections.get(&conn) else {
+            return;
+        };
         let node = connection.node;
         let established_at = connection.established_at;
         let has_more_input = !connection.decoder.is_empty();
         let reusable = !has_more_input && !connection.stale && message.stays;
         let progress = self.attempts.get(&key).map(|attempt| attempt.progress);
-        let Some(AttemptProgress::Written { at: written_at, .. }) = progress else { return };
+        let Some(AttemptProgress::Written { at: written_at, .. }) = progress else {
+            return;
+        };
         let never_ran = message.field("X-Never-Ran") == Found::One(b"1");
         let outcome = match status {
             200 => AttemptOutcome::Succeeded,
@@ -86,8 +108,15 @@
 
 /// What all hosts together used of the volume's usual rate, as a fraction; a malformed header is ignored.
 fn used_fraction(message: &Message) -> Option<f64> {
-    let Found::One(digits) = message.field("X-Meter") else { return None };
-    let well_formed = !digits.is_empty() && digits.len() <= 6 && digits.iter().all(u8::is_ascii_digit);
-    let percent: f64 = std::str::from_utf8(digits).ok().filter(|_| well_formed)?.parse().ok()?;
+    let Found::One(digits) = message.field("X-Meter") else {
+        return None;
+    };
+    let well_formed =
+        !digits.is_empty() && digits.len() <= 6 && digits.iter().all(u8::is_ascii_digit);
+    let percent: f64 = std::str::from_utf8(digits)
+        .ok()
+        .filter(|_| well_formed)?
+        .parse()
+        .ok()?;
     Some(percent / 100.0)
 }
--- a/crates/platform/src/core/request_error.rs
+++ b/crates/platform/src/core/request_error.rs
@@ -58,9 +58,18 @@
 }
 
 impl HttpStatus {
-    pub(super) const OK: HttpStatus = HttpStatus { code: 200, reason: "OK" };
-    pub(super) const INTERNAL_ERROR: HttpStatus = HttpStatus { code: 500, reason: "Internal Server Error" };
-    pub(super) const UNAVAILABLE: HttpStatus = HttpStatus { code: 503, reason: "Service Unavailable" };
+    pub(super) const OK: HttpStatus = HttpStatus {
+        code: 200,
+        reason: "OK",
+    };
+    pub(super) const INTERNAL_ERROR: HttpStatus = HttpStatus {
+        code: 500,
+        reason: "Internal Server Error",
+    };
+    pub(super) const UNAVAILABLE: HttpStatus = HttpStatus {
+        code: 503,
+        reason: "Service Unavailable",
+    };
 }
 
 impl RequestError {
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use gullsail_http::{Encoder, Found, Message, Start};
 use gullsail_scheduler_api::{
-    Idempotency, ObjectId, PlanId, PoolId, Request, RequestClassId, RequestId, SchedulerConfig, ShardId,
-    Span, VolumeId,
+    Idempotency, ObjectId, PlanId, PoolId, Request, RequestClassId, RequestId, SchedulerConfig,
+    ShardId, Span, VolumeId,
 };
 use gullsail_scheduler_settings::{Names, Reach, hash};
 
@@ -54,7 +54,10 @@
 
 impl ForwardedField {
     fn new(name: &'static str, value: &[u8]) -> ForwardedField {
-        ForwardedField { name, value: Bytes::copy_from_slice(value) }
+        ForwardedField {
+            name,
+            value: Bytes::copy_from_slice(value),
+        }
     }
 }
 
@@ -66,7 +69,11 @@
             encoder = encoder.field(field.name, &field.value);
         }
         let encoder = encoder.number(DEADLINE, (time_left.micros() / 1000).max(1));
-        if self.has_length { encoder.body(body) } else { encoder.bare() }
+        if self.has_length {
+            encoder.body(body)
+        } else {
+            encoder.bare()
+        }
     }
 
     /// Memory that it holds, in bytes.
@@ -86,9 +93,13 @@
     config: &SchedulerConfig,
     reach: &Reach,
 ) -> Result<ParsedRequest, RequestError> {
-    let Start::Request { method, target } = &message.start else { return Err(RequestError::Malformed) };
+    let Start::Request { method, target } = &message.start else {
+        return Err(RequestError::Malformed);
+    };
     let path = Path::parse(target)?;
-    let request_class = names.request_class(path.class_name).map_err(|_| RequestError::Path)?;
+    let request_class = names
+        .request_class(path.class_name)
+        .map_err(|_| RequestError::Path)?;
     check_method(message, method, &path, request_class, reach)?;
     let trace_text = single(message, TRACE_ID).ok_or(RequestError::TraceId)?;
     let trace_id = hex(trace_text).ok_or(RequestError::TraceId)?;
@@ -130,9 +141,18 @@
         timeout: Span::from_millis(timeout_ms as f64),
         volume_hosts: extent.hosts,
     };
-    let head =
-        ForwardedHead { method: method.clone(), target: target.clone(), fields, has_length: message.framed };
-    Ok(ParsedRequest { trace_id, request, head, body: message.body.clone() })
+    let head = ForwardedHead {
+        method: method.clone(),
+        target: target.clone(),
+        fields,
+        has_length: message.framed,
+    };
+    Ok(ParsedRequest {
+        trace_id,
+        request,
+        head,
+        body: message.body.clone(),
+    })
 }
 
 /// `/class/volume/object`; a query behind it is passed on unread.
@@ -146,16 +166,28 @@
     fn parse(target: &[u8]) -> Result<Path<'_>, RequestError> {
         let path = target.split(|b| *b == b'?').next().unwrap_or_default();
         let mut segments = path.split(|b| *b == b'/');
-        let (Some(b""), Some(class), Some(volume), Some(object), None) =
-            (segments.next(), segments.next(), segments.next(), segments.next(), segments.next())
-        else {
+        let (Some(b""), Some(class), Some(volume), Some(object), None) = (
+            segments.next(),
+            segments.next(),
+            segments.next(),
+            segments.next(),
+            segments.next(),
+        ) else {
             return Err(RequestError::Path);
         };
-        let (Some(_), Some(_)) = (hex(volume), hex(object)) else { return Err(RequestError::Path) };
-        let (Some(class_name), Some(volume), Some(object)) = (text(class), text(volume), text(object)) else {
+        let (Some(_), Some(_)) = (hex(volume), hex(object)) else {
             return Err(RequestError::Path);
         };
-        Ok(Path { class_name, volume, object })
+        let (Some(class_name), Some(volume), Some(object)) =
+            (text(class), text(volume), text(object))
+        else {
+            return Err(RequestError::Path);
+        };
+        Ok(Path {
+            class_name,
+            volume,
+            object,
+        })
     }
 }
 
@@ -175,7 +207,11 @@
         b"PUT" => true,
         _ => return Err(RequestError::Method),
     };
-    if reach.writes.get(request_class.0).is_some_and(|class_writes| *class_writes != is_write) {
+    if reach
+        .writes
+        .get(request_class.0)
+        .is_some_and(|class_writes| *class_writes != is_write)
+    {
         return Err(RequestError::Method);
     }
     if !is_write && !message.body.is_empty() {
@@ -199,9 +235,15 @@
         let name = if names.plans.is_empty() && message.field(PLAN) == Found::None {
             None
         } else {
-            Some(single(message, PLAN).and_then(text).ok_or(RequestError::Plan)?)
+            Some(
+                single(message, PLAN)
+                    .and_then(text)
+                    .ok_or(RequestError::Plan)?,
+            )
         };
-        let id = names.plan(name.unwrap_or_default()).map_err(|_| RequestError::Plan)?;
+        let id = names
+            .plan(name.unwrap_or_default())
+            .map_err(|_| RequestError::Plan)?;
         Ok(Plan { id, name })
     }
 }
@@ -214,15 +256,33 @@
 }
 
 impl Extent {
-    fn parse(message: &Message, config: &SchedulerConfig, reach: &Reach) -> Result<Extent, RequestError> {
-        let extent = single(message, EXTENT).and_then(Extent::from_text).ok_or(RequestError::Extent)?;
-        let max_units = if config.max_units > 0.0 { config.max_units } else { f64::MAX };
-        let shards = if reach.shards > 0 { reach.shards } else { i64::MAX };
+    fn parse(
+        message: &Message,
+        config: &SchedulerConfig,
+        reach: &Reach,
+    ) -> Result<Extent, RequestError> {
+        let extent = single(message, EXTENT)
+            .and_then(Extent::from_text)
+            .ok_or(RequestError::Extent)?;
+        let max_units = if config.max_units > 0.0 {
+            config.max_units
+        } else {
+            f64::MAX
+        };
+        let shards = if reach.shards > 0 {
+            reach.shards
+        } else {
+            i64::MAX
+        };
         let in_range = extent.units > 0.0
             && extent.units <= max_units
             && (-1..shards).contains(&extent.shard)
             && (1..=config.hosts.max(1)).contains(&extent.hosts);
-        if in_range { Ok(extent) } else { Err(RequestError::Extent) }
+        if in_range {
+            Ok(extent)
+        } else {
+            Err(RequestError::Extent)
+        }
     }
 
     /// `units=1,shard=3,hosts=2`, in any order and each once; other names are ignored.
@@ -240,13 +300,22 @@
                 _ => {}
             }
         }
-        Some(Extent { units: units?, shard: shard?, hosts: hosts? })
+        Some(Extent {
+            units: units?,
+            shard: shard?,
+            hosts: hosts?,
+        })
     }
 }
 
-fn idempotency_key(message: &Message, idempotency: Idempotency) -> Result<Option<&[u8]>, RequestError> {
+fn idempotency_key(
+    message: &Message,
+    idempotency: Idempotency,
+) -> Result<Option<&[u8]>, RequestError> {
     match (idempotency, message.field(IDEMPOTENCY_KEY)) {
-        (_, Found::Several) | (Idempotency::WithKey { .. }, Found::None) => Err(RequestError::IdempotencyKey),
+        (_, Found::Several) | (Idempotency::WithKey { .. }, Found::None) => {
+            Err(RequestError::IdempotencyKey)
+        }
         (_, Found::One(key)) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
             Err(RequestError::IdempotencyKey)
         }
@@ -257,7 +326,11 @@
 
 /// The value of a header that is present exactly once.
 fn single<'a>(message: &'a Message, name: &str) -> Option<&'a [u8]> {
-    if let Found::One(value) = message.field(name) { Some(value) } else { None }
+    if let Found::One(value) = message.field(name) {
+        Some(value)
+    } else {
+        None
+    }
 }
 
 fn text(bytes: &[u8]) -> Option<&str> {
@@ -272,6 +345,7 @@
 
 /// At most 12 decimal digits.
 fn whole_number(digits: &[u8]) -> Option<u64> {
-    let well_formed = !digits.is_empty() && digits.len() <= 12 && digits.iter().all(u8::is_ascii_digit);
+    let well_formed =
+        !digits.is_empty() && digits.len() <= 12 && digits.iter().all(u8::is_ascii_digit);
     text(digits).filter(|_| well_formed)?.parse().ok()
 }
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -69,7 +69,11 @@
     }
 
     pub(super) fn all_waiting(&self) -> Vec<RequestId> {
-        self.entries.iter().filter(|(_, open)| open.client.is_some()).map(|(id, _)| *id).collect()
+        self.entries
+            .iter()
+            .filter(|(_, open)| open.client.is_some())
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     pub(super) fn held_bytes(&self) -> usize {
@@ -91,7 +95,12 @@
         parsed: ParsedRequest,
         now: Instant,
     ) -> Option<Request> {
-        let ParsedRequest { trace_id, request, head, body } = parsed;
+        let ParsedRequest {
+            trace_id,
+            request,
+            head,
+            body,
+        } = parsed;
         let held_bytes = ENTRY_OVERHEAD_BYTES + head.held_bytes() + body.len();
         if self.held_bytes + held_bytes > self.max_held_bytes {
             return None;
@@ -128,8 +137,14 @@
 
     /// One of the attempts has ended. Says whether the request had its response before.
     pub(super) fn attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) -> bool {
-        let Some(open) = self.entries.get_mut(&key.request) else { return true };
-        if outcome.never_ran() && open.first_execution.is_some_and(|first| first.attempt == key.number) {
+        let Some(open) = self.entries.get_mut(&key.request) else {
+            return true;
+        };
+        if outcome.never_ran()
+            && open
+                .first_execution
+                .is_some_and(|first| first.attempt == key.number)
+        {
             open.first_execution = None;
         }
         open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -53,9 +53,14 @@
         // A request accepted at the last moment still has its latency objective: the scheduler answers by
         // then.
         let accepting = (grace - latency_objective - RESERVE).max(MIN_ACCEPTING);
-        info!(open = self.requests.waiting(), takes_ms = accepting.millis(), "leaving");
+        info!(
+            open = self.requests.waiting(),
+            takes_ms = accepting.millis(),
+            "leaving"
+        );
         self.shutdown = Shutdown::Accepting(self.now + grace - EXIT_MARGIN);
-        self.timers.set(self.now + accepting, TimerEvent::ShutdownStage);
+        self.timers
+            .set(self.now + accepting, TimerEvent::ShutdownStage);
     }
 
     /// A second signal: every open request is answered now.
@@ -84,9 +89,12 @@
                 // refused at once.
                 self.outputs.push(Output::StopAccepting);
                 self.close_idle_clients(IDLE_CHECK_INTERVAL);
-                self.timers.set(exit_at - WRITING_TIME, TimerEvent::ShutdownStage);
+                self.timers
+                    .set(exit_at - WRITING_TIME, TimerEvent::ShutdownStage);
+            }
+            Shutdown::Finishing(exit_at) if self.now >= exit_at - WRITING_TIME => {
+                self.answer_all(exit_at)
             }
-            Shutdown::Finishing(exit_at) if self.now >= exit_at - WRITING_TIME => self.answer_all(exit_at),
             Shutdown::Serving | Shutdown::Finishing(_) | Shutdown::Flushing | Shutdown::Done => {}
         }
     }
--- a/crates/platform/src/runtime.rs
+++ b/crates/platform/src/runtime.rs
@@ -47,7 +47,11 @@
     /// # Errors
     /// The system refuses; or there is no runtime around it.
     pub fn register() -> Result<Signals> {
-        let register = |kind| signal(kind).into_diagnostic().wrap_err("can't take signals");
+        let register = |kind| {
+            signal(kind)
+                .into_diagnostic()
+                .wrap_err("can't take signals")
+        };
         Ok(Signals {
             terminate: register(SignalKind::terminate())?,
             interrupt: register(SignalKind::interrupt())?,
@@ -62,12 +66,18 @@
 /// The file can't be read, or what it says is not valid: with the place and what was expected.
 pub fn read_settings(file: &Path) -> Result<SettingsDocument> {
     let name = file.display().to_string();
-    let size = std::fs::metadata(file).into_diagnostic().wrap_err_with(|| format!("can't read {name}"))?;
+    let size = std::fs::metadata(file)
+        .into_diagnostic()
+        .wrap_err_with(|| format!("can't read {name}"))?;
     if !size.is_file() || size.len() > MAX_DOCUMENT_BYTES {
-        return Err(miette!(help = "a file of at most 4 MiB was meant", "{name} is no document"));
+        return Err(miette!(
+            help = "a file of at most 4 MiB was meant",
+            "{name} is no document"
+        ));
     }
-    let text =
-        std::fs::read_to_string(file).into_diagnostic().wrap_err_with(|| format!("can't read {name}"))?;
+    let text = std::fs::read_to_string(file)
+        .into_diagnostic()
+        .wrap_err_with(|| format!("can't read {name}"))?;
     SettingsDocument::parse(&name, &text).map_err(|e: Box<DocumentError>| Report::new(*e))
 }
 
@@ -75,10 +85,15 @@
 ///
 /// # Errors
 /// It can't listen where the document says.
-pub async fn run(file: PathBuf, document: SettingsDocument, mut signals: Signals) -> Result<Metrics> {
+pub async fn run(
+    file: PathBuf,
+    document: SettingsDocument,
+    mut signals: Signals,
+) -> Result<Metrics> {
     let listener = listen_for_clients(document.listen).await?;
     let peers = listen_for_peers(document.peer_listen).await?;
-    let descriptors = getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
+    let descriptors =
+        getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
     let clock = HostClock::start(Span::ZERO);
     let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE);
     let core = Core::new(document, descriptors, clock.now());
@@ -132,13 +147,22 @@
 }
 
 async fn listen_for_peers(address: Option<SocketAddr>) -> Result<Option<UdpSocket>> {
-    let Some(address) = address else { return Ok(None) };
+    let Some(address) = address else {
+        return Ok(None);
+    };
     let bound = UdpSocket::bind(address).await.into_diagnostic();
-    bound.wrap_err_with(|| format!("can't listen for peers at {address}")).map(Some)
+    bound
+        .wrap_err_with(|| format!("can't listen for peers at {address}"))
+        .map(Some)
 }
 
-async fn accept(listener: Option<&TcpListener>, from: tokio::time::Instant) -> std::io::Result<TcpStream> {
-    let Some(listener) = listener else { return std::future::pending().await };
+async fn accept(
+    listener: Option<&TcpListener>,
+    from: tokio::time::Instant,
+) -> std::io::Result<TcpStream> {
+    let Some(listener) = listener else {
+        return std::future::pending().await;
+    };
     if from > tokio::time::Instant::now() {
         tokio::time::sleep_until(from).await;
     }
--- a/crates/platform/src/runtime/connection.rs
+++ b/crates/platform/src/runtime/connection.rs
@@ -84,11 +84,22 @@
     // Names are not looked up: the platform has no service for it.
     if let Ok(address) = address.parse::<SocketAddr>()
         && let Ok(stream) = TcpStream::connect(address).await
-        && events.send(ConnectionEvent { conn, event: SocketEvent::Connected }).await.is_ok()
+        && events
+            .send(ConnectionEvent {
+                conn,
+                event: SocketEvent::Connected,
+            })
+            .await
+            .is_ok()
     {
         return serve(conn, stream, orders, events).await;
     }
-    let _ = events.send(ConnectionEvent { conn, event: SocketEvent::Closed }).await;
+    let _ = events
+        .send(ConnectionEvent {
+            conn,
+            event: SocketEvent::Closed,
+        })
+        .await;
 }
 
 /// Serves a connection until it has ended.
@@ -100,12 +111,23 @@
 ) {
     // Without it small messages wait for one another; a socket that refuses it is over anyway.
     let _ = stream.set_nodelay(true);
-    let mut connection = Connection { conn, stream, events, bytes_reported: 0, discard_left: None };
+    let mut connection = Connection {
+        conn,
+        stream,
+        events,
+        bytes_reported: 0,
+        discard_left: None,
+    };
     // If the owner is gone, nobody needs the result.
     let _ = connection.run(&mut orders).await;
     let Connection { stream, events, .. } = connection;
     drop(stream);
-    let _ = events.send(ConnectionEvent { conn, event: SocketEvent::Closed }).await;
+    let _ = events
+        .send(ConnectionEvent {
+            conn,
+            event: SocketEvent::Closed,
+        })
+        .await;
 }
 
 /// The owner does not read events any more.
@@ -129,7 +151,13 @@
 
 impl Connection {
     async fn report(&self, event: SocketEvent) -> Result<(), OwnerGone> {
-        self.events.send(ConnectionEvent { conn: self.conn, event }).await.map_err(|_| OwnerGone)
+        self.events
+            .send(ConnectionEvent {
+                conn: self.conn,
+                event,
+            })
+            .await
+            .map_err(|_| OwnerGone)
     }
 
     /// Until the connection is over.
@@ -162,7 +190,10 @@
                 self.report(SocketEvent::Written).await?;
             }
             Order::Respond(bytes) => {
-                if !matches!(timeout(WRITE_TIMEOUT, self.stream.write_all(&bytes)).await, Ok(Ok(()))) {
+                if !matches!(
+                    timeout(WRITE_TIMEOUT, self.stream.write_all(&bytes)).await,
+                    Ok(Ok(()))
+                ) {
                     return Ok(Next::Close);
                 }
                 self.report(SocketEvent::Written).await?;
@@ -198,7 +229,8 @@
     fn no_unseen_input(&self, seen: u64) -> bool {
         let mut one_byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut one_byte);
-        self.bytes_reported == seen && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        self.bytes_reported == seen
+            && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Closes this side's direction and discards further input, for a bounded time and size. An immediate
--- a/crates/platform/src/runtime/reload.rs
+++ b/crates/platform/src/runtime/reload.rs
@@ -16,7 +16,11 @@
 
 impl Reload {
     pub(super) fn new(file: PathBuf) -> Reload {
-        Reload { file, reading: None, requested_again: false }
+        Reload {
+            file,
+            reading: None,
+            requested_again: false,
+        }
     }
 
     /// Begins to read the file, or will do so again when the present reading is finished.
@@ -36,7 +40,9 @@
     /// The document, when it is read; pending while none is being read. Dropped before that, it loses
     /// nothing.
     pub(super) async fn finished(&mut self) -> Result<SettingsDocument> {
-        let Some(reading) = &mut self.reading else { return std::future::pending().await };
+        let Some(reading) = &mut self.reading else {
+            return std::future::pending().await;
+        };
         let document = reading.await.into_diagnostic();
         self.reading = None;
         if std::mem::take(&mut self.requested_again) {
--- a/crates/platform/src/runtime/sockets.rs
+++ b/crates/platform/src/runtime/sockets.rs
@@ -54,7 +54,11 @@
 
     /// A signal: the first one lets open requests finish, the second one does not.
     pub(super) fn shut_down(&mut self) {
-        let input = if self.shutting_down { Input::ShutdownNow } else { Input::Shutdown };
+        let input = if self.shutting_down {
+            Input::ShutdownNow
+        } else {
+            Input::Shutdown
+        };
         self.shutting_down = true;
         self.core.handle(self.clock.now(), input);
     }
@@ -68,14 +72,26 @@
     pub(super) fn add_client(&mut self, stream: TcpStream) {
         let conn = self.core.accept(self.clock.now());
         let (orders, queue) = mpsc::channel(ORDER_QUEUE);
-        let task = self.tasks.spawn(connection::serve(conn, stream, queue, self.event_sender.clone()));
-        self.connections.insert(conn, ConnectionHandle { orders, task });
+        let task = self.tasks.spawn(connection::serve(
+            conn,
+            stream,
+            queue,
+            self.event_sender.clone(),
+        ));
+        self.connections
+            .insert(conn, ConnectionHandle { orders, task });
     }
 
     fn connect(&mut self, conn: ConnectionId, address: String) {
         let (orders, queue) = mpsc::channel(ORDER_QUEUE);
-        let task = self.tasks.spawn(connection::connect(conn, address, queue, self.event_sender.clone()));
-        self.connections.insert(conn, ConnectionHandle { orders, task });
+        let task = self.tasks.spawn(connection::connect(
+            conn,
+            address,
+            queue,
+            self.event_sender.clone(),
+        ));
+        self.connections
+            .insert(conn, ConnectionHandle { orders, task });
     }
 
     /// Hands the events of connections to the core.
@@ -164,9 +180,13 @@
 
     /// Clients in the backlog are connected in their own view, and may have sent something.
     fn stop_accepting(&mut self) {
-        let Some(Ok(listener)) = self.listener.take().map(TcpListener::into_std) else { return };
+        let Some(Ok(listener)) = self.listener.take().map(TcpListener::into_std) else {
+            return;
+        };
         while let Ok((stream, _)) = listener.accept() {
-            let ready = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+            let ready = stream
+                .set_nonblocking(true)
+                .and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = ready {
                 self.add_client(stream);
             }
--- a/crates/platform/src/settings_document.rs
+++ b/crates/platform/src/settings_document.rs
@@ -167,7 +167,12 @@
 impl Source<'_> {
     fn error(&self, what: String, help: &str, place: Option<SourceSpan>) -> Box<DocumentError> {
         let text = NamedSource::new(self.file, self.text.to_string()).with_language("json");
-        Box::new(DocumentError { what, help: help.into(), text, place })
+        Box::new(DocumentError {
+            what,
+            help: help.into(),
+            text,
+            place,
+        })
     }
 
     fn deserialize(&self) -> Result<Written, Box<DocumentError>> {
@@ -176,13 +181,21 @@
         let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
             let path = e.path().to_string();
             let e = e.into_inner();
-            let what = format!("{file}, line {}, column {}, at {path}: {e}", e.line(), e.column());
+            let what = format!(
+                "{file}, line {}, column {}, at {path}: {e}",
+                e.line(),
+                e.column()
+            );
             let help = "a JSON object with listen, discovery, limits and settings was meant";
             self.error(what, help, Some(self.place_of(&e)))
         })?;
         json.end().map_err(|e| {
             let what = format!("{file}, line {}, column {}: {e}", e.line(), e.column());
-            self.error(what, "one JSON object and nothing behind it was meant", Some(self.place_of(&e)))
+            self.error(
+                what,
+                "one JSON object and nothing behind it was meant",
+                Some(self.place_of(&e)),
+            )
         })?;
         Ok(raw)
     }
@@ -229,7 +242,10 @@
     }
 
     fn place_of(&self, e: &serde_json::Error) -> SourceSpan {
-        let lines_before = self.text.split_inclusive('\n').take(e.line().saturating_sub(1));
+        let lines_before = self
+            .text
+            .split_inclusive('\n')
+            .take(e.line().saturating_sub(1));
         let offset = lines_before.map(str::len).sum::<usize>() + e.column().saturating_sub(1);
         SourceSpan::from((offset.min(self.text.len().saturating_sub(1)), 0))
     }
--- a/crates/platform/tests/platform/attempts.rs
+++ b/crates/platform/tests/platform/attempts.rs
@@ -20,34 +20,60 @@
     let cases = [
         (says(200, "", "made for it"), "done", "200", true),
         (
-            says(200, "X-Meter: 86\r\nEndpoint-Load-Metrics: TEXT inflight=;;=, util\r\n", "b"),
+            says(
+                200,
+                "X-Meter: 86\r\nEndpoint-Load-Metrics: TEXT inflight=;;=, util\r\n",
+                "b",
+            ),
             "done",
             "200",
             true,
         ),
         (says(200, "X-Meter: many\r\n", "b"), "done", "200", true),
-        (says(200, "Connection: close\r\n", "b"), "done", "200", false),
+        (
+            says(200, "Connection: close\r\n", "b"),
+            "done",
+            "200",
+            false,
+        ),
         (
             NodeBehaviour::Responds("HTTP/1.1 100 C\r\n\r\n".to_string() + &answer(200, "", "b")),
             "done",
             "200",
             true,
         ),
-        (NodeBehaviour::Responds(answer(200, "", "b") + "HTTP/1.1 200 OK"), "done", "200", false),
+        (
+            NodeBehaviour::Responds(answer(200, "", "b") + "HTTP/1.1 200 OK"),
+            "done",
+            "200",
+            false,
+        ),
         (says(500, "", ""), "failed", "500", true),
         (says(404, "", ""), "failed", "500", true),
         (says(503, "", ""), "failed", "500", true),
         (says(200, never, "b"), "done", "200", true),
         (says(500, never, ""), "failed", "500", true),
-        (NodeBehaviour::Responds("noise without an end\r\n\r\n".into()), "failed", "500", false),
+        (
+            NodeBehaviour::Responds("noise without an end\r\n\r\n".into()),
+            "failed",
+            "500",
+            false,
+        ),
         (NodeBehaviour::Responds(long), "failed", "500", false),
         (
-            NodeBehaviour::Responds("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".into()),
+            NodeBehaviour::Responds(
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".into(),
+            ),
+            "failed",
+            "500",
+            false,
+        ),
+        (
+            NodeBehaviour::Responds("HTTP/1.1 200 OK\r\n\r\nto the end".into()),
             "failed",
             "500",
             false,
         ),
-        (NodeBehaviour::Responds("HTTP/1.1 200 OK\r\n\r\nto the end".into()), "failed", "500", false),
         (NodeBehaviour::Closes, "broken", "500", false),
         (NodeBehaviour::Nothing, "timed_out", "500", false),
     ];
@@ -85,7 +111,11 @@
             rig.client_sending(&request_text("read", 8, 0));
             assert_eq!(rig.sent(conn).len(), 1, "{what}: it carries nothing more");
         }
-        assert_eq!(rig.size("transfers"), rig.size("legs"), "{what}: what ended is forgotten");
+        assert_eq!(
+            rig.size("transfers"),
+            rig.size("legs"),
+            "{what}: what ended is forgotten"
+        );
     }
 }
 
@@ -117,7 +147,12 @@
                 "unreached"
             }
         };
-        assert_eq!(rig.outcome_count(outcome), 1, "{how}: {:?}", rig.metrics().attempt_outcomes);
+        assert_eq!(
+            rig.outcome_count(outcome),
+            1,
+            "{how}: {:?}",
+            rig.metrics().attempt_outcomes
+        );
         rig.advance_time(100.0);
         assert!(rig.statuses(client).is_empty(), "{how}: it is still open");
         if how > 0 {
@@ -161,7 +196,10 @@
     let new = rig.establish(0);
     assert!(new != old && rig.closed(old));
     rig.receive(new, &answer(200, "", "b"));
-    assert_eq!((rig.statuses(client), rig.metrics().idle_connections_closed), (vec!["200".to_string()], 1));
+    assert_eq!(
+        (rig.statuses(client), rig.metrics().idle_connections_closed),
+        (vec!["200".to_string()], 1)
+    );
 }
 
 #[test]
@@ -203,7 +241,11 @@
         change.into_iter().for_each(|n| rig.discovery_answers(n));
         rig.input(Input::Connected(conn));
         let first = usize::from(!rig.sent(conn).is_empty());
-        assert_eq!((first == 1, rig.outcome_count("unsent")), (goes, u64::from(!goes)), "{change:?}");
+        assert_eq!(
+            (first == 1, rig.outcome_count("unsent")),
+            (goes, u64::from(!goes)),
+            "{change:?}"
+        );
     }
     // Its node has started anew: decided for another process, it is decided again.
     let mut rig = Rig::new();
@@ -218,7 +260,14 @@
     let conn = rig.connections_to(NODES[0].1)[0];
     rig.input(Input::Closed(client));
     rig.input(Input::Connected(conn));
-    assert_eq!((rig.sent(conn).len(), rig.outcome_count("unsent"), rig.size("transfers")), (0, 1, 0));
+    assert_eq!(
+        (
+            rig.sent(conn).len(),
+            rig.outcome_count("unsent"),
+            rig.size("transfers")
+        ),
+        (0, 1, 0)
+    );
 }
 
 #[test]
@@ -234,19 +283,28 @@
     ];
     for (before, after, older, proven) in cases {
         let mut rig = Rig::new();
-        (1..=1 + u64::from(older)).for_each(|i| _ = rig.client_sending(&request_text("once", i, 0)));
+        (1..=1 + u64::from(older))
+            .for_each(|i| _ = rig.client_sending(&request_text("once", i, 0)));
         let conns = rig.connections_to(NODES[0].1);
         for l in &conns {
             rig.input(Input::Connected(*l));
             rig.input(Input::Written(*l));
         }
-        conns.iter().for_each(|l| rig.receive(*l, &answer(200, "", "b")));
+        conns
+            .iter()
+            .for_each(|l| rig.receive(*l, &answer(200, "", "b")));
         rig.advance_time(before);
         let connections_lost = conns[conns.len() - 1];
         rig.client_sending(&request_text("once", 4, 0));
         rig.input(Input::Written(connections_lost));
         rig.input(Input::Closed(connections_lost));
-        assert_eq!((rig.metrics().connections_lost, rig.metrics().restarts_ruled_out), (1, 0));
+        assert_eq!(
+            (
+                rig.metrics().connections_lost,
+                rig.metrics().restarts_ruled_out
+            ),
+            (1, 0)
+        );
         // It is made again at once, and is up after a while.
         let again = *rig.connections_to(NODES[0].1).last().unwrap();
         assert!(again != connections_lost);
@@ -259,7 +317,11 @@
         } else {
             rig.input(Input::Connected(again));
         }
-        assert_eq!(rig.metrics().restarts_ruled_out, u64::from(proven), "{before} {after} {older}");
+        assert_eq!(
+            rig.metrics().restarts_ruled_out,
+            u64::from(proven),
+            "{before} {after} {older}"
+        );
     }
 }
 
@@ -280,8 +342,10 @@
 #[test]
 fn one_request_per_connection_and_the_last_used_first() {
     let mut rig = Rig::new();
-    let (first, second) =
-        (rig.client_sending(&request_text("read", 1, 0)), rig.client_sending(&request_text("read", 2, 0)));
+    let (first, second) = (
+        rig.client_sending(&request_text("read", 1, 0)),
+        rig.client_sending(&request_text("read", 2, 0)),
+    );
     let connections_to = rig.connections_to(NODES[0].1);
     assert_eq!(connections_to.len(), 2, "each on a connection of its own");
     for conn in &connections_to {
@@ -296,7 +360,13 @@
         (vec!["200".to_string()], vec!["200".to_string()])
     );
     rig.client_sending(&request_text("read", 3, 0));
-    assert_eq!((rig.sent(connections_to[0]).len(), rig.sent(connections_to[1]).len()), (2, 1));
+    assert_eq!(
+        (
+            rig.sent(connections_to[0]).len(),
+            rig.sent(connections_to[1]).len()
+        ),
+        (2, 1)
+    );
 }
 
 #[test]
@@ -305,6 +375,16 @@
     for (from, size) in [("10.3.0.9:7946", 10), (PEER, 257), (PEER, 10)] {
         rig.input(Input::Datagram(from.parse().unwrap(), vec![0; size].into()));
     }
-    assert_eq!((rig.metrics().foreign_datagrams, rig.metrics().peer_messages_received), (2, 1));
-    assert!(rig.out.iter().all(|o| !matches!(o, Output::Datagram { .. })));
+    assert_eq!(
+        (
+            rig.metrics().foreign_datagrams,
+            rig.metrics().peer_messages_received
+        ),
+        (2, 1)
+    );
+    assert!(
+        rig.out
+            .iter()
+            .all(|o| !matches!(o, Output::Datagram { .. }))
+    );
 }
--- a/crates/platform/tests/platform/connection_task.rs
+++ b/crates/platform/tests/platform/connection_task.rs
@@ -21,12 +21,18 @@
     /// With an established connection. `event_queue`: how many events may wait unread.
     async fn new(event_queue: usize) -> TaskUnderTest {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        let peer = TcpStream::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let (orders, queue) = mpsc::channel(8);
         let (sink, events) = mpsc::channel(event_queue);
         tokio::spawn(connection::serve(ConnectionId(1), stream, queue, sink));
-        TaskUnderTest { peer, orders, events }
+        TaskUnderTest {
+            peer,
+            orders,
+            events,
+        }
     }
 
     async fn order(&self, order: Order) {
@@ -36,9 +42,10 @@
     /// What it says next.
     async fn next_event(&mut self) -> String {
         match self.events.recv().await {
-            Some(ConnectionEvent { event: SocketEvent::Received(bytes), .. }) => {
-                String::from_utf8_lossy(&bytes).into_owned()
-            }
+            Some(ConnectionEvent {
+                event: SocketEvent::Received(bytes),
+                ..
+            }) => String::from_utf8_lossy(&bytes).into_owned(),
             Some(ConnectionEvent { event: other, .. }) => format!("{other:?}"),
             None => "nothing more".into(),
         }
@@ -52,13 +59,21 @@
     async fn read_to_end(&mut self) -> (String, bool) {
         let mut all = Vec::new();
         let outcome_count = self.peer.read_to_end(&mut all).await;
-        (String::from_utf8_lossy(&all).into_owned(), outcome_count.is_ok())
+        (
+            String::from_utf8_lossy(&all).into_owned(),
+            outcome_count.is_ok(),
+        )
     }
 }
 
 fn runs(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(std::time::Duration::from_secs(20), test).await }).unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime
+        .block_on(async { tokio::time::timeout(std::time::Duration::from_secs(20), test).await })
+        .unwrap();
 }
 
 /// The order to close, and a message on the connection: read and not yet handled; received and not yet read;
@@ -77,7 +92,8 @@
         }
         task.order(Order::CloseIdle { seen: 5 }).await;
         assert_eq!(task.next_event().await, "second");
-        task.order(Order::Respond(Bytes::from_static(b"answer"))).await;
+        task.order(Order::Respond(Bytes::from_static(b"answer")))
+            .await;
         assert_eq!(task.next_event().await, "Written");
         // With all of it handled the order holds.
         task.order(Order::CloseIdle { seen: 11 }).await;
@@ -111,7 +127,8 @@
         task.order(Order::CloseIdle { seen: 5 }).await;
         assert_eq!(task.next_event().await, "first");
         assert_eq!(task.next_event().await, "second");
-        task.order(Order::Respond(Bytes::from_static(b"answer"))).await;
+        task.order(Order::Respond(Bytes::from_static(b"answer")))
+            .await;
         assert_eq!(task.next_event().await, "Written");
         task.order(Order::FinishAndClose).await;
         assert_eq!(task.next_event().await, "WriteClosed");
@@ -127,7 +144,9 @@
         runs(async move {
             let mut task = TaskUnderTest::new(64).await;
             if slow {
-                SockRef::from(&task.peer).set_recv_buffer_size(4 << 10).unwrap();
+                SockRef::from(&task.peer)
+                    .set_recv_buffer_size(4 << 10)
+                    .unwrap();
             }
             let body = vec![b'b'; 64 << 10];
             task.peer_sends(b"ask").await;
@@ -154,9 +173,13 @@
             drop(task.peer);
             loop {
                 match task.events.recv().await {
-                    Some(ConnectionEvent { event: SocketEvent::Closed, .. }) => break,
                     Some(ConnectionEvent {
-                        event: SocketEvent::Received(_) | SocketEvent::Written | SocketEvent::WriteClosed,
+                        event: SocketEvent::Closed,
+                        ..
+                    }) => break,
+                    Some(ConnectionEvent {
+                        event:
+                            SocketEvent::Received(_) | SocketEvent::Written | SocketEvent::WriteClosed,
                         ..
                     }) => {}
                     other => panic!("{other:?}"),
@@ -181,13 +204,25 @@
             }
             task.peer_sends(&[b'x'; 100_000]).await;
             if reset {
-                SockRef::from(&task.peer).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+                SockRef::from(&task.peer)
+                    .set_linger(Some(std::time::Duration::ZERO))
+                    .unwrap();
             }
-            let TaskUnderTest { peer, orders, events } = task;
+            let TaskUnderTest {
+                peer,
+                orders,
+                events,
+            } = task;
             drop(peer);
             let mut events = events;
             assert!(
-                matches!(events.recv().await, Some(ConnectionEvent { event: SocketEvent::Closed, .. })),
+                matches!(
+                    events.recv().await,
+                    Some(ConnectionEvent {
+                        event: SocketEvent::Closed,
+                        ..
+                    })
+                ),
                 "{reset}"
             );
             drop(orders);
@@ -218,7 +253,10 @@
 #[test]
 fn nothing_is_written_after_unsolicited_input() {
     runs(async {
-        let send = |seen| Order::Send { bytes: Bytes::from_static(b"message"), seen };
+        let send = |seen| Order::Send {
+            bytes: Bytes::from_static(b"message"),
+            seen,
+        };
         // Read, and its owner did not know yet.
         let mut task = TaskUnderTest::new(8).await;
         task.peer_sends(b"surplus").await;
@@ -240,7 +278,10 @@
         assert_eq!(task.next_event().await, "one");
         let [second, third] = task.next_two_events().await;
         let order_first = second == "NotWritten";
-        assert!(order_first || second == "two" && third == "NotWritten", "{second}, {third}");
+        assert!(
+            order_first || second == "two" && third == "NotWritten",
+            "{second}, {third}"
+        );
         assert_eq!(task.read_to_end().await.0, "");
         // Nothing came: it is written, and the answer follows.
         let mut task = TaskUnderTest::new(8).await;
@@ -249,7 +290,10 @@
         let mut got = [0; 7];
         task.peer.read_exact(&mut got).await.unwrap();
         task.peer_sends(b"answer").await;
-        assert_eq!((&got, task.next_event().await.as_str()), (b"message", "answer"));
+        assert_eq!(
+            (&got, task.next_event().await.as_str()),
+            (b"message", "answer")
+        );
     });
 }
 
@@ -265,7 +309,11 @@
         // The task stands still with what it has, so the end and the order are there together.
         task.peer_sends(b"two").await;
         task.peer.shutdown().await.unwrap();
-        task.order(Order::Send { bytes: Bytes::from_static(b"message"), seen: 6 }).await;
+        task.order(Order::Send {
+            bytes: Bytes::from_static(b"message"),
+            seen: 6,
+        })
+        .await;
         assert_eq!(task.next_event().await, "one");
         let mut reports = Vec::new();
         loop {
--- a/crates/platform/tests/platform/discovery.rs
+++ b/crates/platform/tests/platform/discovery.rs
@@ -9,10 +9,20 @@
     let mut rig = Rig::new();
     let conn = rig.connections_to(DISCOVERY)[0];
     rig.discovery_answers(&page(41, false, &[(1, "DRAINING", 0.0)]));
-    let asked: Vec<_> =
-        rig.sent(conn).iter().map(|t| t.lines().next().unwrap_or_default().to_string()).collect();
+    let asked: Vec<_> = rig
+        .sent(conn)
+        .iter()
+        .map(|t| t.lines().next().unwrap_or_default().to_string())
+        .collect();
     let watch = |seq| format!("GET /catalog/members?after={seq}&wait_ms=2000 HTTP/1.1");
-    assert_eq!(asked, ["GET /catalog/members HTTP/1.1".to_string(), watch(1), watch(41)]);
+    assert_eq!(
+        asked,
+        [
+            "GET /catalog/members HTTP/1.1".to_string(),
+            watch(1),
+            watch(41)
+        ]
+    );
 }
 
 #[test]
@@ -30,11 +40,22 @@
         rig.receive(conn, &text);
         assert!(rig.closed(conn), "{text}");
         rig.client_sending(&request_text("read", 1, 0));
-        assert_eq!(rig.connections_to(NODES[0].1).len(), 1, "{text}: the node is still ready");
+        assert_eq!(
+            rig.connections_to(NODES[0].1).len(),
+            1,
+            "{text}: the node is still ready"
+        );
         rig.advance_time(100.0);
         assert_eq!(rig.connections_to(DISCOVERY).len(), 2, "{text}");
         rig.discovery_answers(&page(7, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]));
-        assert_eq!((rig.metrics().discovery_snapshots, rig.metrics().discovery_lost), (2, 1), "{text}");
+        assert_eq!(
+            (
+                rig.metrics().discovery_snapshots,
+                rig.metrics().discovery_lost
+            ),
+            (2, 1),
+            "{text}"
+        );
     }
 }
 
@@ -47,30 +68,61 @@
     // the page, entries skipped, what a read for each shard is answered at once, if anything
     let cases = [
         (both.replacen("SERVING", "SLEEPING", 1), 1, [None, None]),
-        (both.replacen("\"block\":0", "\"block\":\"x\"", 1), 1, [None, None]),
+        (
+            both.replacen("\"block\":0", "\"block\":\"x\"", 1),
+            1,
+            [None, None],
+        ),
         (both.replacen("\"block\":0,", "", 1), 1, [None, None]),
-        (both.replacen("\"hosts\":[", "\"hosts\":[7,", 1), 1, [None, None]),
-        (both.replacen("\"site\":\"a\"", "\"site\":\"z\"", 1), 0, [None, None]),
-        (both.replacen("\"class\":\"m\"", "\"class\":\"new\"", 1), 0, [None, None]),
-        (both.replacen("\"block\":0", "\"block\":99", 1), 0, [Some("503"), None]),
+        (
+            both.replacen("\"hosts\":[", "\"hosts\":[7,", 1),
+            1,
+            [None, None],
+        ),
+        (
+            both.replacen("\"site\":\"a\"", "\"site\":\"z\"", 1),
+            0,
+            [None, None],
+        ),
+        (
+            both.replacen("\"class\":\"m\"", "\"class\":\"new\"", 1),
+            0,
+            [None, None],
+        ),
+        (
+            both.replacen("\"block\":0", "\"block\":99", 1),
+            0,
+            [Some("503"), None],
+        ),
         (page(2, true, &[]), 0, [None, None]),
     ];
     for (text, skipped, answers) in cases {
         let mut rig = Rig::new();
         rig.discovery_answers(&text);
         assert_eq!(
-            (rig.metrics().discovery_entries_skipped, rig.metrics().discovery_lost),
+            (
+                rig.metrics().discovery_entries_skipped,
+                rig.metrics().discovery_lost
+            ),
             (skipped, 0),
             "{text}"
         );
         for (shard, wanted) in answers.into_iter().enumerate() {
             let client = rig.client_sending(&request_text("read", shard as u64 + 1, shard as i64));
-            assert_eq!(rig.statuses(client).first().map(String::as_str), wanted, "{text}: cell {shard}");
+            assert_eq!(
+                rig.statuses(client).first().map(String::as_str),
+                wanted,
+                "{text}: cell {shard}"
+            );
         }
         // The one that drains is sent nothing in any case.
         assert_eq!(rig.connections_to(NODES[1].1).len(), 0, "{text}");
         let goes = answers[0].is_none() && !text.contains("[]");
-        assert_eq!(rig.connections_to(NODES[0].1).len(), usize::from(goes), "{text}");
+        assert_eq!(
+            rig.connections_to(NODES[0].1).len(),
+            usize::from(goes),
+            "{text}"
+        );
     }
     // A host that knows of no node at all.
     let none = settings_document(1024, 192, DISCOVERY).replace("\"known\":{", "\"old\":{");
@@ -89,12 +141,18 @@
 fn silence_is_noticed_and_retries_are_spaced() {
     // mode; the tries in each ten seconds of silence, and the longest between two of them in ms
     for (mode, tries, between) in [("push", 60..70, 160.0), ("ask", 5..8, 1600.0)] {
-        let text = settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
+        let text =
+            settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
         let mut rig = Rig::with(&text);
         rig.advance_time(3_400.0);
         assert_eq!(rig.metrics().discovery_lost, 0, "{mode}");
         rig.advance_time(200.0);
-        let open = |rig: &Rig| rig.connections_to(DISCOVERY).iter().filter(|c| !rig.closed(**c)).count();
+        let open = |rig: &Rig| {
+            rig.connections_to(DISCOVERY)
+                .iter()
+                .filter(|c| !rig.closed(**c))
+                .count()
+        };
         for _ in 0..3 {
             let before = rig.connections_to(DISCOVERY).len();
             for _ in 0..(10_000.0 / between) as usize {
@@ -117,16 +175,33 @@
     let invalid_requests = |rig: &mut Rig, c| rig.input(Input::Closed(c));
     let silent = |_: &mut Rig, _| {};
     let silent_after_asking = |rig: &mut Rig, c| rig.input(Input::Connected(c));
-    let silent_in_head =
-        |rig: &mut Rig, c| (rig.input(Input::Connected(c)), rig.receive(c, "HTTP/1.1 200 OK\r\nContent-")).1;
+    let silent_in_head = |rig: &mut Rig, c| {
+        (
+            rig.input(Input::Connected(c)),
+            rig.receive(c, "HTTP/1.1 200 OK\r\nContent-"),
+        )
+            .1
+    };
     let silent_in_body = |rig: &mut Rig, c| {
         rig.input(Input::Connected(c));
-        rig.receive(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,");
+        rig.receive(
+            c,
+            "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,",
+        );
+    };
+    let busy = |rig: &mut Rig, c| {
+        (
+            rig.input(Input::Connected(c)),
+            rig.receive(c, &answer(503, "", "")),
+        )
+            .1
     };
-    let busy = |rig: &mut Rig, c| (rig.input(Input::Connected(c)), rig.receive(c, &answer(503, "", ""))).1;
     let ends_in_body = |rig: &mut Rig, c| {
         rig.input(Input::Connected(c));
-        rig.receive(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,");
+        rig.receive(
+            c,
+            "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,",
+        );
         rig.input(Input::Closed(c));
     };
     type Fails = fn(&mut Rig, gullsail_platform::core::ConnectionId);
@@ -143,8 +218,8 @@
         for (one, first) in &all {
             for (two, second) in &all {
                 let what = format!("{mode}: {one}, then {two}");
-                let text =
-                    settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
+                let text = settings_document(1024, 192, DISCOVERY)
+                    .replace("\"push\"", &format!("\"{mode}\""));
                 let mut rig = Rig::with(&text);
                 // The watch falls silent; long enough after it for tries to be as far apart as they get.
                 let mut tried = rig.connections_to(DISCOVERY).len();
@@ -172,10 +247,18 @@
                 rig.input(Input::Connected(conn));
                 rig.receive(
                     conn,
-                    &answer(200, "", &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)])),
+                    &answer(
+                        200,
+                        "",
+                        &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]),
+                    ),
                 );
                 rig.client_sending(&request_text("read", 1, 0));
-                assert_eq!(rig.connections_to(NODES[0].1).len(), 0, "{what}: it is told");
+                assert_eq!(
+                    rig.connections_to(NODES[0].1).len(),
+                    0,
+                    "{what}: it is told"
+                );
             }
         }
     }
@@ -185,8 +268,16 @@
 /// still sends is ignored.
 #[test]
 fn of_two_open_polls_the_first_answer_counts() {
-    let drains = answer(200, "", &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]));
-    let serves = answer(200, "", &page(8, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]));
+    let drains = answer(
+        200,
+        "",
+        &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]),
+    );
+    let serves = answer(
+        200,
+        "",
+        &page(8, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]),
+    );
     for old_first in [true, false] {
         let mut rig = Rig::new();
         let old = rig.connections_to(DISCOVERY)[0];
@@ -197,12 +288,18 @@
         let (first, second) = if old_first { (old, new) } else { (new, old) };
         rig.receive(first, &drains);
         assert!(rig.closed(second) && !rig.closed(first), "{old_first}");
-        assert!(rig.sent(first).last().unwrap().contains("after=9&"), "{old_first}");
+        assert!(
+            rig.sent(first).last().unwrap().contains("after=9&"),
+            "{old_first}"
+        );
         rig.receive(second, &serves);
         rig.input(Input::Closed(second));
         rig.client_sending(&request_text("read", 1, 0));
         assert_eq!(
-            (rig.connections_to(NODES[0].1).len(), rig.metrics().discovery_snapshots),
+            (
+                rig.connections_to(NODES[0].1).len(),
+                rig.metrics().discovery_snapshots
+            ),
             (0, 2),
             "{old_first}"
         );
@@ -228,8 +325,14 @@
         requests.push((rig.now, rig.metrics().discovery_snapshots));
         rig.advance_time(100.0);
     }
-    let first = requests.iter().find(|t| t.1 == 3).map(|t| (t.0 - requests[0].0).millis());
-    assert!(first.is_some_and(|ms| (6_000.0..6_200.0).contains(&ms)), "{first:?}");
+    let first = requests
+        .iter()
+        .find(|t| t.1 == 3)
+        .map(|t| (t.0 - requests[0].0).millis());
+    assert!(
+        first.is_some_and(|ms| (6_000.0..6_200.0).contains(&ms)),
+        "{first:?}"
+    );
     // A newer one in between: the older ones are counted anew.
     let mut rig = Rig::new();
     rig.discovery_answers(&page(9, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]));
@@ -257,7 +360,13 @@
     assert!(indented.len() > 64 << 10);
     let mut rig = Rig::new();
     rig.discovery_answers(&indented);
-    assert_eq!((rig.metrics().discovery_snapshots, rig.metrics().discovery_lost), (2, 0));
+    assert_eq!(
+        (
+            rig.metrics().discovery_snapshots,
+            rig.metrics().discovery_lost
+        ),
+        (2, 0)
+    );
 }
 
 #[test]
@@ -274,11 +383,18 @@
         let busy = rig.establish(0);
         rig.receive(idle, &answer(200, "", "b"));
         rig.discovery_answers(&change);
-        assert!(rig.closed(idle) && !rig.closed(busy), "{change}: what is out goes on");
+        assert!(
+            rig.closed(idle) && !rig.closed(busy),
+            "{change}: what is out goes on"
+        );
         let client = rig.client_sending(&request_text("read", 3, 0));
         rig.advance_time(50.0);
         assert_eq!(
-            (rig.connections_to(NODES[0].1).len(), rig.sent(idle).len(), rig.statuses(client).len()),
+            (
+                rig.connections_to(NODES[0].1).len(),
+                rig.sent(idle).len(),
+                rig.statuses(client).len()
+            ),
             (2, 1, 0)
         );
         rig.receive(busy, &answer(200, "", "b"));
@@ -289,16 +405,25 @@
 #[test]
 fn a_node_that_moved_is_connected_to_at_its_new_address() {
     let mut rig = Rig::new();
-    rig.discovery_answers(&page(2, false, &[(0, "SERVING", 0.0)]).replace(NODES[0].1, "10.9.9.9:1"));
+    rig.discovery_answers(
+        &page(2, false, &[(0, "SERVING", 0.0)]).replace(NODES[0].1, "10.9.9.9:1"),
+    );
     rig.client_sending(&request_text("read", 1, 0));
-    assert_eq!((rig.connections_to("10.9.9.9:1").len(), rig.connections_to(NODES[0].1).len()), (1, 0));
+    assert_eq!(
+        (
+            rig.connections_to("10.9.9.9:1").len(),
+            rig.connections_to(NODES[0].1).len()
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
 fn a_reload_moves_discovery_and_nothing_else() {
     // While a client is within its head, its attempt waits, its attempt is out, and while the host leaves;
     // always twice.
-    let moved = SettingsDocument::parse("d", &settings_document(1024, 192, "10.2.0.9:8500")).unwrap();
+    let moved =
+        SettingsDocument::parse("d", &settings_document(1024, 192, "10.2.0.9:8500")).unwrap();
     for stage in 0..4 {
         let mut rig = Rig::new();
         let text = request_text("read", 1, 0);
@@ -316,8 +441,18 @@
         let new = *rig.connections_to("10.2.0.9:8500").last().unwrap();
         assert!(rig.closed(old), "{stage}");
         rig.input(Input::Connected(new));
-        assert!(rig.sent(new)[0].starts_with("GET /catalog/members HTTP"), "{stage}: whole");
-        rig.receive(new, &answer(200, "", &page(3, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)])));
+        assert!(
+            rig.sent(new)[0].starts_with("GET /catalog/members HTTP"),
+            "{stage}: whole"
+        );
+        rig.receive(
+            new,
+            &answer(
+                200,
+                "",
+                &page(3, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]),
+            ),
+        );
         if stage == 0 {
             rig.receive(client, &text[30..]);
         }
@@ -340,14 +475,32 @@
     let cases = [
         (sound[..sound.len() / 2].to_string(), "line "),
         (String::new(), "EOF"),
-        (sound.replacen("\"discovery\"", "\"dscovery\"", 1), "discovery"),
-        (sound.replacen("\"sockets\":256", "\"sockets\":\"many\"", 1), "many"),
-        (sound.replacen("\"sockets\":256", "\"sockets\":8", 1), "at least 32"),
+        (
+            sound.replacen("\"discovery\"", "\"dscovery\"", 1),
+            "discovery",
+        ),
+        (
+            sound.replacen("\"sockets\":256", "\"sockets\":\"many\"", 1),
+            "many",
+        ),
+        (
+            sound.replacen("\"sockets\":256", "\"sockets\":8", 1),
+            "at least 32",
+        ),
         (sound.replacen("127.0.0.1:0", "here", 1), "line 1"),
-        (sound.replacen("\"effect\":\"pure\"", "\"effect\":\"odd\"", 1), "unknown effect 'odd'"),
+        (
+            sound.replacen("\"effect\":\"pure\"", "\"effect\":\"odd\"", 1),
+            "unknown effect 'odd'",
+        ),
         // Where it is, and what was meant.
-        (sound.replacen("\"peers-total\":2", "\"peers-total\":\"two\"", 1), "settings.peers-total"),
-        (sound.replacen("\"nominal\":10.0", "\"nominal\":\"x\"", 1), "settings.policies[0].nominal"),
+        (
+            sound.replacen("\"peers-total\":2", "\"peers-total\":\"two\"", 1),
+            "settings.peers-total",
+        ),
+        (
+            sound.replacen("\"nominal\":10.0", "\"nominal\":\"x\"", 1),
+            "settings.policies[0].nominal",
+        ),
         (
             sound.replacen("\"nominal\":10.0", "\"limit\":-1.0", 1),
             "settings.policies[0].limit: a figure of 0 or more",
@@ -364,8 +517,14 @@
             sound.replacen("\"tick\"", "\"stages\":[\"s\"],\"tier\":1,\"tick\"", 1),
             "settings.tier: one of the 1 stages was meant, not 1",
         ),
-        (sound.replacen("\"rank\":0", "\"rank\":2", 1), "settings.rank: a number below peers-total, 2"),
-        (sound.replacen("\"push\"", "\"pull\"", 1), "settings.membership-mode: 'push' or 'ask'"),
+        (
+            sound.replacen("\"rank\":0", "\"rank\":2", 1),
+            "settings.rank: a number below peers-total, 2",
+        ),
+        (
+            sound.replacen("\"push\"", "\"pull\"", 1),
+            "settings.membership-mode: 'push' or 'ask'",
+        ),
         (
             sound.replacen("\"name\":\"write\"", "\"name\":\"read\"", 1),
             "settings.profiles[1].name: another name",
@@ -374,7 +533,10 @@
             sound.replacen("[false,true,true]", "[false]", 1),
             "settings.family-info.writes: one word for each of 3",
         ),
-        (sound.replacen("\"slots-total\":2", "\"slots-total\":-2", 1), "settings.family-info.slots-total"),
+        (
+            sound.replacen("\"slots-total\":2", "\"slots-total\":-2", 1),
+            "settings.family-info.slots-total",
+        ),
         (
             sound.replacen("\"objective\":600.0", "\"objective\":0.0", 1),
             "settings.profiles[0].objective: a time above",
@@ -384,12 +546,18 @@
             "settings.limits.max-attempts: at least one",
         ),
         (
-            sound.replacen("\"overload-for\"", "\"free-resends\":3.0,\"overload-for\"", 1),
+            sound.replacen(
+                "\"overload-for\"",
+                "\"free-resends\":3.0,\"overload-for\"",
+                1,
+            ),
             "settings.rules.look-back",
         ),
     ];
     for (text, names) in cases {
-        let why = SettingsDocument::parse("config.json", &text).unwrap_err().to_string();
+        let why = SettingsDocument::parse("config.json", &text)
+            .unwrap_err()
+            .to_string();
         assert!(why.contains(names) && why.contains("config.json"), "{why}");
     }
     // Keys that are not known are skipped, wherever they stand.
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -32,7 +32,10 @@
             rig.input(Input::Written(conn));
         }
         assert_eq!(
-            (rig.outcome_count("timed_out"), rig.outcome_count("unreached")),
+            (
+                rig.outcome_count("timed_out"),
+                rig.outcome_count("unreached")
+            ),
             (1, 0),
             "{written_first}"
         );
@@ -42,7 +45,11 @@
             "{written_first}"
         );
         rig.advance_time(1000.0);
-        let again = rig.connections_to(NODES[0].1).into_iter().filter(|c| !rig.sent(*c).is_empty()).count();
+        let again = rig
+            .connections_to(NODES[0].1)
+            .into_iter()
+            .filter(|c| !rig.sent(*c).is_empty())
+            .count();
         assert_eq!(again, 1, "{written_first}: not sent a second time");
     }
 }
@@ -57,7 +64,13 @@
         let conn = *rig.connections_to(NODES[0].1).last().unwrap();
         rig.input(Input::Connected(conn));
         let written_report = written.then_some(Input::Written(conn));
-        together(&mut rig, written_report.into_iter().chain([Input::Closed(conn)]).collect());
+        together(
+            &mut rig,
+            written_report
+                .into_iter()
+                .chain([Input::Closed(conn)])
+                .collect(),
+        );
         assert_eq!(rig.outcome_count(outcome), 1, "{written}");
         assert_eq!(rig.statuses(client).is_empty(), goes_on, "{written}");
     }
@@ -84,7 +97,11 @@
                 last.unwrap()
             };
             let client = rig.client_sending(&request_text("once", 2, 0));
-            assert_eq!(seen(&rig), answer(200, "", "first").len() as u64, "what was handled before");
+            assert_eq!(
+                seen(&rig),
+                answer(200, "", "first").len() as u64,
+                "what was handled before"
+            );
             // It was read before the order to write reached the connection's task.
             rig.receive(conn, &copy[..cut]);
             assert!(rig.statuses(client).is_empty(), "{cut}");
@@ -124,7 +141,10 @@
             rig.advance_time(60.0);
             let conn = *rig.connections_to(NODES[0].1).last().unwrap();
             let discovery = *rig.connections_to(DISCOVERY).last().unwrap();
-            let mut both = vec![received(discovery, &answer(200, "", change)), Input::Connected(conn)];
+            let mut both = vec![
+                received(discovery, &answer(200, "", change)),
+                Input::Connected(conn),
+            ];
             if !list_first {
                 both.reverse();
             }
@@ -136,8 +156,15 @@
             let case = format!("{what}, list first: {list_first}, one batch: {batch}");
             if list_first {
                 // Of a node that started anew it is decided anew, and may go out by that.
-                assert!(rig.sent(conn).is_empty() || *what == "started anew", "{case}");
-                assert_ne!(*what == "is elsewhere", rig.outcome_count("unsent") == 1, "{case}");
+                assert!(
+                    rig.sent(conn).is_empty() || *what == "started anew",
+                    "{case}"
+                );
+                assert_ne!(
+                    *what == "is elsewhere",
+                    rig.outcome_count("unsent") == 1,
+                    "{case}"
+                );
             } else {
                 // It had gone out: it runs to its end there, and the connection is not used again.
                 assert_eq!(rig.sent(conn).len(), 1, "{case}");
@@ -147,7 +174,11 @@
             }
             rig.advance_time(300.0);
             rig.client_sending(&request_text("once", 9, 0));
-            let most_messages = if *what == "started anew" { 2 } else { usize::from(!list_first) };
+            let most_messages = if *what == "started anew" {
+                2
+            } else {
+                usize::from(!list_first)
+            };
             assert!(rig.sent(conn).len() <= most_messages, "{case}");
         }
     }
@@ -160,7 +191,14 @@
     rig.client_sending(&request_text("read", 1, 0));
     let connecting = rig.connections_to(NODES[0].1)[0];
     rig.discovery_answers(&page(2, false, &[(0, "DRAINING", 0.0)]));
-    assert_eq!((rig.outcome_count("unsent"), rig.closed(connecting), rig.size("legs")), (1, true, 0));
+    assert_eq!(
+        (
+            rig.outcome_count("unsent"),
+            rig.closed(connecting),
+            rig.size("legs")
+        ),
+        (1, true, 0)
+    );
 }
 
 /// The client's end and what would send its request on: its connection's coming up, its decision, a free
@@ -208,7 +246,12 @@
             } else {
                 racing.into_iter().for_each(|i| rig.input(i));
             }
-            let sends = |rig: &Rig| rig.out.iter().filter(|o| matches!(o, Output::Send { .. })).count();
+            let sends = |rig: &Rig| {
+                rig.out
+                    .iter()
+                    .filter(|o| matches!(o, Output::Send { .. }))
+                    .count()
+            };
             let sent = sends(&rig);
             // Whatever connection comes up later carries nothing of it.
             for conn in rig.connections_to(NODES[0].1) {
@@ -220,7 +263,9 @@
             assert_eq!(sends(&rig), sent, "{case}");
             if gone_first && what != "decision" {
                 let own = rig.out.iter().filter(|o| match o {
-                    Output::Send { bytes, .. } => bytes.windows(16).any(|w| w == b"0000000000000001"),
+                    Output::Send { bytes, .. } => {
+                        bytes.windows(16).any(|w| w == b"0000000000000001")
+                    }
                     _ => false,
                 });
                 let first = usize::from(matches!(what, "turned away" | "unreached"));
@@ -228,7 +273,15 @@
                 assert_eq!(rig.metrics().attempts_sent, before, "{case}");
             }
             rig.advance_time(3000.0);
-            assert_eq!((rig.size("transfers"), rig.size("legs"), rig.size("nodes.out")), (0, 0, 0), "{case}");
+            assert_eq!(
+                (
+                    rig.size("transfers"),
+                    rig.size("legs"),
+                    rig.size("nodes.out")
+                ),
+                (0, 0, 0),
+                "{case}"
+            );
             assert_eq!(rig.size("desk.xfers"), 0, "{case}");
         }
     }
@@ -246,17 +299,25 @@
                 let mut rig = Rig::new();
                 let client = rig.client();
                 let discovery = *rig.connections_to(DISCOVERY).last().unwrap();
-                let inputs = order.into_iter().filter(|i| leaves || *i != 2).map(|i| match i {
-                    0 => received(client, &request_text("read", 1, 0)),
-                    1 => received(discovery, change),
-                    _ => Input::Closed(client),
-                });
+                let inputs = order
+                    .into_iter()
+                    .filter(|i| leaves || *i != 2)
+                    .map(|i| match i {
+                        0 => received(client, &request_text("read", 1, 0)),
+                        1 => received(discovery, change),
+                        _ => Input::Closed(client),
+                    });
                 let inputs: Vec<_> = inputs.collect();
                 together(&mut rig, inputs);
                 let connections_to = rig.connections_to(NODES[0].1).len();
-                assert_eq!(connections_to, usize::from(to_node && !leaves), "{order:?} {leaves}");
+                assert_eq!(
+                    connections_to,
+                    usize::from(to_node && !leaves),
+                    "{order:?} {leaves}"
+                );
                 rig.advance_time(3000.0);
-                let size_metrics = ["transfers", "legs", "nodes.out", "desk.xfers"].map(|l| rig.size(l));
+                let size_metrics =
+                    ["transfers", "legs", "nodes.out", "desk.xfers"].map(|l| rig.size(l));
                 assert_eq!(size_metrics, [0; 4], "{order:?} {leaves}");
             }
         }
@@ -293,7 +354,11 @@
         let conn = rig.establish(0);
         rig.receive(conn, &answer(200, "", "b"));
         assert_eq!(rig.statuses(client), ["200", "200"], "{leaving}");
-        assert_eq!((rig.finished(client), rig.closed(client)), (leaving, false), "{leaving}");
+        assert_eq!(
+            (rig.finished(client), rig.closed(client)),
+            (leaving, false),
+            "{leaving}"
+        );
         if !leaving {
             rig.advance_time(2300.0);
             assert_eq!(orders(&rig), [health.len(), health.len() + text.len()]);
@@ -306,7 +371,8 @@
 fn a_request_with_a_key_is_not_repeated_outside_its_window() {
     for (wait, goes) in [(100.0, true), (180.0, true), (195.0, false), (230.0, false)] {
         let mut rig = Rig::with(
-            &settings_document(1024, 192, DISCOVERY).replace("\"window\":5000.0", "\"window\":200.0"),
+            &settings_document(1024, 192, DISCOVERY)
+                .replace("\"window\":5000.0", "\"window\":200.0"),
         );
         let client = rig.client_sending(&request_text("write", 1, 0));
         let first = rig.establish(0);
@@ -330,15 +396,32 @@
         let old = rig.connections_to(DISCOVERY)[0];
         let drains = answer(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
         rig.receive(old, &drains[..half]);
-        let document = gullsail_platform::settings_document::SettingsDocument::parse("d", &moved).unwrap();
-        together(&mut rig, vec![Input::Reload(Box::new(document)), received(old, &drains[half..])]);
+        let document =
+            gullsail_platform::settings_document::SettingsDocument::parse("d", &moved).unwrap();
+        together(
+            &mut rig,
+            vec![
+                Input::Reload(Box::new(document)),
+                received(old, &drains[half..]),
+            ],
+        );
         rig.input(Input::Closed(old));
         rig.client_sending(&request_text("read", 1, 0));
-        assert_eq!((rig.connections_to(NODES[0].1).len(), rig.metrics().discovery_lost), (1, 0), "{half}");
+        assert_eq!(
+            (
+                rig.connections_to(NODES[0].1).len(),
+                rig.metrics().discovery_lost
+            ),
+            (1, 0),
+            "{half}"
+        );
         // What the new one says of an older number is its own.
         let new = *rig.connections_to("10.2.0.9:8500").last().unwrap();
         rig.input(Input::Connected(new));
-        rig.receive(new, &answer(200, "", &page(0, true, &[(1, "SERVING", 0.0)])));
+        rig.receive(
+            new,
+            &answer(200, "", &page(0, true, &[(1, "SERVING", 0.0)])),
+        );
         rig.advance_time(300.0);
         rig.client_sending(&request_text("read", 2, 0));
         assert_eq!(rig.metrics().discovery_snapshots, 2, "{half}");
--- a/crates/platform/tests/platform/rig.rs
+++ b/crates/platform/tests/platform/rig.rs
@@ -18,8 +18,12 @@
             "objective":600.0,"worth":1.0,"late-value":0.1}}"#
         )
     };
-    let profiles =
-        [profile("read", "pure"), profile("write", "token"), profile("once", "side_effect")].join(",");
+    let profiles = [
+        profile("read", "pure"),
+        profile("write", "token"),
+        profile("once", "side_effect"),
+    ]
+    .join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f",
         "limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{sockets}}},
@@ -38,21 +42,31 @@
 pub fn page(seq: u64, whole: bool, entries: &[(usize, &str, f64)]) -> String {
     let entry = |(n, health, started_ms): &(usize, &str, f64)| {
         let (name, address) = NODES[*n];
-        let started_ms = if *started_ms > 0.0 { START_MS + started_ms } else { 0.0 };
+        let started_ms = if *started_ms > 0.0 {
+            START_MS + started_ms
+        } else {
+            0.0
+        };
         format!(
             r#"{{"host":"{name}","dial":"{address}","site":"a","class":"m","block":{n},"health":"{health}",
             "share":1.0,"born_ms":{started_ms}}}"#
         )
     };
     let entries: Vec<_> = entries.iter().map(entry).collect();
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// A message of this request class, by its id, for the shard of a node.
 pub fn request_text(kind: &str, trace: u64, shard: i64) -> String {
     let (method, rest) = match kind {
         "read" => ("GET", "\r\n"),
-        "write" => ("PUT", "Idempotency-Key: k1\r\nContent-Length: 4\r\n\r\nbody"),
+        "write" => (
+            "PUT",
+            "Idempotency-Key: k1\r\nContent-Length: 4\r\n\r\nbody",
+        ),
         _ => ("PUT", "Content-Length: 4\r\n\r\nbody"),
     };
     format!(
@@ -62,7 +76,10 @@
 }
 
 pub fn answer(status: u16, fields: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status} X\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status} X\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 pub struct Rig {
@@ -82,7 +99,12 @@
     pub fn with(settings_document: &str) -> Rig {
         let document = SettingsDocument::parse("test.json", settings_document).unwrap();
         let now = Instant::from_millis(START_MS);
-        let mut rig = Rig { core: Core::new(document, 4096, now), now, out: Vec::new(), stuck: false };
+        let mut rig = Rig {
+            core: Core::new(document, 4096, now),
+            now,
+            out: Vec::new(),
+            stuck: false,
+        };
         rig.advance();
         rig.discovery_answers(&page(1, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]));
         rig
@@ -102,7 +124,9 @@
             if answered.is_empty() {
                 return;
             }
-            answered.into_iter().for_each(|conn| self.core.handle(self.now, Input::Written(conn)));
+            answered
+                .into_iter()
+                .for_each(|conn| self.core.handle(self.now, Input::Written(conn)));
         }
     }
 
@@ -128,7 +152,10 @@
     }
 
     pub fn receive(&mut self, conn: ConnectionId, text: &str) {
-        self.input(Input::Received(conn, Bytes::copy_from_slice(text.as_bytes())));
+        self.input(Input::Received(
+            conn,
+            Bytes::copy_from_slice(text.as_bytes()),
+        ));
     }
 
     /// A new client that has sent this.
@@ -151,7 +178,10 @@
 
     /// The status codes of it.
     pub fn statuses(&self, client: ConnectionId) -> Vec<String> {
-        self.responses(client).iter().map(|t| t[9..12].to_string()).collect()
+        self.responses(client)
+            .iter()
+            .map(|t| t[9..12].to_string())
+            .collect()
     }
 
     /// All connections connected to to an address, the newest last.
@@ -185,7 +215,9 @@
     }
 
     pub fn finished(&self, which: ConnectionId) -> bool {
-        self.out.iter().any(|o| matches!(o, Output::FinishAndClose { conn } if *conn == which))
+        self.out
+            .iter()
+            .any(|o| matches!(o, Output::FinishAndClose { conn } if *conn == which))
     }
 
     /// The newest connection to discovery answers its poll with this page.
@@ -210,10 +242,19 @@
     }
 
     pub fn outcome_count(&self, outcome: &str) -> u64 {
-        self.metrics().attempt_outcomes.get(outcome).copied().unwrap_or_default()
+        self.metrics()
+            .attempt_outcomes
+            .get(outcome)
+            .copied()
+            .unwrap_or_default()
     }
 
     pub fn size(&self, of: &str) -> usize {
-        self.core.size_metrics().iter().find(|l| l.0 == of).unwrap().1
+        self.core
+            .size_metrics()
+            .iter()
+            .find(|l| l.0 == of)
+            .unwrap()
+            .1
     }
 }
--- a/crates/platform/tests/platform/serialized_names.rs
+++ b/crates/platform/tests/platform/serialized_names.rs
@@ -12,7 +12,10 @@
         r#""used_again":0,"found_dead":0,"not_reached":0,"breaks":0,"lives_on":0,"lists":0,"changes":0,"#,
         r#""list_lost":0,"entries_skipped":0,"told":0,"heard":0,"foreign_datagrams":0,"reloads":0}"#
     );
-    assert_eq!(serde_json::to_string(&Metrics::default()).unwrap(), expected);
+    assert_eq!(
+        serde_json::to_string(&Metrics::default()).unwrap(),
+        expected
+    );
 }
 
 #[test]
@@ -37,7 +40,10 @@
         (RequestError::ShuttingDown, "shutting_down"),
     ];
     for (error, name) in names {
-        assert_eq!(serde_json::to_string(&error).unwrap(), format!("\"{name}\""));
+        assert_eq!(
+            serde_json::to_string(&error).unwrap(),
+            format!("\"{name}\"")
+        );
     }
     assert!(names.is_sorted_by_key(|(error, _)| *error));
 }
@@ -46,13 +52,26 @@
 #[test]
 fn document_errors_keep_their_texts() {
     let valid = settings_document(256, 32, DISCOVERY);
-    let page = &valid[valid.find(r#""known":{"#).unwrap() + 8..valid.find(r#","settings""#).unwrap()];
+    let page =
+        &valid[valid.find(r#""known":{"#).unwrap() + 8..valid.find(r#","settings""#).unwrap()];
     let limits = r#"{"cores":1.0,"memory_mb":32,"sockets":256}"#;
     let cases = [
-        (valid.replace(limits, "[1]"), "at limits: invalid length 1, expected struct Limits with 3 elements"),
-        ("7".to_string(), "at .: invalid type: integer `7`, expected struct Written"),
-        (valid.replace(limits, "7"), "at limits: invalid type: integer `7`, expected struct Limits"),
-        (valid.replace(page, "7"), "at known: invalid type: integer `7`, expected struct Page"),
+        (
+            valid.replace(limits, "[1]"),
+            "at limits: invalid length 1, expected struct Limits with 3 elements",
+        ),
+        (
+            "7".to_string(),
+            "at .: invalid type: integer `7`, expected struct Written",
+        ),
+        (
+            valid.replace(limits, "7"),
+            "at limits: invalid type: integer `7`, expected struct Limits",
+        ),
+        (
+            valid.replace(page, "7"),
+            "at known: invalid type: integer `7`, expected struct Page",
+        ),
     ];
     for (text, expected) in cases {
         let error = SettingsDocument::parse("d", &text).unwrap_err().to_string();
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -42,7 +42,10 @@
 
 impl Bounds {
     /// A message holds names and figures, or a list of some thousands of nodes; a body is one piece.
-    pub const DEFAULT: Bounds = Bounds { message: 1 << 20, body: 16 << 20 };
+    pub const DEFAULT: Bounds = Bounds {
+        message: 1 << 20,
+        body: 16 << 20,
+    };
 }
 
 /// Why a connection cannot go on.
@@ -53,7 +56,11 @@
     #[error("version 0 does not exist")]
     Version,
     #[error("{what} of {found} bytes, at most {most} accepted")]
-    TooLong { what: &'static str, found: usize, most: usize },
+    TooLong {
+        what: &'static str,
+        found: usize,
+        most: usize,
+    },
     #[error("message of kind {kind} can't be decoded: {why}")]
     Malformed { kind: u16, why: String },
 }
@@ -182,18 +189,25 @@
 /// # Errors
 /// [`Broken`], after which the bytes that follow mean nothing.
 pub fn decode(buf: &mut BytesMut, bounds: Bounds) -> Result<Option<Frame>, Broken> {
-    let Some(tag) = buf.first() else { return Ok(None) };
+    let Some(tag) = buf.first() else {
+        return Ok(None);
+    };
     if *tag != TAG {
         return Err(Broken::Tag(*tag));
     }
-    let Some(mut header) = buf.get(..HEADER) else { return Ok(None) };
+    let Some(mut header) = buf.get(..HEADER) else {
+        return Ok(None);
+    };
     header.advance(1);
     if header.get_u8() == 0 {
         return Err(Broken::Version);
     }
     let kind = header.get_u16_le();
     let (message, body) = (header.get_u32_le() as usize, header.get_u32_le() as usize);
-    for (what, found, most) in [("message", message, bounds.message), ("body", body, bounds.body)] {
+    for (what, found, most) in [
+        ("message", message, bounds.message),
+        ("body", body, bounds.body),
+    ] {
         if found > most {
             return Err(Broken::TooLong { what, found, most });
         }
@@ -206,12 +220,19 @@
     }
     let mut frame = buf.split_to(whole).freeze();
     frame.advance(HEADER);
-    let message = Message::decode(kind, frame.split_to(message))
-        .map_err(|e| Broken::Malformed { kind, why: e.to_string() })?;
+    let message =
+        Message::decode(kind, frame.split_to(message)).map_err(|e| Broken::Malformed {
+            kind,
+            why: e.to_string(),
+        })?;
     if let Message::DemandReport(l) = &message
         && l.bytes.len() > MAX_DEMAND_REPORT_BYTES
     {
-        return Err(Broken::TooLong { what: "label", found: l.bytes.len(), most: MAX_DEMAND_REPORT_BYTES });
+        return Err(Broken::TooLong {
+            what: "label",
+            found: l.bytes.len(),
+            most: MAX_DEMAND_REPORT_BYTES,
+        });
     }
     if let Message::Reached(r) = &message
         && r.hosts.len() > MAX_DEMAND_REPORT_BYTES
@@ -222,5 +243,8 @@
             most: MAX_DEMAND_REPORT_BYTES,
         });
     }
-    Ok(Some(Frame { message, body: frame }))
+    Ok(Some(Frame {
+        message,
+        body: frame,
+    }))
 }
--- a/crates/protocol/src/message/attempt.rs
+++ b/crates/protocol/src/message/attempt.rs
@@ -35,7 +35,9 @@
 }
 
 /// What a node says of an attempt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
+)]
 #[repr(i32)]
 pub enum AttemptResult {
     Unknown = 0,
--- a/crates/protocol/src/message/client.rs
+++ b/crates/protocol/src/message/client.rs
@@ -36,7 +36,9 @@
 }
 
 /// What the one final answer says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
+)]
 #[repr(i32)]
 pub enum Outcome {
     Unknown = 0,
--- a/crates/protocol/src/message/common.rs
+++ b/crates/protocol/src/message/common.rs
@@ -4,7 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Who opens a connection, or answers on one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
+)]
 #[repr(i32)]
 pub enum Role {
     Unknown = 0,
--- a/crates/protocol/src/message/endpoint_list.rs
+++ b/crates/protocol/src/message/endpoint_list.rs
@@ -11,7 +11,9 @@
 }
 
 /// What the list says of a node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
+)]
 #[repr(i32)]
 pub enum ListedState {
     Ready = 0,
--- a/crates/protocol/src/message/fleet.rs
+++ b/crates/protocol/src/message/fleet.rs
@@ -5,7 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// What a message of the fleet is about.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
+)]
 #[repr(i32)]
 pub enum FleetWhat {
     Unknown = 0,
--- a/crates/reference-model/src/history.rs
+++ b/crates/reference-model/src/history.rs
@@ -2,8 +2,8 @@
 
 use crate::{Breach, Model};
 use gullsail_scheduler_api::{
-    Action, AttemptOutcome, Endpoint, Event, HostId, Instant, NodeId, Request, RequestId, SchedulerConfig,
-    UpdateKind,
+    Action, AttemptOutcome, Endpoint, Event, HostId, Instant, NodeId, Request, RequestId,
+    SchedulerConfig, UpdateKind,
 };
 
 #[derive(Clone, Debug)]
@@ -63,31 +63,46 @@
 
     /// The first attempt that may have run: it is in flight, or its end does not say that it never ran.
     pub(crate) fn may_have_run(&self) -> Option<&AttemptRecord> {
-        self.attempts.iter().find(|attempt| attempt.ended.is_none_or(|end| !end.outcome.never_ran()))
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.ended.is_none_or(|end| !end.outcome.never_ran()))
     }
 
     fn observe(&mut self, entry: &HistoryEntry) {
         let id = self.request.id;
-        let ended = |by_host| RequestEnding { at: entry.at, step: entry.step, by_host };
+        let ended = |by_host| RequestEnding {
+            at: entry.at,
+            step: entry.step,
+            by_host,
+        };
         match &entry.what {
             Observation::Did(Action::StartAttempt { id: of, node, .. }) if *of == id => {
-                self.attempts.push(AttemptRecord { at: entry.at, node: *node, ended: None });
+                self.attempts.push(AttemptRecord {
+                    at: entry.at,
+                    node: *node,
+                    ended: None,
+                });
             }
             Observation::Saw(Event::AttemptEnded(end)) if end.id == id => {
                 if let Some(attempt) = self.attempts.get_mut(end.attempt as usize) {
-                    attempt.ended.get_or_insert(AttemptEnding { at: entry.at, outcome: end.outcome });
+                    attempt.ended.get_or_insert(AttemptEnding {
+                        at: entry.at,
+                        outcome: end.outcome,
+                    });
                 }
                 if end.finished {
                     self.ended.get_or_insert(ended(false));
                 }
             }
             // From its first bytes on an answer is the client's own.
-            Observation::Saw(Event::ClientDisconnected(of) | Event::ResponseStarted { id: of, .. })
-                if *of == id =>
-            {
+            Observation::Saw(
+                Event::ClientDisconnected(of) | Event::ResponseStarted { id: of, .. },
+            ) if *of == id => {
                 self.ended.get_or_insert(ended(false));
             }
-            Observation::Did(Action::Reject { id: of, .. } | Action::Fail { id: of }) if *of == id => {
+            Observation::Did(Action::Reject { id: of, .. } | Action::Fail { id: of })
+                if *of == id =>
+            {
                 self.ended.get_or_insert(ended(true));
             }
             _ => {}
@@ -112,12 +127,24 @@
     /// What an incarnation of a host saw and did, from its start on; nothing while it is down.
     pub(crate) fn incarnation(&self, host: HostId) -> impl Iterator<Item = &HistoryEntry> {
         let bound = |entry: &HistoryEntry| {
-            entry.host == host && matches!(entry.what, Observation::HostStarted(_) | Observation::HostKilled)
+            entry.host == host
+                && matches!(
+                    entry.what,
+                    Observation::HostStarted(_) | Observation::HostKilled
+                )
         };
-        let start = self.history.iter().rposition(bound).unwrap_or(self.history.len());
-        let up =
-            self.history.get(start).is_some_and(|entry| matches!(entry.what, Observation::HostStarted(_)));
-        self.history[start..].iter().filter(move |entry| up && entry.host == host)
+        let start = self
+            .history
+            .iter()
+            .rposition(bound)
+            .unwrap_or(self.history.len());
+        let up = self
+            .history
+            .get(start)
+            .is_some_and(|entry| matches!(entry.what, Observation::HostStarted(_)));
+        self.history[start..]
+            .iter()
+            .filter(move |entry| up && entry.host == host)
     }
 
     pub(crate) fn config(&self, host: HostId) -> Option<&SchedulerConfig> {
@@ -149,7 +176,12 @@
             match &entry.what {
                 Observation::Saw(Event::RequestArrived(request)) if request.id == id => {
                     let (arrived, request) = (entry.at, request.clone());
-                    history = Some(RequestHistory { arrived, request, attempts: Vec::new(), ended: None });
+                    history = Some(RequestHistory {
+                        arrived,
+                        request,
+                        attempts: Vec::new(),
+                        ended: None,
+                    });
                 }
                 _ => {
                     if let Some(history) = &mut history {
@@ -163,32 +195,56 @@
 
     /// The requests of a host's incarnation in the order it accepted them.
     pub(crate) fn accepted(&self, host: HostId) -> impl Iterator<Item = Accepted<'_>> {
-        self.incarnation(host).filter_map(|entry| match &entry.what {
-            Observation::Saw(Event::RequestArrived(request)) => Some(Accepted { at: entry.at, request }),
-            _ => None,
-        })
+        self.incarnation(host)
+            .filter_map(|entry| match &entry.what {
+                Observation::Saw(Event::RequestArrived(request)) => Some(Accepted {
+                    at: entry.at,
+                    request,
+                }),
+                _ => None,
+            })
     }
 
     pub(crate) fn lists(&self, host: HostId) -> impl Iterator<Item = SeenList<'_>> {
-        self.incarnation(host).filter_map(|entry| match &entry.what {
-            Observation::Saw(Event::EndpointList { update_kind, entries }) => {
-                let whole = matches!(update_kind, UpdateKind::Snapshot | UpdateKind::StaleSnapshot);
-                Some(SeenList { at: entry.at, whole, entries })
-            }
-            _ => None,
-        })
+        self.incarnation(host)
+            .filter_map(|entry| match &entry.what {
+                Observation::Saw(Event::EndpointList {
+                    update_kind,
+                    entries,
+                }) => {
+                    let whole = matches!(
+                        update_kind,
+                        UpdateKind::Snapshot | UpdateKind::StaleSnapshot
+                    );
+                    Some(SeenList {
+                        at: entry.at,
+                        whole,
+                        entries,
+                    })
+                }
+                _ => None,
+            })
     }
 
     /// A node as each list that names it has it, the last entry of each.
     pub(crate) fn listings(&self, host: HostId, node: NodeId) -> impl Iterator<Item = &Endpoint> {
-        self.lists(host).filter_map(move |list| list.entries.iter().rfind(|entry| entry.node == node))
+        self.lists(host)
+            .filter_map(move |list| list.entries.iter().rfind(|entry| entry.node == node))
     }
 
     /// The last lines of a host's history that are about something.
-    pub(crate) fn history_lines(&self, host: HostId, about: impl Fn(&Observation) -> bool) -> Vec<String> {
+    pub(crate) fn history_lines(
+        &self,
+        host: HostId,
+        about: impl Fn(&Observation) -> bool,
+    ) -> Vec<String> {
         let entries = self.incarnation(host).filter(|entry| about(&entry.what));
-        let line = |e: &HistoryEntry| format!("{:.3} ms, step {}: {:?}", e.at.millis(), e.step, e.what);
-        let mut lines: Vec<String> = entries.map(line).map(|line| line.chars().take(240).collect()).collect();
+        let line =
+            |e: &HistoryEntry| format!("{:.3} ms, step {}: {:?}", e.at.millis(), e.step, e.what);
+        let mut lines: Vec<String> = entries
+            .map(line)
+            .map(|line| line.chars().take(240).collect())
+            .collect();
         if lines.len() > 12 {
             lines.drain(..lines.len() - 12);
         }
@@ -208,11 +264,20 @@
             Observation::Saw(Event::AttemptEnded(end)) => end.id == id,
             Observation::Saw(Event::ClientDisconnected(of)) => *of == id,
             Observation::Did(
-                Action::StartAttempt { id: of, .. } | Action::Reject { id: of, .. } | Action::Fail { id: of },
+                Action::StartAttempt { id: of, .. }
+                | Action::Reject { id: of, .. }
+                | Action::Fail { id: of },
             ) => *of == id,
             _ => false,
         };
         let evidence = self.history_lines(host, about);
-        Breach { rule, what: what.into(), host, request: Some(id), at, evidence }
+        Breach {
+            rule,
+            what: what.into(),
+            host,
+            request: Some(id),
+            at,
+            evidence,
+        }
     }
 }
--- a/crates/reference-model/src/lib.rs
+++ b/crates/reference-model/src/lib.rs
@@ -52,8 +52,14 @@
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (rule, host, at) = (self.rule, self.host.0, self.at.millis());
-        write!(f, "rule {rule}, host {host}, at {at} ms, {:?}: {}", self.request, self.what)?;
-        self.evidence.iter().try_for_each(|line| write!(f, "\n    {line}"))
+        write!(
+            f,
+            "rule {rule}, host {host}, at {at} ms, {:?}: {}",
+            self.request, self.what
+        )?;
+        self.evidence
+            .iter()
+            .try_for_each(|line| write!(f, "\n    {line}"))
     }
 }
 
@@ -80,11 +86,22 @@
 impl Model {
     /// A model that has seen nothing yet.
     pub fn new(parameters: RuleParameters) -> Model {
-        Model { parameters, history: Vec::new(), steps: 0, tested: [0; 7], reported_late: Vec::new() }
+        Model {
+            parameters,
+            history: Vec::new(),
+            steps: 0,
+            tested: [0; 7],
+            reported_late: Vec::new(),
+        }
     }
 
     fn add(&mut self, at: Instant, host: HostId, what: Observation) {
-        self.history.push(HistoryEntry { at, host, step: self.steps, what });
+        self.history.push(HistoryEntry {
+            at,
+            host,
+            step: self.steps,
+            what,
+        });
     }
 
     /// A host begins an incarnation, knowing nothing but its configuration.
@@ -104,7 +121,10 @@
 
     /// A host sees an event.
     pub fn saw(&mut self, now: Instant, host: HostId, event: &Event) {
-        if !matches!(event, Event::Timer(_) | Event::PeerMessage { .. } | Event::EndpointListLost) {
+        if !matches!(
+            event,
+            Event::Timer(_) | Event::PeerMessage { .. } | Event::EndpointListLost
+        ) {
             self.add(now, host, Observation::Saw(event.clone()));
             self.count_seen(now, host, event);
         }
@@ -131,7 +151,11 @@
         let mut since: Option<Instant> = None;
         let mut newest: Option<Instant> = None;
         for list in self.lists(host) {
-            let mut listed = list.entries.iter().filter(|entry| entry.node == node).peekable();
+            let mut listed = list
+                .entries
+                .iter()
+                .filter(|entry| entry.node == node)
+                .peekable();
             if list.whole && listed.peek().is_none() {
                 since.get_or_insert(list.at);
             }
