--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -20,19 +20,37 @@
 
 impl Model {
     pub(crate) fn breach_by(&self, rule: u8, sending: &Sending, what: impl Into<String>) -> Breach {
-        self.breach(rule, sending.now, sending.host, sending.history.request.id, what)
+        self.breach(
+            rule,
+            sending.now,
+            sending.host,
+            sending.history.request.id,
+            what,
+        )
     }
 
     /// Everything that an attempt may break. The rules are looked at in their order, so one breach has one
     /// name.
-    pub(crate) fn may_send(&mut self, now: Instant, host: HostId, id: RequestId, node: NodeId) -> Verdict {
+    pub(crate) fn may_send(
+        &mut self,
+        now: Instant,
+        host: HostId,
+        id: RequestId,
+        node: NodeId,
+    ) -> Verdict {
         let Some(history) = self.request_history(host, id) else {
             return Err(self.breach(1, now, host, id, "a leg of a transfer that never came"));
         };
         let Some(config) = self.config(host).cloned() else {
             return Err(self.breach(1, now, host, id, "a host that is down sends a leg"));
         };
-        let sending = Sending { now, host, node, history, config };
+        let sending = Sending {
+            now,
+            host,
+            node,
+            history,
+            config,
+        };
         self.not_after_its_end(&sending)?;
         self.not_run_twice(&sending)?;
         self.not_to_a_draining_node(&sending)?;
@@ -67,7 +85,13 @@
         let classes = self.config(host).map(|config| &config.request_classes);
         let class = classes.and_then(|classes| classes.get(history.request.request_class.0));
         let safe = match class.map(|class| class.idempotency) {
-            Some(Idempotency::Idempotent | Idempotency::WithKey { scope: IdempotencyScope::All, .. }) => true,
+            Some(
+                Idempotency::Idempotent
+                | Idempotency::WithKey {
+                    scope: IdempotencyScope::All,
+                    ..
+                },
+            ) => true,
             _ => history.may_have_run().is_none(),
         };
         self.tested[1] += u64::from(!safe);
@@ -83,15 +107,34 @@
     /// One that has none; each is reported once.
     pub fn passed(&mut self, now: Instant) -> Result<(), Breach> {
         for host in self.hosts_up() {
-            let overdue =
-                self.accepted(host).filter(|a| a.at + a.request.timeout + self.parameters.answer_slack < now);
-            let late = overdue.map(|a| ReportedLate { host, request: a.request.id, arrived: a.at });
-            let late: Vec<_> = late.filter(|late| !self.reported_late.contains(late)).collect();
+            let overdue = self
+                .accepted(host)
+                .filter(|a| a.at + a.request.timeout + self.parameters.answer_slack < now);
+            let late = overdue.map(|a| ReportedLate {
+                host,
+                request: a.request.id,
+                arrived: a.at,
+            });
+            let late: Vec<_> = late
+                .filter(|late| !self.reported_late.contains(late))
+                .collect();
             for ReportedLate { request, .. } in late {
-                let Some(history) = self.request_history(host, request) else { continue };
-                self.reported_late.push(ReportedLate { host, request, arrived: history.arrived });
+                let Some(history) = self.request_history(host, request) else {
+                    continue;
+                };
+                self.reported_late.push(ReportedLate {
+                    host,
+                    request,
+                    arrived: history.arrived,
+                });
                 if history.ended.is_none() {
-                    return Err(self.breach(1, now, host, request, "its time is up and it has no answer"));
+                    return Err(self.breach(
+                        1,
+                        now,
+                        host,
+                        request,
+                        "its time is up and it has no answer",
+                    ));
                 }
             }
         }
@@ -101,7 +144,10 @@
     /// Rule 1: nothing is sent for a request that is over. What is seen in the same step may cross.
     fn not_after_its_end(&mut self, sending: &Sending) -> Verdict {
         let history = &sending.history;
-        if history.ended.is_some_and(|ended| ended.by_host || ended.step < self.steps) {
+        if history
+            .ended
+            .is_some_and(|ended| ended.by_host || ended.step < self.steps)
+        {
             return Err(self.breach_by(1, sending, "a leg after its final answer"));
         }
         if sending.now > history.deadline() {
@@ -113,20 +159,38 @@
 
     /// Rule 2: what may have run goes again only as its idempotency allows, and never two attempts at once.
     fn not_run_twice(&mut self, sending: &Sending) -> Verdict {
-        let Sending { now, host, node, history, config } = sending;
-        if history.attempts.iter().any(|attempt| attempt.ended.is_none()) {
+        let Sending {
+            now,
+            host,
+            node,
+            history,
+            config,
+        } = sending;
+        if history
+            .attempts
+            .iter()
+            .any(|attempt| attempt.ended.is_none())
+        {
             return Err(self.breach_by(2, sending, "two legs at once"));
         }
-        let Some(first) = history.may_have_run() else { return Ok(()) };
+        let Some(first) = history.may_have_run() else {
+            return Ok(());
+        };
         let wrong = match config.request_classes[history.request.request_class.0].idempotency {
             Idempotency::Idempotent => return Ok(()),
-            Idempotency::NonIdempotent => Some("an unrepeatable transfer that may have run goes again"),
+            Idempotency::NonIdempotent => {
+                Some("an unrepeatable transfer that may have run goes again")
+            }
             Idempotency::WithKey { scope, window } => {
-                let (there, here) =
-                    (self.listings(*host, first.node).last(), self.listings(*host, *node).last());
+                let (there, here) = (
+                    self.listings(*host, first.node).last(),
+                    self.listings(*host, *node).last(),
+                );
                 let same = match scope {
                     IdempotencyScope::All => true,
-                    IdempotencyScope::Zone => there.map(|entry| entry.zone) == here.map(|entry| entry.zone),
+                    IdempotencyScope::Zone => {
+                        there.map(|entry| entry.zone) == here.map(|entry| entry.zone)
+                    }
                     IdempotencyScope::Shard => {
                         there.map(|entry| entry.shard) == here.map(|entry| entry.shard)
                     }
@@ -146,7 +210,9 @@
 
     /// Rule 3: nothing new goes to a node that this host knows to drain or to be gone, after the grace.
     fn not_to_a_draining_node(&mut self, sending: &Sending) -> Verdict {
-        let Sending { now, host, node, .. } = sending;
+        let Sending {
+            now, host, node, ..
+        } = sending;
         if self.listings(*host, *node).next().is_none() {
             return Err(self.breach_by(3, sending, format!("node {} was in no list", node.0)));
         }
@@ -154,27 +220,46 @@
         let Some(since) = since.filter(|at| *now - *at > self.parameters.drain_grace) else {
             return Ok(());
         };
-        let what = format!("a leg to node {}, known to leave since {} ms", node.0, since.millis());
+        let what = format!(
+            "a leg to node {}, known to leave since {} ms",
+            node.0,
+            since.millis()
+        );
         let mut breach = self.breach_by(3, sending, what);
-        breach.evidence.extend(self.history_lines(*host, |what| match what {
-            Observation::Saw(Event::EndpointList { entries, .. }) => entries.iter().any(|e| e.node == *node),
-            _ => false,
-        }));
+        breach
+            .evidence
+            .extend(self.history_lines(*host, |what| match what {
+                Observation::Saw(Event::EndpointList { entries, .. }) => {
+                    entries.iter().any(|e| e.node == *node)
+                }
+                _ => false,
+            }));
         Err(breach)
     }
 
     /// When a node started, by the lists that this host saw.
     fn started(&self, host: HostId, node: NodeId) -> Option<Instant> {
-        self.listings(host, node).filter_map(|entry| entry.started).max()
+        self.listings(host, node)
+            .filter_map(|entry| entry.started)
+            .max()
     }
 
     /// Rule 4: what all hosts that know of a start send within any window of the rule's length stays under
     /// what the node bears: what is borne in any case, or the multiple of what it can do by now, which grows
     /// with the ramp.
     fn within_slow_start(&mut self, sending: &Sending) -> Verdict {
-        let Sending { now, host, node, history, config } = sending;
+        let Sending {
+            now,
+            host,
+            node,
+            history,
+            config,
+        } = sending;
         let rule = &config.slow_start;
-        let Some(started) = self.started(*host, *node).filter(|at| *now - *at < rule.ramp) else {
+        let Some(started) = self
+            .started(*host, *node)
+            .filter(|at| *now - *at < rule.ramp)
+        else {
             return Ok(());
         };
         let age = (*now - started).secs().max(0.0);
@@ -186,18 +271,26 @@
             if self.started(other, *node).is_none_or(|at| at < started) {
                 continue; // it does not know of this start
             }
-            for entry in self.incarnation(other).filter(|e| *now - e.at < rule.window && e.at >= started) {
+            for entry in self
+                .incarnation(other)
+                .filter(|e| *now - e.at < rule.window && e.at >= started)
+            {
                 if let Observation::Did(Action::StartAttempt { id, node: to, .. }) = &entry.what
                     && to == node
                 {
-                    let request = self.accepted(other).find(|accepted| accepted.request.id == *id);
+                    let request = self
+                        .accepted(other)
+                        .find(|accepted| accepted.request.id == *id);
                     sent += request.map_or(0.0, |accepted| accepted.request.units);
                 }
             }
         }
         self.tested[3] += u64::from(sent > rule.units / 2.0);
         if sent > bound {
-            let what = format!("{sent} units within the window to cold node {}, which bears {bound}", node.0);
+            let what = format!(
+                "{sent} units within the window to cold node {}, which bears {bound}",
+                node.0
+            );
             return Err(self.breach_by(4, sending, what));
         }
         Ok(())
@@ -206,27 +299,49 @@
     /// Rule 5: where a request class keeps order, a first attempt waits until all earlier ones of its object
     /// are over, with no attempt whose outcome is not known, and rests after a time-out, a break or a cancel.
     fn in_order_of_its_object(&mut self, sending: &Sending) -> Verdict {
-        let Sending { now, host, history, config, .. } = sending;
+        let Sending {
+            now,
+            host,
+            history,
+            config,
+            ..
+        } = sending;
         let ordered = |request: &Request| config.request_classes[request.request_class.0].in_order;
         let object = history.request.object.filter(|_| ordered(&history.request));
         let Some(object) = object else { return Ok(()) };
         let before = self.accepted(*host).map(|accepted| accepted.request);
         let before = before.take_while(|request| request.id != history.request.id);
         let before = before.filter(|request| request.object == Some(object) && ordered(request));
-        let before: Vec<RequestHistory> =
-            before.filter_map(|request| self.request_history(*host, request.id)).collect();
+        let before: Vec<RequestHistory> = before
+            .filter_map(|request| self.request_history(*host, request.id))
+            .collect();
         self.tested[4] += before.len() as u64;
         for earlier in before {
             let id = earlier.request.id.0;
             let wrong = if earlier.ended.is_none() {
                 Some(format!("transfer {id} came before it and is not over"))
-            } else if earlier.attempts.iter().any(|attempt| attempt.ended.is_none()) {
+            } else if earlier
+                .attempts
+                .iter()
+                .any(|attempt| attempt.ended.is_none())
+            {
                 Some(format!("transfer {id} came before it and has a leg out"))
             } else {
-                let unknown =
-                    earlier.attempts.iter().filter_map(|attempt| attempt.ended).filter(may_still_run);
-                let rest = unknown.map(|end| end.at + config.order_settle).max().filter(|until| now < until);
-                rest.map(|until| format!("after transfer {id} its object rests until {} ms", until.millis()))
+                let unknown = earlier
+                    .attempts
+                    .iter()
+                    .filter_map(|attempt| attempt.ended)
+                    .filter(may_still_run);
+                let rest = unknown
+                    .map(|end| end.at + config.order_settle)
+                    .max()
+                    .filter(|until| now < until);
+                rest.map(|until| {
+                    format!(
+                        "after transfer {id} its object rests until {} ms",
+                        until.millis()
+                    )
+                })
             };
             if let Some(what) = wrong {
                 return Err(self.breach_by(5, sending, what));
@@ -237,7 +352,9 @@
 
     /// Rule 6: retries of any window stay within the free few and the share of what was accepted in it.
     fn within_the_retry_budget(&mut self, sending: &Sending) -> Verdict {
-        let Some(budget) = sending.config.retry_budget else { return Ok(()) };
+        let Some(budget) = sending.config.retry_budget else {
+            return Ok(());
+        };
         let mut seen = Vec::new();
         let mut retries = 1.0;
         let mut accepted = 0.0;
@@ -265,15 +382,23 @@
 
     /// How often what comes puts a rule to the test.
     pub(crate) fn count_seen(&mut self, now: Instant, host: HostId, event: &Event) {
-        let Event::RequestArrived(request) = event else { return };
+        let Event::RequestArrived(request) = event else {
+            return;
+        };
         // Rule 3: its data lies at a node that leaves, longer than the grace.
         let Some(shard) = request.shard else { return };
         let entries = self.lists(host).flat_map(|list| list.entries);
-        let mut nodes: Vec<NodeId> = entries.filter(|e| e.shard == shard).map(|e| e.node).collect();
+        let mut nodes: Vec<NodeId> = entries
+            .filter(|e| e.shard == shard)
+            .map(|e| e.node)
+            .collect();
         nodes.sort_unstable();
         nodes.dedup();
         let grace = self.parameters.drain_grace;
-        let left = |node: &NodeId| self.drained_since(host, *node).is_some_and(|at| now - at > grace);
+        let left = |node: &NodeId| {
+            self.drained_since(host, *node)
+                .is_some_and(|at| now - at > grace)
+        };
         self.tested[2] += u64::from(nodes.iter().any(left));
     }
 }
--- a/crates/reference-model/src/volume_limit.rs
+++ b/crates/reference-model/src/volume_limit.rs
@@ -3,7 +3,9 @@
 use crate::Model;
 use crate::history::{HistoryEntry, Observation};
 use crate::rules::{Sending, Verdict};
-use gullsail_scheduler_api::{Action, Event, HostId, Instant, Limit, PlanId, RequestId, Span, VolumeId};
+use gullsail_scheduler_api::{
+    Action, Event, HostId, Instant, Limit, PlanId, RequestId, Span, VolumeId,
+};
 
 /// The limit that a host holds to.
 struct HeldLimit {
@@ -37,21 +39,31 @@
                 self.held.push(HeldLimit { host, limit });
             }
             Observation::HostKilled => self.held.retain(|held| held.host != host),
-            Observation::Saw(Event::ConfigChanged { plans, allocations, .. }) => {
-                let Some(changed) = allocations.iter().find(|a| a.volume == self.volume) else { return };
+            Observation::Saw(Event::ConfigChanged {
+                plans, allocations, ..
+            }) => {
+                let Some(changed) = allocations.iter().find(|a| a.volume == self.volume) else {
+                    return;
+                };
                 for held in self.held.iter_mut().filter(|held| held.host == host) {
                     held.limit = plans.get(changed.plan.0).and_then(|plan| plan.limit);
                 }
             }
-            Observation::Did(Action::StartAttempt { id, .. }) if !self.sent.contains(&(host, *id)) => {
+            Observation::Did(Action::StartAttempt { id, .. })
+                if !self.sent.contains(&(host, *id)) =>
+            {
                 self.sent.push((host, *id));
                 let request = before.iter().rev().find_map(|earlier| match &earlier.what {
-                    Observation::Saw(Event::RequestArrived(r)) if earlier.host == host && r.id == *id => {
+                    Observation::Saw(Event::RequestArrived(r))
+                        if earlier.host == host && r.id == *id =>
+                    {
                         Some(r)
                     }
                     _ => None,
                 });
-                taken = request.filter(|r| r.volume == self.volume).map_or(0.0, |r| r.units);
+                taken = request
+                    .filter(|r| r.volume == self.volume)
+                    .map_or(0.0, |r| r.units);
             }
             _ => return,
         }
@@ -68,11 +80,18 @@
     }
 
     fn bind(&mut self) {
-        let highest = |a: Limit, b: Limit| Limit { rate: a.rate.max(b.rate), burst: a.burst.max(b.burst) };
+        let highest = |a: Limit, b: Limit| Limit {
+            rate: a.rate.max(b.rate),
+            burst: a.burst.max(b.burst),
+        };
         let all: Option<Vec<Limit>> = self.held.iter().map(|held| held.limit).collect();
         let binding = all.and_then(|all| all.into_iter().reduce(highest));
         if let Some(limit) = binding {
-            self.tokens = if self.limit.is_none() { limit.burst } else { self.tokens.min(limit.burst) };
+            self.tokens = if self.limit.is_none() {
+                limit.burst
+            } else {
+                self.tokens.min(limit.burst)
+            };
         }
         self.limit = binding;
     }
@@ -87,16 +106,29 @@
         let request = &sending.history.request;
         let (now, volume) = (sending.now, request.volume);
         let (held, sent) = (Vec::new(), Vec::new());
-        let mut bucket = Replay { volume, plan: request.plan, held, sent, limit: None, tokens: 0.0, at: now };
+        let mut bucket = Replay {
+            volume,
+            plan: request.plan,
+            held,
+            sent,
+            limit: None,
+            tokens: 0.0,
+            at: now,
+        };
         for (place, entry) in self.history.iter().enumerate() {
             bucket.apply(&self.history[..place], entry);
         }
-        let Some(limit) = bucket.limit else { return Ok(()) };
+        let Some(limit) = bucket.limit else {
+            return Ok(());
+        };
         bucket.refill(now);
         let level = bucket.tokens - request.units;
         // Hosts that start empty leave most of the bucket alone: what is asked beyond the rate is what tries
         // the rule.
-        let lately = self.history.iter().filter(|entry| now - entry.at < Span::from_micros(1_000_000));
+        let lately = self
+            .history
+            .iter()
+            .filter(|entry| now - entry.at < Span::from_micros(1_000_000));
         let asked = lately.filter_map(|entry| match &entry.what {
             Observation::Saw(Event::RequestArrived(request)) if request.volume == volume => {
                 Some(request.units)
@@ -106,7 +138,10 @@
         self.tested[6] += u64::from(asked.sum::<f64>() > limit.rate);
         let slack = self.parameters.slack;
         if level < -slack - 1e-6 {
-            let what = format!("volume {} goes to {level:.3} units, with a slack of {slack}", volume.0);
+            let what = format!(
+                "volume {} goes to {level:.3} units, with a slack of {slack}",
+                volume.0
+            );
             return Err(self.breach_by(7, sending, what));
         }
         Ok(())
--- a/crates/scenario/src/built_in.rs
+++ b/crates/scenario/src/built_in.rs
@@ -21,7 +21,15 @@
 
 /// Name and one line on each.
 pub fn all() -> impl Iterator<Item = (&'static str, &'static str)> {
-    DAYS.iter().map(|(name, text)| (*name, text.lines().next().unwrap_or_default().trim_start_matches("// ")))
+    DAYS.iter().map(|(name, text)| {
+        (
+            *name,
+            text.lines()
+                .next()
+                .unwrap_or_default()
+                .trim_start_matches("// "),
+        )
+    })
 }
 
 /// The whole document of a day.
@@ -42,7 +50,9 @@
     let single: Vec<_> = DAYS
         .iter()
         .filter(|d| {
-            !["quiet", "bad-day"].contains(&d.0) && !d.0.starts_with("budget") && !d.0.starts_with("out")
+            !["quiet", "bad-day"].contains(&d.0)
+                && !d.0.starts_with("budget")
+                && !d.0.starts_with("out")
         })
         .collect();
     let mut text = String::from("// Two kinds of trouble, drawn by a seed.\n");
@@ -60,9 +70,14 @@
         let shift: f64 = rng.random_range(0.0..3.0);
         text += &format!("    // of {}\n", day.0);
         for line in day.1.lines().filter(|l| l.trim_start().starts_with("at ")) {
-            let Some((time, rest)) = line.trim_start()[4..].split_once('"') else { continue };
+            let Some((time, rest)) = line.trim_start()[4..].split_once('"') else {
+                continue;
+            };
             let at = gullsail_configuration::Reader::as_span(time).unwrap_or_default();
-            text += &format!("    at \"{}ms\"{rest}\n", (at.millis() + shift * 1e3).round());
+            text += &format!(
+                "    at \"{}ms\"{rest}\n",
+                (at.millis() + shift * 1e3).round()
+            );
         }
     }
     format!("{FLEET}\n{text}}}\n")
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -12,5 +12,8 @@
 }
 
 pub(crate) fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> RunError {
-    |error| RunError::Io { what: what.into(), error }
+    |error| RunError::Io {
+        what: what.into(),
+        error,
+    }
 }
--- a/crates/scenario/src/processes.rs
+++ b/crates/scenario/src/processes.rs
@@ -39,10 +39,16 @@
         args: &[String],
         logs: &Path,
     ) -> Result<Process, RunError> {
-        let fail = |why: String| RunError::Process { name: name.into(), why };
+        let fail = |why: String| RunError::Process {
+            name: name.into(),
+            why,
+        };
         let log: PathBuf = logs.join(format!("{name}.log"));
-        let log =
-            std::fs::File::options().create(true).append(true).open(log).map_err(|e| fail(e.to_string()))?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(log)
+            .map_err(|e| fail(e.to_string()))?;
         let mut child = Command::new(program)
             .args(args)
             .stdin(Stdio::null())
@@ -51,16 +57,27 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| fail(e.to_string()))?;
-        let out = child.stdout.take().ok_or_else(|| fail("no standard output".into()))?;
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| fail("no standard output".into()))?;
         let mut line = String::new();
         let mut out = BufReader::new(out);
         let read = tokio::time::timeout(START, out.read_line(&mut line)).await;
         match read {
             Ok(Ok(n)) if n > 0 => {}
-            _ => return Err(fail("ended, or said nothing, before it listened; see its log".into())),
+            _ => {
+                return Err(fail(
+                    "ended, or said nothing, before it listened; see its log".into(),
+                ));
+            }
         }
         let listening = serde_json::from_str(&line).map_err(|e| fail(format!("{e}: {line}")))?;
-        Ok(Process { name: name.into(), listening, child })
+        Ok(Process {
+            name: name.into(),
+            listening,
+            child,
+        })
     }
 
     /// Stops it where it is, or has it go on.
@@ -68,8 +85,14 @@
     /// # Errors
     /// It has ended.
     pub fn signal(&self, signal: Signal) -> Result<(), RunError> {
-        let fail = |why: String| RunError::Process { name: self.name.clone(), why };
-        let id = self.child.id().ok_or_else(|| fail("it has ended by itself".into()))?;
+        let fail = |why: String| RunError::Process {
+            name: self.name.clone(),
+            why,
+        };
+        let id = self
+            .child
+            .id()
+            .ok_or_else(|| fail("it has ended by itself".into()))?;
         kill(Pid::from_raw(id as i32), signal).map_err(|e| fail(e.to_string()))
     }
 
@@ -84,7 +107,10 @@
     /// # Errors
     /// It did not end in time; it is killed then.
     pub async fn stop(mut self, wait: Duration) -> Result<ExitStatus, RunError> {
-        let fail = |why: String| RunError::Process { name: self.name.clone(), why };
+        let fail = |why: String| RunError::Process {
+            name: self.name.clone(),
+            why,
+        };
         if let Some(id) = self.child.id() {
             kill(Pid::from_raw(id as i32), Signal::SIGTERM).map_err(|e| fail(e.to_string()))?;
             // One that stands still hears it only when it goes on.
@@ -94,7 +120,9 @@
             Ok(status) => status.map_err(|e| fail(e.to_string())),
             Err(_) => {
                 let _ = self.child.kill().await;
-                Err(fail(format!("asked to stop, it did not end within {wait:?}")))
+                Err(fail(format!(
+                    "asked to stop, it did not end within {wait:?}"
+                )))
             }
         }
     }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -84,11 +84,19 @@
 ///
 /// # Errors
 /// What kept it from being played; rules that were broken are in the report.
-pub async fn play(text: &str, d: Deployment, script: &Script, stage: &Stage) -> Result<Report, RunError> {
+pub async fn play(
+    text: &str,
+    d: Deployment,
+    script: &Script,
+    stage: &Stage,
+) -> Result<Report, RunError> {
     std::fs::create_dir_all(&stage.dir).map_err(io(stage.dir.display().to_string()))?;
     let frames = stage.dir.join("frames.jsonl");
     let recording = std::fs::File::create(&frames).map_err(io(frames.display().to_string()))?;
-    let wire = Wire::new(stage.seed, Some(Box::new(std::io::BufWriter::new(recording))));
+    let wire = Wire::new(
+        stage.seed,
+        Some(Box::new(std::io::BufWriter::new(recording))),
+    );
     let d = Arc::new(d);
     let mut proxies = Proxies::open(&d, script, &wire).await?;
     let addresses = proxies.addresses;
@@ -98,11 +106,21 @@
     let played = day.play_script(&addresses).await;
     day.operators.shutdown().await;
     let hosts = day.settled_states().await;
-    write(&stage.dir.join("hosts.json"), &serde_json::to_string(&hosts).unwrap_or_default())?;
+    write(
+        &stage.dir.join("hosts.json"),
+        &serde_json::to_string(&hosts).unwrap_or_default(),
+    )?;
     for host in &hosts {
         for p in &host.past {
             let (budget, cause) = (p.budget.clone(), p.cause.clone());
-            wire.record(&host.host, What::BudgetOverrun { budget, cause, bytes: p.bytes });
+            wire.record(
+                &host.host,
+                What::BudgetOverrun {
+                    budget,
+                    cause,
+                    bytes: p.bytes,
+                },
+            );
         }
     }
     let mut failures = day.stop_all().await;
@@ -114,21 +132,41 @@
     let recording = std::fs::read_to_string(&frames).map_err(io(frames.display().to_string()))?;
     let verdicts = gullsail_audit::judge(&d, &recording)?;
     if !d.cross_zone_budgets.is_empty() {
-        failures.extend(accounts(&gullsail_audit::crossed(&d, &recording)?, &hosts, script));
+        failures.extend(accounts(
+            &gullsail_audit::crossed(&d, &recording)?,
+            &hosts,
+            script,
+        ));
     }
     let tested = |rule: &u8| verdicts.iter().any(|v| v.rule == *rule && v.tested > 0);
-    let untested = script.tests.iter().copied().filter(|rule| !tested(rule)).collect();
+    let untested = script
+        .tests
+        .iter()
+        .copied()
+        .filter(|rule| !tested(rule))
+        .collect();
     failures.extend(wrong_answers(&outcomes));
     let (name, seed) = (script.name.clone(), stage.seed);
-    Ok(Report { name, seed, happened: day.happened, outcomes, verdicts, untested, failures, hosts })
+    Ok(Report {
+        name,
+        seed,
+        happened: day.happened,
+        outcomes,
+        verdicts,
+        untested,
+        failures,
+        hosts,
+    })
 }
 
 /// Answers that no client may get, by request class and plan.
 fn wrong_answers(outcomes: &Tallies) -> Vec<String> {
     let mut failures = Vec::new();
     for ((request_class, plan), t) in outcomes {
-        for (count, what) in [(t.wrong_bytes, "reads with wrong bytes"), (t.second_answers, "second answers")]
-        {
+        for (count, what) in [
+            (t.wrong_bytes, "reads with wrong bytes"),
+            (t.second_answers, "second answers"),
+        ] {
             if count > 0 {
                 failures.push(format!("{request_class}, {plan}: {count} {what}"));
             }
@@ -150,15 +188,37 @@
 
 impl Proxies {
     async fn open(d: &Deployment, script: &Script, wire: &Arc<Wire>) -> Result<Proxies, RunError> {
-        let mut all = Proxies { tasks: JoinSet::new(), addresses: BTreeMap::new(), places: BTreeMap::new() };
-        let names = d.hosts.iter().chain(d.nodes.iter().map(|n| &n.place)).map(|p| p.name.clone());
-        for name in names.chain(script.newcomers.iter().cloned()).chain(["list".to_string()]) {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("a free port"))?;
-            let address = listener.local_addr().map_err(io("a free port"))?.to_string();
+        let mut all = Proxies {
+            tasks: JoinSet::new(),
+            addresses: BTreeMap::new(),
+            places: BTreeMap::new(),
+        };
+        let names = d
+            .hosts
+            .iter()
+            .chain(d.nodes.iter().map(|n| &n.place))
+            .map(|p| p.name.clone());
+        for name in names
+            .chain(script.newcomers.iter().cloned())
+            .chain(["list".to_string()])
+        {
+            let listener = TcpListener::bind("127.0.0.1:0")
+                .await
+                .map_err(io("a free port"))?;
+            let address = listener
+                .local_addr()
+                .map_err(io("a free port"))?
+                .to_string();
             all.addresses.insert(name.clone(), address);
             let (target, target_receiver) = watch::channel(None);
-            all.tasks.spawn(relay(wire.clone(), name.clone(), listener, target_receiver));
-            let place = Place { process: None, target, started: Instant::now(), warm: false };
+            all.tasks
+                .spawn(relay(wire.clone(), name.clone(), listener, target_receiver));
+            let place = Place {
+                process: None,
+                target,
+                started: Instant::now(),
+                warm: false,
+            };
             all.places.insert(name, place);
         }
         Ok(all)
@@ -201,9 +261,17 @@
     }
 
     /// The document with the proxies' addresses, for the processes; where hosts reload, one for each of them.
-    fn write_documents(&mut self, text: &str, addresses: &BTreeMap<String, String>) -> Result<(), RunError> {
+    fn write_documents(
+        &mut self,
+        text: &str,
+        addresses: &BTreeMap<String, String>,
+    ) -> Result<(), RunError> {
         let dir = &self.stage.dir;
-        let reloads = self.script.faults.iter().any(|t| matches!(t.1, Fault::Reload { .. }));
+        let reloads = self
+            .script
+            .faults
+            .iter()
+            .any(|t| matches!(t.1, Fault::Reload { .. }));
         let resolved = resolve(text, addresses, reloads);
         write(&self.document, &resolved)?;
         write(&dir.join("script.kdl"), text)?;
@@ -228,7 +296,9 @@
             tokio::time::sleep(QUIET).await;
             let before = std::mem::replace(&mut hosts, self.states().await);
             let moved = |all: &[State]| -> Vec<u64> {
-                all.iter().map(|h| attempts_bytes(h).values().sum()).collect()
+                all.iter()
+                    .map(|h| attempts_bytes(h).values().sum())
+                    .collect()
             };
             if self.d.cross_zone_budgets.is_empty() || moved(&before) == moved(&hosts) {
                 break;
@@ -250,7 +320,10 @@
         named.chain(self.script.newcomers.iter().cloned()).collect()
     }
 
-    async fn play_script(&mut self, addresses: &BTreeMap<String, String>) -> Result<Tallies, RunError> {
+    async fn play_script(
+        &mut self,
+        addresses: &BTreeMap<String, String>,
+    ) -> Result<Tallies, RunError> {
         let s = self.script;
         self.began = Instant::now();
         let (changes, changed) = mpsc::channel(64);
@@ -262,15 +335,28 @@
             seed: self.stage.seed,
         };
         // Those of newcomers stand behind the document's, as they will in a later one.
-        let hosts = self.host_names().iter().map(|h| addresses[h].clone()).collect();
+        let hosts = self
+            .host_names()
+            .iter()
+            .map(|h| addresses[h].clone())
+            .collect();
         let until = self.began + duration(s.lasts);
         let mut clients = JoinSet::new();
         clients.spawn(client::run(self.d.clone(), load, hosts, changed, until));
-        self.later =
-            s.faults.iter().map(|(at, t)| (self.began + duration(*at), Step::Begin(t.clone()))).collect();
-        let Some(mut step_receiver) = self.step_receiver.take() else { return Ok(Tallies::new()) };
+        self.later = s
+            .faults
+            .iter()
+            .map(|(at, t)| (self.began + duration(*at), Step::Begin(t.clone())))
+            .collect();
+        let Some(mut step_receiver) = self.step_receiver.take() else {
+            return Ok(Tallies::new());
+        };
         loop {
-            let next = self.later.iter().enumerate().min_by_key(|(place, l)| (l.0, *place));
+            let next = self
+                .later
+                .iter()
+                .enumerate()
+                .min_by_key(|(place, l)| (l.0, *place));
             let next = next.map(|(place, l)| (place, l.0));
             let next_step_at = next.map_or(Instant::now() + Duration::from_secs(3600), |n| n.1);
             tokio::select! {
--- a/crates/scenario/src/run/allocations_log.rs
+++ b/crates/scenario/src/run/allocations_log.rs
@@ -31,14 +31,31 @@
         for host in self.host_names().iter().filter(|_| self.d.fleet.is_some()) {
             let file = self.stage.dir.join(format!("{host}.log"));
             let log = std::fs::read_to_string(file).unwrap_or_default();
-            let stages = log.lines().filter_map(|l| serde_json::from_str::<StageLine>(l).ok());
+            let stages = log
+                .lines()
+                .filter_map(|l| serde_json::from_str::<StageLine>(l).ok());
             for l in stages.filter(|l| l.target == "gullsail_works") {
                 if let Ok(when) = humantime::parse_rfc3339(&l.timestamp) {
-                    let StageLine { server, number, stage, .. } = l;
-                    self.wire.record_at(host, when, What::Stage { server, number, stage });
+                    let StageLine {
+                        server,
+                        number,
+                        stage,
+                        ..
+                    } = l;
+                    self.wire.record_at(
+                        host,
+                        when,
+                        What::Stage {
+                            server,
+                            number,
+                            stage,
+                        },
+                    );
                 }
             }
-            let lines = log.lines().filter_map(|l| serde_json::from_str::<Line>(l).ok());
+            let lines = log
+                .lines()
+                .filter_map(|l| serde_json::from_str::<Line>(l).ok());
             for l in lines.filter(|l| l.target == "gullsail_parts") {
                 let when = humantime::parse_rfc3339(&l.timestamp);
                 if let (Ok(when), Ok(parts)) = (when, serde_json::from_str(&l.parts)) {
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -7,10 +7,17 @@
 
 /// The document with everybody's address: the relay's. Processes bind free ports of their own.
 pub(super) fn resolve(text: &str, addresses: &BTreeMap<String, String>, reloads: bool) -> String {
-    let Ok(mut document) = KdlDocument::parse_v2(text) else { return text.into() };
-    document.nodes_mut().iter_mut().for_each(|n| address(n, addresses));
+    let Ok(mut document) = KdlDocument::parse_v2(text) else {
+        return text.into();
+    };
+    document
+        .nodes_mut()
+        .iter_mut()
+        .for_each(|n| address(n, addresses));
     // Days number their documents themselves.
-    document.nodes_mut().retain(|n| !["day", "revision"].contains(&n.name().value()));
+    document
+        .nodes_mut()
+        .retain(|n| !["day", "revision"].contains(&n.name().value()));
     if reloads {
         document.nodes_mut().push(revision(1, None));
     }
@@ -25,7 +32,8 @@
     };
     if let Some(address) = name.and_then(|name| addresses.get(&name)) {
         for (key, value) in [("address", address.as_str()), ("listen", "127.0.0.1:0")] {
-            n.entries_mut().retain(|e| e.name().is_none_or(|k| k.value() != key));
+            n.entries_mut()
+                .retain(|e| e.name().is_none_or(|k| k.value() != key));
             n.push(KdlEntry::new_prop(key, value));
         }
     }
@@ -48,15 +56,23 @@
     number: u64,
     addresses: &BTreeMap<String, String>,
 ) -> String {
-    let Ok(mut document) = KdlDocument::parse_v2(text) else { return text.into() };
-    for entry in entries.iter().filter_map(|e| KdlDocument::parse_v2(e).ok()).flat_map(|d| d.nodes().to_vec())
+    let Ok(mut document) = KdlDocument::parse_v2(text) else {
+        return text.into();
+    };
+    for entry in entries
+        .iter()
+        .filter_map(|e| KdlDocument::parse_v2(e).ok())
+        .flat_map(|d| d.nodes().to_vec())
     {
-        let same = |n: &KdlNode| n.name().value() == entry.name().value() && n.get(0) == entry.get(0);
+        let same =
+            |n: &KdlNode| n.name().value() == entry.name().value() && n.get(0) == entry.get(0);
         match document.nodes_mut().iter_mut().find(|n| same(n)) {
             Some(n) => {
                 // Where a process listens is not the script's to say.
-                let kept: Vec<_> =
-                    ["address", "listen"].iter().filter_map(|key| n.entry(*key).cloned()).collect();
+                let kept: Vec<_> = ["address", "listen"]
+                    .iter()
+                    .filter_map(|key| n.entry(*key).cloned())
+                    .collect();
                 *n = entry;
                 kept.into_iter().for_each(|e| n.push(e));
             }
@@ -67,20 +83,41 @@
             }
         }
     }
-    numbered(&document.to_string(), number, Some(&format!("revision-{}.kdl", number - 1)))
+    numbered(
+        &document.to_string(),
+        number,
+        Some(&format!("revision-{}.kdl", number - 1)),
+    )
 }
 
 /// The document with this revision in the place of its own.
 pub(super) fn numbered(text: &str, number: u64, after: Option<&str>) -> String {
-    let Ok(mut document) = KdlDocument::parse_v2(text) else { return text.into() };
-    document.nodes_mut().retain(|n| n.name().value() != "revision");
+    let Ok(mut document) = KdlDocument::parse_v2(text) else {
+        return text.into();
+    };
+    document
+        .nodes_mut()
+        .retain(|n| n.name().value() != "revision");
     document.nodes_mut().push(revision(number, after));
     document.to_string()
 }
 
 impl Day<'_> {
-    pub(super) fn record_document(&self, host: &str, revision: u64, text: Option<String>, serves: bool) {
-        self.wire.record(host, What::Document { revision, text, serves });
+    pub(super) fn record_document(
+        &self,
+        host: &str,
+        revision: u64,
+        text: Option<String>,
+        serves: bool,
+    ) {
+        self.wire.record(
+            host,
+            What::Document {
+                revision,
+                text,
+                serves,
+            },
+        );
     }
 
     /// A host that starts serves by what is in its file.
@@ -88,7 +125,10 @@
         let file = self.stage.dir.join(format!("{host}.kdl"));
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let document = KdlDocument::parse_v2(&text).unwrap_or_default();
-        let number = document.get("revision").and_then(|n| n.get(0)).and_then(|v| v.as_integer());
+        let number = document
+            .get("revision")
+            .and_then(|n| n.get(0))
+            .and_then(|v| v.as_integer());
         if let Some(revision) = number.and_then(|n| u64::try_from(n).ok()) {
             self.record_document(host, revision, None, true);
         }
@@ -103,7 +143,10 @@
             return self.failures.push(format!("{}: {e}", file.display()));
         }
         if self.places.get(host).is_none_or(|p| p.process.is_none()) {
-            self.say(format!("{host} is down: it finds revision {} when it is back", next.revision));
+            self.say(format!(
+                "{host} is down: it finds revision {} when it is back",
+                next.revision
+            ));
             if next.expect != Expect::Taken {
                 _ = std::fs::write(&file, before);
             }
@@ -114,24 +157,40 @@
             let alone = numbered(&next.text, next.revision, None);
             self.record_document(host, next.revision, Some(alone), false);
         }
-        let reply =
-            ask(&self.socket(host), ControlRequest::Reload { insist: next.insist }, Duration::from_secs(20))
-                .await;
+        let reply = ask(
+            &self.socket(host),
+            ControlRequest::Reload {
+                insist: next.insist,
+            },
+            Duration::from_secs(20),
+        )
+        .await;
         let (got, say) = match reply {
             Ok(ControlReply::Taken { revision, changes }) => {
                 self.record_document(host, revision, None, true);
                 // Its users hear of it as soon as anybody serves by it.
-                if let Ok(d) = gullsail_configuration::parse("day", &numbered(&next.text, revision, None)) {
+                if let Ok(d) =
+                    gullsail_configuration::parse("day", &numbered(&next.text, revision, None))
+                {
                     _ = clients.send(Change::Document(Arc::new(d))).await;
                 }
-                (Some(Expect::Taken), format!("{} change(s) taken", changes.len()))
-            }
-            Ok(ControlReply::TurnedDown { why }) => {
-                (Some(Expect::TurnedDown), format!("turned down: {}", why.join("; ")))
+                (
+                    Some(Expect::Taken),
+                    format!("{} change(s) taken", changes.len()),
+                )
             }
+            Ok(ControlReply::TurnedDown { why }) => (
+                Some(Expect::TurnedDown),
+                format!("turned down: {}", why.join("; ")),
+            ),
             Ok(ControlReply::Broken { problems }) => {
-                let first = problems.first().map(|p| format!("{}:{} {}", p.line, p.column, p.message));
-                (Some(Expect::Broken), format!("not sound: {}", first.unwrap_or_default()))
+                let first = problems
+                    .first()
+                    .map(|p| format!("{}:{} {}", p.line, p.column, p.message));
+                (
+                    Some(Expect::Broken),
+                    format!("not sound: {}", first.unwrap_or_default()),
+                )
             }
             Ok(other) => (None, format!("{other:?}")),
             Err(e) => (None, e.to_string()),
--- a/crates/scenario/src/run/fault_start.rs
+++ b/crates/scenario/src/run/fault_start.rs
@@ -54,10 +54,22 @@
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
             Fault::Surge { who, times, lasts } => {
-                _ = changes.send(Change::Surge { who, times, until: until(lasts) }).await;
+                _ = changes
+                    .send(Change::Surge {
+                        who,
+                        times,
+                        until: until(lasts),
+                    })
+                    .await;
             }
             Fault::Impatient { share, part, lasts } => {
-                _ = changes.send(Change::Impatient { share, part, until: until(lasts) }).await;
+                _ = changes
+                    .send(Change::Impatient {
+                        share,
+                        part,
+                        until: until(lasts),
+                    })
+                    .await;
             }
             Fault::LeadMoves => _ = changes.send(Change::LeadMoves).await,
             _ => {}
@@ -68,9 +80,18 @@
     async fn degrade_nodes(&mut self, fault: Fault) {
         match fault {
             Fault::Stall { node, lasts } => self.order_nodes(&node, "stall", 1.0, lasts).await,
-            Fault::Slow { node, times, lasts } => self.order_nodes(&node, "slow", times, lasts).await,
-            Fault::Fail { node, share, lasts } => self.order_nodes(&node, "fail", share, lasts).await,
-            Fault::Costly { request_class, share, times, lasts } => {
+            Fault::Slow { node, times, lasts } => {
+                self.order_nodes(&node, "slow", times, lasts).await
+            }
+            Fault::Fail { node, share, lasts } => {
+                self.order_nodes(&node, "fail", share, lasts).await
+            }
+            Fault::Costly {
+                request_class,
+                share,
+                times,
+                lasts,
+            } => {
                 let what = "costly".into();
                 let order = Order {
                     what,
@@ -85,7 +106,11 @@
                 }
             }
             Fault::ListDown { lasts } => {
-                let order = Order { what: "refuse".into(), lasts_us: lasts.micros(), ..Order::default() };
+                let order = Order {
+                    what: "refuse".into(),
+                    lasts_us: lasts.micros(),
+                    ..Order::default()
+                };
                 self.order("list", order).await;
             }
             _ => {}
@@ -98,16 +123,26 @@
         match fault {
             Fault::Replace { node, by, after } => {
                 if let Some(process) = self.places.get_mut(&node).and_then(|p| p.process.take()) {
-                    self.wire.process(&node, self.wire.now(), ProcessEvent::Killed);
+                    self.wire
+                        .process(&node, self.wire.now(), ProcessEvent::Killed);
                     process.kill().await;
                 }
                 self.gone(&node, &by, addresses).await;
-                self.later.push((until(after), Step::Successor { node: by }));
+                self.later
+                    .push((until(after), Step::Successor { node: by }));
             }
             Fault::Release { node, by, after } => {
                 if let Some(n) = self.d.node(&node).cloned() {
                     let entries = vec![self.entry(&n, ListedState::Draining, addresses)];
-                    self.order("list", Order { what: "set".into(), entries, ..Order::default() }).await;
+                    self.order(
+                        "list",
+                        Order {
+                            what: "set".into(),
+                            entries,
+                            ..Order::default()
+                        },
+                    )
+                    .await;
                 }
                 self.later.push((until(after), Step::End { node, by }));
             }
@@ -122,26 +157,45 @@
     fn disturb_connections(&mut self, fault: Fault) {
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
-            Fault::LoseLabels { from, to, share, lasts } => {
+            Fault::LoseLabels {
+                from,
+                to,
+                share,
+                lasts,
+            } => {
                 self.disturbance(&from, &to, DisturbanceKind::LoseDemandReports(share), lasts);
                 self.disturbance(&to, &from, DisturbanceKind::LoseDemandReports(share), lasts);
             }
             Fault::SwapLabels { from, to, lasts } => {
                 self.disturbance(&from, &to, DisturbanceKind::SwapDemandReports, lasts)
             }
-            Fault::Delay { from, to, by, lasts } => {
-                self.disturbance(&from, &to, DisturbanceKind::Delay(duration(by)), lasts)
-            }
-            Fault::Reset { from, to, share, lasts } => {
-                self.disturbance(&from, &to, DisturbanceKind::Reset(share), lasts)
-            }
+            Fault::Delay {
+                from,
+                to,
+                by,
+                lasts,
+            } => self.disturbance(&from, &to, DisturbanceKind::Delay(duration(by)), lasts),
+            Fault::Reset {
+                from,
+                to,
+                share,
+                lasts,
+            } => self.disturbance(&from, &to, DisturbanceKind::Reset(share), lasts),
             Fault::Errors { node, share, lasts } => {
                 self.disturbance(&node, "*", DisturbanceKind::Errors(share), lasts)
             }
-            Fault::Lose { from, to, share, lasts } => {
-                self.disturbance(&from, &to, DisturbanceKind::Lose(share), lasts)
-            }
-            Fault::HalfClose { from, to, share, lasts } => {
+            Fault::Lose {
+                from,
+                to,
+                share,
+                lasts,
+            } => self.disturbance(&from, &to, DisturbanceKind::Lose(share), lasts),
+            Fault::HalfClose {
+                from,
+                to,
+                share,
+                lasts,
+            } => {
                 self.disturbance(&from, &to, DisturbanceKind::HalfClose(share), lasts);
             }
             Fault::Refuse { to, lasts } => {
@@ -153,12 +207,37 @@
                 self.wire.cut("*", &to);
             }
             Fault::Cut { from, to } => self.wire.cut(&from, &to),
-            Fault::Part { a, b, one_way, lasts } => self.part(&a, &b, one_way, duration(lasts)),
-            Fault::Flap { a, b, one_way, every, lasts } => {
+            Fault::Part {
+                a,
+                b,
+                one_way,
+                lasts,
+            } => self.part(&a, &b, one_way, duration(lasts)),
+            Fault::Flap {
+                a,
+                b,
+                one_way,
+                every,
+                lasts,
+            } => {
                 let (every, until) = (duration(every), until(lasts));
-                self.later.push((Instant::now(), Step::Flap { a, b, one_way, every, until }));
+                self.later.push((
+                    Instant::now(),
+                    Step::Flap {
+                        a,
+                        b,
+                        one_way,
+                        every,
+                        until,
+                    },
+                ));
             }
-            Fault::Repeat { from, to, share, lasts } => {
+            Fault::Repeat {
+                from,
+                to,
+                share,
+                lasts,
+            } => {
                 self.disturbance(&from, &to, DisturbanceKind::Repeat(share), lasts);
             }
             _ => {}
@@ -171,20 +250,24 @@
         match fault {
             Fault::KillHost { host, after } => {
                 if let Some(process) = self.places.get_mut(&host).and_then(|p| p.process.take()) {
-                    self.wire.process(&host, self.wire.now(), ProcessEvent::Killed);
+                    self.wire
+                        .process(&host, self.wire.now(), ProcessEvent::Killed);
                     process.kill().await;
                 }
-                self.later.extend(after.map(|after| (until(after), Step::HostBack { host })));
+                self.later
+                    .extend(after.map(|after| (until(after), Step::HostBack { host })));
             }
             Fault::StopHost { host, after } => {
                 self.stop_host(&host).await;
-                self.later.extend(after.map(|after| (until(after), Step::HostBack { host })));
+                self.later
+                    .extend(after.map(|after| (until(after), Step::HostBack { host })));
             }
             Fault::StartHost { host } => {
                 self.later.push((Instant::now(), Step::HostBack { host }));
             }
             Fault::Pause { name, lasts } => {
-                self.wire.process(&name, self.wire.now(), ProcessEvent::Paused);
+                self.wire
+                    .process(&name, self.wire.now(), ProcessEvent::Paused);
                 self.signal(&name, Signal::SIGSTOP);
                 self.later.push((until(lasts), Step::GoOn { name }));
             }
@@ -198,7 +281,14 @@
             Fault::Out { .. } | Fault::Cancel { .. } if self.stage.baseline => {
                 self.say("the baseline knows of no works".into());
             }
-            Fault::Out { names, via, after, shard_away, returns, expect } => {
+            Fault::Out {
+                names,
+                via,
+                after,
+                shard_away,
+                returns,
+                expect,
+            } => {
                 let servers = self.servers(&names);
                 let command = OperatorCommand {
                     kind: "out".into(),
@@ -211,7 +301,11 @@
                 self.operators.spawn(operator.out(servers));
             }
             Fault::Cancel { names, via } => {
-                let command = OperatorCommand { kind: "cancel".into(), names, ..OperatorCommand::default() };
+                let command = OperatorCommand {
+                    kind: "cancel".into(),
+                    names,
+                    ..OperatorCommand::default()
+                };
                 let operator = self.operator(command, &via, Expect::Taken, Duration::ZERO);
                 self.operators.spawn(operator.only_say());
             }
@@ -226,10 +320,21 @@
             Fault::Reload { .. } if self.stage.baseline => {
                 self.say("the baseline takes no other document: it keeps its own".into());
             }
-            Fault::Reload { host, every, insist, expect, entries } => {
+            Fault::Reload {
+                host,
+                every,
+                insist,
+                expect,
+                entries,
+            } => {
                 let number = self.newest.0 + 1;
                 let text = changed(&self.newest.1, &entries, number, addresses);
-                let next = Arc::new(Next { revision: number, insist, expect, text: text.clone() });
+                let next = Arc::new(Next {
+                    revision: number,
+                    insist,
+                    expect,
+                    text: text.clone(),
+                });
                 if expect == Expect::Taken {
                     let file = self.stage.dir.join(format!("revision-{number}.kdl"));
                     if let Err(e) = std::fs::write(&file, &text) {
@@ -237,10 +342,19 @@
                     }
                     self.newest = (number, text);
                 }
-                let hosts = self.host_names().into_iter().filter(|h| host == "*" || *h == host);
+                let hosts = self
+                    .host_names()
+                    .into_iter()
+                    .filter(|h| host == "*" || *h == host);
                 for (place, host) in hosts.collect::<Vec<_>>().into_iter().enumerate() {
                     let at = until(every.times(place as f64));
-                    self.later.push((at, Step::Reload { host, next: next.clone() }));
+                    self.later.push((
+                        at,
+                        Step::Reload {
+                            host,
+                            next: next.clone(),
+                        },
+                    ));
                 }
             }
             _ => {}
--- a/crates/scenario/src/run/faults.rs
+++ b/crates/scenario/src/run/faults.rs
@@ -72,18 +72,30 @@
             Step::End { node, by } => {
                 self.say(format!("{node} ends"));
                 if let Some(process) = self.places.get_mut(&node).and_then(|p| p.process.take()) {
-                    self.wire.process(&node, self.wire.now(), ProcessEvent::Ended);
+                    self.wire
+                        .process(&node, self.wire.now(), ProcessEvent::Ended);
                     process.kill().await;
                 }
                 self.gone(&node, &by, addresses).await;
-                self.later.push((Instant::now() + Duration::from_millis(200), Step::Successor { node: by }));
+                self.later.push((
+                    Instant::now() + Duration::from_millis(200),
+                    Step::Successor { node: by },
+                ));
             }
             Step::Successor { node } => {
                 if let Some(n) = find(&self.d, &node) {
                     self.say(format!("{node} starts, cold"));
                     self.start_node(&n, false).await?;
                     let entries = vec![self.entry(&n, ListedState::Ready, addresses)];
-                    self.order("list", Order { what: "set".into(), entries, ..Order::default() }).await;
+                    self.order(
+                        "list",
+                        Order {
+                            what: "set".into(),
+                            entries,
+                            ..Order::default()
+                        },
+                    )
+                    .await;
                 }
             }
             Step::OperatorReport { text, failure } => {
@@ -96,7 +108,8 @@
                     return Ok(());
                 }
                 self.switch_off(&name, addresses).await;
-                self.later.push((Instant::now() + after, Step::SwitchOn { name, back }));
+                self.later
+                    .push((Instant::now() + after, Step::SwitchOn { name, back }));
             }
             Step::SwitchOn { name, back } => self.switch_on(&name, back, addresses).await?,
             Step::Reload { host, next } => self.reload(&host, &next, changes).await,
@@ -106,14 +119,30 @@
             }
             Step::GoOn { name } => {
                 self.say(format!("{name} goes on"));
-                self.wire.process(&name, self.wire.now(), ProcessEvent::Resumed);
+                self.wire
+                    .process(&name, self.wire.now(), ProcessEvent::Resumed);
                 self.signal(&name, Signal::SIGCONT);
             }
-            Step::Flap { a, b, one_way, every, until } => {
+            Step::Flap {
+                a,
+                b,
+                one_way,
+                every,
+                until,
+            } => {
                 self.part(&a, &b, one_way, every);
                 let next = Instant::now() + 2 * every;
                 if next < until {
-                    self.later.push((next, Step::Flap { a, b, one_way, every, until }));
+                    self.later.push((
+                        next,
+                        Step::Flap {
+                            a,
+                            b,
+                            one_way,
+                            every,
+                            until,
+                        },
+                    ));
                 }
             }
         }
@@ -121,10 +150,23 @@
     }
 
     /// The list hears that a process no longer runs; of one that comes back it hears only then.
-    pub(super) async fn gone(&mut self, node: &str, by: &str, addresses: &BTreeMap<String, String>) {
+    pub(super) async fn gone(
+        &mut self,
+        node: &str,
+        by: &str,
+        addresses: &BTreeMap<String, String>,
+    ) {
         if let (true, Some(n)) = (node != by, self.d.node(node).cloned()) {
             let entries = vec![self.entry(&n, ListedState::Gone, addresses)];
-            self.order("list", Order { what: "set".into(), entries, ..Order::default() }).await;
+            self.order(
+                "list",
+                Order {
+                    what: "set".into(),
+                    entries,
+                    ..Order::default()
+                },
+            )
+            .await;
         }
     }
 
@@ -140,7 +182,10 @@
     pub(super) fn part(&mut self, a: &[String], b: &[String], one_way: bool, lasts: Duration) {
         let until = Instant::now() + lasts;
         for (from, to) in a.iter().flat_map(|a| b.iter().map(move |b| (a, b))) {
-            for (from, to) in [(from, to), (to, from)].into_iter().take(if one_way { 1 } else { 2 }) {
+            for (from, to) in [(from, to), (to, from)]
+                .into_iter()
+                .take(if one_way { 1 } else { 2 })
+            {
                 self.wire.disturb(Disturbance {
                     from: from.clone(),
                     to: to.clone(),
@@ -153,17 +198,31 @@
 
     pub(super) fn disturbance(&self, from: &str, to: &str, what: DisturbanceKind, lasts: Span) {
         let until = Instant::now() + duration(lasts);
-        self.wire.disturb(Disturbance { from: from.into(), to: to.into(), until, what });
+        self.wire.disturb(Disturbance {
+            from: from.into(),
+            to: to.into(),
+            until,
+            what,
+        });
     }
 
     pub(super) fn nodes(&self, name: &str) -> Vec<String> {
         let all = self.d.nodes.iter().map(|n| n.place.name.clone());
-        if name == "*" { all.collect() } else { vec![name.into()] }
+        if name == "*" {
+            all.collect()
+        } else {
+            vec![name.into()]
+        }
     }
 
     pub(super) async fn order_nodes(&self, node: &str, what: &str, size: f64, lasts: Span) {
         for name in self.nodes(node) {
-            let order = Order { what: what.into(), size, lasts_us: lasts.micros(), ..Order::default() };
+            let order = Order {
+                what: what.into(),
+                size,
+                lasts_us: lasts.micros(),
+                ..Order::default()
+            };
             self.order(&name, order).await;
         }
     }
--- a/crates/scenario/src/run/lifecycle.rs
+++ b/crates/scenario/src/run/lifecycle.rs
@@ -7,21 +7,41 @@
 use tokio::net::TcpStream;
 
 impl Day<'_> {
-    pub(super) async fn start_all(&mut self, addresses: &BTreeMap<String, String>) -> Result<(), RunError> {
+    pub(super) async fn start_all(
+        &mut self,
+        addresses: &BTreeMap<String, String>,
+    ) -> Result<(), RunError> {
         let nodes: Vec<_> = self.d.nodes.iter().filter(|n| !n.spare).cloned().collect();
         for n in &nodes {
             self.start_node(n, true).await?;
         }
         self.start("list", vec!["list".into()], Some(0)).await?;
         // What the list knows from the start: who runs, and where.
-        let entries = nodes.iter().map(|n| self.entry(n, ListedState::Ready, addresses)).collect();
-        self.order("list", Order { what: "set".into(), entries, ..Order::default() }).await;
+        let entries = nodes
+            .iter()
+            .map(|n| self.entry(n, ListedState::Ready, addresses))
+            .collect();
+        self.order(
+            "list",
+            Order {
+                what: "set".into(),
+                entries,
+                ..Order::default()
+            },
+        )
+        .await;
         // Some come only later.
         let late = |name: &String| {
             let faults = &mut self.script.faults.iter();
             faults.any(|t| matches!(&t.1, Fault::StartHost { host } if host == name))
         };
-        let hosts: Vec<_> = self.d.hosts.iter().map(|h| h.name.clone()).filter(|h| !late(h)).collect();
+        let hosts: Vec<_> = self
+            .d
+            .hosts
+            .iter()
+            .map(|h| h.name.clone())
+            .filter(|h| !late(h))
+            .collect();
         for host in hosts {
             self.start_host(&host).await?;
         }
@@ -36,14 +56,25 @@
     ) -> Result<(), RunError> {
         let mut args = args;
         let own = self.stage.dir.join(format!("{name}.kdl"));
-        let file = if own.exists() { own } else { self.document.clone() };
+        let file = if own.exists() {
+            own
+        } else {
+            self.document.clone()
+        };
         args.push(file.display().to_string());
         let process = Process::start(&self.stage.program, name, &args, &self.stage.dir).await?;
         let incarnation = process.listening.incarnation;
-        self.wire.process(name, at.unwrap_or(self.wire.now()), ProcessEvent::Started { incarnation });
+        self.wire.process(
+            name,
+            at.unwrap_or(self.wire.now()),
+            ProcessEvent::Started { incarnation },
+        );
         if let Some(place) = self.places.get_mut(name) {
-            place.target.send_replace(Some(process.listening.address.clone()));
-            (place.process, place.started, place.warm) = (Some(process), Instant::now(), at == Some(0));
+            place
+                .target
+                .send_replace(Some(process.listening.address.clone()));
+            (place.process, place.started, place.warm) =
+                (Some(process), Instant::now(), at == Some(0));
         }
         Ok(())
     }
@@ -57,13 +88,22 @@
     }
 
     pub(super) async fn start_host(&mut self, host: &str) -> Result<(), RunError> {
-        let program = if self.stage.baseline { "baseline" } else { "host" };
+        let program = if self.stage.baseline {
+            "baseline"
+        } else {
+            "host"
+        };
         let mut args = vec![program.to_string(), "--name".into(), host.into()];
         if !self.stage.baseline && self.d.fleet.is_some() {
             // What it may use is written down there, and read again for the judge.
             args.extend(
-                ["--log", "json", "--log-level", "info,gullsail_parts=debug,gullsail_works=debug"]
-                    .map(String::from),
+                [
+                    "--log",
+                    "json",
+                    "--log-level",
+                    "info,gullsail_parts=debug,gullsail_works=debug",
+                ]
+                .map(String::from),
             );
         }
         let incarnation = self.happened.len() as u64;
@@ -71,14 +111,16 @@
             "--seed".into(),
             (self.stage.seed.wrapping_mul(31).wrapping_add(incarnation)).to_string(),
         ]);
-        if let (false, Some((_, ahead))) =
-            (self.stage.baseline, self.script.clocks.iter().find(|c| c.0 == host))
-        {
+        if let (false, Some((_, ahead))) = (
+            self.stage.baseline,
+            self.script.clocks.iter().find(|c| c.0 == host),
+        ) {
             args.extend(["--clock-ahead".into(), format!("{}us", ahead.micros())]);
         }
-        if let (false, Some((_, drift))) =
-            (self.stage.baseline, self.script.drifts.iter().find(|c| c.0 == host))
-        {
+        if let (false, Some((_, drift))) = (
+            self.stage.baseline,
+            self.script.drifts.iter().find(|c| c.0 == host),
+        ) {
             args.extend(["--clock-drift".into(), drift.to_string()]);
         }
         if !self.stage.baseline {
@@ -96,13 +138,26 @@
         addresses: &BTreeMap<String, String>,
     ) -> ListedEndpoint {
         let place = self.places.get(&n.place.name);
-        let incarnation = place.and_then(|p| p.process.as_ref()).map_or(0, |p| p.listening.incarnation);
-        let age = place.map_or(0, |p| if p.warm { OLD_US } else { p.started.elapsed().as_micros() as i64 });
+        let incarnation = place
+            .and_then(|p| p.process.as_ref())
+            .map_or(0, |p| p.listening.incarnation);
+        let age = place.map_or(0, |p| {
+            if p.warm {
+                OLD_US
+            } else {
+                p.started.elapsed().as_micros() as i64
+            }
+        });
         ListedEndpoint {
             name: n.place.name.clone(),
             address: addresses.get(&n.place.name).cloned().unwrap_or_default(),
             shard: n.shard.0,
-            zone: self.d.zones.get(n.place.zone.0).cloned().unwrap_or_default(),
+            zone: self
+                .d
+                .zones
+                .get(n.place.zone.0)
+                .cloned()
+                .unwrap_or_default(),
             state: state as i32,
             age_us: age,
             incarnation,
@@ -112,7 +167,10 @@
 
     /// To a stand-in, on a connection of its own.
     pub(super) async fn order(&self, name: &str, order: Order) {
-        let address = self.places.get(name).and_then(|p| p.target.borrow().clone());
+        let address = self
+            .places
+            .get(name)
+            .and_then(|p| p.target.borrow().clone());
         let Some(address) = address else { return };
         let Ok(stream) = TcpStream::connect(&address).await else {
             return warn!(process = name, "can't be given an order");
@@ -120,7 +178,11 @@
         let (sink, mut inbox) = mpsc::channel(8);
         let mut tasks = JoinSet::new();
         let link = Link::open(stream, (), Bounds::DEFAULT, 8, &sink, &mut tasks);
-        let hello = Hello { role: Role::Client as i32, name: "script".into(), ..Hello::default() };
+        let hello = Hello {
+            role: Role::Client as i32,
+            name: "script".into(),
+            ..Hello::default()
+        };
         let bytes = Frame::from(hello.clone()).len() + Frame::from(order.clone()).len();
         let (_, _) = (link.send(Frame::from(hello)), link.send(Frame::from(order)));
         let written = async {
@@ -148,7 +210,12 @@
     pub(super) async fn states(&self) -> Vec<State> {
         let mut all = Vec::new();
         for h in self.host_names().iter().filter(|_| !self.stage.baseline) {
-            let reply = ask(&self.socket(h), ControlRequest::Status, Duration::from_secs(5)).await;
+            let reply = ask(
+                &self.socket(h),
+                ControlRequest::Status,
+                Duration::from_secs(5),
+            )
+            .await;
             if let Ok(ControlReply::Status(state)) = reply {
                 all.push(*state);
             }
@@ -158,10 +225,24 @@
 
     /// As its operator does it; it must leave by itself.
     pub(super) async fn stop_host(&mut self, host: &str) {
-        let longest = self.d.request_classes.iter().map(|s| s.deadline).max().unwrap_or_default();
-        let Some(process) = self.places.get_mut(host).and_then(|p| p.process.take()) else { return };
-        match process.stop(duration(longest) + Duration::from_secs(10)).await {
-            Ok(status) if status.success() => self.wire.process(host, self.wire.now(), ProcessEvent::Ended),
+        let longest = self
+            .d
+            .request_classes
+            .iter()
+            .map(|s| s.deadline)
+            .max()
+            .unwrap_or_default();
+        let Some(process) = self.places.get_mut(host).and_then(|p| p.process.take()) else {
+            return;
+        };
+        match process
+            .stop(duration(longest) + Duration::from_secs(10))
+            .await
+        {
+            Ok(status) if status.success() => {
+                self.wire
+                    .process(host, self.wire.now(), ProcessEvent::Ended)
+            }
             Ok(status) => self.failures.push(format!("{host} ended with {status}")),
             Err(e) => self.failures.push(e.to_string()),
         }
@@ -169,19 +250,28 @@
 
     /// Hosts are asked to stop and must leave by themselves; stand-ins are ended.
     pub(super) async fn stop_all(&mut self) -> Vec<String> {
-        let longest = self.d.request_classes.iter().map(|s| s.deadline).max().unwrap_or_default();
+        let longest = self
+            .d
+            .request_classes
+            .iter()
+            .map(|s| s.deadline)
+            .max()
+            .unwrap_or_default();
         let wait = duration(longest) + Duration::from_secs(10);
         let mut failures = Vec::new();
         let hosts = self.host_names();
         for (name, place) in &mut self.places {
-            let Some(process) = place.process.take() else { continue };
+            let Some(process) = place.process.take() else {
+                continue;
+            };
             if !hosts.contains(name) {
                 process.kill().await;
                 continue;
             }
             match process.stop(wait).await {
                 Ok(status) if status.success() => {
-                    self.wire.process(name, self.wire.now(), ProcessEvent::Ended)
+                    self.wire
+                        .process(name, self.wire.now(), ProcessEvent::Ended)
                 }
                 Ok(status) => failures.push(format!("{name} ended with {status}")),
                 Err(e) => failures.push(e.to_string()),
--- a/crates/scenario/src/run/maintenance.rs
+++ b/crates/scenario/src/run/maintenance.rs
@@ -25,21 +25,41 @@
 
 impl Operator {
     async fn say(&self) -> bool {
-        let via = self.sockets.iter().find(|s| s.0 == self.via).or(self.sockets.first());
-        let Some((name, socket)) = via else { return false };
-        let reply = ask(socket, ControlRequest::OperatorCommand(self.command.clone()), PATIENCE).await;
+        let via = self
+            .sockets
+            .iter()
+            .find(|s| s.0 == self.via)
+            .or(self.sockets.first());
+        let Some((name, socket)) = via else {
+            return false;
+        };
+        let reply = ask(
+            socket,
+            ControlRequest::OperatorCommand(self.command.clone()),
+            PATIENCE,
+        )
+        .await;
         let (got, what) = match reply {
             Ok(ControlReply::CommandTaken) => (Some(Expect::Taken), "taken".to_string()),
-            Ok(ControlReply::TurnedDown { why }) => {
-                (Some(Expect::TurnedDown), format!("refused: {}", why.join("; ")))
-            }
+            Ok(ControlReply::TurnedDown { why }) => (
+                Some(Expect::TurnedDown),
+                format!("refused: {}", why.join("; ")),
+            ),
             Ok(other) => (None, format!("{other:?}")),
             Err(e) => (None, e.to_string()),
         };
-        let text = format!("{} {} through {name}: {what}", self.command.kind, self.command.names.join(" "));
-        let failure = (got != Some(self.expect)).then(|| format!("{text}, {:?} expected", self.expect));
+        let text = format!(
+            "{} {} through {name}: {what}",
+            self.command.kind,
+            self.command.names.join(" ")
+        );
+        let failure =
+            (got != Some(self.expect)).then(|| format!("{text}, {:?} expected", self.expect));
         // The day may be over.
-        _ = self.step_sender.send(Step::OperatorReport { text, failure }).await;
+        _ = self
+            .step_sender
+            .send(Step::OperatorReport { text, failure })
+            .await;
         got == Some(Expect::Taken)
     }
 
@@ -52,19 +72,27 @@
         while !left.is_empty() {
             tokio::time::sleep(LOOK).await;
             for (_, socket) in &self.sockets {
-                let Ok(ControlReply::Status(state)) = ask(socket, ControlRequest::Status, SAYS).await else {
+                let Ok(ControlReply::Status(state)) =
+                    ask(socket, ControlRequest::Status, SAYS).await
+                else {
                     continue;
                 };
                 let orders = state.maintenance.map(|w| w.orders).unwrap_or_default();
                 let out = |name: &String| {
-                    orders.iter().any(|o| o.server == *name && matches!(o.stage, Of::Offline | Of::Overdue))
+                    orders
+                        .iter()
+                        .any(|o| o.server == *name && matches!(o.stage, Of::Offline | Of::Overdue))
                 };
-                let over = |name: &String| orders.iter().any(|o| o.server == *name && o.stage.over());
+                let over =
+                    |name: &String| orders.iter().any(|o| o.server == *name && o.stage.over());
                 let now: Vec<String> = left.iter().filter(|m| out(m)).cloned().collect();
                 left.retain(|m| !now.contains(m) && !over(m));
                 for name in now {
                     let (after, back) = (self.after, !self.command.returns);
-                    _ = self.step_sender.send(Step::SwitchOff { name, after, back }).await;
+                    _ = self
+                        .step_sender
+                        .send(Step::SwitchOff { name, after, back })
+                        .await;
                 }
             }
         }
@@ -78,13 +106,31 @@
     pub(super) async fn insist(mut self) {
         for (name, _) in self.sockets.clone().iter().cycle().take(20) {
             self.via = name.clone();
-            let (_, socket) = self.sockets.iter().find(|s| s.0 == *name).cloned().unwrap_or_default();
-            if let Ok(ControlReply::CommandTaken) =
-                ask(&socket, ControlRequest::OperatorCommand(self.command.clone()), PATIENCE).await
+            let (_, socket) = self
+                .sockets
+                .iter()
+                .find(|s| s.0 == *name)
+                .cloned()
+                .unwrap_or_default();
+            if let Ok(ControlReply::CommandTaken) = ask(
+                &socket,
+                ControlRequest::OperatorCommand(self.command.clone()),
+                PATIENCE,
+            )
+            .await
             {
-                let text =
-                    format!("{} {} through {name}: taken", self.command.kind, self.command.names.join(" "));
-                _ = self.step_sender.send(Step::OperatorReport { text, failure: None }).await;
+                let text = format!(
+                    "{} {} through {name}: taken",
+                    self.command.kind,
+                    self.command.names.join(" ")
+                );
+                _ = self
+                    .step_sender
+                    .send(Step::OperatorReport {
+                        text,
+                        failure: None,
+                    })
+                    .await;
                 return;
             }
             tokio::time::sleep(LOOK).await;
@@ -100,20 +146,38 @@
         expect: Expect,
         after: Duration,
     ) -> Operator {
-        let sockets = self.host_names().into_iter().map(|h| (h.clone(), self.socket(&h))).collect();
-        Operator { sockets, via: via.into(), command, expect, after, step_sender: self.step_sender.clone() }
+        let sockets = self
+            .host_names()
+            .into_iter()
+            .map(|h| (h.clone(), self.socket(&h)))
+            .collect();
+        Operator {
+            sockets,
+            via: via.into(),
+            command,
+            expect,
+            after,
+            step_sender: self.step_sender.clone(),
+        }
     }
 
     /// Names of machines: a zone's name stands for all in it that run.
     pub(super) fn servers(&self, names: &[String]) -> Vec<String> {
-        let places = || self.d.hosts.iter().chain(self.d.nodes.iter().map(|n| &n.place));
+        let places = || {
+            self.d
+                .hosts
+                .iter()
+                .chain(self.d.nodes.iter().map(|n| &n.place))
+        };
         let runs = |name: &str| self.places.get(name).is_some_and(|p| p.process.is_some());
         let mut all = Vec::new();
         for name in names {
             match self.d.zones.iter().position(|z| z == name) {
-                Some(zone) => {
-                    all.extend(places().filter(|p| p.zone.0 == zone && runs(&p.name)).map(|p| p.name.clone()))
-                }
+                Some(zone) => all.extend(
+                    places()
+                        .filter(|p| p.zone.0 == zone && runs(&p.name))
+                        .map(|p| p.name.clone()),
+                ),
                 None => all.push(name.clone()),
             }
         }
@@ -124,7 +188,8 @@
         if self.d.node(name).is_some() {
             self.say(format!("{name} is out: switched off"));
             if let Some(process) = self.places.get_mut(name).and_then(|p| p.process.take()) {
-                self.wire.process(name, self.wire.now(), ProcessEvent::Ended);
+                self.wire
+                    .process(name, self.wire.now(), ProcessEvent::Ended);
                 process.kill().await;
             }
             return self.gone(name, "", addresses).await;
@@ -145,7 +210,15 @@
             Some(n) => {
                 self.start_node(&n, false).await?;
                 let entries = vec![self.entry(&n, ListedState::Ready, addresses)];
-                self.order("list", Order { what: "set".into(), entries, ..Order::default() }).await;
+                self.order(
+                    "list",
+                    Order {
+                        what: "set".into(),
+                        entries,
+                        ..Order::default()
+                    },
+                )
+                .await;
             }
             None => self.start_host(name).await?,
         }
--- a/crates/scenario/src/run/report.rs
+++ b/crates/scenario/src/run/report.rs
@@ -23,13 +23,19 @@
 }
 
 pub(super) fn by_name<S: serde::Serializer>(tallies: &Tallies, s: S) -> Result<S::Ok, S::Error> {
-    s.collect_map(tallies.iter().map(|((request_class, plan), t)| (format!("{request_class}/{plan}"), t)))
+    s.collect_map(
+        tallies
+            .iter()
+            .map(|((request_class, plan), t)| (format!("{request_class}/{plan}"), t)),
+    )
 }
 
 impl Report {
     /// Whether all rules were kept, the wanted ones were tested, and nothing else failed.
     pub fn passed(&self) -> bool {
-        self.verdicts.iter().all(Verdict::kept) && self.untested.is_empty() && self.failures.is_empty()
+        self.verdicts.iter().all(Verdict::kept)
+            && self.untested.is_empty()
+            && self.failures.is_empty()
     }
 
     /// For people: what happened when, what came of it, rule by rule.
@@ -50,7 +56,11 @@
         for failure in &self.failures {
             text += &format!("{failure}\n");
         }
-        text += if self.passed() { "passed\n" } else { "FAILED\n" };
+        text += if self.passed() {
+            "passed\n"
+        } else {
+            "FAILED\n"
+        };
         text
     }
 
@@ -114,7 +124,11 @@
 /// Bytes of attempts and answers that a host counted, by zones.
 pub(super) fn attempts_bytes(h: &State) -> BTreeMap<(String, String), u64> {
     let mut counted = BTreeMap::new();
-    for c in h.crossed.iter().filter(|c| c.reason != gullsail_zone_traffic::Reason::Peers) {
+    for c in h
+        .crossed
+        .iter()
+        .filter(|c| c.reason != gullsail_zone_traffic::Reason::Peers)
+    {
         *counted.entry((c.from.clone(), c.to.clone())).or_default() += c.total.bytes;
     }
     counted
@@ -128,7 +142,13 @@
     script: &Script,
 ) -> Vec<String> {
     let whole = |t: &Fault| {
-        !matches!(t, Fault::KillHost { .. } | Fault::Reset { .. } | Fault::Cut { .. } | Fault::Replace { .. })
+        !matches!(
+            t,
+            Fault::KillHost { .. }
+                | Fault::Reset { .. }
+                | Fault::Cut { .. }
+                | Fault::Replace { .. }
+        )
     };
     if !script.faults.iter().all(|t| whole(&t.1)) {
         return Vec::new();
@@ -137,10 +157,15 @@
     for h in hosts {
         let counted = attempts_bytes(h);
         for (key, bytes) in seen.iter().filter(|(key, _)| key.0 == h.host) {
-            let counted = counted.get(&(key.1.clone(), key.2.clone())).copied().unwrap_or_default();
+            let counted = counted
+                .get(&(key.1.clone(), key.2.clone()))
+                .copied()
+                .unwrap_or_default();
             if counted != *bytes {
-                failures
-                    .push(format!("{}: {bytes} bytes from {} to {}, {counted} counted", key.0, key.1, key.2));
+                failures.push(format!(
+                    "{}: {bytes} bytes from {} to {}, {counted} counted",
+                    key.0, key.1, key.2
+                ));
             }
         }
     }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -56,17 +56,31 @@
     let (document, mut r) = Reader::open(loader, name);
     let d = gullsail_configuration::build(&document, &mut r);
     let script = script(&document, &mut r, &d);
-    let text = document.nodes().iter().map(|n| n.to_string().trim().to_string() + "\n").collect();
+    let text = document
+        .nodes()
+        .iter()
+        .map(|n| n.to_string().trim().to_string() + "\n")
+        .collect();
     r.close((text, d, script)).map(|(all, _)| all)
 }
 
 fn script(document: &KdlDocument, r: &mut Reader, d: &Deployment) -> Script {
     let Some(day) = document.nodes().iter().find(|n| n.name().value() == "day") else {
         let help = Some("day \"quiet\" lasts=\"10s\" { ask \"read\" rate=50; }".into());
-        r.report("missing", "no `day` to play".into(), (document.span().offset(), 0).into(), help);
+        r.report(
+            "missing",
+            "no `day` to play".into(),
+            (document.span().offset(), 0).into(),
+            help,
+        );
         return Script::default();
     };
-    r.only(day, 1, &["lasts", "bytes", "fresh", "tries"], &["ask", "at", "clock", "newcomer", "tests"]);
+    r.only(
+        day,
+        1,
+        &["lasts", "bytes", "fresh", "tries"],
+        &["ask", "at", "clock", "newcomer", "tests"],
+    );
     let mut s = Script {
         name: r.text(day, 0, "a name"),
         lasts: r.span(day, "lasts"),
@@ -81,7 +95,10 @@
         faults: Vec::new(),
     };
     let hosts: Names = d.hosts.iter().map(|h| h.name.clone()).collect();
-    for n in day.iter_children().filter(|n| n.name().value() == "newcomer") {
+    for n in day
+        .iter_children()
+        .filter(|n| n.name().value() == "newcomer")
+    {
         newcomer(n, r, &hosts, &mut s);
     }
     for n in day.iter_children() {
@@ -101,7 +118,12 @@
     r.only(n, 1, &[], &[]);
     let name = r.text(n, 0, "a host that a later document names");
     if hosts.list().contains(&name) {
-        r.report("twice", format!("host \"{name}\" is in the document already"), n.span(), None);
+        r.report(
+            "twice",
+            format!("host \"{name}\" is in the document already"),
+            n.span(),
+            None,
+        );
     }
     s.newcomers.push(name);
 }
@@ -121,18 +143,32 @@
     let place = first.and_then(|e| r.refer(e, "host", hosts));
     let fast = r.number_at(n, "fast", 0.0).unwrap_or_default();
     let drift = fast - r.number_at(n, "slow", 0.0).unwrap_or_default();
-    s.drifts.extend(place.filter(|_| drift != 0.0).map(|p| (hosts.list()[p].clone(), drift)));
+    s.drifts.extend(
+        place
+            .filter(|_| drift != 0.0)
+            .map(|p| (hosts.list()[p].clone(), drift)),
+    );
     let ahead = r.span_at(n, "ahead").unwrap_or_default();
     let ahead = ahead - r.span_at(n, "behind").unwrap_or_default();
-    s.clocks.extend(place.map(|p| (hosts.list()[p].clone(), ahead)));
+    s.clocks
+        .extend(place.map(|p| (hosts.list()[p].clone(), ahead)));
 }
 
 fn tested_rules(n: &KdlNode, r: &mut Reader, s: &mut Script) {
     r.only(n, usize::MAX, &[], &[]);
     for e in n.entries() {
-        match e.value().as_integer().filter(|rule| (1..=14).contains(rule)) {
+        match e
+            .value()
+            .as_integer()
+            .filter(|rule| (1..=14).contains(rule))
+        {
             Some(rule) => s.tests.push(rule as u8),
-            None => r.report("wrong-kind", "rules have numbers 1 to 14".into(), e.span(), None),
+            None => r.report(
+                "wrong-kind",
+                "rules have numbers 1 to 14".into(),
+                e.span(),
+                None,
+            ),
         }
     }
 }
@@ -143,7 +179,12 @@
     let at = Reader::as_span(&text);
     if at.is_none() {
         let help = Some("at \"4s\" { ... }".into());
-        r.report("wrong-kind", format!("\"{text}\" is not a span"), n.span(), help);
+        r.report(
+            "wrong-kind",
+            format!("\"{text}\" is not a span"),
+            n.span(),
+            help,
+        );
     }
     for entry in n.iter_children() {
         if let Some(fault) = fault(r, entry, d, &s.newcomers) {
--- a/crates/scenario/src/script/fault.rs
+++ b/crates/scenario/src/script/fault.rs
@@ -189,6 +189,7 @@
     /// a field of the program gets another name.
     pub fn describe(&self) -> String {
         let text = format!("{self:?}").replace("Span(", "us(").replace('"', "");
-        text.replace("request_class: ", "stream_type: ").replace("shard_away: ", "cell_away: ")
+        text.replace("request_class: ", "stream_type: ")
+            .replace("shard_away: ", "cell_away: ")
     }
 }
--- a/crates/scenario/src/script/fault_reader.rs
+++ b/crates/scenario/src/script/fault_reader.rs
@@ -41,9 +41,14 @@
 ];
 
 pub(super) fn expected(r: &mut Reader, n: &KdlNode) -> Expect {
-    let keywords =
-        [("taken", Expect::Taken), ("turned-down", Expect::TurnedDown), ("broken", Expect::Broken)];
-    n.entry("expect").and_then(|_| r.keyword(n, "expect", &keywords)).unwrap_or(Expect::Taken)
+    let keywords = [
+        ("taken", Expect::Taken),
+        ("turned-down", Expect::TurnedDown),
+        ("broken", Expect::Broken),
+    ];
+    n.entry("expect")
+        .and_then(|_| r.keyword(n, "expect", &keywords))
+        .unwrap_or(Expect::Taken)
 }
 
 /// Names of processes, or of zones: all that is in them.
@@ -54,11 +59,20 @@
     for keyword in text.split_whitespace() {
         let of_zone = |zone: &str| d.zones.iter().position(|z| z == zone);
         if let Some(zone) = of_zone(keyword) {
-            all.extend(places().filter(|p| p.zone.0 == zone).map(|p| p.name.clone()));
+            all.extend(
+                places()
+                    .filter(|p| p.zone.0 == zone)
+                    .map(|p| p.name.clone()),
+            );
         } else if keyword == "list" || places().any(|p| p.name == keyword) {
             all.push(keyword.into());
         } else {
-            r.report("unknown-name", format!("no process or zone is called \"{keyword}\""), n.span(), None);
+            r.report(
+                "unknown-name",
+                format!("no process or zone is called \"{keyword}\""),
+                n.span(),
+                None,
+            );
         }
     }
     if all.is_empty() {
@@ -79,7 +93,9 @@
         "fail" | "errors" => &["share", "for"],
         "replace" | "release" => &["by", "after"],
         "list-down" | "refuse" | "silent" => &["for"],
-        "lose-labels" | "reset" | "lose" | "half-close" | "repeat" => &["from", "to", "share", "for"],
+        "lose-labels" | "reset" | "lose" | "half-close" | "repeat" => {
+            &["from", "to", "share", "for"]
+        }
         "swap-labels" => &["from", "to", "for"],
         "delay" => &["from", "to", "by", "for"],
         "cut" if between_groups => &["between", "and", "ways", "for"],
@@ -116,7 +132,10 @@
     /// The process or other thing that the entry names first.
     fn name(&mut self, what: &str, names: &[String]) -> Option<String> {
         match self.n.entries().iter().find(|e| e.name().is_none()) {
-            Some(e) => self.r.refer(e, what, &names.iter().cloned().collect()).map(|p| names[p].clone()),
+            Some(e) => self
+                .r
+                .refer(e, what, &names.iter().cloned().collect())
+                .map(|p| names[p].clone()),
             None => {
                 let text = format!("`{}` needs a {what}", self.n.name().value());
                 self.r.report("missing", text, self.n.span(), None);
@@ -130,7 +149,9 @@
         if self.n.entry(key).is_none() {
             return Some("*".to_string());
         }
-        let place = self.r.refer_at(self.n, key, "process", &names.iter().cloned().collect());
+        let place = self
+            .r
+            .refer_at(self.n, key, "process", &names.iter().cloned().collect());
         place.map(|p| names[p].clone())
     }
 
@@ -160,7 +181,11 @@
             own.clear_children();
             self.r.only(&own, 0, known, &[]);
         } else {
-            let names = if ["out", "cancel"].contains(&kind) { usize::MAX } else { 1 };
+            let names = if ["out", "cancel"].contains(&kind) {
+                usize::MAX
+            } else {
+                1
+            };
             self.r.only(self.n, names, known, &[]);
         }
     }
@@ -185,11 +210,21 @@
         match kind {
             "surge" => {
                 let volumes = self.d.volumes.iter().map(|v| v.name.clone());
-                let names: Vec<_> = volumes.chain(self.d.plans.iter().map(|p| p.name.clone())).collect();
+                let names: Vec<_> = volumes
+                    .chain(self.d.plans.iter().map(|p| p.name.clone()))
+                    .collect();
                 let who = self.name("volume or plan", &or_any(&names))?;
-                Some(Fault::Surge { who, times: self.r.number(self.n, "times", 0.0), lasts })
+                Some(Fault::Surge {
+                    who,
+                    times: self.r.number(self.n, "times", 0.0),
+                    lasts,
+                })
             }
-            "impatient" => Some(Fault::Impatient { share, part: self.r.number(self.n, "part", 0.0), lasts }),
+            "impatient" => Some(Fault::Impatient {
+                share,
+                part: self.r.number(self.n, "part", 0.0),
+                lasts,
+            }),
             "lead-moves" => Some(Fault::LeadMoves),
             _ => None,
         }
@@ -198,14 +233,30 @@
     fn node_fault(&mut self, kind: &str) -> Option<Fault> {
         let (lasts, share, after) = (self.lasts, self.share, self.after);
         match kind {
-            "stall" => Some(Fault::Stall { node: self.node_or_any()?, lasts }),
+            "stall" => Some(Fault::Stall {
+                node: self.node_or_any()?,
+                lasts,
+            }),
             "slow" => {
                 let node = self.node_or_any()?;
-                Some(Fault::Slow { node, times: self.r.number(self.n, "times", 0.0), lasts })
+                Some(Fault::Slow {
+                    node,
+                    times: self.r.number(self.n, "times", 0.0),
+                    lasts,
+                })
             }
-            "fail" => Some(Fault::Fail { node: self.node_or_any()?, share, lasts }),
+            "fail" => Some(Fault::Fail {
+                node: self.node_or_any()?,
+                share,
+                lasts,
+            }),
             "costly" => {
-                let names: Vec<_> = self.d.request_classes.iter().map(|s| s.name.clone()).collect();
+                let names: Vec<_> = self
+                    .d
+                    .request_classes
+                    .iter()
+                    .map(|s| s.name.clone())
+                    .collect();
                 let request_class = self.name("stream type", &names)?;
                 Some(Fault::Costly {
                     request_class,
@@ -214,18 +265,29 @@
                     lasts,
                 })
             }
-            "errors" => Some(Fault::Errors { node: self.node_or_any()?, share, lasts }),
+            "errors" => Some(Fault::Errors {
+                node: self.node_or_any()?,
+                share,
+                lasts,
+            }),
             "replace" | "release" => {
                 let node = self.node()?;
                 let nodes = self.nodes.clone();
-                let by = if self.n.entry("by").is_some() { self.key("by", &nodes)? } else { node.clone() };
+                let by = if self.n.entry("by").is_some() {
+                    self.key("by", &nodes)?
+                } else {
+                    node.clone()
+                };
                 Some(match kind {
                     "replace" => Fault::Replace { node, by, after },
                     _ => Fault::Release { node, by, after },
                 })
             }
             "start-node" => Some(Fault::StartNode { node: self.node()? }),
-            "pause-node" => Some(Fault::Pause { name: self.node()?, lasts }),
+            "pause-node" => Some(Fault::Pause {
+                name: self.node()?,
+                lasts,
+            }),
             _ => None,
         }
     }
@@ -236,11 +298,22 @@
         let hosts = or_any(&self.hosts);
         match kind {
             "list-down" => Some(Fault::ListDown { lasts }),
-            "refuse" => Some(Fault::Refuse { to: self.name("process", &all)?, lasts }),
-            "silent" => Some(Fault::Silent { to: self.name("process", &all)?, lasts }),
+            "refuse" => Some(Fault::Refuse {
+                to: self.name("process", &all)?,
+                lasts,
+            }),
+            "silent" => Some(Fault::Silent {
+                to: self.name("process", &all)?,
+                lasts,
+            }),
             "lose-labels" => {
                 let (from, to) = (self.key("from", &hosts)?, self.key("to", &hosts)?);
-                Some(Fault::LoseLabels { from, to, share, lasts })
+                Some(Fault::LoseLabels {
+                    from,
+                    to,
+                    share,
+                    lasts,
+                })
             }
             "swap-labels" => {
                 let (from, to) = (self.key("from", &hosts)?, self.key("to", &hosts)?);
@@ -248,18 +321,34 @@
             }
             "repeat" => {
                 let (from, to) = (self.key("from", &hosts)?, self.key("to", &hosts)?);
-                Some(Fault::Repeat { from, to, share, lasts })
+                Some(Fault::Repeat {
+                    from,
+                    to,
+                    share,
+                    lasts,
+                })
             }
             "delay" => {
                 let by = self.r.span(self.n, "by");
-                Some(Fault::Delay { from: self.key("from", &all)?, to: self.key("to", &all)?, by, lasts })
-            }
-            "reset" => {
-                Some(Fault::Reset { from: self.key("from", &all)?, to: self.key("to", &all)?, share, lasts })
-            }
-            "lose" => {
-                Some(Fault::Lose { from: self.key("from", &all)?, to: self.key("to", &all)?, share, lasts })
+                Some(Fault::Delay {
+                    from: self.key("from", &all)?,
+                    to: self.key("to", &all)?,
+                    by,
+                    lasts,
+                })
             }
+            "reset" => Some(Fault::Reset {
+                from: self.key("from", &all)?,
+                to: self.key("to", &all)?,
+                share,
+                lasts,
+            }),
+            "lose" => Some(Fault::Lose {
+                from: self.key("from", &all)?,
+                to: self.key("to", &all)?,
+                share,
+                lasts,
+            }),
             "half-close" => Some(Fault::HalfClose {
                 from: self.key("from", &all)?,
                 to: self.key("to", &all)?,
@@ -267,7 +356,10 @@
                 lasts,
             }),
             "cut" | "flap" if self.n.entry("between").is_some() => self.partition(kind),
-            "cut" => Some(Fault::Cut { from: self.key("from", &all)?, to: self.key("to", &all)? }),
+            "cut" => Some(Fault::Cut {
+                from: self.key("from", &all)?,
+                to: self.key("to", &all)?,
+            }),
             _ => None,
         }
     }
@@ -276,7 +368,10 @@
     fn partition(&mut self, kind: &str) -> Option<Fault> {
         let a = group(self.r, self.n, "between", self.d)?;
         let b = group(self.r, self.n, "and", self.d)?;
-        let ways = self.r.text_at(self.n, "ways").unwrap_or_else(|| "both".into());
+        let ways = self
+            .r
+            .text_at(self.n, "ways")
+            .unwrap_or_else(|| "both".into());
         if !["one", "both"].contains(&ways.as_str()) {
             let text = format!("ways=\"{ways}\": \"one\" or \"both\"");
             self.r.report("wrong-kind", text, self.n.span(), None);
@@ -284,17 +379,37 @@
         let one_way = ways == "one";
         let lasts = self.lasts;
         Some(match kind {
-            "cut" => Fault::Part { a, b, one_way, lasts },
-            _ => Fault::Flap { a, b, one_way, every: self.r.span(self.n, "every"), lasts },
+            "cut" => Fault::Part {
+                a,
+                b,
+                one_way,
+                lasts,
+            },
+            _ => Fault::Flap {
+                a,
+                b,
+                one_way,
+                every: self.r.span(self.n, "every"),
+                lasts,
+            },
         })
     }
 
     fn host_fault(&mut self, kind: &str) -> Option<Fault> {
         match kind {
-            "kill-host" => Some(Fault::KillHost { host: self.host()?, after: self.back }),
-            "stop-host" => Some(Fault::StopHost { host: self.host()?, after: self.back }),
+            "kill-host" => Some(Fault::KillHost {
+                host: self.host()?,
+                after: self.back,
+            }),
+            "stop-host" => Some(Fault::StopHost {
+                host: self.host()?,
+                after: self.back,
+            }),
             "start-host" => Some(Fault::StartHost { host: self.host()? }),
-            "pause-host" => Some(Fault::Pause { name: self.host()?, lasts: self.lasts }),
+            "pause-host" => Some(Fault::Pause {
+                name: self.host()?,
+                lasts: self.lasts,
+            }),
             _ => None,
         }
     }
@@ -304,7 +419,11 @@
         if kind == "reload" {
             let expect = expected(self.r, self.n);
             let every = self.r.span_at(self.n, "every").unwrap_or_default();
-            let entries = self.n.iter_children().map(|c| c.to_string().trim().to_string()).collect();
+            let entries = self
+                .n
+                .iter_children()
+                .map(|c| c.to_string().trim().to_string())
+                .collect();
             let host = self.key("host", &hosts)?;
             return Some(Fault::Reload {
                 host,
@@ -315,7 +434,9 @@
             });
         }
         let names = self.n.entries().iter().filter(|e| e.name().is_none());
-        let names = names.filter_map(|e| e.value().as_string().map(str::to_string)).collect();
+        let names = names
+            .filter_map(|e| e.value().as_string().map(str::to_string))
+            .collect();
         let via = self.key("via", &hosts)?;
         if kind == "cancel" {
             return Some(Fault::Cancel { names, via });
@@ -323,16 +444,42 @@
         let shard_away = self.r.flag(self.n, "cell-away");
         let returns = self.r.flag(self.n, "returns");
         let expect = expected(self.r, self.n);
-        Some(Fault::Out { names, via, after: self.after, shard_away, returns, expect })
+        Some(Fault::Out {
+            names,
+            via,
+            after: self.after,
+            shard_away,
+            returns,
+            expect,
+        })
     }
 }
 
 /// The fault that an entry names; what is wrong with it goes to the reader.
-pub(super) fn fault(r: &mut Reader, n: &KdlNode, d: &Deployment, newcomers: &[String]) -> Option<Fault> {
+pub(super) fn fault(
+    r: &mut Reader,
+    n: &KdlNode,
+    d: &Deployment,
+    newcomers: &[String],
+) -> Option<Fault> {
     let nodes = d.nodes.iter().map(|n| n.place.name.clone()).collect();
-    let hosts = d.hosts.iter().map(|h| h.name.clone()).chain(newcomers.iter().cloned()).collect();
-    let mut reader =
-        FaultReader { r, n, d, nodes, hosts, lasts: Span::ZERO, share: 1.0, back: None, after: Span::ZERO };
+    let hosts = d
+        .hosts
+        .iter()
+        .map(|h| h.name.clone())
+        .chain(newcomers.iter().cloned())
+        .collect();
+    let mut reader = FaultReader {
+        r,
+        n,
+        d,
+        nodes,
+        hosts,
+        lasts: Span::ZERO,
+        share: 1.0,
+        back: None,
+        after: Span::ZERO,
+    };
     let kind = n.name().value();
     let known = known_keys(kind, n.entry("between").is_some());
     reader.check_keys(kind, known);
--- a/crates/scheduler-api/src/demand_report.rs
+++ b/crates/scheduler-api/src/demand_report.rs
@@ -109,12 +109,17 @@
     match bytes {
         [TAG, REPORT, body @ ..] => {
             let (made_at, body) = body.split_first_chunk::<8>()?;
-            let volumes = body.chunks(DEMAND_BYTES).map(unpack_demand).collect::<Option<_>>()?;
+            let volumes = body
+                .chunks(DEMAND_BYTES)
+                .map(unpack_demand)
+                .collect::<Option<_>>()?;
             let made_at = Instant::from_micros(i64::from_le_bytes(*made_at));
             Some(PeerMessage::Report { made_at, volumes })
         }
         [TAG, SEARCH, body @ ..] => {
-            let ids = body.chunks(ID_BYTES).map(|id| Some(unpack_id(id.try_into().ok()?)));
+            let ids = body
+                .chunks(ID_BYTES)
+                .map(|id| Some(unpack_id(id.try_into().ok()?)));
             Some(PeerMessage::Search(ids.collect::<Option<_>>()?))
         }
         [TAG, USERS, body @ ..] => {
@@ -135,10 +140,16 @@
     let bytes: &[u8; DEMAND_BYTES] = bytes.try_into().ok()?;
     let (id, figures) = bytes.split_first_chunk()?;
     let figure = |at: usize| unpack_figure(u16::from_le_bytes([figures[at], figures[at + 1]]));
-    let report =
-        VolumeDemand { volume: unpack_id(*id), demand: figure(0), wanted: figure(2), lent: figure(4) };
+    let report = VolumeDemand {
+        volume: unpack_id(*id),
+        demand: figure(0),
+        wanted: figure(2),
+        lent: figure(4),
+    };
     let figures = [report.demand, report.wanted, report.lent];
-    let valid = figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0);
+    let valid = figures
+        .iter()
+        .all(|figure| figure.is_finite() && *figure >= 0.0);
     valid.then_some(report)
 }
 
@@ -146,7 +157,10 @@
     let bytes: &[u8; USER_BYTES] = bytes.try_into().ok()?;
     let (id, host) = bytes.split_first_chunk()?;
     let host = HostId(u32::from_le_bytes(host.try_into().ok()?));
-    Some(VolumeUser { volume: unpack_id(*id), host })
+    Some(VolumeUser {
+        volume: unpack_id(*id),
+        host,
+    })
 }
 
 /// The same message, with the time of a demand report moved by `by`: from the sender's clock to the
--- a/crates/scheduler-api/src/event.rs
+++ b/crates/scheduler-api/src/event.rs
@@ -2,7 +2,8 @@
 
 use crate::{
     CrossZoneBudget, Endpoint, FleetMembership, HostId, NodeId, ObjectId, Plan, PlanId, PoolId,
-    RequestClassId, RequestId, ShardId, Span, TimerId, UpdateKind, VolumeAllocation, VolumeId, ZoneId,
+    RequestClassId, RequestId, ShardId, Span, TimerId, UpdateKind, VolumeAllocation, VolumeId,
+    ZoneId,
 };
 
 /// A request, as it arrived at this host.
@@ -62,7 +63,10 @@
 
     /// It is certain that the node did nothing for it.
     pub fn never_ran(self) -> bool {
-        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
+        matches!(
+            self,
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+        )
     }
 }
 
--- a/crates/scheduler-api/src/lib.rs
+++ b/crates/scheduler-api/src/lib.rs
@@ -13,12 +13,13 @@
 
 pub use action::{Action, OverrunCause};
 pub use config::{
-    BudgetScope, CrossZoneBudget, FleetMembership, Idempotency, IdempotencyScope, Limit, Plan, RequestClass,
-    RetryBudget, SchedulerConfig, SlowStart, VolumeAllocation,
+    BudgetScope, CrossZoneBudget, FleetMembership, Idempotency, IdempotencyScope, Limit, Plan,
+    RequestClass, RetryBudget, SchedulerConfig, SlowStart, VolumeAllocation,
 };
 pub use endpoint::{Endpoint, EndpointState, UpdateKind};
 pub use event::{AttemptEnd, AttemptOutcome, Event, Request};
 pub use ids::{
-    HostId, NodeId, ObjectId, PlanId, PoolId, RequestClassId, RequestId, ShardId, TimerId, VolumeId, ZoneId,
+    HostId, NodeId, ObjectId, PlanId, PoolId, RequestClassId, RequestId, ShardId, TimerId,
+    VolumeId, ZoneId,
 };
 pub use time::{Instant, Span};
--- a/crates/scheduler-settings/src/lib.rs
+++ b/crates/scheduler-settings/src/lib.rs
@@ -27,7 +27,11 @@
         me: HostId(raw.rank),
         hosts: raw.peers_total,
         tick: Span::from_millis(raw.tick),
-        request_classes: raw.profiles.iter().map(request_class).collect::<Result<_, _>>()?,
+        request_classes: raw
+            .profiles
+            .iter()
+            .map(request_class)
+            .collect::<Result<_, _>>()?,
         plans: plans(&raw.policies),
         slow_start: SlowStart {
             units: raw.family_info.cold_units,
@@ -42,7 +46,10 @@
         max_units: raw.family_info.max_units,
         within_share_value: raw.family_info.within_share,
         beyond_share_value: raw.family_info.idle_worth,
-        max_retry_after: raw.limits.retry_after.then_some(Span::from_millis(raw.limits.max_retry_after)),
+        max_retry_after: raw
+            .limits
+            .retry_after
+            .then_some(Span::from_millis(raw.limits.max_retry_after)),
         peer_messages_enabled: raw.limits.peer_messages,
         poll_endpoints: raw.membership_mode == "ask",
         poll_within: raw.rules.must_ask_in.map(Span::from_millis),
@@ -52,8 +59,16 @@
     };
     let names = Names {
         zones: raw.failure_domains.clone(),
-        plans: raw.policies.iter().map(|policy| policy.name.clone()).collect(),
-        request_classes: raw.profiles.iter().map(|profile| profile.name.clone()).collect(),
+        plans: raw
+            .policies
+            .iter()
+            .map(|policy| policy.name.clone())
+            .collect(),
+        request_classes: raw
+            .profiles
+            .iter()
+            .map(|profile| profile.name.clone())
+            .collect(),
     };
     Ok((config, names))
 }
@@ -61,10 +76,19 @@
 /// Where the settings have no plans, one that has neither limit nor reserve.
 fn plans(policies: &[Policy]) -> Vec<Plan> {
     if policies.is_empty() {
-        return vec![Plan { limit: None, reserve: 0.0, nominal_rate: 0.0, weight: 1.0, price: 1.0 }];
+        return vec![Plan {
+            limit: None,
+            reserve: 0.0,
+            nominal_rate: 0.0,
+            weight: 1.0,
+            price: 1.0,
+        }];
     }
     let plan = |policy: &Policy| Plan {
-        limit: (policy.limit > 0.0).then_some(Limit { rate: policy.limit, burst: policy.limit_burst }),
+        limit: (policy.limit > 0.0).then_some(Limit {
+            rate: policy.limit,
+            burst: policy.limit_burst,
+        }),
         reserve: policy.reserve,
         nominal_rate: policy.nominal,
         weight: policy.parts,
@@ -90,7 +114,10 @@
     };
     let idempotency = match profile.idempotency.as_str() {
         "pure" => Idempotency::Idempotent,
-        "token" => Idempotency::WithKey { scope: group()?, window: Span::from_millis(profile.window) },
+        "token" => Idempotency::WithKey {
+            scope: group()?,
+            window: Span::from_millis(profile.window),
+        },
         "side_effect" => Idempotency::NonIdempotent,
         other => return Err(Problem::unknown("effect", other)),
     };
--- a/crates/scheduler-settings/src/names.rs
+++ b/crates/scheduler-settings/src/names.rs
@@ -15,7 +15,10 @@
 impl Problem {
     /// Such a word, cut to a length that fits into a message.
     pub fn unknown(what: &'static str, found: &str) -> Problem {
-        Problem { what, found: found.chars().take(80).collect() }
+        Problem {
+            what,
+            found: found.chars().take(80).collect(),
+        }
     }
 }
 
@@ -40,7 +43,9 @@
         if self.plans.is_empty() {
             return Ok(PlanId(0));
         }
-        place(&self.plans, name).map(PlanId).ok_or_else(|| Problem::unknown("plan", name))
+        place(&self.plans, name)
+            .map(PlanId)
+            .ok_or_else(|| Problem::unknown("plan", name))
     }
 
     /// The request class of a name.
@@ -56,7 +61,10 @@
     /// The zone of a name. A zone that no settings name is none of theirs, and not that of another such name:
     /// nodes of two of them must not be taken for one group that knows a keyed request's repeats.
     pub fn zone(&self, name: &str) -> ZoneId {
-        ZoneId(place(&self.zones, name).unwrap_or_else(|| hash(name) as usize | 1 << (usize::BITS - 1)))
+        ZoneId(
+            place(&self.zones, name)
+                .unwrap_or_else(|| hash(name) as usize | 1 << (usize::BITS - 1)),
+        )
     }
 }
 
--- a/crates/scheduler-settings/src/raw.rs
+++ b/crates/scheduler-settings/src/raw.rs
@@ -146,7 +146,10 @@
     pub fn reach(&self) -> Reach {
         let longest = |of: fn(&Profile) -> f64| self.profiles.iter().map(of).fold(0.0, f64::max);
         Reach {
-            longest: (Span::from_millis(longest(|p| p.give_up)), Span::from_millis(longest(|p| p.objective))),
+            longest: (
+                Span::from_millis(longest(|p| p.give_up)),
+                Span::from_millis(longest(|p| p.objective)),
+            ),
             connect_time_out: Span::from_millis(self.limits.connect_timeout),
             keep_alive: Span::from_millis(self.limits.keepalive),
             writes: self.family_info.writes.clone(),
--- a/crates/scheduler-settings/src/validation.rs
+++ b/crates/scheduler-settings/src/validation.rs
@@ -20,13 +20,20 @@
 impl Findings {
     fn check(&mut self, wrong: bool, place: impl Into<String>, meant: impl Into<String>) {
         if wrong {
-            self.0.push(Contradiction { place: place.into(), meant: meant.into() });
+            self.0.push(Contradiction {
+                place: place.into(),
+                meant: meant.into(),
+            });
         }
     }
 
     fn check_not_negative(&mut self, place: impl Into<String>, figure: f64) {
         let wrong = !figure.is_finite() || figure < 0.0;
-        self.check(wrong, place, format!("a figure of 0 or more was meant, not {figure}"));
+        self.check(
+            wrong,
+            place,
+            format!("a figure of 0 or more was meant, not {figure}"),
+        );
     }
 
     fn check_names_differ<'a>(&mut self, list: &str, names: impl Iterator<Item = &'a str>) {
@@ -47,8 +54,14 @@
         for (at, policy) in self.policies.iter().enumerate() {
             self.check_policy(&mut found, at, policy);
         }
-        found.check_names_differ("policies", self.policies.iter().map(|policy| policy.name.as_str()));
-        found.check_names_differ("profiles", self.profiles.iter().map(|profile| profile.name.as_str()));
+        found.check_names_differ(
+            "policies",
+            self.policies.iter().map(|policy| policy.name.as_str()),
+        );
+        found.check_names_differ(
+            "profiles",
+            self.profiles.iter().map(|profile| profile.name.as_str()),
+        );
         self.check_profiles(&mut found);
         self.check_places(&mut found);
         found.0
@@ -59,7 +72,10 @@
             ("family-info.cold-units", self.family_info.cold_units),
             ("family-info.max-units", self.family_info.max_units),
             ("limits.max-retry-after", self.limits.max_retry_after),
-            ("rules.must-ask-in", self.rules.must_ask_in.unwrap_or_default()),
+            (
+                "rules.must-ask-in",
+                self.rules.must_ask_in.unwrap_or_default(),
+            ),
             ("rules.order-settle", self.rules.order_settle),
             ("rules.overload-for", self.rules.overload_for),
             ("rules.ramp-time", self.rules.ramp_time),
@@ -79,17 +95,31 @@
             format!("one word for each of {profiles} profiles was meant, not {writes}"),
         );
         let no_shards = self.family_info.slots_total < 0;
-        found.check(no_shards, "family-info.slots-total", "a number of shards was meant");
-        found.check(self.limits.max_attempts == 0, "limits.max-attempts", "at least one leg was meant");
+        found.check(
+            no_shards,
+            "family-info.slots-total",
+            "a number of shards was meant",
+        );
+        found.check(
+            self.limits.max_attempts == 0,
+            "limits.max-attempts",
+            "at least one leg was meant",
+        );
         found.check(
             !["push", "ask"].contains(&self.membership_mode.as_str()),
             "membership-mode",
-            format!("'push' or 'ask' was meant, not '{:.40}'", self.membership_mode),
+            format!(
+                "'push' or 'ask' was meant, not '{:.40}'",
+                self.membership_mode
+            ),
         );
         found.check(
             self.rank >= self.peers_total,
             "rank",
-            format!("a number below peers-total, {}, was meant, not {}", self.peers_total, self.rank),
+            format!(
+                "a number below peers-total, {}, was meant, not {}",
+                self.peers_total, self.rank
+            ),
         );
     }
 
@@ -116,15 +146,23 @@
 
     fn check_profiles(&self, found: &mut Findings) {
         for (at, profile) in self.profiles.iter().enumerate() {
-            for (key, time) in [("objective", profile.objective), ("give-up", profile.give_up)] {
+            for (key, time) in [
+                ("objective", profile.objective),
+                ("give-up", profile.give_up),
+            ] {
                 let wrong = !time.is_finite() || time <= 0.0;
                 let place = format!("profiles[{at}].{key}");
-                found.check(wrong, place, format!("a time above 0 was meant, not {time}"));
+                found.check(
+                    wrong,
+                    place,
+                    format!("a time above 0 was meant, not {time}"),
+                );
             }
         }
         let rules = &self.rules;
         found.check(
-            rules.look_back.is_none() && (rules.free_resends.is_some() || rules.extra_per_request.is_some()),
+            rules.look_back.is_none()
+                && (rules.free_resends.is_some() || rules.extra_per_request.is_some()),
             "rules.look-back",
             "the time over which further legs are counted was meant beside their budget",
         );
@@ -140,7 +178,10 @@
         found.check(
             !self.zone.is_empty() && !zones.is_empty() && !zones.contains(&self.zone),
             "zone",
-            format!("one of the failure-domains {zones:?} was meant, not '{:.40}'", self.zone),
+            format!(
+                "one of the failure-domains {zones:?} was meant, not '{:.40}'",
+                self.zone
+            ),
         );
     }
 }
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -55,18 +55,36 @@
         (who, TcpStream::connect(address).await.ok())
     };
     let ready = d.nodes.iter().filter(|n| !n.spare);
-    let ready = ready.map(|n| (n.place.name.clone(), (n.place.address.clone(), n.shard.0))).collect();
+    let ready = ready
+        .map(|n| (n.place.name.clone(), (n.place.address.clone(), n.shard.0)))
+        .collect();
     let (rng, list) = (ChaCha8Rng::seed_from_u64(seed), d.list.address.clone());
     let (links, up, attempts, levels) = Default::default();
-    let mut n = BaselineHost { d, rng, links, ready, up, attempts, levels, last: 0 };
+    let mut n = BaselineHost {
+        d,
+        rng,
+        links,
+        ready,
+        up,
+        attempts,
+        levels,
+        last: 0,
+    };
     connecting.spawn(connect(Who::List, list.clone(), 0));
     let mut asked: BTreeMap<String, Instant> = BTreeMap::new();
     let name = n.d.hosts[me.0 as usize].name.clone();
-    let hello = Hello { role: Role::Host as i32, name, incarnation: seed | 1, ..Hello::default() };
+    let hello = Hello {
+        role: Role::Host as i32,
+        name,
+        incarnation: seed | 1,
+        ..Hello::default()
+    };
     let mut last_link = 0;
     loop {
         for (name, (address, _)) in &n.ready {
-            let due = asked.get(name).is_none_or(|at| at.elapsed() > Duration::from_millis(200));
+            let due = asked
+                .get(name)
+                .is_none_or(|at| at.elapsed() > Duration::from_millis(200));
             if due && !n.up.contains_key(name) {
                 asked.insert(name.clone(), Instant::now());
                 connecting.spawn(connect(Who::Node(name.clone()), address.clone(), 0));
@@ -97,7 +115,14 @@
         }
         if let Some((who, stream)) = opened {
             last_link += 1;
-            let link = Link::open(stream, last_link, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
+            let link = Link::open(
+                stream,
+                last_link,
+                Bounds::DEFAULT,
+                16_384,
+                &sink,
+                &mut tasks,
+            );
             let _ = link.send(Frame::from(hello.clone()));
             if who == Who::List {
                 let _ = link.send(Frame::from(EndpointListQuery { watch: true }));
@@ -112,12 +137,18 @@
         match frame.message {
             Message::Submit(s) => self.submit(link, s, frame.body),
             Message::AttemptAnswer(a) => {
-                let Some(sent) = self.attempts.remove(&a.attempt) else { return };
+                let Some(sent) = self.attempts.remove(&a.attempt) else {
+                    return;
+                };
                 match AttemptResult::try_from(a.result) {
                     Ok(AttemptResult::Succeeded) => {
                         let done = Outcome::Succeeded as i32;
-                        let answer =
-                            Answer { id: sent.id, outcome: done, handle: a.handle, retry_after_us: 0 };
+                        let answer = Answer {
+                            id: sent.id,
+                            outcome: done,
+                            handle: a.handle,
+                            retry_after_us: 0,
+                        };
                         self.send(sent.client, Frame::from(answer).with_body(frame.body));
                     }
                     Ok(AttemptResult::Rejected) => self.answer(&sent, true),
@@ -151,14 +182,25 @@
         let d = self.d.clone();
         let request_class = d.request_classes.iter().find(|t| t.name == s.request_class);
         let (Some(request_class), Some(volume)) = (request_class, d.volume(&s.volume)) else {
-            let n = NotTaken { id: s.id, reason: "not known here".into(), leaving: false };
+            let n = NotTaken {
+                id: s.id,
+                reason: "not known here".into(),
+                leaving: false,
+            };
             return self.send(link, n.into());
         };
         let (now, idempotency) = (Instant::now(), request_class.decisions.idempotency);
         // A little before the deadline, for the way back.
         let until = now
-            + Duration::from_micros(s.timeout_us.max(0) as u64).saturating_sub(Duration::from_millis(100));
-        let sent = Sent { client: link, id: s.id, idempotency, node: 0, until };
+            + Duration::from_micros(s.timeout_us.max(0) as u64)
+                .saturating_sub(Duration::from_millis(100));
+        let sent = Sent {
+            client: link,
+            id: s.id,
+            idempotency,
+            node: 0,
+            until,
+        };
         if let Some(limit) = d.plans[volume.plan.0].decisions.limit {
             let hosts = volume.hosts.len() as f64;
             let (rate, cap) = (limit.rate / hosts, limit.burst / hosts);
@@ -172,7 +214,12 @@
             *level -= s.units;
         }
         let fits = |n: &(&String, &(String, i64))| s.handle.is_none_or(|h| h.shard == n.1.1);
-        let found = self.ready.iter().filter(fits).map(|n| n.0).choose(&mut self.rng);
+        let found = self
+            .ready
+            .iter()
+            .filter(fits)
+            .map(|n| n.0)
+            .choose(&mut self.rng);
         let Some(node) = found.and_then(|name| self.up.get(name)).copied() else {
             return self.answer(&sent, true);
         };
@@ -197,17 +244,35 @@
     fn answer(&mut self, sent: &Sent, never_ran: bool) {
         let harmless = matches!(
             sent.idempotency,
-            Idempotency::Idempotent | Idempotency::WithKey { scope: IdempotencyScope::All, .. }
+            Idempotency::Idempotent
+                | Idempotency::WithKey {
+                    scope: IdempotencyScope::All,
+                    ..
+                }
         );
-        let outcome = if never_ran || harmless { Outcome::Rejected } else { Outcome::Failed };
+        let outcome = if never_ran || harmless {
+            Outcome::Rejected
+        } else {
+            Outcome::Failed
+        };
         let retry_after_us = self.rng.random_range(100_000..300_000);
-        let answer = Answer { id: sent.id, outcome: outcome as i32, handle: None, retry_after_us };
+        let answer = Answer {
+            id: sent.id,
+            outcome: outcome as i32,
+            handle: None,
+            retry_after_us,
+        };
         self.send(sent.client, answer.into());
     }
 
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<_> = self.attempts.iter().filter(|(_, s)| s.until <= now).map(|(id, _)| *id).collect();
+        let over: Vec<_> = self
+            .attempts
+            .iter()
+            .filter(|(_, s)| s.until <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             if let Some(sent) = self.attempts.remove(&id) {
                 self.answer(&sent, false);
@@ -217,7 +282,12 @@
 
     fn lost(&mut self, link: u64, name: &str) {
         self.up.retain(|n, l| n != name || *l != link);
-        let over: Vec<_> = self.attempts.iter().filter(|(_, s)| s.node == link).map(|(id, _)| *id).collect();
+        let over: Vec<_> = self
+            .attempts
+            .iter()
+            .filter(|(_, s)| s.node == link)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             if let Some(sent) = self.attempts.remove(&id) {
                 self.answer(&sent, false);
--- a/crates/simulator/src/client.rs
+++ b/crates/simulator/src/client.rs
@@ -76,7 +76,9 @@
     };
     (0..addresses.len()).for_each(|h| _ = connecting.spawn(connect(h, 0)));
     let mut c = Clients::new(d, load, addresses.len());
-    let mut next: Vec<Instant> = (0..c.load.rates.len()).map(|s| c.next(s, Instant::now())).collect();
+    let mut next: Vec<Instant> = (0..c.load.rates.len())
+        .map(|s| c.next(s, Instant::now()))
+        .collect();
     let mut last_link = 0;
     loop {
         let now = Instant::now();
@@ -91,8 +93,9 @@
             return c.tallies;
         }
         let soon = next.iter().copied().min().filter(|_| now < until);
-        let next_wakeup =
-            soon.unwrap_or(now + Duration::from_millis(20)).min(now + Duration::from_millis(20));
+        let next_wakeup = soon
+            .unwrap_or(now + Duration::from_millis(20))
+            .min(now + Duration::from_millis(20));
         tokio::select! {
             Some((id, happened)) = inbox.recv() => match happened {
                 LinkEvent::Frame(frame) => c.handle_frame(id, frame),
@@ -145,7 +148,11 @@
     fn greet(&self, host: usize, link: &Link) {
         let known = self.d.hosts.get(host).map(|h| h.name.as_str());
         let name = format!("client-{}", known.unwrap_or("newcomer"));
-        let hello = Hello { role: Role::Client as i32, name, ..Hello::default() };
+        let hello = Hello {
+            role: Role::Client as i32,
+            name,
+            ..Hello::default()
+        };
         let _ = link.send(Frame::from(hello));
     }
 
@@ -169,7 +176,9 @@
     fn next(&mut self, s: usize, from: Instant) -> Instant {
         let rate = self.load.rates[s] * self.most_surge();
         match Exp::new(rate) {
-            Ok(gap) if rate > 0.0 => from + Duration::from_secs_f64(gap.sample(&mut self.rng).min(3600.0)),
+            Ok(gap) if rate > 0.0 => {
+                from + Duration::from_secs_f64(gap.sample(&mut self.rng).min(3600.0))
+            }
             _ => from + Duration::from_secs(3600),
         }
     }
@@ -194,7 +203,11 @@
         let volume = &self.d.volumes[v];
         let plan = &self.d.plans[volume.plan.0].name;
         let surges = self.changes.iter().map(|c| match c {
-            Change::Surge { who, times, .. } if who == "*" || *who == volume.name || who == plan => *times,
+            Change::Surge { who, times, .. }
+                if who == "*" || *who == volume.name || who == plan =>
+            {
+                *times
+            }
             _ => 1.0,
         });
         self.usual(volume.plan.0) * surges.product::<f64>()
@@ -203,11 +216,15 @@
     fn begin(&mut self, s: usize, now: Instant) {
         let d = self.d.clone();
         let weights: Vec<_> = (0..d.volumes.len()).map(|v| (v, self.weight(v))).collect();
-        let Ok(v) = weights.choose_weighted(&mut self.rng, |w| w.1).map(|w| w.0) else { return };
+        let Ok(v) = weights.choose_weighted(&mut self.rng, |w| w.1).map(|w| w.0) else {
+            return;
+        };
         let (volume, request_class) = (&d.volumes[v], &d.request_classes[s]);
         // A volume uses its hosts unevenly: each one half as much as the one before.
         let hosts = &volume.hosts;
-        let place = (0..hosts.len()).find(|_| self.rng.random_bool(0.5)).unwrap_or(0);
+        let place = (0..hosts.len())
+            .find(|_| self.rng.random_bool(0.5))
+            .unwrap_or(0);
         let host = hosts[(place + self.lead) % hosts.len()].0 as usize;
         self.last += 1;
         let mark = format!("{:x}-{}", self.load.seed, self.last);
@@ -257,7 +274,11 @@
         } else {
             let written = self.written.get(&volume.id.0).map_or(0, VecDeque::len);
             let fresh = written > 0 && self.rng.random_bool(self.load.fresh);
-            let place = if fresh { self.rng.random_range(0..written) } else { 0 };
+            let place = if fresh {
+                self.rng.random_range(0..written)
+            } else {
+                0
+            };
             let fresh = fresh.then(|| self.written[&volume.id.0][place].0);
             handle = Some(fresh.unwrap_or_else(|| self.base(v)));
         }
@@ -267,9 +288,16 @@
             order_key = format!("{}/{record}", volume.name);
             let shards = self.shards();
             let shard = shards[(v + record as usize) % shards.len()];
-            handle = Some(Handle { shard, object: (v as u64) << 8 | record | 1 << 31 });
+            handle = Some(Handle {
+                shard,
+                object: (v as u64) << 8 | record | 1 << 31,
+            });
+        }
+        Target {
+            body,
+            handle,
+            order_key,
         }
-        Target { body, handle, order_key }
     }
 
     /// How long the client waits: an impatient one only a part of the latency objective.
@@ -293,13 +321,20 @@
     fn base(&mut self, v: usize) -> Handle {
         let shards = self.shards();
         let shard = shards[(v * 7 + self.rng.random_range(0..3)) % shards.len()];
-        Handle { shard, object: self.rng.random_range(0..50) }
+        Handle {
+            shard,
+            object: self.rng.random_range(0..50),
+        }
     }
 
     fn tally(&mut self, t: &Try) -> &mut Tally {
-        let (request_class, plan) =
-            (&self.d.request_classes[t.request_class].name, &self.d.plans[t.plan].name);
-        self.tallies.entry((request_class.clone(), plan.clone())).or_default()
+        let (request_class, plan) = (
+            &self.d.request_classes[t.request_class].name,
+            &self.d.plans[t.plan].name,
+        );
+        self.tallies
+            .entry((request_class.clone(), plan.clone()))
+            .or_default()
     }
 
     fn send(&mut self, mut t: Try, now: Instant) {
@@ -317,14 +352,17 @@
     /// Another try, if one is left and there is time; `safe`: nothing of this one ran.
     fn again(&mut self, mut t: Try, wait: Duration, safe: bool) {
         let at = Instant::now() + wait;
-        let idempotency = self.d.request_classes[t.request_class].decisions.idempotency;
+        let idempotency = self.d.request_classes[t.request_class]
+            .decisions
+            .idempotency;
         let known = t.submit.handle.is_some();
         let may = safe
             || match idempotency {
                 Idempotency::Idempotent => true,
                 // Another host would put a new object elsewhere, where its mark is not known.
                 Idempotency::WithKey { scope, window } => {
-                    let within = t.began.elapsed() + wait < Duration::from_micros(window.micros() as u64);
+                    let within =
+                        t.began.elapsed() + wait < Duration::from_micros(window.micros() as u64);
                     within && (scope == IdempotencyScope::All || known)
                 }
                 Idempotency::NonIdempotent => false,
@@ -340,9 +378,17 @@
             self.tally(&t).repeats += 1;
         } else {
             // Its host is gone: another of the volume's.
-            let mut hosts = self.d.volume(&t.submit.volume).map(|v| v.hosts.to_vec()).unwrap_or_default();
+            let mut hosts = self
+                .d
+                .volume(&t.submit.volume)
+                .map(|v| v.hosts.to_vec())
+                .unwrap_or_default();
             hosts.shuffle(&mut self.rng);
-            t.host = hosts.iter().map(|h| h.0 as usize).find(|h| *h != t.host).unwrap_or(t.host);
+            t.host = hosts
+                .iter()
+                .map(|h| h.0 as usize)
+                .find(|h| *h != t.host)
+                .unwrap_or(t.host);
             self.tally(&t).repeats += 1;
         }
         self.later.push((at, t));
@@ -351,10 +397,19 @@
     fn expire(&mut self, now: Instant) {
         let mut rest = Vec::new();
         for (at, t) in std::mem::take(&mut self.later) {
-            if at <= now { self.send(t, now) } else { rest.push((at, t)) }
+            if at <= now {
+                self.send(t, now)
+            } else {
+                rest.push((at, t))
+            }
         }
         self.later.append(&mut rest);
-        let gone: Vec<_> = self.open.iter().filter(|(_, t)| t.deadline <= now).map(|(k, _)| *k).collect();
+        let gone: Vec<_> = self
+            .open
+            .iter()
+            .filter(|(_, t)| t.deadline <= now)
+            .map(|(k, _)| *k)
+            .collect();
         for key in gone {
             if let Some(t) = self.open.remove(&key) {
                 self.tally(&t).unanswered += 1;
@@ -368,7 +423,11 @@
 
     fn host_gone(&mut self, host: usize) {
         self.by_host[host] = None;
-        let lost: Vec<_> = self.open.range((host, 0)..=(host, u64::MAX)).map(|(k, _)| *k).collect();
+        let lost: Vec<_> = self
+            .open
+            .range((host, 0)..=(host, u64::MAX))
+            .map(|(k, _)| *k)
+            .collect();
         for key in lost {
             if let Some(t) = self.open.remove(&key) {
                 self.again(t, Duration::from_millis(20), false);
@@ -377,7 +436,9 @@
     }
 
     fn handle_frame(&mut self, link: u64, frame: Frame) {
-        let Some(host) = self.links.get(&link).map(|l| l.0) else { return };
+        let Some(host) = self.links.get(&link).map(|l| l.0) else {
+            return;
+        };
         let now = Instant::now();
         match frame.message {
             Message::Answer(a) => {
@@ -426,7 +487,10 @@
             }
         } else if let Some(h) = t.submit.handle {
             let volume = number_of(&self.d, &t.submit.volume);
-            let written = self.written.get(&volume).and_then(|w| w.iter().find(|w| w.0 == h));
+            let written = self
+                .written
+                .get(&volume)
+                .and_then(|w| w.iter().find(|w| w.0 == h));
             right = match written {
                 Some((_, seed)) => body == content(*seed, self.load.bytes),
                 None if h.object < BASE_OBJECTS => body == base_content(h),
--- a/crates/simulator/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -42,7 +42,10 @@
         while let Some((_, entries)) = list.coming.pop_front_if(|c| c.0 <= now) {
             list.publish(entries);
         }
-        let next_wakeup = list.coming.front().map_or(now + Duration::from_secs(3600), |c| c.0);
+        let next_wakeup = list
+            .coming
+            .front()
+            .map_or(now + Duration::from_secs(3600), |c| c.0);
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
                 last_link += 1;
@@ -70,7 +73,11 @@
         let now = Instant::now();
         for e in entries {
             let age = Duration::from_micros(e.age_us.max(0) as u64);
-            let started = if e.incarnation == 0 { None } else { now.checked_sub(age) };
+            let started = if e.incarnation == 0 {
+                None
+            } else {
+                now.checked_sub(age)
+            };
             self.entries.insert(e.name.clone(), (e, started));
         }
     }
@@ -78,7 +85,10 @@
     fn entry(&self, name: &str) -> Option<ListedEndpoint> {
         let (e, started) = self.entries.get(name)?;
         let age_us = started.map_or(0, |s| s.elapsed().as_micros() as i64);
-        Some(ListedEndpoint { age_us, ..e.clone() })
+        Some(ListedEndpoint {
+            age_us,
+            ..e.clone()
+        })
     }
 
     fn publish(&mut self, entries: Vec<ListedEndpoint>) {
@@ -86,7 +96,11 @@
         self.learn(entries);
         self.version += 1;
         let entries = names.iter().filter_map(|n| self.entry(n)).collect();
-        let news = Frame::from(EndpointListUpdate { version: self.version, whole: false, entries });
+        let news = Frame::from(EndpointListUpdate {
+            version: self.version,
+            whole: false,
+            entries,
+        });
         for link in self.watchers.iter().filter_map(|w| self.links.get(w)) {
             let _ = link.send(news.clone());
         }
@@ -96,15 +110,25 @@
         let down = Instant::now() < self.down_until;
         match frame.message {
             Message::EndpointListQuery(_) if down => {
-                let refused = EndpointListRefused { reason: "out of reach".into() };
+                let refused = EndpointListRefused {
+                    reason: "out of reach".into(),
+                };
                 if let Some(l) = self.links.get(&link) {
                     let _ = l.send(Frame::from(refused));
                 }
             }
             Message::EndpointListQuery(ask) => {
                 let gone = ListedState::Gone as i32;
-                let names = self.entries.values().filter(|e| e.0.state != gone).map(|e| e.0.name.clone());
-                let entries = names.collect::<Vec<_>>().iter().filter_map(|n| self.entry(n)).collect();
+                let names = self
+                    .entries
+                    .values()
+                    .filter(|e| e.0.state != gone)
+                    .map(|e| e.0.name.clone());
+                let entries = names
+                    .collect::<Vec<_>>()
+                    .iter()
+                    .filter_map(|n| self.entry(n))
+                    .collect();
                 if ask.watch {
                     self.watchers.insert(link);
                 }
@@ -123,7 +147,9 @@
                     self.links.remove(&w);
                 }
             }
-            Message::Order(o) => self.coming.push_back((Instant::now() + self.late, o.entries)),
+            Message::Order(o) => self
+                .coming
+                .push_back((Instant::now() + self.late, o.entries)),
             _ => {}
         }
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -31,5 +31,8 @@
 
 /// What an object that was always there holds.
 pub fn base_content(handle: Handle) -> Bytes {
-    content(handle.object ^ ((handle.shard as u64) << 40), 200 + (handle.object % 16) as usize * 100)
+    content(
+        handle.object ^ ((handle.shard as u64) << 40),
+        200 + (handle.object % 16) as usize * 100,
+    )
 }
--- a/crates/simulator/src/load.rs
+++ b/crates/simulator/src/load.rs
@@ -24,9 +24,17 @@
 #[derive(Clone, Debug)]
 pub enum Change {
     /// These volumes (a volume, a plan, or `*`) ask for so many times as much.
-    Surge { who: String, times: f64, until: Instant },
+    Surge {
+        who: String,
+        times: f64,
+        until: Instant,
+    },
     /// This part of the clients waits only a part of the latency objective.
-    Impatient { share: f64, part: f64, until: Instant },
+    Impatient {
+        share: f64,
+        part: f64,
+        until: Instant,
+    },
     /// The volumes' busiest host is another one from now on.
     LeadMoves,
     /// Another document: volumes go through the hosts that it names, new ones too.
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -52,7 +52,13 @@
     let mut rng = ChaCha8Rng::seed_from_u64(process.incarnation);
     let started_at = now() - process.age;
     let model = ChaCha8Rng::seed_from_u64(rng.random());
-    let model = Model::new(process.server.clone(), process.slow_start, started_at, now(), model);
+    let model = Model::new(
+        process.server.clone(),
+        process.slow_start,
+        started_at,
+        now(),
+        model,
+    );
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
     let mut n = Node {
@@ -74,7 +80,9 @@
         }
         n.end_expired_faults(now());
         let next_wakeup = tokio::time::Instant::now()
-            + std::time::Duration::from_micros((n.model.next() - now()).micros().clamp(200, 1_000_000) as u64);
+            + std::time::Duration::from_micros(
+                (n.model.next() - now()).micros().clamp(200, 1_000_000) as u64,
+            );
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
                 last_link += 1;
@@ -111,9 +119,17 @@
     fn handle_frame(&mut self, link: u64, frame: Frame, id: u64, now: Instant) -> bool {
         match frame.message {
             Message::Attempt(attempt) => {
-                let costly = self.costly.as_ref().filter(|c| c.0.is_empty() || c.0 == attempt.request_class);
-                let dear = costly.filter(|c| self.rng.random_bool(c.1)).map_or(1.0, |c| c.2);
-                match self.model.arrive(now, id, attempt.units, attempt.write, dear) {
+                let costly = self
+                    .costly
+                    .as_ref()
+                    .filter(|c| c.0.is_empty() || c.0 == attempt.request_class);
+                let dear = costly
+                    .filter(|c| self.rng.random_bool(c.1))
+                    .map_or(1.0, |c| c.2);
+                match self
+                    .model
+                    .arrive(now, id, attempt.units, attempt.write, dear)
+                {
                     Arrival::Taken => _ = self.attempts.insert(id, (link, attempt, frame.body)),
                     Arrival::Full => {
                         let result = AttemptResult::Rejected as i32;
@@ -140,7 +156,14 @@
             }
             Message::Probe(p) => {
                 let (running, queued) = self.model.load();
-                self.send(link, Frame::from(ProbeAnswer { id: p.id, running, queued }));
+                self.send(
+                    link,
+                    Frame::from(ProbeAnswer {
+                        id: p.id,
+                        running,
+                        queued,
+                    }),
+                );
             }
             Message::Order(o) => self.order(&o, now),
             _ => {}
@@ -150,7 +173,13 @@
 
     fn order(&mut self, o: &Order, now: Instant) {
         let lasts = Span::from_micros(o.lasts_us);
-        info!(node = self.process.name, what = o.what, size = o.size, ms = lasts.millis(), "trouble");
+        info!(
+            node = self.process.name,
+            what = o.what,
+            size = o.size,
+            ms = lasts.millis(),
+            "trouble"
+        );
         match o.what.as_str() {
             "stall" => self.model.stall(now, lasts),
             "slow" => {
@@ -165,7 +194,11 @@
                 self.fail = o.size;
                 self.active_faults.push((now + lasts, "fail"));
             }
-            other => warn!(node = self.process.name, what = other, "a trouble that a node does not know"),
+            other => warn!(
+                node = self.process.name,
+                what = other,
+                "a trouble that a node does not know"
+            ),
         }
     }
 
@@ -182,7 +215,9 @@
     }
 
     fn finish(&mut self, id: u64, now: Instant) {
-        let Some((link, attempt, body)) = self.attempts.remove(&id) else { return };
+        let Some((link, attempt, body)) = self.attempts.remove(&id) else {
+            return;
+        };
         let answer = AttemptAnswer {
             attempt: attempt.attempt,
             result: AttemptResult::Failed as i32,
@@ -201,15 +236,29 @@
         let shard = self.process.shard;
         let frame = if attempt.write {
             self.marks.retain(|_, m| now - m.0 < MARKS_KEPT);
-            if let Some((_, handle)) = self.marks.get(&attempt.mark).filter(|_| !attempt.mark.is_empty()) {
+            if let Some((_, handle)) = self
+                .marks
+                .get(&attempt.mark)
+                .filter(|_| !attempt.mark.is_empty())
+            {
                 // The repeat of one that took effect: the same answer, no second effect.
-                Frame::from(AttemptAnswer { ran: false, handle: Some(*handle), ..done })
+                Frame::from(AttemptAnswer {
+                    ran: false,
+                    handle: Some(*handle),
+                    ..done
+                })
             } else {
-                let new = || Handle { shard, object: BASE_OBJECTS + self.rng.random_range(0..u64::MAX / 2) };
+                let new = || Handle {
+                    shard,
+                    object: BASE_OBJECTS + self.rng.random_range(0..u64::MAX / 2),
+                };
                 let handle = attempt.handle.unwrap_or_else(new);
                 self.objects.insert(handle.object, body);
                 self.marks.insert(attempt.mark, (now, handle));
-                Frame::from(AttemptAnswer { handle: Some(handle), ..done })
+                Frame::from(AttemptAnswer {
+                    handle: Some(handle),
+                    ..done
+                })
             }
         } else {
             let found = attempt.handle.filter(|h| h.shard == shard).and_then(|h| {
@@ -218,7 +267,10 @@
             });
             match found {
                 Some(bytes) => Frame::from(done).with_body(bytes),
-                None => Frame::from(AttemptAnswer { reason: "no such object here".into(), ..answer }),
+                None => Frame::from(AttemptAnswer {
+                    reason: "no such object here".into(),
+                    ..answer
+                }),
             }
         };
         self.send(link, frame);
@@ -226,7 +278,11 @@
 
     fn send(&self, link: u64, frame: Frame) {
         // A link that is gone, or takes nothing, loses its answers: so do real ones.
-        if self.links.get(&link).is_some_and(|l| l.send(frame).is_err()) {
+        if self
+            .links
+            .get(&link)
+            .is_some_and(|l| l.send(frame).is_err())
+        {
             warn!(node = self.process.name, "an answer could not be sent");
         }
     }
--- a/crates/simulator/src/node_model.rs
+++ b/crates/simulator/src/node_model.rs
@@ -94,7 +94,11 @@
         }
         if now - self.started_at < self.slow_start.ramp {
             self.sent.push_back((now, units));
-            while self.sent.pop_front_if(|s| now - s.0 > self.slow_start.window).is_some() {}
+            while self
+                .sent
+                .pop_front_if(|s| now - s.0 > self.slow_start.window)
+                .is_some()
+            {}
             if self.sent.iter().map(|s| s.1).sum::<f64>() > self.bears(now) {
                 self.fallen = true;
                 return Arrival::FellOver;
@@ -106,8 +110,16 @@
         // Times are skewed, as of disks: a gamma distribution with a mean of one.
         let skew = Gamma::new(4.0, 0.25).map_or(1.0, |g| g.sample(&mut self.rng));
         let secs = units * self.server.unit.secs() * skew * dear;
-        let put_off = if write { secs * self.server.put_off } else { 0.0 };
-        self.waiting.push_back(Work { id, secs: secs - put_off, put_off });
+        let put_off = if write {
+            secs * self.server.put_off
+        } else {
+            0.0
+        };
+        self.waiting.push_back(Work {
+            id,
+            secs: secs - put_off,
+            put_off,
+        });
         self.begin(now);
         Arrival::Taken
     }
@@ -124,7 +136,9 @@
         let lasts = now + lasts - self.still_until.max(now);
         if lasts > Span::ZERO {
             self.still_until = self.still_until.max(now) + lasts;
-            self.running.values_mut().for_each(|end| *end = *end + lasts);
+            self.running
+                .values_mut()
+                .for_each(|end| *end = *end + lasts);
         }
     }
 
@@ -135,7 +149,9 @@
 
     fn begin(&mut self, now: Instant) {
         while self.running.len() < self.server.cores as usize {
-            let Some(w) = self.waiting.pop_front() else { return };
+            let Some(w) = self.waiting.pop_front() else {
+                return;
+            };
             self.debt += w.put_off;
             let lasts = Span::from_millis(w.secs / self.speed(now) * 1e3);
             self.running.insert(w.id, now.max(self.still_until) + lasts);
@@ -146,14 +162,24 @@
     pub fn advance(&mut self, now: Instant) -> Vec<u64> {
         if now >= self.next_pause && self.server.pause > Span::ZERO {
             self.stall(now, self.server.pause);
-            self.next_pause = now + self.server.pause_every.times(self.rng.random_range(0.5..1.5));
+            self.next_pause = now
+                + self
+                    .server
+                    .pause_every
+                    .times(self.rng.random_range(0.5..1.5));
         }
         if now >= self.next_flush {
-            let all = std::mem::take(&mut self.debt) / f64::from(self.server.cores) / self.speed(now);
+            let all =
+                std::mem::take(&mut self.debt) / f64::from(self.server.cores) / self.speed(now);
             self.stall(now, Span::from_millis(all * 1e3));
             self.next_flush = now + self.server.flush_every;
         }
-        let mut done: Vec<_> = self.running.iter().filter(|r| *r.1 <= now).map(|r| (*r.1, *r.0)).collect();
+        let mut done: Vec<_> = self
+            .running
+            .iter()
+            .filter(|r| *r.1 <= now)
+            .map(|r| (*r.1, *r.0))
+            .collect();
         done.sort();
         done.iter().for_each(|(_, id)| _ = self.running.remove(id));
         self.begin(now);
@@ -162,8 +188,17 @@
 
     /// When the model next has something to do.
     pub fn next(&self) -> Instant {
-        let first = self.running.values().min().copied().unwrap_or(self.next_flush);
-        let pause = if self.server.pause > Span::ZERO { self.next_pause } else { self.next_flush };
+        let first = self
+            .running
+            .values()
+            .min()
+            .copied()
+            .unwrap_or(self.next_flush);
+        let pause = if self.server.pause > Span::ZERO {
+            self.next_pause
+        } else {
+            self.next_flush
+        };
         first.min(self.next_flush).min(pause)
     }
 
--- a/crates/simulator/src/recording_proxy.rs
+++ b/crates/simulator/src/recording_proxy.rs
@@ -69,9 +69,19 @@
     /// Records into `recording`, one entry a line.
     pub fn new(seed: u64, recording: Option<Box<dyn Write + Send>>) -> Arc<Wire> {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let inner = Inner { disturbances: Vec::new(), recording, last_link: 0, rng };
+        let inner = Inner {
+            disturbances: Vec::new(),
+            recording,
+            last_link: 0,
+            rng,
+        };
         let cut = watch::Sender::new((0, String::new(), String::new()));
-        Arc::new(Wire { began: Instant::now(), wall: SystemTime::now(), inner: Mutex::new(inner), cut })
+        Arc::new(Wire {
+            began: Instant::now(),
+            wall: SystemTime::now(),
+            inner: Mutex::new(inner),
+            cut,
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -92,25 +102,49 @@
 
     /// Breaks all connections between two names now.
     pub fn cut(&self, from: &str, to: &str) {
-        self.cut.send_modify(|c| *c = (c.0 + 1, from.into(), to.into()));
+        self.cut
+            .send_modify(|c| *c = (c.0 + 1, from.into(), to.into()));
     }
 
     /// Writes an entry of the script about the process called `name`.
     pub fn record(&self, name: &str, what: What) {
         let at = self.now();
-        self.write_entry(Entry { at, out: at, link: 0, from: "script".into(), to: name.into(), what });
+        self.write_entry(Entry {
+            at,
+            out: at,
+            link: 0,
+            from: "script".into(),
+            to: name.into(),
+            what,
+        });
     }
 
     /// Of what a process of this machine wrote down itself, with the machine's time.
     pub fn record_at(&self, name: &str, when: SystemTime, what: What) {
-        let at = when.duration_since(self.wall).map_or(0, |since| since.as_micros() as i64);
-        self.write_entry(Entry { at, out: at, link: 0, from: "script".into(), to: name.into(), what });
+        let at = when
+            .duration_since(self.wall)
+            .map_or(0, |since| since.as_micros() as i64);
+        self.write_entry(Entry {
+            at,
+            out: at,
+            link: 0,
+            from: "script".into(),
+            to: name.into(),
+            what,
+        });
     }
 
     /// `at` 0: it was there before the run began.
     pub fn process(&self, name: &str, at: i64, incarnation: ProcessEvent) {
         let what = What::Process { event: incarnation };
-        self.write_entry(Entry { at, out: at, link: 0, from: "script".into(), to: name.into(), what });
+        self.write_entry(Entry {
+            at,
+            out: at,
+            link: 0,
+            from: "script".into(),
+            to: name.into(),
+            what,
+        });
     }
 
     fn write_entry(&self, entry: Entry) {
@@ -135,7 +169,12 @@
         let fits = |d: &&Disturbance| {
             d.until > now && (d.from == "*" || d.from == from) && (d.to == "*" || d.to == to)
         };
-        self.lock().disturbances.iter().filter(fits).map(|d| d.what).collect()
+        self.lock()
+            .disturbances
+            .iter()
+            .filter(fits)
+            .map(|d| d.what)
+            .collect()
     }
 
     /// Whether no connection to this process may come about now; where it is to be silent, only after a
@@ -241,11 +280,27 @@
         return;
     }
     let Some(address) = address else { return };
-    let Ok(other) = TcpStream::connect(address).await else { return };
+    let Ok(other) = TcpStream::connect(address).await else {
+        return;
+    };
     let (sink, mut inbox) = mpsc::channel(256);
     let mut tasks = JoinSet::new();
-    let mut initiator = Link::open(stream, Side::Dialler, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
-    let mut target = Link::open(other, Side::Target, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
+    let mut initiator = Link::open(
+        stream,
+        Side::Dialler,
+        Bounds::DEFAULT,
+        16_384,
+        &sink,
+        &mut tasks,
+    );
+    let mut target = Link::open(
+        other,
+        Side::Target,
+        Bounds::DEFAULT,
+        16_384,
+        &sink,
+        &mut tasks,
+    );
     let link = wire.next_link();
     let mut cuts = wire.cut.subscribe();
     cuts.mark_unchanged();
@@ -257,7 +312,10 @@
         if !forward_due(&wire, now, sides) {
             break "one side takes nothing".to_string();
         }
-        let due = [&there, &back].iter().filter_map(|w| w.queue.front().map(|q| q.0)).min();
+        let due = [&there, &back]
+            .iter()
+            .filter_map(|w| w.queue.front().map(|q| q.0))
+            .min();
         let next_wakeup = due.unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
             Some((side, happened)) = inbox.recv() => match happened {
@@ -286,7 +344,14 @@
         }
     };
     let at = wire.now();
-    wire.write_entry(Entry { at, out: at, link, from, to: name, what: What::Closed { why } });
+    wire.write_entry(Entry {
+        at,
+        out: at,
+        link,
+        from,
+        to: name,
+        what: What::Closed { why },
+    });
     // What was on its way when one side closed still arrives.
     for (way, to) in [(there, &target), (back, &initiator)] {
         flush(&wire, way, to);
@@ -299,11 +364,25 @@
 fn enter(wire: &Wire, way: &mut Way, link: u64, from: &str, to: &str, mut frame: Frame) -> bool {
     let (at, mut due, mut delivery) = (wire.now(), Instant::now(), Delivery::Passed);
     let is_demand_report = matches!(frame.message, Message::DemandReport(_));
-    let between_hosts =
-        is_demand_report || matches!(frame.message, Message::Reached(_) | Message::FleetMessage(_));
+    let between_hosts = is_demand_report
+        || matches!(
+            frame.message,
+            Message::Reached(_) | Message::FleetMessage(_)
+        );
     let entry = |delivery, frame: &Frame| {
-        let what = What::Frame { message: frame.message.clone(), body: frame.body.len(), delivery };
-        Entry { at, out: at, link, from: from.into(), to: to.into(), what }
+        let what = What::Frame {
+            message: frame.message.clone(),
+            body: frame.body.len(),
+            delivery,
+        };
+        Entry {
+            at,
+            out: at,
+            link,
+            from: from.into(),
+            to: to.into(),
+            what,
+        }
     };
     let (mut swap, mut ends, mut twice) = (false, false, false);
     if way.ended {
@@ -329,7 +408,12 @@
                     delivery = Delivery::Altered;
                     let result = AttemptResult::Failed as i32;
                     let reason = "turned into an error on the way".into();
-                    let altered = AttemptAnswer { result, reason, handle: None, ..a.clone() };
+                    let altered = AttemptAnswer {
+                        result,
+                        reason,
+                        handle: None,
+                        ..a.clone()
+                    };
                     wire.write_entry(entry(delivery, &frame));
                     frame = Frame::from(altered);
                 }
@@ -342,7 +426,9 @@
     due = way.queue.back().map_or(due, |last| due.max(last.0));
     match delivery {
         Delivery::Dropped => wire.write_entry(entry(delivery, &frame)),
-        _ if swap && way.held.is_none() => way.held = Some((entry(Delivery::Passed, &frame), frame)),
+        _ if swap && way.held.is_none() => {
+            way.held = Some((entry(Delivery::Passed, &frame), frame))
+        }
         _ => {
             let passed = entry(Delivery::Passed, &frame);
             if twice {
--- a/crates/timers/src/clock.rs
+++ b/crates/timers/src/clock.rs
@@ -16,15 +16,24 @@
 impl HostClock {
     /// Starts a clock. `ahead` of the wall clock is for tests of hosts whose clocks differ.
     pub fn start(ahead: Span) -> HostClock {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let wall = Instant::from_micros(wall.as_micros() as i64) + ahead;
-        HostClock { base: tokio::time::Instant::now(), wall, rate: 1.0 }
+        HostClock {
+            base: tokio::time::Instant::now(),
+            wall,
+            rate: 1.0,
+        }
     }
 
     /// The same clock, running faster by this part, or slower where it is negative: for tests of hosts whose
     /// clocks drift.
     pub fn running(self, faster: f64) -> HostClock {
-        HostClock { rate: 1.0 + faster.clamp(-0.5, 0.5), ..self }
+        HostClock {
+            rate: 1.0 + faster.clamp(-0.5, 0.5),
+            ..self
+        }
     }
 
     /// The time now.
@@ -34,6 +43,7 @@
 
     /// The same point in time for tokio's timers.
     pub fn at(&self, at: Instant) -> tokio::time::Instant {
-        self.base + Duration::from_micros(((at - self.wall).micros().max(0) as f64 / self.rate) as u64)
+        self.base
+            + Duration::from_micros(((at - self.wall).micros().max(0) as f64 / self.rate) as u64)
     }
 }
--- a/crates/timers/src/timer_queue.rs
+++ b/crates/timers/src/timer_queue.rs
@@ -19,15 +19,24 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { buckets: BTreeMap::new(), spare: Vec::new() }
+        Timers {
+            buckets: BTreeMap::new(),
+            spare: Vec::new(),
+        }
     }
 }
 
 impl<T> Timers<T> {
     /// Sets a timer.
     pub fn set(&mut self, at: Instant, timer: T) {
-        let bucket = at.micros().saturating_add(BUCKET_US - 1).div_euclid(BUCKET_US);
-        self.buckets.entry(bucket).or_insert_with(|| self.spare.pop().unwrap_or_default()).push(timer);
+        let bucket = at
+            .micros()
+            .saturating_add(BUCKET_US - 1)
+            .div_euclid(BUCKET_US);
+        self.buckets
+            .entry(bucket)
+            .or_insert_with(|| self.spare.pop().unwrap_or_default())
+            .push(timer);
     }
 
     /// When the next timer is due.
--- a/crates/zone-traffic/src/ledger.rs
+++ b/crates/zone-traffic/src/ledger.rs
@@ -94,7 +94,13 @@
 impl Ledger {
     /// An empty ledger with buckets of that length.
     pub fn new(bucket_length: Span, now: Instant) -> Ledger {
-        Ledger { bucket_length, buckets: VecDeque::new(), before: BTreeMap::new(), held: 0, since: now }
+        Ledger {
+            bucket_length,
+            buckets: VecDeque::new(),
+            before: BTreeMap::new(),
+            held: 0,
+            since: now,
+        }
     }
 
     /// Counts one frame. Within a zone nothing is counted. `for_nothing`: no client has the benefit of it.
@@ -105,11 +111,22 @@
         let length = self.bucket_length.micros();
         let start = Instant::from_micros(now.micros().div_euclid(length) * length);
         // A clock that went back counts into the newest bucket: buckets stay in order.
-        if self.buckets.back().is_none_or(|bucket| bucket.start < start) {
-            self.buckets.push_back(Bucket { start, totals: BTreeMap::new() });
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.start < start)
+        {
+            self.buckets.push_back(Bucket {
+                start,
+                totals: BTreeMap::new(),
+            });
         }
         let bytes = bytes as u64;
-        let total = Total { frames: 1, bytes, for_nothing: if for_nothing { bytes } else { 0 } };
+        let total = Total {
+            frames: 1,
+            bytes,
+            for_nothing: if for_nothing { bytes } else { 0 },
+        };
         if let Some(bucket) = self.buckets.back_mut() {
             let before = bucket.totals.len();
             add(&mut bucket.totals, flow, total);
@@ -133,8 +150,13 @@
 
     /// All flows since a point in time, as far as they are kept; of the whole incarnation where it is `None`.
     pub fn since(&self, from: Option<Instant>) -> BTreeMap<Flow, Total> {
-        let mut all = if from.is_none() { self.before.clone() } else { BTreeMap::new() };
-        let counts = |bucket: &&Bucket| from.is_none_or(|from| bucket.start + self.bucket_length > from);
+        let mut all = if from.is_none() {
+            self.before.clone()
+        } else {
+            BTreeMap::new()
+        };
+        let counts =
+            |bucket: &&Bucket| from.is_none_or(|from| bucket.start + self.bucket_length > from);
         for bucket in self.buckets.iter().filter(counts) {
             for (flow, total) in &bucket.totals {
                 all.entry(*flow).or_default().add(*total);
@@ -146,7 +168,10 @@
     /// Bytes by bucket of one pair of zones, with the start of each bucket.
     pub fn over_time(&self, from: ZoneId, to: ZoneId) -> impl Iterator<Item = (Instant, u64)> {
         self.buckets.iter().map(move |bucket| {
-            let of_pair = bucket.totals.iter().filter(|(flow, _)| flow.from == from && flow.to == to);
+            let of_pair = bucket
+                .totals
+                .iter()
+                .filter(|(flow, _)| flow.from == from && flow.to == to);
             (bucket.start, of_pair.map(|(_, total)| total.bytes).sum())
         })
     }
@@ -159,6 +184,10 @@
 
 fn add(totals: &mut BTreeMap<Flow, Total>, flow: Flow, total: Total) {
     let has_room = totals.len() < MAX_FLOWS || totals.contains_key(&flow);
-    let flow = if has_room { flow } else { Flow { of: None, ..flow } };
+    let flow = if has_room {
+        flow
+    } else {
+        Flow { of: None, ..flow }
+    };
     totals.entry(flow).or_default().add(total);
 }
--- a/crates/zone-traffic/src/overruns.rs
+++ b/crates/zone-traffic/src/overruns.rs
@@ -83,14 +83,22 @@
         });
         let rates: Vec<PlanRate> = rates.collect();
         let all: f64 = rates.iter().map(|rate| rate.lately).sum();
-        let most = rates.into_iter().max_by(|a, b| a.lately.total_cmp(&b.lately))?;
+        let most = rates
+            .into_iter()
+            .max_by(|a, b| a.lately.total_cmp(&b.lately))?;
         let known_long_enough = seen > SURGE_WINDOW.secs() * 2.0;
         let surges = most.lately * 2.0 > all && most.lately > SURGE_FACTOR * most.usually;
         (known_long_enough && surges).then_some(most.plan)
     }
 
     /// Records bytes that went beyond a budget.
-    pub fn record(&mut self, now: Instant, cross_zone_budget: VolumeId, bytes: f64, cause: OverrunCause) {
+    pub fn record(
+        &mut self,
+        now: Instant,
+        cross_zone_budget: VolumeId,
+        bytes: f64,
+        cause: OverrunCause,
+    ) {
         let known = match (cause, self.surge(now)) {
             (OverrunCause::DataPlacement, Some(plan)) => OverrunReason::Surge(plan),
             _ => OverrunReason::Decided(cause),
@@ -98,7 +106,13 @@
         let goes_on = |o: &&mut Overrun| {
             o.cross_zone_budget == cross_zone_budget && o.known == known && now - o.to <= MAX_GAP
         };
-        if let Some(overrun) = self.all.iter_mut().rev().take(NEWEST_SEARCHED).find(goes_on) {
+        if let Some(overrun) = self
+            .all
+            .iter_mut()
+            .rev()
+            .take(NEWEST_SEARCHED)
+            .find(goes_on)
+        {
             overrun.to = overrun.to.max(now);
             overrun.bytes += bytes;
             return;
@@ -106,7 +120,13 @@
         if self.all.len() == MAX_KEPT {
             self.all.pop_front();
         }
-        self.all.push_back(Overrun { cross_zone_budget, known, from: now, to: now, bytes });
+        self.all.push_back(Overrun {
+            cross_zone_budget,
+            known,
+            from: now,
+            to: now,
+            bytes,
+        });
     }
 
     /// How many entries are kept.
--- a/crates/zone-traffic/tests/account.rs
+++ b/crates/zone-traffic/tests/account.rs
@@ -12,12 +12,20 @@
 }
 
 fn flow(from: usize, to: usize, volume: u64, placed: bool) -> Flow {
-    let reason = if placed { Reason::Placed } else { Reason::Bound };
+    let reason = if placed {
+        Reason::Placed
+    } else {
+        Reason::Bound
+    };
     Flow {
         from: ZoneId(from),
         to: ZoneId(to),
         reason,
-        of: Some(FlowOf { plan: PlanId(0), volume: VolumeId(volume), request_class: RequestClassId(0) }),
+        of: Some(FlowOf {
+            plan: PlanId(0),
+            volume: VolumeId(volume),
+            request_class: RequestClassId(0),
+        }),
     }
 }
 
@@ -56,17 +64,29 @@
     // Two days of many volumes: more buckets and totals than are kept, more flows than one bucket holds.
     for second in (0..2 * 86_400).step_by(60) {
         for v in 0..100 {
-            ledger.count(at(second * 1000), flow(0, 1, v + second as u64 % 700, true), 1, false);
+            ledger.count(
+                at(second * 1000),
+                flow(0, 1, v + second as u64 % 700, true),
+                1,
+                false,
+            );
         }
     }
     (0..9000).for_each(|v| ledger.count(at(172_800_000), flow(0, 1, v, true), 10, false));
     assert!(ledger.kept() < 21_000, "{}", ledger.kept());
     let bytes: u64 = ledger.since(None).values().map(|t| t.bytes).sum();
     assert_eq!(bytes, (2 * 86_400 / 60) * 100 + 90_000);
-    let newest: u64 = ledger.since(Some(at(172_800_000))).values().map(|t| t.bytes).sum();
+    let newest: u64 = ledger
+        .since(Some(at(172_800_000)))
+        .values()
+        .map(|t| t.bytes)
+        .sum();
     assert_eq!(newest, 90_000, "the newest bucket alone");
     assert!(
-        ledger.since(Some(at(172_800_000))).keys().any(|f| f.of.is_none()),
+        ledger
+            .since(Some(at(172_800_000)))
+            .keys()
+            .any(|f| f.of.is_none()),
         "too many to tell volumes apart"
     );
 }
@@ -82,8 +102,18 @@
             OverrunCause::DataPlacement,
             OverrunReason::Decided(OverrunCause::DataPlacement),
         ),
-        ([100.0, 100.0], [900.0, 100.0], OverrunCause::DataPlacement, OverrunReason::Surge(PlanId(0))),
-        ([100.0, 100.0], [100.0, 900.0], OverrunCause::DataPlacement, OverrunReason::Surge(PlanId(1))),
+        (
+            [100.0, 100.0],
+            [900.0, 100.0],
+            OverrunCause::DataPlacement,
+            OverrunReason::Surge(PlanId(0)),
+        ),
+        (
+            [100.0, 100.0],
+            [100.0, 900.0],
+            OverrunCause::DataPlacement,
+            OverrunReason::Surge(PlanId(1)),
+        ),
         (
             [100.0, 100.0],
             [900.0, 900.0],
@@ -102,7 +132,12 @@
             OverrunCause::NoLocalNode,
             OverrunReason::Decided(OverrunCause::NoLocalNode),
         ),
-        ([100.0, 100.0], [900.0, 100.0], OverrunCause::Retry, OverrunReason::Decided(OverrunCause::Retry)),
+        (
+            [100.0, 100.0],
+            [900.0, 100.0],
+            OverrunCause::Retry,
+            OverrunReason::Decided(OverrunCause::Retry),
+        ),
     ];
     for (usually, lately, cause, known) in cases {
         let mut b = Overruns::default();
@@ -113,8 +148,16 @@
         b.record(at(610_000), VolumeId(9), 50.0, cause);
         b.record(at(611_000), VolumeId(9), 30.0, cause);
         b.record(at(611_000), VolumeId(8), 30.0, cause);
-        b.record(at(640_000), VolumeId(9), 30.0, OverrunCause::LocalNodesSilent);
-        let all: Vec<_> = b.all().map(|b| (b.cross_zone_budget.0, b.known, b.from, b.to, b.bytes)).collect();
+        b.record(
+            at(640_000),
+            VolumeId(9),
+            30.0,
+            OverrunCause::LocalNodesSilent,
+        );
+        let all: Vec<_> = b
+            .all()
+            .map(|b| (b.cross_zone_budget.0, b.known, b.from, b.to, b.bytes))
+            .collect();
         let silent = OverrunReason::Decided(OverrunCause::LocalNodesSilent);
         let wanted = [
             (9, known, at(610_000), at(611_000), 80.0),
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -46,7 +46,8 @@
     Action, Endpoint, EndpointState, Event, Instant, NodeId, SchedulerConfig, UpdateKind,
 };
 use messages::{
-    AttemptKey, EPOCH_TIMER, EndpointCapacity, EndpointMessage, Outgoing, POLL_TIMER, RequestMessage,
+    AttemptKey, EPOCH_TIMER, EndpointCapacity, EndpointMessage, Outgoing, POLL_TIMER,
+    RequestMessage,
 };
 use queue::{Destination, QueueKey};
 use rand::SeedableRng;
@@ -81,11 +82,17 @@
     pub fn step(&mut self, now: Instant, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         self.requests.now = now;
         for event in events {
-            if let Event::EndpointList { update_kind, entries } = &event {
+            if let Event::EndpointList {
+                update_kind,
+                entries,
+            } = &event
+            {
                 self.update_list(*update_kind, entries);
                 self.run(); // what comes next in this step knows the endpoints of this list
             }
-            self.requests.mailbox.push_back(RequestMessage::Event(event));
+            self.requests
+                .mailbox
+                .push_back(RequestMessage::Event(event));
         }
         self.run();
         std::mem::take(&mut self.requests.actions)
@@ -95,18 +102,35 @@
     fn update_list(&mut self, update_kind: UpdateKind, entries: &[Endpoint]) {
         let now = self.requests.now;
         let self_reported = update_kind == UpdateKind::SelfReported;
-        let whole = matches!(update_kind, UpdateKind::Snapshot | UpdateKind::StaleSnapshot);
+        let whole = matches!(
+            update_kind,
+            UpdateKind::Snapshot | UpdateKind::StaleSnapshot
+        );
         let named: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
         let missing = self.trackers.values().map(|tracker| &tracker.entry);
         let missing = missing.filter(|entry| whole && !named.contains(&entry.node));
-        let missing = missing.filter(|entry| entry.state != EndpointState::Gone).cloned();
-        let gone: Vec<_> = missing.map(|entry| Endpoint { state: EndpointState::Gone, ..entry }).collect();
+        let missing = missing
+            .filter(|entry| entry.state != EndpointState::Gone)
+            .cloned();
+        let gone: Vec<_> = missing
+            .map(|entry| Endpoint {
+                state: EndpointState::Gone,
+                ..entry
+            })
+            .collect();
         for entry in gone.iter().chain(entries) {
             let new = || EndpointTracker::new(entry.clone(), now);
             self.trackers.entry(entry.node).or_insert_with(new);
-            self.post(entry.node, EndpointMessage::Listed { entry: entry.clone(), self_reported });
+            self.post(
+                entry.node,
+                EndpointMessage::Listed {
+                    entry: entry.clone(),
+                    self_reported,
+                },
+            );
         }
-        self.trackers.retain(|_, tracker| !tracker.is_forgotten(now) || !tracker.mailbox.is_empty());
+        self.trackers
+            .retain(|_, tracker| !tracker.is_forgotten(now) || !tracker.mailbox.is_empty());
     }
 
     fn post(&mut self, id: NodeId, message: EndpointMessage) {
@@ -126,14 +150,24 @@
             while let Some(Outgoing { to, message }) = self.requests.outbox.pop_front() {
                 self.post(to, message);
             }
-            let Some(id) = self.with_mail.pop_first() else { return };
-            let Some(tracker) = self.trackers.get_mut(&id) else { continue };
+            let Some(id) = self.with_mail.pop_first() else {
+                return;
+            };
+            let Some(tracker) = self.trackers.get_mut(&id) else {
+                continue;
+            };
             while let Some(message) = tracker.mailbox.pop_front() {
                 tracker.handle(message, self.requests.now);
             }
             let requests = &mut self.requests;
-            let capacity = tracker.capacity(requests.now, &requests.config, requests.volumes.fleet_demand);
-            requests.mailbox.push_back(RequestMessage::Capacity(capacity));
+            let capacity = tracker.capacity(
+                requests.now,
+                &requests.config,
+                requests.volumes.fleet_demand,
+            );
+            requests
+                .mailbox
+                .push_back(RequestMessage::Capacity(capacity));
         }
     }
 }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -4,8 +4,8 @@
 
 use super::{DEMAND_WINDOW, Destination, EPOCH, OpenRequest, POLL_TIMER, RequestScheduler, Volume};
 use gullsail_scheduler_api::{
-    Action, Idempotency, IdempotencyScope, Request, RequestClass, RequestClassId, RequestId, SchedulerConfig,
-    Span, TimerId, VolumeAllocation, demand_report,
+    Action, Idempotency, IdempotencyScope, Request, RequestClass, RequestClassId, RequestId,
+    SchedulerConfig, Span, TimerId, VolumeAllocation, demand_report,
 };
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -25,16 +25,27 @@
 
 impl Admission {
     pub(super) fn new(config: &SchedulerConfig) -> Self {
-        let tightest = config.request_classes.iter().map(|class| class.latency_objective).min();
+        let tightest = config
+            .request_classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .min();
         let tightest_objective = tightest.unwrap_or_default().times(OBJECTIVE_TOLERANCE);
-        Admission { longest_timeouts: BTreeMap::new(), poll_wait: FIRST_POLL_WAIT, tightest_objective }
+        Admission {
+            longest_timeouts: BTreeMap::new(),
+            poll_wait: FIRST_POLL_WAIT,
+            tightest_objective,
+        }
     }
 
     /// A client's next try has less time than its first had: the latency objective has run all the while.
     /// With less than the latency objective (`None`), it is hardly that, but an impatient first one: useful
     /// until its deadline.
     fn time_to_objective(&mut self, request: &Request, class: &RequestClass) -> Option<Span> {
-        let longest = self.longest_timeouts.entry(request.request_class).or_insert(request.timeout);
+        let longest = self
+            .longest_timeouts
+            .entry(request.request_class)
+            .or_insert(request.timeout);
         *longest = request.timeout.max(*longest);
         let used_up = *longest - request.timeout;
         (request.timeout >= class.latency_objective).then_some(class.latency_objective - used_up)
@@ -48,7 +59,10 @@
         let class = config.request_classes.get(request.request_class.0);
         let Some(class) = class.filter(|_| request.plan.0 < config.plans.len()) else {
             // No configuration knows it any more. It never ran, and would else never be answered.
-            self.actions.push(Action::Reject { id, retry_after: config.max_retry_after });
+            self.actions.push(Action::Reject {
+                id,
+                retry_after: config.max_retry_after,
+            });
             return;
         };
         self.attempts.record_accepted(now, config);
@@ -57,17 +71,34 @@
         let objective_deadline = time_to_objective.map_or(deadline, |time| now + time);
         let half_time = now + (objective_deadline - now).times(0.5);
         if let (true, Some(object)) = (class.in_order, request.object) {
-            self.requests.object_orders.entry(object).or_default().requests.push_back(id);
+            self.requests
+                .object_orders
+                .entry(object)
+                .or_default()
+                .requests
+                .push_back(id);
         }
         self.record_arrival(&request);
-        self.actions.push(Action::SetTimer { id: TimerId(id.0), at: deadline });
-        let open = OpenRequest { request, objective_deadline, half_time, ..OpenRequest::default() };
+        self.actions.push(Action::SetTimer {
+            id: TimerId(id.0),
+            at: deadline,
+        });
+        let open = OpenRequest {
+            request,
+            objective_deadline,
+            half_time,
+            ..OpenRequest::default()
+        };
         self.requests.open.insert(id, open);
         self.enqueue(id, rng);
     }
 
     fn record_arrival(&mut self, request: &Request) {
-        let hosts = if request.volume_hosts > 0 { request.volume_hosts } else { self.config.hosts.max(1) };
+        let hosts = if request.volume_hosts > 0 {
+            request.volume_hosts
+        } else {
+            self.config.hosts.max(1)
+        };
         let hosts = f64::from(hosts);
         let started_at = self.volumes.started_at;
         let volume = self.volumes.by_id.entry(request.volume).or_default();
@@ -89,14 +120,22 @@
         for allocation in allocations {
             let id = demand_report::carried(allocation.volume);
             let withdrawn = allocation.hosts == 0;
-            let volume = self.volumes.by_id.entry(id).or_insert_with(|| Volume::new(now));
+            let volume = self
+                .volumes
+                .by_id
+                .entry(id)
+                .or_insert_with(|| Volume::new(now));
             volume.plan = allocation.plan;
             volume.hosts = f64::from(allocation.hosts.max(1));
             volume.share = allocation.part;
             volume.withdrawn = withdrawn;
             volume.refill(now, &self.config);
             let waits = |open: &OpenRequest| open.request.volume == id && open.attempts_sent == 0;
-            let waiting = self.requests.open.iter().filter(|(_, open)| withdrawn && waits(open));
+            let waiting = self
+                .requests
+                .open
+                .iter()
+                .filter(|(_, open)| withdrawn && waits(open));
             for id in waiting.map(|(id, _)| *id).collect::<Vec<_>>() {
                 self.shed(id);
             }
@@ -106,40 +145,66 @@
     /// Will all tokens that can come in its time go to what waits here for its volume and goes before it, as
     /// it is no larger? It would wait only to keep its client away. Harms where those before it are shed.
     pub(super) fn would_starve(&mut self, id: RequestId) -> bool {
-        let Some(open) = self.requests.open.get(&id).filter(|open| open.attempts_sent == 0) else {
+        let Some(open) = self
+            .requests
+            .open
+            .get(&id)
+            .filter(|open| open.attempts_sent == 0)
+        else {
             return false;
         };
         let (now, own, config) = (self.now, &open.request, &self.config);
-        let Some(volume) = self.volumes.by_id.get_mut(&own.volume) else { return false };
+        let Some(volume) = self.volumes.by_id.get_mut(&own.volume) else {
+            return false;
+        };
         let expected = volume.tokens_by(now, open.objective_deadline, config);
         let rank = |other: &OpenRequest| {
             let class = &config.request_classes[other.request.request_class.0];
             (class.priority_weight, now - other.objective_deadline)
         };
         let waits = |other: &OpenRequest| other.attempts_sent == 0 && other.queue.is_some();
-        let competes = |o: &OpenRequest| o.request.volume == own.volume && o.request.units <= own.units;
+        let competes =
+            |o: &OpenRequest| o.request.volume == own.volume && o.request.units <= own.units;
         let goes_before = |o: &&OpenRequest| waits(o) && competes(o) && rank(o) >= rank(open);
-        let before = self.requests.open.values().filter(goes_before).map(|other| other.request.units);
+        let before = self
+            .requests
+            .open
+            .values()
+            .filter(goes_before)
+            .map(|other| other.request.units);
         volume.bucket.waiting > expected && before.sum::<f64>() > expected
     }
 
     /// The final answer of a request that gets no more attempts, at once.
     pub(super) fn shed(&mut self, id: RequestId) {
-        let Some(open) = self.requests.open.get(&id).filter(|open| !open.closed) else { return };
+        let Some(open) = self.requests.open.get(&id).filter(|open| !open.closed) else {
+            return;
+        };
         let request = &open.request;
         let may_repeat = matches!(
             self.config.request_classes[request.request_class.0].idempotency,
-            Idempotency::Idempotent | Idempotency::WithKey { scope: IdempotencyScope::All, .. }
+            Idempotency::Idempotent
+                | Idempotency::WithKey {
+                    scope: IdempotencyScope::All,
+                    ..
+                }
         );
         let never_ran = open.possible_run.is_none() && open.in_flight == 0;
         let volume = self.volumes.by_id.get(&request.volume);
-        let refilled = volume.map_or(EPOCH, |volume| volume.refill_wait(request.units, &self.config));
-        let latency =
-            request.shard.map_or(EPOCH, |shard| self.endpoints.least_latency(Destination::Shard(shard)));
+        let refilled = volume.map_or(EPOCH, |volume| {
+            volume.refill_wait(request.units, &self.config)
+        });
+        let latency = request.shard.map_or(EPOCH, |shard| {
+            self.endpoints.least_latency(Destination::Shard(shard))
+        });
         let advice = latency.max(refilled);
         let retry_after = self.config.max_retry_after.map(|most| advice.min(most));
         let may_reject = may_repeat || never_ran;
-        self.actions.push(if may_reject { Action::Reject { id, retry_after } } else { Action::Fail { id } });
+        self.actions.push(if may_reject {
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
         self.close(id);
     }
 
@@ -150,6 +215,9 @@
         let most = config.poll_within.unwrap_or(LONGEST_POLL_WAIT);
         let wait = self.admission.poll_wait.min(most).times(part);
         self.admission.poll_wait = self.admission.poll_wait.times(2.0).min(LONGEST_POLL_WAIT);
-        self.actions.push(Action::SetTimer { id: POLL_TIMER, at: self.now + wait });
+        self.actions.push(Action::SetTimer {
+            id: POLL_TIMER,
+            at: self.now + wait,
+        });
     }
 }
--- a/src/scheduler/attempt_accounts.rs
+++ b/src/scheduler/attempt_accounts.rs
@@ -45,14 +45,27 @@
             self.retries_sent.push_back(now);
         }
         self.sent.add(now, RECENT, 1.0);
-        let window = self.sparse_windows.entry(capacity.entry.zone).or_insert_with(SparseTrafficWindow::new);
+        let window = self
+            .sparse_windows
+            .entry(capacity.entry.zone)
+            .or_insert_with(SparseTrafficWindow::new);
         if capacity.sparse_traffic {
             window.in_flight.insert(key, latency_objective);
         }
     }
 
-    pub(super) fn record_ended(&mut self, now: Instant, key: AttemptKey, end: &AttemptEnd, degraded: bool) {
-        self.succeeded.add(now, RECENT, f64::from(end.outcome == AttemptOutcome::Succeeded));
+    pub(super) fn record_ended(
+        &mut self,
+        now: Instant,
+        key: AttemptKey,
+        end: &AttemptEnd,
+        degraded: bool,
+    ) {
+        self.succeeded.add(
+            now,
+            RECENT,
+            f64::from(end.outcome == AttemptOutcome::Succeeded),
+        );
         for window in self.sparse_windows.values_mut() {
             if let Some(latency_objective) = window.in_flight.remove(&key) {
                 window.attempt_ended(now, end, latency_objective, degraded);
--- a/src/scheduler/bookkeeping.rs
+++ b/src/scheduler/bookkeeping.rs
@@ -8,7 +8,9 @@
 
 impl RequestScheduler {
     pub(super) fn leave_queue(&mut self, id: RequestId) {
-        let Some(open) = self.requests.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.open.get_mut(&id) else {
+            return;
+        };
         let Some(key) = open.queue.take() else { return };
         if !self.queues.remove(key, open.group(), open.waiting()) || open.attempts_sent > 0 {
             return;
@@ -21,7 +23,9 @@
     /// The client has its answer or is gone; the entry stays until no attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId) {
         self.leave_queue(id);
-        let Some(open) = self.requests.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.open.get_mut(&id) else {
+            return;
+        };
         open.closed = true;
         if open.in_flight > 0 {
             return;
@@ -35,8 +39,12 @@
 
     /// Notes what came of an attempt at its request, its volume and its object.
     pub(super) fn record_outcome(&mut self, end: &AttemptEnd) {
-        let Some(open) = self.requests.open.get_mut(&end.id) else { return };
-        if let (Some(used), Some(volume)) = (end.used, self.volumes.by_id.get_mut(&open.request.volume)) {
+        let Some(open) = self.requests.open.get_mut(&end.id) else {
+            return;
+        };
+        if let (Some(used), Some(volume)) =
+            (end.used, self.volumes.by_id.get_mut(&open.request.volume))
+        {
             let plan = self.config.plans.get(volume.plan.0);
             volume.fleet_usage = plan.map(|plan| used * plan.nominal_rate);
         }
@@ -45,7 +53,10 @@
             open.possible_run = open.possible_run.filter(|run| run.attempt != end.attempt);
         }
         let object = open.request.object;
-        if let (true, Some(order)) = (end.outcome.may_still_run(), self.requests.object_order(object)) {
+        if let (true, Some(order)) = (
+            end.outcome.may_still_run(),
+            self.requests.object_order(object),
+        ) {
             order.settled_at = order.settled_at.max(self.now + self.config.order_settle);
         }
     }
--- a/src/scheduler/cross_zone_ledger.rs
+++ b/src/scheduler/cross_zone_ledger.rs
@@ -32,10 +32,16 @@
             let mut budgets = config.cross_zone_budgets.iter();
             budgets.position(|b| b.hosts > 0 && demand_report::carried(b.id) == *id)
         };
-        self.volumes.by_id.retain(|id, v| v.cross_zone_budget.is_none() || place(id).is_some());
+        self.volumes
+            .by_id
+            .retain(|id, v| v.cross_zone_budget.is_none() || place(id).is_some());
         for budget in config.cross_zone_budgets.iter().filter(|b| b.hosts > 0) {
             let id = demand_report::carried(budget.id);
-            let volume = self.volumes.by_id.entry(id).or_insert_with(|| Volume::new(now));
+            let volume = self
+                .volumes
+                .by_id
+                .entry(id)
+                .or_insert_with(|| Volume::new(now));
             volume.cross_zone_budget = place(&id);
             volume.hosts = f64::from(budget.hosts);
         }
@@ -51,23 +57,42 @@
         let scopes = [BudgetScope::ZonePair(from, to), BudgetScope::Plan(plan)];
         let budgets = self.config.cross_zone_budgets.iter();
         let applied = budgets.filter(move |b| from != to && b.hosts > 0 && scopes.contains(&b.of));
-        applied.map(|b| AppliedBudget { id: demand_report::carried(b.id), hard: b.hard })
+        applied.map(|b| AppliedBudget {
+            id: demand_report::carried(b.id),
+            hard: b.hard,
+        })
     }
 
     /// Takes bytes that cross from their budgets; an overrun is reported with its cause.
     pub(super) fn charge_budgets(&mut self, sent: &CrossZoneBytes) {
-        let CrossZoneBytes { id, plan, from, to, bytes, cause } = *sent;
-        for AppliedBudget { id: cross_zone_budget, .. } in
-            self.budgets_across(plan, from, to).collect::<Vec<_>>()
+        let CrossZoneBytes {
+            id,
+            plan,
+            from,
+            to,
+            bytes,
+            cause,
+        } = *sent;
+        for AppliedBudget {
+            id: cross_zone_budget,
+            ..
+        } in self.budgets_across(plan, from, to).collect::<Vec<_>>()
         {
-            let Some(budget) = self.volumes.by_id.get_mut(&cross_zone_budget) else { continue };
+            let Some(budget) = self.volumes.by_id.get_mut(&cross_zone_budget) else {
+                continue;
+            };
             budget.refill(self.now, &self.config);
             budget.demand.add(self.now, DEMAND_WINDOW, bytes);
             budget.bucket.tokens -= bytes;
             budget.bucket.waiting = bytes;
             let over = bytes.min(-budget.bucket.tokens);
             if over > 0.0 {
-                self.actions.push(Action::BudgetOverrun { id, cross_zone_budget, bytes: over, cause });
+                self.actions.push(Action::BudgetOverrun {
+                    id,
+                    cross_zone_budget,
+                    bytes: over,
+                    cause,
+                });
             }
             self.ask_for_tokens(cross_zone_budget);
         }
