--- a/src/scheduler/demand_reports.rs
+++ b/src/scheduler/demand_reports.rs
@@ -3,7 +3,8 @@
 //! `cross_zone`.
 
 use super::{
-    ASK_EVERY, DEMAND_WINDOW, EPOCH, EPOCH_TIMER, FORGET_AFTER, PeerDemand, RequestScheduler, Volume,
+    ASK_EVERY, DEMAND_WINDOW, EPOCH, EPOCH_TIMER, FORGET_AFTER, PeerDemand, RequestScheduler,
+    Volume,
 };
 use gullsail_scheduler_api::demand_report::{self, VolumeDemand};
 use gullsail_scheduler_api::{Action, HostId, Instant, SchedulerConfig, VolumeId};
@@ -17,8 +18,14 @@
 
 impl Volume {
     /// The host to search for further hosts of this volume, when that is due.
-    fn next_search(&mut self, id: VolumeId, now: Instant, config: &SchedulerConfig) -> Option<HostId> {
-        let shared = self.limit(config).is_some() && self.hosts > 1.0 && config.peer_messages_enabled;
+    fn next_search(
+        &mut self,
+        id: VolumeId,
+        now: Instant,
+        config: &SchedulerConfig,
+    ) -> Option<HostId> {
+        let shared =
+            self.limit(config).is_some() && self.hosts > 1.0 && config.peer_messages_enabled;
         if !shared || now < self.peers.search_at {
             return None;
         }
@@ -35,15 +42,23 @@
     pub(super) fn start_epoch(&mut self) {
         let now = self.now;
         let next = (now.micros().div_euclid(EPOCH.micros()) + 1) * EPOCH.micros();
-        self.actions.push(Action::SetTimer { id: EPOCH_TIMER, at: Instant::from_micros(next) });
+        self.actions.push(Action::SetTimer {
+            id: EPOCH_TIMER,
+            at: Instant::from_micros(next),
+        });
         self.requests.forget_settled(now);
-        self.endpoints.last_unavailable.retain(|_, at| now - *at <= FORGET_AFTER);
+        self.endpoints
+            .last_unavailable
+            .retain(|_, at| now - *at <= FORGET_AFTER);
         self.forget_users_and_volumes(EPOCH.times(f64::from(4 << SEARCH_DOUBLINGS)));
         for (to, volume) in self.review_volumes() {
             if to == self.config.me {
                 self.register_user(to, volume);
             } else {
-                self.actions.push(Action::SendToPeer { to, bytes: demand_report::pack_search(volume) });
+                self.actions.push(Action::SendToPeer {
+                    to,
+                    bytes: demand_report::pack_search(volume),
+                });
             }
         }
     }
@@ -65,7 +80,8 @@
         }
         self.volumes.mean_excess = excess_sum / f64::max(with_excess, 1.0);
         let shards = self.endpoints.by_shard.len().max(1) as f64;
-        let fleet_demand = demand * f64::from(config.hosts) * config.slow_start.window.secs() / shards;
+        let fleet_demand =
+            demand * f64::from(config.hosts) * config.slow_start.window.secs() / shards;
         self.volumes.fleet_demand += (fleet_demand - self.volumes.fleet_demand) * DEMAND_SMOOTHING;
         searches
     }
@@ -73,8 +89,12 @@
     /// Asks some peers in turn for tokens, where what waits here needs more than there are.
     pub(super) fn ask_for_tokens(&mut self, id: VolumeId) {
         let (now, config) = (self.now, &self.config);
-        let Some(volume) = self.volumes.by_id.get_mut(&id) else { return };
-        let Some(limit) = volume.limit(config).filter(|_| now >= volume.peers.ask_at) else { return };
+        let Some(volume) = self.volumes.by_id.get_mut(&id) else {
+            return;
+        };
+        let Some(limit) = volume.limit(config).filter(|_| now >= volume.peers.ask_at) else {
+            return;
+        };
         volume.refill(now, config);
         let bucket = &volume.bucket;
         let needed = bucket.waiting > bucket.tokens;
@@ -91,10 +111,18 @@
         let wanted = missing / asked as f64;
         peers.next_asked = first + asked;
         peers.ask_at = now + ASK_EVERY;
-        let report = VolumeDemand { volume: id, demand, wanted, lent: 0.0 };
+        let report = VolumeDemand {
+            volume: id,
+            demand,
+            wanted,
+            lent: 0.0,
+        };
         let bytes = demand_report::pack_report(now, &[report]);
         let asked = peers.reports.keys().cycle().skip(first).take(asked);
-        self.actions.extend(asked.map(|to| Action::SendToPeer { to: *to, bytes: bytes.clone() }));
+        self.actions.extend(asked.map(|to| Action::SendToPeer {
+            to: *to,
+            bytes: bytes.clone(),
+        }));
     }
 
     pub(super) fn handle_report(&mut self, from: HostId, made_at: Instant, report: VolumeDemand) {
@@ -103,22 +131,43 @@
         if made_at > now || now - made_at >= DEMAND_WINDOW {
             return;
         }
-        let Some(volume) = self.volumes.by_id.get_mut(&report.volume) else { return };
+        let Some(volume) = self.volumes.by_id.get_mut(&report.volume) else {
+            return;
+        };
         volume.refill(now, config);
         let peer = volume.peers.reports.entry(from).or_default();
         // Late and repeated demand reports: the newest counts, and nothing lent to an earlier incarnation.
         if made_at <= peer.reported_at {
             return;
         }
-        *peer = PeerDemand { reported_at: made_at, demand: report.demand };
-        if let Some(limit) = volume.limit(config).filter(|_| made_at > self.volumes.started_at) {
-            let lent = if now - made_at < ASK_EVERY { report.lent } else { 0.0 };
+        *peer = PeerDemand {
+            reported_at: made_at,
+            demand: report.demand,
+        };
+        if let Some(limit) = volume
+            .limit(config)
+            .filter(|_| made_at > self.volumes.started_at)
+        {
+            let lent = if now - made_at < ASK_EVERY {
+                report.lent
+            } else {
+                0.0
+            };
             let cap = volume.host_share(now, &limit).burst;
             volume.bucket.tokens = (volume.bucket.tokens + lent).min(cap);
         }
-        let lent = if report.wanted > 0.0 { volume.lend(now, config, report.wanted) } else { 0.0 };
+        let lent = if report.wanted > 0.0 {
+            volume.lend(now, config, report.wanted)
+        } else {
+            0.0
+        };
         if lent > 0.0 {
-            let reply = VolumeDemand { demand: volume.demand.last(), wanted: 0.0, lent, ..report };
+            let reply = VolumeDemand {
+                demand: volume.demand.last(),
+                wanted: 0.0,
+                lent,
+                ..report
+            };
             let bytes = demand_report::pack_report(now, &[reply]);
             self.actions.push(Action::SendToPeer { to: from, bytes });
         }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -3,11 +3,13 @@
 //! for `attempts`.
 
 use super::{
-    AttemptKey, CrossZoneBytes, Destination, DrawnEndpoint, EndpointCapacity, EndpointMessage, FORGET_AFTER,
-    OpenRequest, Outgoing, PossibleRun, QueueKey, RECENT, RETURN_FACTOR, RequestScheduler,
+    AttemptKey, CrossZoneBytes, Destination, DrawnEndpoint, EndpointCapacity, EndpointMessage,
+    FORGET_AFTER, OpenRequest, Outgoing, PossibleRun, QueueKey, RECENT, RETURN_FACTOR,
+    RequestScheduler,
 };
 use gullsail_scheduler_api::{
-    Action, Idempotency, IdempotencyScope, Instant, OverrunCause, PoolId, RequestId, Span, demand_report,
+    Action, Idempotency, IdempotencyScope, Instant, OverrunCause, PoolId, RequestId, Span,
+    demand_report,
 };
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -28,19 +30,30 @@
 
 impl RequestScheduler {
     pub(super) fn enqueue(&mut self, id: RequestId, rng: &mut ChaCha8Rng) {
-        let Some(open) = self.requests.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.open.get_mut(&id) else {
+            return;
+        };
         let request = &open.request;
         let by_shard = matches!(
             self.config.request_classes[request.request_class.0].idempotency,
-            Idempotency::WithKey { scope: IdempotencyScope::Shard, .. }
+            Idempotency::WithKey {
+                scope: IdempotencyScope::Shard,
+                ..
+            }
         );
         let bound_to = open.possible_run.filter(|_| by_shard).map(|run| run.shard);
         let shard = request.shard.or(bound_to);
         let destination = shard.map_or(Destination::Pool(request.pool), Destination::Shard);
-        let key = QueueKey { retries: open.attempts_sent > 0, destination };
+        let key = QueueKey {
+            retries: open.attempts_sent > 0,
+            destination,
+        };
         open.queue = Some(key);
         self.queues.insert(key, open.group(), open.waiting());
-        if let (0, Some(volume)) = (open.attempts_sent, self.volumes.by_id.get_mut(&open.request.volume)) {
+        if let (0, Some(volume)) = (
+            open.attempts_sent,
+            self.volumes.by_id.get_mut(&open.request.volume),
+        ) {
             volume.bucket.waiting += open.request.units;
         }
         if self.would_starve(id) {
@@ -51,15 +64,24 @@
     }
 
     pub(super) fn review_queue_on_timer(&mut self, key: QueueKey, rng: &mut ChaCha8Rng) {
-        let soonest = self.endpoints.least_latency(key.destination).times(USUAL_LATENCY);
+        let soonest = self
+            .endpoints
+            .least_latency(key.destination)
+            .times(USUAL_LATENCY);
         self.review_queue(key, self.now + soonest.max(REVIEW_EVERY), rng);
     }
 
     /// Sheds what can no longer be in time, asks for tokens and for the capacity of nodes.
     fn review_queue(&mut self, key: QueueKey, too_late: Instant, rng: &mut ChaCha8Rng) {
-        let Some(queue) = self.queues.by_key.get(&key) else { return };
+        let Some(queue) = self.queues.by_key.get(&key) else {
+            return;
+        };
         let unreachable = self.unreachable(key.destination);
-        let mut hopeless = queue.due_by(if unreachable { Instant::from_micros(i64::MAX) } else { too_late });
+        let mut hopeless = queue.due_by(if unreachable {
+            Instant::from_micros(i64::MAX)
+        } else {
+            too_late
+        });
         let mut wanted = Vec::new();
         if let (Destination::Pool(pool), true) = (key.destination, self.config.zone.is_some()) {
             hopeless.extend(self.without_destination(key, pool));
@@ -69,9 +91,14 @@
             self.shed(id);
         }
         if let Some(id) = self.queues.new_timer(key) {
-            self.actions.push(Action::SetTimer { id, at: self.now + REVIEW_EVERY });
+            self.actions.push(Action::SetTimer {
+                id,
+                at: self.now + REVIEW_EVERY,
+            });
         }
-        let Some(queue) = self.queues.by_key.get(&key) else { return };
+        let Some(queue) = self.queues.by_key.get(&key) else {
+            return;
+        };
         wanted.extend(queue.groups.keys().map(|group| group.volume));
         for volume in wanted {
             self.ask_for_tokens(volume);
@@ -88,7 +115,8 @@
     /// Nobody takes it, and nobody did of late whose successor could come: the wait would be for nothing.
     fn unreachable(&self, destination: Destination) -> bool {
         let last_seen = self.endpoints.last_unavailable.get(&destination);
-        self.endpoints.is_empty(destination) && last_seen.is_none_or(|at| self.now - *at > FORGET_AFTER)
+        self.endpoints.is_empty(destination)
+            && last_seen.is_none_or(|at| self.now - *at > FORGET_AFTER)
     }
 
     /// The value still due per unit of a request.
@@ -101,7 +129,11 @@
         let inside_share = (self.volumes.mean_excess / volume.excess.last().max(1e-9)).min(1.0);
         let beyond_reserve = config.beyond_share_value
             + (config.within_share_value - config.beyond_share_value) * inside_share;
-        full * if volume.reserve >= open.request.units { 1.0 } else { beyond_reserve }
+        full * if volume.reserve >= open.request.units {
+            1.0
+        } else {
+            beyond_reserve
+        }
     }
 
     /// May this request have an attempt at that node now, by the rules and the volume's tokens?
@@ -122,7 +154,9 @@
         if open.attempts_sent > 0 {
             return self.attempts.may_retry(&self.config);
         }
-        let order = request.object.and_then(|object| self.requests.object_orders.get(&object));
+        let order = request
+            .object
+            .and_then(|object| self.requests.object_orders.get(&object));
         if let (true, Some(order)) = (class.in_order, order)
             && (order.requests.front() != Some(&id) || self.now < order.settled_at)
         {
@@ -134,19 +168,29 @@
 
     fn best_candidate(&mut self, key: QueueKey, capacity: &EndpointCapacity) -> Option<Candidate> {
         let queue = self.queues.by_key.get(&key)?;
-        let budgets = self.config.cross_zone_budgets.iter().map(|budget| demand_report::carried(budget.id));
+        let budgets = self
+            .config
+            .cross_zone_budgets
+            .iter()
+            .map(|budget| demand_report::carried(budget.id));
         for id in queue.groups.keys().map(|group| group.volume).chain(budgets) {
             if let Some(volume) = self.volumes.by_id.get_mut(&id) {
                 volume.refill(self.now, &self.config);
             }
         }
-        let first = queue.groups.values().flat_map(|group| group.iter().take(CANDIDATES));
+        let first = queue
+            .groups
+            .values()
+            .flat_map(|group| group.iter().take(CANDIDATES));
         let open = first.map(|waiting| (waiting, &self.requests.open[&waiting.id]));
         let sendable = open.filter(|(waiting, open)| self.may_send(waiting.id, open, capacity));
         let valued = sendable.map(|(waiting, open)| (self.value_per_unit(open), waiting));
         // Of equal value, the one with the least time left.
         let best = valued.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(a.1)));
-        best.map(|(value, waiting)| Candidate { value, id: waiting.id })
+        best.map(|(value, waiting)| Candidate {
+            value,
+            id: waiting.id,
+        })
     }
 
     /// Sends a node that has room one request, if any may go to it.
@@ -156,22 +200,37 @@
         // next to nothing: each sends no more than some times what came back in time.
         let earned = RETURN_FACTOR * self.attempts.succeeded.read(self.now, RECENT) + 1.0;
         let window_full = self.attempts.sparse_window_full(capacity);
-        if capacity.available_slots == 0 || window_full || self.attempts.sent.read(self.now, RECENT) > earned
+        if capacity.available_slots == 0
+            || window_full
+            || self.attempts.sent.read(self.now, RECENT) > earned
         {
             return;
         }
         for retries in [false, true] {
             let destination = Destination::Shard(capacity.entry.shard);
-            let own = self.best_candidate(QueueKey { retries, destination }, capacity);
+            let own = self.best_candidate(
+                QueueKey {
+                    retries,
+                    destination,
+                },
+                capacity,
+            );
             // A new object can wait for a node that nobody's data waits for, until half its time
             // is gone: where data lies unevenly, it would else crowd out what has one node only.
             let for_pool = |pool: &PoolId| {
-                let key = QueueKey { retries, destination: Destination::Pool(*pool) };
+                let key = QueueKey {
+                    retries,
+                    destination: Destination::Pool(*pool),
+                };
                 Some((self.best_candidate(key, capacity)?, *pool))
             };
-            let new = drawn_for.iter().filter_map(for_pool).max_by(|a, b| a.0.value.total_cmp(&b.0.value));
+            let new = drawn_for
+                .iter()
+                .filter_map(for_pool)
+                .max_by(|a, b| a.0.value.total_cmp(&b.0.value));
             let half_gone = |id: RequestId| self.now >= self.requests.open[&id].half_time;
-            let new = new.filter(|(new, _)| own.is_none_or(|o| new.value > o.value && half_gone(new.id)));
+            let new =
+                new.filter(|(new, _)| own.is_none_or(|o| new.value > o.value && half_gone(new.id)));
             if let Some(chosen) = new.map(|(candidate, _)| candidate).or(own) {
                 self.send(chosen.id, capacity);
                 if let Some((_, pool)) = new {
@@ -187,18 +246,40 @@
     /// refuge.
     pub(super) fn draw_endpoint(&mut self, pool: PoolId, rng: &mut ChaCha8Rng) {
         let destination = Destination::Pool(pool);
-        let waits = |retries| self.queues.by_key.contains_key(&QueueKey { retries, destination });
-        let ready = self.endpoints.by_pool.get(&pool).filter(|_| waits(false) || waits(true));
+        let waits = |retries| {
+            self.queues.by_key.contains_key(&QueueKey {
+                retries,
+                destination,
+            })
+        };
+        let ready = self
+            .endpoints
+            .by_pool
+            .get(&pool)
+            .filter(|_| waits(false) || waits(true));
         let Some(ready) = ready else { return };
         let nodes = ready.choose_multiple(rng, SAMPLE);
         let sample: Vec<_> = nodes.map(|node| &self.endpoints.capacities[node]).collect();
-        let warm = sample.iter().filter(|c| c.available_slots > 0 && c.units.is_infinite()).count();
+        let warm = sample
+            .iter()
+            .filter(|c| c.available_slots > 0 && c.units.is_infinite())
+            .count();
         let beyond_even = 2 * warm > sample.len() || sample.iter().all(|c| c.units.is_finite());
         let fits = |c: &EndpointCapacity| beyond_even || c.even_units >= self.config.max_units;
-        let takers: Vec<_> = sample.iter().filter(|c| c.available_slots > 0 && fits(c)).collect();
-        let remote_odds = if self.no_local_node(pool).is_some() { 1.0 } else { REMOTE_ODDS };
+        let takers: Vec<_> = sample
+            .iter()
+            .filter(|c| c.available_slots > 0 && fits(c))
+            .collect();
+        let remote_odds = if self.no_local_node(pool).is_some() {
+            1.0
+        } else {
+            REMOTE_ODDS
+        };
         let odds = |c: &&&EndpointCapacity| {
-            let remote = self.config.zone.is_some_and(|own_zone| own_zone != c.entry.zone);
+            let remote = self
+                .config
+                .zone
+                .is_some_and(|own_zone| own_zone != c.entry.zone);
             let by_zone = if remote { remote_odds } else { 1.0 };
             c.available_slots as f64 / c.latency.secs().max(1e-3) * by_zone
         };
@@ -208,12 +289,15 @@
             self.outbox.push_back(Outgoing::capacity_wanted(node));
         }
         let full = sample.iter().filter(|c| c.available_slots == 0);
-        self.outbox.extend(full.map(|c| Outgoing::capacity_wanted(c.entry.node)));
+        self.outbox
+            .extend(full.map(|c| Outgoing::capacity_wanted(c.entry.node)));
     }
 
     fn send(&mut self, id: RequestId, capacity: &EndpointCapacity) {
         self.leave_queue(id);
-        let Some(open) = self.requests.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.open.get_mut(&id) else {
+            return;
+        };
         let (request, attempt) = (open.request.clone(), open.attempts_sent);
         if attempt == 0 {
             let volume = self.volumes.by_id.get_mut(&request.volume);
@@ -221,22 +305,57 @@
             volume.spend(self.now, &self.config, request.units);
         }
         let class = &self.config.request_classes[request.request_class.0];
-        let latency_objective = class.latency_objective.min(self.admission.tightest_objective);
-        let key = AttemptKey { request: id, attempt };
-        self.attempts.record_sent(self.now, &self.config, key, capacity, latency_objective);
+        let latency_objective = class
+            .latency_objective
+            .min(self.admission.tightest_objective);
+        let key = AttemptKey {
+            request: id,
+            attempt,
+        };
+        self.attempts
+            .record_sent(self.now, &self.config, key, capacity, latency_objective);
         open.attempts_sent += 1;
         open.in_flight += 1;
-        let (node, shard, zone) = (capacity.entry.node, capacity.entry.shard, capacity.entry.zone);
-        open.possible_run.get_or_insert(PossibleRun { attempt, shard, zone, since: self.now });
+        let (node, shard, zone) = (
+            capacity.entry.node,
+            capacity.entry.shard,
+            capacity.entry.zone,
+        );
+        open.possible_run.get_or_insert(PossibleRun {
+            attempt,
+            shard,
+            zone,
+            since: self.now,
+        });
         let time_out = Some(open.objective_deadline - self.now);
-        let message = EndpointMessage::AttemptSent { key, units: request.units, latency_objective };
+        let message = EndpointMessage::AttemptSent {
+            key,
+            units: request.units,
+            latency_objective,
+        };
         self.outbox.push_back(Outgoing { to: node, message });
-        self.actions.push(Action::StartAttempt { id, node, time_out });
-        let Some(own_zone) = self.config.zone else { return };
-        let forced = self.no_local_node(request.pool).filter(|_| request.shard.is_none());
-        let usual = if attempt == 0 { OverrunCause::DataPlacement } else { OverrunCause::Retry };
+        self.actions
+            .push(Action::StartAttempt { id, node, time_out });
+        let Some(own_zone) = self.config.zone else {
+            return;
+        };
+        let forced = self
+            .no_local_node(request.pool)
+            .filter(|_| request.shard.is_none());
+        let usual = if attempt == 0 {
+            OverrunCause::DataPlacement
+        } else {
+            OverrunCause::Retry
+        };
         let cause = forced.unwrap_or(usual);
         let (plan, bytes) = (request.plan, request.bytes);
-        self.charge_budgets(&CrossZoneBytes { id, plan, from: own_zone, to: zone, bytes, cause });
+        self.charge_budgets(&CrossZoneBytes {
+            id,
+            plan,
+            from: own_zone,
+            to: zone,
+            bytes,
+            cause,
+        });
     }
 }
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -3,7 +3,8 @@
 //! goes to it is decided in `dispatch`.
 
 use super::{
-    AttemptKey, DEMAND_WINDOW, EndpointCapacity, EndpointTracker, SlowStartAttempt, SparseTrafficWindow,
+    AttemptKey, DEMAND_WINDOW, EndpointCapacity, EndpointTracker, SlowStartAttempt,
+    SparseTrafficWindow,
 };
 use gullsail_scheduler_api::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, Instant, SchedulerConfig, Span,
@@ -42,13 +43,25 @@
         }
         // The list is late: a drain is believed at once, but taken back only by a newer start.
         let leaving = self.entry.state != EndpointState::Ready && !restarted;
-        let state = if leaving { self.entry.state.max(entry.state) } else { entry.state };
+        let state = if leaving {
+            self.entry.state.max(entry.state)
+        } else {
+            entry.state
+        };
         if self.entry.state != EndpointState::Gone {
             self.gone_since = now;
         }
         // A connection that broke is taken for a restart until the same process says otherwise.
-        let started = if self_reported { entry.started } else { entry.started.max(self.entry.started) };
-        self.entry = Endpoint { state, started, ..entry };
+        let started = if self_reported {
+            entry.started
+        } else {
+            entry.started.max(self.entry.started)
+        };
+        self.entry = Endpoint {
+            state,
+            started,
+            ..entry
+        };
     }
 
     pub(super) fn attempt_ended(
@@ -58,8 +71,12 @@
         latency: Span,
         now: Instant,
     ) {
-        use AttemptOutcome::{Cancelled, ConnectionLost, Failed, NotSent, Rejected, Succeeded, TimedOut};
-        let Some(ended) = self.in_flight.remove(&key) else { return };
+        use AttemptOutcome::{
+            Cancelled, ConnectionLost, Failed, NotSent, Rejected, Succeeded, TimedOut,
+        };
+        let Some(ended) = self.in_flight.remove(&key) else {
+            return;
+        };
         let latency_objective = ended.latency_objective;
         if outcome == ConnectionLost {
             // The process died, no jam: the window stays. What answers next has just started.
@@ -119,20 +136,40 @@
     /// whole request, a lone attempt at a time keeps reads alive, the next once it is served; who was served
     /// none of late begins by turns, a window each, as all hosts ask for more than is borne: an attempt of
     /// each would push it over. Harms where this host asks unlike the others.
-    fn slow_start_units(&mut self, now: Instant, config: &SchedulerConfig, demand: f64) -> SlowStartUnits {
+    fn slow_start_units(
+        &mut self,
+        now: Instant,
+        config: &SchedulerConfig,
+        demand: f64,
+    ) -> SlowStartUnits {
         let rule = &config.slow_start;
-        let Some(age) = self.entry.started.map(|at| now - at).filter(|age| *age < rule.ramp) else {
+        let Some(age) = self
+            .entry
+            .started
+            .map(|at| now - at)
+            .filter(|age| *age < rule.ramp)
+        else {
             self.slow_start_attempts.clear();
-            return SlowStartUnits { units: f64::INFINITY, even_units: f64::INFINITY };
+            return SlowStartUnits {
+                units: f64::INFINITY,
+                even_units: f64::INFINITY,
+            };
         };
         let ramped = (age - rule.window).secs().max(0.0) / rule.ramp.secs();
         let growth = (1.0 - rule.initial_fraction) * ramped / rule.initial_fraction.max(0.01);
         let even_share = config.slow_start_units_per_host() * (1.0 + RAMP_TRUST * growth);
         // A tenth longer than the rule's window: attempts sent apart may arrive together, or go out later.
         let window = rule.window.times(1.1) + config.connect_wait;
-        self.slow_start_attempts.retain(|attempt| now - attempt.sent_at <= window);
+        self.slow_start_attempts
+            .retain(|attempt| now - attempt.sent_at <= window);
         let attempts = &self.slow_start_attempts;
-        let weight = |a: &SlowStartAttempt| if a.served { a.units * SERVED_WEIGHT } else { a.units };
+        let weight = |a: &SlowStartAttempt| {
+            if a.served {
+                a.units * SERVED_WEIGHT
+            } else {
+                a.units
+            }
+        };
         let sent: f64 = attempts.iter().map(weight).sum();
         let hosts = f64::from(config.hosts.max(1));
         let turns = (demand / (even_share * hosts)).max(1.0).ceil();
@@ -142,7 +179,14 @@
         let all_served = attempts.iter().all(|attempt| attempt.served);
         let lone = all_served && sent < even_share.max(one) && (own_turn || !attempts.is_empty());
         let even_units = even_share - sent;
-        SlowStartUnits { units: if lone { one.max(even_units) } else { even_units }, even_units }
+        SlowStartUnits {
+            units: if lone {
+                one.max(even_units)
+            } else {
+                even_units
+            },
+            even_units,
+        }
     }
 
     pub(super) fn capacity(
@@ -152,14 +196,17 @@
         demand: f64,
     ) -> EndpointCapacity {
         let SlowStartUnits { units, even_units } = self.slow_start_units(now, config, demand);
-        let lately_decreased = self.window < INITIAL_WINDOW && now - self.last_decrease < FORGET_AFTER;
+        let lately_decreased =
+            self.window < INITIAL_WINDOW && now - self.last_decrease < FORGET_AFTER;
         EndpointCapacity {
             entry: self.entry.clone(),
             available_slots: self.available_slots(now, config),
             units,
             even_units,
             // It halves with each second of silence: no old jam is held against a node for ever.
-            latency: self.latency().times(0.5f64.powf((now - self.last_response).secs().max(0.0))),
+            latency: self
+                .latency()
+                .times(0.5f64.powf((now - self.last_response).secs().max(0.0))),
             silent: self.silent(now),
             degraded: units.is_finite() || lately_decreased,
             sparse_traffic: self.answers.clone().read(now, DEMAND_WINDOW) < SPARSE_ANSWERS,
@@ -183,11 +230,17 @@
         if self.silent(now) {
             // Stalled, dead or cut off, it looks the same: the rest stays here, where it can still be
             // shed or wait for a successor, and one careful attempt at a time asks, ever more rarely.
-            let probe_after = (now - self.last_response).times(0.5).max(config.probe_interval);
+            let probe_after = (now - self.last_response)
+                .times(0.5)
+                .max(config.probe_interval);
             return usize::from(since_sent > probe_after);
         }
         let spaced = self.window >= 1.0 || since_sent > self.latency().times(1.0 / self.window);
-        if spaced { (self.window.max(1.0) as usize).saturating_sub(self.in_flight.len()) } else { 0 }
+        if spaced {
+            (self.window.max(1.0) as usize).saturating_sub(self.in_flight.len())
+        } else {
+            0
+        }
     }
 }
 
--- a/src/scheduler/endpoint_index.rs
+++ b/src/scheduler/endpoint_index.rs
@@ -32,21 +32,36 @@
             for pool in pools(entry) {
                 self.last_unavailable.insert(Destination::Pool(pool), now);
             }
-            self.last_unavailable.insert(Destination::Shard(entry.shard), now);
+            self.last_unavailable
+                .insert(Destination::Shard(entry.shard), now);
         }
         let moved = |old: &Endpoint| old.shard != entry.shard || old.pools != entry.pools;
-        if self.capacities.get(&entry.node).is_some_and(|old| !ready || moved(&old.entry)) {
+        if self
+            .capacities
+            .get(&entry.node)
+            .is_some_and(|old| !ready || moved(&old.entry))
+        {
             self.remove(entry.node);
         }
-        if !ready || self.capacities.insert(entry.node, capacity.clone()).is_some() {
+        if !ready
+            || self
+                .capacities
+                .insert(entry.node, capacity.clone())
+                .is_some()
+        {
             return false;
         }
-        self.by_shard.entry(entry.shard).or_default().insert(entry.node);
+        self.by_shard
+            .entry(entry.shard)
+            .or_default()
+            .insert(entry.node);
         true
     }
 
     fn remove(&mut self, id: NodeId) {
-        let Some(old) = self.capacities.remove(&id) else { return };
+        let Some(old) = self.capacities.remove(&id) else {
+            return;
+        };
         if let Some(nodes) = self.by_shard.get_mut(&old.entry.shard) {
             nodes.remove(&id);
         }
@@ -59,9 +74,18 @@
 
     /// Takes an endpoint's draws, of whatever pools, out of the index.
     pub(super) fn take_drawn(&mut self, node: NodeId) -> Vec<PoolId> {
-        let first = DrawnEndpoint { node, pool: PoolId::ALL };
-        let last = DrawnEndpoint { node, pool: PoolId::LAST };
-        self.drawn.extract_if(first..=last, |_| true).map(|drawn| drawn.pool).collect()
+        let first = DrawnEndpoint {
+            node,
+            pool: PoolId::ALL,
+        };
+        let last = DrawnEndpoint {
+            node,
+            pool: PoolId::LAST,
+        };
+        self.drawn
+            .extract_if(first..=last, |_| true)
+            .map(|drawn| drawn.pool)
+            .collect()
     }
 
     pub(super) fn of_shard(&self, shard: ShardId) -> impl Iterator<Item = NodeId> {
@@ -69,7 +93,11 @@
     }
 
     pub(super) fn of_pool(&self, pool: PoolId) -> impl Iterator<Item = &EndpointCapacity> {
-        self.by_pool.get(&pool).into_iter().flatten().map(|node| &self.capacities[node])
+        self.by_pool
+            .get(&pool)
+            .into_iter()
+            .flatten()
+            .map(|node| &self.capacities[node])
     }
 
     pub(super) fn is_empty(&self, destination: Destination) -> bool {
@@ -81,8 +109,12 @@
 
     /// The least latency among a shard's nodes; zero for a pool.
     pub(super) fn least_latency(&self, destination: Destination) -> Span {
-        let Destination::Shard(shard) = destination else { return Span::ZERO };
-        let latencies = self.of_shard(shard).map(|node| self.capacities[&node].latency);
+        let Destination::Shard(shard) = destination else {
+            return Span::ZERO;
+        };
+        let latencies = self
+            .of_shard(shard)
+            .map(|node| self.capacities[&node].latency);
         latencies.min().unwrap_or(Span::ZERO)
     }
 }
--- a/src/scheduler/endpoint_state.rs
+++ b/src/scheduler/endpoint_state.rs
@@ -60,14 +60,36 @@
     pub(super) fn handle(&mut self, message: EndpointMessage, now: Instant) {
         match message {
             EndpointMessage::CapacityWanted => {}
-            EndpointMessage::Listed { entry, self_reported } => self.listed(entry, self_reported, now),
-            EndpointMessage::AttemptSent { key, units, latency_objective } => {
-                self.in_flight.insert(key, InFlight { sent_at: now, latency_objective });
+            EndpointMessage::Listed {
+                entry,
+                self_reported,
+            } => self.listed(entry, self_reported, now),
+            EndpointMessage::AttemptSent {
+                key,
+                units,
+                latency_objective,
+            } => {
+                self.in_flight.insert(
+                    key,
+                    InFlight {
+                        sent_at: now,
+                        latency_objective,
+                    },
+                );
                 self.last_sent = now;
-                let attempt = SlowStartAttempt { key, sent_at: now, units, served: false };
+                let attempt = SlowStartAttempt {
+                    key,
+                    sent_at: now,
+                    units,
+                    served: false,
+                };
                 self.slow_start_attempts.push(attempt);
             }
-            EndpointMessage::AttemptEnded { key, outcome, latency } => {
+            EndpointMessage::AttemptEnded {
+                key,
+                outcome,
+                latency,
+            } => {
                 self.attempt_ended(key, outcome, latency, now);
             }
         }
@@ -76,9 +98,14 @@
     /// What never went out does not count towards slow start.
     pub(super) fn update_slow_start(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         if outcome == AttemptOutcome::NotSent {
-            self.slow_start_attempts.retain(|attempt| attempt.key != key);
+            self.slow_start_attempts
+                .retain(|attempt| attempt.key != key);
         } else if outcome == AttemptOutcome::Succeeded {
-            for attempt in self.slow_start_attempts.iter_mut().filter(|attempt| attempt.key == key) {
+            for attempt in self
+                .slow_start_attempts
+                .iter_mut()
+                .filter(|attempt| attempt.key == key)
+            {
                 attempt.served = true;
             }
         }
@@ -96,6 +123,10 @@
 impl SparseTrafficWindow {
     pub(super) fn new() -> Self {
         let last_decrease = Instant::default();
-        SparseTrafficWindow { window: LARGEST_WINDOW, in_flight: BTreeMap::new(), last_decrease }
+        SparseTrafficWindow {
+            window: LARGEST_WINDOW,
+            in_flight: BTreeMap::new(),
+            last_decrease,
+        }
     }
 }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -19,9 +19,20 @@
 
 /// To the tracker of one endpoint. Each is answered by the endpoint's capacity.
 pub(super) enum EndpointMessage {
-    Listed { entry: Endpoint, self_reported: bool },
-    AttemptSent { key: AttemptKey, units: f64, latency_objective: Span },
-    AttemptEnded { key: AttemptKey, outcome: AttemptOutcome, latency: Span },
+    Listed {
+        entry: Endpoint,
+        self_reported: bool,
+    },
+    AttemptSent {
+        key: AttemptKey,
+        units: f64,
+        latency_objective: Span,
+    },
+    AttemptEnded {
+        key: AttemptKey,
+        outcome: AttemptOutcome,
+        latency: Span,
+    },
     CapacityWanted,
 }
 
@@ -33,7 +44,10 @@
 
 impl Outgoing {
     pub(super) fn capacity_wanted(to: NodeId) -> Self {
-        Outgoing { to, message: EndpointMessage::CapacityWanted }
+        Outgoing {
+            to,
+            message: EndpointMessage::CapacityWanted,
+        }
     }
 }
 
--- a/src/scheduler/peer_messages.rs
+++ b/src/scheduler/peer_messages.rs
@@ -35,7 +35,12 @@
         let users = self.volumes.users.entry(volume).or_default();
         let new = users.insert(from, self.now).is_none();
         let others = users.keys().filter(|host| **host != from);
-        let others: Vec<_> = others.map(|host| VolumeUser { volume, host: *host }).collect();
+        let others: Vec<_> = others
+            .map(|host| VolumeUser {
+                volume,
+                host: *host,
+            })
+            .collect();
         self.send_users(from, &others);
         if new {
             for other in others {
@@ -50,7 +55,10 @@
             return;
         }
         for users in users.chunks(demand_report::USERS_PER_MESSAGE) {
-            self.actions.push(Action::SendToPeer { to, bytes: demand_report::pack_users(users) });
+            self.actions.push(Action::SendToPeer {
+                to,
+                bytes: demand_report::pack_users(users),
+            });
         }
     }
 
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -2,7 +2,9 @@
 //! reviewed. Which request goes next is decided in `dispatch`, not here.
 
 use super::messages::FIRST_QUEUE_TIMER;
-use gullsail_scheduler_api::{Instant, PoolId, RequestClassId, RequestId, ShardId, TimerId, VolumeId};
+use gullsail_scheduler_api::{
+    Instant, PoolId, RequestClassId, RequestId, ShardId, TimerId, VolumeId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where an attempt can go: to the nodes that hold this data, or, for a new object, to any node of a pool.
@@ -65,8 +67,15 @@
     }
 
     /// False: there is no such queue.
-    pub(super) fn remove(&mut self, key: QueueKey, group: QueueGroup, waiting: WaitingRequest) -> bool {
-        let Some(queue) = self.by_key.get_mut(&key) else { return false };
+    pub(super) fn remove(
+        &mut self,
+        key: QueueKey,
+        group: QueueGroup,
+        waiting: WaitingRequest,
+    ) -> bool {
+        let Some(queue) = self.by_key.get_mut(&key) else {
+            return false;
+        };
         if let Some(members) = queue.groups.get_mut(&group) {
             members.remove(&waiting);
         }
@@ -79,7 +88,10 @@
 
     /// A timer for a queue that has none under way.
     pub(super) fn new_timer(&mut self, key: QueueKey) -> Option<TimerId> {
-        let queue = self.by_key.get_mut(&key).filter(|queue| queue.timer.is_none())?;
+        let queue = self
+            .by_key
+            .get_mut(&key)
+            .filter(|queue| queue.timer.is_none())?;
         self.timers_set += 1;
         let id = TimerId(FIRST_QUEUE_TIMER + self.timers_set);
         queue.timer = Some(id);
@@ -90,7 +102,10 @@
     /// The queue for which this timer was set, if it is still there.
     pub(super) fn timer_fired(&mut self, id: TimerId) -> Option<QueueKey> {
         let key = self.timers.remove(&id)?;
-        let queue = self.by_key.get_mut(&key).filter(|queue| queue.timer == Some(id))?;
+        let queue = self
+            .by_key
+            .get_mut(&key)
+            .filter(|queue| queue.timer == Some(id))?;
         queue.timer = None;
         Some(key)
     }
--- a/src/scheduler/request_scheduler.rs
+++ b/src/scheduler/request_scheduler.rs
@@ -8,7 +8,9 @@
 use super::queue::WaitQueues;
 use super::request_table::RequestTable;
 use super::volume_table::VolumeTable;
-use gullsail_scheduler_api::{Action, Event, Instant, RequestId, SchedulerConfig, TimerId, UpdateKind};
+use gullsail_scheduler_api::{
+    Action, Event, Instant, RequestId, SchedulerConfig, TimerId, UpdateKind,
+};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
@@ -41,7 +43,11 @@
             endpoints: EndpointIndex::default(),
             requests: RequestTable::default(),
             queues: WaitQueues::default(),
-            volumes: VolumeTable { fleet_demand, started_at: now, ..VolumeTable::default() },
+            volumes: VolumeTable {
+                fleet_demand,
+                started_at: now,
+                ..VolumeTable::default()
+            },
             attempts: AttemptAccounts::new(now),
         };
         if scheduler.config.poll_endpoints {
@@ -81,11 +87,17 @@
                     self.admission.poll_wait = FIRST_POLL_WAIT;
                 }
             }
-            Event::ConfigChanged { plans, allocations, cross_zone_budgets, fleet_membership } => {
+            Event::ConfigChanged {
+                plans,
+                allocations,
+                cross_zone_budgets,
+                fleet_membership,
+            } => {
                 for volume in self.volumes.by_id.values_mut() {
                     volume.refill(self.now, &self.config);
                 }
-                self.config.apply_change(plans, cross_zone_budgets, fleet_membership);
+                self.config
+                    .apply_change(plans, cross_zone_budgets, fleet_membership);
                 self.sync_budgets();
                 self.apply_allocations(&allocations);
             }
@@ -112,7 +124,11 @@
             return;
         }
         for pool in pools(&capacity.entry) {
-            self.endpoints.by_pool.entry(pool).or_default().push(capacity.entry.node);
+            self.endpoints
+                .by_pool
+                .entry(pool)
+                .or_default()
+                .push(capacity.entry.node);
             self.draw_endpoint(pool, rng);
         }
     }
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -32,11 +32,17 @@
 
 impl OpenRequest {
     pub(super) fn group(&self) -> QueueGroup {
-        QueueGroup { volume: self.request.volume, request_class: self.request.request_class }
+        QueueGroup {
+            volume: self.request.volume,
+            request_class: self.request.request_class,
+        }
     }
 
     pub(super) fn waiting(&self) -> WaitingRequest {
-        WaitingRequest { objective_deadline: self.objective_deadline, id: self.request.id }
+        WaitingRequest {
+            objective_deadline: self.objective_deadline,
+            id: self.request.id,
+        }
     }
 }
 
@@ -61,6 +67,7 @@
     }
 
     pub(super) fn forget_settled(&mut self, now: Instant) {
-        self.object_orders.retain(|_, order| !order.requests.is_empty() || order.settled_at > now);
+        self.object_orders
+            .retain(|_, order| !order.requests.is_empty() || order.settled_at > now);
     }
 }
--- a/src/scheduler/volume_table.rs
+++ b/src/scheduler/volume_table.rs
@@ -63,8 +63,14 @@
 
 impl Volume {
     pub(super) fn new(now: Instant) -> Self {
-        let bucket = TokenBucket { refilled_at: now, ..TokenBucket::default() };
-        Volume { bucket, ..Volume::default() }
+        let bucket = TokenBucket {
+            refilled_at: now,
+            ..TokenBucket::default()
+        };
+        Volume {
+            bucket,
+            ..Volume::default()
+        }
     }
 }
 
--- a/tests/decisions/bounds.rs
+++ b/tests/decisions/bounds.rs
@@ -4,7 +4,11 @@
 use gullsail::api::*;
 
 fn state(state: EndpointState, started: i64, id: u64) -> Vec<Endpoint> {
-    vec![Endpoint { state, started: Some(at(started)), ..node(id, id as i64) }]
+    vec![Endpoint {
+        state,
+        started: Some(at(started)),
+        ..node(id, id as i64)
+    }]
 }
 
 /// Nodes that come, drain and go under ever new names, and shards with them, are forgotten a minute after.
@@ -13,16 +17,27 @@
     for drains in [true, false] {
         let mut host = Host::new(config(), vec![], at(0));
         for id in 1..=300 {
-            host.list(UpdateKind::Delta, state(EndpointState::Ready, id as i64, id));
+            host.list(
+                UpdateKind::Delta,
+                state(EndpointState::Ready, id as i64, id),
+            );
             if drains {
-                host.list(UpdateKind::Delta, state(EndpointState::Draining, id as i64, id));
+                host.list(
+                    UpdateKind::Delta,
+                    state(EndpointState::Draining, id as i64, id),
+                );
             }
             // A list may tell it more than once.
-            (0..3).for_each(|_| host.list(UpdateKind::Delta, state(EndpointState::Gone, id as i64, id)));
+            (0..3).for_each(|_| {
+                host.list(UpdateKind::Delta, state(EndpointState::Gone, id as i64, id))
+            });
             host.pass(ms(1000));
         }
         let kept = ["brain.nodes", "desk.rooms", "desk.cells"].map(|name| host.size_metric(name));
-        assert!(kept[0] <= 61 && kept[1] == 0 && kept[2] == 0, "drains {drains}: {kept:?}");
+        assert!(
+            kept[0] <= 61 && kept[1] == 0 && kept[2] == 0,
+            "drains {drains}: {kept:?}"
+        );
     }
 }
 
@@ -39,7 +54,10 @@
     host.pass(ms(15_000));
     host.list(UpdateKind::Delta, vec![node(2, 9)]);
     host.list(UpdateKind::Delta, state(EndpointState::Ready, 30_000, 1));
-    host.deliver(Event::RequestArrived(Request { shard: Some(ShardId(1)), ..request(5, 0) }));
+    host.deliver(Event::RequestArrived(Request {
+        shard: Some(ShardId(1)),
+        ..request(5, 0)
+    }));
     host.pass(ms(100));
     assert_eq!(host.attempts(5), []);
 }
@@ -48,12 +66,19 @@
 #[test]
 fn the_retry_budget_keeps_its_window_only() {
     let mut f = config();
-    f.retry_budget = Some(RetryBudget { free: 3.0, share: 0.1, window: ms(1000) });
+    f.retry_budget = Some(RetryBudget {
+        free: 3.0,
+        share: 0.1,
+        window: ms(1000),
+    });
     for nodes in [vec![], vec![node(1, 0)]] {
         let silent = !nodes.is_empty();
         let mut host = Host::new(f.clone(), nodes, at(1000));
         for id in 1..=20_000 {
-            host.deliver(Event::RequestArrived(Request { timeout: ms(50), ..request(id, 0) }));
+            host.deliver(Event::RequestArrived(Request {
+                timeout: ms(50),
+                ..request(id, 0)
+            }));
             host.pass(ms(1));
         }
         assert!(
@@ -66,8 +91,16 @@
 }
 
 fn allocations(volume: u64, hosts: u32) -> VolumeAllocation {
-    let part = (hosts == 0).then_some(Limit { rate: 0.0, burst: 0.0 });
-    VolumeAllocation { volume: VolumeId(volume), plan: PlanId(usize::from(hosts > 0)), hosts, part }
+    let part = (hosts == 0).then_some(Limit {
+        rate: 0.0,
+        burst: 0.0,
+    });
+    VolumeAllocation {
+        volume: VolumeId(volume),
+        plan: PlanId(usize::from(hosts > 0)),
+        hosts,
+        part,
+    }
 }
 
 /// Volumes that a configuration dropped are forgotten once nothing of them is under way; one that comes back
@@ -83,7 +116,12 @@
     };
     for v in 0..200 {
         host.deliver(plans(vec![allocations(v, 2)]));
-        let t = Request { plan: PlanId(1), volume: VolumeId(v), volume_hosts: 2, ..request(v, 0) };
+        let t = Request {
+            plan: PlanId(1),
+            volume: VolumeId(v),
+            volume_hosts: 2,
+            ..request(v, 0)
+        };
         host.deliver(Event::RequestArrived(t));
         // An attempt of every tenth stays out while its volume leaves.
         host.pass(ms(200));
@@ -98,26 +136,52 @@
         host.size_metric("desk.xfers"),
         "those with an attempt in flight"
     );
-    (0..200).step_by(10).for_each(|v| host.end(v, 0, 1, AttemptOutcome::Succeeded, 5));
+    (0..200)
+        .step_by(10)
+        .for_each(|v| host.end(v, 0, 1, AttemptOutcome::Succeeded, 5));
     host.pass(ms(1000));
-    assert_eq!((host.size_metric("desk.volumes"), host.size_metric("desk.xfers")), (0, 0));
+    assert_eq!(
+        (
+            host.size_metric("desk.volumes"),
+            host.size_metric("desk.xfers")
+        ),
+        (0, 0)
+    );
     host.deliver(plans(vec![allocations(3, 2)]));
     let before = host.order().len();
     for id in 1000..1100 {
-        let t =
-            Request { plan: PlanId(1), volume: VolumeId(3), volume_hosts: 2, units: 4.0, ..request(id, 0) };
+        let t = Request {
+            plan: PlanId(1),
+            volume: VolumeId(3),
+            volume_hosts: 2,
+            units: 4.0,
+            ..request(id, 0)
+        };
         host.deliver(Event::RequestArrived(t));
     }
-    assert_eq!(host.order().len(), before, "its store was not full when it came back");
+    assert_eq!(
+        host.order().len(),
+        before,
+        "its store was not full when it came back"
+    );
 }
 
 /// Who asks for tokens where there are none costs nothing that stays.
 #[test]
 fn loans_of_nothing_are_not_kept() {
     let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-    host.deliver(Event::RequestArrived(Request { plan: PlanId(1), volume_hosts: 2, ..request(1, 0) }));
+    host.deliver(Event::RequestArrived(Request {
+        plan: PlanId(1),
+        volume_hosts: 2,
+        ..request(1, 0)
+    }));
     for n in 0..50 {
-        let line = demand_report::VolumeDemand { volume: VolumeId(7), demand: 1e6, wanted: 50.0, lent: 0.0 };
+        let line = demand_report::VolumeDemand {
+            volume: VolumeId(7),
+            demand: 1e6,
+            wanted: 50.0,
+            lent: 0.0,
+        };
         host.now = host.now + Span::from_micros(1 + n);
         host.deliver(Event::PeerMessage {
             from: HostId(1),
@@ -132,7 +196,10 @@
 fn what_no_configuration_knows_is_answered() {
     for (plan, request_class) in [(9, 0), (0, 9), (9, 9)] {
         let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-        host.deliver(Event::RequestArrived(Request { plan: PlanId(plan), ..request(5, request_class) }));
+        host.deliver(Event::RequestArrived(Request {
+            plan: PlanId(plan),
+            ..request(5, request_class)
+        }));
         host.pass(ms(3000));
         assert_eq!(
             (host.answers(5), host.attempts(5).len()),
@@ -146,11 +213,17 @@
 #[test]
 fn all_plans_may_be_withdrawn() {
     let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-    host.deliver(Event::RequestArrived(Request { plan: PlanId(1), ..request(4, 0) }));
+    host.deliver(Event::RequestArrived(Request {
+        plan: PlanId(1),
+        ..request(4, 0)
+    }));
     host.deliver(Event::RequestArrived(request(5, 0)));
     host.deliver(Event::ConfigChanged {
         plans: vec![],
-        allocations: vec![VolumeAllocation { plan: PlanId(0), ..allocations(7, 0) }],
+        allocations: vec![VolumeAllocation {
+            plan: PlanId(0),
+            ..allocations(7, 0)
+        }],
         cross_zone_budgets: vec![],
         fleet_membership: None,
     });
@@ -169,7 +242,10 @@
         bytes,
     }));
     host.pass(ms(3000));
-    assert_eq!((host.size_metric("desk.xfers"), host.answers(4)), (0, vec!["rejected"]));
+    assert_eq!(
+        (host.size_metric("desk.xfers"), host.answers(4)),
+        (0, vec!["rejected"])
+    );
 }
 
 /// Open finding 22 of docs/release-review.md: a budget between zones fills up behind an attempt that waits
@@ -178,9 +254,18 @@
 #[test]
 #[should_panic(expected = "finding 22")]
 fn budgets_are_not_filled_up_behind_attempts_that_wait() {
-    let limit = Limit { rate: 10_000.0, burst: 10_000.0 };
+    let limit = Limit {
+        rate: 10_000.0,
+        burst: 10_000.0,
+    };
     let of = BudgetScope::ZonePair(ZoneId(0), ZoneId(1));
-    let cross_zone_budgets = vec![CrossZoneBudget { id: VolumeId(901), of, limit, hard: true, hosts: 1 }];
+    let cross_zone_budgets = vec![CrossZoneBudget {
+        id: VolumeId(901),
+        of,
+        limit,
+        hard: true,
+        hosts: 1,
+    }];
     let connect_wait = ms(250);
     let f = SchedulerConfig {
         zone: Some(ZoneId(0)),
@@ -189,9 +274,22 @@
         connect_wait,
         ..config()
     };
-    let mut host = Host::new(f, vec![Endpoint { zone: ZoneId(1), ..node(3, 3) }], at(0));
+    let mut host = Host::new(
+        f,
+        vec![Endpoint {
+            zone: ZoneId(1),
+            ..node(3, 3)
+        }],
+        at(0),
+    );
     host.pass(ms(10_000));
-    let new = |id| Event::RequestArrived(Request { shard: None, bytes: 1000.0, ..request(id, 0) });
+    let new = |id| {
+        Event::RequestArrived(Request {
+            shard: None,
+            bytes: 1000.0,
+            ..request(id, 0)
+        })
+    };
     // Two attempts wait, by their host, as long as they may, and go out then; so do ten that are asked for
     // then.
     (1..=2).for_each(|id| drop(host.deliver(new(id))));
@@ -200,8 +298,14 @@
     (1..=2).for_each(|id| host.end(id, 0, 3, AttemptOutcome::Succeeded, 240));
     for id in 10..40 {
         host.deliver(new(id));
-        host.attempts(id).into_iter().for_each(|node| host.end(id, 0, node, AttemptOutcome::Succeeded, 1));
+        host.attempts(id)
+            .into_iter()
+            .for_each(|node| host.end(id, 0, node, AttemptOutcome::Succeeded, 1));
     }
     let bytes = host.order().len() as f64 * 1000.0;
-    assert!(bytes <= limit.burst, "finding 22: {bytes} bytes at once of a budget of {}", limit.burst);
+    assert!(
+        bytes <= limit.burst,
+        "finding 22: {bytes} bytes at once of a budget of {}",
+        limit.burst
+    );
 }
--- a/tests/decisions/cold_fleet.rs
+++ b/tests/decisions/cold_fleet.rs
@@ -76,7 +76,12 @@
             config,
             hosts: Vec::new(),
             timers: (0..load.hosts).map(|_| BTreeSet::new()).collect(),
-            nodes: (0..SHARDS).map(|_| Node { free_at: 0.0, done: VecDeque::new() }).collect(),
+            nodes: (0..SHARDS)
+                .map(|_| Node {
+                    free_at: 0.0,
+                    done: VecDeque::new(),
+                })
+                .collect(),
             sent: Vec::new(),
             asked: 0.0,
             units: BTreeMap::new(),
@@ -86,9 +91,16 @@
     fn start_hosts(&mut self) {
         let warm: Vec<_> = (1..SHARDS).map(|shard| node(shard as u64, shard)).collect();
         for host in 0..self.config.hosts {
-            let config = SchedulerConfig { me: HostId(host), ..self.config.clone() };
-            self.hosts.push(Scheduler::new(config, u64::from(host), at(STARTED + BEGAN)));
-            let list = Event::EndpointList { update_kind: UpdateKind::Snapshot, entries: warm.clone() };
+            let config = SchedulerConfig {
+                me: HostId(host),
+                ..self.config.clone()
+            };
+            self.hosts
+                .push(Scheduler::new(config, u64::from(host), at(STARTED + BEGAN)));
+            let list = Event::EndpointList {
+                update_kind: UpdateKind::Snapshot,
+                entries: warm.clone(),
+            };
             self.step(host as usize, BEGAN, list);
         }
     }
@@ -98,7 +110,9 @@
         for action in actions {
             match action {
                 Action::SetTimer { id, at } => _ = self.timers[host].insert((at, id)),
-                Action::StartAttempt { id, node, .. } => self.attempt(host, now, id, node.0 as usize),
+                Action::StartAttempt { id, node, .. } => {
+                    self.attempt(host, now, id, node.0 as usize)
+                }
                 _ => {}
             }
         }
@@ -107,8 +121,10 @@
     fn attempt(&mut self, host: usize, now: i64, id: RequestId, shard: usize) {
         let units = self.units[&id];
         // Three times what it does is what pushes it over, says this fleet's rule.
-        let rate = allowed(&self.config, if shard == 0 { now as f64 / 1e3 } else { 1e6 })
-            / 3.0
+        let rate = allowed(
+            &self.config,
+            if shard == 0 { now as f64 / 1e3 } else { 1e6 },
+        ) / 3.0
             / self.config.slow_start.window.secs();
         let node = &mut self.nodes[shard];
         node.free_at = node.free_at.max(now as f64) + units / rate * 1e3;
@@ -130,7 +146,11 @@
     fn arrival(&mut self, host: usize, now: i64, number: u64, shard: i64) {
         self.units.insert(RequestId(number), 1.0);
         let volume = VolumeId(number % 97);
-        let one = Request { shard: Some(ShardId(shard)), volume, ..request(number, 0) };
+        let one = Request {
+            shard: Some(ShardId(shard)),
+            volume,
+            ..request(number, 0)
+        };
         self.step(host, now, Event::RequestArrived(one));
     }
 
@@ -163,8 +183,13 @@
     let all: f64 = weights.iter().sum();
     let mut w = World::new(load);
     w.start_hosts();
-    let learns_at: Vec<i64> = (0..load.hosts).map(|_| rng.random_range(0..=load.reported_within)).collect();
-    let cold = Endpoint { started: Some(at(STARTED)), ..node(0, 0) };
+    let learns_at: Vec<i64> = (0..load.hosts)
+        .map(|_| rng.random_range(0..=load.reported_within))
+        .collect();
+    let cold = Endpoint {
+        started: Some(at(STARTED)),
+        ..node(0, 0)
+    };
     // Of all hosts, a millisecond.
     let rate = load.demand * load.cold_units * SHARDS as f64 / w.config.slow_start.window.millis();
     let mut last = 0;
@@ -172,7 +197,14 @@
         for (host, learns_at) in learns_at.iter().enumerate() {
             if *learns_at == now {
                 let entries = vec![cold.clone()];
-                w.step(host, now, Event::EndpointList { update_kind: UpdateKind::Delta, entries });
+                w.step(
+                    host,
+                    now,
+                    Event::EndpointList {
+                        update_kind: UpdateKind::Delta,
+                        entries,
+                    },
+                );
             }
             w.fire_timers(host, now);
         }
@@ -199,7 +231,11 @@
         let n = allowed(&w.config, *from as f64 / 1e3);
         sum - (n + 2.0 * n.sqrt() + 2.0)
     });
-    let sent = w.sent.iter().filter(|s| s.0 >= load.reported_within).count() as f64;
+    let sent = w
+        .sent
+        .iter()
+        .filter(|s| s.0 >= load.reported_within)
+        .count() as f64;
     (over.fold(f64::MIN, f64::max), sent / w.asked.max(1.0))
 }
 
@@ -214,7 +250,14 @@
         for (demand, least) in [(0.25, 0.9), (1.0, 0.65), (4.0, 0.2)] {
             for (uneven, reported_within) in [(false, 0), (true, 0), (true, 2_000)] {
                 for seed in 1..=3 {
-                    let load = Load { hosts, cold_units, demand, uneven, reported_within, seed };
+                    let load = Load {
+                        hosts,
+                        cold_units,
+                        demand,
+                        uneven,
+                        reported_within,
+                        seed,
+                    };
                     let (over, part) = play(&load);
                     let case = format!(
                         "{hosts} hosts, {cold_units} units, demand {demand}, uneven {uneven}, known in {reported_within} ms, \
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -14,17 +14,37 @@
 /// Two hosts; classes 0 idempotent, 1 with an idempotency key known to its shard, 2 non-idempotent; plans 0
 /// without a limit, 1 with one.
 pub fn config() -> SchedulerConfig {
-    let plan = |limit| Plan { limit, reserve: 10.0, nominal_rate: 10.0, weight: 1.0, price: 1.0 };
+    let plan = |limit| Plan {
+        limit,
+        reserve: 10.0,
+        nominal_rate: 10.0,
+        weight: 1.0,
+        price: 1.0,
+    };
     SchedulerConfig {
         hosts: 2,
         tick: ms(2),
         request_classes: vec![
             request_class(Idempotency::Idempotent),
-            request_class(Idempotency::WithKey { scope: IdempotencyScope::Shard, window: ms(200) }),
+            request_class(Idempotency::WithKey {
+                scope: IdempotencyScope::Shard,
+                window: ms(200),
+            }),
             request_class(Idempotency::NonIdempotent),
         ],
-        plans: vec![plan(None), plan(Some(Limit { rate: 40.0, burst: 40.0 }))],
-        slow_start: SlowStart { units: 12.0, window: ms(1500), initial_fraction: 0.2, ramp: ms(10_000) },
+        plans: vec![
+            plan(None),
+            plan(Some(Limit {
+                rate: 40.0,
+                burst: 40.0,
+            })),
+        ],
+        slow_start: SlowStart {
+            units: 12.0,
+            window: ms(1500),
+            initial_fraction: 0.2,
+            ramp: ms(10_000),
+        },
         max_attempts: 3,
         max_units: 8.0,
         within_share_value: 0.3,
@@ -46,12 +66,20 @@
 }
 
 pub fn node(id: u64, shard: i64) -> Endpoint {
-    Endpoint { node: NodeId(id), shard: ShardId(shard), zone: ZoneId(0), ..Endpoint::default() }
+    Endpoint {
+        node: NodeId(id),
+        shard: ShardId(shard),
+        zone: ZoneId(0),
+        ..Endpoint::default()
+    }
 }
 
 /// The list when a node of this shard drains: what comes then waits for a successor.
 pub fn leaving(shard: i64) -> Vec<Endpoint> {
-    vec![Endpoint { state: EndpointState::Draining, ..node(99, shard) }]
+    vec![Endpoint {
+        state: EndpointState::Draining,
+        ..node(99, shard)
+    }]
 }
 
 pub fn request(id: u64, request_class: usize) -> Request {
@@ -82,14 +110,27 @@
 impl Host {
     pub fn new(config: SchedulerConfig, nodes: Vec<Endpoint>, now: Instant) -> Self {
         let scheduler = Scheduler::new(config, 1, now);
-        let mut host = Host { scheduler, now, timers: Vec::new(), asked: Vec::new() };
-        host.deliver(Event::EndpointList { update_kind: UpdateKind::StaleSnapshot, entries: nodes });
+        let mut host = Host {
+            scheduler,
+            now,
+            timers: Vec::new(),
+            asked: Vec::new(),
+        };
+        host.deliver(Event::EndpointList {
+            update_kind: UpdateKind::StaleSnapshot,
+            entries: nodes,
+        });
         host
     }
 
     /// The length of one of the module's collections.
     pub fn size_metric(&self, name: &str) -> usize {
-        self.scheduler.size_metrics().into_iter().find(|l| l.0 == name).expect("a collection of this name").1
+        self.scheduler
+            .size_metrics()
+            .into_iter()
+            .find(|l| l.0 == name)
+            .expect("a collection of this name")
+            .1
     }
 
     pub fn deliver(&mut self, event: Event) -> Vec<Action> {
@@ -104,7 +145,10 @@
     }
 
     pub fn list(&mut self, update_kind: UpdateKind, entries: Vec<Endpoint>) {
-        self.deliver(Event::EndpointList { update_kind, entries });
+        self.deliver(Event::EndpointList {
+            update_kind,
+            entries,
+        });
     }
 
     /// Lets time pass; timers come when they are due, to the millisecond.
@@ -113,7 +157,12 @@
         while self.now < end {
             self.now = (self.now + ms(1)).min(end);
             let now = self.now;
-            let due: Vec<_> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
+            let due: Vec<_> = self
+                .timers
+                .iter()
+                .filter(|t| t.0 <= now)
+                .map(|t| t.1)
+                .collect();
             self.timers.retain(|t| t.0 > now);
             for id in due {
                 self.deliver(Event::Timer(id));
@@ -145,7 +194,10 @@
     }
 
     pub fn attempts(&self, of: u64) -> Vec<u64> {
-        self.sent().filter(|(id, _)| *id == of).map(|(_, node)| node).collect()
+        self.sent()
+            .filter(|(id, _)| *id == of)
+            .map(|(_, node)| node)
+            .collect()
     }
 
     pub fn order(&self) -> Vec<u64> {
--- a/tests/decisions/inputs.rs
+++ b/tests/decisions/inputs.rs
@@ -8,7 +8,12 @@
 #[test]
 fn a_lost_list_is_polled_within_its_time() {
     for (within, longest) in [(None, 7500), (Some(ms(900)), 900)] {
-        let f = SchedulerConfig { poll_endpoints: true, poll_within: within, me: HostId(1), ..config() };
+        let f = SchedulerConfig {
+            poll_endpoints: true,
+            poll_within: within,
+            me: HostId(1),
+            ..config()
+        };
         let mut host = Host::new(f, vec![node(1, 0)], at(0));
         let (mut last, mut most) = (at(0), ms(0));
         for _ in 0..8 {
@@ -19,14 +24,22 @@
             }
             (last, most) = (host.now, most.max(host.now - last));
         }
-        assert!(most <= ms(longest) && most >= ms(longest / 2), "{within:?}: {most:?}");
+        assert!(
+            most <= ms(longest) && most >= ms(longest / 2),
+            "{within:?}: {most:?}"
+        );
     }
 }
 
 /// Rule 3: no new attempt to a node that drains or is gone, whatever says so.
 #[test]
 fn no_attempt_goes_to_a_draining_node() {
-    let state = |state| vec![Endpoint { state, ..node(1, 0) }];
+    let state = |state| {
+        vec![Endpoint {
+            state,
+            ..node(1, 0)
+        }]
+    };
     let cases = [
         (UpdateKind::Delta, state(EndpointState::Draining), false),
         (UpdateKind::Delta, state(EndpointState::Gone), false),
@@ -41,7 +54,11 @@
         host.list(UpdateKind::Delta, vec![node(1, 0)]);
         host.deliver(Event::RequestArrived(request(5, 0)));
         host.pass(ms(100));
-        assert_eq!(!host.attempts(5).is_empty(), goes, "{update_kind:?} {entries:?}");
+        assert_eq!(
+            !host.attempts(5).is_empty(),
+            goes,
+            "{update_kind:?} {entries:?}"
+        );
         // A successor with the same data takes what waits.
         host.list(UpdateKind::Delta, vec![node(9, 0)]);
         assert_eq!(host.attempts(5), [if goes { 1 } else { 9 }]);
@@ -56,8 +73,17 @@
     host.deliver(Event::ClientDisconnected(RequestId(77)));
     host.deliver(Event::Timer(TimerId(77)));
     host.deliver(Event::EndpointListLost);
-    for bytes in [vec![], vec![0x67], vec![0x67, 1, 2], vec![0xff; 256], vec![0x67; 256]] {
-        host.deliver(Event::PeerMessage { from: HostId(1), bytes });
+    for bytes in [
+        vec![],
+        vec![0x67],
+        vec![0x67, 1, 2],
+        vec![0xff; 256],
+        vec![0x67; 256],
+    ] {
+        host.deliver(Event::PeerMessage {
+            from: HostId(1),
+            bytes,
+        });
     }
     host.deliver(Event::RequestArrived(request(5, 0)));
     host.deliver(Event::ClientDisconnected(RequestId(5)));
@@ -78,11 +104,19 @@
     (huge.hosts, huge.max_units) = (u32::MAX, 1e300);
     huge.peer_messages_enabled = false;
     let mut tiny = config();
-    tiny.plans[1].limit = Some(Limit { rate: 1e-9, burst: 0.0 });
+    tiny.plans[1].limit = Some(Limit {
+        rate: 1e-9,
+        burst: 0.0,
+    });
     for f in [zero, none, huge, tiny] {
         let mut host = Host::new(f, vec![node(1, 0), node(1, 0)], at(0));
         for (id, units) in [(1, 0.0), (2, 1e300), (3, 5.0)] {
-            let t = Request { units, plan: PlanId(1), volume_hosts: id as u32, ..request(id, 0) };
+            let t = Request {
+                units,
+                plan: PlanId(1),
+                volume_hosts: id as u32,
+                ..request(id, 0)
+            };
             host.deliver(Event::RequestArrived(t));
         }
         host.deliver(Event::RequestArrived(Request {
@@ -99,10 +133,19 @@
 /// The list: asked where it must be, again with growing waits while it is lost, and not where it is pushed.
 #[test]
 fn a_lost_list_is_polled_again() {
-    let watches = |host: &Host| host.asked.iter().filter(|a| a.1 == Action::WatchEndpoints).count();
-    for (poll_endpoints, lost_for, least, most) in [(true, 0, 0, 0), (true, 20_000, 4, 10), (false, 0, 0, 0)]
+    let watches = |host: &Host| {
+        host.asked
+            .iter()
+            .filter(|a| a.1 == Action::WatchEndpoints)
+            .count()
+    };
+    for (poll_endpoints, lost_for, least, most) in
+        [(true, 0, 0, 0), (true, 20_000, 4, 10), (false, 0, 0, 0)]
     {
-        let f = SchedulerConfig { poll_endpoints, ..config() };
+        let f = SchedulerConfig {
+            poll_endpoints,
+            ..config()
+        };
         let mut host = Host::new(f, vec![node(1, 0)], at(1000));
         assert_eq!(watches(&host), usize::from(poll_endpoints));
         let (mut seen, mut waits) = (0, 0);
@@ -124,8 +167,15 @@
 
 #[test]
 fn lists_are_read_with_care() {
-    let entry = |state, ms| Endpoint { state, started: Some(at(ms)), ..node(1, 0) };
-    let (ready, drained) = (|ms| entry(EndpointState::Ready, ms), |ms| entry(EndpointState::Draining, ms));
+    let entry = |state, ms| Endpoint {
+        state,
+        started: Some(at(ms)),
+        ..node(1, 0)
+    };
+    let (ready, drained) = (
+        |ms| entry(EndpointState::Ready, ms),
+        |ms| entry(EndpointState::Draining, ms),
+    );
     // what the list says in turn, whether the node is open then
     let cases = [
         (vec![ready(10), ready(10)], true),
@@ -135,7 +185,8 @@
     ];
     for (says, open) in cases {
         let mut host = Host::new(config(), vec![], at(1000));
-        says.iter().for_each(|e| host.list(UpdateKind::Delta, vec![e.clone()]));
+        says.iter()
+            .for_each(|e| host.list(UpdateKind::Delta, vec![e.clone()]));
         host.deliver(Event::RequestArrived(request(5, 0)));
         assert_eq!(host.attempts(5).len(), usize::from(open), "{says:?}");
     }
@@ -144,9 +195,16 @@
 #[test]
 fn decisions_repeat() {
     let play = || {
-        let mut host = Host::new(config(), (1..=5).map(|n| node(n, n as i64)).collect(), at(1000));
+        let mut host = Host::new(
+            config(),
+            (1..=5).map(|n| node(n, n as i64)).collect(),
+            at(1000),
+        );
         (0..200).for_each(|id| {
-            drop(host.deliver(Event::RequestArrived(Request { shard: None, ..request(id, 0) })))
+            drop(host.deliver(Event::RequestArrived(Request {
+                shard: None,
+                ..request(id, 0)
+            })))
         });
         host.pass(ms(900));
         host.asked
@@ -160,7 +218,10 @@
 fn new_objects_stay_in_their_pool() {
     let pools = |id, pools: &[usize]| {
         let pools = pools.iter().copied().map(PoolId).collect();
-        Endpoint { pools, ..node(id, id as i64) }
+        Endpoint {
+            pools,
+            ..node(id, id as i64)
+        }
     };
     // pools of nodes 1, 2 and 3; the pool asked for; where requests may go
     type Case<'a> = ([&'a [usize]; 3], usize, &'a [u64]);
@@ -188,7 +249,8 @@
                 host.end(id, attempt as u32, node, AttemptOutcome::Succeeded, 1);
             }
         }
-        let went: std::collections::BTreeSet<u64> = (1..=60).flat_map(|id| host.attempts(id)).collect();
+        let went: std::collections::BTreeSet<u64> =
+            (1..=60).flat_map(|id| host.attempts(id)).collect();
         assert_eq!(went.into_iter().collect::<Vec<_>>(), takers, "{pool}");
         host.pass(ms(2000));
         let answered = (1..=60).filter(|id| host.answers(*id).len() == 1).count();
@@ -196,13 +258,21 @@
         // All move to the other pool: nothing more goes to them for this one.
         let other = (1..=3).map(|id| pools(id, &[9])).collect();
         host.list(UpdateKind::Delta, other);
-        host.deliver(Event::RequestArrived(Request { shard: None, pool: PoolId(pool), ..request(70, 0) }));
+        host.deliver(Event::RequestArrived(Request {
+            shard: None,
+            pool: PoolId(pool),
+            ..request(70, 0)
+        }));
         host.deliver(Event::RequestArrived(Request {
             shard: Some(ShardId(3)),
             pool: PoolId(7),
             ..request(71, 0)
         }));
         host.pass(ms(50));
-        assert_eq!((host.attempts(70).is_empty(), host.attempts(71)), (pool != 0, vec![3]), "{pool}");
+        assert_eq!(
+            (host.attempts(70).is_empty(), host.attempts(71)),
+            (pool != 0, vec![3]),
+            "{pool}"
+        );
     }
 }
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -18,10 +18,16 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut f = config();
     f.hosts = count;
-    let limit = Limit { rate: 40.0, burst: 14.0 * f64::from(count) };
+    let limit = Limit {
+        rate: 40.0,
+        burst: 14.0 * f64::from(count),
+    };
     f.plans[1].limit = Some(limit);
     let start_host = |me: u32, now| {
-        let f = SchedulerConfig { me: HostId(me), ..f.clone() };
+        let f = SchedulerConfig {
+            me: HostId(me),
+            ..f.clone()
+        };
         Host::new(f, (0..3).map(|n| node(n, n as i64)).collect(), now)
     };
     let mut hosts: Vec<Option<Host>> = (0..count).map(|me| Some(start_host(me, at(0)))).collect();
@@ -44,13 +50,24 @@
             let Some(host) = slot else { continue };
             let before = host.asked.len();
             host.pass(now - host.now);
-            for (_, _, from, bytes) in Iterator::filter(due.iter(), |m: &&(_, usize, _, _)| m.1 == me) {
-                host.deliver(Event::PeerMessage { from: *from, bytes: bytes.clone() });
+            for (_, _, from, bytes) in
+                Iterator::filter(due.iter(), |m: &&(_, usize, _, _)| m.1 == me)
+            {
+                host.deliver(Event::PeerMessage {
+                    from: *from,
+                    bytes: bytes.clone(),
+                });
             }
             if rng.random_bool(if me == lead { 0.1 } else { others }) {
                 id += 1;
                 let shard = Some(ShardId(rng.random_range(0..3)));
-                let t = Request { plan: PlanId(1), units: 4.0, shard, volume_hosts: count, ..request(id, 0) };
+                let t = Request {
+                    plan: PlanId(1),
+                    units: 4.0,
+                    shard,
+                    volume_hosts: count,
+                    ..request(id, 0)
+                };
                 host.deliver(Event::RequestArrived(t));
             }
             for (_, action) in host.asked.split_off(before) {
@@ -65,7 +82,12 @@
                         for repeat in [1.0 - lost, repeated] {
                             if rng.random_bool(repeat) {
                                 let way = ms(rng.random_range(1..=way));
-                                mail.push((now + way, to.0 as usize, HostId(me as u32), bytes.clone()));
+                                mail.push((
+                                    now + way,
+                                    to.0 as usize,
+                                    HostId(me as u32),
+                                    bytes.clone(),
+                                ));
                             }
                         }
                     }
@@ -86,7 +108,12 @@
         ("late and out of order", [0.0, 0.0], [900, 0, 0, 4000], 0.01),
         ("repeated", [0.0, 1.0], [400, 0, 0, 4000], 0.01),
         ("killed", [0.0, 0.0], [5, 3000, 2000, 4000], 0.001),
-        ("killed and back at once", [0.0, 0.0], [5, 800, 0, 4000], 0.01),
+        (
+            "killed and back at once",
+            [0.0, 0.0],
+            [5, 800, 0, 4000],
+            0.01,
+        ),
         ("the lead moves fast", [0.0, 0.0], [60, 0, 0, 300], 0.0005),
         ("all", [0.2, 0.3], [150, 1500, 500, 700], 0.01),
     ];
@@ -96,7 +123,11 @@
                 let (low, rate) = play(hosts, t, seed);
                 assert!(low >= -1e-6, "{} with {hosts}: store at {low}", t.0);
                 // And not by sending next to nothing.
-                assert!(rate > least, "{} with {hosts}: {rate} units a second of 40", t.0);
+                assert!(
+                    rate > least,
+                    "{} with {hosts}: {rate} units a second of 40",
+                    t.0
+                );
             }
         }
     }
@@ -108,7 +139,10 @@
     for (hosts, others, least) in [(3, 0.0005, 30.0), (24, 0.0002, 20.0)] {
         let play = |lost| play(hosts, &("", [lost, 0.0], [5, 0, 0, 30_000], others), 1).1;
         let (with, without) = (play(0.0), play(1.0));
-        assert!(with > without * 1.5 && with > least, "{hosts}: {with} against {without}");
+        assert!(
+            with > without * 1.5 && with > least,
+            "{hosts}: {with} against {without}"
+        );
     }
 }
 
@@ -119,14 +153,23 @@
     // plan, hosts of the volume, units sent at once and within 250 ms
     for (plan, hosts, at_once, later) in [(0, 2, 4, 12), (1, 1, 0, 10), (1, 2, 0, 5)] {
         let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-        let t = Request { plan: PlanId(plan), volume_hosts: hosts, ..request(0, 0) };
+        let t = Request {
+            plan: PlanId(plan),
+            volume_hosts: hosts,
+            ..request(0, 0)
+        };
         (1..=12).for_each(|id| {
-            drop(host.deliver(Event::RequestArrived(Request { id: RequestId(id), ..t.clone() })))
+            drop(host.deliver(Event::RequestArrived(Request {
+                id: RequestId(id),
+                ..t.clone()
+            })))
         });
         assert_eq!(host.order().len(), at_once);
         for _ in 0..250 {
             host.pass(ms(1));
-            host.order().into_iter().for_each(|id| host.end(id, 0, 1, AttemptOutcome::Succeeded, 1));
+            host.order()
+                .into_iter()
+                .for_each(|id| host.end(id, 0, 1, AttemptOutcome::Succeeded, 1));
         }
         assert_eq!(host.order().len(), later, "{plan} {hosts}");
     }
@@ -150,7 +193,12 @@
         let plans = config().plans;
         let allocations = |(hosts, part)| Event::ConfigChanged {
             plans: plans.clone(),
-            allocations: vec![VolumeAllocation { volume: VolumeId(7), plan: PlanId(1), hosts, part }],
+            allocations: vec![VolumeAllocation {
+                volume: VolumeId(7),
+                plan: PlanId(1),
+                hosts,
+                part,
+            }],
             cross_zone_budgets: Vec::new(),
             fleet_membership: None,
         };
@@ -172,7 +220,9 @@
         }
         let waiting = host.answers(1).len();
         for _ in 0..380 {
-            host.order().into_iter().for_each(|id| host.end(id, 0, 1, AttemptOutcome::Succeeded, 1));
+            host.order()
+                .into_iter()
+                .for_each(|id| host.end(id, 0, 1, AttemptOutcome::Succeeded, 1));
             host.pass(ms(1));
         }
         let sent = host.order().len();
@@ -192,14 +242,22 @@
         hosts: 2,
     };
     let cross_zone_budgets = vec![budget(901, 0, 1), budget(902, 1, 0)];
-    SchedulerConfig { zone: Some(ZoneId(0)), cross_zone_budgets, max_bytes: 1000.0, ..config() }
+    SchedulerConfig {
+        zone: Some(ZoneId(0)),
+        cross_zone_budgets,
+        max_bytes: 1000.0,
+        ..config()
+    }
 }
 
 fn overruns(host: &Host) -> Vec<(u64, f64, OverrunCause)> {
     let overruns = |a: &(Instant, Action)| match a.1 {
-        Action::BudgetOverrun { cross_zone_budget, bytes, cause, .. } => {
-            Some((cross_zone_budget.0, bytes, cause))
-        }
+        Action::BudgetOverrun {
+            cross_zone_budget,
+            bytes,
+            cause,
+            ..
+        } => Some((cross_zone_budget.0, bytes, cause)),
         _ => None,
     };
     host.asked.iter().filter_map(overruns).collect()
@@ -223,30 +281,86 @@
         (Home::Well, false, rate(1e6, 1e6), false, 0, 0, vec![]),
         (Home::Drained, false, rate(1e6, 1e6), false, 20, 0, vec![]),
         (Home::Drained, true, rate(1e6, 1e6), false, 20, 0, vec![]),
-        (Home::Drained, false, rate(0.0, 0.0), false, 20, 0, vec![OverrunCause::NoLocalNode]),
+        (
+            Home::Drained,
+            false,
+            rate(0.0, 0.0),
+            false,
+            20,
+            0,
+            vec![OverrunCause::NoLocalNode],
+        ),
         (Home::Drained, true, rate(0.0, 0.0), false, 0, 20, vec![]),
-        (Home::Drained, true, rate(10.0, 10_000.0), false, 0, 20, vec![]),
-        (Home::Drained, true, rate(2000.0, 10_000.0), false, 5, 15, vec![]),
+        (
+            Home::Drained,
+            true,
+            rate(10.0, 10_000.0),
+            false,
+            0,
+            20,
+            vec![],
+        ),
+        (
+            Home::Drained,
+            true,
+            rate(2000.0, 10_000.0),
+            false,
+            5,
+            15,
+            vec![],
+        ),
         // One careful attempt each still asks the silent ones.
-        (Home::Silent, false, rate(0.0, 0.0), false, 18, 0, vec![OverrunCause::LocalNodesSilent]),
+        (
+            Home::Silent,
+            false,
+            rate(0.0, 0.0),
+            false,
+            18,
+            0,
+            vec![OverrunCause::LocalNodesSilent],
+        ),
         (Home::Silent, true, rate(0.0, 0.0), false, 0, 18, vec![]),
-        (Home::Well, true, rate(0.0, 0.0), true, 20, 0, vec![OverrunCause::DataPlacement]),
+        (
+            Home::Well,
+            true,
+            rate(0.0, 0.0),
+            true,
+            20,
+            0,
+            vec![OverrunCause::DataPlacement],
+        ),
         (Home::Well, true, rate(1e6, 1e6), true, 20, 0, vec![]),
     ];
-    for (place, (home, hard, limit, bound, there, at_once, causes)) in cases.into_iter().enumerate() {
+    for (place, (home, hard, limit, bound, there, at_once, causes)) in cases.into_iter().enumerate()
+    {
         let answers = |node| node == 3 || !matches!(home, Home::Silent);
         let answer = |host: &mut Host, id| {
-            let attempts = host.attempts(id).into_iter().enumerate().filter(|l| answers(l.1));
-            attempts
-                .for_each(|(attempt, node)| host.end(id, attempt as u32, node, AttemptOutcome::Succeeded, 1));
+            let attempts = host
+                .attempts(id)
+                .into_iter()
+                .enumerate()
+                .filter(|l| answers(l.1));
+            attempts.for_each(|(attempt, node)| {
+                host.end(id, attempt as u32, node, AttemptOutcome::Succeeded, 1)
+            });
+        };
+        let far = Endpoint {
+            zone: ZoneId(1),
+            ..node(3, 3)
         };
-        let far = Endpoint { zone: ZoneId(1), ..node(3, 3) };
-        let mut host = Host::new(zoned(hard, limit), vec![node(1, 1), node(2, 2), far.clone()], at(0));
+        let mut host = Host::new(
+            zoned(hard, limit),
+            vec![node(1, 1), node(2, 2), far.clone()],
+            at(0),
+        );
         host.pass(ms(10_000));
         match home {
             Home::Well => {}
             Home::Drained => {
-                let gone = |id| Endpoint { state: EndpointState::Draining, ..node(id, id as i64) };
+                let gone = |id| Endpoint {
+                    state: EndpointState::Draining,
+                    ..node(id, id as i64)
+                };
                 host.list(UpdateKind::Delta, vec![gone(1), gone(2)]);
             }
             Home::Silent => {
@@ -256,7 +370,13 @@
                         shard: Some(ShardId(id % 2 + 1)),
                         ..request(id as u64, 0)
                     }));
-                    host.end(id as u64, 0, id as u64 % 2 + 1, AttemptOutcome::Succeeded, 1);
+                    host.end(
+                        id as u64,
+                        0,
+                        id as u64 % 2 + 1,
+                        AttemptOutcome::Succeeded,
+                        1,
+                    );
                 }
                 for id in 91..=92 {
                     host.deliver(Event::RequestArrived(Request {
@@ -269,7 +389,11 @@
         }
         for id in 1..=20 {
             let shard = bound.then_some(ShardId(3));
-            host.deliver(Event::RequestArrived(Request { shard, bytes: 1000.0, ..request(id, 0) }));
+            host.deliver(Event::RequestArrived(Request {
+                shard,
+                bytes: 1000.0,
+                ..request(id, 0)
+            }));
             answer(&mut host, id);
         }
         // That a node is silent is seen when it is looked at.
@@ -278,7 +402,9 @@
             (1..=20).for_each(|id| answer(&mut host, id));
         }
         let answered = (1..=20).filter(|id| !host.answers(*id).is_empty()).count();
-        let went = (1..=20).filter(|id| host.attempts(*id).contains(&3)).count();
+        let went = (1..=20)
+            .filter(|id| host.attempts(*id).contains(&3))
+            .count();
         assert_eq!((went, answered), (there, at_once), "case {place}");
         let mut found: Vec<_> = overruns(&host).into_iter().map(|p| p.2).collect();
         found.sort();
@@ -291,11 +417,28 @@
 /// of demand reports.
 #[test]
 fn budgets_are_lent_and_never_exceeded_in_sum() {
-    let limit = Limit { rate: 8000.0, burst: 16_000.0 };
+    let limit = Limit {
+        rate: 8000.0,
+        burst: 16_000.0,
+    };
     for (lost, least) in [(0.0, 0.75), (0.5, 0.55), (1.0, 0.35)] {
         let mut rng = ChaCha8Rng::seed_from_u64(5);
-        let nodes = |_| vec![Endpoint { zone: ZoneId(1), ..node(3, 3) }];
-        let host = |me| Host::new(SchedulerConfig { me: HostId(me), ..zoned(true, limit) }, nodes(me), at(0));
+        let nodes = |_| {
+            vec![Endpoint {
+                zone: ZoneId(1),
+                ..node(3, 3)
+            }]
+        };
+        let host = |me| {
+            Host::new(
+                SchedulerConfig {
+                    me: HostId(me),
+                    ..zoned(true, limit)
+                },
+                nodes(me),
+                at(0),
+            )
+        };
         let mut hosts = [host(0), host(1)];
         let (mut store, mut low, mut bytes, mut id) = (limit.burst, limit.burst, 0.0, 0);
         let mut mail: Vec<(usize, HostId, Vec<u8>)> = Vec::new();
@@ -306,7 +449,10 @@
                 let before = host.asked.len();
                 host.pass(now - host.now);
                 for (_, from, bytes) in due.iter().filter(|m| m.0 == me) {
-                    host.deliver(Event::PeerMessage { from: *from, bytes: bytes.clone() });
+                    host.deliver(Event::PeerMessage {
+                        from: *from,
+                        bytes: bytes.clone(),
+                    });
                 }
                 // One asks for all of it, the other for next to nothing, and now and then they change places.
                 let busy = (now.micros() / 6_000_000) as usize % 2 == me;
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -28,7 +28,11 @@
         let sent = host.attempts(5).len();
         host.end(5, 0, 1, AttemptOutcome::TimedOut, 1000);
         host.pass(ms(3000));
-        assert_eq!((host.answers(5), host.attempts(5).len()), (wanted, sent), "{request_class} {outcome:?}");
+        assert_eq!(
+            (host.answers(5), host.attempts(5).len()),
+            (wanted, sent),
+            "{request_class} {outcome:?}"
+        );
     }
 }
 
@@ -62,16 +66,33 @@
             let mut f = config();
             f.max_attempts = 1;
             f.max_retry_after = Some(ms(600));
-            let nodes = if matches!(cause, Nowhere) { vec![node(9, 9)] } else { vec![node(1, 0)] };
+            let nodes = if matches!(cause, Nowhere) {
+                vec![node(9, 9)]
+            } else {
+                vec![node(1, 0)]
+            };
             let mut host = Host::new(f, nodes, at(1000));
             let t = request(5, kind);
             match cause {
                 Nowhere => _ = host.deliver(Event::RequestArrived(t)),
-                Nobodys => _ = host.deliver(Event::RequestArrived(Request { plan: PlanId(7), ..t })),
+                Nobodys => {
+                    _ = host.deliver(Event::RequestArrived(Request {
+                        plan: PlanId(7),
+                        ..t
+                    }))
+                }
                 Starved(hosts) => {
-                    let t = Request { plan: PlanId(1), volume_hosts: *hosts, units: 8.0, ..t };
+                    let t = Request {
+                        plan: PlanId(1),
+                        volume_hosts: *hosts,
+                        units: 8.0,
+                        ..t
+                    };
                     for id in 1..=4 {
-                        host.deliver(Event::RequestArrived(Request { id: RequestId(id), ..t.clone() }));
+                        host.deliver(Event::RequestArrived(Request {
+                            id: RequestId(id),
+                            ..t.clone()
+                        }));
                         let line = demand_report::VolumeDemand {
                             volume: demand_report::carried(t.volume),
                             demand: 40.0,
@@ -80,18 +101,31 @@
                         };
                         let bytes = demand_report::pack_report(host.now, &[line]);
                         host.pass(ms(1));
-                        host.deliver(Event::PeerMessage { from: HostId(1), bytes });
+                        host.deliver(Event::PeerMessage {
+                            from: HostId(1),
+                            bytes,
+                        });
                     }
                     host.deliver(Event::RequestArrived(t));
                 }
                 Late => {
                     host.deliver(Event::RequestArrived(request(1, kind)));
-                    host.deliver(Event::RequestArrived(Request { timeout: ms(500), ..t }));
+                    host.deliver(Event::RequestArrived(Request {
+                        timeout: ms(500),
+                        ..t
+                    }));
                 }
                 Left => {
-                    host.deliver(Event::RequestArrived(Request { plan: PlanId(1), ..t }));
-                    let allocations =
-                        VolumeAllocation { volume: VolumeId(7), plan: PlanId(1), hosts: 0, part: None };
+                    host.deliver(Event::RequestArrived(Request {
+                        plan: PlanId(1),
+                        ..t
+                    }));
+                    let allocations = VolumeAllocation {
+                        volume: VolumeId(7),
+                        plan: PlanId(1),
+                        hosts: 0,
+                        part: None,
+                    };
                     host.deliver(Event::ConfigChanged {
                         plans: config().plans,
                         allocations: vec![allocations],
@@ -112,7 +146,10 @@
                 "cause {place}, type {kind}"
             );
             let advice = host.asked.iter().find_map(|a| match a.1 {
-                Action::Reject { id: RequestId(5), retry_after } => Some(retry_after),
+                Action::Reject {
+                    id: RequestId(5),
+                    retry_after,
+                } => Some(retry_after),
                 _ => None,
             });
             let advised = advice.is_none_or(|a| a.is_some_and(|a| a > Span::ZERO && a <= ms(600)));
@@ -126,13 +163,22 @@
 #[test]
 fn only_a_successor_that_may_come_is_waited_for() {
     for shard in [Some(ShardId(0)), None] {
-        for (listed, after, at_once) in
-            [(vec![], 10, true), (leaving(0), 10, false), (leaving(0), 61_000, true)]
-        {
+        for (listed, after, at_once) in [
+            (vec![], 10, true),
+            (leaving(0), 10, false),
+            (leaving(0), 61_000, true),
+        ] {
             let mut host = Host::new(config(), listed, at(1000));
             host.pass(ms(after));
-            host.deliver(Event::RequestArrived(Request { shard, ..request(5, 0) }));
-            assert_eq!(host.answers(5).len(), usize::from(at_once), "{shard:?} after {after} ms");
+            host.deliver(Event::RequestArrived(Request {
+                shard,
+                ..request(5, 0)
+            }));
+            assert_eq!(
+                host.answers(5).len(),
+                usize::from(at_once),
+                "{shard:?} after {after} ms"
+            );
         }
     }
 }
@@ -152,9 +198,17 @@
     ];
     for (volume_hosts, asked, units, at_once) in cases {
         let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-        let t = Request { plan: PlanId(1), volume_hosts, units: 8.0, ..request(5, 0) };
+        let t = Request {
+            plan: PlanId(1),
+            volume_hosts,
+            units: 8.0,
+            ..request(5, 0)
+        };
         for id in 1..=2 {
-            host.deliver(Event::RequestArrived(Request { id: RequestId(id), ..t.clone() }));
+            host.deliver(Event::RequestArrived(Request {
+                id: RequestId(id),
+                ..t.clone()
+            }));
         }
         let line = demand_report::VolumeDemand {
             volume: demand_report::carried(t.volume),
@@ -167,35 +221,114 @@
             bytes: demand_report::pack_report(at(1000), &[line]),
         });
         host.deliver(Event::RequestArrived(Request { units, ..t }));
-        assert_eq!(host.answers(5).len(), usize::from(at_once), "{volume_hosts} {asked} {units}");
+        assert_eq!(
+            host.answers(5).len(),
+            usize::from(at_once),
+            "{volume_hosts} {asked} {units}"
+        );
         // At least until the own part has brought what waits before it and its own units.
         let least = Span::from_millis(16.0 / (40.0 / f64::from(volume_hosts)) * 1e3).min(ms(1000));
         let advice_of = |a: &(Instant, Action)| match a.1 {
-            Action::Reject { id: RequestId(5), retry_after } => Some(retry_after),
+            Action::Reject {
+                id: RequestId(5),
+                retry_after,
+            } => Some(retry_after),
             _ => None,
         };
         let advice = host.asked.iter().find_map(advice_of).flatten();
-        assert!(!at_once || advice >= Some(least), "{volume_hosts} {asked} {units}: {advice:?}");
+        assert!(
+            !at_once || advice >= Some(least),
+            "{volume_hosts} {asked} {units}: {advice:?}"
+        );
     }
 }
 
 /// Rule 2: what may have run goes again only as its idempotency allows.
 #[test]
 fn no_request_runs_twice_against_its_idempotency() {
-    let idempotency_key = |scope| Idempotency::WithKey { scope, window: ms(200) };
+    let idempotency_key = |scope| Idempotency::WithKey {
+        scope,
+        window: ms(200),
+    };
     // effect, how the first attempt ended after how long, attempts sent, answers
     let cases = [
-        (Idempotency::Idempotent, AttemptOutcome::ConnectionLost, 20, 2, vec![]),
-        (Idempotency::Idempotent, AttemptOutcome::Failed, 20, 2, vec![]),
-        (Idempotency::NonIdempotent, AttemptOutcome::ConnectionLost, 20, 1, vec!["failed"]),
-        (Idempotency::NonIdempotent, AttemptOutcome::Failed, 20, 1, vec!["failed"]),
-        (Idempotency::NonIdempotent, AttemptOutcome::Cancelled, 20, 1, vec!["failed"]),
-        (Idempotency::NonIdempotent, AttemptOutcome::Rejected, 20, 2, vec![]),
-        (Idempotency::NonIdempotent, AttemptOutcome::Unreachable, 20, 2, vec![]),
-        (idempotency_key(IdempotencyScope::Shard), AttemptOutcome::Failed, 20, 2, vec![]),
-        (idempotency_key(IdempotencyScope::All), AttemptOutcome::Failed, 20, 2, vec![]),
-        (idempotency_key(IdempotencyScope::Shard), AttemptOutcome::Failed, 250, 1, vec!["failed"]),
-        (idempotency_key(IdempotencyScope::All), AttemptOutcome::Failed, 250, 1, vec!["rejected"]),
+        (
+            Idempotency::Idempotent,
+            AttemptOutcome::ConnectionLost,
+            20,
+            2,
+            vec![],
+        ),
+        (
+            Idempotency::Idempotent,
+            AttemptOutcome::Failed,
+            20,
+            2,
+            vec![],
+        ),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::ConnectionLost,
+            20,
+            1,
+            vec!["failed"],
+        ),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::Failed,
+            20,
+            1,
+            vec!["failed"],
+        ),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::Cancelled,
+            20,
+            1,
+            vec!["failed"],
+        ),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::Rejected,
+            20,
+            2,
+            vec![],
+        ),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::Unreachable,
+            20,
+            2,
+            vec![],
+        ),
+        (
+            idempotency_key(IdempotencyScope::Shard),
+            AttemptOutcome::Failed,
+            20,
+            2,
+            vec![],
+        ),
+        (
+            idempotency_key(IdempotencyScope::All),
+            AttemptOutcome::Failed,
+            20,
+            2,
+            vec![],
+        ),
+        (
+            idempotency_key(IdempotencyScope::Shard),
+            AttemptOutcome::Failed,
+            250,
+            1,
+            vec!["failed"],
+        ),
+        (
+            idempotency_key(IdempotencyScope::All),
+            AttemptOutcome::Failed,
+            250,
+            1,
+            vec!["rejected"],
+        ),
     ];
     for (idempotency, outcome, after, attempts, answers) in cases {
         let mut f = config();
@@ -205,7 +338,11 @@
         host.pass(ms(after));
         host.end(5, 0, 1, outcome, after);
         host.pass(ms(300 - after.min(250) + 100));
-        assert_eq!(host.attempts(5).len(), attempts, "{idempotency:?} {outcome:?}");
+        assert_eq!(
+            host.attempts(5).len(),
+            attempts,
+            "{idempotency:?} {outcome:?}"
+        );
         if attempts == 1 {
             assert_eq!(host.answers(5), answers, "{idempotency:?} {outcome:?}");
         }
@@ -215,14 +352,25 @@
 /// Rule 2: a new object that may have run stays within the group that knows its repeats.
 #[test]
 fn an_idempotency_key_repeat_stays_in_its_group() {
-    for (scope, may_move) in
-        [(IdempotencyScope::Shard, false), (IdempotencyScope::Zone, false), (IdempotencyScope::All, true)]
-    {
+    for (scope, may_move) in [
+        (IdempotencyScope::Shard, false),
+        (IdempotencyScope::Zone, false),
+        (IdempotencyScope::All, true),
+    ] {
         let mut f = config();
-        f.request_classes[1].idempotency = Idempotency::WithKey { scope, window: ms(5000) };
-        let far = Endpoint { zone: ZoneId(1), ..node(2, 1) };
+        f.request_classes[1].idempotency = Idempotency::WithKey {
+            scope,
+            window: ms(5000),
+        };
+        let far = Endpoint {
+            zone: ZoneId(1),
+            ..node(2, 1)
+        };
         let mut host = Host::new(f, vec![node(1, 0)], at(1000));
-        host.deliver(Event::RequestArrived(Request { shard: None, ..request(5, 1) }));
+        host.deliver(Event::RequestArrived(Request {
+            shard: None,
+            ..request(5, 1)
+        }));
         host.list(UpdateKind::Snapshot, vec![far]);
         host.pass(ms(20));
         host.end(5, 0, 1, AttemptOutcome::Failed, 20);
@@ -234,16 +382,30 @@
 /// Rule 7: a volume that does not tell through how many hosts it works has this host's part of all of them.
 #[test]
 fn a_volume_of_unknown_host_count_has_an_even_share_of_all() {
-    let f = SchedulerConfig { hosts: 4, peer_messages_enabled: false, ..config() };
+    let f = SchedulerConfig {
+        hosts: 4,
+        peer_messages_enabled: false,
+        ..config()
+    };
     let mut host = Host::new(f, vec![node(1, 0)], at(1000));
     for id in 0..100 {
-        let t = Request { plan: PlanId(1), volume_hosts: 0, ..request(id, 0) };
+        let t = Request {
+            plan: PlanId(1),
+            volume_hosts: 0,
+            ..request(id, 0)
+        };
         host.deliver(Event::RequestArrived(t));
         host.pass(ms(10));
-        host.order().into_iter().for_each(|id| host.end(id, 0, 1, AttemptOutcome::Succeeded, 1));
+        host.order()
+            .into_iter()
+            .for_each(|id| host.end(id, 0, 1, AttemptOutcome::Succeeded, 1));
     }
     // 40 units a second over all hosts.
-    assert!((8..=10).contains(&host.order().len()), "{}", host.order().len());
+    assert!(
+        (8..=10).contains(&host.order().len()),
+        "{}",
+        host.order().len()
+    );
 }
 
 /// Rule 4: what goes to a node that warms up within the rule's window stays within this host's part. By
@@ -261,18 +423,52 @@
         (None, true, None, AttemptOutcome::Rejected, 1.0, 6.0),
         (None, true, None, AttemptOutcome::Succeeded, 1.0, 19.0),
         // The same process on a new connection is warm as before; another is cold, whatever the list says.
-        (age(60_000), true, Some(age(60_000)), AttemptOutcome::Succeeded, 40.0, 1e9),
-        (age(60_000), true, Some(age(0)), AttemptOutcome::Rejected, 1.0, 6.0),
-        (age(60_000), false, Some(age(0)), AttemptOutcome::Rejected, 1.0, 6.0),
+        (
+            age(60_000),
+            true,
+            Some(age(60_000)),
+            AttemptOutcome::Succeeded,
+            40.0,
+            1e9,
+        ),
+        (
+            age(60_000),
+            true,
+            Some(age(0)),
+            AttemptOutcome::Rejected,
+            1.0,
+            6.0,
+        ),
+        (
+            age(60_000),
+            false,
+            Some(age(0)),
+            AttemptOutcome::Rejected,
+            1.0,
+            6.0,
+        ),
     ];
     for (started, broken, reported_start, outcome, least, most) in cases {
-        let mut host = Host::new(config(), vec![Endpoint { started, ..node(1, 0) }], at(20_000));
+        let mut host = Host::new(
+            config(),
+            vec![Endpoint {
+                started,
+                ..node(1, 0)
+            }],
+            at(20_000),
+        );
         if broken {
             host.deliver(Event::RequestArrived(request(100, 2)));
             host.end(100, 0, 1, AttemptOutcome::ConnectionLost, 5);
         }
         if let Some(started) = reported_start {
-            host.list(UpdateKind::SelfReported, vec![Endpoint { started, ..node(1, 0) }]);
+            host.list(
+                UpdateKind::SelfReported,
+                vec![Endpoint {
+                    started,
+                    ..node(1, 0)
+                }],
+            );
         }
         for id in 0..50 {
             host.deliver(Event::RequestArrived(request(id, 0)));
@@ -283,7 +479,10 @@
         }
         let sent: usize = (0..50).map(|id| host.attempts(id).len()).sum();
         let sent = sent as f64;
-        assert!(least <= sent && sent <= most, "{started:?} {broken} {reported_start:?} {outcome:?}: {sent}");
+        assert!(
+            least <= sent && sent <= most,
+            "{started:?} {broken} {reported_start:?} {outcome:?}: {sent}"
+        );
     }
 }
 
@@ -302,11 +501,24 @@
         f.request_classes[2].in_order = true;
         let mut host = Host::new(f, vec![node(1, 0)], at(1000));
         for id in [5, 6, 7] {
-            host.deliver(Event::RequestArrived(Request { object: Some(ObjectId(3)), ..request(id, 2) }));
+            host.deliver(Event::RequestArrived(Request {
+                object: Some(ObjectId(3)),
+                ..request(id, 2)
+            }));
         }
-        host.deliver(Event::RequestArrived(Request { object: Some(ObjectId(4)), ..request(8, 2) }));
+        host.deliver(Event::RequestArrived(Request {
+            object: Some(ObjectId(4)),
+            ..request(8, 2)
+        }));
         host.pass(ms(10));
-        assert_eq!((host.attempts(5).len(), host.attempts(6).len(), host.attempts(8).len()), (1, 0, 1));
+        assert_eq!(
+            (
+                host.attempts(5).len(),
+                host.attempts(6).len(),
+                host.attempts(8).len()
+            ),
+            (1, 0, 1)
+        );
         host.end(8, 0, 1, AttemptOutcome::Succeeded, 10);
         host.end(5, 0, 1, outcome, 10);
         if rest > 0 {
@@ -314,7 +526,11 @@
             assert_eq!(host.attempts(6).len(), 0, "{outcome:?}");
             host.pass(ms(150));
         }
-        assert_eq!((host.attempts(6).len(), host.attempts(7).len()), (1, 0), "{outcome:?}");
+        assert_eq!(
+            (host.attempts(6).len(), host.attempts(7).len()),
+            (1, 0),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -323,7 +539,11 @@
 fn retries_stay_within_their_budget() {
     for (free, share, most) in [(0.0, 0.0, 0), (3.0, 0.0, 3), (1.0, 0.1, 5)] {
         let mut f = config();
-        f.retry_budget = Some(RetryBudget { free, share, window: ms(5000) });
+        f.retry_budget = Some(RetryBudget {
+            free,
+            share,
+            window: ms(5000),
+        });
         let mut host = Host::new(f, vec![node(1, 0)], at(1000));
         for id in 0..20 {
             host.deliver(Event::RequestArrived(request(id + 100, 0)));
@@ -336,8 +556,13 @@
                 host.end(id, 1, 1, AttemptOutcome::Succeeded, 5);
             }
         }
-        let further: usize = (0..20).map(|id| host.attempts(id).len().saturating_sub(1)).sum();
-        assert!(further <= most && further * 2 >= most, "{free} {share}: {further}");
+        let further: usize = (0..20)
+            .map(|id| host.attempts(id).len().saturating_sub(1))
+            .sum();
+        assert!(
+            further <= most && further * 2 >= most,
+            "{free} {share}: {further}"
+        );
     }
 }
 
@@ -345,7 +570,14 @@
 #[test]
 fn streams_and_departures_need_no_answer() {
     for (event, answers) in [
-        (Some(Event::ResponseStarted { id: RequestId(5), node: NodeId(1), latency: ms(9) }), 0),
+        (
+            Some(Event::ResponseStarted {
+                id: RequestId(5),
+                node: NodeId(1),
+                latency: ms(9),
+            }),
+            0,
+        ),
         (Some(Event::ClientDisconnected(RequestId(5))), 0),
         (None, 1),
     ] {
@@ -356,7 +588,10 @@
         host.end(5, 0, 1, AttemptOutcome::Cancelled, 3000);
         host.end(5, 0, 1, AttemptOutcome::Cancelled, 3000);
         host.pass(ms(100));
-        assert_eq!((host.answers(5).len(), host.attempts(5).len()), (answers, 1));
+        assert_eq!(
+            (host.answers(5).len(), host.attempts(5).len()),
+            (answers, 1)
+        );
     }
 }
 
@@ -366,9 +601,15 @@
     // benefit, price and latency objective of the one that should go first, against 2, 1 and 400 ms
     for (priority_weight, price, slo) in [(3.0, 1.0, 400), (2.0, 1.5, 400), (2.0, 1.0, 300)] {
         let mut f = config();
-        (f.request_classes[1].priority_weight, f.request_classes[1].latency_objective) =
-            (priority_weight, ms(slo));
-        f.plans[1] = Plan { limit: None, price, ..f.plans[1].clone() };
+        (
+            f.request_classes[1].priority_weight,
+            f.request_classes[1].latency_objective,
+        ) = (priority_weight, ms(slo));
+        f.plans[1] = Plan {
+            limit: None,
+            price,
+            ..f.plans[1].clone()
+        };
         let mut host = Host::new(f, leaving(0), at(1000));
         for id in [4, 5] {
             host.deliver(Event::RequestArrived(request(id, 0)));
--- a/tests/decisions/symptoms.rs
+++ b/tests/decisions/symptoms.rs
@@ -14,12 +14,20 @@
     let (mut ends, mut each) = (Vec::new(), vec![0; (span / 1000) as usize]);
     for now in 0..span {
         if now % every == 0 {
-            host.deliver(Event::RequestArrived(Request { timeout: ms(60_000), ..request(now as u64, kind) }));
+            host.deliver(Event::RequestArrived(Request {
+                timeout: ms(60_000),
+                ..request(now as u64, kind)
+            }));
         }
         host.pass(ms(1));
-        let due: Vec<_> = ends.iter().filter(|e: &&(i64, u64)| e.0 <= now).map(|e| e.1).collect();
+        let due: Vec<_> = ends
+            .iter()
+            .filter(|e: &&(i64, u64)| e.0 <= now)
+            .map(|e| e.1)
+            .collect();
         ends.retain(|e| e.0 > now);
-        due.into_iter().for_each(|id| host.end(id, host.attempts(id).len() as u32 - 1, 1, outcome, latency));
+        due.into_iter()
+            .for_each(|id| host.end(id, host.attempts(id).len() as u32 - 1, 1, outcome, latency));
         let sent = host.order().split_off(each.iter().sum());
         each[(now / 1000) as usize] += sent.len();
         ends.extend(sent.into_iter().map(|id| (now + latency, id)));
@@ -32,9 +40,13 @@
 fn attempts_are_spaced_below_a_window_of_one() {
     // One at a time there would be sixteen.
     for (latency, least, most) in [(10, 100, 100), (300, 3, 10)] {
-        let attempts: usize =
-            steady(config(), 0, 50, (AttemptOutcome::Succeeded, latency), 5000).iter().sum();
-        assert!((least..=most).contains(&attempts), "{latency} ms: {attempts}");
+        let attempts: usize = steady(config(), 0, 50, (AttemptOutcome::Succeeded, latency), 5000)
+            .iter()
+            .sum();
+        assert!(
+            (least..=most).contains(&attempts),
+            "{latency} ms: {attempts}"
+        );
     }
 }
 
@@ -44,7 +56,9 @@
     let mut f = config();
     f.request_classes[2].latency_objective = ms(20_000);
     // With a window of one there would be ten, with two twenty.
-    let attempts: usize = steady(f, 2, 50, (AttemptOutcome::Succeeded, 1000), 10_000).iter().sum();
+    let attempts: usize = steady(f, 2, 50, (AttemptOutcome::Succeeded, 1000), 10_000)
+        .iter()
+        .sum();
     assert!((3..=15).contains(&attempts), "{attempts}");
 }
 
@@ -56,7 +70,10 @@
         f.request_classes[2].priority_weight = 5.0;
         let mut host = Host::new(f, leaving(0), at(1000));
         host.deliver(Event::RequestArrived(request(5, 0)));
-        host.deliver(Event::RequestArrived(Request { shard: None, ..request(6, 2) }));
+        host.deliver(Event::RequestArrived(Request {
+            shard: None,
+            ..request(6, 2)
+        }));
         host.pass(ms(wait));
         host.list(UpdateKind::Snapshot, vec![node(1, 0)]);
         host.pass(ms(15));
@@ -75,7 +92,10 @@
         (id % 100 == 99).then(|| seen.push(host.order().len()));
     }
     let each: Vec<_> = seen.windows(2).map(|w| w[1] - w[0]).collect();
-    assert!(each[0] < 20 && each[1..].iter().all(|n| *n <= 3), "{each:?}");
+    assert!(
+        each[0] < 20 && each[1..].iter().all(|n| *n <= 3),
+        "{each:?}"
+    );
     assert_eq!(host.answers(50).len(), 1);
 }
 
@@ -85,8 +105,14 @@
 fn a_silent_node_is_probed_as_often_as_this_hosts_share_allows() {
     for (probe_interval, least, most) in [(ms(0), 4, 60), (ms(8000), 1, 2)] {
         for times_out in [false, true] {
-            let mut host =
-                Host::new(SchedulerConfig { probe_interval, ..config() }, vec![node(1, 0)], at(1000));
+            let mut host = Host::new(
+                SchedulerConfig {
+                    probe_interval,
+                    ..config()
+                },
+                vec![node(1, 0)],
+                at(1000),
+            );
             let mut first = 0;
             for id in 0..1200 {
                 host.deliver(Event::RequestArrived(request(id, 0)));
@@ -94,7 +120,9 @@
                 // Its first second goes by before anything is known of it.
                 first = if id < 100 { host.order().len() } else { first };
                 let all = host.order();
-                let late = all.iter().filter(|attempt| times_out && **attempt + 40 == id);
+                let late = all
+                    .iter()
+                    .filter(|attempt| times_out && **attempt + 40 == id);
                 late.for_each(|attempt| host.end(*attempt, 0, 1, AttemptOutcome::TimedOut, 400));
             }
             let asked = host.order().len() - first;
@@ -108,7 +136,13 @@
                 continue;
             }
             let started = Some(host.now);
-            host.list(UpdateKind::SelfReported, vec![Endpoint { started, ..node(1, 0) }]);
+            host.list(
+                UpdateKind::SelfReported,
+                vec![Endpoint {
+                    started,
+                    ..node(1, 0)
+                }],
+            );
             let before = host.order().len();
             // Its latency is still believed to be that of the time-outs, half of it a second later.
             host.pass(ms(1500));
@@ -127,10 +161,23 @@
 fn errors_attract_no_new_objects() {
     let mut host = Host::new(config(), vec![node(1, 0), node(2, 1)], at(1000));
     for id in 0..100 {
-        host.deliver(Event::RequestArrived(Request { shard: None, ..request(id, 2) }));
+        host.deliver(Event::RequestArrived(Request {
+            shard: None,
+            ..request(id, 2)
+        }));
         host.pass(ms(5));
         let node = host.attempts(id)[0];
-        host.end(id, 0, node, if node == 1 { AttemptOutcome::Failed } else { AttemptOutcome::Succeeded }, 5);
+        host.end(
+            id,
+            0,
+            node,
+            if node == 1 {
+                AttemptOutcome::Failed
+            } else {
+                AttemptOutcome::Succeeded
+            },
+            5,
+        );
     }
     let to_bad = (0..100).filter(|id| host.attempts(*id) == [1]).count();
     assert!(to_bad < 10, "{to_bad} of 100");
@@ -143,7 +190,10 @@
     for (timeout, attempts) in [(1000, 1), (900, 1), (500, 0), (150, 1), (1100, 1)] {
         let mut host = Host::new(config(), leaving(0), at(1000));
         host.deliver(Event::RequestArrived(request(1, 0)));
-        host.deliver(Event::RequestArrived(Request { timeout: ms(timeout), ..request(2, 0) }));
+        host.deliver(Event::RequestArrived(Request {
+            timeout: ms(timeout),
+            ..request(2, 0)
+        }));
         host.pass(ms(20));
         host.list(UpdateKind::Snapshot, vec![node(1, 0)]);
         assert_eq!(host.attempts(2).len(), attempts, "{timeout}");
@@ -162,7 +212,10 @@
     ];
     for (outcome, latency, attempts) in cases {
         let each = steady(config(), 0, 10, (outcome, latency), 5000);
-        assert!(attempts.contains(&each[2..].iter().sum::<usize>()), "{outcome:?}: {each:?}");
+        assert!(
+            attempts.contains(&each[2..].iter().sum::<usize>()),
+            "{outcome:?}: {each:?}"
+        );
     }
 }
 
@@ -170,11 +223,28 @@
 #[test]
 fn new_objects_avoid_nodes_that_warm_up() {
     for (warm, goes) in [(true, false), (false, true)] {
-        let cold = Endpoint { started: Some(at(900)), ..node(1, 0) };
-        let nodes = if warm { vec![cold, node(2, 1)] } else { vec![cold] };
-        let mut host = Host::new(SchedulerConfig { hosts: 100, ..config() }, nodes, at(1000));
+        let cold = Endpoint {
+            started: Some(at(900)),
+            ..node(1, 0)
+        };
+        let nodes = if warm {
+            vec![cold, node(2, 1)]
+        } else {
+            vec![cold]
+        };
+        let mut host = Host::new(
+            SchedulerConfig {
+                hosts: 100,
+                ..config()
+            },
+            nodes,
+            at(1000),
+        );
         for id in 0..40 {
-            host.deliver(Event::RequestArrived(Request { shard: None, ..request(id, 0) }));
+            host.deliver(Event::RequestArrived(Request {
+                shard: None,
+                ..request(id, 0)
+            }));
             host.pass(ms(5));
         }
         let to_cold = (0..40).filter(|id| host.attempts(*id).contains(&1)).count();
@@ -187,12 +257,25 @@
 #[test]
 fn broken_connections_leave_the_window() {
     // how every third attempt ends, and how many of ten go out together then
-    for (outcome, some) in [(AttemptOutcome::ConnectionLost, 4..=4), (AttemptOutcome::Failed, 1..=3)] {
+    for (outcome, some) in [
+        (AttemptOutcome::ConnectionLost, 4..=4),
+        (AttemptOutcome::Failed, 1..=3),
+    ] {
         let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
         for id in 0..12 {
             host.deliver(Event::RequestArrived(request(id, 2)));
             host.pass(ms(60));
-            host.end(id, 0, 1, if id % 3 == 2 { outcome } else { AttemptOutcome::Succeeded }, 60);
+            host.end(
+                id,
+                0,
+                1,
+                if id % 3 == 2 {
+                    outcome
+                } else {
+                    AttemptOutcome::Succeeded
+                },
+                60,
+            );
             host.list(UpdateKind::SelfReported, vec![node(1, 0)]);
             host.pass(ms(300));
         }
@@ -218,25 +301,44 @@
         (12, 0, 1, 395..=400),
     ];
     for (nodes, late, zones, wanted) in cases {
-        let zoned = |n: u64| Endpoint { zone: ZoneId(n as usize % zones), ..node(n, n as i64) };
+        let zoned = |n: u64| Endpoint {
+            zone: ZoneId(n as usize % zones),
+            ..node(n, n as i64)
+        };
         let mut host = Host::new(config(), (0..nodes).map(zoned).collect(), at(1000));
-        let latency = |node: u64| if late > 0 && node.is_multiple_of(late) { 410 } else { 20 };
+        let latency = |node: u64| {
+            if late > 0 && node.is_multiple_of(late) {
+                410
+            } else {
+                20
+            }
+        };
         let (mut ends, mut done, mut before): (Vec<(i64, u64)>, _, _) = (Vec::new(), 0, 0);
         for now in 0..8000_i64 {
             if now % 10 == 0 {
                 let shard = Some(ShardId(now / 10 * 7 % nodes as i64));
-                host.deliver(Event::RequestArrived(Request { shard, ..request(now as u64, 0) }));
+                host.deliver(Event::RequestArrived(Request {
+                    shard,
+                    ..request(now as u64, 0)
+                }));
             }
             host.pass(ms(1));
             let sent = host.order().split_off(done);
             done += sent.len();
-            ends.extend(sent.into_iter().map(|id| (now + latency(host.attempts(id)[0]), id)));
+            ends.extend(
+                sent.into_iter()
+                    .map(|id| (now + latency(host.attempts(id)[0]), id)),
+            );
             for (_, id) in ends.extract_if(.., |e| e.0 <= now) {
                 let node = host.attempts(id)[0];
                 host.end(id, 0, node, AttemptOutcome::Succeeded, latency(node));
             }
             before = if now == 3999 { done } else { before };
         }
-        assert!(wanted.contains(&(done - before)), "{nodes} nodes, late {late}: {}", done - before);
+        assert!(
+            wanted.contains(&(done - before)),
+            "{nodes} nodes, late {late}: {}",
+            done - before
+        );
     }
 }
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -33,7 +33,11 @@
 }
 
 impl NodeFaults {
-    pub const NONE: NodeFaults = NodeFaults { errors: 0.0, rejections: 0.0, slowdown: 1.0 };
+    pub const NONE: NodeFaults = NodeFaults {
+        errors: 0.0,
+        rejections: 0.0,
+        slowdown: 1.0,
+    };
 }
 
 /// What is on its way to a host.
@@ -82,14 +86,35 @@
     let mut f = config();
     f.hosts = hosts;
     f.order_settle = ms(60);
-    f.retry_budget = Some(RetryBudget { free: 1.0, share: 0.05, window: ms(1000) });
-    f.slow_start = SlowStart { units: 12.0, window: ms(1000), initial_fraction: 0.2, ramp: ms(4000) };
-    let scope =
-        [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Shard][rng.random_range(0..3)];
-    f.request_classes[1].idempotency = Idempotency::WithKey { scope, window: ms(60) };
+    f.retry_budget = Some(RetryBudget {
+        free: 1.0,
+        share: 0.05,
+        window: ms(1000),
+    });
+    f.slow_start = SlowStart {
+        units: 12.0,
+        window: ms(1000),
+        initial_fraction: 0.2,
+        ramp: ms(4000),
+    };
+    let scope = [
+        IdempotencyScope::All,
+        IdempotencyScope::Zone,
+        IdempotencyScope::Shard,
+    ][rng.random_range(0..3)];
+    f.request_classes[1].idempotency = Idempotency::WithKey {
+        scope,
+        window: ms(60),
+    };
     f.request_classes[2].in_order = true;
-    f.request_classes.push(RequestClass { in_order: true, ..request_class(Idempotency::Idempotent) });
-    f.plans[1].limit = Some(Limit { rate: 15.0, burst: 8.0 * f64::from(hosts) });
+    f.request_classes.push(RequestClass {
+        in_order: true,
+        ..request_class(Idempotency::Idempotent)
+    });
+    f.plans[1].limit = Some(Limit {
+        rate: 15.0,
+        burst: 8.0 * f64::from(hosts),
+    });
     f
 }
 
@@ -98,11 +123,19 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts = [1, 2, 3, 8][rng.random_range(0..4)];
         let config = world_config(hosts, &mut rng);
-        let parameters =
-            RuleParameters { drain_grace: ms(0), slack: 0.0, multiple: 2.0, can: CAN, answer_slack: ms(0) };
+        let parameters = RuleParameters {
+            drain_grace: ms(0),
+            slack: 0.0,
+            multiple: 2.0,
+            can: CAN,
+            answer_slack: ms(0),
+        };
         let now = at(100_000);
         let server = |n: u64| Server {
-            entry: Endpoint { zone: ZoneId(n as usize % 2), ..node(n, n as i64 % SHARDS) },
+            entry: Endpoint {
+                zone: ZoneId(n as usize % 2),
+                ..node(n, n as i64 % SHARDS)
+            },
             up: true,
             faults: NodeFaults::NONE,
             free_at: now,
@@ -137,14 +170,22 @@
     }
 
     pub fn start_host(&mut self, me: usize) {
-        let config = SchedulerConfig { me: HostId(me as u32), ..self.config.clone() };
+        let config = SchedulerConfig {
+            me: HostId(me as u32),
+            ..self.config.clone()
+        };
         self.model.step();
-        self.model.host_started(self.now, HostId(me as u32), &config);
+        self.model
+            .host_started(self.now, HostId(me as u32), &config);
         let entries: Vec<_> = self.servers.iter().map(|m| m.entry.clone()).collect();
-        let list = Event::EndpointList { update_kind: UpdateKind::StaleSnapshot, entries: entries.clone() };
+        let list = Event::EndpointList {
+            update_kind: UpdateKind::StaleSnapshot,
+            entries: entries.clone(),
+        };
         self.model.saw(self.now, HostId(me as u32), &list);
         let m = &mut self.members[me];
-        (m.plans_reversed, m.served, m.incarnation) = (false, [true; VOLUMES as usize], m.incarnation + 1);
+        (m.plans_reversed, m.served, m.incarnation) =
+            (false, [true; VOLUMES as usize], m.incarnation + 1);
         m.requests.clear();
         m.host = Some(Host::new(config, entries, self.now));
     }
@@ -152,13 +193,20 @@
     /// One step of a host: what it sees, then what it does, each reported to the model.
     pub fn step(&mut self, me: usize, event: Event) {
         if let Event::RequestArrived(t) = &event {
-            self.members[me]
-                .requests
-                .insert(t.id, HeldRequest { arrived_at: self.now, request: t.clone(), attempts_sent: 0 });
+            self.members[me].requests.insert(
+                t.id,
+                HeldRequest {
+                    arrived_at: self.now,
+                    request: t.clone(),
+                    attempts_sent: 0,
+                },
+            );
         }
         self.model.step();
         self.model.saw(self.now, HostId(me as u32), &event);
-        let Some(host) = &mut self.members[me].host else { return };
+        let Some(host) = &mut self.members[me].host else {
+            return;
+        };
         let before = host.asked.len();
         host.deliver(event);
         let asked = host.asked.split_off(before);
@@ -186,7 +234,9 @@
         let incarnation = self.members[me].incarnation;
         match action {
             Action::StartAttempt { id, node, time_out } => {
-                let Some(held) = self.members[me].requests.get_mut(&id) else { return };
+                let Some(held) = self.members[me].requests.get_mut(&id) else {
+                    return;
+                };
                 let attempt = held.attempts_sent;
                 let units = held.request.units;
                 held.attempts_sent += 1;
@@ -205,16 +255,21 @@
                 };
                 // Now and then its end is reported late, after the deadline too: the answer must not wait for
                 // it.
-                let late =
-                    if self.rng.random_bool(0.02) { ms(self.rng.random_range(0..2000)) } else { ms(0) };
-                self.mail.push((self.now + latency + late, me, Mail::End(incarnation, end)));
+                let late = if self.rng.random_bool(0.02) {
+                    ms(self.rng.random_range(0..2000))
+                } else {
+                    ms(0)
+                };
+                self.mail
+                    .push((self.now + latency + late, me, Mail::End(incarnation, end)));
             }
             Action::SendToPeer { to, bytes } => {
                 for chance in [0.8, 0.2] {
                     if self.rng.random_bool(chance) {
                         let way = ms(self.rng.random_range(1..150));
                         let demand_report = Mail::DemandReport(HostId(me as u32), bytes.clone());
-                        self.mail.push((self.now + way, to.0 as usize, demand_report));
+                        self.mail
+                            .push((self.now + way, to.0 as usize, demand_report));
                     }
                 }
             }
@@ -251,9 +306,17 @@
 
     pub fn allocations(&self, me: usize, volume: u64) -> VolumeAllocation {
         let serves = self.members[me].served[volume as usize];
-        let part = (!serves).then_some(Limit { rate: 0.0, burst: 0.0 });
+        let part = (!serves).then_some(Limit {
+            rate: 0.0,
+            burst: 0.0,
+        });
         let hosts = if serves { self.members.len() as u32 } else { 0 };
-        VolumeAllocation { volume: VolumeId(volume), plan: self.plan(me, volume), hosts, part }
+        VolumeAllocation {
+            volume: VolumeId(volume),
+            plan: self.plan(me, volume),
+            hosts,
+            part,
+        }
     }
 
     pub fn arrival(&mut self, me: usize) {
@@ -263,15 +326,25 @@
             return;
         }
         let request_class = self.rng.random_range(0..4);
-        let shard = self.rng.random_bool(0.7).then(|| ShardId(self.rng.random_range(0..SHARDS)));
+        let shard = self
+            .rng
+            .random_bool(0.7)
+            .then(|| ShardId(self.rng.random_range(0..SHARDS)));
         let t = Request {
             plan: self.plan(me, volume),
             volume: VolumeId(volume),
             units: [1.0, 1.0, 2.0, 4.0][self.rng.random_range(0..4)],
             shard,
-            object: self.rng.random_bool(0.6).then(|| ObjectId(self.rng.random_range(0..6))),
+            object: self
+                .rng
+                .random_bool(0.6)
+                .then(|| ObjectId(self.rng.random_range(0..6))),
             // Mostly a first try; some are a next one, or impatient.
-            timeout: ms(if self.rng.random_bool(0.8) { 1200 } else { self.rng.random_range(60..1200) }),
+            timeout: ms(if self.rng.random_bool(0.8) {
+                1200
+            } else {
+                self.rng.random_range(60..1200)
+            }),
             volume_hosts: self.members.len() as u32,
             ..request(self.last_id, request_class)
         };
@@ -307,7 +380,9 @@
     }
 
     pub fn member(&mut self, me: usize) {
-        let Some(host) = &mut self.members[me].host else { return };
+        let Some(host) = &mut self.members[me].host else {
+            return;
+        };
         // Timers first, each a step of its own.
         let before = host.asked.len();
         let span = self.now - host.now;
@@ -315,18 +390,27 @@
         host.pass(span);
         let asked = host.asked.split_off(before);
         self.act(me, asked);
-        let due = self.mail.extract_if(.., |m| m.1 == me && m.0 <= self.now).collect::<Vec<_>>();
+        let due = self
+            .mail
+            .extract_if(.., |m| m.1 == me && m.0 <= self.now)
+            .collect::<Vec<_>>();
         for (_, _, mail) in due {
             match mail {
-                Mail::DemandReport(from, bytes) => self.step(me, Event::PeerMessage { from, bytes }),
+                Mail::DemandReport(from, bytes) => {
+                    self.step(me, Event::PeerMessage { from, bytes })
+                }
                 Mail::End(incarnation, end) => {
                     if incarnation == self.members[me].incarnation {
                         self.step(me, Event::AttemptEnded(end));
                     }
                 }
-                Mail::List(entries) => {
-                    self.step(me, Event::EndpointList { update_kind: UpdateKind::Delta, entries })
-                }
+                Mail::List(entries) => self.step(
+                    me,
+                    Event::EndpointList {
+                        update_kind: UpdateKind::Delta,
+                        entries,
+                    },
+                ),
             }
         }
         if self.rng.random_bool(0.15 / self.members.len() as f64) {
--- a/tests/decisions/world_nodes.rs
+++ b/tests/decisions/world_nodes.rs
@@ -25,8 +25,10 @@
         }
         let cold = &self.config.slow_start;
         let age = m.entry.started.map_or(1e9, |s| (now - s).secs());
-        let part = (cold.initial_fraction + (1.0 - cold.initial_fraction) * age / cold.ramp.secs()).min(1.0);
-        m.free_at = m.free_at.max(now) + Span::from_millis(units / (CAN * part) * 1e3 * m.faults.slowdown);
+        let part = (cold.initial_fraction + (1.0 - cold.initial_fraction) * age / cold.ramp.secs())
+            .min(1.0);
+        m.free_at =
+            m.free_at.max(now) + Span::from_millis(units / (CAN * part) * 1e3 * m.faults.slowdown);
         let latency = m.free_at - now + ms(1);
         if latency >= time_out {
             return (AttemptOutcome::TimedOut, time_out);
@@ -43,7 +45,8 @@
         for me in 0..self.members.len() {
             // The list is late, and not by the same for all; updates about one node comes in order.
             let late = ms(self.rng.random_range(5..300));
-            self.mail.push((self.now + late, me, Mail::List(entries.to_vec())));
+            self.mail
+                .push((self.now + late, me, Mail::List(entries.to_vec())));
         }
     }
 
@@ -54,10 +57,17 @@
                 let m = &mut self.servers[place];
                 let errors = self.rng.random_range(0.0..0.7);
                 let rejections = self.rng.random_range(0.0..0.3);
-                m.faults = NodeFaults { errors, rejections, slowdown: 1.0 };
+                m.faults = NodeFaults {
+                    errors,
+                    rejections,
+                    slowdown: 1.0,
+                };
             }
             1 => self.servers[place].faults.slowdown = self.rng.random_range(1.0..12.0),
-            2 => self.servers.iter_mut().for_each(|m| m.faults = NodeFaults::NONE),
+            2 => self
+                .servers
+                .iter_mut()
+                .for_each(|m| m.faults = NodeFaults::NONE),
             // It restarts, cold, and its host of the list says so.
             3 => {
                 let now = self.now;
@@ -80,8 +90,17 @@
                 }
                 m.entry.state = EndpointState::Draining;
                 let (shard, zone, left) = (m.entry.shard, m.entry.zone, m.entry.clone());
-                let entry = Endpoint { zone, started: Some(now), ..node(id, shard.0) };
-                let next = Server { entry: entry.clone(), up: true, faults: NodeFaults::NONE, free_at: now };
+                let entry = Endpoint {
+                    zone,
+                    started: Some(now),
+                    ..node(id, shard.0)
+                };
+                let next = Server {
+                    entry: entry.clone(),
+                    up: true,
+                    faults: NodeFaults::NONE,
+                    free_at: now,
+                };
                 self.servers.push(next);
                 self.announce(&[left, entry]);
             }
