--- a/crates/cli/benches/documents.rs
+++ b/crates/cli/benches/documents.rs
@@ -111,7 +111,7 @@
             .max_rss() as f64
             / 1024.0;
         let (ms0, most0) = *first.get_or_insert((times[2], most));
-        if !report.contains("sound") {
+        if !report.contains("no errors") {
             println!("{report}");
         }
         let report = report
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,5 @@
-//! The arguments of the program, as `clap` reads them. Renamed commands keep their old name as a hidden alias.
+//! The command line, as `clap` parses it. Renamed commands keep their old name as a hidden alias. The doc
+//! comments are the help texts.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
@@ -7,197 +8,238 @@
 #[derive(Parser)]
 #[command(version, propagate_version = true)]
 pub struct Arguments {
+    /// What to do.
     #[command(subcommand)]
     pub command: Command,
-    /// Logs for people, or one JSON object a line for machines; always on standard error.
+    /// Log format: text for people, or one JSON object per line. Logs go to standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub log: LogForm,
-    /// What is logged, such as `info` or `gullsail_host=debug`.
+    /// Log filter, such as `info` or `gullsail_host=debug`.
     #[arg(long, global = true, default_value = "info", env = "GULLSAIL_LOG")]
     pub log_level: String,
 }
 
-/// How logs are written.
+/// The format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogForm {
+    /// For people.
     Text,
+    /// One JSON object per line.
     Json,
 }
 
-/// What the program is asked to do.
+/// The commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Runs one host until it is told to stop (SIGTERM, SIGINT).
+    /// Runs one host until SIGTERM or SIGINT.
     Host {
+        /// The configuration document.
         file: PathBuf,
-        /// Which of the document's hosts this is.
+        /// The name of this host in the document.
         #[arg(long)]
         name: String,
-        /// For the host's own chance; drawn where it is not given.
+        /// Seed of the host's random choices. Default: drawn at random.
         #[arg(long)]
         seed: Option<u64>,
-        /// Sets this host's clock ahead, or behind with a minus: for trials.
+        /// Offset added to this host's clock, for tests; negative values set it back.
         #[arg(long, allow_hyphen_values = true, default_value = "0s")]
         clock_ahead: String,
-        /// Has this host's clock run faster by this part, or slower with a minus: for trials.
+        /// Rate error of this host's clock as a fraction, for tests: 0.01 runs 1% fast, negative values run slow.
         #[arg(long, allow_hyphen_values = true, default_value_t = 0.0)]
         clock_drift: f64,
-        /// Where the host's operator asks for its state and for reloads: a local socket, for this user only.
+        /// Path of the control socket for status, reloads and maintenance commands. Only this user can connect.
         #[arg(long)]
         control: Option<PathBuf>,
     },
-    /// Has a running host read its document again. Exit code 0: it serves by it now; 1: turned down, the old one
-    /// stays; 2: the new one is not sound.
+    /// Makes a running host reload its document. Exit code 0: the new document is in force; 1: the host refused it
+    /// and keeps the old one; 2: the new document has errors.
     Reload {
         /// The host's control socket.
         control: PathBuf,
-        /// With dangerous changes too, where they can be made while serving.
+        /// Also apply changes that `gullsail diff` calls dangerous, where that is possible without a restart.
         #[arg(long)]
         insist: bool,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// What a running host serves by, which hosts have not followed yet, what it holds and what it counted.
-    Status { control: PathBuf },
-    /// Runs one host on the users' platform until it is told to stop (SIGTERM). SIGHUP has it read its document again.
+    /// Prints a running host's state as JSON: its configuration revision, the hosts that are behind it, its open
+    /// requests and its counters.
+    Status {
+        /// The host's control socket.
+        control: PathBuf,
+    },
+    /// Runs one host on the users' platform until SIGTERM. SIGHUP reloads its document.
     Platform {
         /// The platform's JSON document for this host.
         #[arg(env = "PROXY_CONFIG")]
         file: PathBuf,
     },
-    /// Runs a baseline in a host's place: it sends all at once within even limits.
+    /// Runs a baseline in place of a host: it forwards each request at once, within an even share of each limit.
     Baseline {
+        /// The configuration document.
         file: PathBuf,
+        /// The name of the host that it replaces.
         #[arg(long)]
         name: String,
+        /// Seed of its random choices. Default: drawn at random.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Runs a stand-in of one storage node.
+    /// Runs a simulated storage node.
     Node {
+        /// The configuration document.
         file: PathBuf,
+        /// The name of the node in the document.
         #[arg(long)]
         name: String,
-        /// How long it is taken to be up already: an old node is warm.
+        /// Uptime that the node starts with. A node older than the slow-start ramp starts warm.
         #[arg(long, default_value = "0s")]
         age: humantime::Duration,
     },
-    /// Runs a stand-in of the node list service.
-    List { file: PathBuf },
-    /// Plays a scripted day with real processes on loopback and judges the rules.
+    /// Runs a simulated endpoint list service.
+    List {
+        /// The configuration document.
+        file: PathBuf,
+    },
+    /// Plays a scenario with real processes on loopback and checks the rules.
     #[command(alias = "day")]
     Scenario {
-        /// A built-in day (see --list), `random`, or a document with a `day`.
+        /// A built-in scenario (see --list), `random`, or a document with a `day` entry.
         #[arg(required_unless_present = "list")]
         day: Option<String>,
+        /// Lists the built-in scenarios.
         #[arg(long)]
         list: bool,
+        /// Seed of the load and of random scenarios.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Keeps the recording, the logs and the documents here.
+        /// Folder in which the recording, the logs and the documents are kept.
         #[arg(long)]
         record: Option<PathBuf>,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
-        /// With the baseline in the hosts' place: what the decisions are worth on that day.
+        /// Runs the baseline in place of the hosts, for comparison.
         #[arg(long)]
         baseline: bool,
     },
-    /// What hosts settle among themselves.
+    /// Shows the fleet and takes its servers offline for maintenance.
     #[command(subcommand)]
     Fleet(Fleet),
     /// Traffic between zones.
     #[command(subcommand)]
     Zones(Zones),
-    /// Judges a recording of a day again.
+    /// Checks the rules again on the recording of a scenario.
     Audit {
+        /// The folder that `scenario --record` wrote.
         dir: PathBuf,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Checks a document and all it includes, and says all that is wrong.
+    /// Checks a document and all that it includes, and reports every problem. Exit code 2: it has errors.
     Check {
+        /// The configuration document.
         file: PathBuf,
-        /// One object for each problem, for editors and CI.
+        /// Prints one JSON object per problem.
         #[arg(long)]
         json: bool,
     },
-    /// Says what the code of a problem means.
-    Explain { code: String },
-    /// Writes documents in the one way to write them; comments and order stay.
+    /// Explains the code of a problem that `check` reported.
+    Explain {
+        /// The code, such as `unknown-name`.
+        code: String,
+    },
+    /// Formats documents in place; comments and the order of entries stay.
     Fmt {
+        /// The documents.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Changes nothing; exit code 1 if something would change.
+        /// Changes nothing. Exit code 1: some document would change.
         #[arg(long)]
         check: bool,
     },
-    /// What changed between two documents, by meaning. Exit code 0: nothing, or safe while serving; 1: hosts must
-    /// start again; 3: dangerous.
+    /// Compares two documents by meaning. Exit code 0: no change, or only changes that are safe while serving; 1: a
+    /// change needs a restart of hosts; 3: a change is dangerous.
     Diff {
+        /// The document in force.
         old: PathBuf,
+        /// The document to compare with it.
         new: PathBuf,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// What one host will run with: includes and templates resolved, each entry with where it came from.
+    /// Prints the configuration of one host, with includes and templates resolved and the source of each entry.
     Show {
+        /// The configuration document.
         file: PathBuf,
+        /// The name of the host.
         #[arg(long)]
         host: String,
     },
 }
 
-/// Commands on the fleet, each through any host.
+/// Commands on the fleet; any of its hosts accepts them.
 #[derive(Subcommand)]
 pub enum Fleet {
-    /// Epoch, coordinator, members with standing and reason, parts of budgets, as one host sees them; sums by the
-    /// coordinator. Exit code 1: that host knows of no coordinator.
+    /// Shows the fleet as one host sees it: epoch, coordinator, members with their states, shares of budgets. Only
+    /// the coordinator shows totals. Exit code 1: the host knows no coordinator.
     Status {
         /// The host's control socket.
         control: PathBuf,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Has machines taken out for work, one after the other as the document's `works` allows. Exit code 0: the order counts
-    /// (with --wait: all are out); 1: refused, or overdue.
+    /// Takes servers offline for maintenance, as many at a time as the document's `works` entry allows. Exit code 0:
+    /// the order is accepted (with --wait: all servers are offline); 1: refused or overdue.
     Out {
-        /// Any host's control socket.
+        /// The control socket of any host.
         control: PathBuf,
-        /// Nodes, hosts, or zones: all that is in them.
+        /// Names of nodes, hosts or zones; a zone stands for all its servers.
         #[arg(required = true)]
         names: Vec<String>,
-        /// How long each may be away; as the document says, if not given.
+        /// How long each server may stay offline. Default: `longest` of the document.
         #[arg(long, value_name = "SPAN")]
         r#for: Option<humantime::Duration>,
+        /// Shown with the order.
         #[arg(long, default_value = "")]
         reason: String,
-        /// Shards may be without a holder meanwhile.
+        /// Allows a shard to be without any node meanwhile.
         #[arg(long = "cell-away")]
         shard_away: bool,
-        /// Each is back as soon as it has started anew; else `fleet back` says so.
+        /// Ends the order once the server has restarted, without `fleet back`.
         #[arg(long)]
         returns: bool,
-        /// Waits until all may be switched off, and shows how far it is.
+        /// Waits until all servers may be switched off, and shows the progress.
         #[arg(long)]
         wait: bool,
     },
-    /// Says that machines are back from work.
+    /// Reports that servers are back from maintenance.
     Back {
+        /// The control socket of any host.
         control: PathBuf,
+        /// Names of nodes, hosts or zones.
         #[arg(required = true)]
         names: Vec<String>,
     },
-    /// Takes the order for machines back that are not out yet.
+    /// Cancels the orders of servers that are not offline yet.
     Cancel {
+        /// The control socket of any host.
         control: PathBuf,
+        /// Names of nodes, hosts or zones.
         #[arg(required = true)]
         names: Vec<String>,
     },
-    /// Machines in line, how far each is and what it waits for.
+    /// Shows the maintenance queue: the stage of each server and what it waits for. Exit code 1: the host does not
+    /// know the queue.
     #[command(alias = "works")]
     Maintenance {
+        /// The control socket of any host.
         control: PathBuf,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
@@ -206,26 +248,30 @@
 /// Commands on traffic between zones.
 #[derive(Subcommand)]
 pub enum Zones {
-    /// Where volumes' new objects should go, zone by zone, to keep reserves and cost least. Exit code 1: nothing
-    /// keeps all that the document asks for, and what clashes.
+    /// Plans, zone by zone, where new objects of volumes should be placed so that reservations hold at the least
+    /// cost. Exit code 1: no plan meets all constraints; the conflicting ones are printed.
     Plan {
+        /// The configuration document.
         file: PathBuf,
-        /// Of a GiB that crosses.
+        /// Price of one GiB between zones.
         #[arg(long, default_value_t = 0.01)]
         price: f64,
-        /// Writes the document with pools and routes by the plan here.
+        /// File to which the document is written, with pools and routes by the plan.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// What crossed, by zones, plan and reason, and what went past budgets.
+    /// Reports the traffic between zones by zone, plan and reason, and the budget overruns.
     Report {
-        /// Control sockets of running hosts, or folders of recorded days.
+        /// Control sockets of running hosts, or folders of recorded scenarios.
         #[arg(required = true)]
         sources: Vec<PathBuf>,
+        /// Price of one GiB between zones.
         #[arg(long, default_value_t = 0.01)]
         price: f64,
+        /// Prints JSON.
         #[arg(long, conflicts_with = "csv")]
         json: bool,
+        /// Prints CSV.
         #[arg(long)]
         csv: bool,
     },
--- a/crates/cli/src/atomic_file.rs
+++ b/crates/cli/src/atomic_file.rs
@@ -1,13 +1,13 @@
-//! Files that are replaced whole or not at all.
+//! Replaces files atomically.
 
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Writes beside the file, on the same disk, then takes its place; who reads meanwhile has the old one whole
-/// or the new one. A link stays a link, and permissions stay as they were.
+/// Writes a temporary file on the same disk and renames it over `file`, so that a concurrent reader sees the old
+/// content or the new one. A link stays a link, and permissions stay as they were.
 ///
 /// # Errors
-/// It can't be written, as on a full disk; the file is as it was then.
+/// The file cannot be written, as on a full disk; it is unchanged then.
 pub fn write(file: &Path, text: &str) -> io::Result<()> {
     let file = if file.exists() {
         file.canonicalize()?
@@ -19,7 +19,7 @@
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
     let before = match std::fs::metadata(&file) {
-        // What is no regular file, such as a terminal, can't be replaced.
+        // Only a regular file can be replaced; a terminal, for example, is written to.
         Ok(m) if !m.is_file() => return std::fs::write(&file, text),
         Ok(m) if m.permissions().readonly() => return Err(io::ErrorKind::PermissionDenied.into()),
         before => before.ok(),
--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -1,4 +1,5 @@
-//! The commands on documents: check, explain, fmt, diff, show.
+//! The commands on configuration documents (check, explain, fmt, diff, show) and the commands that a running
+//! host answers (reload, status).
 
 use crate::{atomic_file, logs};
 use gullsail_configuration::diff::{Class, diff as compare};
@@ -14,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A document's files lie below the folder of its first one.
+/// The files of a document, all below the folder of its first one, and the name of that first one.
 pub fn files(file: &Path) -> Result<(Files, String)> {
     let folder = file
         .parent()
@@ -22,7 +23,7 @@
         .unwrap_or(Path::new("."));
     let name = file
         .file_name()
-        .ok_or_else(|| miette!("{} is no file", file.display()))?;
+        .ok_or_else(|| miette!("{} is not a file", file.display()))?;
     let files = Files::new(folder)
         .into_diagnostic()
         .wrap_err_with(|| format!("can't read {}", file.display()))?;
@@ -37,15 +38,15 @@
     Ok(gullsail_configuration::load(&files, &name))
 }
 
-/// A sound document and its warnings.
+/// Reads a document without errors; returns it with its warnings.
 pub fn read(file: &Path) -> Result<(Deployment, Vec<Problem>)> {
     Ok(load(file)??)
 }
 
-/// Says all that is wrong with a document.
+/// Reports all problems of a document.
 pub fn check(file: &Path, json: bool) -> Result<ExitCode> {
-    let (sound, problems) = match load(file)? {
-        Ok((d, warnings)) => (Some(d), warnings),
+    let (deployment, problems) = match load(file)? {
+        Ok((deployment, warnings)) => (Some(deployment), warnings),
         Err(e) => (None, e.problems),
     };
     for p in &problems {
@@ -62,43 +63,45 @@
             logs::say(&format!("{}:{}:{}\n{text}", p.file, p.line, p.column));
         }
     }
-    let Some(d) = sound else {
+    let Some(deployment) = deployment else {
         if !json {
             let errors = problems
                 .iter()
                 .filter(|p| p.weight == Weight::Error)
                 .count();
             logs::say(&format!(
-                "{}: {errors} error(s); `gullsail explain CODE` tells more",
+                "{}: {errors} error(s); `gullsail explain CODE` explains each",
                 file.display()
             ));
         }
         return Ok(ExitCode::from(2));
     };
     if !json {
-        let (hosts, nodes, volumes) = (d.hosts.len(), d.nodes.len(), d.volumes.len());
+        let hosts = deployment.hosts.len();
+        let nodes = deployment.nodes.len();
+        let volumes = deployment.volumes.len();
         println!(
-            "{}: sound; {hosts} hosts, {nodes} nodes, {volumes} volumes",
+            "{}: no errors; {hosts} hosts, {nodes} nodes, {volumes} volumes",
             file.display()
         );
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tells more of one kind of problem.
+/// Explains one kind of problem.
 pub fn explain(code: &str) -> Result<ExitCode> {
     let Some(text) = codes::explain(code) else {
         let known: Vec<_> = codes::CODES.iter().map(|c| c.0).collect();
         return Err(miette!(
             help = known.join(", "),
-            "no problem has the code {code}"
+            "no problem has the code \"{code}\""
         ));
     };
     println!("{code}\n\n{text}");
     Ok(ExitCode::SUCCESS)
 }
 
-/// Formats documents in place, or says which are not.
+/// Formats documents in place; with `check`, only names those that would change.
 pub fn format(files: &[PathBuf], check: bool) -> Result<ExitCode> {
     let mut differ = false;
     for file in files {
@@ -106,8 +109,12 @@
             .into_diagnostic()
             .wrap_err_with(|| file.display().to_string())?;
         let formatted = gullsail_configuration::format::format(&text);
-        let formatted =
-            formatted.map_err(|why| miette!("{} is left as it is: {why}", file.display()))?;
+        let formatted = formatted.map_err(|why| {
+            miette!(
+                "{}: not formatted, the file is unchanged: {why}",
+                file.display()
+            )
+        })?;
         if formatted == text {
             continue;
         }
@@ -127,7 +134,7 @@
     })
 }
 
-/// Says what changed between two documents and what that asks for.
+/// Prints what changed between two documents and what each change needs.
 pub fn diff(old: &Path, new: &Path, json: bool) -> Result<ExitCode> {
     let changes = compare(&read(old)?.0, &read(new)?.0);
     for c in &changes {
@@ -157,8 +164,8 @@
     })
 }
 
-/// A line for each value of an entry that a template was given elsewhere.
-fn given(reader: &Reader, node: &KdlNode, out: &mut String) {
+/// Adds a line for each value of an entry that a template takes from elsewhere.
+fn append_template_values(reader: &Reader, node: &KdlNode, out: &mut String) {
     for e in node.entries() {
         let from = reader.given_at(e.span().offset());
         if !from.is_empty() {
@@ -170,10 +177,10 @@
         }
     }
     node.iter_children()
-        .for_each(|child| given(reader, child, out));
+        .for_each(|child| append_template_values(reader, child, out));
 }
 
-/// Shows what one host runs with.
+/// Prints the configuration of one host, each entry with its source.
 pub fn show(file: &Path, host: &str) -> Result<ExitCode> {
     let (d, _) = read(file)?;
     let me = d.host(host).ok_or_else(|| {
@@ -193,12 +200,12 @@
         let foreign = d
             .volume(named)
             .is_some_and(|v| kind == "volume" && !v.through(me));
-        // Machines are the stand-ins', a day the scripts'.
+        // `machine` is for simulated nodes and `day` for scenarios: no host reads them.
         if !foreign && !["machine", "day"].contains(&kind) {
             let origin = reader.origin(node.span().offset());
-            // Who reads it may have seen enough.
+            // The reader of a pipe may have closed it: the rest is not needed then.
             let mut values = String::new();
-            given(&reader, node, &mut values);
+            append_template_values(&reader, node, &mut values);
             if writeln!(out, "// {origin}\n{values}{}", node.to_string().trim()).is_err() {
                 break;
             }
@@ -207,7 +214,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A document as it is read again for a host that serves by it.
+/// How a running host reads its document again.
 pub fn reader_of(file: PathBuf) -> Arc<Load> {
     Arc::new(move || match load(&file) {
         Ok(Ok((d, _))) => Ok(d),
@@ -225,7 +232,7 @@
     })
 }
 
-/// Has a host read its document again. Exit code 0: it serves by it now; 1: turned down; 2: it is not sound.
+/// Makes a host reload its document. Exit code 0: the new one is in force; 1: refused; 2: it has errors.
 pub async fn reload(control: &Path, insist: bool, json: bool) -> Result<ExitCode> {
     let reply = ask(control, ControlRequest::Reload { insist }).await?;
     if json {
@@ -234,14 +241,14 @@
     Ok(match &reply {
         ControlReply::Taken { revision, changes } => {
             if !json {
-                println!("taken: revision {revision}, {} change(s)", changes.len());
+                println!("reloaded: revision {revision}, {} change(s)", changes.len());
             }
             ExitCode::SUCCESS
         }
         ControlReply::TurnedDown { why } => {
             why.iter()
                 .filter(|_| !json)
-                .for_each(|w| println!("turned down: {w}"));
+                .for_each(|w| println!("refused: {w}"));
             ExitCode::from(1)
         }
         ControlReply::Broken { problems } => {
@@ -262,7 +269,7 @@
     })
 }
 
-/// Shows a host's state, for people.
+/// Prints a host's state as JSON.
 pub async fn status(control: &Path) -> Result<ExitCode> {
     println!(
         "{}",
@@ -271,7 +278,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Asks a host for its state over its control socket.
+/// Reads a host's state over its control socket.
 pub async fn state(control: &Path) -> Result<State> {
     match ask(control, ControlRequest::Status).await? {
         ControlReply::Status(state) => Ok(*state),
@@ -281,11 +288,11 @@
 
 async fn ask(control: &Path, ask: ControlRequest) -> Result<ControlReply> {
     let reply = gullsail_host::control::ask(control, ask, Duration::from_secs(60)).await;
-    let strange = reply
+    let unreadable = reply
         .as_ref()
         .is_err_and(|e| e.kind() == std::io::ErrorKind::InvalidData);
-    let what = if strange {
-        "what answers is not understood"
+    let what = if unreadable {
+        "no gullsail host, or one of another version, answers"
     } else {
         "no host answers"
     };
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,137 +1,202 @@
-//! What the hosts of a fleet settled, as one of them sees it.
+//! `gullsail fleet status`: the fleet as one of its hosts sees it.
 
 use crate::documents::state;
-use gullsail_fleet::status::{MemberStatus, Status};
+use comfy_table::Table;
+use gullsail_fleet::MemberState;
+use gullsail_fleet::status::{BudgetStatus, MemberStatus, Status};
 use gullsail_host::core::fleet::FleetView;
 use miette::{IntoDiagnostic, Result, miette};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Exit code 0: told; 1: nothing is settled there, or nobody decides as far as that host knows.
+/// Shares are counted in millionths of the whole; so many of them are one percent.
+const MILLIONTHS_PER_PERCENT: f64 = 1e4;
+
+/// Prints the fleet's status. Exit code 0: the host knows a coordinator; 1: it knows none.
 pub async fn status(control: &Path, json: bool) -> Result<ExitCode> {
     let state = state(control).await?;
     let Some(view) = state.fleet else {
         return Err(miette!(
-            help = "fleet \"town\" lease=\"2s\" drift=0.002 voters=5 floor=0.3",
-            "{}: its document has no `fleet`, or it is off: hosts keep to even parts",
+            help = "fleet \"town\" lease=\"2s\" drift=0.002 voters=5 floor=0.2",
+            "{}: its document has no `fleet` entry, or the entry is off: hosts keep to even shares",
             state.host
         ));
     };
     if json {
         println!("{}", serde_json::to_string_pretty(&view).into_diagnostic()?);
     } else {
-        print!("{}", text(&view));
+        print!("{}", Report { view: &view }.text());
     }
-    Ok(if view.status.coordinator.is_some() {
-        ExitCode::SUCCESS
+    if view.status.coordinator.is_some() {
+        Ok(ExitCode::SUCCESS)
     } else {
-        ExitCode::from(1)
-    })
+        Ok(ExitCode::from(1))
+    }
 }
 
-fn ms(span: Option<f64>) -> String {
-    span.map_or("-".into(), |ms| format!("{ms:.0} ms"))
+/// The status as text for people.
+struct Report<'a> {
+    view: &'a FleetView,
 }
 
-/// In millionths, as parts of a hundred.
-fn part(share: u64) -> String {
-    format!("{:.2}%", share as f64 / 1e4)
-}
+impl Report<'_> {
+    fn text(&self) -> String {
+        let status = &self.view.status;
+        let mut lines = vec![format!(
+            "fleet {}, epoch {}, as {} sees it",
+            self.view.name,
+            status.epoch,
+            self.host_name(status.me)
+        )];
+        lines.push(format!("coordinator: {}", self.coordinator()));
+        lines.extend(self.conditions());
+        lines.push(format!("member lease: {}", member_lease(status)));
+        lines.push(self.member_table().to_string());
+        lines.push(self.budget_table().to_string());
+        if status
+            .members
+            .iter()
+            .all(|member| member.last_renewal_ms.is_none())
+        {
+            lines.push(
+                "only the coordinator knows what all hosts hold: ask it for the totals".into(),
+            );
+        }
+        for (cause, count) in &status.dropped {
+            lines.push(format!("messages dropped: {count} {cause}"));
+        }
+        lines.join("\n") + "\n"
+    }
 
-fn text(view: &FleetView) -> String {
-    let s: &Status = &view.status;
-    let name = |h: u32| {
-        view.hosts
-            .get(h as usize)
-            .cloned()
-            .unwrap_or_else(|| format!("host {h}"))
-    };
-    let mut text = format!(
-        "fleet {}, epoch {}, as {} sees it\n",
-        view.name,
-        s.epoch,
-        name(s.me)
-    );
-    text += &match (s.coordinator, s.decides_for_ms) {
-        (_, Some(left)) => {
-            format!("coordinator: this host, for {left:.0} ms unless it renews that\n")
+    fn host_name(&self, host: u32) -> String {
+        match self.view.hosts.get(host as usize) {
+            Some(name) => name.clone(),
+            None => format!("host {host}"),
         }
-        (Some(c), _) => format!("coordinator: {}\n", name(c)),
-        (None, _) => "coordinator: none is known here; floors count, and nothing grows\n".into(),
-    };
-    if let Some(left) = s.takes_over_ms {
-        text += &format!(
-            "it takes over: what an earlier one granted is over in {left:.0} ms; until then nothing grows\n"
-        );
     }
-    if let Some(left) = s.recovering_ms {
-        text += &format!("newly born: as a voter it says nothing for {left:.0} ms\n");
+
+    fn coordinator(&self) -> String {
+        let status = &self.view.status;
+        if let Some(left) = status.decides_for_ms {
+            return format!("this host (its coordinator lease lasts {left:.0} ms unless renewed)");
+        }
+        match status.coordinator {
+            Some(host) => self.host_name(host),
+            None => {
+                "unknown to this host; floor shares apply once leases expire, no share grows".into()
+            }
+        }
+    }
+
+    /// What keeps this host from its usual part in the fleet.
+    fn conditions(&self) -> Vec<String> {
+        let status = &self.view.status;
+        let mut lines = Vec::new();
+        if let Some(left) = status.takes_over_ms {
+            lines.push(format!(
+                "taking over: grants of the previous coordinator expire within {left:.0} ms; no share grows before"
+            ));
+        }
+        if let Some(left) = status.recovering_ms {
+            lines.push(format!(
+                "recovering after a start: as a voter it answers no candidate for {left:.0} ms"
+            ));
+        }
+        if status.fenced {
+            lines.push(
+                "fenced: another process holds the lease under this host's name; its shares are zero".into(),
+            );
+        }
+        lines
+    }
+
+    fn member_table(&self) -> Table {
+        let mut table = new_table(&["member", "state", "last renewal", "lease expires in"]);
+        for member in &self.view.status.members {
+            table.add_row([
+                self.host_name(member.host),
+                state_name(member.state).to_string(),
+                self.renewal(member),
+                member
+                    .over_ms
+                    .map_or("-".into(), |left| format!("{left:.0} ms")),
+            ]);
+        }
+        table
     }
-    if s.fenced {
-        text += "another process holds this host's name: this one uses nothing\n";
+
+    /// How a member's last renewal came; only the coordinator knows.
+    fn renewal(&self, member: &MemberStatus) -> String {
+        let age = match member.last_renewal_ms {
+            Some(age) => format!("{age:.0} ms ago"),
+            None => "-".into(),
+        };
+        match (member.state, member.via) {
+            (MemberState::Suspected, _) => format!("{age}; other hosts are asked to reach it"),
+            (MemberState::Member, Some(relay)) => {
+                format!("{age}, relayed by {}", self.host_name(relay))
+            }
+            _ => age,
+        }
     }
-    text += &format!(
-        "own lease: {}\n",
-        s.lease_ms
-            .map_or("none: its floors count".into(), |l| format!(
-                "{l:.0} ms left"
-            ))
-    );
-    let mut members = comfy_table::Table::new();
-    members.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
-    members.set_header(["member", "standing", "why", "lease over in"]);
-    for m in &s.members {
-        members.add_row([
-            name(m.host),
-            format!("{:?}", m.state).to_lowercase(),
-            why(m, &name),
-            ms(m.over_ms),
-        ]);
+
+    fn budget_table(&self) -> Table {
+        let columns = [
+            "budget",
+            "share of this host",
+            "committed over all hosts",
+            "committed by host",
+        ];
+        let mut table = new_table(&columns);
+        for budget in &self.view.status.budgets {
+            table.add_row([
+                self.budget_name(budget.budget),
+                percent(u64::from(budget.share)),
+                budget.counted.map_or("-".into(), percent),
+                self.shares_by_host(budget),
+            ]);
+        }
+        table
     }
-    let mut budgets = comfy_table::Table::new();
-    budgets.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
-    budgets.set_header([
-        "budget",
-        "this host may use",
-        "counted of the whole",
-        "by host",
-    ]);
-    let name_of = |id: u64| {
-        let named = view.budgets.iter().find(|b| b.0 == id).map(|b| b.1.clone());
-        named.unwrap_or_else(|| format!("budget {id}"))
-    };
-    for b in &s.budgets {
-        let parts = b
-            .parts
-            .iter()
-            .map(|(h, share)| format!("{} {}", name(*h), part(u64::from(*share))));
-        budgets.add_row([
-            name_of(b.budget),
-            part(u64::from(b.share)),
-            b.counted.map_or("-".into(), part),
-            parts.collect::<Vec<_>>().join(", "),
-        ]);
+
+    fn budget_name(&self, id: u64) -> String {
+        let named = self.view.budgets.iter().find(|budget| budget.0 == id);
+        named.map_or_else(|| format!("budget {id}"), |budget| budget.1.clone())
     }
-    text += &format!("{members}\n{budgets}\n");
-    if s.members.iter().all(|m| m.last_renewal_ms.is_none()) {
-        text += "what others hold is counted by the coordinator: ask it for the sums\n";
+
+    fn shares_by_host(&self, budget: &BudgetStatus) -> String {
+        let parts = budget.parts.iter();
+        let shares = parts.map(|(host, share)| {
+            format!("{} {}", self.host_name(*host), percent(u64::from(*share)))
+        });
+        shares.collect::<Vec<_>>().join(", ")
     }
-    for (why, n) in &s.dropped {
-        text += &format!("notes dropped: {n} {why}\n");
+}
+
+fn new_table(columns: &[&str]) -> Table {
+    let mut table = Table::new();
+    table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
+    table.set_header(columns);
+    table
+}
+
+fn member_lease(status: &Status) -> String {
+    match status.lease_ms {
+        Some(left) => format!("{left:.0} ms left"),
+        None => "none, so this host is limited to its floor shares".into(),
     }
-    text
 }
 
-fn why(m: &MemberStatus, name: &impl Fn(u32) -> String) -> String {
-    use gullsail_fleet::MemberState::*;
-    let heard = m
-        .last_renewal_ms
-        .map_or(String::new(), |ms| format!("heard {ms:.0} ms ago"));
-    match (m.state, m.via) {
-        (Member, Some(via)) => format!("{heard}, through {} only", name(via)),
-        (Member, None) => heard,
-        (Suspected, _) => format!("silent for half of its lease, asked through others; {heard}"),
-        (Out, _) => format!("its lease is over; {heard}"),
-        (Left, _) => format!("it said that it goes; {heard}"),
+fn state_name(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Member => "member",
+        MemberState::Suspected => "suspected (no renewal for half a lease)",
+        MemberState::Out => "out (lease expired)",
+        MemberState::Left => "left (graceful shutdown)",
     }
 }
+
+/// A share in millionths, as people read it.
+fn percent(millionths: u64) -> String {
+    format!("{:.2}%", millionths as f64 / MILLIONTHS_PER_PERCENT)
+}
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs on standard error, written by a thread of their own from a queue with a bound: a reader that stops, a
-//! full disk or a closed pipe costs lines, which are counted, and never holds up what is served.
+//! Logs on standard error, written by a thread of their own from a bounded queue. A reader that stops, a full
+//! disk or a closed pipe costs log lines, which are counted, and never delays requests.
 
 use std::io::Write;
 use std::time::Duration;
@@ -8,23 +8,23 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that wait for their reader: some megabytes.
-const LINES: usize = 8192;
-/// How often lost lines are looked for.
-const LOOK: Duration = Duration::from_secs(5);
+/// Most lines in the queue: some megabytes of memory. With fewer, bursts of lines are lost.
+const MAX_QUEUED_LINES: usize = 8192;
+/// How often lost lines are looked for: a warning every few seconds at most.
+const LOSS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the writer of the logs running; what it still holds is written when this is dropped.
+/// Keeps the log writer running; queued lines are written when this is dropped.
 pub struct Logs {
     lost: ErrorCounter,
-    /// Writes what waits when the program ends, for a second at most.
+    /// Writes the queued lines when the program ends, for a second at most.
     _guard: WorkerGuard,
 }
 
-/// Begins logging on standard error.
+/// Starts logging on standard error.
 pub fn start(level: &str, json: bool) -> Logs {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(std::io::stderr());
     let lost = writer.error_counter();
     let logs = tracing_subscriber::fmt()
@@ -43,37 +43,40 @@
 }
 
 impl Logs {
-    /// Lines that nobody will read.
+    /// How many lines were lost so far.
     pub fn lost(&self) -> usize {
         self.lost.dropped_lines()
     }
 
-    /// Says so, once there is room for a line again. Never ends.
+    /// Warns of lost lines once the queue has room again. Never returns.
     pub async fn watch(&self) {
-        let mut reply = 0;
+        let mut reported = 0;
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(LOSS_CHECK_INTERVAL).await;
             let lost = self.lost();
-            if lost > reply {
+            if lost > reported {
                 warn!(
                     log_lines_lost = lost,
-                    "the log's reader does not keep up: lines are lost"
+                    "log lines lost: the reader of standard error is too slow"
                 );
-                // If that line was lost too, it is said again.
-                reply = if self.lost() == lost { lost } else { reply };
+                // If that line was lost too, the warning is repeated.
+                if self.lost() == lost {
+                    reported = lost;
+                }
             }
         }
     }
 }
 
-/// For people, on standard error; if that can't be written there is nobody to tell.
+/// Prints a message for people on standard error.
 pub fn say(text: &str) {
+    // If standard error cannot be written, there is nowhere left to report that.
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
-/// A file that may not grow any more ends a process by a signal, unless somebody takes it; then writing
-/// fails, and that costs a line.
-pub fn outlive_full_files() {
+/// Ignores SIGXFSZ, which ends a process that writes to a file at its size limit. The write then fails, which
+/// costs a log line.
+pub fn survive_file_size_limit() {
     if let Ok(mut full) = signal(SignalKind::from_raw(
         nix::sys::signal::Signal::SIGXFSZ as i32,
     )) {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,6 @@
-//! The program `gullsail`: arguments, logs, exit codes. Exit code 0: done as asked; 1: a day failed, or a
-//! process could not go on; 2: the arguments or a document are wrong.
+//! The program `gullsail`: arguments, logs, exit codes. Exit code 0: success; 1: a scenario failed, a command was
+//! refused or a process could not go on; 2: the arguments or a document are wrong. `arguments` names the exit
+//! codes of single commands.
 
 mod arguments;
 mod atomic_file;
@@ -27,12 +28,12 @@
     {
         Ok(runtime) => runtime,
         Err(e) => {
-            logs::say(&format!("no runtime: {e}"));
+            logs::say(&format!("cannot start the async runtime: {e}"));
             return ExitCode::from(1);
         }
     };
     let ended = runtime.block_on(run(arguments.command, &logs));
-    // A document that a disk never gives back is read in a thread that can't be ended: it is not waited for.
+    // A thread that reads a document from a disk that never answers cannot be ended: do not wait for it.
     runtime.shutdown_background();
     match ended {
         Ok(code) => code,
@@ -44,7 +45,7 @@
 }
 
 async fn run(command: Command, logs: &logs::Logs) -> Result<ExitCode> {
-    logs::outlive_full_files();
+    logs::survive_file_size_limit();
     match command {
         Command::Host {
             file,
@@ -81,7 +82,7 @@
             for (name, what) in gullsail_scenario::built_in::all() {
                 println!("{name:<14} {what}");
             }
-            println!("{:<14} Two kinds of trouble, drawn by --seed.", "random");
+            println!("{:<14} Two kinds of faults, drawn by --seed.", "random");
             Ok(ExitCode::SUCCESS)
         }
         Command::Scenario {
@@ -112,7 +113,7 @@
                 returns,
                 reason,
             };
-            maintenance::say(&control, command, waits).await
+            maintenance::send_command(&control, command, waits).await
         }
         Command::Fleet(Fleet::Back { control, names }) => {
             let command = OperatorCommand {
@@ -120,7 +121,7 @@
                 names,
                 ..OperatorCommand::default()
             };
-            maintenance::say(&control, command, None).await
+            maintenance::send_command(&control, command, None).await
         }
         Command::Fleet(Fleet::Cancel { control, names }) => {
             let command = OperatorCommand {
@@ -128,7 +129,7 @@
                 names,
                 ..OperatorCommand::default()
             };
-            maintenance::say(&control, command, None).await
+            maintenance::send_command(&control, command, None).await
         }
         Command::Fleet(Fleet::Maintenance { control, json }) => {
             maintenance::show(&control, json).await
@@ -150,7 +151,7 @@
 }
 
 async fn platform(file: PathBuf, logs: &logs::Logs) -> Result<ExitCode> {
-    // First of all: until somebody takes it, SIGHUP ends a process.
+    // Before anything else: SIGHUP ends a process that has no handler for it.
     let signals = gullsail_platform::runtime::Signals::register()?;
     let document = gullsail_platform::runtime::read_settings(&file)?;
     tokio::select! {
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! Machines out for work: operators' words to any host, and the line as that host knows it.
+//! `gullsail fleet out | back | cancel | maintenance`: operator commands to any host, and the maintenance queue
+//! as that host knows it.
 
 use crate::documents::state;
 use gullsail_fleet::maintenance::Stage;
@@ -10,17 +11,20 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longer than a host goes on asking whoever decides.
-const PATIENCE: Duration = Duration::from_secs(400);
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+/// How long to wait for a command's result: longer than a host goes on asking the coordinator.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(400);
+/// How often `--wait` asks for the queue.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Exit code 0: it counts; 1: it is refused, or with `wait` one is overdue.
-pub async fn say(
+/// Sends a command to a host. With `wait_for`, waits until these servers are offline. Exit code 0: the command
+/// is accepted; 1: it is refused, or a server is overdue or its order cancelled.
+pub async fn send_command(
     control: &Path,
     command: OperatorCommand,
-    wait: Option<Vec<String>>,
+    wait_for: Option<Vec<String>>,
 ) -> Result<ExitCode> {
-    let reply = ask(control, ControlRequest::OperatorCommand(command), PATIENCE)
+    let request = ControlRequest::OperatorCommand(command);
+    let reply = ask(control, request, COMMAND_TIMEOUT)
         .await
         .into_diagnostic();
     match reply.wrap_err_with(|| format!("the host at {}", control.display()))? {
@@ -29,68 +33,89 @@
             println!("refused: {}", why.join("; "));
             return Ok(ExitCode::from(1));
         }
-        other => return Err(miette!("the host at {} said {other:?}", control.display())),
+        other => {
+            return Err(miette!(
+                "unexpected reply of the host at {}: {other:?}",
+                control.display()
+            ));
+        }
     }
-    let Some(names) = wait else {
+    let Some(names) = wait_for else {
         print!("{}", text(&view(control).await?));
         return Ok(ExitCode::SUCCESS);
     };
-    all_out(control, &names).await
+    wait_until_offline(control, &names).await
 }
 
-/// Waits until each machine of these may be switched off, or could be before. A zone's name stands for all
-/// that is in line when it is said.
-async fn all_out(control: &Path, names: &[String]) -> Result<ExitCode> {
+/// Waits until each of these servers may be switched off, or could be before. A zone's name stands for all
+/// servers that are queued when the wait begins.
+async fn wait_until_offline(control: &Path, names: &[String]) -> Result<ExitCode> {
     let style = ProgressStyle::with_template("{wide_bar} {pos}/{len} {msg}").into_diagnostic()?;
     let bar = ProgressBar::new(0).with_style(style);
-    let mut mine: Option<Vec<String>> = None;
+    let mut awaited: Option<Vec<String>> = None;
     loop {
         let view = view(control).await?;
-        let servers = mine.get_or_insert_with(|| {
-            let server = |name: &String| view.orders.iter().any(|o| o.server == *name);
-            let all = names.iter().all(server);
-            let open = view
-                .orders
-                .iter()
-                .filter(|o| !o.stage.over() && (!all || names.contains(&o.server)));
-            open.map(|o| o.server.clone()).collect()
-        });
-        let orders: Vec<&OrderView> = view
-            .orders
-            .iter()
-            .filter(|o| servers.contains(&o.server))
-            .collect();
-        let waiting: Vec<&&OrderView> =
-            orders.iter().filter(|o| o.stage < Stage::Offline).collect();
-        bar.set_length(servers.len() as u64);
-        bar.set_position((servers.len() - waiting.len().min(servers.len())) as u64);
-        if let Some(o) = orders
-            .iter()
-            .find(|o| matches!(o.stage, Stage::Overdue | Stage::Cancelled))
-        {
+        let servers = awaited.get_or_insert_with(|| servers_named(&view, names));
+        let is_awaited = |order: &&OrderView| servers.contains(&order.server);
+        let orders: Vec<&OrderView> = view.orders.iter().filter(is_awaited).collect();
+        if let Some(order) = orders.iter().find(|order| has_failed(order)) {
             bar.abandon();
-            println!("{} is {}{}", o.server, name(o.stage), why(o));
+            println!(
+                "{} is {}{}",
+                order.server,
+                stage_name(order.stage),
+                details(order)
+            );
             return Ok(ExitCode::from(1));
         }
-        let Some(next) = waiting.first() else {
+        let mut pending = orders
+            .iter()
+            .filter(|order| order.stage < Stage::Offline)
+            .peekable();
+        let Some(next) = pending.peek().copied() else {
             bar.finish();
             print!("{}", text(&view));
             return Ok(ExitCode::SUCCESS);
         };
-        bar.set_message(format!("{} {}{}", next.server, name(next.stage), why(next)));
-        tokio::time::sleep(LOOK_AGAIN).await;
+        bar.set_length(servers.len() as u64);
+        bar.set_position(servers.len().saturating_sub(pending.count()) as u64);
+        bar.set_message(format!(
+            "{} {}{}",
+            next.server,
+            stage_name(next.stage),
+            details(next)
+        ));
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
+/// The servers of open orders that the names stand for: themselves where each names a server, else all.
+fn servers_named(view: &MaintenanceView, names: &[String]) -> Vec<String> {
+    let names_a_server = |name: &String| view.orders.iter().any(|order| order.server == *name);
+    let all_are_servers = names.iter().all(names_a_server);
+    let open = view.orders.iter().filter(|order| !order.stage.over());
+    let named = open.filter(|order| !all_are_servers || names.contains(&order.server));
+    named.map(|order| order.server.clone()).collect()
+}
+
+fn has_failed(order: &OrderView) -> bool {
+    matches!(order.stage, Stage::Overdue | Stage::Cancelled)
+}
+
 async fn view(control: &Path) -> Result<MaintenanceView> {
     let state = state(control).await?;
     let help = "works at-once=1 keep=0.8 longest=\"30min\" watched=\"30s\" blind=\"5min\"";
-    state
-        .maintenance
-        .ok_or_else(|| miette!(help = help, "{}: its document has no `works`", state.host))
+    let missing = || {
+        miette!(
+            help = help,
+            "{}: its document has no `works` entry",
+            state.host
+        )
+    };
+    state.maintenance.ok_or_else(missing)
 }
 
-/// Shows the maintenance orders as one host knows them.
+/// Shows the maintenance queue as one host knows it. Exit code 1: it does not know the queue.
 pub async fn show(control: &Path, json: bool) -> Result<ExitCode> {
     let view = view(control).await?;
     if json {
@@ -98,77 +123,78 @@
     } else {
         print!("{}", text(&view));
     }
-    Ok(if view.known {
-        ExitCode::SUCCESS
+    if view.known {
+        Ok(ExitCode::SUCCESS)
     } else {
-        ExitCode::from(1)
-    })
+        Ok(ExitCode::from(1))
+    }
 }
 
-/// As operators read it; these texts stay when a stage of the program gets another name.
-fn name(stage: Stage) -> &'static str {
+/// The stage for people; JSON has the names of earlier versions.
+fn stage_name(stage: Stage) -> &'static str {
     match stage {
-        Stage::Requested => "asked",
-        Stage::Approved => "cleared",
-        Stage::Draining => "leaving",
-        Stage::Drained => "letgo",
-        Stage::Offline => "out",
+        Stage::Requested => "requested",
+        Stage::Approved => "approved",
+        Stage::Draining => "draining",
+        Stage::Drained => "drained",
+        Stage::Offline => "offline",
         Stage::Overdue => "overdue",
-        Stage::Returning => "back",
+        Stage::Returning => "returning",
         Stage::Done => "done",
         Stage::Cancelled => "cancelled",
     }
 }
 
-fn why(o: &OrderView) -> String {
-    let hosts = match o.stage {
-        _ if o.hosts.is_empty() => String::new(),
-        Stage::Draining => format!(": {}", o.hosts.join(" ")),
-        _ => format!("; lease waited out: {}", o.hosts.join(" ")),
-    };
-    let waits = if o.waits.is_empty() {
-        String::new()
+/// What an order waits for, and the hosts that it concerns.
+fn details(order: &OrderView) -> String {
+    let mut details = String::new();
+    if !order.waits.is_empty() {
+        details += &format!(", {}", order.waits);
+    }
+    if order.hosts.is_empty() {
+        return details;
+    }
+    let hosts = order.hosts.join(" ");
+    if order.stage == Stage::Draining {
+        details + &format!(": {hosts}")
     } else {
-        format!(", {}", o.waits)
-    };
-    waits + &hosts
+        details + &format!("; not confirmed by {hosts}, whose lease has expired")
+    }
 }
 
 fn text(view: &MaintenanceView) -> String {
     let mut text = String::new();
     if !view.known {
-        text +=
-            "no coordinator has told this host the line: it sends to no machine until one does\n";
+        text += "maintenance queue unknown to this host: it sends to no server until a coordinator grants it a lease\n";
     }
     if view.anew {
-        text += "most hosts were newly started when this line began: orders given before that are lost, say them again\n";
+        text += "the queue was started without a quorum that remembered it: earlier orders are lost, issue them again\n";
+    }
+    if view.orders.is_empty() {
+        return text + "no server is queued for maintenance\n";
     }
     let mut table = comfy_table::Table::new();
     table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
     table.set_header([
-        "machine",
+        "server",
         "stage",
-        "since",
-        "before it",
+        "in stage for",
+        "ahead",
         "waits for",
         "reason",
     ]);
-    for o in &view.orders {
-        let since =
-            humantime::format_duration(Duration::from_secs((o.for_ms / 1e3) as u64)).to_string();
-        let why = why(o).trim_start_matches([',', ';', ' ']).to_string();
+    for order in &view.orders {
+        let in_stage = Duration::from_secs((order.for_ms / 1e3) as u64);
         table.add_row([
-            o.server.clone(),
-            name(o.stage).to_string(),
-            since,
-            o.before.to_string(),
-            why,
-            o.reason.clone(),
+            order.server.clone(),
+            stage_name(order.stage).to_string(),
+            humantime::format_duration(in_stage).to_string(),
+            order.before.to_string(),
+            details(order)
+                .trim_start_matches([',', ';', ' '])
+                .to_string(),
+            order.reason.clone(),
         ]);
     }
-    text + &if view.orders.is_empty() {
-        "no machine is in line\n".to_string()
-    } else {
-        format!("{table}\n")
-    }
+    text + &format!("{table}\n")
 }
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -1,4 +1,5 @@
-//! The processes that the program can be: a host, the baseline, a simulated node, a simulated list service.
+//! The processes that the program can run as: a host, the baseline, a simulated node, a simulated endpoint list
+//! service.
 
 use crate::{documents, logs};
 use gullsail_configuration::HostBounds;
@@ -16,18 +17,18 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::info;
 
-/// Binds where the document says, and tells whoever started this process where that is.
+/// Binds the address of the document and prints it on standard output, for the process that started this one.
 async fn listen(address: &str, name: &str) -> Result<(TcpListener, u64)> {
     if address.is_empty() {
         return Err(miette!(
-            help = "give it an `address`, and a `listen` where it binds elsewhere",
-            "the document does not say where {name} listens"
+            help = "give it an `address`, and a `listen` if it binds another one",
+            "the document gives no address for {name}"
         ));
     }
     let bound = TcpListener::bind(address).await.into_diagnostic();
-    let listener = bound.wrap_err_with(|| format!("{name} can't listen at {address}"))?;
+    let listener = bound.wrap_err_with(|| format!("{name} cannot listen at {address}"))?;
     let address = listener.local_addr().into_diagnostic()?.to_string();
-    // Within what every reader of JSON keeps exactly.
+    // 53 bits: readers of JSON keep larger numbers only roughly.
     let incarnation = (rand::random::<u64>() >> 11).max(1);
     let listening = Listening {
         address,
@@ -39,11 +40,11 @@
         .and_then(|()| std::io::stdout().flush());
     written
         .into_diagnostic()
-        .wrap_err("can't say on standard output where this listens")?;
+        .wrap_err("cannot print the listening address on standard output")?;
     Ok((listener, listening.incarnation))
 }
 
-async fn stopped() {
+async fn stop_signal() {
     let both = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -58,7 +59,7 @@
     }
 }
 
-fn ahead(text: &str) -> Result<Span> {
+fn parse_clock_offset(text: &str) -> Result<Span> {
     let (sign, span) = text
         .strip_prefix('-')
         .map_or((1.0, text), |span| (-1.0, span));
@@ -66,7 +67,7 @@
     Ok(Span::from_millis(span.as_secs_f64() * 1e3 * sign))
 }
 
-/// Runs one host until it is told to stop.
+/// Runs one host until a stop signal.
 pub async fn host(
     file: &Path,
     name: &str,
@@ -86,12 +87,12 @@
     })?;
     let control = control.map(|path| {
         let bound = Control::bind(&path, documents::reader_of(file.into())).into_diagnostic();
-        bound.wrap_err_with(|| format!("no control socket at {}", path.display()))
+        bound.wrap_err_with(|| format!("cannot open a control socket at {}", path.display()))
     });
     let control = control.transpose()?;
     let (listener, incarnation) = listen(&d.hosts[me.0 as usize].listen, name).await?;
-    let clock = HostClock::start(ahead(clock_ahead)?).running(drift);
-    info!(host = name, incarnation, "serving");
+    let clock = HostClock::start(parse_clock_offset(clock_ahead)?).running(drift);
+    info!(host = name, incarnation, "host started");
     let process = HostProcess {
         deployment: Arc::new(d),
         me,
@@ -100,19 +101,19 @@
         clock,
     };
     let counts = tokio::select! {
-        counts = runtime::run(process, listener, control, stopped()) => counts,
+        counts = runtime::run(process, listener, control, stop_signal()) => counts,
         () = logs.watch() => return Ok(ExitCode::from(1)),
     };
     info!(
         host = name,
         log_lines_lost = logs.lost(),
         counts = serde_json::to_string(&counts).unwrap_or_default(),
-        "left"
+        "host stopped"
     );
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs the baseline in a host's place.
+/// Runs the baseline in place of a host.
 pub async fn baseline(file: &Path, name: &str, seed: u64) -> Result<ExitCode> {
     let (d, _) = documents::read(file)?;
     let me = d
@@ -121,7 +122,7 @@
     let (listener, _) = listen(&d.hosts[me.0 as usize].listen, name).await?;
     tokio::select! {
         () = gullsail_simulator::baseline::serve(Arc::new(d), me, seed, listener) => Ok(ExitCode::from(1)),
-        () = stopped() => Ok(ExitCode::SUCCESS),
+        () = stop_signal() => Ok(ExitCode::SUCCESS),
     }
 }
 
@@ -151,11 +152,11 @@
     };
     tokio::select! {
         () = gullsail_simulator::node::serve(process, listener) => Ok(ExitCode::from(1)),
-        () = stopped() => Ok(ExitCode::SUCCESS),
+        () = stop_signal() => Ok(ExitCode::SUCCESS),
     }
 }
 
-/// Runs a simulated list service.
+/// Runs a simulated endpoint list service.
 pub async fn list(file: &Path) -> Result<ExitCode> {
     let (d, _) = documents::read(file)?;
     let (listener, _) = listen(&d.list.listen, "the list").await?;
@@ -171,6 +172,6 @@
     });
     tokio::select! {
         () = gullsail_simulator::discovery::serve(entries.collect(), d.list_late, listener) => Ok(ExitCode::from(1)),
-        () = stopped() => Ok(ExitCode::SUCCESS),
+        () = stop_signal() => Ok(ExitCode::SUCCESS),
     }
 }
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Plays scenarios and judges their recordings.
+//! Plays scenarios and checks the rules on their recordings.
 
 use crate::documents;
 use gullsail_configuration::Memory;
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-fn text_of(file: &Path) -> Result<String> {
+fn read_text(file: &Path) -> Result<String> {
     std::fs::read_to_string(file)
         .into_diagnostic()
         .wrap_err_with(|| format!("can't read {}", file.display()))
@@ -37,12 +37,12 @@
         None => {
             let names: Vec<_> = gullsail_scenario::built_in::all().map(|d| d.0).collect();
             let help = format!(
-                "built-in days: {}, random; or a file with a day",
+                "built-in scenarios: {}, random; or a file with a `day` entry",
                 names.join(", ")
             );
             return Err(miette!(
                 help = help,
-                "no day is called \"{day}\", and no file"
+                "no scenario and no file is called \"{day}\""
             ));
         }
     };
@@ -72,10 +72,10 @@
     })
 }
 
-/// Judges a recording again.
+/// Checks the rules again on a recording.
 pub fn audit(dir: &Path, json: bool) -> Result<ExitCode> {
     let (d, _) = documents::read(&dir.join("script.kdl"))?;
-    let recording = text_of(&dir.join("frames.jsonl"))?;
+    let recording = read_text(&dir.join("frames.jsonl"))?;
     let verdicts = gullsail_audit::judge(&d, &recording).into_diagnostic()?;
     if json {
         println!(
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -1,4 +1,4 @@
-//! The commands on zones: plan, report.
+//! The commands on traffic between zones: plan, report.
 
 use crate::{atomic_file, documents};
 use gullsail_configuration::Reader;
@@ -15,12 +15,13 @@
 const GIB: f64 = (1u64 << 30) as f64;
 const MIB: f64 = (1u64 << 20) as f64;
 
-/// Who reads it may have seen enough and be gone.
-fn say(text: &str) {
+/// Prints on standard output.
+fn print_text(text: &str) {
+    // The reader of a pipe may have closed it: the rest is not needed then.
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Exit code 0: a plan; 1: what it is asked for clashes.
+/// Plans the placement of new objects. Exit code 0: there is a plan; 1: the constraints conflict.
 pub fn plan(file: &Path, price: f64, out: Option<PathBuf>) -> Result<ExitCode> {
     let mut text = String::new();
     let (d, _) = documents::read(file)?;
@@ -28,11 +29,12 @@
     let plan = match q.plan() {
         Ok(plan) => plan,
         Err(NoPlan::Clash(bounds)) => {
-            text += "no plan: these can't all hold, and with any one of them eased they could:\n";
+            text +=
+                "no plan: these constraints conflict; without any one of them there is a plan:\n";
             bounds
                 .into_iter()
                 .for_each(|b| text += &format!("  {}\n", q.say(b)));
-            say(&text);
+            print_text(&text);
             return Ok(ExitCode::from(1));
         }
         Err(e) => return Err(miette!("{e}")),
@@ -46,7 +48,7 @@
             "volume {}: {}\n",
             v.name,
             if parts.is_empty() {
-                "nothing is asked".into()
+                "no demand".into()
             } else {
                 parts.join(", ")
             }
@@ -73,7 +75,7 @@
             _ => ("node more", b.saves * 3600.0),
         };
         text += &format!(
-            "it is held back by {}: one {step} there saves {saves:.4} an hour\n",
+            "limited by {}: one {step} there saves {saves:.4} an hour\n",
             q.say(b.bound)
         );
     }
@@ -89,11 +91,11 @@
             out.display()
         );
     }
-    say(&text);
+    print_text(&text);
     Ok(ExitCode::SUCCESS)
 }
 
-/// What crossed between two zones for a plan, and why.
+/// The traffic between two zones for one plan and reason.
 #[derive(Debug, Default, Serialize)]
 struct Row {
     from: String,
@@ -106,7 +108,7 @@
     cost: f64,
 }
 
-/// From hosts that run, by their control sockets, or from a scenario's recording (its `hosts.json`).
+/// Reports the traffic of running hosts, by their control sockets, or of a scenario's recording (`hosts.json`).
 pub async fn report(sources: &[PathBuf], price: f64, json: bool, csv: bool) -> Result<ExitCode> {
     let states = read_states(sources).await?;
     let rows = rows(&states, price)?;
@@ -125,7 +127,7 @@
     } else {
         plain_text(&rows, &overruns)
     };
-    say(&text);
+    print_text(&text);
     Ok(ExitCode::SUCCESS)
 }
 
@@ -145,7 +147,7 @@
     Ok(states)
 }
 
-/// What crossed, summed over hosts, volumes and request classes.
+/// The traffic between zones, summed over hosts, volumes and request classes.
 fn rows(states: &[State], price: f64) -> Result<Vec<Row>> {
     let mut rows: BTreeMap<(String, String, String, String), Row> = BTreeMap::new();
     for c in states.iter().flat_map(|s| &s.crossed) {
@@ -193,14 +195,14 @@
     for r in rows {
         let plan = if r.plan.is_empty() { "-" } else { &r.plan };
         text += &format!(
-            "{} to {}  {plan:<14} {:<8} {:>9} frames {:>13} bytes ({} for nothing)  {:.4}\n",
+            "{} to {}  {plan:<14} {:<8} {:>9} frames {:>13} bytes ({} wasted)  {:.4}\n",
             r.from, r.to, r.reason, r.frames, r.bytes, r.for_nothing, r.cost
         );
     }
     for (host, p) in overruns {
         let span = (p.to_us - p.from_us) as f64 / 1e6;
         text += &format!(
-            "past the budget {}: {} bytes at {host} in {span:.1} s: {}\n",
+            "budget {} overrun: {} bytes at {host} in {span:.1} s: {}\n",
             p.budget, p.bytes, p.cause
         );
     }
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -89,7 +89,13 @@
     let tiny = DOCUMENT.replace("limit=\"100", "limit=\"50") + "revision 2 after=\"second.kdl\"\n";
     // the document, arguments, exit code, what is said, the revision served by then
     let cases: [(String, &[&str], i32, &str, u64); 7] = [
-        (DOCUMENT.into(), &[], 0, "taken: revision 0, 0 change(s)", 0),
+        (
+            DOCUMENT.into(),
+            &[],
+            0,
+            "reloaded: revision 0, 0 change(s)",
+            0,
+        ),
         (
             DOCUMENT.replace("100units/s", "100"),
             &[],
@@ -101,10 +107,16 @@
             DOCUMENT.replace("20ms", "9ms"),
             &["--insist"],
             1,
-            "turned down: rules tick",
+            "refused: rules tick",
             0,
         ),
-        (lower.clone(), &[], 0, "taken: revision 1, 1 change(s)", 1),
+        (
+            lower.clone(),
+            &[],
+            0,
+            "reloaded: revision 1, 1 change(s)",
+            1,
+        ),
         (tiny.clone(), &[], 1, "dangerous, and not insisted on", 1),
         (
             tiny.clone(),
@@ -113,7 +125,7 @@
             "{\"told\":\"turned-down\",\"why\":[\"plan",
             1,
         ),
-        (tiny, &["--insist"], 0, "taken: revision 2", 2),
+        (tiny, &["--insist"], 0, "reloaded: revision 2", 2),
     ];
     write("second.kdl", &lower);
     for (text, arguments, code, says, revision) in cases {
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -120,7 +120,10 @@
     let own = own.display().to_string();
     let cases: [(&[&str], &str); 7] = [
         (&["scenario", &own], "no plan is called \"x\""),
-        (&["scenario", "bad-dya"], "no day is called \"bad-dya\""),
+        (
+            &["scenario", "bad-dya"],
+            "no scenario and no file is called \"bad-dya\"",
+        ),
         (&["scenario", "random", "--seed", "x"], "invalid value"),
         (&["check", &bad], "no plan is called \"x\""),
         (&["check", &bad], "a span is written with its unit"),
--- a/crates/cli/tests/shortages/main.rs
+++ b/crates/cli/tests/shortages/main.rs
@@ -53,7 +53,7 @@
             .filter(|l| l.contains("log_lines_lost"));
     }
     assert!(
-        lost.is_some_and(|l| l.contains("the log's reader does not keep up")),
+        lost.is_some_and(|l| l.contains("log lines lost: the reader of standard error is too slow")),
         "what was lost is counted"
     );
     assert!(client.served(100));
