--- a/crates/audit/src/error.rs
+++ b/crates/audit/src/error.rs
@@ -2,7 +2,7 @@
 
 /// A line of a recording is no entry.
 #[derive(Debug, thiserror::Error)]
-#[error("line {line} of the recording is no entry: {why}")]
+#[error("line {line} of the recording is not a valid entry: {why}")]
 pub struct RecordingError {
     /// Counted from 1.
     pub line: usize,
--- a/crates/audit/src/rules/answers.rs
+++ b/crates/audit/src/rules/answers.rs
@@ -12,7 +12,10 @@
             verdict.tested += 1;
             judge_taken(&mut verdict, history, request);
         } else if !request.answers.is_empty() || !request.attempts.is_empty() {
-            let what = format!("{} was not taken, but more came of it", request.submit.mark);
+            let what = format!(
+                "{} was refused as invalid, but more came of it",
+                request.submit.mark
+            );
             verdict.breach(what, history.lines_of(request));
         }
     }
@@ -71,7 +74,10 @@
     }
     let mut attempts = history.attempts_of(request);
     if let Some(after) = attempts.find(|attempt| attempt.at > answer.at + FRAME_DELAY) {
-        let what = format!("{mark}: a leg to {} was sent after the answer", after.node);
+        let what = format!(
+            "{mark}: an attempt at {} was sent after the answer",
+            after.node
+        );
         verdict.breach(what, history.lines_of(request));
     }
 }
--- a/crates/audit/src/rules/drains.rs
+++ b/crates/audit/src/rules/drains.rs
@@ -18,7 +18,7 @@
 
 /// Tested by each time a host was informed so.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
-    let mut verdict = Verdict::new(3, "drains kept");
+    let mut verdict = Verdict::new(3, "nothing sent to a draining node");
     let grace = deployment.drain_grace.micros();
     for (listed, reports) in &history.endpoint_reports {
         for drain in drains(reports) {
@@ -81,7 +81,7 @@
         let nearness = after as f64 / grace.max(1) as f64;
         verdict.approach(nearness.min(MAX_NEARNESS));
         if attempt.at > from + grace + FRAME_DELAY {
-            let what = format!("{host} sent to {node} {after} us after it was told");
+            let what = format!("{host} sent to {node} {after} us after it was notified");
             verdict.breach(what, [drain.line, attempt.line]);
         }
     }
--- a/crates/audit/src/rules/idempotency.rs
+++ b/crates/audit/src/rules/idempotency.rs
@@ -98,7 +98,7 @@
         && !known_everywhere
     {
         let what = format!(
-            "{} may have run at {} and was deferred",
+            "{} may have run at {} and was rejected",
             request.submit.mark, attempt.node
         );
         verdict.breach(what, history.lines_of(request));
--- a/crates/audit/src/rules/limits.rs
+++ b/crates/audit/src/rules/limits.rs
@@ -61,7 +61,7 @@
             let excess = -bucket.level;
             let slack = limit.slack;
             let what =
-                format!("volume {volume}: {excess:.1} units past its store, {slack} allowed");
+                format!("volume {volume}: {excess:.1} units beyond its tokens, {slack} allowed");
             verdict.breach(what, [attempt.line]);
         }
     }
--- a/crates/audit/src/rules/maintenance.rs
+++ b/crates/audit/src/rules/maintenance.rs
@@ -79,7 +79,7 @@
 }
 
 fn nothing_sent(history: &History, absences: &[Absence]) -> Verdict {
-    let mut verdict = Verdict::new(13, "nothing sent to what is out for work");
+    let mut verdict = Verdict::new(13, "nothing sent to an offline server");
     for Absence {
         server,
         offline_at,
@@ -97,7 +97,7 @@
             if attempt.at > offline_at + FRAME_DELAY && attempt.at + FRAME_DELAY < *back_at {
                 let after = attempt.at - offline_at;
                 let what = format!(
-                    "{} sent to {server} {after} us after it was out",
+                    "{} sent to {server} {after} us after it was offline",
                     attempt.host
                 );
                 verdict.breach(what, [*line, attempt.line]);
@@ -108,7 +108,7 @@
 }
 
 fn not_too_many(deployment: &Deployment, bounds: &Bounds, absences: &[Absence]) -> Verdict {
-    let mut verdict = Verdict::new(14, "machines out for work within their number");
+    let mut verdict = Verdict::new(14, "servers offline within their number");
     for absence in absences {
         // Those that are away at the moment at which this one goes offline.
         let is_away = |other: &&Absence| {
@@ -176,7 +176,7 @@
     verdict.approach(*count as f64 / f64::from((*most).max(1)));
     if *count as u32 > *most {
         let names: Vec<&str> = away.iter().map(|other| other.server).collect();
-        let what = format!("{count} of {most} out {scope}: {}", names.join(" "));
+        let what = format!("{count} of {most} offline {scope}: {}", names.join(" "));
         verdict.breach(what, away.iter().map(|other| other.line));
     }
 }
--- a/crates/audit/src/rules/ordering.rs
+++ b/crates/audit/src/rules/ordering.rs
@@ -20,7 +20,7 @@
 
 /// Tested by each attempt of a request that came while an earlier one of its key was open.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
-    let mut verdict = Verdict::new(5, "order kept by key");
+    let mut verdict = Verdict::new(5, "order kept for each key");
     let settle = deployment.figures().order_settle.micros();
     for (queue, mut requests) in queues(deployment, history) {
         requests.sort_by_key(|request| (request.at, request.line));
@@ -152,7 +152,7 @@
             let Queue { host, key, .. } = queue;
             let mark = &request.submit.mark;
             let what = format!(
-                "{host}, key {key}: {mark} sent {rest} us after a leg of {} ended unknown",
+                "{host}, key {key}: {mark} sent {rest} us after an attempt of {} ended unknown",
                 before.submit.mark
             );
             verdict.breach(what, [attempt.line, first.line]);
--- a/crates/audit/src/rules/retry_budget.rs
+++ b/crates/audit/src/rules/retry_budget.rs
@@ -15,7 +15,7 @@
 
 /// Tested by each retry.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
-    let mut verdict = Verdict::new(6, "further legs within their budget");
+    let mut verdict = Verdict::new(6, "retries within their budget");
     let Some(budget) = deployment.figures().retry_budget else {
         return verdict;
     };
@@ -41,7 +41,7 @@
             verdict.approach(sent / most.max(1e-9));
             if sent > most {
                 let host = process.host;
-                let what = format!("{host}: {sent} further legs in the window, {most:.1} allowed");
+                let what = format!("{host}: {sent} retries in the window, {most:.1} allowed");
                 verdict.breach(what, [retry.line]);
             }
         }
--- a/crates/audit/src/rules/shares.rs
+++ b/crates/audit/src/rules/shares.rs
@@ -26,7 +26,7 @@
 /// until it logs again, its lease is over by the slowest clock, or it ends. Tested by each moment at which
 /// some host's share begins.
 pub(super) fn within_the_whole(drift: f64, history: &History) -> Verdict {
-    let mut verdict = Verdict::new(9, "parts in use within the whole");
+    let mut verdict = Verdict::new(9, "shares in use within the whole");
     for (budget, mut changes) in changes(drift, history) {
         // What ends at a moment is over before what begins then.
         changes.sort_by_key(|change| (change.at, change.begins));
--- a/crates/audit/src/rules/slow_start.rs
+++ b/crates/audit/src/rules/slow_start.rs
@@ -8,7 +8,7 @@
 
 /// Tested by each attempt to a node that warms up.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
-    let mut verdict = Verdict::new(4, "no cold node pushed over");
+    let mut verdict = Verdict::new(4, "no node overloaded during slow start");
     for (node, events) in &history.process_events {
         if deployment.node(node).is_none() {
             continue;
@@ -57,7 +57,9 @@
         let units: f64 = recent.iter().map(|sent| sent.attempt.units).sum();
         verdict.approach(units / bears.max(1e-9));
         if units > bears {
-            let what = format!("{node}, cold, was sent {units} units; it bears {bears:.1}");
+            let what = format!(
+                "{node} was sent {units} units during slow start; its budget is {bears:.1}"
+            );
             verdict.breach(what, [attempt.line]);
         }
     }
--- a/crates/audit/src/rules/zone_budgets.rs
+++ b/crates/audit/src/rules/zone_budgets.rs
@@ -15,7 +15,7 @@
 
 /// Tested by each frame between the zones of a budget while the budget is below half of its burst.
 pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
-    let mut verdict = Verdict::new(8, "budgets between zones kept, or told");
+    let mut verdict = Verdict::new(8, "cross-zone budgets kept, or overruns reported");
     let zones = zones(deployment);
     let zone_of = |name: &str| zones.get(name).copied();
     for budget in &deployment.cross_zone_budgets {
@@ -113,7 +113,7 @@
     let is_reported = overrun <= reported * REPORT_TOLERANCE + REPORT_TOLERANCE_BYTES;
     if !is_reported && !some_host_was_killed(deployment, history) {
         let what = format!(
-            "{budget}: {overrun:.0} bytes past it in {overrun_frames} frames, {reported:.0} told"
+            "{budget}: {overrun:.0} bytes beyond it in {overrun_frames} frames, {reported:.0} reported"
         );
         verdict.breach(what, []);
     }
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -66,13 +66,7 @@
 pub fn table(verdicts: &[Verdict], recording: &str) -> String {
     let mut table = comfy_table::Table::new();
     table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
-    table.set_header([
-        "rule",
-        "",
-        "kept",
-        "put to the test",
-        "nearest to its bound",
-    ]);
+    table.set_header(["rule", "", "kept", "tested", "closest to its bound"]);
     for verdict in verdicts {
         let kept = match verdict.breaches.len() {
             0 => "kept".into(),
--- a/crates/audit/tests/planted/breaches.rs
+++ b/crates/audit/tests/planted/breaches.rs
@@ -22,7 +22,7 @@
         r.served(50_000, "h1", 90, "read");
         r.answer(50_100, "h1", 90, Outcome::Rejected);
     }),
-    (1, "m90: a leg to n2 was sent after the answer", |r| {
+    (1, "m90: an attempt at n2 was sent after the answer", |r| {
         r.submit(50_000, "h1", 90, "read", "v", 1.0);
         r.answer(50_010, "h1", 90, Outcome::Rejected);
         r.attempt(50_100, "h1", "n2", 90, 0, Some((5, Succeeded)));
@@ -33,7 +33,7 @@
         r.attempt(50_010, "h1", "n2", 90, 1, Some((5, Rejected)));
         r.answer(50_020, "h1", 90, Outcome::Failed);
     }),
-    (2, "m90 may have run at n1 and was deferred", |r| {
+    (2, "m90 may have run at n1 and was rejected", |r| {
         r.submit(50_000, "h1", 90, "trip", "v", 1.0);
         r.attempt(50_001, "h1", "n1", 90, 0, None);
         r.answer(50_300, "h1", 90, Outcome::Rejected);
@@ -58,7 +58,7 @@
             r.answer(at + 7, host, 90, Outcome::Succeeded);
         }
     }),
-    (3, "h2 sent to n2 1500000 us after it was told", |r| {
+    (3, "h2 sent to n2 1500000 us after it was notified", |r| {
         r.list(50_000, "h2", "n2", ListedState::Draining, 1);
         // The same incarnation, called ready by a late list, does not take it back.
         r.list(50_100, "h2", "n2", ListedState::Ready, 1);
@@ -66,15 +66,19 @@
         r.attempt(51_500, "h2", "n2", 90, 0, Some((5, Succeeded)));
         r.answer(51_510, "h2", 90, Outcome::Succeeded);
     }),
-    (4, "n2, cold, was sent 16 units; it bears 10.0", |r| {
-        r.process("n2", 50_000, ProcessEvent::Started { incarnation: 7 });
-        for id in [90, 91] {
-            let at = 50_000 + id as i64;
-            r.submit(at, "h1", id, "read", "v", 8.0);
-            r.attempt(at + 1, "h1", "n2", id, 0, Some((5, Succeeded)));
-            r.answer(at + 7, "h1", id, Outcome::Succeeded);
-        }
-    }),
+    (
+        4,
+        "n2 was sent 16 units during slow start; its budget is 10.0",
+        |r| {
+            r.process("n2", 50_000, ProcessEvent::Started { incarnation: 7 });
+            for id in [90, 91] {
+                let at = 50_000 + id as i64;
+                r.submit(at, "h1", id, "read", "v", 8.0);
+                r.attempt(at + 1, "h1", "n2", id, 0, Some((5, Succeeded)));
+                r.answer(at + 7, "h1", id, Outcome::Succeeded);
+            }
+        },
+    ),
     (5, "m91 sent while m90 was open", |r| {
         r.submit(50_000, "h1", 90, "record", "v", 1.0);
         r.submit(50_001, "h1", 91, "record", "v", 1.0);
@@ -94,7 +98,7 @@
     }),
     (
         5,
-        "m91 sent 50000 us after a leg of m90 ended unknown",
+        "m91 sent 50000 us after an attempt of m90 ended unknown",
         |r| {
             r.submit(50_000, "h1", 90, "record", "v", 1.0);
             r.attempt(50_000, "h1", "n1", 90, 0, None);
@@ -104,7 +108,7 @@
             r.answer(50_260, "h1", 91, Outcome::Succeeded);
         },
     ),
-    (6, "h1: 2 further legs in the window, 1.0 allowed", |r| {
+    (6, "h1: 2 retries in the window, 1.0 allowed", |r| {
         r.submit(50_000, "h1", 90, "read", "v", 1.0);
         for number in 0..3 {
             r.attempt(
@@ -118,7 +122,7 @@
         }
         r.answer(50_250, "h1", 90, Outcome::Rejected);
     }),
-    (7, "volume w: 8.0 units past its store, 2 allowed", |r| {
+    (7, "volume w: 8.0 units beyond its tokens, 2 allowed", |r| {
         for id in 90..95 {
             let host = if id % 2 == 0 { "h1" } else { "h2" };
             r.submit(50_000, host, id, "read", "w", 8.0);
@@ -126,7 +130,7 @@
             r.answer(50_010, host, id, Outcome::Succeeded);
         }
     }),
-    (1, "m90 was not taken, but more came of it", |r| {
+    (1, "m90 was refused as invalid, but more came of it", |r| {
         r.submit(50_000, "h1", 90, "read", "v", 1.0);
         let n = NotTaken {
             id: 90,
--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -103,7 +103,9 @@
         (refused.status.code(), read("plans.kdl").as_str()),
         (Some(2), "plan \"p\" {\n")
     );
-    assert!(String::from_utf8_lossy(&refused.stderr).contains("not formatted, the file is unchanged"));
+    assert!(
+        String::from_utf8_lossy(&refused.stderr).contains("not formatted, the file is unchanged")
+    );
 }
 
 #[test]
--- a/crates/scenario/src/built_in.rs
+++ b/crates/scenario/src/built_in.rs
@@ -1,4 +1,4 @@
-//! The days that come with the program, and days drawn from them by a seed.
+//! The built-in scenarios, and random ones that combine two of them.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -19,7 +19,7 @@
     "neighbour" "pauses" "lead-moves" "scan" "plan-surge" "ageing" "broken-links" "silent-links" "clocks" "reload" "zones-surge" "zones-drain" "zones-hard"
 }
 
-/// Name and one line on each.
+/// The name of each built-in scenario and a line that describes it.
 pub fn all() -> impl Iterator<Item = (&'static str, &'static str)> {
     DAYS.iter().map(|(name, text)| {
         (
@@ -32,11 +32,11 @@
     })
 }
 
-/// The whole document of a day.
+/// The document of a built-in scenario.
 pub fn day(name: &str) -> Option<String> {
     let script = DAYS.iter().find(|d| d.0 == name)?.1;
     let hosts = match name {
-        // Of the same kind, with more hosts.
+        // The deployment of `budget-many`, with more hosts.
         "budget-sixty" => MANY.replace("h{16..24}", "h{16..60}"),
         name if name.starts_with("budget-many") => MANY.into(),
         _ => FLEET.into(),
@@ -44,7 +44,7 @@
     Some(format!("{hosts}\n{script}"))
 }
 
-/// Two faults of the built-in days, over each other at moments drawn by the seed.
+/// A scenario with the faults of two built-in ones, shifted in time by the seed.
 pub fn random(seed: u64) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let single: Vec<_> = DAYS
@@ -55,7 +55,7 @@
                 && !d.0.starts_with("out")
         })
         .collect();
-    let mut text = String::from("// Two kinds of trouble, drawn by a seed.\n");
+    let mut text = String::from("// Two kinds of faults, drawn by a seed.\n");
     text += &format!("day \"random-{seed}\" lasts=\"12s\" bytes=512 fresh=0.3 tries=2 {{\n");
     for line in [
         "ask \"record-read\" rate=240",
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,12 +1,25 @@
-//! What keeps a scenario from being played; rules that were broken are no error but part of the report.
+//! Why a scenario could not be played. Broken rules are no error but part of the report.
 
-/// What kept a scenario from being played.
+/// Why a scenario could not be played.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum RunError {
+    /// A process could not be started, signalled or stopped.
     #[error("process {name}: {why}")]
-    Process { name: String, why: String },
+    Process {
+        /// The process.
+        name: String,
+        /// What went wrong.
+        why: String,
+    },
+    /// A file or a socket failed.
     #[error("{what}: {error}")]
-    Io { what: String, error: std::io::Error },
+    Io {
+        /// The file or socket.
+        what: String,
+        /// What the system reported.
+        error: std::io::Error,
+    },
+    /// The recording cannot be read back.
     #[error(transparent)]
     Recording(#[from] gullsail_audit::RecordingError),
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,6 +1,6 @@
-//! A scripted day: [`script`] reads it from the same document as the deployment, [`run`] starts all processes
-//! on free loopback ports with relays between them, plays the faults, stops everything and has the recording
-//! judged. [`built_in`] holds the days that come with the program.
+//! Scenarios with real processes. [`script`] reads a scenario (a document's `day` entry) together with the
+//! deployment; [`run`] starts all processes on free loopback ports with recording proxies between them, injects the
+//! faults, stops everything and checks the rules on the recording. [`built_in`] holds the built-in scenarios.
 
 // Fields and variants are not all documented yet: docs/ROADMAP.md lists what is left.
 #![allow(missing_docs)]
--- a/crates/scenario/src/processes.rs
+++ b/crates/scenario/src/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a day: started from this very program, told where they listen by themselves, ended by
-//! their own id and nothing else.
+//! The processes of a scenario. They are started from this program, report where they listen, and are ended by their
+//! process id alone.
 
 use crate::error::RunError;
 use nix::sys::signal::{Signal, kill};
@@ -14,25 +14,29 @@
 /// The first line that a process writes on standard output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listening {
+    /// The address that it bound.
     pub address: String,
+    /// Drawn at each start.
     pub incarnation: u64,
 }
 
 /// A process of a scenario that was started and is ended by its id alone.
 pub struct Process {
+    /// Its name in the document.
     pub name: String,
+    /// What it reported at its start.
     pub listening: Listening,
     child: Child,
 }
 
-/// How long a process may take to say where it listens, on a busy machine.
-const START: Duration = Duration::from_secs(20);
+/// How long a process may take to report where it listens; long, for busy machines.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Process {
     /// Starts `program` with these arguments; what it logs goes to `logs`, appended.
     ///
     /// # Errors
-    /// It does not start, or does not say where it listens.
+    /// It does not start, or does not report where it listens.
     pub async fn start(
         program: &Path,
         name: &str,
@@ -63,12 +67,12 @@
             .ok_or_else(|| fail("no standard output".into()))?;
         let mut line = String::new();
         let mut out = BufReader::new(out);
-        let read = tokio::time::timeout(START, out.read_line(&mut line)).await;
+        let read = tokio::time::timeout(START_TIMEOUT, out.read_line(&mut line)).await;
         match read {
             Ok(Ok(n)) if n > 0 => {}
             _ => {
                 return Err(fail(
-                    "ended, or said nothing, before it listened; see its log".into(),
+                    "did not report its address within 20 s of its start: see its log".into(),
                 ));
             }
         }
@@ -80,7 +84,7 @@
         })
     }
 
-    /// Stops it where it is, or has it go on.
+    /// Sends a signal, to pause or continue it.
     ///
     /// # Errors
     /// It has ended.
@@ -92,17 +96,17 @@
         let id = self
             .child
             .id()
-            .ok_or_else(|| fail("it has ended by itself".into()))?;
+            .ok_or_else(|| fail("the process has already ended".into()))?;
         kill(Pid::from_raw(id as i32), signal).map_err(|e| fail(e.to_string()))
     }
 
-    /// Outright, as a machine that loses its power.
+    /// Kills it, as a power failure would.
     pub async fn kill(mut self) {
-        // An error says that it has ended already.
+        // The only error is that it has ended already.
         let _ = self.child.kill().await;
     }
 
-    /// Asks it to stop, and waits for at most so long.
+    /// Sends SIGTERM and waits for at most `wait`.
     ///
     /// # Errors
     /// It did not end in time; it is killed then.
@@ -113,15 +117,16 @@
         };
         if let Some(id) = self.child.id() {
             kill(Pid::from_raw(id as i32), Signal::SIGTERM).map_err(|e| fail(e.to_string()))?;
-            // One that stands still hears it only when it goes on.
+            // A paused process handles the signal only once it continues.
             kill(Pid::from_raw(id as i32), Signal::SIGCONT).map_err(|e| fail(e.to_string()))?;
         }
         match tokio::time::timeout(wait, self.child.wait()).await {
             Ok(status) => status.map_err(|e| fail(e.to_string())),
             Err(_) => {
+                // The only error is that it has ended meanwhile.
                 let _ = self.child.kill().await;
                 Err(fail(format!(
-                    "asked to stop, it did not end within {wait:?}"
+                    "did not exit within {wait:?} of SIGTERM, killed"
                 )))
             }
         }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -1,6 +1,12 @@
-//! Plays a script. Every process is reached through a relay whose port is known before the process starts, so
-//! a process that comes back on another port is found where it was. What is started is in `lifecycle`, what
-//! goes wrong in `faults`, other documents in `documents`, what came of it in `report`.
+//! Plays a scenario. Every process is reached through a recording proxy whose port is known before the process
+//! starts, so a process that restarts on another port keeps its address.
+//!
+//! - `lifecycle`: starting and stopping processes, orders to simulated ones;
+//! - `fault_start`, `faults`: the faults and the queue of their later steps;
+//! - `documents`: configurations for the processes, and reloads;
+//! - `maintenance`: operators who take servers offline;
+//! - `allocations_log`: what hosts logged of their shares, for the audit;
+//! - `report`: the result.
 
 mod allocations_log;
 mod documents;
@@ -13,20 +19,17 @@
 pub use crate::error::RunError;
 use crate::error::io;
 use crate::processes::Process;
-use crate::script::{Expect, Fault, Script};
+use crate::script::{Fault, Script};
 use documents::resolve;
-use faults::{Next, Step};
-use gullsail_audit::Verdict;
-use gullsail_configuration::{Deployment, NodePlace};
+use faults::Step;
+use gullsail_configuration::Deployment;
 use gullsail_host::control::State;
-use gullsail_protocol::record::{ProcessEvent, What};
-use gullsail_protocol::{ListedEndpoint, ListedState, Order};
+use gullsail_protocol::record::What;
 use gullsail_scheduler_api::Span;
-use gullsail_simulator::client::{self, Change, Load, Tallies};
+use gullsail_simulator::client::{self, Load, Tallies};
 use gullsail_simulator::recording_proxy::{Wire, relay};
 pub use report::Report;
 use report::{accounts, attempts_bytes};
-use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -35,55 +38,57 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
-use tracing::{info, warn};
+use tracing::info;
 
-/// Where and from what a day is played.
+/// Where and how a scenario is played.
 pub struct Stage {
     /// The program itself, whose subcommands the processes are.
     pub program: PathBuf,
     /// Holds the recording, the document as the processes read it, and their logs.
     pub dir: PathBuf,
+    /// Seed of the load and of the hosts.
     pub seed: u64,
-    /// Hosts are the stand-in that sends all at once within even limits.
+    /// The baseline runs in place of the hosts.
     pub baseline: bool,
 }
 
-/// The age of what was there before the day.
-const OLD_US: i64 = 3_600_000_000;
+/// The age of a node that runs from the start of the scenario: an hour, so that it is warm.
+const WARM_NODE_AGE_US: i64 = 3_600_000_000;
 
-/// A process that runs, and where its relay sends those who look for it.
+/// The process of one name, and where its recording proxy forwards connections.
 struct Place {
     process: Option<Process>,
     target: watch::Sender<Option<String>>,
     started: Instant,
-    /// It was there long before the day.
+    /// It runs from the start and counts as warmed up.
     warm: bool,
 }
 
-struct Day<'a> {
+struct ScenarioRun<'a> {
     stage: &'a Stage,
-    d: Arc<Deployment>,
+    deployment: Arc<Deployment>,
     script: &'a Script,
     wire: Arc<Wire>,
     document: PathBuf,
-    /// The newest that hosts were given to keep, and its number; 0: this day changes none.
+    /// The newest configuration given to hosts, with its revision; 0: this scenario reloads none.
     newest: (u64, String),
     failures: Vec<String>,
     places: BTreeMap<String, Place>,
     began: Instant,
     happened: Vec<(f64, String)>,
-    /// What is still to come of faults that have begun.
+    /// Steps that are still to come, and when.
     later: Vec<(Instant, Step)>,
-    /// Operators at work, and how they tell what they see.
+    /// The tasks of operators; they report by `step_sender`.
     operators: JoinSet<()>,
     step_sender: mpsc::Sender<Step>,
     step_receiver: Option<mpsc::Receiver<Step>>,
 }
 
-/// Plays the whole scenario: starts, faults, stops, and the judgement of what was recorded.
+/// Plays a scenario: starts the processes, injects the faults, stops everything and checks the rules on the
+/// recording.
 ///
 /// # Errors
-/// What kept it from being played; rules that were broken are in the report.
+/// The scenario could not be played. Broken rules are no error but part of the report.
 pub async fn play(
     text: &str,
     d: Deployment,
@@ -100,12 +105,12 @@
     let d = Arc::new(d);
     let mut proxies = Proxies::open(&d, script, &wire).await?;
     let addresses = proxies.addresses;
-    let mut day = Day::new(d.clone(), script, stage, wire.clone(), proxies.places);
-    day.write_documents(text, &addresses)?;
-    day.start_all(&addresses).await?;
-    let played = day.play_script(&addresses).await;
-    day.operators.shutdown().await;
-    let hosts = day.settled_states().await;
+    let mut run = ScenarioRun::new(d.clone(), script, stage, wire.clone(), proxies.places);
+    run.write_documents(text, &addresses)?;
+    run.start_all(&addresses).await?;
+    let played = run.play_script(&addresses).await;
+    run.operators.shutdown().await;
+    let hosts = run.settled_states().await;
     write(
         &stage.dir.join("hosts.json"),
         &serde_json::to_string(&hosts).unwrap_or_default(),
@@ -123,9 +128,9 @@
             );
         }
     }
-    let mut failures = day.stop_all().await;
-    day.record_allocations();
-    failures.append(&mut day.failures);
+    let mut failures = run.stop_all().await;
+    run.record_allocations();
+    failures.append(&mut run.failures);
     wire.flush().map_err(io("the recording"))?;
     proxies.tasks.shutdown().await;
     let outcomes = played?;
@@ -150,7 +155,7 @@
     Ok(Report {
         name,
         seed,
-        happened: day.happened,
+        happened: run.happened,
         outcomes,
         verdicts,
         untested,
@@ -159,7 +164,7 @@
     })
 }
 
-/// Answers that no client may get, by request class and plan.
+/// Failures for answers that no client may get, by request class and plan.
 fn wrong_answers(outcomes: &Tallies) -> Vec<String> {
     let mut failures = Vec::new();
     for ((request_class, plan), t) in outcomes {
@@ -225,29 +230,30 @@
     }
 }
 
-/// How often, and how far apart, hosts are looked at after a day until nothing crosses any more.
-const QUIET_LOOKS: u32 = 12;
-const QUIET: Duration = Duration::from_millis(400);
+/// How often the hosts' accounts are read after a scenario until they no longer change.
+const MAX_ACCOUNT_READS: u32 = 12;
+/// Time between two of these reads.
+const ACCOUNT_READ_INTERVAL: Duration = Duration::from_millis(400);
 
 fn duration(span: Span) -> Duration {
     Duration::from_micros(span.micros().max(0) as u64)
 }
 
-impl<'a> Day<'a> {
+impl<'a> ScenarioRun<'a> {
     fn new(
         d: Arc<Deployment>,
         script: &'a Script,
         stage: &'a Stage,
         wire: Arc<Wire>,
         places: BTreeMap<String, Place>,
-    ) -> Day<'a> {
+    ) -> ScenarioRun<'a> {
         let (step_sender, step_receiver) = mpsc::channel(64);
-        Day {
+        ScenarioRun {
             operators: JoinSet::new(),
             step_sender,
             step_receiver: Some(step_receiver),
             stage,
-            d,
+            deployment: d,
             script,
             wire,
             document: stage.dir.join("deployment.kdl"),
@@ -276,13 +282,13 @@
         write(&self.document, &resolved)?;
         write(&dir.join("script.kdl"), text)?;
         if reloads {
-            for h in &self.d.hosts {
+            for h in &self.deployment.hosts {
                 write(&dir.join(format!("{}.kdl", h.name)), &resolved)?;
             }
             write(&dir.join("revision-1.kdl"), &resolved)?;
         }
         self.newest = (u64::from(reloads), resolved);
-        if let (true, Some(first)) = (reloads, self.d.hosts.first()) {
+        if let (true, Some(first)) = (reloads, self.deployment.hosts.first()) {
             self.record_document(&first.name, 1, Some(self.newest.1.clone()), false);
         }
         Ok(())
@@ -292,31 +298,32 @@
     /// by hosts and proxies alike.
     async fn settled_states(&mut self) -> Vec<State> {
         let mut hosts = self.states().await;
-        for _ in 0..QUIET_LOOKS {
-            tokio::time::sleep(QUIET).await;
+        for _ in 0..MAX_ACCOUNT_READS {
+            tokio::time::sleep(ACCOUNT_READ_INTERVAL).await;
             let before = std::mem::replace(&mut hosts, self.states().await);
             let moved = |all: &[State]| -> Vec<u64> {
                 all.iter()
                     .map(|h| attempts_bytes(h).values().sum())
                     .collect()
             };
-            if self.d.cross_zone_budgets.is_empty() || moved(&before) == moved(&hosts) {
+            if self.deployment.cross_zone_budgets.is_empty() || moved(&before) == moved(&hosts) {
                 break;
             }
         }
         hosts
     }
 
-    fn say(&mut self, text: String) {
+    /// Logs and records an event of the scenario, and keeps it for the report.
+    fn note(&mut self, text: String) {
         let at = self.began.elapsed().as_secs_f64();
-        info!(at, "{text}");
+        info!(at_s = at, event = text, "scenario event");
         self.wire.record("day", What::Fault { text: text.clone() });
         self.happened.push((at, text));
     }
 
-    /// The document's, then those that a later one names.
+    /// The hosts of the document, then those that a later one adds.
     fn host_names(&self) -> Vec<String> {
-        let named = self.d.hosts.iter().map(|h| h.name.clone());
+        let named = self.deployment.hosts.iter().map(|h| h.name.clone());
         named.chain(self.script.newcomers.iter().cloned()).collect()
     }
 
@@ -334,7 +341,7 @@
             tries: s.tries,
             seed: self.stage.seed,
         };
-        // Those of newcomers stand behind the document's, as they will in a later one.
+        // New hosts come after those of the document, as they will in a later one.
         let hosts = self
             .host_names()
             .iter()
@@ -342,7 +349,13 @@
             .collect();
         let until = self.began + duration(s.lasts);
         let mut clients = JoinSet::new();
-        clients.spawn(client::run(self.d.clone(), load, hosts, changed, until));
+        clients.spawn(client::run(
+            self.deployment.clone(),
+            load,
+            hosts,
+            changed,
+            until,
+        ));
         self.later = s
             .faults
             .iter()
--- a/crates/scenario/src/run/allocations_log.rs
+++ b/crates/scenario/src/run/allocations_log.rs
@@ -1,21 +1,21 @@
-//! What hosts wrote down of what they may use, and of machines out for work, from their logs into the
-//! recording.
+//! Copies what hosts logged of their shares and of maintenance stages into the recording, for the audit.
 
-use super::*;
+use super::ScenarioRun;
+use gullsail_protocol::record::What;
 
-/// A line of a host's log, of those that tell of parts.
+/// A log line that reports a host's shares.
 #[derive(serde::Deserialize)]
-struct Line {
+struct SharesLine {
     timestamp: String,
     target: String,
     incarnation: u64,
     epoch: u64,
     lasts_us: i64,
-    /// An object in itself.
+    /// A JSON object as text: shares by budget.
     parts: String,
 }
 
-/// And of those that tell of an order's stage.
+/// A log line that reports the stage of a maintenance order.
 #[derive(serde::Deserialize)]
 struct StageLine {
     timestamp: String,
@@ -25,10 +25,14 @@
     stage: String,
 }
 
-impl Day<'_> {
-    /// Lines that are cut, where a host was killed, tell nothing.
+impl ScenarioRun<'_> {
+    /// Lines that cannot be parsed are skipped: the last one may be cut off where a host was killed.
     pub(super) fn record_allocations(&mut self) {
-        for host in self.host_names().iter().filter(|_| self.d.fleet.is_some()) {
+        for host in self
+            .host_names()
+            .iter()
+            .filter(|_| self.deployment.fleet.is_some())
+        {
             let file = self.stage.dir.join(format!("{host}.log"));
             let log = std::fs::read_to_string(file).unwrap_or_default();
             let stages = log
@@ -55,7 +59,7 @@
             }
             let lines = log
                 .lines()
-                .filter_map(|l| serde_json::from_str::<Line>(l).ok());
+                .filter_map(|l| serde_json::from_str::<SharesLine>(l).ok());
             for l in lines.filter(|l| l.target == "gullsail_parts") {
                 let when = humantime::parse_rfc3339(&l.timestamp);
                 if let (Ok(when), Ok(parts)) = (when, serde_json::from_str(&l.parts)) {
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -1,11 +1,19 @@
-//! The documents of a day: resolved for its processes, changed by its script, given to hosts as their
-//! operators do it.
+//! The configuration documents of a scenario: resolved for its processes, changed by its script, reloaded at hosts
+//! as their operators would.
 
-use super::*;
+use super::ScenarioRun;
+use super::faults::Next;
+use crate::script::Expect;
 use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_protocol::record::What;
+use gullsail_simulator::client::Change;
 use kdl::{KdlDocument, KdlEntry, KdlNode};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
 
-/// The document with everybody's address: the relay's. Processes bind free ports of their own.
+/// The document with the recording proxies' addresses; the processes themselves bind free ports.
 pub(super) fn resolve(text: &str, addresses: &BTreeMap<String, String>, reloads: bool) -> String {
     let Ok(mut document) = KdlDocument::parse_v2(text) else {
         return text.into();
@@ -14,7 +22,7 @@
         .nodes_mut()
         .iter_mut()
         .for_each(|n| address(n, addresses));
-    // Days number their documents themselves.
+    // A scenario numbers its revisions itself.
     document
         .nodes_mut()
         .retain(|n| !["day", "revision"].contains(&n.name().value()));
@@ -48,8 +56,7 @@
     n
 }
 
-/// The document with other entries in the place of its own of their kinds and names, and the number after its
-/// own.
+/// The document with `entries` in place of those of the same kind and name, and the next revision number.
 pub(super) fn changed(
     text: &str,
     entries: &[String],
@@ -68,7 +75,7 @@
             |n: &KdlNode| n.name().value() == entry.name().value() && n.get(0) == entry.get(0);
         match document.nodes_mut().iter_mut().find(|n| same(n)) {
             Some(n) => {
-                // Where a process listens is not the script's to say.
+                // The script does not change where a process listens.
                 let kept: Vec<_> = ["address", "listen"]
                     .iter()
                     .filter_map(|key| n.entry(*key).cloned())
@@ -90,7 +97,7 @@
     )
 }
 
-/// The document with this revision in the place of its own.
+/// The document with this revision number.
 pub(super) fn numbered(text: &str, number: u64, after: Option<&str>) -> String {
     let Ok(mut document) = KdlDocument::parse_v2(text) else {
         return text.into();
@@ -102,7 +109,7 @@
     document.to_string()
 }
 
-impl Day<'_> {
+impl ScenarioRun<'_> {
     pub(super) fn record_document(
         &self,
         host: &str,
@@ -120,7 +127,7 @@
         );
     }
 
-    /// A host that starts serves by what is in its file.
+    /// Records the revision with which a host starts: the one in its file.
     pub(super) fn record_start(&self, host: &str) {
         let file = self.stage.dir.join(format!("{host}.kdl"));
         let text = std::fs::read_to_string(file).unwrap_or_default();
@@ -134,8 +141,8 @@
         }
     }
 
-    /// As a host's operator does it: the new document into its file, then the question. What is not taken
-    /// goes back.
+    /// Reloads a host as its operator would: writes the new document to its file, then sends the command. If it is
+    /// refused, the old document is put back.
     pub(super) async fn reload(&mut self, host: &str, next: &Next, clients: &mpsc::Sender<Change>) {
         let file = self.stage.dir.join(format!("{host}.kdl"));
         let before = std::fs::read_to_string(&file).unwrap_or_default();
@@ -143,8 +150,8 @@
             return self.failures.push(format!("{}: {e}", file.display()));
         }
         if self.places.get(host).is_none_or(|p| p.process.is_none()) {
-            self.say(format!(
-                "{host} is down: it finds revision {} when it is back",
+            self.note(format!(
+                "{host} is down: it will start with revision {}",
                 next.revision
             ));
             if next.expect != Expect::Taken {
@@ -153,7 +160,7 @@
             return;
         }
         if next.expect == Expect::Taken {
-            // Alone, as the judge reads it.
+            // Without its predecessors, as the audit reads it.
             let alone = numbered(&next.text, next.revision, None);
             self.record_document(host, next.revision, Some(alone), false);
         }
@@ -168,7 +175,7 @@
         let (got, say) = match reply {
             Ok(ControlReply::Taken { revision, changes }) => {
                 self.record_document(host, revision, None, true);
-                // Its users hear of it as soon as anybody serves by it.
+                // Clients learn of it as soon as one host serves by it.
                 if let Ok(d) =
                     gullsail_configuration::parse("day", &numbered(&next.text, revision, None))
                 {
@@ -176,12 +183,12 @@
                 }
                 (
                     Some(Expect::Taken),
-                    format!("{} change(s) taken", changes.len()),
+                    format!("{} change(s) accepted", changes.len()),
                 )
             }
             Ok(ControlReply::TurnedDown { why }) => (
                 Some(Expect::TurnedDown),
-                format!("turned down: {}", why.join("; ")),
+                format!("refused: {}", why.join("; ")),
             ),
             Ok(ControlReply::Broken { problems }) => {
                 let first = problems
@@ -189,13 +196,13 @@
                     .map(|p| format!("{}:{} {}", p.line, p.column, p.message));
                 (
                     Some(Expect::Broken),
-                    format!("not sound: {}", first.unwrap_or_default()),
+                    format!("has errors: {}", first.unwrap_or_default()),
                 )
             }
             Ok(other) => (None, format!("{other:?}")),
             Err(e) => (None, e.to_string()),
         };
-        self.say(format!("{host}, revision {}: {say}", next.revision));
+        self.note(format!("{host}, revision {}: {say}", next.revision));
         if got != Some(next.expect) {
             self.failures.push(format!(
                 "{host}, revision {}: {:?} expected, got {got:?}: {say}",
--- a/crates/scenario/src/run/fault_start.rs
+++ b/crates/scenario/src/run/fault_start.rs
@@ -1,20 +1,33 @@
 //! What begins with each fault of a script; what is still to come of it is queued as a [`Step`].
 
+use super::ScenarioRun;
 use super::documents::changed;
+use super::duration;
 use super::faults::{Next, Step};
-use super::*;
+use crate::script::Expect;
+use crate::script::Fault;
 use gullsail_host::core::maintenance::OperatorCommand;
+use gullsail_protocol::ListedState;
+use gullsail_protocol::Order;
+use gullsail_protocol::record::ProcessEvent;
+use gullsail_scheduler_api::Span;
+use gullsail_simulator::client::Change;
 use gullsail_simulator::recording_proxy::DisturbanceKind;
 use nix::sys::signal::Signal;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
 
-impl Day<'_> {
+impl ScenarioRun<'_> {
     pub(super) async fn begin(
         &mut self,
         fault: Fault,
         changes: &mpsc::Sender<Change>,
         addresses: &BTreeMap<String, String>,
     ) {
-        self.say(fault.describe());
+        self.note(fault.describe());
         match fault {
             Fault::Surge { .. } | Fault::Impatient { .. } | Fault::LeadMoves => {
                 self.change_load(fault, changes).await
@@ -132,7 +145,7 @@
                     .push((until(after), Step::Successor { node: by }));
             }
             Fault::Release { node, by, after } => {
-                if let Some(n) = self.d.node(&node).cloned() {
+                if let Some(n) = self.deployment.node(&node).cloned() {
                     let entries = vec![self.entry(&n, ListedState::Draining, addresses)];
                     self.order(
                         "list",
@@ -279,7 +292,7 @@
     fn send_operator(&mut self, fault: Fault) {
         match fault {
             Fault::Out { .. } | Fault::Cancel { .. } if self.stage.baseline => {
-                self.say("the baseline knows of no works".into());
+                self.note("the baseline knows of no works".into());
             }
             Fault::Out {
                 names,
@@ -307,7 +320,7 @@
                     ..OperatorCommand::default()
                 };
                 let operator = self.operator(command, &via, Expect::Taken, Duration::ZERO);
-                self.operators.spawn(operator.only_say());
+                self.operators.spawn(operator.command_only());
             }
             _ => {}
         }
@@ -318,7 +331,7 @@
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
             Fault::Reload { .. } if self.stage.baseline => {
-                self.say("the baseline takes no other document: it keeps its own".into());
+                self.note("the baseline takes no other document: it keeps its own".into());
             }
             Fault::Reload {
                 host,
--- a/crates/scenario/src/run/faults.rs
+++ b/crates/scenario/src/run/faults.rs
@@ -1,27 +1,36 @@
-//! The queue of what is still to come in a scenario, step by step: orders to simulated processes,
-//! disturbances of connections, signals to processes.
+//! The steps of a scenario that are queued for later: orders to simulated processes, disturbances of connections,
+//! signals to processes.
 
-use super::*;
+use super::ScenarioRun;
+use super::duration;
+use crate::error::RunError;
+use crate::script::Expect;
+use crate::script::Fault;
+use gullsail_configuration::Deployment;
+use gullsail_protocol::ListedState;
+use gullsail_protocol::Order;
+use gullsail_protocol::record::ProcessEvent;
+use gullsail_scheduler_api::Span;
+use gullsail_simulator::client::Change;
 use gullsail_simulator::recording_proxy::{Disturbance, DisturbanceKind};
 use nix::sys::signal::Signal;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
 
 pub(super) enum Step {
+    /// A fault of the script begins.
     Begin(Fault),
-    /// The node's process ends now, for the list too; the successor comes after a while.
-    End {
-        node: String,
-        by: String,
-    },
-    Successor {
-        node: String,
-    },
-    HostBack {
-        host: String,
-    },
-    /// The process called so goes on.
-    GoOn {
-        name: String,
-    },
+    /// The node's process ends now, and the endpoint list reports it; a successor starts later.
+    End { node: String, by: String },
+    /// The successor of a node starts.
+    Successor { node: String },
+    /// A host that was stopped or killed starts again.
+    HostBack { host: String },
+    /// A paused process continues.
+    GoOn { name: String },
     /// Frames between two groups are lost for a while, then pass for as long, until that point.
     Flap {
         a: Vec<String>,
@@ -30,28 +39,25 @@
         every: Duration,
         until: Instant,
     },
-    Reload {
-        host: String,
-        next: Arc<Next>,
-    },
-    /// What came of an operator's command.
+    /// A host is given another configuration.
+    Reload { host: String, next: Arc<Next> },
+    /// The result of an operator's command.
     OperatorReport {
         text: String,
         failure: Option<String>,
     },
-    /// A machine is out; it is there again after a while, and where `back` an operator says so.
+    /// A server is offline and is switched off; it is switched on later, and with `back` an operator reports its
+    /// return.
     SwitchOff {
         name: String,
         after: Duration,
         back: bool,
     },
-    SwitchOn {
-        name: String,
-        back: bool,
-    },
+    /// A server is switched on again.
+    SwitchOn { name: String, back: bool },
 }
 
-/// A document that hosts are to serve by, and what is expected of it.
+/// A configuration for hosts to reload, and the expected result.
 pub(super) struct Next {
     pub(super) revision: u64,
     pub(super) insist: bool,
@@ -59,7 +65,7 @@
     pub(super) text: String,
 }
 
-impl Day<'_> {
+impl ScenarioRun<'_> {
     pub(super) async fn step(
         &mut self,
         step: Step,
@@ -70,7 +76,7 @@
         match step {
             Step::Begin(fault) => self.begin(fault, changes, addresses).await,
             Step::End { node, by } => {
-                self.say(format!("{node} ends"));
+                self.note(format!("{node} ends"));
                 if let Some(process) = self.places.get_mut(&node).and_then(|p| p.process.take()) {
                     self.wire
                         .process(&node, self.wire.now(), ProcessEvent::Ended);
@@ -83,8 +89,8 @@
                 ));
             }
             Step::Successor { node } => {
-                if let Some(n) = find(&self.d, &node) {
-                    self.say(format!("{node} starts, cold"));
+                if let Some(n) = find(&self.deployment, &node) {
+                    self.note(format!("{node} starts and warms up"));
                     self.start_node(&n, false).await?;
                     let entries = vec![self.entry(&n, ListedState::Ready, addresses)];
                     self.order(
@@ -99,11 +105,11 @@
                 }
             }
             Step::OperatorReport { text, failure } => {
-                self.say(text);
+                self.note(text);
                 self.failures.extend(failure);
             }
             Step::SwitchOff { name, after, back } => {
-                // Two operators may have said the same, and one has done it.
+                // Another operator with the same order may have done it already.
                 if self.places.get(&name).is_none_or(|p| p.process.is_none()) {
                     return Ok(());
                 }
@@ -115,10 +121,10 @@
             Step::Reload { host, next } => self.reload(&host, &next, changes).await,
             Step::HostBack { host } => {
                 self.start_host(&host).await?;
-                self.say(format!("{host} is back, knowing nothing"));
+                self.note(format!("{host} is back, without memory"));
             }
             Step::GoOn { name } => {
-                self.say(format!("{name} goes on"));
+                self.note(format!("{name} continues"));
                 self.wire
                     .process(&name, self.wire.now(), ProcessEvent::Resumed);
                 self.signal(&name, Signal::SIGCONT);
@@ -149,14 +155,14 @@
         Ok(())
     }
 
-    /// The list hears that a process no longer runs; of one that comes back it hears only then.
+    /// Tells the endpoint list that a node is gone, unless the same node comes back.
     pub(super) async fn gone(
         &mut self,
         node: &str,
         by: &str,
         addresses: &BTreeMap<String, String>,
     ) {
-        if let (true, Some(n)) = (node != by, self.d.node(node).cloned()) {
+        if let (true, Some(n)) = (node != by, self.deployment.node(node).cloned()) {
             let entries = vec![self.entry(&n, ListedState::Gone, addresses)];
             self.order(
                 "list",
@@ -170,7 +176,7 @@
         }
     }
 
-    /// To a process of this day, by its own id; none runs: nothing to do.
+    /// Sends a signal to a process of this scenario, by its id; does nothing if it does not run.
     pub(super) fn signal(&mut self, name: &str, signal: Signal) {
         let process = self.places.get(name).and_then(|p| p.process.as_ref());
         if let Some(Err(e)) = process.map(|p| p.signal(signal)) {
@@ -207,7 +213,7 @@
     }
 
     pub(super) fn nodes(&self, name: &str) -> Vec<String> {
-        let all = self.d.nodes.iter().map(|n| n.place.name.clone());
+        let all = self.deployment.nodes.iter().map(|n| n.place.name.clone());
         if name == "*" {
             all.collect()
         } else {
--- a/crates/scenario/src/run/lifecycle.rs
+++ b/crates/scenario/src/run/lifecycle.rs
@@ -1,17 +1,41 @@
 //! What is started and stopped: nodes, the list, hosts; and what is said to them on connections of their own.
 
-use super::*;
+use super::ScenarioRun;
+use super::WARM_NODE_AGE_US;
+use super::duration;
+use crate::error::RunError;
+use crate::processes::Process;
+use crate::script::Fault;
+use gullsail_configuration::NodePlace;
 use gullsail_connections::{Link, LinkEvent};
+use gullsail_host::control::State;
 use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_protocol::ListedEndpoint;
+use gullsail_protocol::ListedState;
+use gullsail_protocol::Order;
+use gullsail_protocol::record::ProcessEvent;
 use gullsail_protocol::{Bounds, Frame, Hello, Role};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::time::Duration;
 use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+use tokio::time::Instant;
+use tracing::warn;
 
-impl Day<'_> {
+impl ScenarioRun<'_> {
     pub(super) async fn start_all(
         &mut self,
         addresses: &BTreeMap<String, String>,
     ) -> Result<(), RunError> {
-        let nodes: Vec<_> = self.d.nodes.iter().filter(|n| !n.spare).cloned().collect();
+        let nodes: Vec<_> = self
+            .deployment
+            .nodes
+            .iter()
+            .filter(|n| !n.spare)
+            .cloned()
+            .collect();
         for n in &nodes {
             self.start_node(n, true).await?;
         }
@@ -36,7 +60,7 @@
             faults.any(|t| matches!(&t.1, Fault::StartHost { host } if host == name))
         };
         let hosts: Vec<_> = self
-            .d
+            .deployment
             .hosts
             .iter()
             .map(|h| h.name.clone())
@@ -94,8 +118,8 @@
             "host"
         };
         let mut args = vec![program.to_string(), "--name".into(), host.into()];
-        if !self.stage.baseline && self.d.fleet.is_some() {
-            // What it may use is written down there, and read again for the judge.
+        if !self.stage.baseline && self.deployment.fleet.is_some() {
+            // These log lines carry the host's shares, for the audit.
             args.extend(
                 [
                     "--log",
@@ -143,7 +167,7 @@
             .map_or(0, |p| p.listening.incarnation);
         let age = place.map_or(0, |p| {
             if p.warm {
-                OLD_US
+                WARM_NODE_AGE_US
             } else {
                 p.started.elapsed().as_micros() as i64
             }
@@ -153,7 +177,7 @@
             address: addresses.get(&n.place.name).cloned().unwrap_or_default(),
             shard: n.shard.0,
             zone: self
-                .d
+                .deployment
                 .zones
                 .get(n.place.zone.0)
                 .cloned()
@@ -165,7 +189,7 @@
         }
     }
 
-    /// To a stand-in, on a connection of its own.
+    /// Sends an order to a simulated process, on a connection of its own.
     pub(super) async fn order(&self, name: &str, order: Order) {
         let address = self
             .places
@@ -173,7 +197,10 @@
             .and_then(|p| p.target.borrow().clone());
         let Some(address) = address else { return };
         let Ok(stream) = TcpStream::connect(&address).await else {
-            return warn!(process = name, "can't be given an order");
+            return warn!(
+                process = name,
+                "order to simulated process not sent: it accepts no connection"
+            );
         };
         let (sink, mut inbox) = mpsc::channel(8);
         let mut tasks = JoinSet::new();
@@ -223,10 +250,10 @@
         all
     }
 
-    /// As its operator does it; it must leave by itself.
+    /// Stops a host as its operator would; it has to exit by itself.
     pub(super) async fn stop_host(&mut self, host: &str) {
         let longest = self
-            .d
+            .deployment
             .request_classes
             .iter()
             .map(|s| s.deadline)
@@ -248,10 +275,10 @@
         }
     }
 
-    /// Hosts are asked to stop and must leave by themselves; stand-ins are ended.
+    /// Stops all processes: hosts have to exit by themselves, simulated processes are killed.
     pub(super) async fn stop_all(&mut self) -> Vec<String> {
         let longest = self
-            .d
+            .deployment
             .request_classes
             .iter()
             .map(|s| s.deadline)
--- a/crates/scenario/src/run/maintenance.rs
+++ b/crates/scenario/src/run/maintenance.rs
@@ -1,19 +1,30 @@
-//! What operators do with machines out for work: their words, through hosts' control sockets, and the
-//! machines, which they switch off once any host says that they may be, and on again. Each operator is a task
-//! of its own: whoever asks a host that stands still waits, and the day goes on.
+//! Operators who take servers offline: they send commands through hosts' control sockets, switch a server off once
+//! any host shows it offline, and on again. Each operator is a task of its own, so that one who waits for a paused
+//! host does not hold up the scenario.
 
-use super::*;
+use super::ScenarioRun;
+use super::faults::Step;
+use crate::error::RunError;
+use crate::script::Expect;
 use gullsail_fleet::maintenance::Stage as Of;
 use gullsail_host::control::{ControlReply, ControlRequest, ask};
 use gullsail_host::core::maintenance::OperatorCommand;
+use gullsail_protocol::ListedState;
+use gullsail_protocol::Order;
+use gullsail_protocol::record::ProcessEvent;
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::time::Duration;
+use tokio::sync::mpsc;
 
-/// Between looks at what hosts say, and how long one may take to say it.
-const LOOK: Duration = Duration::from_millis(100);
-const SAYS: Duration = Duration::from_millis(300);
-/// For a word to be taken: some takeovers.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time between two looks at the maintenance queue.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a host may take to answer a status request.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a command may take to be accepted: long enough for several takeovers.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What an operator does and sees.
+/// An operator and the command to give.
 pub(super) struct Operator {
     pub(super) sockets: Vec<(String, PathBuf)>,
     pub(super) via: String,
@@ -24,7 +35,7 @@
 }
 
 impl Operator {
-    async fn say(&self) -> bool {
+    async fn send_command(&self) -> bool {
         let via = self
             .sockets
             .iter()
@@ -36,11 +47,11 @@
         let reply = ask(
             socket,
             ControlRequest::OperatorCommand(self.command.clone()),
-            PATIENCE,
+            COMMAND_TIMEOUT,
         )
         .await;
         let (got, what) = match reply {
-            Ok(ControlReply::CommandTaken) => (Some(Expect::Taken), "taken".to_string()),
+            Ok(ControlReply::CommandTaken) => (Some(Expect::Taken), "accepted".to_string()),
             Ok(ControlReply::TurnedDown { why }) => (
                 Some(Expect::TurnedDown),
                 format!("refused: {}", why.join("; ")),
@@ -55,7 +66,7 @@
         );
         let failure =
             (got != Some(self.expect)).then(|| format!("{text}, {:?} expected", self.expect));
-        // The day may be over.
+        // The scenario may be over: nobody receives the report then.
         _ = self
             .step_sender
             .send(Step::OperatorReport { text, failure })
@@ -63,17 +74,17 @@
         got == Some(Expect::Taken)
     }
 
-    /// Says it, then switches off what is out, once each.
+    /// Sends the command, then switches each server off once it is offline.
     pub(super) async fn out(self, servers: Vec<String>) {
-        if !self.say().await {
+        if !self.send_command().await {
             return;
         }
         let mut left = servers;
         while !left.is_empty() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             for (_, socket) in &self.sockets {
                 let Ok(ControlReply::Status(state)) =
-                    ask(socket, ControlRequest::Status, SAYS).await
+                    ask(socket, ControlRequest::Status, STATUS_TIMEOUT).await
                 else {
                     continue;
                 };
@@ -98,11 +109,11 @@
         }
     }
 
-    pub(super) async fn only_say(self) {
-        self.say().await;
+    pub(super) async fn command_only(self) {
+        self.send_command().await;
     }
 
-    /// Until somebody takes it: hosts come and go.
+    /// Sends the command to one host after another until one accepts it: hosts come and go.
     pub(super) async fn insist(mut self) {
         for (name, _) in self.sockets.clone().iter().cycle().take(20) {
             self.via = name.clone();
@@ -115,12 +126,12 @@
             if let Ok(ControlReply::CommandTaken) = ask(
                 &socket,
                 ControlRequest::OperatorCommand(self.command.clone()),
-                PATIENCE,
+                COMMAND_TIMEOUT,
             )
             .await
             {
                 let text = format!(
-                    "{} {} through {name}: taken",
+                    "{} {} through {name}: accepted",
                     self.command.kind,
                     self.command.names.join(" ")
                 );
@@ -133,12 +144,12 @@
                     .await;
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-impl Day<'_> {
+impl ScenarioRun<'_> {
     pub(super) fn operator(
         &self,
         command: OperatorCommand,
@@ -161,18 +172,18 @@
         }
     }
 
-    /// Names of machines: a zone's name stands for all in it that run.
+    /// The servers that the names stand for; a zone stands for all its servers that run.
     pub(super) fn servers(&self, names: &[String]) -> Vec<String> {
         let places = || {
-            self.d
+            self.deployment
                 .hosts
                 .iter()
-                .chain(self.d.nodes.iter().map(|n| &n.place))
+                .chain(self.deployment.nodes.iter().map(|n| &n.place))
         };
         let runs = |name: &str| self.places.get(name).is_some_and(|p| p.process.is_some());
         let mut all = Vec::new();
         for name in names {
-            match self.d.zones.iter().position(|z| z == name) {
+            match self.deployment.zones.iter().position(|z| z == name) {
                 Some(zone) => all.extend(
                     places()
                         .filter(|p| p.zone.0 == zone && runs(&p.name))
@@ -185,8 +196,8 @@
     }
 
     pub(super) async fn switch_off(&mut self, name: &str, addresses: &BTreeMap<String, String>) {
-        if self.d.node(name).is_some() {
-            self.say(format!("{name} is out: switched off"));
+        if self.deployment.node(name).is_some() {
+            self.note(format!("{name} is offline: switched off"));
             if let Some(process) = self.places.get_mut(name).and_then(|p| p.process.take()) {
                 self.wire
                     .process(name, self.wire.now(), ProcessEvent::Ended);
@@ -194,8 +205,8 @@
             }
             return self.gone(name, "", addresses).await;
         }
-        // A host ends by itself; whoever is out for its lease alone is ended.
-        self.say(format!("{name} is out: switched off"));
+        // A host that is offline has ended by itself, unless only its lease has expired.
+        self.note(format!("{name} is offline: switched off"));
         self.stop_host(name).await;
     }
 
@@ -205,8 +216,8 @@
         back: bool,
         addresses: &BTreeMap<String, String>,
     ) -> Result<(), RunError> {
-        self.say(format!("{name} is switched on, knowing nothing"));
-        match self.d.node(name).cloned() {
+        self.note(format!("{name} is switched on, without memory"));
+        match self.deployment.node(name).cloned() {
             Some(n) => {
                 self.start_node(&n, false).await?;
                 let entries = vec![self.entry(&n, ListedState::Ready, addresses)];
--- a/crates/scenario/src/run/report.rs
+++ b/crates/scenario/src/run/report.rs
@@ -1,24 +1,35 @@
-//! What came of a day, for people and machines; hosts' own accounts held against the recording.
+//! The report on a scenario, for people and as JSON, and the check of hosts' traffic accounts against the
+//! recording.
 
-use super::*;
+use crate::script::Fault;
+use crate::script::Script;
+use gullsail_audit::Verdict;
+use gullsail_host::control::State;
+use gullsail_simulator::client::Tallies;
+use serde::Serialize;
+use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What came of a day.
+/// The report on a scenario that was played.
 #[derive(Debug, Serialize)]
 pub struct Report {
+    /// The scenario's name.
     pub name: String,
+    /// The seed it was played with.
     pub seed: u64,
-    /// When what happened, since the day began.
+    /// Faults and operator commands, with the seconds since the scenario began.
     pub happened: Vec<(f64, String)>,
+    /// What came of the clients' requests, by request class and plan.
     #[serde(serialize_with = "by_name")]
     pub outcomes: Tallies,
+    /// One for each rule.
     pub verdicts: Vec<Verdict>,
-    /// Rules that the script wants tested and that were not.
+    /// Rules that the script requires to be tested and that were not.
     pub untested: Vec<u8>,
-    /// What went wrong besides: processes that did not stop, wrong bytes.
+    /// Other failures: processes that did not stop, wrong bytes.
     #[serde(rename = "faults")]
     pub failures: Vec<String>,
-    /// What hosts said of themselves at the end, before they were stopped.
+    /// The states of the hosts at the end, before they were stopped.
     pub hosts: Vec<State>,
 }
 
@@ -38,7 +49,7 @@
             && self.failures.is_empty()
     }
 
-    /// For people: what happened when, what came of it, rule by rule.
+    /// The report for people: faults by time, outcomes, rules.
     pub fn text(&self, dir: &Path) -> String {
         let mut text = format!("{} (seed {})\n", self.name, self.seed);
         for (at, what) in &self.happened {
@@ -51,7 +62,7 @@
         let recording = std::fs::read_to_string(dir.join("frames.jsonl")).unwrap_or_default();
         text += &gullsail_audit::table(&self.verdicts, &recording);
         for rule in &self.untested {
-            text += &format!("rule {rule} was not put to the test\n");
+            text += &format!("rule {rule} was not tested, which the scenario requires\n");
         }
         for failure in &self.failures {
             text += &format!("{failure}\n");
@@ -69,16 +80,16 @@
         let mut table = comfy_table::Table::new();
         table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
         table.set_header([
-            "stream type",
+            "request class",
             "plan",
-            "asked",
-            "in SLO time",
+            "requests",
+            "within objective",
             "late",
-            "deferred",
-            "abandoned",
-            "not taken",
+            "rejected",
+            "failed",
+            "refused as invalid",
             "unanswered",
-            "units in time",
+            "units within objective",
         ]);
         for ((request_class, plan), t) in &self.outcomes {
             let part = t.units_in_latency_objective / t.units.max(1e-9) * 100.0;
@@ -100,23 +111,27 @@
     }
 }
 
-/// What one host said of itself at the end.
+/// One host's state at the end.
 fn host_text(h: &State) -> String {
     let counts = &h.counts;
     let longest_ms = counts.longest_step_us as f64 / 1e3;
     let mut text = format!(
-        "  {} at revision {}: longest step of its loop {longest_ms:.1} ms, {} over 10 ms; documents taken {}, turned down {}\n",
+        "  {} at revision {}: longest step of its event loop {longest_ms:.1} ms, {} steps over 10 ms; configurations accepted {}, refused {}\n",
         h.host, h.revision, counts.long_steps, counts.documents_taken, counts.documents_turned_down
     );
     for p in &h.past {
         let span = (p.to_us - p.from_us) as f64 / 1e6;
         text += &format!(
-            "  {}: {} bytes past the budget {} in {span:.1} s: {}\n",
-            h.host, p.bytes, p.budget, p.cause
+            "  {}: budget {} overrun by {} bytes in {span:.1} s: {}\n",
+            h.host, p.budget, p.bytes, p.cause
         );
     }
     if !h.behind.is_empty() {
-        text += &format!("  {} waits for {} to follow\n", h.host, h.behind.join(" "));
+        text += &format!(
+            "  {}: hosts on an earlier configuration: {}\n",
+            h.host,
+            h.behind.join(" ")
+        );
     }
     text
 }
@@ -134,14 +149,14 @@
     counted
 }
 
-/// Hosts' accounts against the recording, to the byte; where connections were broken on purpose, frames that
-/// a host sent may never have come to the relay.
+/// Compares hosts' traffic accounts with the recording, to the byte. Scenarios that break connections are left
+/// out: a frame that a host sent may then never have reached the recording proxy.
 pub(super) fn accounts(
     seen: &BTreeMap<(String, String, String), u64>,
     hosts: &[State],
     script: &Script,
 ) -> Vec<String> {
-    let whole = |t: &Fault| {
+    let keeps_connections = |t: &Fault| {
         !matches!(
             t,
             Fault::KillHost { .. }
@@ -150,7 +165,7 @@
                 | Fault::Replace { .. }
         )
     };
-    if !script.faults.iter().all(|t| whole(&t.1)) {
+    if !script.faults.iter().all(|t| keeps_connections(&t.1)) {
         return Vec::new();
     }
     let mut failures = Vec::new();
@@ -163,7 +178,7 @@
                 .unwrap_or_default();
             if counted != *bytes {
                 failures.push(format!(
-                    "{}: {bytes} bytes from {} to {}, {counted} counted",
+                    "{}: {bytes} bytes recorded from {} to {}, but {counted} in the host's account",
                     key.0, key.1, key.2
                 ));
             }
