--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -10,28 +10,41 @@
 /// All that a document says.
 #[derive(Clone, Debug)]
 pub struct Deployment {
+    /// Names of zones, by [`ZoneId`].
     pub zones: Vec<String>,
+    /// By [`RequestClassId`].
     pub request_classes: Vec<NamedRequestClass>,
+    /// By [`PlanId`].
     pub plans: Vec<NamedPlan>,
+    /// In the order of the document.
     pub volumes: Vec<NamedVolume>,
+    /// By [`HostId`].
     pub hosts: Vec<Place>,
+    /// The storage nodes.
     pub nodes: Vec<NodePlace>,
+    /// What simulated nodes run on.
     pub servers: Vec<Server>,
+    /// The endpoint list service.
     pub list: Place,
-    /// How late the list tells what it knows.
+    /// By how much the endpoint list lags behind.
     pub list_late: Span,
+    /// How long after the notice of a drain an attempt may still begin (rule 3).
     pub drain_grace: Span,
+    /// What bounds a host's memory and waits.
     pub bounds: HostBounds,
-    /// Bytes that a unit of work stands for, where it is said.
+    /// Bytes of a unit of work, if stated.
     pub unit: Option<f64>,
+    /// Where new objects may be placed.
     pub routes: Routes,
+    /// The budgets of bytes between zones.
     pub cross_zone_budgets: Vec<NamedCrossZoneBudget>,
-    /// How hosts settle things among themselves; `None`: they don't.
+    /// The `fleet` entry; `None`: hosts do not coordinate.
     pub fleet: Option<NamedFleet>,
-    /// How machines go out for work; `None`: there are no such orders.
+    /// The `works` entry; `None`: servers are not taken offline by orders.
     pub maintenance: Option<MaintenanceConfig>,
+    /// The document's revision and its predecessor.
     pub place: RevisionPlace,
-    /// What this document and those before it promise of limits, oldest first.
+    /// What this revision and those before it allow each volume, oldest first.
     pub line: Vec<gullsail_config_transition::RevisionLimits>,
     pub(crate) config: SchedulerConfig,
     pub(crate) volumes_by_name: BTreeMap<String, usize>,
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -25,11 +25,15 @@
 /// One thing that changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Such as `plan "base"` and `limit`.
+    /// The entry, such as `plan "base"`.
     pub of: String,
+    /// What changed in it, such as `limit`.
     pub what: String,
+    /// The old value.
     pub from: String,
+    /// The new value.
     pub to: String,
+    /// What the change needs.
     pub class: Class,
     /// Hosts can make it without a restart; a dangerous one if their operator insists.
     pub while_serving: bool,
--- a/crates/configuration/src/entities.rs
+++ b/crates/configuration/src/entities.rs
@@ -18,28 +18,37 @@
 /// A request class as the document names it; what decides is in `decisions`.
 #[derive(Clone, Debug)]
 pub struct NamedRequestClass {
+    /// Its name.
     pub name: String,
+    /// Whether its requests write.
     pub write: bool,
+    /// How long a client waits, unless it says otherwise.
     pub deadline: Span,
+    /// What the scheduler needs of it.
     pub decisions: RequestClass,
 }
 
 /// A plan as the document names it.
 #[derive(Clone, Debug)]
 pub struct NamedPlan {
+    /// Its name.
     pub name: String,
-    /// How far all hosts together may pass the limit's store, in units (rule 7).
+    /// By how many units all hosts together may exceed the limit's tokens (rule 7).
     pub slack: f64,
+    /// What the scheduler needs of it.
     pub decisions: Plan,
 }
 
 /// A volume, its plan and its hosts.
 #[derive(Clone, Debug)]
 pub struct NamedVolume {
+    /// Its name.
     pub name: String,
+    /// The hash of its name.
     pub id: VolumeId,
+    /// Its plan.
     pub plan: PlanId,
-    /// Through which hosts its requests come, in order of their numbers.
+    /// The hosts that serve it, in order of their numbers.
     pub hosts: Arc<[HostId]>,
 }
 
@@ -55,52 +64,66 @@
 pub struct NamedCrossZoneBudget {
     /// Such as `east to west`, or `plan base`.
     pub name: String,
+    /// The hash of its name.
     pub id: VolumeId,
+    /// What counts against it.
     pub of: BudgetScope,
     /// In bytes.
     pub limit: Limit,
+    /// It is never overrun by requests with a choice of zone.
     pub hard: bool,
-    /// Who shares it: hosts in either zone, or all.
+    /// The hosts that share it: those in either zone, or all.
     pub hosts: Arc<[HostId]>,
 }
 
 /// Where a process runs. `listen` is where it binds, `address` where others reach it.
 #[derive(Clone, Debug)]
 pub struct Place {
+    /// Its name.
     pub name: String,
+    /// Its zone.
     pub zone: ZoneId,
+    /// Where others reach it.
     pub address: String,
+    /// The address that it binds.
     pub listen: String,
 }
 
 /// A storage node: where it runs and which shard it holds.
 #[derive(Clone, Debug)]
 pub struct NodePlace {
+    /// Where it runs.
     pub place: Place,
+    /// The shard that it holds.
     pub shard: ShardId,
-    /// What sort of node it is, for pools; a word of the document's own.
+    /// Its kind, by which pools select nodes.
     pub kind: String,
-    /// Of the stand-ins' machines.
+    /// The place of its server among those of simulated nodes.
     pub server: usize,
-    /// It does not run yet: a successor that hosts hear of from the list.
+    /// It does not run at first: a successor that hosts learn of from the endpoint list.
     pub spare: bool,
 }
 
 /// What a stand-in node is like. Nothing here is told to a host.
 #[derive(Clone, Debug)]
 pub struct Server {
+    /// Its name.
     pub name: String,
+    /// How many requests run at once.
     pub cores: u32,
     /// The work of one unit on one core.
     pub unit: Span,
-    /// Requests that wait at most, beside those that run.
+    /// The most requests that wait beside those that run.
     pub queue: u32,
+    /// How long a pause lasts.
     pub pause: Span,
+    /// The mean time between pauses.
     pub pause_every: Span,
-    /// The part of a write's work that is put off, and when it is done.
+    /// The fraction of a write's work that is deferred.
     pub put_off: f64,
+    /// When deferred work is done.
     pub flush_every: Span,
-    /// Once cold, it falls over when sent more than so many times what it can do, for the rule's window.
+    /// While it warms up, it exits when sent more than so many times its capacity within the slow-start window.
     pub falls_over: f64,
 }
 
@@ -117,45 +140,51 @@
 /// What bounds a host's memory and patience on its sockets.
 #[derive(Clone, Debug)]
 pub struct HostBounds {
-    /// Open requests, and the body bytes that they hold; beyond, clients are not read from.
+    /// The most open requests; at the bound, clients are not read from.
     pub most_open: u32,
+    /// The most body bytes of open requests; at the bound, clients are not read from.
     pub most_held: usize,
+    /// The largest frames that are accepted.
     pub frame: Bounds,
-    /// Bytes that wait for one client; beyond, it is not read from. A client that takes none of them for
-    /// `client_stall` is let go.
+    /// The most bytes queued for one client; at the bound, it is not read from.
     pub most_unsent: usize,
+    /// A client that reads none of its queued bytes for so long is disconnected.
     pub client_stall: Span,
+    /// How long a connection attempt may take.
     pub connect: Span,
-    /// Between tries to connect: from, up to.
+    /// The first and the largest backoff between attempts to connect.
     pub redial: (Span, Span),
-    /// How often a peer's clock is asked, and how far off it may be.
+    /// How often a peer's clock is queried.
     pub clock_every: Span,
+    /// The largest offset of a peer's clock that is accepted.
     pub clock_apart: Span,
 }
 
 /// The `fleet` entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedFleet {
-    /// Hosts of another name are not listened to.
+    /// Its name; messages of another fleet are dropped.
     pub name: String,
+    /// The member lease, as the granter counts it.
     pub lease: Span,
-    /// By how much, at most, a second by a host's clock differs from a true one.
+    /// By how much, at most, the rate of a host clock differs from true time.
     pub drift: f64,
     /// The first so many hosts of the document elect the coordinator.
     pub voters: u32,
-    /// The part of its even part that a host may use without a lease.
+    /// The fraction of its even share that a host may use without a lease.
     pub floor: f64,
-    /// New connections to one node, and attempts to one of which nothing comes, a second from all hosts
-    /// together; `None`: each host opens and asks as it sees fit.
+    /// New connections to one node a second, from all hosts together; `None`: not limited.
     pub connects: Option<f64>,
+    /// Attempts a second at a node that does not answer, from all hosts together; `None`: not limited.
     pub probes: Option<f64>,
 }
 
 /// What a document says of its own place among others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RevisionPlace {
+    /// Its revision.
     pub revision: Revision,
-    /// The file of the one before, as it is named.
+    /// The file of the revision before.
     pub after: Option<String>,
 }
 
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -6,9 +6,6 @@
 //! [`reader`] (how entries are read and problems reported), `builder` (what a document means), [`deployment`]
 //! (the result), `lints` (what is well-formed and makes no sense).
 
-// Fields and variants are not all documented yet: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs)]
-
 mod builder;
 mod cross_zone_budgets;
 pub mod deployment;
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -9,21 +9,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Weight {
+    /// The document cannot be used.
     Error,
+    /// The document can be used.
     Warning,
 }
 
 /// One thing that is wrong, where, and what was meant.
 #[derive(Clone, Debug)]
 pub struct Problem {
+    /// The kind of problem, for `gullsail explain`.
     pub code: &'static str,
+    /// Whether the document can be used.
     pub weight: Weight,
+    /// What is wrong.
     pub message: String,
+    /// How it may be mended.
     pub help: Option<String>,
-    /// File, line and column, from 1; and the same places in words where else to look.
+    /// The file.
     pub file: String,
+    /// The line, from 1.
     pub line: usize,
+    /// The column, from 1.
     pub column: usize,
+    /// Other places to look at, in words.
     pub see: Vec<String>,
     pub(crate) source: NamedSource<Arc<str>>,
     pub(crate) at: SourceSpan,
@@ -32,13 +41,21 @@
 /// A problem as programs are told of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiagnosticRecord {
+    /// The kind of problem.
     pub code: String,
+    /// Whether the document can be used.
     pub weight: Weight,
+    /// The file.
     pub file: String,
+    /// The line, from 1.
     pub line: usize,
+    /// The column, from 1.
     pub column: usize,
+    /// What is wrong.
     pub message: String,
+    /// How it may be mended.
     pub help: Option<String>,
+    /// Other places to look at, in words.
     pub see: Vec<String>,
 }
 
@@ -101,7 +118,9 @@
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{} in {name}", count(.problems.len()))]
 pub struct Problems {
+    /// The first file of the document.
     pub name: String,
+    /// All of them.
     #[related]
     pub problems: Vec<Problem>,
 }
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -15,8 +15,11 @@
 /// A set of nodes: those in one of the zones and of one of the kinds; none stated: any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
+    /// Its name.
     pub name: String,
+    /// Its zones; empty: any.
     pub zones: BTreeSet<ZoneId>,
+    /// The kinds of its nodes; empty: any.
     pub kinds: BTreeSet<String>,
 }
 
@@ -31,6 +34,7 @@
 /// One route as it is written; of each, none stated: any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
+    /// The pool for what it matches.
     pub to: PoolId,
     volumes: Vec<glob::Pattern>,
     plans: BTreeSet<usize>,
@@ -54,6 +58,7 @@
 pub struct Routes {
     /// The pool with number 1 and those after it.
     pub pools: Vec<Pool>,
+    /// In order: the first that matches decides.
     pub routes: Vec<Route>,
     /// By place of the volume, then of the request class; empty without routes.
     table: Vec<PoolId>,
@@ -90,10 +95,15 @@
 
 /// What routes are read against.
 pub struct Known<'a> {
+    /// Names of zones.
     pub zones: &'a Names,
+    /// The request classes.
     pub request_classes: &'a [NamedRequestClass],
+    /// The plans.
     pub plans: &'a [NamedPlan],
+    /// The volumes.
     pub volumes: &'a [NamedVolume],
+    /// The nodes.
     pub nodes: &'a [NodePlace],
 }
 
--- a/crates/configuration/src/source_map.rs
+++ b/crates/configuration/src/source_map.rs
@@ -18,18 +18,25 @@
 /// Why a file can't be had.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadError {
-    #[error("there is no such file")]
+    /// It does not exist.
+    #[error("no such file")]
     Missing,
-    #[error("it lies outside {0}")]
+    /// It lies outside the root.
+    #[error("the file lies outside {0}")]
     Outside(String),
-    #[error("it holds {0} bytes; a file may hold {MOST_FILE}")]
+    /// It has too many bytes.
+    #[error("the file holds {0} bytes, at most {MOST_FILE} are accepted")]
     TooLarge(u64),
-    #[error("it is not UTF-8: byte {0} can't be read")]
+    /// It is not UTF-8.
+    #[error("the file is not UTF-8 at byte {0}")]
     NotText(usize),
-    #[error("it is no regular file")]
+    /// It is a folder or a device.
+    #[error("not a regular file")]
     NoFile,
-    #[error("it changed while it was read")]
+    /// It changed between two reads.
+    #[error("the file changed while it was read")]
     Changed,
+    /// Any other error of the system.
     #[error("{0}")]
     Other(String),
 }
@@ -180,7 +187,9 @@
 /// One file, or one use of a template of it.
 #[derive(Clone, Debug)]
 pub struct Segment {
+    /// The file.
     pub name: Arc<str>,
+    /// Its text.
     pub text: Arc<str>,
     start: usize,
     /// Of a use of a template: the place where it is used.
--- a/crates/placement/src/documents.rs
+++ b/crates/placement/src/documents.rs
@@ -19,16 +19,16 @@
 pub enum MissingInput {
     /// The size of a unit.
     #[error(
-        "the document does not say how many bytes a unit of work stands for: rules unit=\"64KiB\""
+        "the document does not state the size of a unit of work: add it, as in `rules unit=\"64KiB\"`"
     )]
     Unit,
     /// The server of a node.
     #[error(
-        "node \"{0}\" has no machine: machine \"box\" cores=2 unit=\"5ms\", and machine=\"box\" at the node"
+        "node \"{0}\" has no machine: define one, as in `machine \"box\" cores=2 unit=\"5ms\"`, and name it at the node"
     )]
     Server(String),
     /// Zones.
-    #[error("there are no zones to plan for")]
+    #[error("the document has no zones to plan for")]
     Zones,
 }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -88,10 +88,10 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum NoPlan {
     /// These bounds contradict each other; without any one of them there would be a plan.
-    #[error("the bounds clash")]
+    #[error("the constraints conflict")]
     Clash(Vec<Bound>),
     /// The solver failed.
-    #[error("the solver gave up: {0}")]
+    #[error("the solver found no solution: {0}")]
     Solver(String),
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -12,9 +12,6 @@
 //! Numbers are little-endian. A kind that is not known is skipped as a whole, a field that is not known is
 //! skipped by the serialization; all else that is not understood ends the connection ([`Broken`]).
 
-// Fields and variants are not all documented yet: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs)]
-
 pub mod message;
 pub mod record;
 
@@ -36,7 +33,9 @@
 /// What one end of a connection accepts at most.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// The longest message, in bytes.
     pub message: usize,
+    /// The longest body, in bytes.
     pub body: usize,
 }
 
@@ -51,18 +50,32 @@
 /// Why a connection cannot go on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Broken {
-    #[error("frame starts with byte {0:#04x}, not {TAG:#04x}: no gullsail peer, or out of step")]
+    /// The first byte is not the tag.
+    #[error(
+        "frame starts with byte {0:#04x}, expected {TAG:#04x}: the peer is not gullsail, or frames are misaligned"
+    )]
     Tag(u8),
-    #[error("version 0 does not exist")]
+    /// The version is 0, which was never used.
+    #[error("frame has version 0, expected 1 or later")]
     Version,
-    #[error("{what} of {found} bytes, at most {most} accepted")]
+    /// A part of the frame is longer than accepted.
+    #[error("{what} of {found} bytes is too long, at most {most} are accepted")]
     TooLong {
+        /// The part: message, body, or a field of a message.
         what: &'static str,
+        /// Its length in bytes.
         found: usize,
+        /// The most bytes that are accepted.
         most: usize,
     },
-    #[error("message of kind {kind} can't be decoded: {why}")]
-    Malformed { kind: u16, why: String },
+    /// The message is not valid protobuf of its kind.
+    #[error("message of kind {kind} cannot be decoded: {why}")]
+    Malformed {
+        /// The kind of the message.
+        kind: u16,
+        /// What the decoder reported.
+        why: String,
+    },
 }
 
 macro_rules! messages {
@@ -70,9 +83,16 @@
         /// Any message; each has its kind number.
         #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
         pub enum Message {
-            $(#[serde(rename = $recorded)] $name($name),)*
-            /// Of a newer version: to be skipped.
-            Newer { kind: u16 },
+            $(
+                #[doc = concat!("A [`", stringify!($name), "`].")]
+                #[serde(rename = $recorded)]
+                $name($name),
+            )*
+            /// A message of a newer version, which is skipped.
+            Newer {
+                /// The number of its kind.
+                kind: u16,
+            },
         }
 
         impl Message {
@@ -143,7 +163,9 @@
 /// A message and the bytes that follow it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
+    /// The message.
     pub message: Message,
+    /// The bytes that follow it, which are passed on as they are.
     pub body: Bytes,
 }
 
--- a/crates/protocol/src/message/attempt.rs
+++ b/crates/protocol/src/message/attempt.rs
@@ -11,22 +11,29 @@
     #[serde(rename = "leg")]
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
+    /// The name of the request class.
     #[serde(rename = "stream_type")]
     #[prost(string, tag = "2")]
     pub request_class: String,
+    /// The name of the volume.
     #[prost(string, tag = "3")]
     pub volume: String,
+    /// The work of the request in units.
     #[prost(double, tag = "4")]
     pub units: f64,
+    /// Whether it is a write.
     #[prost(bool, tag = "5")]
     pub write: bool,
+    /// The object; none: a new one, which the node names.
     #[prost(message, optional, tag = "6")]
     pub handle: Option<Handle>,
+    /// The same in every try of one request: a node recognises a repeat by it.
     #[prost(string, tag = "7")]
     pub mark: String,
-    /// Which of the client's tries, and which attempt of that one, each from 0.
+    /// Which of the client's tries this belongs to, from 0.
     #[prost(uint32, tag = "8")]
     pub repeat: u32,
+    /// Which attempt of that try this is, from 0.
     #[prost(uint32, tag = "9")]
     pub number: u32,
     /// After this long nobody waits for its answer.
@@ -40,7 +47,9 @@
 )]
 #[repr(i32)]
 pub enum AttemptResult {
+    /// Not a result that this version knows.
     Unknown = 0,
+    /// The node did the work.
     #[serde(rename = "Done")]
     Succeeded = 1,
     /// It may have run.
@@ -53,11 +62,14 @@
 /// What came of an attempt; a read's bytes follow as the body.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct AttemptAnswer {
+    /// The attempt.
     #[serde(rename = "leg")]
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
+    /// An [`AttemptResult`].
     #[prost(enumeration = "AttemptResult", tag = "2")]
     pub result: i32,
+    /// The object that was read or written.
     #[prost(message, optional, tag = "3")]
     pub handle: Option<Handle>,
     /// The volume's use through all hosts in a finished period, in percent of its usual rate, plus one;
@@ -75,6 +87,7 @@
 /// Nobody waits for this attempt any more.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Cancel {
+    /// The attempt.
     #[serde(rename = "leg")]
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
@@ -83,6 +96,7 @@
 /// Asks a node how busy it is.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Probe {
+    /// Comes back with the answer.
     #[prost(uint64, tag = "1")]
     pub id: u64,
 }
@@ -90,10 +104,13 @@
 /// How many requests run at the node, and how many wait there.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct ProbeAnswer {
+    /// Of the probe.
     #[prost(uint64, tag = "1")]
     pub id: u64,
+    /// Requests that run.
     #[prost(uint32, tag = "2")]
     pub running: u32,
+    /// Requests that wait.
     #[prost(uint32, tag = "3")]
     pub queued: u32,
 }
--- a/crates/protocol/src/message/client.rs
+++ b/crates/protocol/src/message/client.rs
@@ -10,11 +10,14 @@
     /// Names it on this connection, until it is answered.
     #[prost(uint64, tag = "1")]
     pub id: u64,
+    /// The name of the request class.
     #[serde(rename = "stream_type")]
     #[prost(string, tag = "2")]
     pub request_class: String,
+    /// The name of the volume.
     #[prost(string, tag = "3")]
     pub volume: String,
+    /// The work of the request in units.
     #[prost(double, tag = "4")]
     pub units: f64,
     /// Where its data lies; none: a new object.
@@ -41,7 +44,9 @@
 )]
 #[repr(i32)]
 pub enum Outcome {
+    /// Not an outcome that this version knows.
     Unknown = 0,
+    /// The request was served.
     #[serde(rename = "Done")]
     Succeeded = 1,
     /// It may be sent again without harm.
@@ -55,8 +60,10 @@
 /// The one final answer; a read's bytes follow as the body.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Answer {
+    /// The request.
     #[prost(uint64, tag = "1")]
     pub id: u64,
+    /// An [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "2")]
     pub outcome: i32,
     /// Of a write that is done.
@@ -71,8 +78,10 @@
 /// The request was not taken: nothing of it ran, and no answer follows.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct NotTaken {
+    /// The request.
     #[prost(uint64, tag = "1")]
     pub id: u64,
+    /// Why, for people.
     #[prost(string, tag = "2")]
     pub reason: String,
     /// The host goes away; another may take it.
@@ -83,6 +92,7 @@
 /// The client no longer waits for this one.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Withdraw {
+    /// The request.
     #[prost(uint64, tag = "1")]
     pub id: u64,
 }
--- a/crates/protocol/src/message/simulation.rs
+++ b/crates/protocol/src/message/simulation.rs
@@ -11,16 +11,19 @@
     /// Of a node: `stall`, `slow`, `fail`, `costly`. Of the list: `late`, `refuse`.
     #[prost(string, tag = "1")]
     pub what: String,
+    /// How severe: a factor or a share.
     #[prost(double, tag = "2")]
     pub size: f64,
+    /// How long it lasts.
     #[prost(int64, tag = "3")]
     pub lasts_us: i64,
     /// Of the list: these entries are so from now on.
     #[prost(message, repeated, tag = "4")]
     pub entries: Vec<ListedEndpoint>,
-    /// Which part of the requests is meant, and of which request class; empty: all types.
+    /// The share of requests that is affected.
     #[prost(double, tag = "5")]
     pub share: f64,
+    /// The request class that is affected; empty: all.
     #[serde(rename = "stream_type")]
     #[prost(string, tag = "6")]
     pub request_class: String,
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -8,69 +8,91 @@
 /// One line of a recording.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When the relay had read it, and when the other side was given it.
+    /// When the proxy had read it.
     pub at: i64,
+    /// When the other side was sent it.
     pub out: i64,
-    /// The connection, by number, and who speaks to whom on it.
+    /// The connection.
     pub link: u64,
+    /// The process that sent it.
     pub from: String,
+    /// The process that it was sent to, or that the entry is about.
     pub to: String,
+    /// What was seen.
     pub what: What,
 }
 
 /// What a line of a recording tells.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum What {
-    /// As it was read; `body` is its length.
+    /// A frame passed.
     Frame {
+        /// The message.
         message: Message,
+        /// The length of the body in bytes.
         body: usize,
+        /// What the proxy did with it.
         #[serde(rename = "fate")]
         delivery: Delivery,
     },
+    /// A connection ended.
     Closed {
+        /// Why, for people.
         why: String,
     },
-    /// Somebody connects to the process called `to`, whatever becomes of it.
+    /// Somebody connects to the process called `to`, whether or not it accepts.
     Came,
-    /// By the script: the process called `to` began, was killed or ended.
+    /// The scenario started, stopped or paused the process called `to`.
     Process {
+        /// What happened to it.
         #[serde(rename = "life")]
         event: ProcessEvent,
     },
-    /// By the script: the process called `to` is asked to serve by this document, or does now.
+    /// The scenario reloads the host called `to`, or the host now serves by the configuration.
     Document {
+        /// The revision of the configuration.
         revision: u64,
-        /// The whole document, where it is first told of.
+        /// The whole document, in the first entry of its revision.
         text: Option<String>,
+        /// The host serves by it now; else it is only asked to.
         serves: bool,
     },
-    /// By the script: what the host called `to` said at the end of bytes that went past a budget.
+    /// The host called `to` reported at its end bytes beyond a cross-zone budget.
     #[serde(rename = "Past")]
     BudgetOverrun {
+        /// The budget's name.
         budget: String,
+        /// Why bytes crossed, for people.
         cause: String,
+        /// How many bytes.
         bytes: u64,
     },
-    /// What the host called `to` wrote down at the time: what it may use of budgets from then on, in
-    /// millionths of each, and how long its lease lasts; -1: it has none.
+    /// The host called `to` logged its shares of budgets.
     Parts {
+        /// The host's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
+        /// The epoch of the membership that it knew.
         epoch: u64,
+        /// How long its lease lasts; -1: it holds none.
         lasts_us: i64,
+        /// Its share of each budget in millionths, by name.
         parts: BTreeMap<String, u32>,
     },
-    /// What the host called `to` wrote down at the time: which stage of a machine's order it knows of.
+    /// The host called `to` logged the stage of a maintenance order.
     Stage {
+        /// The server's name.
         #[serde(rename = "machine")]
         server: String,
+        /// The order's number.
         number: u64,
+        /// The order's stage.
         stage: String,
     },
-    /// By the script, for people: a fault began or ended, a process started or stopped.
+    /// For people: the scenario injected a fault, or a process started or stopped.
     #[serde(rename = "Trouble")]
     Fault {
+        /// The description.
         text: String,
     },
 }
@@ -78,7 +100,9 @@
 /// What the recording proxy did with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delivery {
+    /// Passed on as it was.
     Passed,
+    /// Lost on purpose.
     Dropped,
     /// Passed on as an error.
     Altered,
@@ -87,13 +111,18 @@
 /// What happened to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessEvent {
+    /// It started.
     Started {
+        /// Drawn anew at each start.
         incarnation: u64,
     },
+    /// It was killed.
     Killed,
+    /// It exited by itself.
     Ended,
-    /// It stands still, and goes on as it was.
+    /// It is paused and keeps its memory.
     Paused,
+    /// It continues.
     Resumed,
 }
 
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -2,9 +2,6 @@
 //! deployment; [`run`] starts all processes on free loopback ports with recording proxies between them, injects the
 //! faults, stops everything and checks the rules on the recording. [`built_in`] holds the built-in scenarios.
 
-// Fields and variants are not all documented yet: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs)]
-
 pub mod built_in;
 mod error;
 pub mod processes;
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -12,22 +12,30 @@
 /// What must come of a reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
+    /// Accepted.
     Taken,
+    /// Refused, with the reason.
     TurnedDown,
+    /// The configuration has errors.
     Broken,
 }
 
 /// A scenario: the load, the faults and what it has to test.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
+    /// Its name.
     pub name: String,
+    /// How long clients send requests.
     pub lasts: Span,
-    /// Rules that this day must put to the test.
+    /// Rules that this scenario has to test.
     pub tests: Vec<u8>,
     /// Requests a second by request class.
     pub rates: Vec<f64>,
+    /// The length of a written object.
     pub bytes: usize,
+    /// The fraction of reads that go to recently written objects.
     pub fresh: f64,
+    /// How often a client tries in all.
     pub tries: u32,
     /// Hosts that no document names at first: one that hosts are given later does.
     pub newcomers: Vec<String>,
@@ -35,6 +43,7 @@
     pub clocks: Vec<(String, Span)>,
     /// Hosts whose clocks run fast, by this part; slow where it is negative.
     pub drifts: Vec<(String, f64)>,
+    /// The faults and when each begins, in order of time.
     pub faults: Vec<(Span, Fault)>,
 }
 
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,9 +3,6 @@
 //! [`recording_proxy`], which stands before a process's socket, records each frame and disturbs what it is
 //! told to.
 
-// Fields and variants are not all documented yet: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs)]
-
 pub mod baseline;
 pub mod client;
 pub mod discovery;
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -21,13 +21,19 @@
 
 /// A simulated storage node as a process: its name, its server, its age.
 pub struct NodeProcess {
+    /// Its name in the configuration.
     pub name: String,
+    /// The shard that it holds.
     pub shard: i64,
+    /// The server it runs on.
     pub server: Server,
+    /// What it bears while it warms up.
     pub slow_start: SlowStart,
+    /// Drawn anew at each start.
     pub incarnation: u64,
     /// How long it is taken to be up already.
     pub age: Span,
+    /// The largest frames that it accepts.
     pub bounds: Bounds,
 }
 
@@ -101,7 +107,10 @@
                 LinkEvent::Frame(frame) => {
                     last_attempt += 1;
                     if n.handle_frame(link, frame, last_attempt, now()) {
-                        warn!(node = n.process.name, "cold, sent too much: fell over");
+                        warn!(
+                            node = n.process.name,
+                            "node overloaded during slow start: exiting"
+                        );
                         return;
                     }
                 }
@@ -178,7 +187,7 @@
             what = o.what,
             size = o.size,
             ms = lasts.millis(),
-            "trouble"
+            "fault injected"
         );
         match o.what.as_str() {
             "stall" => self.model.stall(now, lasts),
@@ -197,7 +206,7 @@
             other => warn!(
                 node = self.process.name,
                 what = other,
-                "a trouble that a node does not know"
+                "order ignored: a node knows no such fault"
             ),
         }
     }
@@ -283,7 +292,10 @@
             .get(&link)
             .is_some_and(|l| l.send(frame).is_err())
         {
-            warn!(node = self.process.name, "an answer could not be sent");
+            warn!(
+                node = self.process.name,
+                "answer not sent: connection closed or its queue is full"
+            );
         }
     }
 }
--- a/crates/simulator/src/node_model.rs
+++ b/crates/simulator/src/node_model.rs
@@ -11,10 +11,11 @@
 /// What becomes of a request that arrives at the node.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Arrival {
+    /// It runs or waits.
     Taken,
-    /// The queue is full: turned away unseen.
+    /// The queue is full: rejected, and certain not to have run.
     Full,
-    /// It was slow_start, has been sent too much, and fell over for good.
+    /// The node was sent too much while it warmed up, and exits.
     FellOver,
 }
 
--- a/crates/simulator/src/recording_proxy.rs
+++ b/crates/simulator/src/recording_proxy.rs
@@ -19,9 +19,13 @@
 /// Done to frames on links between two names, for some time. A name may be `*`.
 #[derive(Clone, Debug)]
 pub struct Disturbance {
+    /// The sender, or `*`.
     pub from: String,
+    /// The receiver, or `*`.
     pub to: String,
+    /// When it ends.
     pub until: Instant,
+    /// What is done.
     pub what: DisturbanceKind,
 }
 
