--- a/crates/audit/src/history/reader.rs
+++ b/crates/audit/src/history/reader.rs
@@ -122,20 +122,8 @@
     }
 
     fn entry(&mut self, line: usize, entry: Entry) -> Result<(), RecordingError> {
-        let history = &mut self.history;
-        let Entry {
-            at,
-            out,
-            link,
-            from,
-            to,
-            what,
-        } = entry;
-        history.end = history.end.max(out);
-        match what {
-            What::BudgetOverrun { budget, bytes, .. } => {
-                *history.reported_overruns.entry(budget).or_default() += bytes;
-            }
+        self.history.end = self.history.end.max(entry.out);
+        match entry.what {
             What::Frame {
                 message,
                 delivery,
@@ -143,16 +131,16 @@
             } if delivery != Delivery::Dropped => {
                 let passed = Passed {
                     line,
-                    at,
-                    out,
-                    link,
-                    from,
-                    to,
+                    at: entry.at,
+                    out: entry.out,
+                    link: entry.link,
+                    from: entry.from,
+                    to: entry.to,
                     delivery,
                 };
                 self.frame(passed, message, body);
             }
-            What::Closed { .. } => self.closed(link, out),
+            What::Closed { .. } => self.closed(entry.link, entry.out),
             What::Document {
                 revision,
                 text,
@@ -162,11 +150,24 @@
                     self.configuration(line, revision, &text)?;
                 }
                 let seen = RevisionSeen {
-                    at,
+                    at: entry.at,
                     revision,
                     serves,
                 };
-                self.history.revisions.entry(to).or_default().push(seen);
+                let revisions = self.history.revisions.entry(entry.to);
+                revisions.or_default().push(seen);
+            }
+            what => self.report(line, entry.at, entry.to, what),
+        }
+        Ok(())
+    }
+
+    /// What a host logged or reported, or what happened to a process.
+    fn report(&mut self, line: usize, at: i64, to: String, what: What) {
+        let history = &mut self.history;
+        match what {
+            What::BudgetOverrun { budget, bytes, .. } => {
+                *history.reported_overruns.entry(budget).or_default() += bytes;
             }
             What::Parts {
                 lasts_us, parts, ..
@@ -183,26 +184,20 @@
                 server,
                 number,
                 stage,
-            } => {
-                history.stages.push(StageSeen {
-                    at,
-                    server,
-                    number,
-                    stage,
-                    line,
-                });
-            }
+            } => history.stages.push(StageSeen {
+                at,
+                server,
+                number,
+                stage,
+                line,
+            }),
             What::Came => history.connections.push(ConnectionSeen { at, to }),
             What::Process { event } => {
-                history
-                    .process_events
-                    .entry(to)
-                    .or_default()
-                    .push(ProcessEventSeen { at, event });
+                let events = history.process_events.entry(to);
+                events.or_default().push(ProcessEventSeen { at, event });
             }
             _ => {}
         }
-        Ok(())
     }
 
     fn configuration(
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -46,6 +46,49 @@
 
 async fn run(command: Command, logs: &logs::Logs) -> Result<ExitCode> {
     logs::survive_file_size_limit();
+    match command {
+        Command::Host { .. }
+        | Command::Platform { .. }
+        | Command::Baseline { .. }
+        | Command::Node { .. }
+        | Command::List { .. } => run_process(command, logs).await,
+        Command::Scenario { list: true, .. } => {
+            list_scenarios();
+            Ok(ExitCode::SUCCESS)
+        }
+        Command::Scenario {
+            day,
+            seed,
+            record,
+            json,
+            baseline,
+            ..
+        } => scenario::play(&day.unwrap_or_default(), seed, record, json, baseline).await,
+        Command::Audit { dir, json } => scenario::audit(&dir, json),
+        Command::Fleet(command) => run_fleet_command(command).await,
+        Command::Zones(Zones::Plan { file, price, out }) => zones::plan(&file, price, out),
+        Command::Zones(Zones::Report {
+            sources,
+            price,
+            json,
+            csv,
+        }) => zones::report(&sources, price, json, csv).await,
+        Command::Reload {
+            control,
+            insist,
+            json,
+        } => documents::reload(&control, insist, json).await,
+        Command::Status { control } => documents::status(&control).await,
+        Command::Check { file, json } => documents::check(&file, json),
+        Command::Explain { code } => documents::explain(&code),
+        Command::Fmt { files, check } => documents::format(&files, check),
+        Command::Diff { old, new, json } => documents::diff(&old, &new, json),
+        Command::Show { file, host } => documents::show(&file, &host),
+    }
+}
+
+/// Runs as one process of a deployment until it is stopped.
+async fn run_process(command: Command, logs: &logs::Logs) -> Result<ExitCode> {
     match command {
         Command::Host {
             file,
@@ -56,45 +99,31 @@
             control,
         } => {
             let clock = (clock_ahead.as_str(), clock_drift);
-            processes::host(
-                &file,
-                &name,
-                seed.unwrap_or_else(rand::random),
-                clock,
-                control,
-                logs,
-            )
-            .await
+            let seed = seed.unwrap_or_else(rand::random);
+            processes::host(&file, &name, seed, clock, control, logs).await
         }
         Command::Platform { file } => platform(file, logs).await,
-        Command::Reload {
-            control,
-            insist,
-            json,
-        } => documents::reload(&control, insist, json).await,
-        Command::Status { control } => documents::status(&control).await,
         Command::Baseline { file, name, seed } => {
             processes::baseline(&file, &name, seed.unwrap_or_else(rand::random)).await
         }
         Command::Node { file, name, age } => processes::node(&file, &name, age).await,
         Command::List { file } => processes::list(&file).await,
-        Command::Scenario { list: true, .. } => {
-            for (name, what) in gullsail_scenario::built_in::all() {
-                println!("{name:<14} {what}");
-            }
-            println!("{:<14} Two kinds of faults, drawn by --seed.", "random");
-            Ok(ExitCode::SUCCESS)
-        }
-        Command::Scenario {
-            day,
-            seed,
-            record,
-            json,
-            baseline,
-            ..
-        } => scenario::play(&day.unwrap_or_default(), seed, record, json, baseline).await,
-        Command::Fleet(Fleet::Status { control, json }) => fleet::status(&control, json).await,
-        Command::Fleet(Fleet::Out {
+        _ => unreachable!("only commands that run a process are passed here"),
+    }
+}
+
+fn list_scenarios() {
+    for (name, summary) in gullsail_scenario::built_in::all() {
+        println!("{name:<14} {summary}");
+    }
+    println!("{:<14} Two kinds of faults, drawn by --seed.", "random");
+}
+
+async fn run_fleet_command(command: Fleet) -> Result<ExitCode> {
+    match command {
+        Fleet::Status { control, json } => fleet::status(&control, json).await,
+        Fleet::Maintenance { control, json } => maintenance::show(&control, json).await,
+        Fleet::Out {
             control,
             names,
             r#for,
@@ -102,51 +131,32 @@
             shard_away,
             returns,
             wait,
-        }) => {
-            let longest_ms = r#for.map_or(0, |f| f.as_millis() as u64);
-            let (kind, waits) = ("out".to_string(), wait.then(|| names.clone()));
+        } => {
+            let wait_for = wait.then(|| names.clone());
             let command = OperatorCommand {
-                kind,
+                kind: "out".into(),
                 names,
-                longest_ms,
+                longest_ms: r#for.map_or(0, |span| span.as_millis() as u64),
                 shard_away,
                 returns,
                 reason,
             };
-            maintenance::send_command(&control, command, waits).await
+            maintenance::send_command(&control, command, wait_for).await
         }
-        Command::Fleet(Fleet::Back { control, names }) => {
-            let command = OperatorCommand {
-                kind: "back".into(),
-                names,
-                ..OperatorCommand::default()
-            };
-            maintenance::send_command(&control, command, None).await
+        Fleet::Back { control, names } => {
+            maintenance::send_command(&control, command_on("back", names), None).await
         }
-        Command::Fleet(Fleet::Cancel { control, names }) => {
-            let command = OperatorCommand {
-                kind: "cancel".into(),
-                names,
-                ..OperatorCommand::default()
-            };
-            maintenance::send_command(&control, command, None).await
+        Fleet::Cancel { control, names } => {
+            maintenance::send_command(&control, command_on("cancel", names), None).await
         }
-        Command::Fleet(Fleet::Maintenance { control, json }) => {
-            maintenance::show(&control, json).await
-        }
-        Command::Zones(Zones::Plan { file, price, out }) => zones::plan(&file, price, out),
-        Command::Zones(Zones::Report {
-            sources,
-            price,
-            json,
-            csv,
-        }) => zones::report(&sources, price, json, csv).await,
-        Command::Audit { dir, json } => scenario::audit(&dir, json),
-        Command::Check { file, json } => documents::check(&file, json),
-        Command::Explain { code } => documents::explain(&code),
-        Command::Fmt { files, check } => documents::format(&files, check),
-        Command::Diff { old, new, json } => documents::diff(&old, &new, json),
-        Command::Show { file, host } => documents::show(&file, &host),
+    }
+}
+
+fn command_on(kind: &str, names: Vec<String>) -> OperatorCommand {
+    OperatorCommand {
+        kind: kind.into(),
+        names,
+        ..OperatorCommand::default()
     }
 }
 
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -1,10 +1,11 @@
 //! The commands on traffic between zones: plan, report.
 
 use crate::{atomic_file, documents};
-use gullsail_configuration::Reader;
+use gullsail_configuration::{Deployment, Reader};
 use gullsail_host::control::State;
 use gullsail_host::core::zone_traffic::BudgetOverrun;
-use gullsail_placement::{NoPlan, documents::proposal, documents::question};
+use gullsail_placement::documents::{proposal, question};
+use gullsail_placement::{Bound, NoPlan, Plan, Question};
 use miette::{IntoDiagnostic, Result, WrapErr, miette};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -23,76 +24,85 @@
 
 /// Plans the placement of new objects. Exit code 0: there is a plan; 1: the constraints conflict.
 pub fn plan(file: &Path, price: f64, out: Option<PathBuf>) -> Result<ExitCode> {
-    let mut text = String::new();
-    let (d, _) = documents::read(file)?;
-    let q = question(&d, price / GIB).into_diagnostic()?;
-    let plan = match q.plan() {
+    let (deployment, _) = documents::read(file)?;
+    let question = question(&deployment, price / GIB).into_diagnostic()?;
+    let plan = match question.plan() {
         Ok(plan) => plan,
         Err(NoPlan::Clash(bounds)) => {
-            text +=
-                "no plan: these constraints conflict; without any one of them there is a plan:\n";
-            bounds
-                .into_iter()
-                .for_each(|b| text += &format!("  {}\n", q.say(b)));
-            print_text(&text);
+            print_text(&conflict_text(&question, bounds));
             return Ok(ExitCode::from(1));
         }
-        Err(e) => return Err(miette!("{e}")),
+        Err(error) => return Err(miette!("{error}")),
     };
-    for (v, to) in d.volumes.iter().zip(&plan.to) {
-        let parts = to.iter().zip(&q.zones).filter(|(bytes, _)| **bytes > 1.0);
-        let parts: Vec<_> = parts
-            .map(|(bytes, z)| format!("{z} {:.1} MiB/s", bytes / MIB))
-            .collect();
+    let mut text = plan_text(&deployment, &question, &plan);
+    if let Some(out) = out {
+        let (files, name) = documents::files(file)?;
+        let (document, _) = Reader::open(&files, &name);
+        let planned = proposal(&document, &deployment, &plan);
+        atomic_file::write(&out, &planned)
+            .into_diagnostic()
+            .wrap_err_with(|| out.display().to_string())?;
         text += &format!(
-            "volume {}: {}\n",
-            v.name,
-            if parts.is_empty() {
-                "no demand".into()
-            } else {
-                parts.join(", ")
-            }
+            "written to {}; compare with `gullsail diff`\n",
+            out.display()
         );
     }
-    for (a, row) in plan.crosses.iter().enumerate() {
-        for (b, bytes) in row.iter().enumerate().filter(|(_, bytes)| **bytes > 1.0) {
-            let most = q
-                .most(a, b)
-                .map(|m| format!(" of {:.1}", m / MIB))
+    print_text(&text);
+    Ok(ExitCode::SUCCESS)
+}
+
+fn conflict_text(question: &Question, bounds: Vec<Bound>) -> String {
+    let mut text = String::from(
+        "no plan: these constraints conflict; without any one of them there is a plan:\n",
+    );
+    for bound in bounds {
+        text += &format!("  {}\n", question.say(bound));
+    }
+    text
+}
+
+/// Where each volume's new objects go, what crosses between zones, the cost and what limits it.
+fn plan_text(deployment: &Deployment, question: &Question, plan: &Plan) -> String {
+    let mut text = String::new();
+    for (volume, to) in deployment.volumes.iter().zip(&plan.to) {
+        let used = to
+            .iter()
+            .zip(&question.zones)
+            .filter(|(bytes, _)| **bytes > 1.0);
+        let zones: Vec<_> = used
+            .map(|(bytes, zone)| format!("{zone} {:.1} MiB/s", bytes / MIB))
+            .collect();
+        let placement = if zones.is_empty() {
+            "no demand".to_string()
+        } else {
+            zones.join(", ")
+        };
+        text += &format!("volume {}: {placement}\n", volume.name);
+    }
+    for (from, row) in plan.crosses.iter().enumerate() {
+        for (to, bytes) in row.iter().enumerate().filter(|(_, bytes)| **bytes > 1.0) {
+            let most = question.most(from, to);
+            let most = most
+                .map(|most| format!(" of {:.1}", most / MIB))
                 .unwrap_or_default();
             text += &format!(
                 "{} to {}: {:.1}{most} MiB/s\n",
-                q.zones[a],
-                q.zones[b],
+                question.zones[from],
+                question.zones[to],
                 bytes / MIB
             );
         }
     }
     text += &format!("cost: {:.4} an hour\n", plan.cost * 3600.0);
-    for b in &plan.binding {
-        let (step, saves) = match b.bound {
-            gullsail_placement::Bound::Budget(_) => ("GiB an hour more", b.saves * GIB),
-            _ => ("node more", b.saves * 3600.0),
+    for binding in &plan.binding {
+        let (step, saves) = match binding.bound {
+            Bound::Budget(_) => ("GiB an hour more", binding.saves * GIB),
+            _ => ("node more", binding.saves * 3600.0),
         };
-        text += &format!(
-            "limited by {}: one {step} there saves {saves:.4} an hour\n",
-            q.say(b.bound)
-        );
+        let limit = question.say(binding.bound);
+        text += &format!("limited by {limit}: one {step} there saves {saves:.4} an hour\n");
     }
-    if let Some(out) = out {
-        let (files, name) = documents::files(file)?;
-        let (document, _) = Reader::open(&files, &name);
-        let made = proposal(&document, &d, &plan);
-        atomic_file::write(&out, &made)
-            .into_diagnostic()
-            .wrap_err_with(|| out.display().to_string())?;
-        text += &format!(
-            "written to {}; compare with `gullsail diff`\n",
-            out.display()
-        );
-    }
-    print_text(&text);
-    Ok(ExitCode::SUCCESS)
+    text
 }
 
 /// The traffic between two zones for one plan and reason.
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -22,6 +22,7 @@
 use crate::script::{Fault, Script};
 use documents::resolve;
 use faults::Step;
+use gullsail_audit::Verdict;
 use gullsail_configuration::Deployment;
 use gullsail_host::control::State;
 use gullsail_protocol::record::What;
@@ -91,43 +92,33 @@
 /// The scenario could not be played. Broken rules are no error but part of the report.
 pub async fn play(
     text: &str,
-    d: Deployment,
+    deployment: Deployment,
     script: &Script,
     stage: &Stage,
 ) -> Result<Report, RunError> {
     std::fs::create_dir_all(&stage.dir).map_err(io(stage.dir.display().to_string()))?;
     let frames = stage.dir.join("frames.jsonl");
     let recording = std::fs::File::create(&frames).map_err(io(frames.display().to_string()))?;
-    let wire = Wire::new(
-        stage.seed,
-        Some(Box::new(std::io::BufWriter::new(recording))),
-    );
-    let d = Arc::new(d);
-    let mut proxies = Proxies::open(&d, script, &wire).await?;
+    let writer = Box::new(std::io::BufWriter::new(recording));
+    let wire = Wire::new(stage.seed, Some(writer));
+    let deployment = Arc::new(deployment);
+    let mut proxies = Proxies::open(&deployment, script, &wire).await?;
     let addresses = proxies.addresses;
-    let mut run = ScenarioRun::new(d.clone(), script, stage, wire.clone(), proxies.places);
+    let mut run = ScenarioRun::new(
+        deployment.clone(),
+        script,
+        stage,
+        wire.clone(),
+        proxies.places,
+    );
     run.write_documents(text, &addresses)?;
     run.start_all(&addresses).await?;
     let played = run.play_script(&addresses).await;
     run.operators.shutdown().await;
     let hosts = run.settled_states().await;
-    write(
-        &stage.dir.join("hosts.json"),
-        &serde_json::to_string(&hosts).unwrap_or_default(),
-    )?;
-    for host in &hosts {
-        for p in &host.past {
-            let (budget, cause) = (p.budget.clone(), p.cause.clone());
-            wire.record(
-                &host.host,
-                What::BudgetOverrun {
-                    budget,
-                    cause,
-                    bytes: p.bytes,
-                },
-            );
-        }
-    }
+    let states = serde_json::to_string(&hosts).unwrap_or_default();
+    write(&stage.dir.join("hosts.json"), &states)?;
+    record_overruns(&wire, &hosts);
     let mut failures = run.stop_all().await;
     run.record_allocations();
     failures.append(&mut run.failures);
@@ -135,35 +126,48 @@
     proxies.tasks.shutdown().await;
     let outcomes = played?;
     let recording = std::fs::read_to_string(&frames).map_err(io(frames.display().to_string()))?;
-    let verdicts = gullsail_audit::judge(&d, &recording)?;
-    if !d.cross_zone_budgets.is_empty() {
-        failures.extend(accounts(
-            &gullsail_audit::crossed(&d, &recording)?,
-            &hosts,
-            script,
-        ));
+    if !deployment.cross_zone_budgets.is_empty() {
+        let recorded = gullsail_audit::crossed(&deployment, &recording)?;
+        failures.extend(accounts(&recorded, &hosts, script));
     }
-    let tested = |rule: &u8| verdicts.iter().any(|v| v.rule == *rule && v.tested > 0);
-    let untested = script
-        .tests
-        .iter()
-        .copied()
-        .filter(|rule| !tested(rule))
-        .collect();
     failures.extend(wrong_answers(&outcomes));
-    let (name, seed) = (script.name.clone(), stage.seed);
+    let verdicts = gullsail_audit::judge(&deployment, &recording)?;
     Ok(Report {
-        name,
-        seed,
+        name: script.name.clone(),
+        seed: stage.seed,
         happened: run.happened,
         outcomes,
+        untested: untested_rules(script, &verdicts),
         verdicts,
-        untested,
         failures,
         hosts,
     })
 }
 
+/// Records the budget overruns that hosts reported at their end.
+fn record_overruns(wire: &Wire, hosts: &[State]) {
+    for host in hosts {
+        for overrun in &host.past {
+            let what = What::BudgetOverrun {
+                budget: overrun.budget.clone(),
+                cause: overrun.cause.clone(),
+                bytes: overrun.bytes,
+            };
+            wire.record(&host.host, what);
+        }
+    }
+}
+
+/// The rules that the script requires to be tested and that were not.
+fn untested_rules(script: &Script, verdicts: &[Verdict]) -> Vec<u8> {
+    let is_tested = |rule: &u8| {
+        let mut verdicts = verdicts.iter();
+        verdicts.any(|verdict| verdict.rule == *rule && verdict.tested > 0)
+    };
+    let required = script.tests.iter().copied();
+    required.filter(|rule| !is_tested(rule)).collect()
+}
+
 /// Failures for answers that no client may get, by request class and plan.
 fn wrong_answers(outcomes: &Tallies) -> Vec<String> {
     let mut failures = Vec::new();
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -9,10 +9,20 @@
 use gullsail_simulator::client::Change;
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 use std::collections::BTreeMap;
+use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
+/// How long a host may take to reload, on a busy machine.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// What a reload came to; `got` is `None` for anything unexpected.
+struct ReloadResult {
+    got: Option<Expect>,
+    text: String,
+}
+
 /// The document with the recording proxies' addresses; the processes themselves bind free ports.
 pub(super) fn resolve(text: &str, addresses: &BTreeMap<String, String>, reloads: bool) -> String {
     let Ok(mut document) = KdlDocument::parse_v2(text) else {
@@ -155,7 +165,7 @@
                 next.revision
             ));
             if next.expect != Expect::Taken {
-                _ = std::fs::write(&file, before);
+                self.restore_document(&file, &before);
             }
             return;
         }
@@ -164,53 +174,64 @@
             let alone = numbered(&next.text, next.revision, None);
             self.record_document(host, next.revision, Some(alone), false);
         }
-        let reply = ask(
-            &self.socket(host),
-            ControlRequest::Reload {
-                insist: next.insist,
-            },
-            Duration::from_secs(20),
-        )
-        .await;
-        let (got, say) = match reply {
-            Ok(ControlReply::Taken { revision, changes }) => {
-                self.record_document(host, revision, None, true);
-                // Clients learn of it as soon as one host serves by it.
-                if let Ok(d) =
-                    gullsail_configuration::parse("day", &numbered(&next.text, revision, None))
-                {
-                    _ = clients.send(Change::Document(Arc::new(d))).await;
-                }
-                (
-                    Some(Expect::Taken),
-                    format!("{} change(s) accepted", changes.len()),
-                )
-            }
-            Ok(ControlReply::TurnedDown { why }) => (
-                Some(Expect::TurnedDown),
-                format!("refused: {}", why.join("; ")),
-            ),
-            Ok(ControlReply::Broken { problems }) => {
-                let first = problems
-                    .first()
-                    .map(|p| format!("{}:{} {}", p.line, p.column, p.message));
-                (
-                    Some(Expect::Broken),
-                    format!("has errors: {}", first.unwrap_or_default()),
-                )
-            }
-            Ok(other) => (None, format!("{other:?}")),
-            Err(e) => (None, e.to_string()),
+        let request = ControlRequest::Reload {
+            insist: next.insist,
         };
-        self.note(format!("{host}, revision {}: {say}", next.revision));
+        let reply = ask(&self.socket(host), request, RELOAD_TIMEOUT).await;
+        let ReloadResult { got, text } = self.reload_result(host, next, reply, clients).await;
+        self.note(format!("{host}, revision {}: {text}", next.revision));
         if got != Some(next.expect) {
             self.failures.push(format!(
-                "{host}, revision {}: {:?} expected, got {got:?}: {say}",
+                "{host}, revision {}: {:?} expected, got {got:?}: {text}",
                 next.revision, next.expect
             ));
         }
         if got != Some(Expect::Taken) {
-            _ = std::fs::write(&file, before);
+            self.restore_document(&file, &before);
+        }
+    }
+
+    /// Puts a host's document back as it was before a reload that was refused.
+    fn restore_document(&mut self, file: &Path, before: &str) {
+        if let Err(error) = std::fs::write(file, before) {
+            self.failures.push(format!("{}: {error}", file.display()));
+        }
+    }
+
+    /// What a reload came to. Clients learn of the configuration as soon as one host serves by it.
+    async fn reload_result(
+        &mut self,
+        host: &str,
+        next: &Next,
+        reply: std::io::Result<ControlReply>,
+        clients: &mpsc::Sender<Change>,
+    ) -> ReloadResult {
+        let result = |got, text| ReloadResult { got, text };
+        match reply {
+            Ok(ControlReply::Taken { revision, changes }) => {
+                self.record_document(host, revision, None, true);
+                let text = numbered(&next.text, revision, None);
+                if let Ok(deployment) = gullsail_configuration::parse("day", &text) {
+                    // The scenario may be over: no client receives it then.
+                    _ = clients.send(Change::Document(Arc::new(deployment))).await;
+                }
+                let text = format!("{} change(s) accepted", changes.len());
+                result(Some(Expect::Taken), text)
+            }
+            Ok(ControlReply::TurnedDown { why }) => {
+                let text = format!("refused: {}", why.join("; "));
+                result(Some(Expect::TurnedDown), text)
+            }
+            Ok(ControlReply::Broken { problems }) => {
+                let first = problems.first();
+                let first = first.map(|problem| {
+                    format!("{}:{} {}", problem.line, problem.column, problem.message)
+                });
+                let text = format!("has errors: {}", first.unwrap_or_default());
+                result(Some(Expect::Broken), text)
+            }
+            Ok(other) => result(None, format!("{other:?}")),
+            Err(error) => result(None, error.to_string()),
         }
     }
 }
--- a/crates/scenario/src/run/fault_start.rs
+++ b/crates/scenario/src/run/fault_start.rs
@@ -168,7 +168,44 @@
 
     /// What the proxies do to frames and connections.
     fn disturb_connections(&mut self, fault: Fault) {
-        let until = |lasts: Span| Instant::now() + duration(lasts);
+        match fault {
+            Fault::Refuse { to, lasts } => {
+                self.disturbance("*", &to, DisturbanceKind::Refuse, lasts);
+                self.wire.cut("*", &to);
+            }
+            Fault::Silent { to, lasts } => {
+                self.disturbance("*", &to, DisturbanceKind::Silent, lasts);
+                self.wire.cut("*", &to);
+            }
+            Fault::Cut { from, to } => self.wire.cut(&from, &to),
+            Fault::Part {
+                a,
+                b,
+                one_way,
+                lasts,
+            } => self.part(&a, &b, one_way, duration(lasts)),
+            Fault::Flap {
+                a,
+                b,
+                one_way,
+                every,
+                lasts,
+            } => {
+                let step = Step::Flap {
+                    a,
+                    b,
+                    one_way,
+                    every: duration(every),
+                    until: Instant::now() + duration(lasts),
+                };
+                self.later.push((Instant::now(), step));
+            }
+            other => self.disturb_frames(other),
+        }
+    }
+
+    /// What the proxies do to single frames between two processes.
+    fn disturb_frames(&mut self, fault: Fault) {
         match fault {
             Fault::LoseLabels {
                 from,
@@ -176,8 +213,9 @@
                 share,
                 lasts,
             } => {
-                self.disturbance(&from, &to, DisturbanceKind::LoseDemandReports(share), lasts);
-                self.disturbance(&to, &from, DisturbanceKind::LoseDemandReports(share), lasts);
+                let kind = DisturbanceKind::LoseDemandReports(share);
+                self.disturbance(&from, &to, kind, lasts);
+                self.disturbance(&to, &from, kind, lasts);
             }
             Fault::SwapLabels { from, to, lasts } => {
                 self.disturbance(&from, &to, DisturbanceKind::SwapDemandReports, lasts)
@@ -208,51 +246,13 @@
                 to,
                 share,
                 lasts,
-            } => {
-                self.disturbance(&from, &to, DisturbanceKind::HalfClose(share), lasts);
-            }
-            Fault::Refuse { to, lasts } => {
-                self.disturbance("*", &to, DisturbanceKind::Refuse, lasts);
-                self.wire.cut("*", &to);
-            }
-            Fault::Silent { to, lasts } => {
-                self.disturbance("*", &to, DisturbanceKind::Silent, lasts);
-                self.wire.cut("*", &to);
-            }
-            Fault::Cut { from, to } => self.wire.cut(&from, &to),
-            Fault::Part {
-                a,
-                b,
-                one_way,
-                lasts,
-            } => self.part(&a, &b, one_way, duration(lasts)),
-            Fault::Flap {
-                a,
-                b,
-                one_way,
-                every,
-                lasts,
-            } => {
-                let (every, until) = (duration(every), until(lasts));
-                self.later.push((
-                    Instant::now(),
-                    Step::Flap {
-                        a,
-                        b,
-                        one_way,
-                        every,
-                        until,
-                    },
-                ));
-            }
+            } => self.disturbance(&from, &to, DisturbanceKind::HalfClose(share), lasts),
             Fault::Repeat {
                 from,
                 to,
                 share,
                 lasts,
-            } => {
-                self.disturbance(&from, &to, DisturbanceKind::Repeat(share), lasts);
-            }
+            } => self.disturbance(&from, &to, DisturbanceKind::Repeat(share), lasts),
             _ => {}
         }
     }
--- a/crates/scenario/src/run/faults.rs
+++ b/crates/scenario/src/run/faults.rs
@@ -6,7 +6,6 @@
 use crate::error::RunError;
 use crate::script::Expect;
 use crate::script::Fault;
-use gullsail_configuration::Deployment;
 use gullsail_protocol::ListedState;
 use gullsail_protocol::Order;
 use gullsail_protocol::record::ProcessEvent;
@@ -20,6 +19,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+/// The time between the end of a node and the start of its successor.
+const SUCCESSOR_DELAY: Duration = Duration::from_millis(200);
+
+/// A step of a scenario.
 pub(super) enum Step {
     /// A fault of the script begins.
     Begin(Fault),
@@ -72,38 +75,10 @@
         changes: &mpsc::Sender<Change>,
         addresses: &BTreeMap<String, String>,
     ) -> Result<(), RunError> {
-        let find = |d: &Deployment, name: &str| d.node(name).cloned();
         match step {
             Step::Begin(fault) => self.begin(fault, changes, addresses).await,
-            Step::End { node, by } => {
-                self.note(format!("{node} ends"));
-                if let Some(process) = self.places.get_mut(&node).and_then(|p| p.process.take()) {
-                    self.wire
-                        .process(&node, self.wire.now(), ProcessEvent::Ended);
-                    process.kill().await;
-                }
-                self.gone(&node, &by, addresses).await;
-                self.later.push((
-                    Instant::now() + Duration::from_millis(200),
-                    Step::Successor { node: by },
-                ));
-            }
-            Step::Successor { node } => {
-                if let Some(n) = find(&self.deployment, &node) {
-                    self.note(format!("{node} starts and warms up"));
-                    self.start_node(&n, false).await?;
-                    let entries = vec![self.entry(&n, ListedState::Ready, addresses)];
-                    self.order(
-                        "list",
-                        Order {
-                            what: "set".into(),
-                            entries,
-                            ..Order::default()
-                        },
-                    )
-                    .await;
-                }
-            }
+            Step::End { node, by } => self.end_node(&node, by, addresses).await,
+            Step::Successor { node } => self.start_successor(&node, addresses).await?,
             Step::OperatorReport { text, failure } => {
                 self.note(text);
                 self.failures.extend(failure);
@@ -114,8 +89,8 @@
                     return Ok(());
                 }
                 self.switch_off(&name, addresses).await;
-                self.later
-                    .push((Instant::now() + after, Step::SwitchOn { name, back }));
+                let step = Step::SwitchOn { name, back };
+                self.later.push((Instant::now() + after, step));
             }
             Step::SwitchOn { name, back } => self.switch_on(&name, back, addresses).await?,
             Step::Reload { host, next } => self.reload(&host, &next, changes).await,
@@ -125,8 +100,8 @@
             }
             Step::GoOn { name } => {
                 self.note(format!("{name} continues"));
-                self.wire
-                    .process(&name, self.wire.now(), ProcessEvent::Resumed);
+                let now = self.wire.now();
+                self.wire.process(&name, now, ProcessEvent::Resumed);
                 self.signal(&name, Signal::SIGCONT);
             }
             Step::Flap {
@@ -139,22 +114,52 @@
                 self.part(&a, &b, one_way, every);
                 let next = Instant::now() + 2 * every;
                 if next < until {
-                    self.later.push((
-                        next,
-                        Step::Flap {
-                            a,
-                            b,
-                            one_way,
-                            every,
-                            until,
-                        },
-                    ));
+                    let step = Step::Flap {
+                        a,
+                        b,
+                        one_way,
+                        every,
+                        until,
+                    };
+                    self.later.push((next, step));
                 }
             }
         }
         Ok(())
     }
 
+    /// A node's process exits; its successor starts a moment later.
+    async fn end_node(&mut self, node: &str, by: String, addresses: &BTreeMap<String, String>) {
+        self.note(format!("{node} ends"));
+        if let Some(process) = self.places.get_mut(node).and_then(|p| p.process.take()) {
+            let now = self.wire.now();
+            self.wire.process(node, now, ProcessEvent::Ended);
+            process.kill().await;
+        }
+        self.gone(node, &by, addresses).await;
+        let step = Step::Successor { node: by };
+        self.later.push((Instant::now() + SUCCESSOR_DELAY, step));
+    }
+
+    async fn start_successor(
+        &mut self,
+        node: &str,
+        addresses: &BTreeMap<String, String>,
+    ) -> Result<(), RunError> {
+        let Some(place) = self.deployment.node(node).cloned() else {
+            return Ok(());
+        };
+        self.note(format!("{node} starts and warms up"));
+        self.start_node(&place, false).await?;
+        let order = Order {
+            what: "set".into(),
+            entries: vec![self.entry(&place, ListedState::Ready, addresses)],
+            ..Order::default()
+        };
+        self.order("list", order).await;
+        Ok(())
+    }
+
     /// Tells the endpoint list that a node is gone, unless the same node comes back.
     pub(super) async fn gone(
         &mut self,
--- a/crates/scenario/src/script/fault_reader.rs
+++ b/crates/scenario/src/script/fault_reader.rs
@@ -293,75 +293,87 @@
     }
 
     fn connection_fault(&mut self, kind: &str) -> Option<Fault> {
-        let (lasts, share) = (self.lasts, self.share);
-        let all = self.all_processes();
-        let hosts = or_any(&self.hosts);
+        let lasts = self.lasts;
         match kind {
             "list-down" => Some(Fault::ListDown { lasts }),
-            "refuse" => Some(Fault::Refuse {
-                to: self.name("process", &all)?,
-                lasts,
-            }),
-            "silent" => Some(Fault::Silent {
-                to: self.name("process", &all)?,
-                lasts,
-            }),
-            "lose-labels" => {
-                let (from, to) = (self.key("from", &hosts)?, self.key("to", &hosts)?);
-                Some(Fault::LoseLabels {
-                    from,
-                    to,
-                    share,
-                    lasts,
-                })
-            }
-            "swap-labels" => {
-                let (from, to) = (self.key("from", &hosts)?, self.key("to", &hosts)?);
-                Some(Fault::SwapLabels { from, to, lasts })
-            }
-            "repeat" => {
-                let (from, to) = (self.key("from", &hosts)?, self.key("to", &hosts)?);
-                Some(Fault::Repeat {
-                    from,
-                    to,
-                    share,
-                    lasts,
-                })
-            }
-            "delay" => {
-                let by = self.r.span(self.n, "by");
-                Some(Fault::Delay {
-                    from: self.key("from", &all)?,
-                    to: self.key("to", &all)?,
-                    by,
-                    lasts,
+            "refuse" | "silent" => {
+                let all = self.all_processes();
+                let to = self.name("process", &all)?;
+                Some(match kind {
+                    "refuse" => Fault::Refuse { to, lasts },
+                    _ => Fault::Silent { to, lasts },
                 })
             }
-            "reset" => Some(Fault::Reset {
-                from: self.key("from", &all)?,
-                to: self.key("to", &all)?,
+            "lose-labels" | "swap-labels" | "repeat" => self.peer_fault(kind),
+            "cut" | "flap" if self.n.entry("between").is_some() => self.partition(kind),
+            "delay" | "reset" | "lose" | "half-close" | "cut" => self.link_fault(kind),
+            _ => None,
+        }
+    }
+
+    /// What is done to messages between hosts.
+    fn peer_fault(&mut self, kind: &str) -> Option<Fault> {
+        let hosts = or_any(&self.hosts);
+        let from = self.key("from", &hosts)?;
+        let to = self.key("to", &hosts)?;
+        let share = self.share;
+        let lasts = self.lasts;
+        Some(match kind {
+            "lose-labels" => Fault::LoseLabels {
+                from,
+                to,
                 share,
                 lasts,
-            }),
-            "lose" => Some(Fault::Lose {
-                from: self.key("from", &all)?,
-                to: self.key("to", &all)?,
+            },
+            "swap-labels" => Fault::SwapLabels { from, to, lasts },
+            _ => Fault::Repeat {
+                from,
+                to,
                 share,
                 lasts,
-            }),
-            "half-close" => Some(Fault::HalfClose {
-                from: self.key("from", &all)?,
-                to: self.key("to", &all)?,
+            },
+        })
+    }
+
+    /// What is done to the frames or connections between two processes.
+    fn link_fault(&mut self, kind: &str) -> Option<Fault> {
+        let by = if kind == "delay" {
+            self.r.span(self.n, "by")
+        } else {
+            Span::ZERO
+        };
+        let all = self.all_processes();
+        let from = self.key("from", &all)?;
+        let to = self.key("to", &all)?;
+        let share = self.share;
+        let lasts = self.lasts;
+        Some(match kind {
+            "delay" => Fault::Delay {
+                from,
+                to,
+                by,
+                lasts,
+            },
+            "reset" => Fault::Reset {
+                from,
+                to,
                 share,
                 lasts,
-            }),
-            "cut" | "flap" if self.n.entry("between").is_some() => self.partition(kind),
-            "cut" => Some(Fault::Cut {
-                from: self.key("from", &all)?,
-                to: self.key("to", &all)?,
-            }),
-            _ => None,
-        }
+            },
+            "lose" => Fault::Lose {
+                from,
+                to,
+                share,
+                lasts,
+            },
+            "half-close" => Fault::HalfClose {
+                from,
+                to,
+                share,
+                lasts,
+            },
+            _ => Fault::Cut { from, to },
+        })
     }
 
     /// Two groups that do not reach each other.
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -1,6 +1,6 @@
-//! A baseline to measure the host against: it speaks the host's frames and sends each request at once, within
-//! an even part of its volume's limit, to the node that holds its data or to any that the list calls ready.
-//! It has no window, no order, no further attempts, no care for cold nodes, and it believes the list.
+//! A baseline to compare the host with. It speaks the host's frames and forwards each request at once, within
+//! an even share of its volume's limit, to the node that holds its data, or to any ready node.
+//! It has no window, no ordering, no retries and no slow start, and it trusts the endpoint list.
 
 use gullsail_configuration::Deployment;
 use gullsail_connections::{Link, LinkEvent};
@@ -45,72 +45,94 @@
     last: u64,
 }
 
+/// The time between two attempts to connect to a node.
+const NODE_RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
+/// The wait before the endpoint list service is connected to again.
+const LIST_RECONNECT_WAIT: Duration = Duration::from_millis(500);
+/// How often requests that have expired are looked for.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A connection that was being opened; without a stream: it failed.
+struct Connected {
+    who: Who,
+    stream: Option<TcpStream>,
+}
+
+/// Connections that are being opened.
+struct Connecting {
+    tasks: JoinSet<Connected>,
+    list_address: String,
+    /// When each node was last connected to.
+    node_tried_at: BTreeMap<String, Instant>,
+}
+
+impl Connecting {
+    fn open(&mut self, who: Who, address: String, wait: Duration) {
+        self.tasks.spawn(async move {
+            tokio::time::sleep(wait).await;
+            let stream = TcpStream::connect(address).await.ok();
+            Connected { who, stream }
+        });
+    }
+
+    fn open_list(&mut self, wait: Duration) {
+        self.open(Who::List, self.list_address.clone(), wait);
+    }
+
+    /// Connects to ready nodes without a connection.
+    fn open_nodes(&mut self, host: &BaselineHost) {
+        for (name, (address, _)) in &host.ready {
+            let tried_at = self.node_tried_at.get(name);
+            let due = tried_at.is_none_or(|at| at.elapsed() > NODE_RECONNECT_INTERVAL);
+            if due && !host.up.contains_key(name) {
+                self.node_tried_at.insert(name.clone(), Instant::now());
+                self.open(Who::Node(name.clone()), address.clone(), Duration::ZERO);
+            }
+        }
+    }
+}
+
 /// Serves until its task is dropped.
 pub async fn serve(d: Arc<Deployment>, me: HostId, seed: u64, listener: TcpListener) {
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
-    let mut connecting: JoinSet<(Who, Option<TcpStream>)> = JoinSet::new();
-    let connect = |who: Who, address: String, wait: u64| async move {
-        tokio::time::sleep(Duration::from_millis(wait)).await;
-        (who, TcpStream::connect(address).await.ok())
+    let mut connecting = Connecting {
+        tasks: JoinSet::new(),
+        list_address: d.list.address.clone(),
+        node_tried_at: BTreeMap::new(),
     };
-    let ready = d.nodes.iter().filter(|n| !n.spare);
-    let ready = ready
-        .map(|n| (n.place.name.clone(), (n.place.address.clone(), n.shard.0)))
-        .collect();
-    let (rng, list) = (ChaCha8Rng::seed_from_u64(seed), d.list.address.clone());
-    let (links, up, attempts, levels) = Default::default();
-    let mut n = BaselineHost {
-        d,
-        rng,
-        links,
-        ready,
-        up,
-        attempts,
-        levels,
-        last: 0,
-    };
-    connecting.spawn(connect(Who::List, list.clone(), 0));
-    let mut asked: BTreeMap<String, Instant> = BTreeMap::new();
-    let name = n.d.hosts[me.0 as usize].name.clone();
     let hello = Hello {
         role: Role::Host as i32,
-        name,
+        name: d.hosts[me.0 as usize].name.clone(),
         incarnation: seed | 1,
         ..Hello::default()
     };
+    let mut host = BaselineHost::new(d, seed);
+    connecting.open_list(Duration::ZERO);
     let mut last_link = 0;
     loop {
-        for (name, (address, _)) in &n.ready {
-            let due = asked
-                .get(name)
-                .is_none_or(|at| at.elapsed() > Duration::from_millis(200));
-            if due && !n.up.contains_key(name) {
-                asked.insert(name.clone(), Instant::now());
-                connecting.spawn(connect(Who::Node(name.clone()), address.clone(), 0));
-            }
-        }
-        n.expire();
+        connecting.open_nodes(&host);
+        host.expire();
         let mut opened = None;
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
                 opened = Some((Who::Client, stream));
             },
-            Some(Ok((who, made))) = connecting.join_next(), if !connecting.is_empty() => match made {
+            Some(Ok(Connected { who, stream })) = connecting.tasks.join_next(), if !connecting.tasks.is_empty() => match stream {
                 Some(stream) => opened = Some((who, stream)),
-                None if who == Who::List => _ = connecting.spawn(connect(Who::List, list.clone(), 500)),
+                None if who == Who::List => connecting.open_list(LIST_RECONNECT_WAIT),
                 None => {}
             },
             Some((id, happened)) = inbox.recv() => match happened {
-                LinkEvent::Frame(frame) => n.handle_frame(id, frame),
-                LinkEvent::Closed(_) => match n.links.remove(&id) {
-                    Some((Who::List, _)) => _ = connecting.spawn(connect(Who::List, list.clone(), 500)),
-                    Some((Who::Node(name), _)) => n.lost(id, &name),
+                LinkEvent::Frame(frame) => host.handle_frame(id, frame),
+                LinkEvent::Closed(_) => match host.links.remove(&id) {
+                    Some((Who::List, _)) => connecting.open_list(LIST_RECONNECT_WAIT),
+                    Some((Who::Node(name), _)) => host.lost(id, &name),
                     _ => {}
                 },
                 LinkEvent::Written(_) => {}
             },
-            () = tokio::time::sleep(Duration::from_millis(10)) => {}
+            () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             _ = tasks.join_next(), if !tasks.is_empty() => {}
         }
         if let Some((who, stream)) = opened {
@@ -123,16 +145,39 @@
                 &sink,
                 &mut tasks,
             );
+            // A connection that is closed already is reported by its reading task.
             let _ = link.send(Frame::from(hello.clone()));
             if who == Who::List {
                 let _ = link.send(Frame::from(EndpointListQuery { watch: true }));
             }
-            n.links.insert(last_link, (who, link));
+            host.links.insert(last_link, (who, link));
         }
     }
 }
 
 impl BaselineHost {
+    fn new(d: Arc<Deployment>, seed: u64) -> BaselineHost {
+        let running = d.nodes.iter().filter(|node| !node.spare);
+        let ready = running
+            .map(|node| {
+                (
+                    node.place.name.clone(),
+                    (node.place.address.clone(), node.shard.0),
+                )
+            })
+            .collect();
+        BaselineHost {
+            d,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            links: BTreeMap::new(),
+            ready,
+            up: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            levels: BTreeMap::new(),
+            last: 0,
+        }
+    }
+
     fn handle_frame(&mut self, link: u64, frame: Frame) {
         match frame.message {
             Message::Submit(s) => self.submit(link, s, frame.body),
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -67,18 +67,7 @@
     );
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
-    let mut n = Node {
-        process,
-        model,
-        links: BTreeMap::new(),
-        attempts: BTreeMap::new(),
-        objects: BTreeMap::new(),
-        marks: BTreeMap::new(),
-        rng,
-        fail: 0.0,
-        costly: None,
-        active_faults: Vec::new(),
-    };
+    let mut n = Node::new(process, model, rng);
     let (mut last_link, mut last_attempt) = (0, 0);
     loop {
         for id in n.model.advance(now()) {
@@ -93,15 +82,7 @@
             came = listener.accept() => if let Ok((stream, _)) = came {
                 last_link += 1;
                 let link = Link::open(stream, last_link, n.process.bounds, 16_384, &sink, &mut tasks);
-                let age_us = (now() - started_at).micros();
-                let _ = link.send(Frame::from(Hello {
-                    role: Role::Node as i32,
-                    name: n.process.name.clone(),
-                    incarnation: n.process.incarnation,
-                    age_us,
-                    shard_plus_one: n.process.shard + 1,
-                }));
-                n.links.insert(last_link, link);
+                n.greet(last_link, link, now() - started_at);
             },
             Some((link, happened)) = inbox.recv() => match happened {
                 LinkEvent::Frame(frame) => {
@@ -124,6 +105,35 @@
 }
 
 impl Node {
+    fn new(process: NodeProcess, model: Model, rng: ChaCha8Rng) -> Node {
+        Node {
+            process,
+            model,
+            links: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            objects: BTreeMap::new(),
+            marks: BTreeMap::new(),
+            rng,
+            fail: 0.0,
+            costly: None,
+            active_faults: Vec::new(),
+        }
+    }
+
+    /// Keeps a new connection and sends the first frame on it.
+    fn greet(&mut self, id: u64, link: Link, up_for: Span) {
+        let hello = Hello {
+            role: Role::Node as i32,
+            name: self.process.name.clone(),
+            incarnation: self.process.incarnation,
+            age_us: up_for.micros(),
+            shard_plus_one: self.process.shard + 1,
+        };
+        // A connection that is closed already is reported by its reading task.
+        let _ = link.send(Frame::from(hello));
+        self.links.insert(id, link);
+    }
+
     /// `true`: it fell over.
     fn handle_frame(&mut self, link: u64, frame: Frame, id: u64, now: Instant) -> bool {
         match frame.message {
--- a/crates/simulator/src/recording_proxy.rs
+++ b/crates/simulator/src/recording_proxy.rs
@@ -279,6 +279,35 @@
     let _ = tokio::time::timeout(gullsail_connections::LINGER * 2, all).await;
 }
 
+/// Which way a frame goes, by the side that sent it.
+struct Directions {
+    there: Way,
+    back: Way,
+    /// The name of whoever opened the connection, once it is known.
+    from: String,
+    /// The name of the process that it was opened to.
+    to: String,
+}
+
+impl Directions {
+    fn next_due(&self) -> Option<Instant> {
+        let fronts = [&self.there, &self.back].into_iter();
+        let due = fronts.filter_map(|way| way.queue.front().map(|queued| queued.0));
+        due.min()
+    }
+
+    /// Takes in a frame from one side; `false`: the connection breaks.
+    fn take_in(&mut self, wire: &Wire, link: u64, side: Side, frame: Frame) -> bool {
+        if let (Side::Dialler, Message::Hello(hello)) = (side, &frame.message) {
+            self.from = hello.name.clone();
+        }
+        match side {
+            Side::Dialler => enter(wire, &mut self.there, link, &self.from, &self.to, frame),
+            Side::Target => enter(wire, &mut self.back, link, &self.to, &self.from, frame),
+        }
+    }
+}
+
 async fn pass(wire: Arc<Wire>, name: String, stream: TcpStream, address: Option<String>) {
     if wire.turns_away(&name).await {
         return;
@@ -289,160 +318,203 @@
     };
     let (sink, mut inbox) = mpsc::channel(256);
     let mut tasks = JoinSet::new();
-    let mut initiator = Link::open(
-        stream,
-        Side::Dialler,
-        Bounds::DEFAULT,
-        16_384,
-        &sink,
-        &mut tasks,
-    );
-    let mut target = Link::open(
-        other,
-        Side::Target,
-        Bounds::DEFAULT,
-        16_384,
-        &sink,
-        &mut tasks,
-    );
+    let mut open =
+        |stream, side| Link::open(stream, side, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
+    let mut initiator = open(stream, Side::Dialler);
+    let mut target = open(other, Side::Target);
     let link = wire.next_link();
     let mut cuts = wire.cut.subscribe();
     cuts.mark_unchanged();
-    let mut from = String::from("?");
-    let (mut there, mut back) = (Way::default(), Way::default());
+    let mut ways = Directions {
+        there: Way::default(),
+        back: Way::default(),
+        from: "?".into(),
+        to: name,
+    };
     let why = loop {
         let now = Instant::now();
-        let sides = [(&mut there, &mut target), (&mut back, &mut initiator)];
+        let sides = [
+            (&mut ways.there, &mut target),
+            (&mut ways.back, &mut initiator),
+        ];
         if !forward_due(&wire, now, sides) {
-            break "one side takes nothing".to_string();
+            break "one side does not read".to_string();
         }
-        let due = [&there, &back]
-            .iter()
-            .filter_map(|w| w.queue.front().map(|q| q.0))
-            .min();
-        let next_wakeup = due.unwrap_or(now + Duration::from_secs(3600));
+        let next_wakeup = ways.next_due().unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
             Some((side, happened)) = inbox.recv() => match happened {
-                LinkEvent::Frame(frame) => {
-                    if let (Side::Dialler, Message::Hello(hello)) = (side, &frame.message) {
-                        from = hello.name.clone();
-                    }
-                    let (way, a, b) = match side {
-                        Side::Dialler => (&mut there, &from, &name),
-                        Side::Target => (&mut back, &name, &from),
-                    };
-                    if !enter(&wire, way, link, a, b, frame) {
-                        break "broken on purpose".into();
-                    }
-                }
+                LinkEvent::Frame(frame) => if !ways.take_in(&wire, link, side, frame) {
+                    break "broken on purpose".into();
+                },
                 LinkEvent::Closed(why) => break why,
                 LinkEvent::Written(_) => {}
             },
             _ = cuts.changed() => {
                 let (_, a, b) = cuts.borrow_and_update().clone();
-                if between(&a, &b, &from, &name) {
+                if between(&a, &b, &ways.from, &ways.to) {
                     break "cut on purpose".into();
                 }
             }
             () = tokio::time::sleep_until(next_wakeup) => {}
         }
     };
+    record_close(&wire, link, &ways, why);
+    // What was on its way when one side closed still arrives.
+    flush(&wire, ways.there, &target);
+    flush(&wire, ways.back, &initiator);
+    drop((initiator, target));
+    linger(tasks).await;
+}
+
+fn record_close(wire: &Wire, link: u64, ways: &Directions, why: String) {
     let at = wire.now();
     wire.write_entry(Entry {
         at,
         out: at,
         link,
-        from,
-        to: name,
+        from: ways.from.clone(),
+        to: ways.to.clone(),
         what: What::Closed { why },
     });
-    // What was on its way when one side closed still arrives.
-    for (way, to) in [(there, &target), (back, &initiator)] {
-        flush(&wire, way, to);
-    }
-    drop((initiator, target));
-    linger(tasks).await;
 }
 
-/// Puts a frame on its way as the disturbances have it; `false`: the connection breaks.
-fn enter(wire: &Wire, way: &mut Way, link: u64, from: &str, to: &str, mut frame: Frame) -> bool {
-    let (at, mut due, mut delivery) = (wire.now(), Instant::now(), Delivery::Passed);
-    let is_demand_report = matches!(frame.message, Message::DemandReport(_));
-    let between_hosts = is_demand_report
-        || matches!(
-            frame.message,
-            Message::Reached(_) | Message::FleetMessage(_)
-        );
-    let entry = |delivery, frame: &Frame| {
+/// What the disturbances make of one frame.
+struct Disturbed {
+    frame: Frame,
+    due: Instant,
+    delivery: Delivery,
+    /// It changes places with the next one.
+    swap: bool,
+    /// It is the last of its direction.
+    ends: bool,
+    /// It arrives twice.
+    twice: bool,
+}
+
+/// A frame on its way from one process to another.
+struct Passage<'a> {
+    wire: &'a Wire,
+    link: u64,
+    from: &'a str,
+    to: &'a str,
+    at: i64,
+}
+
+impl Passage<'_> {
+    fn entry(&self, delivery: Delivery, frame: &Frame) -> Entry {
         let what = What::Frame {
             message: frame.message.clone(),
             body: frame.body.len(),
             delivery,
         };
         Entry {
-            at,
-            out: at,
-            link,
-            from: from.into(),
-            to: to.into(),
+            at: self.at,
+            out: self.at,
+            link: self.link,
+            from: self.from.into(),
+            to: self.to.into(),
             what,
         }
-    };
-    let (mut swap, mut ends, mut twice) = (false, false, false);
-    if way.ended {
-        wire.write_entry(entry(Delivery::Dropped, &frame));
-        return true;
     }
-    for disturbance in wire.disturbances(from, to) {
-        match disturbance {
-            DisturbanceKind::Delay(by) => due += by,
-            DisturbanceKind::Lose(part) if wire.chance(part) => delivery = Delivery::Dropped,
-            DisturbanceKind::HalfClose(part) if wire.chance(part) => ends = true,
-            DisturbanceKind::LoseDemandReports(part) if is_demand_report && wire.chance(part) => {
-                delivery = Delivery::Dropped
-            }
-            DisturbanceKind::SwapDemandReports if is_demand_report => swap = true,
-            DisturbanceKind::Reset(part) if wire.chance(part) => return false,
-            DisturbanceKind::Repeat(part) if between_hosts && wire.chance(part) => twice = true,
-            DisturbanceKind::Errors(part) => {
-                if let Message::AttemptAnswer(a) = &frame.message
-                    && a.result == AttemptResult::Succeeded as i32
-                    && wire.chance(part)
+
+    /// Applies the disturbances in force; `None`: the connection breaks.
+    fn disturb(&self, frame: Frame) -> Option<Disturbed> {
+        let wire = self.wire;
+        let is_demand_report = matches!(frame.message, Message::DemandReport(_));
+        let is_fleet_message = matches!(
+            frame.message,
+            Message::Reached(_) | Message::FleetMessage(_)
+        );
+        let between_hosts = is_demand_report || is_fleet_message;
+        let mut disturbed = Disturbed {
+            frame,
+            due: Instant::now(),
+            delivery: Delivery::Passed,
+            swap: false,
+            ends: false,
+            twice: false,
+        };
+        for disturbance in wire.disturbances(self.from, self.to) {
+            match disturbance {
+                DisturbanceKind::Delay(by) => disturbed.due += by,
+                DisturbanceKind::Lose(part) if wire.chance(part) => {
+                    disturbed.delivery = Delivery::Dropped
+                }
+                DisturbanceKind::HalfClose(part) if wire.chance(part) => disturbed.ends = true,
+                DisturbanceKind::LoseDemandReports(part)
+                    if is_demand_report && wire.chance(part) =>
                 {
-                    delivery = Delivery::Altered;
-                    let result = AttemptResult::Failed as i32;
-                    let reason = "turned into an error on the way".into();
-                    let altered = AttemptAnswer {
-                        result,
-                        reason,
-                        handle: None,
-                        ..a.clone()
-                    };
-                    wire.write_entry(entry(delivery, &frame));
-                    frame = Frame::from(altered);
+                    disturbed.delivery = Delivery::Dropped
                 }
+                DisturbanceKind::SwapDemandReports if is_demand_report => disturbed.swap = true,
+                DisturbanceKind::Reset(part) if wire.chance(part) => return None,
+                DisturbanceKind::Repeat(part) if between_hosts && wire.chance(part) => {
+                    disturbed.twice = true
+                }
+                DisturbanceKind::Errors(part) => self.turn_into_error(part, &mut disturbed),
+                _ => {}
             }
-            _ => {}
         }
+        Some(disturbed)
     }
-    way.ended = ends;
-    // Order holds within a connection, whatever the delay of each frame.
-    due = way.queue.back().map_or(due, |last| due.max(last.0));
-    match delivery {
-        Delivery::Dropped => wire.write_entry(entry(delivery, &frame)),
-        _ if swap && way.held.is_none() => {
-            way.held = Some((entry(Delivery::Passed, &frame), frame))
-        }
-        _ => {
-            let passed = entry(Delivery::Passed, &frame);
-            if twice {
-                way.queue.push_back((due, passed.clone(), frame.clone()));
-            }
-            way.queue.push_back((due, passed, frame));
-            if let Some((held, frame)) = way.held.take() {
-                way.queue.push_back((due, held, frame));
-            }
+
+    /// Turns a response that succeeded into an error, with this chance.
+    fn turn_into_error(&self, part: f64, disturbed: &mut Disturbed) {
+        let Message::AttemptAnswer(answer) = &disturbed.frame.message else {
+            return;
+        };
+        if answer.result != AttemptResult::Succeeded as i32 || !self.wire.chance(part) {
+            return;
         }
+        let altered = AttemptAnswer {
+            result: AttemptResult::Failed as i32,
+            reason: "turned into an error on the way".into(),
+            handle: None,
+            ..answer.clone()
+        };
+        disturbed.delivery = Delivery::Altered;
+        let entry = self.entry(Delivery::Altered, &disturbed.frame);
+        self.wire.write_entry(entry);
+        disturbed.frame = Frame::from(altered);
+    }
+}
+
+/// Queues a frame as the disturbances have it; `false`: the connection breaks.
+fn enter(wire: &Wire, way: &mut Way, link: u64, from: &str, to: &str, frame: Frame) -> bool {
+    let passage = Passage {
+        wire,
+        link,
+        from,
+        to,
+        at: wire.now(),
+    };
+    if way.ended {
+        wire.write_entry(passage.entry(Delivery::Dropped, &frame));
+        return true;
+    }
+    let Some(disturbed) = passage.disturb(frame) else {
+        return false;
+    };
+    way.ended = disturbed.ends;
+    // Order holds within a connection, whatever the delay of each frame.
+    let last_due = way.queue.back().map(|last| last.0);
+    let due = last_due.map_or(disturbed.due, |last| disturbed.due.max(last));
+    let frame = disturbed.frame;
+    if disturbed.delivery == Delivery::Dropped {
+        wire.write_entry(passage.entry(Delivery::Dropped, &frame));
+        return true;
+    }
+    let passed = passage.entry(Delivery::Passed, &frame);
+    if disturbed.swap && way.held.is_none() {
+        way.held = Some((passed, frame));
+        return true;
+    }
+    if disturbed.twice {
+        way.queue.push_back((due, passed.clone(), frame.clone()));
+    }
+    way.queue.push_back((due, passed, frame));
+    if let Some((held, frame)) = way.held.take() {
+        way.queue.push_back((due, held, frame));
     }
     true
 }
