--- a/crates/cli/tests/shortages/main.rs
+++ b/crates/cli/tests/shortages/main.rs
@@ -270,7 +270,7 @@
     let out = gullsail(dir.path(), &["reload", "h1.sock"]);
     let output = String::from_utf8_lossy(&out.stdout).into_owned();
     assert_eq!(
-        (out.status.code(), output.contains("it is no regular file")),
+        (out.status.code(), output.contains("not a regular file")),
         (Some(2), true),
         "{output}"
     );
--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -52,19 +52,18 @@
     let (list, list_late) = endpoint_list(document, r);
     let mut config = default_config();
     config.hosts = hosts.len() as u32;
-    config.request_classes = request_classes
-        .iter()
-        .map(|s| s.decisions.clone())
-        .collect();
+    let decisions = request_classes.iter().map(|class| class.decisions.clone());
+    config.request_classes = decisions.collect();
     let (rules, bounds) = read_figures(document, r, &mut config);
     let plans: Vec<_> = all("plan").map(|n| plan(r, n, rules.unit)).collect();
     config.plans = plans.iter().map(|p| p.decisions.clone()).collect();
     let (fleet, maintenance) = read_fleet(document, r, &hosts, config.tick);
     let everyone: Arc<[HostId]> = (0..hosts.len() as u32).map(HostId).collect();
-    // A part too small for a largest request moves around where hosts settle it among themselves.
+    // With a fleet, a share too small for a largest request goes from host to host in turns.
     let most = (config.max_units, fleet.is_none());
-    let read_volume = |n| volume(r, n, &plans, &names.plans, &names.hosts, &everyone, most);
-    let volumes: Vec<_> = all("volume").map(read_volume).collect();
+    let volumes: Vec<_> = all("volume")
+        .map(|n| volume(r, n, &plans, &names.plans, &names.hosts, &everyone, most))
+        .collect();
     check_needed(r, document, &hosts, &volumes);
     config.max_bytes = bounds.frame.body as f64;
     let cross_zone_budgets = read_budgets(document, r, &names, &hosts, &everyone, config.max_bytes);
@@ -77,11 +76,6 @@
     };
     let routes = routes::read(document, r, &known);
     let place = revision(document, r);
-    let volumes_by_name = volumes
-        .iter()
-        .enumerate()
-        .map(|(place, v)| (v.name.clone(), place))
-        .collect();
     let built = Deployment {
         unit: rules.unit,
         routes,
@@ -93,7 +87,6 @@
         zones: names.zones.list().to_vec(),
         request_classes,
         plans,
-        volumes,
         hosts,
         nodes,
         servers,
@@ -101,8 +94,9 @@
         list_late,
         drain_grace: rules.drain_grace,
         bounds,
+        volumes_by_name: places_by_name(&volumes),
+        volumes,
         config,
-        volumes_by_name,
     };
     check_ids(r, &built, document);
     lints::check(&built, document, r);
@@ -145,6 +139,13 @@
     revision_entry::read(document, r)
 }
 
+fn places_by_name(volumes: &[NamedVolume]) -> BTreeMap<String, usize> {
+    let places = volumes.iter().enumerate();
+    places
+        .map(|(place, volume)| (volume.name.clone(), place))
+        .collect()
+}
+
 fn check_kinds(document: &KdlDocument, r: &mut Reader) {
     for n in document.nodes() {
         let name = n.name().value();
--- a/crates/configuration/src/cross_zone_budgets.rs
+++ b/crates/configuration/src/cross_zone_budgets.rs
@@ -19,35 +19,7 @@
 ) -> Option<NamedCrossZoneBudget> {
     r.only(n, 0, &["from", "to", "plan", "limit", "burst", "hard"], &[]);
     let before = r.reported();
-    let of = if n.entry("plan").is_some() {
-        for key in ["from", "to"] {
-            if let Some(e) = n.entry(key) {
-                let help = Some("a budget is for a pair of zones, or for a plan in all".into());
-                r.report(
-                    "contradiction",
-                    format!("`{key}` does not go with `plan`"),
-                    e.span(),
-                    help,
-                );
-            }
-        }
-        BudgetScope::Plan(PlanId(r.refer_at(n, "plan", "plan", plans)?))
-    } else {
-        let (from, to) = (
-            r.refer_at(n, "from", "zone", zones),
-            r.refer_at(n, "to", "zone", zones),
-        );
-        let (from, to) = (ZoneId(from?), ZoneId(to?));
-        if from == to {
-            r.report(
-                "contradiction",
-                "nothing crosses from a zone to itself".into(),
-                n.span(),
-                None,
-            );
-        }
-        BudgetScope::ZonePair(from, to)
-    };
+    let of = scope(r, n, zones, plans)?;
     let rate = r.bytes_a_second(n, "limit");
     let burst = r.bytes(n, "burst", 0) as f64;
     if n.entry("burst").is_none() {
@@ -59,21 +31,8 @@
         );
     }
     let hard = r.flag(n, "hard");
-    let (name, hosts) = match of {
-        BudgetScope::Plan(p) => (format!("plan {}", plans.list()[p.0]), everyone.clone()),
-        BudgetScope::ZonePair(from, to) => {
-            let near = |p: &Place| p.zone == from || p.zone == to;
-            let hosts = places
-                .iter()
-                .enumerate()
-                .filter(|(_, p)| near(p))
-                .map(|(h, _)| HostId(h as u32));
-            (
-                format!("{} to {}", zones.list()[from.0], zones.list()[to.0]),
-                hosts.collect(),
-            )
-        }
-    };
+    let name = name(of, zones, plans);
+    let hosts = hosts(of, places, everyone);
     let least = 2.0 * max_bytes * hosts.len() as f64;
     if r.reported() == before && burst < least {
         let message = format!(
@@ -123,3 +82,59 @@
         }
     }
 }
+
+/// What counts against the budget: the traffic of a plan, or between two zones.
+fn scope(r: &mut Reader, n: &KdlNode, zones: &Names, plans: &Names) -> Option<BudgetScope> {
+    let scope = if n.entry("plan").is_some() {
+        for key in ["from", "to"] {
+            if let Some(e) = n.entry(key) {
+                let help = Some("a budget is for a pair of zones, or for a plan in all".into());
+                r.report(
+                    "contradiction",
+                    format!("`{key}` does not go with `plan`"),
+                    e.span(),
+                    help,
+                );
+            }
+        }
+        BudgetScope::Plan(PlanId(r.refer_at(n, "plan", "plan", plans)?))
+    } else {
+        let (from, to) = (
+            r.refer_at(n, "from", "zone", zones),
+            r.refer_at(n, "to", "zone", zones),
+        );
+        let (from, to) = (ZoneId(from?), ZoneId(to?));
+        if from == to {
+            r.report(
+                "contradiction",
+                "nothing crosses from a zone to itself".into(),
+                n.span(),
+                None,
+            );
+        }
+        BudgetScope::ZonePair(from, to)
+    };
+    Some(scope)
+}
+
+fn name(of: BudgetScope, zones: &Names, plans: &Names) -> String {
+    match of {
+        BudgetScope::Plan(plan) => format!("plan {}", plans.list()[plan.0]),
+        BudgetScope::ZonePair(from, to) => {
+            format!("{} to {}", zones.list()[from.0], zones.list()[to.0])
+        }
+    }
+}
+
+/// The hosts that share it: those in either zone, or all.
+fn hosts(of: BudgetScope, places: &[Place], everyone: &Arc<[HostId]>) -> Arc<[HostId]> {
+    let BudgetScope::ZonePair(from, to) = of else {
+        return everyone.clone();
+    };
+    let is_near = |place: &Place| place.zone == from || place.zone == to;
+    let near = places
+        .iter()
+        .enumerate()
+        .filter(|(_, place)| is_near(place));
+    near.map(|(number, _)| HostId(number as u32)).collect()
+}
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -3,7 +3,7 @@
 
 mod volumes;
 
-use crate::deployment::{Deployment, NamedVolume};
+use crate::deployment::{Deployment, NamedPlan, NamedVolume};
 use crate::diff_values::{self as values, plain as say};
 use crate::routes::Pool;
 use gullsail_scheduler_api::{HostId, RequestClassId};
@@ -265,6 +265,11 @@
                 why,
             );
         }
+        self.pools_of_volumes(why);
+    }
+
+    /// The pools of each volume's new objects, by request class.
+    fn pools_of_volumes(&mut self, why: &str) {
         let pools = |d: &Deployment, name: &str| -> BTreeMap<String, String> {
             let Some(volume) = d.volume_at(name) else {
                 return BTreeMap::new();
@@ -416,71 +421,79 @@
                 self.change(&of, "plan", from, to, Class::Safe, why);
                 continue;
             };
-            let limit =
-                |p: &crate::deployment::NamedPlan| p.decisions.limit.map(|l| (l.rate, l.burst));
-            let (x, y) = (limit(&a), limit(&b));
-            let lowered = match (x, y) {
-                (None, Some(_)) => true,
-                (Some(x), Some(y)) => y.0 < x.0 || y.1 < x.1,
-                _ => false,
-            };
-            let sized = b.decisions.nominal_rate.max(b.decisions.reserve);
-            let under = lowered && y.is_some_and(|y| y.0 < sized);
-            let (class, why) = if under {
-                (
-                    Class::Dangerous,
-                    "it is under what its volumes are sized for: what they ask beyond is put off",
-                )
-            } else {
-                (
-                    Class::Safe,
-                    "each host keeps to the lower of its parts until all have followed",
-                )
-            };
-            let before = self.changes.len();
-            self.change(&of, "limit", say(&x), say(&y), class, why);
-            self.can_serve(before);
-            let safe = "it orders what waits; no rule depends on it";
-            self.change(
-                &of,
-                "reserve",
-                say(&a.decisions.reserve),
-                say(&b.decisions.reserve),
-                Class::Safe,
-                safe,
-            );
-            self.change(
-                &of,
-                "usual",
-                say(&a.decisions.nominal_rate),
-                say(&b.decisions.nominal_rate),
-                Class::Safe,
-                safe,
-            );
-            self.change(
-                &of,
-                "weight",
-                say(&a.decisions.weight),
-                say(&b.decisions.weight),
-                Class::Safe,
-                safe,
-            );
-            self.change(
-                &of,
-                "price",
-                say(&a.decisions.price),
-                say(&b.decisions.price),
-                Class::Safe,
-                safe,
-            );
-            self.change(
-                &of,
-                "slack",
-                say(&a.slack),
-                say(&b.slack),
-                Class::Safe,
-                "hosts do not use it",
-            );
+            self.plan_limit(&of, &a, &b);
+            self.plan_figures(&of, &a, &b);
         }
     }
+
+    fn plan_limit(&mut self, of: &str, a: &NamedPlan, b: &NamedPlan) {
+        let limit = |p: &NamedPlan| p.decisions.limit.map(|l| (l.rate, l.burst));
+        let (x, y) = (limit(a), limit(b));
+        let lowered = match (x, y) {
+            (None, Some(_)) => true,
+            (Some(x), Some(y)) => y.0 < x.0 || y.1 < x.1,
+            _ => false,
+        };
+        let sized = b.decisions.nominal_rate.max(b.decisions.reserve);
+        let under = lowered && y.is_some_and(|y| y.0 < sized);
+        let (class, why) = if under {
+            (
+                Class::Dangerous,
+                "it is under what its volumes are sized for: what they ask beyond is put off",
+            )
+        } else {
+            (
+                Class::Safe,
+                "each host keeps to the lower of its parts until all have followed",
+            )
+        };
+        let before = self.changes.len();
+        self.change(of, "limit", say(&x), say(&y), class, why);
+        self.can_serve(before);
+    }
+
+    /// Figures of a plan by which the scheduler only orders what waits.
+    fn plan_figures(&mut self, of: &str, a: &NamedPlan, b: &NamedPlan) {
+        let safe = "it orders what waits; no rule depends on it";
+        self.change(
+            of,
+            "reserve",
+            say(&a.decisions.reserve),
+            say(&b.decisions.reserve),
+            Class::Safe,
+            safe,
+        );
+        self.change(
+            of,
+            "usual",
+            say(&a.decisions.nominal_rate),
+            say(&b.decisions.nominal_rate),
+            Class::Safe,
+            safe,
+        );
+        self.change(
+            of,
+            "weight",
+            say(&a.decisions.weight),
+            say(&b.decisions.weight),
+            Class::Safe,
+            safe,
+        );
+        self.change(
+            of,
+            "price",
+            say(&a.decisions.price),
+            say(&b.decisions.price),
+            Class::Safe,
+            safe,
+        );
+        self.change(
+            of,
+            "slack",
+            say(&a.slack),
+            say(&b.slack),
+            Class::Safe,
+            "hosts do not use it",
+        );
+    }
 }
--- a/crates/configuration/src/diff/volumes.rs
+++ b/crates/configuration/src/diff/volumes.rs
@@ -56,45 +56,53 @@
                     continue;
                 }
             };
-            let plan = |d: &Deployment, v: &NamedVolume| d.plans[v.plan.0].clone();
-            let (x, y) = (plan(self.old, &a), plan(self.new, &b));
-            let limit = y.decisions.limit.map_or(f64::INFINITY, |l| l.rate);
-            let (class, why) = if limit < x.decisions.nominal_rate.max(x.decisions.reserve) {
-                (
-                    Class::Dangerous,
-                    "the new plan's limit is under what the volume was sized for",
-                )
-            } else {
-                (
-                    Class::Safe,
-                    "each host keeps to the lower of its parts until all have followed",
-                )
-            };
-            let before = self.changes.len();
-            self.change(&of, "plan", x.name, y.name, class, why);
-            self.can_serve(before);
-            let (x, y) = (Self::hosts_of(self.old, &a), Self::hosts_of(self.new, &b));
-            let leaves = x.difference(&y).next().is_some();
-            let (class, why) = if leaves {
-                (
-                    Class::Dangerous,
-                    "a host leaves its set: its clients there are turned away and must go elsewhere",
-                )
-            } else {
-                (
-                    Class::Safe,
-                    "a host that joins sends nothing for it until the others have followed",
-                )
-            };
-            let before = self.changes.len();
-            self.change(&of, "hosts", say(&x), say(&y), class, why);
-            if let Some(change) = self.changes.get_mut(before) {
-                change.hosts = x.symmetric_difference(&y).cloned().collect();
-            }
-            self.can_serve(before);
+            self.plan_of_volume(&of, &a, &b);
+            self.hosts_of_volume(&of, &a, &b);
         }
     }
 
+    fn plan_of_volume(&mut self, of: &str, a: &NamedVolume, b: &NamedVolume) {
+        let plan = |d: &Deployment, v: &NamedVolume| d.plans[v.plan.0].clone();
+        let (x, y) = (plan(self.old, a), plan(self.new, b));
+        let limit = y.decisions.limit.map_or(f64::INFINITY, |l| l.rate);
+        let (class, why) = if limit < x.decisions.nominal_rate.max(x.decisions.reserve) {
+            (
+                Class::Dangerous,
+                "the new plan's limit is under what the volume was sized for",
+            )
+        } else {
+            (
+                Class::Safe,
+                "each host keeps to the lower of its parts until all have followed",
+            )
+        };
+        let before = self.changes.len();
+        self.change(of, "plan", x.name, y.name, class, why);
+        self.can_serve(before);
+    }
+
+    fn hosts_of_volume(&mut self, of: &str, a: &NamedVolume, b: &NamedVolume) {
+        let (x, y) = (Self::hosts_of(self.old, a), Self::hosts_of(self.new, b));
+        let leaves = x.difference(&y).next().is_some();
+        let (class, why) = if leaves {
+            (
+                Class::Dangerous,
+                "a host leaves its set: its clients there are turned away and must go elsewhere",
+            )
+        } else {
+            (
+                Class::Safe,
+                "a host that joins sends nothing for it until the others have followed",
+            )
+        };
+        let before = self.changes.len();
+        self.change(of, "hosts", say(&x), say(&y), class, why);
+        if let Some(change) = self.changes.get_mut(before) {
+            change.hosts = x.symmetric_difference(&y).cloned().collect();
+        }
+        self.can_serve(before);
+    }
+
     pub(super) fn hosts(&mut self) {
         let index = |d: &Deployment| -> BTreeMap<String, (String, String, u32)> {
             let zone = |z: usize| d.zones.get(z).cloned().unwrap_or_default();
--- a/crates/configuration/src/entry_classes.rs
+++ b/crates/configuration/src/entry_classes.rs
@@ -23,6 +23,33 @@
         "write",
     ];
     r.only(n, 1, &known, &[]);
+    let idempotency = idempotency(r, n);
+    let (latency_objective, deadline) = (r.span(n, "slo"), r.span(n, "expiry"));
+    if latency_objective > deadline {
+        let help = Some("the client gives up at the expiry, after the answer was wanted".into());
+        r.report(
+            "slo-past-expiry",
+            "the SLO time is longer than the expiry".into(),
+            n.span(),
+            help,
+        );
+    }
+    let decisions = RequestClass {
+        idempotency,
+        latency_objective,
+        priority_weight: r.number_at(n, "benefit", 0.0).unwrap_or(1.0),
+        late_weight: r.part_at(n, "late-part").unwrap_or_default(),
+        in_order: r.flag(n, "in-order"),
+    };
+    NamedRequestClass {
+        name: r.text(n, 0, "a name"),
+        write: r.flag(n, "write"),
+        deadline,
+        decisions,
+    }
+}
+
+fn idempotency(r: &mut Reader, n: &KdlNode) -> Idempotency {
     let keywords = [("repeatable", 0), ("keyed", 1), ("unrepeatable", 2)];
     let idempotency = match r.keyword(n, "effect", &keywords) {
         Some(1) => {
@@ -56,29 +83,7 @@
             );
         }
     }
-    let (latency_objective, deadline) = (r.span(n, "slo"), r.span(n, "expiry"));
-    if latency_objective > deadline {
-        let help = Some("the client gives up at the expiry, after the answer was wanted".into());
-        r.report(
-            "slo-past-expiry",
-            "the SLO time is longer than the expiry".into(),
-            n.span(),
-            help,
-        );
-    }
-    let decisions = RequestClass {
-        idempotency,
-        latency_objective,
-        priority_weight: r.number_at(n, "benefit", 0.0).unwrap_or(1.0),
-        late_weight: r.part_at(n, "late-part").unwrap_or_default(),
-        in_order: r.flag(n, "in-order"),
-    };
-    NamedRequestClass {
-        name: r.text(n, 0, "a name"),
-        write: r.flag(n, "write"),
-        deadline,
-        decisions,
-    }
+    idempotency
 }
 
 pub(crate) fn plan(r: &mut Reader, n: &KdlNode, unit: Option<f64>) -> NamedPlan {
--- a/crates/configuration/src/fleet.rs
+++ b/crates/configuration/src/fleet.rs
@@ -33,42 +33,14 @@
     rate
 }
 
-/// `None`: there is none, or it is off.
-pub(crate) fn read(
-    r: &mut Reader,
-    n: Option<&KdlNode>,
-    hosts: &[Place],
-    tick: Span,
-) -> Option<NamedFleet> {
-    let n = n?;
-    r.only(
-        n,
-        1,
-        &[
-            "lease", "drift", "voters", "floor", "connects", "probes", "off",
-        ],
-        &[],
-    );
-    let before = r.reported();
-    let fleet = NamedFleet {
-        name: r.text(n, 0, "the fleet's name"),
-        lease: r.span(n, "lease"),
-        drift: r.number_at(n, "drift", 0.0).unwrap_or(0.002),
-        voters: r.whole(n, "voters", 1, 5.min(hosts.len().max(1) as u32)),
-        floor: r.part(n, "floor"),
-        connects: a_second(r, n, "connects"),
-        probes: a_second(r, n, "probes"),
-    };
+/// Reports figures of the entry that contradict each other or the deployment.
+fn check_figures(r: &mut Reader, n: &KdlNode, fleet: &NamedFleet, hosts: &[Place], tick: Span) {
     let mut wrong = |key: &str, message: String, help: String| {
         let span = n.entry(key).map_or(n.span(), |e| e.span());
         r.report("contradiction", message, span, Some(help));
     };
     let (least, most) = LEASES;
     let ms = fleet.lease.millis();
-    // A lease that could not be read is told already.
-    if fleet.lease == Span::ZERO {
-        return None;
-    }
     if !(least..=most).contains(&ms) {
         wrong(
             "lease",
@@ -99,6 +71,39 @@
             format!("at most {most}: the document's first so many hosts"),
         );
     }
+}
+
+/// `None`: there is none, or it is off.
+pub(crate) fn read(
+    r: &mut Reader,
+    n: Option<&KdlNode>,
+    hosts: &[Place],
+    tick: Span,
+) -> Option<NamedFleet> {
+    let n = n?;
+    r.only(
+        n,
+        1,
+        &[
+            "lease", "drift", "voters", "floor", "connects", "probes", "off",
+        ],
+        &[],
+    );
+    let before = r.reported();
+    let fleet = NamedFleet {
+        name: r.text(n, 0, "the fleet's name"),
+        lease: r.span(n, "lease"),
+        drift: r.number_at(n, "drift", 0.0).unwrap_or(0.002),
+        voters: r.whole(n, "voters", 1, 5.min(hosts.len().max(1) as u32)),
+        floor: r.part(n, "floor"),
+        connects: a_second(r, n, "connects"),
+        probes: a_second(r, n, "probes"),
+    };
+    // A lease that could not be read is reported already.
+    if fleet.lease == Span::ZERO {
+        return None;
+    }
+    check_figures(r, n, &fleet, hosts, tick);
     let off = r.flag(n, "off");
     let zone = |p: &Place| p.zone;
     let zones = |p: &[Place]| {
--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -13,6 +13,7 @@
     plans(d, document, r);
     request_classes(d, document, r);
     places(d, document, r);
+    shards(d, document, r);
     rules(d, document, r);
     bounds(d, document, r);
     slow_start(d, document, r);
@@ -309,6 +310,10 @@
             );
         }
     }
+}
+
+/// Shards that two running nodes hold, and spare nodes for shards that none holds.
+fn shards(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
     let mut shards: BTreeMap<i64, usize> = BTreeMap::new();
     for (node, n) in d
         .nodes
--- a/crates/configuration/src/maintenance.rs
+++ b/crates/configuration/src/maintenance.rs
@@ -10,6 +10,43 @@
 /// Longer, and a host that nobody decides for goes on with what it knows for hours.
 const MOST_BLIND: Span = Span::from_micros(3_600_000_000);
 
+/// Reports figures of the entry that contradict each other or the fleet's.
+fn check_figures(r: &mut Reader, n: &KdlNode, maintenance: &MaintenanceConfig, fleet: &NamedFleet) {
+    let mut wrong = |key: &str, message: String, help: String| {
+        let span = n.entry(key).map_or(n.span(), |e| e.span());
+        r.report("contradiction", message, span, Some(help));
+    };
+    for (key, most) in [
+        ("in-zone", maintenance.in_zone),
+        ("in-pool", maintenance.in_pool),
+    ] {
+        if most > maintenance.at_once {
+            wrong(
+                key,
+                format!("{key}={most}, and {} at once in all", maintenance.at_once),
+                "at most at-once".into(),
+            );
+        }
+    }
+    if maintenance.keep >= 1.0 {
+        wrong(
+            "keep",
+            "no capacity may go".into(),
+            "keep=0.8: a fifth of it may be away".into(),
+        );
+    }
+    if maintenance.longest > Span::ZERO && maintenance.blind > MOST_BLIND
+        || maintenance.blind < fleet.lease
+    {
+        let help = format!("from one lease ({} ms) to an hour", fleet.lease.millis());
+        wrong(
+            "blind",
+            format!("a blind time of {} ms", maintenance.blind.millis()),
+            help,
+        );
+    }
+}
+
 /// `None`: there are no works.
 pub(crate) fn read(
     r: &mut Reader,
@@ -43,47 +80,17 @@
         blind: r.span(n, "blind"),
         rests: read_rests(r, n),
     };
-    let mut wrong = |key: &str, message: String, help: String| {
-        let span = n.entry(key).map_or(n.span(), |e| e.span());
-        r.report("contradiction", message, span, Some(help));
-    };
     let Some(fleet) = fleet else {
-        wrong(
-            "works",
+        let help = "hosts settle works by their `fleet`: add one".into();
+        r.report(
+            "contradiction",
             "`works` without a `fleet`".into(),
-            "hosts settle works by their `fleet`: add one".into(),
+            n.span(),
+            Some(help),
         );
         return None;
     };
-    for (key, most) in [
-        ("in-zone", maintenance.in_zone),
-        ("in-pool", maintenance.in_pool),
-    ] {
-        if most > maintenance.at_once {
-            wrong(
-                key,
-                format!("{key}={most}, and {} at once in all", maintenance.at_once),
-                "at most at-once".into(),
-            );
-        }
-    }
-    if maintenance.keep >= 1.0 {
-        wrong(
-            "keep",
-            "no capacity may go".into(),
-            "keep=0.8: a fifth of it may be away".into(),
-        );
-    }
-    if maintenance.longest > Span::ZERO && maintenance.blind > MOST_BLIND
-        || maintenance.blind < fleet.lease
-    {
-        let help = format!("from one lease ({} ms) to an hour", fleet.lease.millis());
-        wrong(
-            "blind",
-            format!("a blind time of {} ms", maintenance.blind.millis()),
-            help,
-        );
-    }
+    check_figures(r, n, &maintenance, fleet);
     (r.reported() == before).then_some(maintenance)
 }
 
--- a/crates/configuration/src/resolve.rs
+++ b/crates/configuration/src/resolve.rs
@@ -9,7 +9,7 @@
 use crate::ranges;
 use crate::reader::Reader;
 use crate::source_map::{Loader, MOST_ALL, beside, shift};
-use kdl::{KdlDocument, KdlNode, KdlValue};
+use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Files within files, and templates within templates: deeper is a mistake.
@@ -135,48 +135,44 @@
                 );
                 continue;
             };
-            let names = if text.contains(['*', '?', '[']) {
-                match self.loader.matching(&name) {
-                    Ok(names) if names.is_empty() => {
-                        self.r.report(
-                            "file",
-                            format!("no file matches \"{text}\""),
-                            e.span(),
-                            None,
-                        );
-                        continue;
-                    }
-                    // A pattern that matches its own file does not mean it.
-                    Ok(names) => names
-                        .into_iter()
-                        .filter(|n| !self.chain.contains(n))
-                        .collect(),
-                    Err(why) => {
-                        self.r
-                            .report("file", format!("\"{text}\": {why}"), e.span(), None);
-                        continue;
-                    }
-                }
-            } else {
-                vec![name]
-            };
-            for name in names {
-                if let Some(place) = self.chain.iter().position(|c| *c == name) {
-                    let mut way = self.chain[place..].to_vec();
-                    way.push(name.clone());
-                    let message =
-                        format!("files include each other in a loop: {}", way.join(" -> "));
-                    self.r.report("loop", message, e.span(), None);
-                } else if self.chain.len() >= DEPTH {
-                    let message = format!("more than {DEPTH} files within each other");
-                    self.r.report("too-deep", message, e.span(), None);
-                } else if !self.seen.contains(&name) {
-                    self.file(&name, Some(e.span()));
-                }
+            for name in self.files_named(name, &text, e) {
+                self.include_file(name, e);
             }
         }
     }
 
+    /// The files that an `include` stands for: one, or those that a pattern matches.
+    fn files_named(&mut self, name: String, text: &str, e: &KdlEntry) -> Vec<String> {
+        if !text.contains(['*', '?', '[']) {
+            return vec![name];
+        }
+        let message = match self.loader.matching(&name) {
+            Ok(names) if names.is_empty() => format!("no file matches \"{text}\""),
+            Ok(mut names) => {
+                // A pattern that matches its own file does not mean it.
+                names.retain(|name| !self.chain.contains(name));
+                return names;
+            }
+            Err(why) => format!("\"{text}\": {why}"),
+        };
+        self.r.report("file", message, e.span(), None);
+        Vec::new()
+    }
+
+    fn include_file(&mut self, name: String, e: &KdlEntry) {
+        if let Some(place) = self.chain.iter().position(|c| *c == name) {
+            let mut way = self.chain[place..].to_vec();
+            way.push(name);
+            let message = format!("files include each other in a loop: {}", way.join(" -> "));
+            self.r.report("loop", message, e.span(), None);
+        } else if self.chain.len() >= DEPTH {
+            let message = format!("more than {DEPTH} files within each other");
+            self.r.report("too-deep", message, e.span(), None);
+        } else if !self.seen.contains(&name) {
+            self.file(&name, Some(e.span()));
+        }
+    }
+
     fn template(&mut self, node: &KdlNode) {
         let name = self.r.text(node, 0, "a name");
         let mut defaults = BTreeMap::new();
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -200,24 +200,14 @@
     }
 }
 
-/// Reads pools and routes, and looks at whether they make sense together.
-pub fn read(document: &KdlDocument, r: &mut Reader, known: &Known) -> Routes {
-    let before = r.reported();
-    let pools: Vec<Pool> = entries(document, "pool")
-        .map(|n| pool(r, n, known))
-        .collect();
-    let names: Names = std::iter::once(ALL.to_string())
-        .chain(pools.iter().map(|p| p.name.clone()))
-        .collect();
-    let routes: Vec<Route> = entries(document, "route")
-        .map(|n| route(r, n, &names, known))
-        .collect();
-    let mut built = Routes {
-        pools,
-        routes,
-        table: Vec::new(),
-        request_classes: known.request_classes.len(),
-    };
+/// Reports pools without a node, with every node, or without a route.
+fn check_pools(
+    document: &KdlDocument,
+    r: &mut Reader,
+    known: &Known,
+    built: &Routes,
+    before: usize,
+) {
     for (place, n) in entries(document, "pool").enumerate() {
         let nodes = known.nodes.iter().filter(|node| !node.spare);
         let p = &built.pools[place];
@@ -247,8 +237,12 @@
             );
         }
     }
+}
+
+/// Reports a last route that leaves something out, or one before it that changes nothing.
+fn check_rest(document: &KdlDocument, r: &mut Reader, built: &Routes, before: usize) {
     let Some(last) = entries(document, "route").last() else {
-        return built;
+        return;
     };
     if !built.routes.last().is_some_and(Route::is_rest) && r.reported() == before {
         let help = Some(format!(
@@ -274,6 +268,31 @@
             None,
         );
     }
+}
+
+/// Reads pools and routes, and looks at whether they make sense together.
+pub fn read(document: &KdlDocument, r: &mut Reader, known: &Known) -> Routes {
+    let before = r.reported();
+    let pools: Vec<Pool> = entries(document, "pool")
+        .map(|n| pool(r, n, known))
+        .collect();
+    let names: Names = std::iter::once(ALL.to_string())
+        .chain(pools.iter().map(|p| p.name.clone()))
+        .collect();
+    let routes: Vec<Route> = entries(document, "route")
+        .map(|n| route(r, n, &names, known))
+        .collect();
+    let mut built = Routes {
+        pools,
+        routes,
+        table: Vec::new(),
+        request_classes: known.request_classes.len(),
+    };
+    check_pools(document, r, known, &built, before);
+    if built.routes.is_empty() {
+        return built;
+    }
+    check_rest(document, r, &built, before);
     if r.reported() == before || built.routes.iter().any(Route::is_rest) {
         fill(document, r, known, &mut built, before);
     }
--- a/crates/configuration/tests/files.rs
+++ b/crates/configuration/tests/files.rs
@@ -403,9 +403,9 @@
     std::os::unix::fs::symlink(dir.path().join("secret.kdl"), root.join("link.kdl")).unwrap();
     let files = Files::new(&root).unwrap();
     for (name, code, says) in [
-        ("bytes.kdl", "file", "not UTF-8: byte 15"),
-        ("huge.kdl", "file", "it holds 104857600 bytes"),
-        ("link.kdl", "file", "it lies outside"),
+        ("bytes.kdl", "file", "not UTF-8 at byte 15"),
+        ("huge.kdl", "file", "the file holds 104857600 bytes"),
+        ("link.kdl", "file", "the file lies outside"),
         ("none.kdl", "file", "no such file"),
     ] {
         write("main.kdl", format!("include \"{name}\"\n").as_bytes());
--- a/crates/placement/src/documents.rs
+++ b/crates/placement/src/documents.rs
@@ -51,6 +51,55 @@
     inside.map(|n| n.place.zone.0).collect()
 }
 
+/// What the nodes of each zone can do.
+struct Capacity {
+    /// Units a second, less what is kept for pauses and restarts.
+    units: Vec<f64>,
+    /// How many nodes.
+    nodes: Vec<f64>,
+}
+
+fn capacity(d: &Deployment) -> Result<Capacity, MissingInput> {
+    let mut units = vec![0.0; d.zones.len()];
+    let mut nodes = vec![0.0; d.zones.len()];
+    for node in d.nodes.iter().filter(|node| !node.spare) {
+        let server = d.servers.get(node.server);
+        let server = server.ok_or_else(|| MissingInput::Server(node.place.name.clone()))?;
+        units[node.place.zone.0] += server.can() * PROMISABLE;
+        nodes[node.place.zone.0] += 1.0;
+    }
+    Ok(Capacity { units, nodes })
+}
+
+/// What a volume is sized for, by the zones of its hosts, and the zones where its new objects may be placed.
+fn demand(d: &Deployment, place: usize, unit: f64) -> Demand {
+    let volume = &d.volumes[place];
+    let plan = &d.plans[volume.plan.0].decisions;
+    let bytes = plan.nominal_rate.max(plan.reserve) * unit;
+    let mut from = vec![0.0; d.zones.len()];
+    for host in volume.hosts.iter() {
+        from[d.hosts[host.0 as usize].zone.0] += bytes / volume.hosts.len() as f64;
+    }
+    // Where each of its pools has a node; where none has them all, where any has one.
+    let each: Vec<_> = pools(d, place)
+        .keys()
+        .map(|pool| zones_of(d, *pool))
+        .collect();
+    let common = each.iter().cloned().reduce(|a, b| &a & &b);
+    let common = common.unwrap_or_else(|| zones_of(d, PoolId::ALL));
+    let zones = if common.is_empty() {
+        each.into_iter().flatten().collect()
+    } else {
+        common
+    };
+    Demand {
+        volume: volume.name.clone(),
+        from,
+        zones,
+        units_a_byte: 1.0 / unit,
+    }
+}
+
 /// The question that a deployment poses; `price`: of a byte that crosses.
 ///
 /// # Errors
@@ -61,47 +110,12 @@
     if count == 0 {
         return Err(MissingInput::Zones);
     }
-    let mut capacity = vec![0.0; count];
-    let mut nodes = vec![0.0f64; count];
-    for n in d.nodes.iter().filter(|n| !n.spare) {
-        let m = d
-            .servers
-            .get(n.server)
-            .ok_or_else(|| MissingInput::Server(n.place.name.clone()))?;
-        capacity[n.place.zone.0] += m.can() * PROMISABLE;
-        nodes[n.place.zone.0] += 1.0;
-    }
-    let node_capacity = capacity
+    let Capacity { units, nodes } = capacity(d)?;
+    let node_capacity = units
         .iter()
         .zip(&nodes)
-        .map(|(capacity, nodes)| capacity / nodes.max(1.0))
+        .map(|(units, nodes)| units / nodes.max(1.0))
         .collect();
-    let demand = |(place, v): (usize, &gullsail_configuration::NamedVolume)| {
-        let plan = &d.plans[v.plan.0].decisions;
-        let bytes = plan.nominal_rate.max(plan.reserve) * unit;
-        let mut from = vec![0.0; count];
-        for h in v.hosts.iter() {
-            from[d.hosts[h.0 as usize].zone.0] += bytes / v.hosts.len() as f64;
-        }
-        // Where each of its pools has a node; where none has them all, where any has one.
-        let each: Vec<_> = pools(d, place).keys().map(|p| zones_of(d, *p)).collect();
-        let all = each
-            .iter()
-            .cloned()
-            .reduce(|a, b| &a & &b)
-            .unwrap_or_else(|| zones_of(d, PoolId::ALL));
-        let zones = if all.is_empty() {
-            each.into_iter().flatten().collect()
-        } else {
-            all
-        };
-        Demand {
-            volume: v.name.clone(),
-            from,
-            zones,
-            units_a_byte: 1.0 / unit,
-        }
-    };
     let budgets = d.cross_zone_budgets.iter().filter_map(|c| match c.of {
         BudgetScope::ZonePair(from, to) => Some(Budget {
             from: from.0,
@@ -112,9 +126,11 @@
     });
     Ok(Question {
         zones: d.zones.clone(),
-        capacity,
+        capacity: units,
         node_capacity,
-        demands: d.volumes.iter().enumerate().map(demand).collect(),
+        demands: (0..d.volumes.len())
+            .map(|place| demand(d, place, unit))
+            .collect(),
         budgets: budgets.collect(),
         price: vec![vec![price; count]; count],
     })
@@ -126,6 +142,46 @@
     n
 }
 
+/// The entry of a pool: the planned zones, or those of the pool that it is made from.
+fn pool_entry(d: &Deployment, pool: PoolId, name: &str, zones: &[usize]) -> KdlNode {
+    let old = pool.0.checked_sub(1);
+    let old = old.and_then(|place| d.routes.pools.get(place));
+    let mut children = KdlDocument::new();
+    let zones = if zones.is_empty() {
+        old.map(|pool| pool.zones.iter().map(|zone| zone.0).collect())
+            .unwrap_or_default()
+    } else {
+        zones.to_vec()
+    };
+    if !zones.is_empty() {
+        let names = zones.iter().map(|zone| d.zones[*zone].clone());
+        children.nodes_mut().push(child("zone", names));
+    }
+    if let Some(pool) = old.filter(|pool| !pool.kinds.is_empty()) {
+        let kinds = pool.kinds.iter().cloned();
+        children.nodes_mut().push(child("kind", kinds));
+    }
+    let mut entry = KdlNode::new("pool");
+    entry.push(KdlEntry::new(name));
+    entry.set_children(children);
+    entry
+}
+
+/// The entry of a route: a volume's new objects of these request classes go to a pool.
+fn route_entry(d: &Deployment, volume: &str, to: String, request_classes: &[usize]) -> KdlNode {
+    let mut children = KdlDocument::new();
+    children
+        .nodes_mut()
+        .push(child("volume", [glob_of(volume)]));
+    let names = request_classes.iter();
+    let names = names.map(|place| d.request_classes[*place].name.clone());
+    children.nodes_mut().push(child("stream-type", names));
+    let mut entry = KdlNode::new("route");
+    entry.push(KdlEntry::new_prop("to", to));
+    entry.set_children(children);
+    entry
+}
+
 /// The document with pools and routes by the plan: all other entries as they are, in one text.
 pub fn proposal(document: &KdlDocument, d: &Deployment, plan: &Plan) -> String {
     let mut made: BTreeMap<String, KdlNode> = BTreeMap::new();
@@ -145,42 +201,10 @@
                 format!("{}-in-{}", d.routes.name(pool), names.join("-"))
             };
             if name != gullsail_configuration::routes::ALL {
-                let old = pool
-                    .0
-                    .checked_sub(1)
-                    .and_then(|place| d.routes.pools.get(place));
-                let mut n = KdlNode::new("pool");
-                n.push(KdlEntry::new(name.clone()));
-                let mut children = KdlDocument::new();
-                let zones = if zones.is_empty() {
-                    old.map(|p| p.zones.iter().map(|z| z.0).collect())
-                        .unwrap_or_default()
-                } else {
-                    zones
-                };
-                if !zones.is_empty() {
-                    children
-                        .nodes_mut()
-                        .push(child("zone", zones.iter().map(|z| d.zones[*z].clone())));
-                }
-                if let Some(p) = old.filter(|p| !p.kinds.is_empty()) {
-                    children
-                        .nodes_mut()
-                        .push(child("kind", p.kinds.iter().cloned()));
-                }
-                n.set_children(children);
-                made.entry(name.clone()).or_insert(n);
+                let entry = pool_entry(d, pool, &name, &zones);
+                made.entry(name.clone()).or_insert(entry);
             }
-            let mut n = KdlNode::new("route");
-            n.push(KdlEntry::new_prop("to", name));
-            let mut children = KdlDocument::new();
-            children
-                .nodes_mut()
-                .push(child("volume", [glob_of(&v.name)]));
-            let names = types.iter().map(|t| d.request_classes[*t].name.clone());
-            children.nodes_mut().push(child("stream-type", names));
-            n.set_children(children);
-            routes.push(n);
+            routes.push(route_entry(d, &v.name, name, &types));
         }
     }
     let mut rest = KdlNode::new("route");
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -6,7 +6,8 @@
 pub mod documents;
 
 use good_lp::{
-    Expression, ResolutionError, Solution, SolverModel, Variable, microlp, variable, variables,
+    Expression, ProblemVariables, ResolutionError, Solution, SolverModel, Variable, microlp,
+    variable, variables,
 };
 use std::collections::BTreeSet;
 
@@ -108,6 +109,32 @@
     step: f64,
 }
 
+/// The solver's variables: bytes a second, by volume, sending zone and receiving zone; `None`: not allowed.
+struct Flows {
+    variables: Vec<Vec<Vec<Option<Variable>>>>,
+}
+
+impl Flows {
+    /// The sum of all flows, each with a factor by volume, sending zone and receiving zone.
+    fn sum(&self, factor: impl Fn(usize, usize, usize) -> f64) -> Expression {
+        let mut terms = Vec::new();
+        for (volume, rows) in self.variables.iter().enumerate() {
+            for (from, row) in rows.iter().enumerate() {
+                for (to, flow) in row.iter().enumerate() {
+                    if let Some(flow) = flow {
+                        terms.push(factor(volume, from, to) * *flow);
+                    }
+                }
+            }
+        }
+        terms.into_iter().sum()
+    }
+}
+
+fn indicator(applies: bool) -> f64 {
+    if applies { 1.0 } else { 0.0 }
+}
+
 /// Relative to the largest number: the solver's rounding error.
 const TOLERANCE: f64 = 1e-6;
 
@@ -127,102 +154,91 @@
             .position(|b| b.from == from && b.to == to)
     }
 
-    /// With these bounds alone; `Ok(None)`: no plan keeps them.
+    /// Solves with these bounds alone; `Ok(None)`: no plan keeps them.
     fn solve(&self, kept: &BTreeSet<Bound>) -> Result<Option<Solved>, NoPlan> {
-        let zones = self.zones.len();
         let mut all = variables!();
-        let mut flows: Vec<Vec<Vec<Option<Variable>>>> = Vec::new();
-        for (v, d) in self.demands.iter().enumerate() {
-            let may = |to: &usize| !kept.contains(&Bound::Zones(v)) || d.zones.contains(to);
-            let mut row = |from: usize| -> Vec<Option<Variable>> {
-                let used = d.from[from] > 0.0;
-                (0..zones)
-                    .map(|to| (used && may(&to)).then(|| all.add(variable().min(0.0))))
-                    .collect()
-            };
-            flows.push((0..zones).map(&mut row).collect());
-        }
-        let each = || {
-            (0..self.demands.len())
-                .flat_map(move |v| (0..zones).flat_map(move |a| (0..zones).map(move |b| (v, a, b))))
-        };
-        let sum = |of: &dyn Fn(usize, usize, usize) -> f64| -> Expression {
-            each()
-                .filter_map(|(v, a, b)| Some(of(v, a, b) * flows[v][a][b]?))
-                .sum()
-        };
-        let price = |a: usize, b: usize| {
-            self.price
-                .get(a)
-                .and_then(|row| row.get(b))
-                .copied()
-                .unwrap_or(0.0)
-        };
-        // Among plans that cost alike, one that crosses less.
-        let largest = self
-            .price
-            .iter()
-            .flatten()
-            .copied()
-            .fold(0.0, f64::max)
-            .max(1.0);
-        let cost = sum(&|_, a, b| {
-            if a == b {
+        let flows = self.flow_variables(kept, &mut all);
+        // Among plans of equal cost, prefer one with less traffic between zones.
+        let prices = self.price.iter().flatten().copied();
+        let largest = prices.fold(0.0, f64::max).max(1.0);
+        let cost = flows.sum(|_, from, to| {
+            if from == to {
                 0.0
             } else {
-                price(a, b) + largest * TOLERANCE
+                self.price_of(from, to) + largest * TOLERANCE
             }
         });
         let mut model = all.minimise(cost).using(microlp);
-        for (v, d) in self.demands.iter().enumerate() {
-            for (a, asked) in d.from.iter().enumerate().filter(|(_, asked)| **asked > 0.0) {
-                let placed = sum(&|w, from, _| f64::from(u8::from(w == v && from == a)));
+        for (volume, demand) in self.demands.iter().enumerate() {
+            let asked = demand.from.iter().enumerate();
+            for (zone, asked) in asked.filter(|(_, asked)| **asked > 0.0) {
+                let placed = flows.sum(|v, from, _| indicator(v == volume && from == zone));
                 model = model.with(placed.eq(*asked));
             }
         }
         for bound in kept {
             match *bound {
-                Bound::Nodes(z) => {
-                    let work = sum(&|v, _, b| {
-                        if b == z {
-                            self.demands[v].units_a_byte
-                        } else {
-                            0.0
-                        }
-                    });
-                    model = model.with(work.leq(self.capacity[z]));
+                Bound::Nodes(zone) => {
+                    let units = |volume: usize| self.demands[volume].units_a_byte;
+                    let work = flows.sum(|v, _, to| if to == zone { units(v) } else { 0.0 });
+                    model = model.with(work.leq(self.capacity[zone]));
                 }
                 Bound::Budget(place) => {
-                    let b = &self.budgets[place];
+                    let budget = &self.budgets[place];
                     let crosses =
-                        sum(&|_, from, to| f64::from(u8::from(from == b.from && to == b.to)));
-                    model = model.with(crosses.leq(b.limit));
+                        flows.sum(|_, from, to| indicator(from == budget.from && to == budget.to));
+                    model = model.with(crosses.leq(budget.limit));
                 }
                 Bound::Zones(_) => {}
             }
         }
         match model.solve() {
-            Ok(solution) => {
-                let value =
-                    |at: &Option<Variable>| at.map_or(0.0, |var| solution.value(var).max(0.0));
-                let flows: Vec<Vec<Vec<f64>>> = flows
-                    .iter()
-                    .map(|v| v.iter().map(|a| a.iter().map(value).collect()).collect())
-                    .collect();
-                let cost = each()
-                    .map(|(v, a, b)| {
-                        if a == b {
-                            0.0
-                        } else {
-                            flows[v][a][b] * price(a, b)
-                        }
-                    })
-                    .sum();
-                Ok(Some(Solved { flows, cost }))
-            }
+            Ok(solution) => Ok(Some(self.solved(&flows, &solution))),
             Err(ResolutionError::Infeasible) => Ok(None),
-            Err(e) => Err(NoPlan::Solver(e.to_string())),
+            Err(error) => Err(NoPlan::Solver(error.to_string())),
+        }
+    }
+
+    /// A variable for each flow that the kept bounds allow.
+    fn flow_variables(&self, kept: &BTreeSet<Bound>, all: &mut ProblemVariables) -> Flows {
+        let zones = self.zones.len();
+        let mut variables = Vec::new();
+        for (volume, demand) in self.demands.iter().enumerate() {
+            let any_zone = !kept.contains(&Bound::Zones(volume));
+            let may_go = |to: &usize| any_zone || demand.zones.contains(to);
+            let mut row = |from: usize| -> Vec<Option<Variable>> {
+                let used = demand.from[from] > 0.0;
+                (0..zones)
+                    .map(|to| (used && may_go(&to)).then(|| all.add(variable().min(0.0))))
+                    .collect()
+            };
+            variables.push((0..zones).map(&mut row).collect());
+        }
+        Flows { variables }
+    }
+
+    fn price_of(&self, from: usize, to: usize) -> f64 {
+        let row = self.price.get(from);
+        row.and_then(|row| row.get(to)).copied().unwrap_or(0.0)
+    }
+
+    fn solved(&self, flows: &Flows, solution: &impl Solution) -> Solved {
+        let value = |flow: &Option<Variable>| flow.map_or(0.0, |it| solution.value(it).max(0.0));
+        let volume = |rows: &Vec<Vec<Option<Variable>>>| -> Vec<Vec<f64>> {
+            rows.iter()
+                .map(|row| row.iter().map(value).collect())
+                .collect()
+        };
+        let flows: Vec<Vec<Vec<f64>>> = flows.variables.iter().map(volume).collect();
+        let mut cost = 0.0;
+        for rows in &flows {
+            for (from, row) in rows.iter().enumerate() {
+                for (to, bytes) in row.iter().enumerate().filter(|(to, _)| *to != from) {
+                    cost += bytes * self.price_of(from, to);
+                }
+            }
         }
+        Solved { flows, cost }
     }
 
     /// The cheapest plan, what holds it back, or what clashes.
