--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -2,13 +2,16 @@
 //! What is wrong goes to the reader. Called for each document and for those before it ([`crate::revisions`]).
 
 use crate::deployment::Deployment;
-use crate::entities::*;
-use crate::entry_classes::{plan, request_class, volume};
+use crate::entities::{
+    HostBounds, NamedCrossZoneBudget, NamedFleet, NamedPlan, NamedRequestClass, NamedVolume,
+    NodePlace, Place, RevisionPlace, Server, node_id,
+};
+use crate::entry_classes::{VolumeContext, plan, request_class, volume};
 use crate::entry_processes::{bounds, node, place, server};
 use crate::reader::{Names, Reader, entries};
 use crate::{cross_zone_budgets, fleet, lints, maintenance, revision_entry, routes};
 use gullsail_fleet::maintenance::MaintenanceConfig;
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{HostId, RetryBudget, SchedulerConfig, SlowStart, Span, ZoneId};
 use kdl::{KdlDocument, KdlNode};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,34 +42,33 @@
 
 /// Builds a deployment from a document; what is wrong is noted with the reader. Entries of the names in
 /// [`KEPT`] belong to others.
-pub fn build(document: &KdlDocument, r: &mut Reader) -> Deployment {
-    check_kinds(document, r);
-    let all = |name: &'static str| entries(document, name);
-    let names = read_names(document, r);
-    let request_classes: Vec<_> = all("stream-type").map(|n| request_class(r, n)).collect();
-    let servers: Vec<_> = all("machine").map(|n| server(r, n)).collect();
-    let hosts: Vec<_> = all("host").map(|n| host(r, n, &names.zones)).collect();
-    let nodes: Vec<_> = all("node")
-        .map(|n| node(r, n, &names.zones, &names.servers))
-        .collect();
-    let (list, list_late) = endpoint_list(document, r);
-    let mut config = default_config();
-    config.hosts = hosts.len() as u32;
-    let decisions = request_classes.iter().map(|class| class.decisions.clone());
-    config.request_classes = decisions.collect();
-    let (rules, bounds) = read_figures(document, r, &mut config);
-    let plans: Vec<_> = all("plan").map(|n| plan(r, n, rules.unit)).collect();
-    config.plans = plans.iter().map(|p| p.decisions.clone()).collect();
-    let (fleet, maintenance) = read_fleet(document, r, &hosts, config.tick);
-    let everyone: Arc<[HostId]> = (0..hosts.len() as u32).map(HostId).collect();
-    // With a fleet, a share too small for a largest request goes from host to host in turns.
-    let most = (config.max_units, fleet.is_none());
-    let volumes: Vec<_> = all("volume")
-        .map(|n| volume(r, n, &plans, &names.plans, &names.hosts, &everyone, most))
-        .collect();
-    check_needed(r, document, &hosts, &volumes);
-    config.max_bytes = bounds.frame.body as f64;
-    let cross_zone_budgets = read_budgets(document, r, &names, &hosts, &everyone, config.max_bytes);
+pub fn build(document: &KdlDocument, reader: &mut Reader) -> Deployment {
+    check_kinds(document, reader);
+    let names = read_names(document, reader);
+    let request_classes = read_request_classes(document, reader);
+    let Processes {
+        servers,
+        hosts,
+        nodes,
+    } = read_processes(document, reader, &names);
+    let (list, list_late) = endpoint_list(document, reader);
+    let mut config = default_config(&hosts, &request_classes);
+    let (rules, bounds) = read_figures(document, reader, &mut config);
+    let Traffic {
+        plans,
+        volumes,
+        cross_zone_budgets,
+        fleet,
+        maintenance,
+    } = read_traffic(
+        document,
+        reader,
+        &names,
+        &hosts,
+        &rules,
+        &bounds,
+        &mut config,
+    );
     let known = routes::Known {
         zones: &names.zones,
         request_classes: &request_classes,
@@ -74,15 +76,13 @@
         volumes: &volumes,
         nodes: &nodes,
     };
-    let routes = routes::read(document, r, &known);
-    let place = revision(document, r);
     let built = Deployment {
         unit: rules.unit,
-        routes,
+        routes: routes::read(document, reader, &known),
         cross_zone_budgets,
         fleet,
         maintenance,
-        place,
+        place: revision(document, reader),
         line: Vec::new(),
         zones: names.zones.list().to_vec(),
         request_classes,
@@ -98,45 +98,52 @@
         volumes,
         config,
     };
-    check_ids(r, &built, document);
-    lints::check(&built, document, r);
+    check_ids(reader, &built, document);
+    lints::check(&built, document, reader);
     built
 }
 
 fn read_fleet(
     document: &KdlDocument,
-    r: &mut Reader,
+    reader: &mut Reader,
     hosts: &[Place],
     tick: Span,
 ) -> (Option<NamedFleet>, Option<MaintenanceConfig>) {
-    let fleet_node = single(r, document, "fleet");
-    let fleet = fleet::read(r, fleet_node, hosts, tick);
-    let maintenance_node = single(r, document, "works");
-    let maintenance = maintenance::read(r, maintenance_node, fleet.as_ref());
+    let fleet_node = single(reader, document, "fleet");
+    let fleet = fleet::read(reader, fleet_node, hosts, tick);
+    let maintenance_node = single(reader, document, "works");
+    let maintenance = maintenance::read(reader, maintenance_node, fleet.as_ref());
     (fleet, maintenance)
 }
 
 fn read_budgets(
     document: &KdlDocument,
-    r: &mut Reader,
+    reader: &mut Reader,
     names: &EntryNames,
     hosts: &[Place],
     everyone: &Arc<[HostId]>,
     max_bytes: f64,
 ) -> Vec<NamedCrossZoneBudget> {
     let mut budgets = Vec::new();
-    for n in entries(document, "crossing") {
-        let budget =
-            cross_zone_budgets::read(r, n, &names.zones, &names.plans, hosts, everyone, max_bytes);
+    for entry in entries(document, "crossing") {
+        let budget = cross_zone_budgets::read(
+            reader,
+            entry,
+            &names.zones,
+            &names.plans,
+            hosts,
+            everyone,
+            max_bytes,
+        );
         budgets.extend(budget);
     }
-    cross_zone_budgets::together(r, document, &budgets);
+    cross_zone_budgets::together(reader, document, &budgets);
     budgets
 }
 
-fn revision(document: &KdlDocument, r: &mut Reader) -> RevisionPlace {
-    single(r, document, "revision");
-    revision_entry::read(document, r)
+fn revision(document: &KdlDocument, reader: &mut Reader) -> RevisionPlace {
+    single(reader, document, "revision");
+    revision_entry::read(document, reader)
 }
 
 fn places_by_name(volumes: &[NamedVolume]) -> BTreeMap<String, usize> {
@@ -146,22 +153,97 @@
         .collect()
 }
 
-fn check_kinds(document: &KdlDocument, r: &mut Reader) {
-    for n in document.nodes() {
-        let name = n.name().value();
+fn check_kinds(document: &KdlDocument, reader: &mut Reader) {
+    for entry in document.nodes() {
+        let name = entry.name().value();
         if !TOP.contains(&name) && !KEPT.contains(&name) {
             let known: Vec<_> = TOP.iter().map(|k| format!("`{k}`")).collect();
             let help = Some(format!("known are {}", known.join(", ")));
-            r.report(
+            reader.report(
                 "unknown-node",
                 format!("`{name}` is no entry of a deployment"),
-                n.name().span(),
+                entry.name().span(),
                 help,
             );
         }
     }
 }
 
+fn read_request_classes(document: &KdlDocument, reader: &mut Reader) -> Vec<NamedRequestClass> {
+    entries(document, "stream-type")
+        .map(|entry| request_class(reader, entry))
+        .collect()
+}
+
+/// What is promised to volumes and between zones, and how hosts coordinate.
+struct Traffic {
+    plans: Vec<NamedPlan>,
+    volumes: Vec<NamedVolume>,
+    cross_zone_budgets: Vec<NamedCrossZoneBudget>,
+    fleet: Option<NamedFleet>,
+    maintenance: Option<MaintenanceConfig>,
+}
+
+fn read_traffic(
+    document: &KdlDocument,
+    reader: &mut Reader,
+    names: &EntryNames,
+    hosts: &[Place],
+    rules: &Rules,
+    bounds: &HostBounds,
+    config: &mut SchedulerConfig,
+) -> Traffic {
+    let all = |kind: &'static str| entries(document, kind);
+    let plans: Vec<_> = all("plan")
+        .map(|entry| plan(reader, entry, rules.unit))
+        .collect();
+    config.plans = plans.iter().map(|p| p.decisions.clone()).collect();
+    let (fleet, maintenance) = read_fleet(document, reader, hosts, config.tick);
+    let everyone: Arc<[HostId]> = (0..hosts.len() as u32).map(HostId).collect();
+    let context = VolumeContext {
+        plans: &plans,
+        plan_names: &names.plans,
+        hosts: &names.hosts,
+        everyone: &everyone,
+        max_units: config.max_units,
+        split: fleet.is_none(),
+    };
+    let volumes: Vec<_> = all("volume")
+        .map(|entry| volume(reader, entry, &context))
+        .collect();
+    check_needed(reader, document, hosts, &volumes);
+    config.max_bytes = bounds.frame.body as f64;
+    let cross_zone_budgets =
+        read_budgets(document, reader, names, hosts, &everyone, config.max_bytes);
+    Traffic {
+        plans,
+        volumes,
+        cross_zone_budgets,
+        fleet,
+        maintenance,
+    }
+}
+
+/// Where processes run.
+struct Processes {
+    servers: Vec<Server>,
+    hosts: Vec<Place>,
+    nodes: Vec<NodePlace>,
+}
+
+fn read_processes(document: &KdlDocument, reader: &mut Reader, names: &EntryNames) -> Processes {
+    let all = |kind: &'static str| entries(document, kind);
+    Processes {
+        servers: all("machine").map(|entry| server(reader, entry)).collect(),
+        hosts: all("host")
+            .map(|entry| host(reader, entry, &names.zones))
+            .collect(),
+        nodes: all("node")
+            .map(|entry| node(reader, entry, &names.zones, &names.servers))
+            .collect(),
+    }
+}
+
 /// The names that entries refer to each other by.
 struct EntryNames {
     zones: Names,
@@ -170,17 +252,17 @@
     servers: Names,
 }
 
-fn read_names(document: &KdlDocument, r: &mut Reader) -> EntryNames {
-    let named = |r: &mut Reader, kind: &'static str| names(r, entries(document, kind));
-    let zones = named(r, "zone");
-    for n in entries(document, "zone") {
-        r.only(n, 1, &[], &[]);
+fn read_names(document: &KdlDocument, reader: &mut Reader) -> EntryNames {
+    let named = |reader: &mut Reader, kind: &'static str| names(reader, entries(document, kind));
+    let zones = named(reader, "zone");
+    for entry in entries(document, "zone") {
+        reader.only(entry, 1, &[], &[]);
     }
-    let plans = named(r, "plan");
-    let hosts = named(r, "host");
-    let servers = named(r, "machine");
+    let plans = named(reader, "plan");
+    let hosts = named(reader, "host");
+    let servers = named(reader, "machine");
     for kind in ["node", "stream-type", "volume", "pool"] {
-        named(r, kind);
+        named(reader, kind);
     }
     EntryNames {
         zones,
@@ -190,13 +272,13 @@
     }
 }
 
-fn host(r: &mut Reader, n: &KdlNode, zones: &Names) -> Place {
-    r.only(n, 1, &["zone", "address", "listen"], &[]);
-    place(r, n, zones)
+fn host(reader: &mut Reader, entry: &KdlNode, zones: &Names) -> Place {
+    reader.only(entry, 1, &["zone", "address", "listen"], &[]);
+    place(reader, entry, zones)
 }
 
 /// The list service, and how late it tells what it knows.
-fn endpoint_list(document: &KdlDocument, r: &mut Reader) -> (Place, Span) {
+fn endpoint_list(document: &KdlDocument, reader: &mut Reader) -> (Place, Span) {
     let mut late = Span::ZERO;
     let mut list = Place {
         name: "list".into(),
@@ -204,20 +286,23 @@
         address: String::new(),
         listen: String::new(),
     };
-    if let Some(n) = single(r, document, "list") {
-        r.only(n, 0, &["address", "listen", "late"], &[]);
-        late = r.span_at(n, "late").unwrap_or_default();
-        list.address = r.text_at(n, "address").unwrap_or_default();
-        list.listen = r
-            .text_at(n, "listen")
+    if let Some(entry) = single(reader, document, "list") {
+        reader.only(entry, 0, &["address", "listen", "late"], &[]);
+        late = reader.span_at(entry, "late").unwrap_or_default();
+        list.address = reader.text_at(entry, "address").unwrap_or_default();
+        list.listen = reader
+            .text_at(entry, "listen")
             .unwrap_or_else(|| list.address.clone());
     }
     (list, late)
 }
 
 /// What holds where a document does not say otherwise.
-fn default_config() -> SchedulerConfig {
+fn default_config(hosts: &[Place], request_classes: &[NamedRequestClass]) -> SchedulerConfig {
+    let decisions = request_classes.iter().map(|class| class.decisions.clone());
     SchedulerConfig {
+        hosts: hosts.len() as u32,
+        request_classes: decisions.collect(),
         tick: Span::from_millis(20.0),
         max_attempts: 3,
         max_units: 8.0,
@@ -232,14 +317,14 @@
 /// All entries of figures; those of the decisions go into their configuration.
 fn read_figures(
     document: &KdlDocument,
-    r: &mut Reader,
+    reader: &mut Reader,
     config: &mut SchedulerConfig,
 ) -> (Rules, HostBounds) {
-    let rules = rules(document, r, config);
-    slow_start(document, r, config);
-    retry_budget(document, r, config);
-    let bounds_node = single(r, document, "bounds");
-    let bounds = bounds(r, bounds_node);
+    let rules = rules(document, reader, config);
+    slow_start(document, reader, config);
+    retry_budget(document, reader, config);
+    let bounds_node = single(reader, document, "bounds");
+    let bounds = bounds(reader, bounds_node);
     // And the host's timers come up to a millisecond late.
     config.connect_wait = bounds.connect + Span::from_micros(2000);
     (rules, bounds)
@@ -251,12 +336,12 @@
     drain_grace: Span,
 }
 
-fn rules(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) -> Rules {
+fn rules(document: &KdlDocument, reader: &mut Reader, config: &mut SchedulerConfig) -> Rules {
     let mut rules = Rules {
         unit: None,
         drain_grace: Span::from_millis(1000.0),
     };
-    let Some(n) = single(r, document, "rules") else {
+    let Some(entry) = single(reader, document, "rules") else {
         return rules;
     };
     let known = [
@@ -269,55 +354,59 @@
         "advice",
         "unit",
     ];
-    r.only(n, 0, &known, &[]);
-    rules.unit = n.entry("unit").map(|_| r.bytes(n, "unit", 0).max(1) as f64);
-    config.tick = r.span_at(n, "tick").unwrap_or(config.tick);
-    rules.drain_grace = r.span_at(n, "drain-grace").unwrap_or(rules.drain_grace);
-    config.order_settle = r.span_at(n, "order-settle").unwrap_or_default();
-    config.max_units = r
-        .number_at(n, "most-units", 0.0)
+    reader.only(entry, 0, &known, &[]);
+    rules.unit = entry
+        .entry("unit")
+        .map(|_| reader.bytes(entry, "unit", 0).max(1) as f64);
+    config.tick = reader.span_at(entry, "tick").unwrap_or(config.tick);
+    rules.drain_grace = reader
+        .span_at(entry, "drain-grace")
+        .unwrap_or(rules.drain_grace);
+    config.order_settle = reader.span_at(entry, "order-settle").unwrap_or_default();
+    config.max_units = reader
+        .number_at(entry, "most-units", 0.0)
         .unwrap_or(config.max_units);
-    config.within_share_value = r.part_at(n, "share-part").unwrap_or(1.0);
-    config.beyond_share_value = r.part_at(n, "spare-part").unwrap_or(1.0);
-    config.max_retry_after = r.span_at(n, "advice");
+    config.within_share_value = reader.part_at(entry, "share-part").unwrap_or(1.0);
+    config.beyond_share_value = reader.part_at(entry, "spare-part").unwrap_or(1.0);
+    config.max_retry_after = reader.span_at(entry, "advice");
     rules
 }
 
-fn slow_start(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) {
-    let Some(n) = single(r, document, "cold") else {
+fn slow_start(document: &KdlDocument, reader: &mut Reader, config: &mut SchedulerConfig) {
+    let Some(entry) = single(reader, document, "cold") else {
         return;
     };
-    r.only(n, 0, &["units", "window", "first-part", "ramp"], &[]);
+    reader.only(entry, 0, &["units", "window", "first-part", "ramp"], &[]);
     config.slow_start = SlowStart {
-        units: r.number(n, "units", 0.0),
-        window: r.span(n, "window"),
-        initial_fraction: r.part(n, "first-part"),
-        ramp: r.span(n, "ramp"),
+        units: reader.number(entry, "units", 0.0),
+        window: reader.span(entry, "window"),
+        initial_fraction: reader.part(entry, "first-part"),
+        ramp: reader.span(entry, "ramp"),
     };
 }
 
-fn retry_budget(document: &KdlDocument, r: &mut Reader, config: &mut SchedulerConfig) {
-    let Some(n) = single(r, document, "legs") else {
+fn retry_budget(document: &KdlDocument, reader: &mut Reader, config: &mut SchedulerConfig) {
+    let Some(entry) = single(reader, document, "legs") else {
         return;
     };
-    r.only(n, 0, &["most", "free", "share", "window"], &[]);
-    config.max_attempts = r.whole(n, "most", 1, 3);
-    config.retry_budget = r.span_at(n, "window").map(|window| RetryBudget {
-        free: r.number_at(n, "free", 0.0).unwrap_or_default(),
-        share: r.part_at(n, "share").unwrap_or_default(),
+    reader.only(entry, 0, &["most", "free", "share", "window"], &[]);
+    config.max_attempts = reader.whole(entry, "most", 1, 3);
+    config.retry_budget = reader.span_at(entry, "window").map(|window| RetryBudget {
+        free: reader.number_at(entry, "free", 0.0).unwrap_or_default(),
+        share: reader.part_at(entry, "share").unwrap_or_default(),
         window,
     });
 }
 
 fn single<'a>(
-    r: &mut Reader,
+    reader: &mut Reader,
     document: &'a KdlDocument,
     kind: &'static str,
 ) -> Option<&'a KdlNode> {
     let mut found = entries(document, kind);
     let first = found.next();
     for second in found {
-        r.report(
+        reader.report(
             "twice",
             format!("a second `{kind}`"),
             second.name().span(),
@@ -327,12 +416,17 @@
     first
 }
 
-fn check_needed(r: &mut Reader, document: &KdlDocument, hosts: &[Place], volumes: &[NamedVolume]) {
+fn check_needed(
+    reader: &mut Reader,
+    document: &KdlDocument,
+    hosts: &[Place],
+    volumes: &[NamedVolume],
+) {
     let top = document.span();
     for (missing, what) in [(hosts.is_empty(), "host"), (volumes.is_empty(), "volume")] {
         // Where a file could not be read, it is that.
-        if missing && !r.unread() {
-            r.report(
+        if missing && !reader.unread() {
+            reader.report(
                 "missing",
                 format!("a deployment needs a `{what}`"),
                 (top.offset(), 0).into(),
@@ -343,18 +437,21 @@
 }
 
 /// Ids are hashes of names: two that fall together would be one to the decisions.
-fn check_ids(r: &mut Reader, d: &Deployment, document: &KdlDocument) {
-    let volumes = d.volumes.iter().map(|v| ("volume", &v.name, v.id.0));
-    let nodes = d
+fn check_ids(reader: &mut Reader, deployment: &Deployment, document: &KdlDocument) {
+    let volumes = deployment
+        .volumes
+        .iter()
+        .map(|v| ("volume", &v.name, v.id.0));
+    let nodes = deployment
         .nodes
         .iter()
-        .map(|n| ("node", &n.place.name, node_id(&n.place.name).0));
+        .map(|node| ("node", &node.place.name, node_id(&node.place.name).0));
     let mut seen: BTreeMap<(&str, u64), &String> = BTreeMap::new();
     for (kind, name, id) in volumes.chain(nodes) {
         if let Some(other) = seen.insert((kind, id), name).filter(|other| *other != name) {
             let message =
                 format!("{kind} \"{name}\" and \"{other}\" have the same number: rename one");
-            r.report(
+            reader.report(
                 "same-number",
                 message,
                 (document.span().offset(), 0).into(),
@@ -364,19 +461,19 @@
     }
 }
 
-fn names<'a>(r: &mut Reader, nodes: impl Iterator<Item = &'a KdlNode>) -> Names {
+fn names<'a>(reader: &mut Reader, nodes: impl Iterator<Item = &'a KdlNode>) -> Names {
     let mut names: Vec<String> = Vec::new();
     let mut first: BTreeMap<String, usize> = BTreeMap::new();
-    for n in nodes {
-        let name = r.text(n, 0, "a name");
+    for entry in nodes {
+        let name = reader.text(entry, 0, "a name");
         if let Some(place) = first.get(&name).filter(|_| !name.is_empty()) {
-            r.twice(
-                format!("a second `{}` \"{name}\"", n.name().value()),
-                n.span(),
+            reader.twice(
+                format!("a second `{}` \"{name}\"", entry.name().value()),
+                entry.span(),
                 *place,
             );
         } else {
-            first.insert(name.clone(), n.span().offset());
+            first.insert(name.clone(), entry.span().offset());
         }
         names.push(name);
     }
--- a/crates/configuration/src/cross_zone_budgets.rs
+++ b/crates/configuration/src/cross_zone_budgets.rs
@@ -3,38 +3,43 @@
 
 use crate::entities::{NamedCrossZoneBudget, Place, number};
 use crate::reader::{Names, Reader, entries};
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{BudgetScope, HostId, Limit, PlanId, VolumeId, ZoneId, demand_report};
 use kdl::{KdlDocument, KdlNode};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 pub(crate) fn read(
-    r: &mut Reader,
-    n: &KdlNode,
+    reader: &mut Reader,
+    entry: &KdlNode,
     zones: &Names,
     plans: &Names,
     places: &[Place],
     everyone: &Arc<[HostId]>,
     max_bytes: f64,
 ) -> Option<NamedCrossZoneBudget> {
-    r.only(n, 0, &["from", "to", "plan", "limit", "burst", "hard"], &[]);
-    let before = r.reported();
-    let of = scope(r, n, zones, plans)?;
-    let rate = r.bytes_a_second(n, "limit");
-    let burst = r.bytes(n, "burst", 0) as f64;
-    if n.entry("burst").is_none() {
-        r.report(
+    reader.only(
+        entry,
+        0,
+        &["from", "to", "plan", "limit", "burst", "hard"],
+        &[],
+    );
+    let before = reader.reported();
+    let of = scope(reader, entry, zones, plans)?;
+    let rate = reader.bytes_a_second(entry, "limit");
+    let burst = reader.bytes(entry, "burst", 0) as f64;
+    if entry.entry("burst").is_none() {
+        reader.report(
             "missing",
             "`crossing` needs `burst`".into(),
-            n.name().span(),
+            entry.name().span(),
             None,
         );
     }
-    let hard = r.flag(n, "hard");
+    let hard = reader.flag(entry, "hard");
     let name = name(of, zones, plans);
     let hosts = hosts(of, places, everyone);
     let least = 2.0 * max_bytes * hosts.len() as f64;
-    if r.reported() == before && burst < least {
+    if reader.reported() == before && burst < least {
         let message = format!(
             "a burst of {burst} bytes is too small for the {} hosts that share it",
             hosts.len()
@@ -42,7 +47,7 @@
         let help = format!(
             "each part must hold two of the largest bodies ({max_bytes} bytes): {least} or more"
         );
-        r.report("burst-too-small", message, n.span(), Some(help));
+        reader.report("burst-too-small", message, entry.span(), Some(help));
     }
     let id = demand_report::carried(VolumeId(number(&format!("crossing/{name}"))));
     Some(NamedCrossZoneBudget {
@@ -55,15 +60,19 @@
     })
 }
 
-pub(crate) fn together(r: &mut Reader, document: &KdlDocument, all: &[NamedCrossZoneBudget]) {
+pub(crate) fn together(reader: &mut Reader, document: &KdlDocument, all: &[NamedCrossZoneBudget]) {
     let nodes: Vec<_> = entries(document, "crossing").collect();
     if nodes.len() != all.len() {
         return;
     }
     let mut first: BTreeMap<&str, usize> = BTreeMap::new();
-    for (c, n) in all.iter().zip(&nodes) {
-        if let Some(place) = first.insert(&c.name, n.span().offset()) {
-            r.twice(format!("a second budget for {}", c.name), n.span(), place);
+    for (c, entry) in all.iter().zip(&nodes) {
+        if let Some(place) = first.insert(&c.name, entry.span().offset()) {
+            reader.twice(
+                format!("a second budget for {}", c.name),
+                entry.span(),
+                place,
+            );
         }
     }
     // A plan's budget that all pairs together could not fill says nothing.
@@ -71,25 +80,30 @@
         .iter()
         .filter(|c| matches!(c.of, BudgetScope::ZonePair(..)));
     let sum: f64 = pairs.clone().map(|c| c.limit.rate).sum();
-    for (c, n) in all
+    for (c, entry) in all
         .iter()
         .zip(&nodes)
         .filter(|(c, _)| matches!(c.of, BudgetScope::Plan(_)))
     {
         if pairs.clone().next().is_some() && c.limit.rate > sum {
             let message = format!("{} may cross more than all pairs of zones together", c.name);
-            r.warn("over-limit", message, n.span(), None);
+            reader.warn("over-limit", message, entry.span(), None);
         }
     }
 }
 
 /// What counts against the budget: the traffic of a plan, or between two zones.
-fn scope(r: &mut Reader, n: &KdlNode, zones: &Names, plans: &Names) -> Option<BudgetScope> {
-    let scope = if n.entry("plan").is_some() {
+fn scope(
+    reader: &mut Reader,
+    entry: &KdlNode,
+    zones: &Names,
+    plans: &Names,
+) -> Option<BudgetScope> {
+    let scope = if entry.entry("plan").is_some() {
         for key in ["from", "to"] {
-            if let Some(e) = n.entry(key) {
+            if let Some(e) = entry.entry(key) {
                 let help = Some("a budget is for a pair of zones, or for a plan in all".into());
-                r.report(
+                reader.report(
                     "contradiction",
                     format!("`{key}` does not go with `plan`"),
                     e.span(),
@@ -97,18 +111,18 @@
                 );
             }
         }
-        BudgetScope::Plan(PlanId(r.refer_at(n, "plan", "plan", plans)?))
+        BudgetScope::Plan(PlanId(reader.refer_at(entry, "plan", "plan", plans)?))
     } else {
         let (from, to) = (
-            r.refer_at(n, "from", "zone", zones),
-            r.refer_at(n, "to", "zone", zones),
+            reader.refer_at(entry, "from", "zone", zones),
+            reader.refer_at(entry, "to", "zone", zones),
         );
         let (from, to) = (ZoneId(from?), ZoneId(to?));
         if from == to {
-            r.report(
+            reader.report(
                 "contradiction",
                 "nothing crosses from a zone to itself".into(),
-                n.span(),
+                entry.span(),
                 None,
             );
         }
--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -4,7 +4,7 @@
 pub use crate::entities::*;
 use crate::routes::Routes;
 use gullsail_fleet::maintenance::MaintenanceConfig;
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{CrossZoneBudget, HostId, SchedulerConfig, Span};
 use std::collections::BTreeMap;
 
 /// All that a document says.
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -51,22 +51,22 @@
 
 /// All changes from one deployment to another.
 pub fn diff(old: &Deployment, new: &Deployment) -> Vec<Change> {
-    let mut d = Differ {
+    let mut deployment = Differ {
         old,
         new,
         changes: Vec::new(),
     };
-    d.rules();
-    d.request_classes();
-    d.plans();
-    d.volumes();
-    d.hosts();
-    d.nodes();
-    d.pools();
-    d.cross_zone_budgets();
-    d.order();
-    d.rest();
-    d.changes
+    deployment.rules();
+    deployment.request_classes();
+    deployment.plans();
+    deployment.volumes();
+    deployment.hosts();
+    deployment.nodes();
+    deployment.pools();
+    deployment.cross_zone_budgets();
+    deployment.order();
+    deployment.rest();
+    deployment.changes
 }
 
 impl Differ<'_> {
@@ -96,13 +96,17 @@
 
     /// Ids are places: the order of these counts.
     fn order(&mut self) {
-        let names = |d: &Deployment| {
-            let types: Vec<_> = d.request_classes.iter().map(|s| s.name.clone()).collect();
-            let hosts: Vec<_> = d.hosts.iter().map(|h| h.name.clone()).collect();
+        let names = |deployment: &Deployment| {
+            let types: Vec<_> = deployment
+                .request_classes
+                .iter()
+                .map(|s| s.name.clone())
+                .collect();
+            let hosts: Vec<_> = deployment.hosts.iter().map(|h| h.name.clone()).collect();
             [
                 ("stream types", types),
                 ("hosts", hosts),
-                ("zones", d.zones.clone()),
+                ("zones", deployment.zones.clone()),
             ]
         };
         for ((what, a), (_, b)) in names(self.old).into_iter().zip(names(self.new)) {
@@ -131,8 +135,9 @@
     }
 
     fn cross_zone_budgets(&mut self) {
-        let index = |d: &Deployment| -> BTreeMap<String, (f64, f64, bool)> {
-            d.cross_zone_budgets
+        let index = |deployment: &Deployment| -> BTreeMap<String, (f64, f64, bool)> {
+            deployment
+                .cross_zone_budgets
                 .iter()
                 .map(|c| (c.name.clone(), (c.limit.rate, c.limit.burst, c.hard)))
                 .collect()
@@ -174,7 +179,7 @@
     }
 
     fn rest(&mut self) {
-        let bounds = |d: &Deployment| say(&d.bounds);
+        let bounds = |deployment: &Deployment| say(&deployment.bounds);
         let (a, b) = (bounds(self.old), bounds(self.new));
         self.change(
             "bounds",
@@ -184,7 +189,8 @@
             Class::Restart,
             "sockets are bound by them from their start",
         );
-        let fleet = |d: &Deployment| d.fleet.as_ref().map_or("none".to_string(), say);
+        let fleet =
+            |deployment: &Deployment| deployment.fleet.as_ref().map_or("none".to_string(), say);
         let why = "hosts that hold to different leases, voters or floors could use more than the whole together";
         self.change(
             "fleet",
@@ -194,8 +200,9 @@
             Class::Restart,
             why,
         );
-        let maintenance = |d: &Deployment| {
-            d.maintenance
+        let maintenance = |deployment: &Deployment| {
+            deployment
+                .maintenance
                 .as_ref()
                 .map_or("none".to_string(), values::maintenance)
         };
@@ -208,7 +215,7 @@
             Class::Restart,
             why,
         );
-        let list = |d: &Deployment| d.list.address.clone();
+        let list = |deployment: &Deployment| deployment.list.address.clone();
         let (a, b) = (list(self.old), list(self.new));
         self.change(
             "list",
@@ -218,8 +225,13 @@
             Class::Restart,
             "it is read at a start only",
         );
-        let servers = |d: &Deployment| {
-            say(&d
+        self.servers();
+    }
+
+    /// What simulated nodes run on.
+    fn servers(&mut self) {
+        let servers = |deployment: &Deployment| {
+            say(&deployment
                 .servers
                 .iter()
                 .map(|m| (&m.name, values::server(m)))
@@ -237,15 +249,16 @@
     }
 
     fn pools(&mut self) {
-        let index = |d: &Deployment| -> BTreeMap<String, String> {
+        let index = |deployment: &Deployment| -> BTreeMap<String, String> {
             let zones = |p: &Pool| {
                 p.zones
                     .iter()
-                    .filter_map(|z| d.zones.get(z.0))
+                    .filter_map(|z| deployment.zones.get(z.0))
                     .cloned()
                     .collect::<Vec<_>>()
             };
-            d.routes
+            deployment
+                .routes
                 .pools
                 .iter()
                 .map(|p| (p.name.clone(), say(&(zones(p), &p.kinds))))
@@ -270,18 +283,19 @@
 
     /// The pools of each volume's new objects, by request class.
     fn pools_of_volumes(&mut self, why: &str) {
-        let pools = |d: &Deployment, name: &str| -> BTreeMap<String, String> {
-            let Some(volume) = d.volume_at(name) else {
+        let pools = |deployment: &Deployment, name: &str| -> BTreeMap<String, String> {
+            let Some(volume) = deployment.volume_at(name) else {
                 return BTreeMap::new();
             };
-            let types = d
+            let types = deployment
                 .request_classes
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.write);
             let to = |place| {
-                d.routes
-                    .name(d.routes.pool(volume, RequestClassId(place)))
+                deployment
+                    .routes
+                    .name(deployment.routes.pool(volume, RequestClassId(place)))
                     .to_string()
             };
             types
@@ -353,8 +367,9 @@
     }
 
     fn request_classes(&mut self) {
-        let index = |d: &Deployment| -> BTreeMap<String, String> {
-            d.request_classes
+        let index = |deployment: &Deployment| -> BTreeMap<String, String> {
+            deployment
+                .request_classes
                 .iter()
                 .map(|s| (s.name.clone(), values::request_class(s)))
                 .collect()
@@ -364,8 +379,9 @@
             let of = format!("stream-type \"{name}\"");
             let none = "none".to_string();
             let (from, to) = (a.get(name).unwrap_or(&none), b.get(name).unwrap_or(&none));
-            let idempotency = |d: &Deployment| {
-                d.request_classes
+            let idempotency = |deployment: &Deployment| {
+                deployment
+                    .request_classes
                     .iter()
                     .find(|s| s.name == *name)
                     .map(|s| values::idempotency(&s.decisions.idempotency))
@@ -406,11 +422,12 @@
             .map(|p| p.name.clone())
             .collect();
         for name in names {
-            let find = |d: &Deployment| d.plans.iter().find(|p| p.name == name).cloned();
+            let find =
+                |deployment: &Deployment| deployment.plans.iter().find(|p| p.name == name).cloned();
             let of = format!("plan \"{name}\"");
             let (Some(a), Some(b)) = (find(self.old), find(self.new)) else {
-                let is = |d: &Deployment| {
-                    if find(d).is_some() {
+                let is = |deployment: &Deployment| {
+                    if find(deployment).is_some() {
                         "defined".into()
                     } else {
                         none.clone()
--- a/crates/configuration/src/diff/volumes.rs
+++ b/crates/configuration/src/diff/volumes.rs
@@ -1,12 +1,12 @@
 //! What changed of volumes, their hosts and nodes.
 
-use super::*;
+use super::{BTreeMap, BTreeSet, Class, Deployment, Differ, HostId, NamedVolume, say};
 
 impl Differ<'_> {
-    fn hosts_of(d: &Deployment, v: &NamedVolume) -> BTreeSet<String> {
+    fn hosts_of(deployment: &Deployment, v: &NamedVolume) -> BTreeSet<String> {
         v.hosts
             .iter()
-            .filter_map(|h: &HostId| d.hosts.get(h.0 as usize))
+            .filter_map(|h: &HostId| deployment.hosts.get(h.0 as usize))
             .map(|h| h.name.clone())
             .collect()
     }
@@ -62,7 +62,7 @@
     }
 
     fn plan_of_volume(&mut self, of: &str, a: &NamedVolume, b: &NamedVolume) {
-        let plan = |d: &Deployment, v: &NamedVolume| d.plans[v.plan.0].clone();
+        let plan = |deployment: &Deployment, v: &NamedVolume| deployment.plans[v.plan.0].clone();
         let (x, y) = (plan(self.old, a), plan(self.new, b));
         let limit = y.decisions.limit.map_or(f64::INFINITY, |l| l.rate);
         let (class, why) = if limit < x.decisions.nominal_rate.max(x.decisions.reserve) {
@@ -104,9 +104,10 @@
     }
 
     pub(super) fn hosts(&mut self) {
-        let index = |d: &Deployment| -> BTreeMap<String, (String, String, u32)> {
-            let zone = |z: usize| d.zones.get(z).cloned().unwrap_or_default();
-            d.hosts
+        let index = |deployment: &Deployment| -> BTreeMap<String, (String, String, u32)> {
+            let zone = |z: usize| deployment.zones.get(z).cloned().unwrap_or_default();
+            deployment
+                .hosts
                 .iter()
                 .enumerate()
                 .map(|(i, h)| {
@@ -140,12 +141,13 @@
     }
 
     pub(super) fn nodes(&mut self) {
-        let index = |d: &Deployment| -> BTreeMap<String, (i64, String, String)> {
-            let zone = |z: usize| d.zones.get(z).cloned().unwrap_or_default();
+        let index = |deployment: &Deployment| -> BTreeMap<String, (i64, String, String)> {
+            let zone = |z: usize| deployment.zones.get(z).cloned().unwrap_or_default();
             let place = |n: &crate::deployment::NodePlace| {
                 (n.shard.0, zone(n.place.zone.0), n.place.address.clone())
             };
-            d.nodes
+            deployment
+                .nodes
                 .iter()
                 .filter(|n| !n.spare)
                 .map(|n| (n.place.name.clone(), place(n)))
--- a/crates/configuration/src/entities.rs
+++ b/crates/configuration/src/entities.rs
@@ -4,7 +4,9 @@
 use fnv::FnvHasher;
 use gullsail_config_transition::Revision;
 use gullsail_protocol::Bounds;
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{
+    BudgetScope, HostId, Limit, NodeId, Plan, PlanId, RequestClass, ShardId, Span, VolumeId, ZoneId,
+};
 use std::hash::Hasher;
 use std::sync::Arc;
 
--- a/crates/configuration/src/entry_classes.rs
+++ b/crates/configuration/src/entry_classes.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-pub(crate) fn request_class(r: &mut Reader, n: &KdlNode) -> NamedRequestClass {
+pub(crate) fn request_class(reader: &mut Reader, entry: &KdlNode) -> NamedRequestClass {
     let known = [
         "effect",
         "group",
@@ -22,48 +22,48 @@
         "in-order",
         "write",
     ];
-    r.only(n, 1, &known, &[]);
-    let idempotency = idempotency(r, n);
-    let (latency_objective, deadline) = (r.span(n, "slo"), r.span(n, "expiry"));
+    reader.only(entry, 1, &known, &[]);
+    let idempotency = idempotency(reader, entry);
+    let (latency_objective, deadline) = (reader.span(entry, "slo"), reader.span(entry, "expiry"));
     if latency_objective > deadline {
         let help = Some("the client gives up at the expiry, after the answer was wanted".into());
-        r.report(
+        reader.report(
             "slo-past-expiry",
             "the SLO time is longer than the expiry".into(),
-            n.span(),
+            entry.span(),
             help,
         );
     }
     let decisions = RequestClass {
         idempotency,
         latency_objective,
-        priority_weight: r.number_at(n, "benefit", 0.0).unwrap_or(1.0),
-        late_weight: r.part_at(n, "late-part").unwrap_or_default(),
-        in_order: r.flag(n, "in-order"),
+        priority_weight: reader.number_at(entry, "benefit", 0.0).unwrap_or(1.0),
+        late_weight: reader.part_at(entry, "late-part").unwrap_or_default(),
+        in_order: reader.flag(entry, "in-order"),
     };
     NamedRequestClass {
-        name: r.text(n, 0, "a name"),
-        write: r.flag(n, "write"),
+        name: reader.text(entry, 0, "a name"),
+        write: reader.flag(entry, "write"),
         deadline,
         decisions,
     }
 }
 
-fn idempotency(r: &mut Reader, n: &KdlNode) -> Idempotency {
+fn idempotency(reader: &mut Reader, entry: &KdlNode) -> Idempotency {
     let keywords = [("repeatable", 0), ("keyed", 1), ("unrepeatable", 2)];
-    let idempotency = match r.keyword(n, "effect", &keywords) {
+    let idempotency = match reader.keyword(entry, "effect", &keywords) {
         Some(1) => {
             let groups = [
                 ("all", IdempotencyScope::All),
                 ("zone", IdempotencyScope::Zone),
                 ("cell", IdempotencyScope::Shard),
             ];
-            let scope = r
-                .keyword(n, "group", &groups)
+            let scope = reader
+                .keyword(entry, "group", &groups)
                 .unwrap_or(IdempotencyScope::Shard);
             Idempotency::WithKey {
                 scope,
-                window: r.span(n, "window"),
+                window: reader.span(entry, "window"),
             }
         }
         Some(2) => Idempotency::NonIdempotent,
@@ -72,10 +72,10 @@
     for key in ["group", "window"] {
         if let (false, Some(e)) = (
             matches!(idempotency, Idempotency::WithKey { .. }),
-            n.entry(key),
+            entry.entry(key),
         ) {
             let help = Some("write effect=\"keyed\", or take it out".into());
-            r.report(
+            reader.report(
                 "contradiction",
                 format!("`{key}` is for keyed stream types only"),
                 e.span(),
@@ -86,23 +86,25 @@
     idempotency
 }
 
-pub(crate) fn plan(r: &mut Reader, n: &KdlNode, unit: Option<f64>) -> NamedPlan {
-    r.only(
-        n,
+pub(crate) fn plan(reader: &mut Reader, entry: &KdlNode, unit: Option<f64>) -> NamedPlan {
+    reader.only(
+        entry,
         1,
         &[
             "limit", "burst", "slack", "reserve", "usual", "weight", "price",
         ],
         &[],
     );
-    let reserve = r.rate_at(n, "reserve", 0.0, unit).unwrap_or_default();
-    let before = r.reported();
-    let limit = r.rate_at(n, "limit", f64::MIN_POSITIVE, unit);
+    let reserve = reader
+        .rate_at(entry, "reserve", 0.0, unit)
+        .unwrap_or_default();
+    let before = reader.reported();
+    let limit = reader.rate_at(entry, "limit", f64::MIN_POSITIVE, unit);
     let limit = limit.map(|rate| {
-        let burst = r.number(n, "burst", 0.0);
+        let burst = reader.number(entry, "burst", 0.0);
         Limit {
             rate,
-            burst: if r.reported() > before {
+            burst: if reader.reported() > before {
                 f64::INFINITY
             } else {
                 burst
@@ -111,77 +113,91 @@
     });
     if let Some(l) = limit.filter(|l| l.rate < reserve) {
         let message = format!("the limit ({}) is under the reserve ({reserve})", l.rate);
-        r.report("limit-under-reserve", message, n.span(), None);
+        reader.report("limit-under-reserve", message, entry.span(), None);
     }
-    let slack = r.number_at(n, "slack", 0.0);
+    let slack = reader.number_at(entry, "slack", 0.0);
     let decisions = Plan {
         limit,
         reserve,
-        nominal_rate: r.rate_at(n, "usual", 0.0, unit).unwrap_or(reserve),
-        weight: r.number_at(n, "weight", 0.0).unwrap_or(1.0),
-        price: r.number_at(n, "price", 0.0).unwrap_or(1.0),
+        nominal_rate: reader.rate_at(entry, "usual", 0.0, unit).unwrap_or(reserve),
+        weight: reader.number_at(entry, "weight", 0.0).unwrap_or(1.0),
+        price: reader.number_at(entry, "price", 0.0).unwrap_or(1.0),
     };
     NamedPlan {
-        name: r.text(n, 0, "a name"),
+        name: reader.text(entry, 0, "a name"),
         slack: slack.unwrap_or_default(),
         decisions,
     }
 }
 
-pub(crate) fn volume(
-    r: &mut Reader,
-    n: &KdlNode,
-    plans: &[NamedPlan],
-    plan_names: &Names,
-    hosts: &Names,
-    everyone: &Arc<[HostId]>,
-    (max_units, split): (f64, bool),
-) -> NamedVolume {
-    r.only(n, 1, &["plan"], &["hosts"]);
-    let name = r.text(n, 0, "a name");
-    let plan = r
-        .refer_at(n, "plan", "plan", plan_names)
-        .unwrap_or_default();
-    let mut through = BTreeSet::new();
-    for child in n.iter_children().filter(|c| c.name().value() == "hosts") {
-        r.only(child, usize::MAX, &[], &[]);
-        for e in child.entries() {
-            let host = r.refer(e, "host", hosts).map(|h| HostId(h as u32));
-            if host.is_some_and(|h| !through.insert(h)) {
-                r.report(
-                    "twice",
-                    "this host stands here twice".into(),
-                    e.span(),
-                    None,
-                );
-            }
-        }
-    }
-    // None stated: all of them.
-    let through = if through.is_empty() {
-        everyone.clone()
-    } else {
-        through.into_iter().collect()
-    };
-    if let Some(l) = plans.get(plan).and_then(|p| p.decisions.limit) {
-        let least = 2.0 * max_units * if split { through.len() as f64 } else { 1.0 };
-        if l.burst < least {
+/// What volumes are read against.
+pub(crate) struct VolumeContext<'a> {
+    pub(crate) plans: &'a [NamedPlan],
+    pub(crate) plan_names: &'a Names,
+    pub(crate) hosts: &'a Names,
+    pub(crate) everyone: &'a Arc<[HostId]>,
+    /// The most units of one request.
+    pub(crate) max_units: f64,
+    /// Each host has an even part of the burst. With a fleet, a share too small for a largest request goes from
+    /// host to host in turns instead.
+    pub(crate) split: bool,
+}
+
+pub(crate) fn volume(reader: &mut Reader, entry: &KdlNode, context: &VolumeContext) -> NamedVolume {
+    reader.only(entry, 1, &["plan"], &["hosts"]);
+    let name = reader.text(entry, 0, "a name");
+    let plan = reader.refer_at(entry, "plan", "plan", context.plan_names);
+    let plan = plan.unwrap_or_default();
+    let hosts = hosts_of_volume(reader, entry, context);
+    if let Some(limit) = context
+        .plans
+        .get(plan)
+        .and_then(|plan| plan.decisions.limit)
+    {
+        let parts = if context.split {
+            hosts.len() as f64
+        } else {
+            1.0
+        };
+        let least = 2.0 * context.max_units * parts;
+        if limit.burst < least {
             let message = format!(
                 "the plan's burst of {} is too small for {} hosts",
-                l.burst,
-                through.len()
+                limit.burst,
+                hosts.len()
             );
             let help =
                 format!("each host's part must hold two of the largest transfers: {least} or more");
-            r.report("burst-too-small", message, n.span(), Some(help));
+            reader.report("burst-too-small", message, entry.span(), Some(help));
         }
     }
-    // Six bytes of the number travel in labels.
+    // Six bytes of the number travel in demand reports.
     let id = demand_report::carried(VolumeId(number(&name)));
     NamedVolume {
         name,
         id,
         plan: PlanId(plan),
-        hosts: through,
+        hosts,
+    }
+}
+
+/// The hosts that a volume names; all of them if it names none.
+fn hosts_of_volume(reader: &mut Reader, entry: &KdlNode, context: &VolumeContext) -> Arc<[HostId]> {
+    let mut named = BTreeSet::new();
+    let lists = entry.iter_children();
+    for list in lists.filter(|child| child.name().value() == "hosts") {
+        reader.only(list, usize::MAX, &[], &[]);
+        for value in list.entries() {
+            let host = reader.refer(value, "host", context.hosts);
+            if host.is_some_and(|host| !named.insert(HostId(host as u32))) {
+                let message = "this host stands here twice".into();
+                reader.report("twice", message, value.span(), None);
+            }
+        }
+    }
+    if named.is_empty() {
+        context.everyone.clone()
+    } else {
+        named.into_iter().collect()
     }
 }
--- a/crates/configuration/src/entry_processes.rs
+++ b/crates/configuration/src/entry_processes.rs
@@ -6,48 +6,57 @@
 use gullsail_scheduler_api::{ShardId, Span, ZoneId};
 use kdl::KdlNode;
 
-pub(crate) fn place(r: &mut Reader, n: &KdlNode, zones: &Names) -> Place {
-    let address = r.text_at(n, "address").unwrap_or_default();
-    let zone = if n.entry("zone").is_some() || !zones.list().is_empty() {
-        r.refer_at(n, "zone", "zone", zones).unwrap_or_default()
+pub(crate) fn place(reader: &mut Reader, entry: &KdlNode, zones: &Names) -> Place {
+    let address = reader.text_at(entry, "address").unwrap_or_default();
+    let zone = if entry.entry("zone").is_some() || !zones.list().is_empty() {
+        reader
+            .refer_at(entry, "zone", "zone", zones)
+            .unwrap_or_default()
     } else {
         0
     };
-    let listen = r.text_at(n, "listen").unwrap_or_else(|| address.clone());
+    let listen = reader
+        .text_at(entry, "listen")
+        .unwrap_or_else(|| address.clone());
     Place {
-        name: r.text(n, 0, "a name"),
+        name: reader.text(entry, 0, "a name"),
         zone: ZoneId(zone),
         address,
         listen,
     }
 }
 
-pub(crate) fn node(r: &mut Reader, n: &KdlNode, zones: &Names, servers: &Names) -> NodePlace {
-    r.only(
-        n,
+pub(crate) fn node(
+    reader: &mut Reader,
+    entry: &KdlNode,
+    zones: &Names,
+    servers: &Names,
+) -> NodePlace {
+    reader.only(
+        entry,
         1,
         &[
             "cell", "zone", "kind", "address", "listen", "machine", "spare",
         ],
         &[],
     );
-    let server = if n.entry("machine").is_some() {
-        r.refer_at(n, "machine", "machine", servers)
+    let server = if entry.entry("machine").is_some() {
+        reader.refer_at(entry, "machine", "machine", servers)
     } else {
         None
     };
-    _ = r.number(n, "cell", 0.0);
-    let shard = ShardId(i64::from(r.whole(n, "cell", 0, 0)));
+    _ = reader.number(entry, "cell", 0.0);
+    let shard = ShardId(i64::from(reader.whole(entry, "cell", 0, 0)));
     NodePlace {
-        place: place(r, n, zones),
+        place: place(reader, entry, zones),
         shard,
-        kind: r.text_at(n, "kind").unwrap_or_default(),
+        kind: reader.text_at(entry, "kind").unwrap_or_default(),
         server: server.unwrap_or_default(),
-        spare: r.flag(n, "spare"),
+        spare: reader.flag(entry, "spare"),
     }
 }
 
-pub(crate) fn server(r: &mut Reader, n: &KdlNode) -> Server {
+pub(crate) fn server(reader: &mut Reader, entry: &KdlNode) -> Server {
     let known = [
         "cores",
         "unit",
@@ -58,25 +67,25 @@
         "flush-every",
         "falls-over",
     ];
-    r.only(n, 1, &known, &[]);
+    reader.only(entry, 1, &known, &[]);
     Server {
-        name: r.text(n, 0, "a name"),
-        cores: r.whole(n, "cores", 1, 1),
-        unit: r.span(n, "unit"),
-        queue: r.whole(n, "queue", 0, 32),
-        pause: r.span_at(n, "pause").unwrap_or_default(),
-        pause_every: r
-            .span_at(n, "pause-every")
+        name: reader.text(entry, 0, "a name"),
+        cores: reader.whole(entry, "cores", 1, 1),
+        unit: reader.span(entry, "unit"),
+        queue: reader.whole(entry, "queue", 0, 32),
+        pause: reader.span_at(entry, "pause").unwrap_or_default(),
+        pause_every: reader
+            .span_at(entry, "pause-every")
             .unwrap_or(Span::from_millis(5000.0)),
-        put_off: r.part_at(n, "put-off").unwrap_or_default(),
-        flush_every: r
-            .span_at(n, "flush-every")
+        put_off: reader.part_at(entry, "put-off").unwrap_or_default(),
+        flush_every: reader
+            .span_at(entry, "flush-every")
             .unwrap_or(Span::from_millis(2000.0)),
-        falls_over: r.number_at(n, "falls-over", 1.0).unwrap_or(2.0),
+        falls_over: reader.number_at(entry, "falls-over", 1.0).unwrap_or(2.0),
     }
 }
 
-pub(crate) fn bounds(r: &mut Reader, node: Option<&KdlNode>) -> HostBounds {
+pub(crate) fn bounds(reader: &mut Reader, node: Option<&KdlNode>) -> HostBounds {
     let ms = Span::from_millis;
     let mut b = HostBounds {
         most_open: 8192,
@@ -89,7 +98,7 @@
         clock_every: ms(1000.0),
         clock_apart: ms(2000.0),
     };
-    let Some(n) = node else { return b };
+    let Some(entry) = node else { return b };
     let known = [
         "open",
         "held-bytes",
@@ -102,11 +111,11 @@
         "clock-every",
         "clock-apart",
     ];
-    r.only(n, 0, &known, &[]);
-    b.most_open = r.whole(n, "open", 1, b.most_open);
-    b.most_held = r.bytes(n, "held-bytes", b.most_held);
-    b.frame.body = r.bytes(n, "body-bytes", b.frame.body);
-    b.most_unsent = r.bytes(n, "unsent-bytes", b.most_unsent);
+    reader.only(entry, 0, &known, &[]);
+    b.most_open = reader.whole(entry, "open", 1, b.most_open);
+    b.most_held = reader.bytes(entry, "held-bytes", b.most_held);
+    b.frame.body = reader.bytes(entry, "body-bytes", b.frame.body);
+    b.most_unsent = reader.bytes(entry, "unsent-bytes", b.most_unsent);
     for (key, at) in [
         ("client-stall", &mut b.client_stall),
         ("connect", &mut b.connect),
@@ -115,7 +124,7 @@
         ("clock-every", &mut b.clock_every),
         ("clock-apart", &mut b.clock_apart),
     ] {
-        *at = r.span_at(n, key).unwrap_or(*at);
+        *at = reader.span_at(entry, key).unwrap_or(*at);
     }
     b
 }
--- a/crates/configuration/src/fleet.rs
+++ b/crates/configuration/src/fleet.rs
@@ -14,16 +14,16 @@
 const MOST_VOTERS: u32 = 15;
 
 /// So many a second, as `"40/s"`; more than none.
-fn a_second(r: &mut Reader, n: &KdlNode, key: &str) -> Option<f64> {
-    let text = r.text_at(n, key)?;
+fn a_second(reader: &mut Reader, entry: &KdlNode, key: &str) -> Option<f64> {
+    let text = reader.text_at(entry, key)?;
     let rate = text
         .strip_suffix("/s")
         .and_then(|t| t.trim().parse::<f64>().ok());
     let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
     if rate.is_none() {
-        let span = n.entry(key).map_or(n.span(), |e| e.span());
+        let span = entry.entry(key).map_or(entry.span(), |e| e.span());
         let help = format!("so many a second to one node, from all hosts together: {key}=\"40/s\"");
-        r.report(
+        reader.report(
             "wrong-kind",
             format!("`{key}` is \"{text}\""),
             span,
@@ -34,10 +34,16 @@
 }
 
 /// Reports figures of the entry that contradict each other or the deployment.
-fn check_figures(r: &mut Reader, n: &KdlNode, fleet: &NamedFleet, hosts: &[Place], tick: Span) {
+fn check_figures(
+    reader: &mut Reader,
+    entry: &KdlNode,
+    fleet: &NamedFleet,
+    hosts: &[Place],
+    tick: Span,
+) {
     let mut wrong = |key: &str, message: String, help: String| {
-        let span = n.entry(key).map_or(n.span(), |e| e.span());
-        r.report("contradiction", message, span, Some(help));
+        let span = entry.entry(key).map_or(entry.span(), |e| e.span());
+        reader.report("contradiction", message, span, Some(help));
     };
     let (least, most) = LEASES;
     let ms = fleet.lease.millis();
@@ -75,36 +81,36 @@
 
 /// `None`: there is none, or it is off.
 pub(crate) fn read(
-    r: &mut Reader,
-    n: Option<&KdlNode>,
+    reader: &mut Reader,
+    entry: Option<&KdlNode>,
     hosts: &[Place],
     tick: Span,
 ) -> Option<NamedFleet> {
-    let n = n?;
-    r.only(
-        n,
+    let entry = entry?;
+    reader.only(
+        entry,
         1,
         &[
             "lease", "drift", "voters", "floor", "connects", "probes", "off",
         ],
         &[],
     );
-    let before = r.reported();
+    let before = reader.reported();
     let fleet = NamedFleet {
-        name: r.text(n, 0, "the fleet's name"),
-        lease: r.span(n, "lease"),
-        drift: r.number_at(n, "drift", 0.0).unwrap_or(0.002),
-        voters: r.whole(n, "voters", 1, 5.min(hosts.len().max(1) as u32)),
-        floor: r.part(n, "floor"),
-        connects: a_second(r, n, "connects"),
-        probes: a_second(r, n, "probes"),
+        name: reader.text(entry, 0, "the fleet's name"),
+        lease: reader.span(entry, "lease"),
+        drift: reader.number_at(entry, "drift", 0.0).unwrap_or(0.002),
+        voters: reader.whole(entry, "voters", 1, 5.min(hosts.len().max(1) as u32)),
+        floor: reader.part(entry, "floor"),
+        connects: a_second(reader, entry, "connects"),
+        probes: a_second(reader, entry, "probes"),
     };
     // A lease that could not be read is reported already.
     if fleet.lease == Span::ZERO {
         return None;
     }
-    check_figures(r, n, &fleet, hosts, tick);
-    let off = r.flag(n, "off");
+    check_figures(reader, entry, &fleet, hosts, tick);
+    let off = reader.flag(entry, "off");
     let zone = |p: &Place| p.zone;
     let zones = |p: &[Place]| {
         p.iter()
@@ -116,12 +122,12 @@
     if !off && fleet.voters > 2 && zones(voters) == 1 && zones(hosts) > 1 {
         let help =
             "with that zone nobody decides: let the document's first hosts lie in different zones";
-        r.warn(
+        reader.warn(
             "voters-together",
             "all voters are in one zone".into(),
-            n.span(),
+            entry.span(),
             Some(help.into()),
         );
     }
-    (!off && r.reported() == before).then_some(fleet)
+    (!off && reader.reported() == before).then_some(fleet)
 }
--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -7,29 +7,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Looks at a deployment as a whole.
-pub fn check(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    reserves(d, document, r);
-    unused(d, document, r);
-    plans(d, document, r);
-    request_classes(d, document, r);
-    places(d, document, r);
-    shards(d, document, r);
-    rules(d, document, r);
-    bounds(d, document, r);
-    slow_start(d, document, r);
-    retry_budget(d, document, r);
+pub fn check(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    reserves(deployment, document, reader);
+    unused(deployment, document, reader);
+    plans(deployment, document, reader);
+    request_classes(deployment, document, reader);
+    places(deployment, document, reader);
+    shards(deployment, document, reader);
+    rules(deployment, document, reader);
+    bounds(deployment, document, reader);
+    slow_start(deployment, document, reader);
+    retry_budget(deployment, document, reader);
 }
 
 /// Reserves against what the servers of the nodes can do, where that is stated.
-fn reserves(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    let running: Vec<_> = d.nodes.iter().filter(|n| !n.spare).collect();
-    let servers: Option<Vec<_>> = running.iter().map(|n| d.servers.get(n.server)).collect();
+fn reserves(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    let running: Vec<_> = deployment.nodes.iter().filter(|node| !node.spare).collect();
+    let servers: Option<Vec<_>> = running
+        .iter()
+        .map(|node| deployment.servers.get(node.server))
+        .collect();
     if let Some(servers) = servers.filter(|m| !m.is_empty()) {
         let can: f64 = servers.iter().map(|m| m.can()).sum();
-        let reserved: f64 = d
+        let reserved: f64 = deployment
             .volumes
             .iter()
-            .map(|v| d.plans.get(v.plan.0).map_or(0.0, |p| p.decisions.reserve))
+            .map(|v| {
+                deployment
+                    .plans
+                    .get(v.plan.0)
+                    .map_or(0.0, |p| p.decisions.reserve)
+            })
             .sum();
         if let Some(last) = entries(document, "volume")
             .next_back()
@@ -41,25 +49,30 @@
                 "at most {:.0} can be promised: lower reserves, or add nodes",
                 can * PROMISABLE
             );
-            r.report("reserves-too-large", message, last.span(), Some(help));
+            reader.report("reserves-too-large", message, last.span(), Some(help));
         }
     }
 }
 
-fn unused(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    let name = |n: &kdl::KdlNode| {
-        n.get(0)
+fn unused(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    let name = |entry: &kdl::KdlNode| {
+        entry
+            .get(0)
             .and_then(|v| v.as_string())
             .unwrap_or_default()
             .to_string()
     };
-    let zones: BTreeSet<usize> = d.nodes.iter().map(|n| n.place.zone.0).collect();
-    for (place, n) in entries(document, "zone").enumerate() {
-        if !zones.contains(&place) && !d.nodes.is_empty() {
-            r.warn(
+    let zones: BTreeSet<usize> = deployment
+        .nodes
+        .iter()
+        .map(|node| node.place.zone.0)
+        .collect();
+    for (place, entry) in entries(document, "zone").enumerate() {
+        if !zones.contains(&place) && !deployment.nodes.is_empty() {
+            reader.warn(
                 "zone-empty",
-                format!("zone \"{}\" has no node", name(n)),
-                n.span(),
+                format!("zone \"{}\" has no node", name(entry)),
+                entry.span(),
                 None,
             );
         }
@@ -67,86 +80,86 @@
     let used: [(&'static str, BTreeSet<usize>, bool); 2] = [
         (
             "plan",
-            d.volumes.iter().map(|v| v.plan.0).collect(),
-            !d.volumes.is_empty(),
+            deployment.volumes.iter().map(|v| v.plan.0).collect(),
+            !deployment.volumes.is_empty(),
         ),
         (
             "machine",
-            d.nodes.iter().map(|n| n.server).collect(),
-            !d.nodes.is_empty(),
+            deployment.nodes.iter().map(|node| node.server).collect(),
+            !deployment.nodes.is_empty(),
         ),
     ];
     for (kind, used, counts) in used {
-        for (_, n) in entries(document, kind)
+        for (_, entry) in entries(document, kind)
             .enumerate()
             .filter(|(place, _)| counts && !used.contains(place))
         {
-            r.warn(
+            reader.warn(
                 "unused",
-                format!("{kind} \"{}\" is used nowhere", name(n)),
-                n.span(),
+                format!("{kind} \"{}\" is used nowhere", name(entry)),
+                entry.span(),
                 None,
             );
         }
     }
 }
 
-fn rules(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    let f = d.figures();
-    if let Some(n) = entries(document, "rules").next() {
+fn rules(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    let f = deployment.figures();
+    if let Some(entry) = entries(document, "rules").next() {
         if f.beyond_share_value > f.within_share_value {
             let message = "units past the share would earn more than those within it".into();
-            r.warn(
+            reader.warn(
                 "odd-parts",
                 message,
-                n.span(),
+                entry.span(),
                 Some("spare-part is at most share-part".into()),
             );
         }
-        if n.entry("order-settle").is_some() && !f.request_classes.iter().any(|s| s.in_order) {
+        if entry.entry("order-settle").is_some() && !f.request_classes.iter().any(|s| s.in_order) {
             let message =
                 "`order-settle` counts for stream types with in-order=#true, and there is none"
                     .into();
-            r.warn("no-effect", message, n.span(), None);
+            reader.warn("no-effect", message, entry.span(), None);
         }
         let shortest = f.request_classes.iter().map(|s| s.latency_objective).min();
         if shortest.is_some_and(|slo| f.tick.times(4.0) > slo) {
             let message =
                 "two ticks before the expiry the last answer is given: that is half of an SLO time"
                     .into();
-            r.warn("tick-long", message, n.span(), None);
+            reader.warn("tick-long", message, entry.span(), None);
         }
     }
 }
 
-fn bounds(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    if let Some(n) = entries(document, "bounds").next() {
-        if d.bounds.redial.0 > d.bounds.redial.1 {
+fn bounds(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    if let Some(entry) = entries(document, "bounds").next() {
+        if deployment.bounds.redial.0 > deployment.bounds.redial.1 {
             let message = "the first wait between tries to connect is longer than the last".into();
-            r.report("contradiction", message, n.span(), None);
+            reader.report("contradiction", message, entry.span(), None);
         }
-        if d.bounds.frame.body > d.bounds.most_held {
+        if deployment.bounds.frame.body > deployment.bounds.most_held {
             let message = "one body may be larger than all that may be held".into();
-            r.report(
+            reader.report(
                 "contradiction",
                 message,
-                n.span(),
+                entry.span(),
                 Some("held-bytes is at least body-bytes".into()),
             );
         }
     }
 }
 
-fn slow_start(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    let f = d.figures();
-    if let Some(n) = entries(document, "cold").next() {
+fn slow_start(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    let f = deployment.figures();
+    if let Some(entry) = entries(document, "cold").next() {
         if f.slow_start.window > f.slow_start.ramp {
             let message =
                 "the window is longer than the ramp: a node is warm before it ends".into();
-            r.report(
+            reader.report(
                 "contradiction",
                 message,
-                n.span(),
+                entry.span(),
                 Some("window is how long it must be sent too much".into()),
             );
         }
@@ -155,53 +168,53 @@
                 "{} units are less than one largest transfer ({})",
                 f.slow_start.units, f.max_units
             );
-            r.warn("cold-too-small", message, n.span(), None);
+            reader.warn("cold-too-small", message, entry.span(), None);
         }
     }
 }
 
-fn retry_budget(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    let f = d.figures();
+fn retry_budget(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    let f = deployment.figures();
     let nothing = f
         .retry_budget
         .is_some_and(|b| b.free < 1.0 && b.share == 0.0);
-    if let Some(n) = entries(document, "legs")
+    if let Some(entry) = entries(document, "legs")
         .next()
         .filter(|_| nothing && f.max_attempts > 1)
     {
         let message = "the budget allows no further leg at all".into();
-        r.warn(
+        reader.warn(
             "no-effect",
             message,
-            n.span(),
+            entry.span(),
             Some("most=1 says so plainly".into()),
         );
     }
-    if let Some(n) = entries(document, "legs")
+    if let Some(entry) = entries(document, "legs")
         .next()
         .filter(|_| f.retry_budget.is_some() && f.max_attempts == 1)
     {
-        r.warn(
+        reader.warn(
             "no-effect",
             "with one leg for each transfer there are no further legs to budget".into(),
-            n.span(),
+            entry.span(),
             None,
         );
     }
 }
 
-fn plans(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    let running: Vec<_> = d
+fn plans(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    let running: Vec<_> = deployment
         .nodes
         .iter()
-        .filter(|n| !n.spare)
-        .map(|n| d.servers.get(n.server))
+        .filter(|node| !node.spare)
+        .map(|node| deployment.servers.get(node.server))
         .collect();
     let can = running.iter().flatten().map(|m| m.can()).sum::<f64>();
-    for (p, n) in d.plans.iter().zip(entries(document, "plan")) {
-        let at = |key: &str| n.entry(key).map_or(n.span(), |e| e.span());
-        let warn = |r: &mut Reader, code, message: &str, key: &str| {
-            r.warn(code, message.into(), at(key), None)
+    for (p, entry) in deployment.plans.iter().zip(entries(document, "plan")) {
+        let at = |key: &str| entry.entry(key).map_or(entry.span(), |e| e.span());
+        let warn = |reader: &mut Reader, code, message: &str, key: &str| {
+            reader.warn(code, message.into(), at(key), None)
         };
         let Plan {
             limit,
@@ -212,10 +225,10 @@
         } = p.decisions;
         for key in ["burst", "slack"]
             .into_iter()
-            .filter(|key| limit.is_none() && n.entry(*key).is_some())
+            .filter(|key| limit.is_none() && entry.entry(*key).is_some())
         {
             warn(
-                r,
+                reader,
                 "no-effect",
                 "it belongs to a limit, and the plan has none",
                 key,
@@ -223,7 +236,7 @@
         }
         if limit.is_some_and(|l| nominal_rate > l.rate) {
             warn(
-                r,
+                reader,
                 "over-limit",
                 "its volumes are sized for more than the limit lets through",
                 "usual",
@@ -231,7 +244,7 @@
         }
         if limit.is_some_and(|l| l.rate > can) && can > 0.0 && running.iter().all(Option::is_some) {
             warn(
-                r,
+                reader,
                 "over-limit",
                 "the limit is above what all nodes together can do",
                 "limit",
@@ -242,7 +255,7 @@
             .filter(|(f, _)| *f == 0.0)
         {
             warn(
-                r,
+                reader,
                 "served-last",
                 &format!("with {key}=0 its volumes come after all others"),
                 key,
@@ -251,61 +264,71 @@
     }
 }
 
-fn request_classes(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
-    for (s, n) in d
+fn request_classes(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
+    for (s, entry) in deployment
         .request_classes
         .iter()
         .zip(entries(document, "stream-type"))
     {
-        let at = |key: &str| n.entry(key).map_or(n.span(), |e| e.span());
-        if s.decisions.latency_objective == s.deadline && n.entry("late-part").is_some() {
+        let at = |key: &str| entry.entry(key).map_or(entry.span(), |e| e.span());
+        if s.decisions.latency_objective == s.deadline && entry.entry("late-part").is_some() {
             let message = "no answer is late: the SLO time is the expiry".into();
-            r.warn("no-effect", message, at("late-part"), None);
+            reader.warn("no-effect", message, at("late-part"), None);
         }
         if s.decisions.priority_weight == 0.0 {
             let message = "without a benefit it comes after all others".into();
-            r.warn("served-last", message, at("benefit"), None);
+            reader.warn("served-last", message, at("benefit"), None);
         }
         if let Idempotency::WithKey { window, .. } = s.decisions.idempotency
             && window < s.decisions.latency_objective
         {
             let message =
                 "nodes forget a key before the answer is wanted: a late repeat is given up".into();
-            r.warn("window-short", message, at("window"), None);
+            reader.warn("window-short", message, at("window"), None);
         }
     }
 }
 
-fn places(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
+fn places(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let mut addresses: BTreeMap<&str, usize> = BTreeMap::new();
-    let hosts = d.hosts.iter().zip(entries(document, "host"));
-    let nodes = d
+    let hosts = deployment.hosts.iter().zip(entries(document, "host"));
+    let nodes = deployment
         .nodes
         .iter()
-        .map(|n| &n.place)
+        .map(|node| &node.place)
         .zip(entries(document, "node"));
-    for (p, n) in hosts
+    for (p, entry) in hosts
         .chain(nodes)
         .filter(|(p, _)| !p.address.is_empty() && !p.address.ends_with(":0"))
     {
         if let Some(first) = addresses.get(p.address.as_str()) {
             let message = format!("\"{}\" has the address of another", p.name);
-            r.conflict("twice", message, n.span(), "the other stands at", *first);
+            reader.conflict(
+                "twice",
+                message,
+                entry.span(),
+                "the other stands at",
+                *first,
+            );
         } else {
-            addresses.insert(&p.address, n.span().offset());
+            addresses.insert(&p.address, entry.span().offset());
         }
     }
-    let mut served = vec![false; d.hosts.len()];
-    d.volumes
+    let mut served = vec![false; deployment.hosts.len()];
+    deployment
+        .volumes
         .iter()
         .flat_map(|v| v.hosts.iter())
         .for_each(|h| served[h.0 as usize] = true);
-    for (place, n) in entries(document, "host").enumerate() {
-        if !served.get(place).copied().unwrap_or(true) && !d.volumes.is_empty() {
-            r.warn(
+    for (place, entry) in entries(document, "host").enumerate() {
+        if !served.get(place).copied().unwrap_or(true) && !deployment.volumes.is_empty() {
+            reader.warn(
                 "unused",
-                format!("no volume comes through host \"{}\"", d.hosts[place].name),
-                n.span(),
+                format!(
+                    "no volume comes through host \"{}\"",
+                    deployment.hosts[place].name
+                ),
+                entry.span(),
                 None,
             );
         }
@@ -313,25 +336,25 @@
 }
 
 /// Shards that two running nodes hold, and spare nodes for shards that none holds.
-fn shards(d: &Deployment, document: &KdlDocument, r: &mut Reader) {
+fn shards(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let mut shards: BTreeMap<i64, usize> = BTreeMap::new();
-    for (node, n) in d
+    for (node, entry) in deployment
         .nodes
         .iter()
         .zip(entries(document, "node"))
         .filter(|(node, _)| !node.spare)
     {
-        if shards.insert(node.shard.0, n.span().offset()).is_some() {
+        if shards.insert(node.shard.0, entry.span().offset()).is_some() {
             let message = format!("another running node holds cell {} too", node.shard.0);
-            r.warn(
+            reader.warn(
                 "cell-twice",
                 message,
-                n.span(),
+                entry.span(),
                 Some("one that takes over later is spare=#true".into()),
             );
         }
     }
-    for (node, n) in d
+    for (node, entry) in deployment
         .nodes
         .iter()
         .zip(entries(document, "node"))
@@ -342,7 +365,7 @@
                 "no running node holds cell {}, for which it stands by",
                 node.shard.0
             );
-            r.warn("spare-alone", message, n.span(), None);
+            reader.warn("spare-alone", message, entry.span(), None);
         }
     }
 }
--- a/crates/configuration/src/maintenance.rs
+++ b/crates/configuration/src/maintenance.rs
@@ -11,10 +11,15 @@
 const MOST_BLIND: Span = Span::from_micros(3_600_000_000);
 
 /// Reports figures of the entry that contradict each other or the fleet's.
-fn check_figures(r: &mut Reader, n: &KdlNode, maintenance: &MaintenanceConfig, fleet: &NamedFleet) {
+fn check_figures(
+    reader: &mut Reader,
+    entry: &KdlNode,
+    maintenance: &MaintenanceConfig,
+    fleet: &NamedFleet,
+) {
     let mut wrong = |key: &str, message: String, help: String| {
-        let span = n.entry(key).map_or(n.span(), |e| e.span());
-        r.report("contradiction", message, span, Some(help));
+        let span = entry.entry(key).map_or(entry.span(), |e| e.span());
+        reader.report("contradiction", message, span, Some(help));
     };
     for (key, most) in [
         ("in-zone", maintenance.in_zone),
@@ -49,11 +54,11 @@
 
 /// `None`: there are no works.
 pub(crate) fn read(
-    r: &mut Reader,
-    n: Option<&KdlNode>,
+    reader: &mut Reader,
+    entry: Option<&KdlNode>,
     fleet: Option<&NamedFleet>,
 ) -> Option<MaintenanceConfig> {
-    let n = n?;
+    let entry = entry?;
     let known = [
         "at-once",
         "in-zone",
@@ -65,45 +70,45 @@
         "watched",
         "blind",
     ];
-    r.only(n, 0, &known, &["rest"]);
-    let before = r.reported();
-    let at_once = r.whole(n, "at-once", 1, 1);
+    reader.only(entry, 0, &known, &["rest"]);
+    let before = reader.reported();
+    let at_once = reader.whole(entry, "at-once", 1, 1);
     let maintenance = MaintenanceConfig {
         at_once,
-        in_zone: r.whole(n, "in-zone", 1, at_once),
-        in_pool: r.whole(n, "in-pool", 1, at_once),
-        keep: r.part(n, "keep"),
-        keep_shard: r.part_at(n, "keep-cell").unwrap_or_default(),
-        busy: r.part_at(n, "busy").unwrap_or(0.9),
-        longest: r.span(n, "longest"),
-        watched: r.span(n, "watched"),
-        blind: r.span(n, "blind"),
-        rests: read_rests(r, n),
+        in_zone: reader.whole(entry, "in-zone", 1, at_once),
+        in_pool: reader.whole(entry, "in-pool", 1, at_once),
+        keep: reader.part(entry, "keep"),
+        keep_shard: reader.part_at(entry, "keep-cell").unwrap_or_default(),
+        busy: reader.part_at(entry, "busy").unwrap_or(0.9),
+        longest: reader.span(entry, "longest"),
+        watched: reader.span(entry, "watched"),
+        blind: reader.span(entry, "blind"),
+        rests: read_rests(reader, entry),
     };
     let Some(fleet) = fleet else {
         let help = "hosts settle works by their `fleet`: add one".into();
-        r.report(
+        reader.report(
             "contradiction",
             "`works` without a `fleet`".into(),
-            n.span(),
+            entry.span(),
             Some(help),
         );
         return None;
     };
-    check_figures(r, n, &maintenance, fleet);
-    (r.reported() == before).then_some(maintenance)
+    check_figures(reader, entry, &maintenance, fleet);
+    (reader.reported() == before).then_some(maintenance)
 }
 
 /// The times of day at which no server goes.
-fn read_rests(r: &mut Reader, n: &KdlNode) -> Vec<(u32, u32)> {
+fn read_rests(reader: &mut Reader, entry: &KdlNode) -> Vec<(u32, u32)> {
     let mut rests = Vec::new();
-    for rest in n.iter_children().filter(|c| c.name().value() == "rest") {
-        r.only(rest, 0, &["from", "to"], &[]);
-        let times = [time(r, rest, "from"), time(r, rest, "to")];
+    for rest in entry.iter_children().filter(|c| c.name().value() == "rest") {
+        reader.only(rest, 0, &["from", "to"], &[]);
+        let times = [time(reader, rest, "from"), time(reader, rest, "to")];
         if let [Some(from), Some(to)] = times {
             if from == to {
                 let help = "from=\"07:00\" to=\"19:00\": one that never ends lets nobody go";
-                r.report(
+                reader.report(
                     "contradiction",
                     "a rest of no length".into(),
                     rest.span(),
@@ -117,8 +122,8 @@
 }
 
 /// Of a day, as `"07:30"`, in seconds.
-fn time(r: &mut Reader, n: &KdlNode, key: &str) -> Option<u32> {
-    let text = r.text_at(n, key).unwrap_or_default();
+fn time(reader: &mut Reader, entry: &KdlNode, key: &str) -> Option<u32> {
+    let text = reader.text_at(entry, key).unwrap_or_default();
     let parts = text
         .split_once(':')
         .map(|(h, m)| (h.parse::<u32>(), m.parse::<u32>()));
@@ -127,9 +132,9 @@
         _ => None,
     };
     if time.is_none() {
-        let span = n.entry(key).map_or(n.span(), |e| e.span());
+        let span = entry.entry(key).map_or(entry.span(), |e| e.span());
         let help = "a time of day in UTC: from=\"07:00\" to=\"19:00\"".to_string();
-        r.report(
+        reader.report(
             "wrong-kind",
             format!("`{key}` is \"{text}\""),
             span,
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -74,13 +74,13 @@
     }
 }
 
-fn found<'a>(e: &'a KdlEntry, r: &mut Reader) -> Option<Range<'a>> {
+fn found<'a>(e: &'a KdlEntry, reader: &mut Reader) -> Option<Range<'a>> {
     let KdlValue::String(text) = e.value() else {
         return None;
     };
     range(text).unwrap_or_else(|why| {
         let help = Some("a range is two numbers that count up: \"h{01..40}\"".into());
-        r.report("range", why, e.span(), help);
+        reader.report("range", why, e.span(), help);
         None
     })
 }
@@ -91,18 +91,18 @@
 }
 
 /// The entries that one entry stands for: itself alone if it has no range.
-pub fn expand(node: &KdlNode, r: &mut Reader) -> Vec<KdlNode> {
+pub fn expand(node: &KdlNode, reader: &mut Reader) -> Vec<KdlNode> {
     let mut node = node.clone();
     // A day is a script: its texts are not names in rows.
     if node.name().value() != "day" {
-        lists(&mut node, r);
+        lists(&mut node, reader);
     }
     let mut count = 1;
     for e in node.entries() {
-        match found(e, r).map(|range| range.count) {
+        match found(e, reader).map(|range| range.count) {
             Some(other) if count > 1 && other != count => {
                 let message = format!("a range of {other} in an entry with one of {count}");
-                r.report(
+                reader.report(
                     "range",
                     message,
                     e.span(),
@@ -136,12 +136,12 @@
 }
 
 /// In the values of entries within an entry, ranges become values in place.
-fn lists(node: &mut KdlNode, r: &mut Reader) {
+fn lists(node: &mut KdlNode, reader: &mut Reader) {
     let Some(children) = node.children_mut() else {
         return;
     };
     for child in children.nodes_mut() {
-        lists(child, r);
+        lists(child, reader);
         if !child
             .entries()
             .iter()
@@ -151,7 +151,7 @@
         }
         let mut all = Vec::with_capacity(child.entries().len());
         for e in child.entries() {
-            match found(e, r) {
+            match found(e, reader) {
                 Some(range) if e.name().is_none() => {
                     for place in 0..range.count {
                         let mut one = e.clone();
@@ -162,7 +162,7 @@
                 Some(_) => {
                     let message =
                         "a range can't be a property of an entry within another".to_string();
-                    r.report("range", message, e.span(), None);
+                    reader.report("range", message, e.span(), None);
                 }
                 None => all.push(e.clone()),
             }
--- a/crates/configuration/src/reader_values.rs
+++ b/crates/configuration/src/reader_values.rs
@@ -193,7 +193,7 @@
         } else {
             None
         };
-        match rate.filter(|r| r.is_finite()) {
+        match rate.filter(|reader| reader.is_finite()) {
             Some(rate) if rate >= least => Some(rate),
             Some(_) => Some(self.wrong(e, &format!("a rate of at least {least}"), None)),
             None => Some(self.wrong(e, "a rate", help())),
--- a/crates/configuration/src/resolve.rs
+++ b/crates/configuration/src/resolve.rs
@@ -28,7 +28,7 @@
 
 struct Resolver<'a> {
     loader: &'a dyn Loader,
-    r: &'a mut Reader,
+    reader: &'a mut Reader,
     /// From the first file to the one being read.
     chain: Vec<String>,
     seen: BTreeSet<String>,
@@ -38,10 +38,10 @@
 }
 
 /// Reads a file and all that it brings in.
-pub fn resolve(loader: &dyn Loader, name: &str, r: &mut Reader) -> KdlDocument {
+pub fn resolve(loader: &dyn Loader, name: &str, reader: &mut Reader) -> KdlDocument {
     let mut resolver = Resolver {
         loader,
-        r,
+        reader,
         chain: Vec::new(),
         seen: BTreeSet::new(),
         bytes: 0,
@@ -50,7 +50,7 @@
     };
     resolver.file(name, None);
     for (name, t) in resolver.templates.iter().filter(|(_, t)| !t.used) {
-        resolver.r.warn(
+        resolver.reader.warn(
             "unused",
             format!("template \"{name}\" is used nowhere"),
             t.node.name().span(),
@@ -70,25 +70,25 @@
             Err(e) => {
                 // The first file has no place to point to but its own beginning.
                 if from.is_none() {
-                    self.r.file(name, "");
+                    self.reader.file(name, "");
                 }
-                return self.r.report("file", format!("{name}: {e}"), at, None);
+                return self.reader.report("file", format!("{name}: {e}"), at, None);
             }
         };
         self.bytes += text.len();
         if self.bytes > MOST_ALL {
             let message = format!("with {name} there are more than {MOST_ALL} bytes");
-            return self.r.report("too-much", message, at, None);
+            return self.reader.report("too-much", message, at, None);
         }
         self.seen.insert(name.into());
         self.chain.push(name.into());
-        let document = self.r.read_file(name, &text);
+        let document = self.reader.read_file(name, &text);
         for node in document.nodes() {
             match node.name().value() {
                 "include" => self.include(name, node),
                 "template" => self.template(node),
                 "use" => {
-                    for node in ranges::expand(node, self.r) {
+                    for node in ranges::expand(node, self.reader) {
                         self.put(&node, 0);
                     }
                 }
@@ -99,10 +99,10 @@
     }
 
     fn keep(&mut self, node: KdlNode) {
-        for node in ranges::expand(&node, self.r) {
+        for node in ranges::expand(&node, self.reader) {
             if self.out.len() == MOST_ENTRIES {
                 let message = format!("more than {MOST_ENTRIES} entries");
-                self.r.report("too-much", message, node.span(), None);
+                self.reader.report("too-much", message, node.span(), None);
             }
             if self.out.len() <= MOST_ENTRIES {
                 self.out.push(node);
@@ -111,9 +111,9 @@
     }
 
     fn include(&mut self, from: &str, node: &KdlNode) {
-        self.r.only(node, usize::MAX, &[], &[]);
+        self.reader.only(node, usize::MAX, &[], &[]);
         if node.entries().is_empty() {
-            self.r.report(
+            self.reader.report(
                 "missing",
                 "`include` needs a file".into(),
                 node.span(),
@@ -121,13 +121,13 @@
             );
         }
         for e in node.entries() {
-            let text = self.r.text_of(e);
+            let text = self.reader.text_of(e);
             let Some(name) = beside(from, &text) else {
                 let help = Some(
                     "files are named from the one that includes them, below the first one's folder"
                         .into(),
                 );
-                self.r.report(
+                self.reader.report(
                     "outside",
                     format!("\"{text}\" leads out of the configuration"),
                     e.span(),
@@ -155,7 +155,7 @@
             }
             Err(why) => format!("\"{text}\": {why}"),
         };
-        self.r.report("file", message, e.span(), None);
+        self.reader.report("file", message, e.span(), None);
         Vec::new()
     }
 
@@ -164,17 +164,17 @@
             let mut way = self.chain[place..].to_vec();
             way.push(name);
             let message = format!("files include each other in a loop: {}", way.join(" -> "));
-            self.r.report("loop", message, e.span(), None);
+            self.reader.report("loop", message, e.span(), None);
         } else if self.chain.len() >= DEPTH {
             let message = format!("more than {DEPTH} files within each other");
-            self.r.report("too-deep", message, e.span(), None);
+            self.reader.report("too-deep", message, e.span(), None);
         } else if !self.seen.contains(&name) {
             self.file(&name, Some(e.span()));
         }
     }
 
     fn template(&mut self, node: &KdlNode) {
-        let name = self.r.text(node, 0, "a name");
+        let name = self.reader.text(node, 0, "a name");
         let mut defaults = BTreeMap::new();
         for e in node.entries() {
             if let Some(key) = e.name() {
@@ -187,11 +187,11 @@
         if let Some(first) = self.templates.get(&name) {
             let first = first.node.span().offset();
             return self
-                .r
+                .reader
                 .twice(format!("a second template \"{name}\""), node.span(), first);
         }
         if node.children().is_none_or(|c| c.nodes().is_empty()) {
-            self.r.report(
+            self.reader.report(
                 "missing",
                 format!("template \"{name}\" holds nothing"),
                 node.span(),
@@ -203,7 +203,7 @@
         for e in node.entries() {
             if let Some(key) = e.name().filter(|key| !names.contains(key.value())) {
                 let message = format!("nothing in the template is `${}`", key.value());
-                self.r.warn("unused", message, e.span(), None);
+                self.reader.warn("unused", message, e.span(), None);
             }
         }
         self.templates.insert(
@@ -219,15 +219,15 @@
     /// Puts a template's entries in place. Each use has a stretch of its own in the sources, so that a
     /// message points into the template and says where it was used.
     fn put(&mut self, at: &KdlNode, depth: usize) {
-        let name = self.r.text(at, 0, "a template's name");
+        let name = self.reader.text(at, 0, "a template's name");
         let known: Vec<String> = self.templates.keys().cloned().collect();
         let Some(t) = self.templates.get_mut(&name) else {
-            return self.r.unknown(at.span(), "template", &name, &known);
+            return self.reader.unknown(at.span(), "template", &name, &known);
         };
         t.used = true;
         if depth >= DEPTH {
             let message = format!("templates use each other more than {DEPTH} deep");
-            return self.r.report("too-deep", message, at.span(), None);
+            return self.reader.report("too-deep", message, at.span(), None);
         }
         let mut values = t.defaults.clone();
         let node = t.node.clone();
@@ -239,7 +239,7 @@
                 );
             }
         }
-        let by = self.r.again(node.span().offset(), at.span().offset());
+        let by = self.reader.again(node.span().offset(), at.span().offset());
         let mut needed = BTreeSet::new();
         for child in node.iter_children() {
             let mut child = child.clone();
@@ -247,13 +247,13 @@
             self.fill(&mut child, &values, &mut needed);
             match child.name().value() {
                 "use" => {
-                    for child in ranges::expand(&child, self.r) {
+                    for child in ranges::expand(&child, self.reader) {
                         self.put(&child, depth + 1);
                     }
                 }
                 "template" | "include" => {
                     let message = format!("`{}` can't stand in a template", child.name().value());
-                    self.r
+                    self.reader
                         .report("unknown-node", message, child.name().span(), None);
                 }
                 _ => self.keep(child),
@@ -262,7 +262,7 @@
         for e in at.entries() {
             if let Some(key) = e.name().filter(|k| !needed.contains(k.value())) {
                 let known: Vec<String> = needed.iter().cloned().collect();
-                self.r
+                self.reader
                     .unknown(e.span(), "parameter of this template", key.value(), &known);
             }
         }
@@ -290,14 +290,14 @@
                 needed.insert(name.to_string());
                 match values.get(name) {
                     Some((v, from)) => {
-                        self.r.comes_from(at.offset(), *from);
+                        self.reader.comes_from(at.offset(), *from);
                         whole = (before.is_empty() && tail.is_empty() && filled.is_empty())
                             .then(|| v.clone());
                         filled += &v.as_string().map_or_else(|| v.to_string(), str::to_string);
                     }
                     None => {
                         let known: Vec<String> = values.keys().cloned().collect();
-                        self.r.unknown(at, "parameter", name, &known);
+                        self.reader.unknown(at, "parameter", name, &known);
                     }
                 }
                 rest = tail;
--- a/crates/configuration/src/revision_entry.rs
+++ b/crates/configuration/src/revision_entry.rs
@@ -9,12 +9,12 @@
     entries(document, "revision").next()
 }
 
-pub(crate) fn read(document: &KdlDocument, r: &mut Reader) -> RevisionPlace {
-    let Some(n) = entry(document) else {
+pub(crate) fn read(document: &KdlDocument, reader: &mut Reader) -> RevisionPlace {
+    let Some(entry) = entry(document) else {
         return RevisionPlace::default();
     };
-    r.only(n, 1, &["after"], &[]);
-    let number = n.entries().iter().find(|e| e.name().is_none());
+    reader.only(entry, 1, &["after"], &[]);
+    let number = entry.entries().iter().find(|e| e.name().is_none());
     let revision = match number.map(|e| {
         (
             e,
@@ -23,7 +23,7 @@
     }) {
         Some((_, Some(revision))) if revision > 0 => revision,
         Some((e, _)) => {
-            r.report(
+            reader.report(
                 "wrong-kind",
                 format!("{} is not a whole number of at least 1", e.value()),
                 e.span(),
@@ -32,10 +32,10 @@
             0
         }
         None => {
-            r.report(
+            reader.report(
                 "missing",
                 "`revision` needs its number".into(),
-                n.span(),
+                entry.span(),
                 Some("revision 1".into()),
             );
             0
@@ -43,6 +43,6 @@
     };
     RevisionPlace {
         revision: Revision(revision),
-        after: r.text_at(n, "after"),
+        after: reader.text_at(entry, "after"),
     }
 }
--- a/crates/configuration/src/revisions.rs
+++ b/crates/configuration/src/revisions.rs
@@ -14,13 +14,16 @@
 /// Documents before documents: the line is as long as hosts are behind.
 const MOST: usize = 16;
 
-pub(crate) fn revision_limits(d: &Deployment) -> RevisionLimits {
+pub(crate) fn revision_limits(deployment: &Deployment) -> RevisionLimits {
     let shared = |v: &NamedVolume| SharedLimit {
         plan: v.plan,
-        limit: d.plans.get(v.plan.0).and_then(|p| p.decisions.limit),
+        limit: deployment
+            .plans
+            .get(v.plan.0)
+            .and_then(|p| p.decisions.limit),
         hosts: v.hosts.clone(),
     };
-    let volumes = d.volumes.iter().map(|v| (v.id, shared(v)));
+    let volumes = deployment.volumes.iter().map(|v| (v.id, shared(v)));
     // Budgets between zones are limits like others.
     let budget = |c: &NamedCrossZoneBudget| {
         (
@@ -32,9 +35,9 @@
             },
         )
     };
-    let volumes = volumes.chain(d.cross_zone_budgets.iter().map(budget));
+    let volumes = volumes.chain(deployment.cross_zone_budgets.iter().map(budget));
     RevisionLimits {
-        revision: d.place.revision,
+        revision: deployment.place.revision,
         volumes: volumes.collect(),
     }
 }
@@ -44,25 +47,27 @@
     name: &str,
     chain: &[String],
 ) -> Result<(Deployment, Vec<Problem>), Problems> {
-    let (document, mut r) = Reader::open(loader, name);
-    let mut built = builder::build(&document, &mut r);
+    let (document, mut reader) = Reader::open(loader, name);
+    let mut built = builder::build(&document, &mut reader);
     let mut line = Vec::new();
-    if let (Some(n), Some(after), true) =
-        (entry(&document), &built.place.after, r.noted_errors() == 0)
-    {
+    if let (Some(n), Some(after), true) = (
+        entry(&document),
+        &built.place.after,
+        reader.noted_errors() == 0,
+    ) {
         let at = n.entry("after").map_or(n.span(), |e| e.span());
         match before(loader, name, after, chain, &built) {
             Ok(earlier) => line = earlier,
-            Err((message, help)) => r.report("after", message, at, help),
+            Err((message, help)) => reader.report("after", message, at, help),
         }
     }
     if let Some(n) = entry(&document).filter(|_| built.hosts.len() > MOST_HOSTS as usize) {
         let message = format!("documents of more than {MOST_HOSTS} hosts can't be numbered yet");
-        r.report("too-much", message, n.span(), None);
+        reader.report("too-much", message, n.span(), None);
     }
     line.push(revision_limits(&built));
     built.line = line;
-    r.close(built)
+    reader.close(built)
 }
 
 type Wrong = (String, Option<String>);
@@ -72,7 +77,7 @@
     name: &str,
     after: &str,
     chain: &[String],
-    d: &Deployment,
+    deployment: &Deployment,
 ) -> Result<Vec<RevisionLimits>, Wrong> {
     if chain.len() + 1 >= MOST {
         return Err((format!("more than {MOST} documents after each other"), None));
@@ -97,17 +102,23 @@
             .map(|p| format!("{}:{}:{}: {}", p.file, p.line, p.column, p.message));
         (format!("the document before, {file}, is not sound"), first)
     })?;
-    if earlier.place.revision >= d.place.revision {
-        let (its, ours) = (earlier.place.revision.0, d.place.revision.0);
+    if earlier.place.revision >= deployment.place.revision {
+        let (its, ours) = (earlier.place.revision.0, deployment.place.revision.0);
         return Err((
             format!("{file} has revision {its}, which is not before {ours}"),
             None,
         ));
     }
-    let names = |d: &Deployment| d.hosts.iter().map(|h| h.name.clone()).collect::<Vec<_>>();
+    let names = |deployment: &Deployment| {
+        deployment
+            .hosts
+            .iter()
+            .map(|h| h.name.clone())
+            .collect::<Vec<_>>()
+    };
     // Where hosts settle among themselves who belongs, others may come at the end.
-    let joins = d.fleet.is_some() && names(d).starts_with(&names(&earlier));
-    if names(&earlier) != names(d) && !joins {
+    let joins = deployment.fleet.is_some() && names(deployment).starts_with(&names(&earlier));
+    if names(&earlier) != names(deployment) && !joins {
         let help = "hosts are known to each other by their places: change them with all of them stopped; \
                     with a `fleet` new ones can stand at the end";
         return Err((
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -108,18 +108,20 @@
 }
 
 /// The values of all children of that name.
-fn values<'a>(n: &'a KdlNode, name: &'static str) -> impl Iterator<Item = &'a kdl::KdlEntry> {
-    n.iter_children()
+fn values<'a>(entry: &'a KdlNode, name: &'static str) -> impl Iterator<Item = &'a kdl::KdlEntry> {
+    entry
+        .iter_children()
         .filter(move |c| c.name().value() == name)
         .flat_map(|c| c.entries())
 }
 
-fn pool(r: &mut Reader, n: &KdlNode, known: &Known) -> Pool {
-    r.only(n, 1, &[], &["zone", "kind"]);
-    n.iter_children()
-        .for_each(|c| r.only(c, usize::MAX, &[], &[]));
-    let zones = values(n, "zone")
-        .filter_map(|e| r.refer(e, "zone", known.zones))
+fn pool(reader: &mut Reader, entry: &KdlNode, known: &Known) -> Pool {
+    reader.only(entry, 1, &[], &["zone", "kind"]);
+    entry
+        .iter_children()
+        .for_each(|c| reader.only(c, usize::MAX, &[], &[]));
+    let zones = values(entry, "zone")
+        .filter_map(|e| reader.refer(e, "zone", known.zones))
         .map(ZoneId)
         .collect();
     let kinds: Names = known
@@ -128,27 +130,35 @@
         .map(|node| node.kind.clone())
         .filter(|k| !k.is_empty())
         .collect();
-    let found = values(n, "kind").map(|e| {
-        let kind = r.text_of(e);
+    let found = values(entry, "kind").map(|e| {
+        let kind = reader.text_of(e);
         if kinds.position(&kind).is_none() && !known.nodes.is_empty() {
-            r.unknown(e.span(), "kind of node", &kind, kinds.list());
+            reader.unknown(e.span(), "kind of node", &kind, kinds.list());
         }
         kind
     });
     let kinds = found.collect();
-    let name = r.text(n, 0, "a name");
+    let name = reader.text(entry, 0, "a name");
     if name == ALL {
         let help = Some("it is there already, and holds every node".into());
-        r.report("twice", format!("a second pool \"{ALL}\""), n.span(), help);
+        reader.report(
+            "twice",
+            format!("a second pool \"{ALL}\""),
+            entry.span(),
+            help,
+        );
     }
     Pool { name, zones, kinds }
 }
 
-fn route(r: &mut Reader, n: &KdlNode, pools: &Names, known: &Known) -> Route {
-    r.only(n, 0, &["to"], &["volume", "plan", "stream-type"]);
-    n.iter_children()
-        .for_each(|c| r.only(c, usize::MAX, &[], &[]));
-    let to = r.refer_at(n, "to", "pool", pools).unwrap_or_default();
+fn route(reader: &mut Reader, entry: &KdlNode, pools: &Names, known: &Known) -> Route {
+    reader.only(entry, 0, &["to"], &["volume", "plan", "stream-type"]);
+    entry
+        .iter_children()
+        .for_each(|c| reader.only(c, usize::MAX, &[], &[]));
+    let to = reader
+        .refer_at(entry, "to", "pool", pools)
+        .unwrap_or_default();
     let plans: Names = known.plans.iter().map(|p| p.name.clone()).collect();
     let types: Names = known
         .request_classes
@@ -156,8 +166,8 @@
         .map(|s| s.name.clone())
         .collect();
     let mut request_classes = BTreeSet::new();
-    for e in values(n, "stream-type") {
-        let Some(place) = r.refer(e, "stream type", &types) else {
+    for e in values(entry, "stream-type") {
+        let Some(place) = reader.refer(e, "stream type", &types) else {
             continue;
         };
         request_classes.insert(place);
@@ -166,25 +176,25 @@
                 "\"{}\" is read where its data lies: no route leads it",
                 types.list()[place]
             );
-            r.warn("no-effect", message, e.span(), None);
+            reader.warn("no-effect", message, e.span(), None);
         }
     }
-    let plans = values(n, "plan")
-        .filter_map(|e| r.refer(e, "plan", &plans))
+    let plans = values(entry, "plan")
+        .filter_map(|e| reader.refer(e, "plan", &plans))
         .collect();
     let mut volumes = Vec::new();
-    for e in values(n, "volume") {
-        let text = r.text_of(e);
+    for e in values(entry, "volume") {
+        let text = reader.text_of(e);
         match glob::Pattern::new(&text) {
             Ok(pattern) => {
                 let matches = known.volumes.iter().any(|v| pattern.matches(&v.name));
                 if !matches && !text.is_empty() && !known.volumes.is_empty() {
                     let names: Vec<String> = known.volumes.iter().map(|v| v.name.clone()).collect();
-                    r.unknown(e.span(), "volume", &text, &names);
+                    reader.unknown(e.span(), "volume", &text, &names);
                 }
                 volumes.push(pattern);
             }
-            Err(why) => r.report(
+            Err(why) => reader.report(
                 "wrong-kind",
                 format!("\"{text}\" is no pattern: {why}"),
                 e.span(),
@@ -203,36 +213,36 @@
 /// Reports pools without a node, with every node, or without a route.
 fn check_pools(
     document: &KdlDocument,
-    r: &mut Reader,
+    reader: &mut Reader,
     known: &Known,
     built: &Routes,
     before: usize,
 ) {
-    for (place, n) in entries(document, "pool").enumerate() {
+    for (place, entry) in entries(document, "pool").enumerate() {
         let nodes = known.nodes.iter().filter(|node| !node.spare);
         let p = &built.pools[place];
         let found = nodes
             .clone()
             .filter(|node| p.holds(node.place.zone, &node.kind))
             .count();
-        if found == 0 && !known.nodes.is_empty() && r.reported() == before {
+        if found == 0 && !known.nodes.is_empty() && reader.reported() == before {
             let message = format!("no node is in pool \"{}\"", p.name);
             let help = Some(
                 "each of its nodes must be in one of its zones and of one of its kinds".into(),
             );
-            r.report("pool-empty", message, n.span(), help);
+            reader.report("pool-empty", message, entry.span(), help);
         } else if found == nodes.count() && !known.nodes.is_empty() {
             let message = format!("pool \"{}\" holds every node, as \"{ALL}\" does", p.name);
-            r.warn("no-effect", message, n.span(), None);
+            reader.warn("no-effect", message, entry.span(), None);
         } else if !built
             .routes
             .iter()
             .any(|route| route.to == PoolId(place + 1))
         {
-            r.warn(
+            reader.warn(
                 "unused",
                 format!("pool \"{}\" is used by no route", p.name),
-                n.span(),
+                entry.span(),
                 None,
             );
         }
@@ -240,15 +250,15 @@
 }
 
 /// Reports a last route that leaves something out, or one before it that changes nothing.
-fn check_rest(document: &KdlDocument, r: &mut Reader, built: &Routes, before: usize) {
+fn check_rest(document: &KdlDocument, reader: &mut Reader, built: &Routes, before: usize) {
     let Some(last) = entries(document, "route").last() else {
         return;
     };
-    if !built.routes.last().is_some_and(Route::is_rest) && r.reported() == before {
+    if !built.routes.last().is_some_and(Route::is_rest) && reader.reported() == before {
         let help = Some(format!(
             "end with `route to=\"{ALL}\"`, or with another pool for all the rest"
         ));
-        r.report(
+        reader.report(
             "no-rest",
             "the last route does not take all the rest".into(),
             last.span(),
@@ -259,28 +269,28 @@
         && second.to == rest.to
         && rest.is_rest()
     {
-        let n = entries(document, "route").nth(built.routes.len() - 2);
+        let entry = entries(document, "route").nth(built.routes.len() - 2);
         let message = "the rest goes there anyway".to_string();
-        r.warn(
+        reader.warn(
             "no-effect",
             message,
-            n.map_or(last.span(), |n| n.span()),
+            entry.map_or(last.span(), |entry| entry.span()),
             None,
         );
     }
 }
 
 /// Reads pools and routes, and looks at whether they make sense together.
-pub fn read(document: &KdlDocument, r: &mut Reader, known: &Known) -> Routes {
-    let before = r.reported();
+pub fn read(document: &KdlDocument, reader: &mut Reader, known: &Known) -> Routes {
+    let before = reader.reported();
     let pools: Vec<Pool> = entries(document, "pool")
-        .map(|n| pool(r, n, known))
+        .map(|entry| pool(reader, entry, known))
         .collect();
     let names: Names = std::iter::once(ALL.to_string())
         .chain(pools.iter().map(|p| p.name.clone()))
         .collect();
     let routes: Vec<Route> = entries(document, "route")
-        .map(|n| route(r, n, &names, known))
+        .map(|entry| route(reader, entry, &names, known))
         .collect();
     let mut built = Routes {
         pools,
@@ -288,19 +298,25 @@
         table: Vec::new(),
         request_classes: known.request_classes.len(),
     };
-    check_pools(document, r, known, &built, before);
+    check_pools(document, reader, known, &built, before);
     if built.routes.is_empty() {
         return built;
     }
-    check_rest(document, r, &built, before);
-    if r.reported() == before || built.routes.iter().any(Route::is_rest) {
-        fill(document, r, known, &mut built, before);
+    check_rest(document, reader, &built, before);
+    if reader.reported() == before || built.routes.iter().any(Route::is_rest) {
+        fill(document, reader, known, &mut built, before);
     }
     built
 }
 
 /// Works out the table, and names routes that nothing is left for.
-fn fill(document: &KdlDocument, r: &mut Reader, known: &Known, built: &mut Routes, before: usize) {
+fn fill(
+    document: &KdlDocument,
+    reader: &mut Reader,
+    known: &Known,
+    built: &mut Routes,
+    before: usize,
+) {
     // How much each route takes, and of what it would take but for one before it, who that is.
     let mut taken = vec![0usize; built.routes.len()];
     let mut instead: Vec<Option<usize>> = vec![None; built.routes.len()];
@@ -322,13 +338,15 @@
             }
         }
     }
-    if r.reported() > before
+    if reader.reported() > before
         || known.volumes.is_empty()
         || !known.request_classes.iter().any(|s| s.write)
     {
         return;
     }
-    let places: Vec<_> = entries(document, "route").map(|n| n.span()).collect();
+    let places: Vec<_> = entries(document, "route")
+        .map(|entry| entry.span())
+        .collect();
     for place in (0..taken.len()).filter(|place| taken[*place] == 0) {
         let rest = built.routes[place].is_rest();
         match instead[place] {
@@ -337,7 +355,7 @@
             Some(first) => {
                 let message = "this route can never match: routes before it take all that it would"
                     .to_string();
-                r.conflict(
+                reader.conflict(
                     "route-never",
                     message,
                     places[place],
@@ -349,7 +367,7 @@
                 let message =
                     "this route can never match: no volume and stream type that writes fit it"
                         .into();
-                r.report("route-never", message, places[place], None);
+                reader.report("route-never", message, places[place], None);
             }
         }
     }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -62,21 +62,25 @@
 /// # Errors
 /// All that is wrong with either.
 pub fn load(loader: &dyn Loader, name: &str) -> Result<(String, Deployment, Script), Problems> {
-    let (document, mut r) = Reader::open(loader, name);
-    let d = gullsail_configuration::build(&document, &mut r);
-    let script = script(&document, &mut r, &d);
+    let (document, mut reader) = Reader::open(loader, name);
+    let deployment = gullsail_configuration::build(&document, &mut reader);
+    let script = script(&document, &mut reader, &deployment);
     let text = document
         .nodes()
         .iter()
-        .map(|n| n.to_string().trim().to_string() + "\n")
+        .map(|entry| entry.to_string().trim().to_string() + "\n")
         .collect();
-    r.close((text, d, script)).map(|(all, _)| all)
+    reader.close((text, deployment, script)).map(|(all, _)| all)
 }
 
-fn script(document: &KdlDocument, r: &mut Reader, d: &Deployment) -> Script {
-    let Some(day) = document.nodes().iter().find(|n| n.name().value() == "day") else {
+fn script(document: &KdlDocument, reader: &mut Reader, deployment: &Deployment) -> Script {
+    let Some(day) = document
+        .nodes()
+        .iter()
+        .find(|entry| entry.name().value() == "day")
+    else {
         let help = Some("day \"quiet\" lasts=\"10s\" { ask \"read\" rate=50; }".into());
-        r.report(
+        reader.report(
             "missing",
             "no `day` to play".into(),
             (document.span().offset(), 0).into(),
@@ -84,95 +88,100 @@
         );
         return Script::default();
     };
-    r.only(
+    reader.only(
         day,
         1,
         &["lasts", "bytes", "fresh", "tries"],
         &["ask", "at", "clock", "newcomer", "tests"],
     );
-    let mut s = Script {
-        name: r.text(day, 0, "a name"),
-        lasts: r.span(day, "lasts"),
+    let mut script = Script {
+        name: reader.text(day, 0, "a name"),
+        lasts: reader.span(day, "lasts"),
         tests: Vec::new(),
-        rates: vec![0.0; d.request_classes.len()],
-        bytes: r.whole(day, "bytes", 0, 512) as usize,
-        fresh: r.number_at(day, "fresh", 0.0).unwrap_or(0.3),
-        tries: r.whole(day, "tries", 1, 2),
+        rates: vec![0.0; deployment.request_classes.len()],
+        bytes: reader.whole(day, "bytes", 0, 512) as usize,
+        fresh: reader.number_at(day, "fresh", 0.0).unwrap_or(0.3),
+        tries: reader.whole(day, "tries", 1, 2),
         newcomers: Vec::new(),
         clocks: Vec::new(),
         drifts: Vec::new(),
         faults: Vec::new(),
     };
-    let hosts: Names = d.hosts.iter().map(|h| h.name.clone()).collect();
-    for n in day
+    let hosts: Names = deployment.hosts.iter().map(|h| h.name.clone()).collect();
+    for entry in day
         .iter_children()
-        .filter(|n| n.name().value() == "newcomer")
+        .filter(|entry| entry.name().value() == "newcomer")
     {
-        newcomer(n, r, &hosts, &mut s);
+        newcomer(entry, reader, &hosts, &mut script);
     }
-    for n in day.iter_children() {
-        match n.name().value() {
-            "ask" => rate(n, r, d, &mut s),
-            "clock" => clock(n, r, &hosts, &mut s),
-            "tests" => tested_rules(n, r, &mut s),
-            "at" => faults_at(n, r, d, &mut s),
+    for entry in day.iter_children() {
+        match entry.name().value() {
+            "ask" => rate(entry, reader, deployment, &mut script),
+            "clock" => clock(entry, reader, &hosts, &mut script),
+            "tests" => tested_rules(entry, reader, &mut script),
+            "at" => faults_at(entry, reader, deployment, &mut script),
             _ => {}
         }
     }
-    s.faults.sort_by_key(|t| t.0);
-    s
+    script.faults.sort_by_key(|t| t.0);
+    script
 }
 
-fn newcomer(n: &KdlNode, r: &mut Reader, hosts: &Names, s: &mut Script) {
-    r.only(n, 1, &[], &[]);
-    let name = r.text(n, 0, "a host that a later document names");
+fn newcomer(entry: &KdlNode, reader: &mut Reader, hosts: &Names, script: &mut Script) {
+    reader.only(entry, 1, &[], &[]);
+    let name = reader.text(entry, 0, "a host that a later document names");
     if hosts.list().contains(&name) {
-        r.report(
+        reader.report(
             "twice",
             format!("host \"{name}\" is in the document already"),
-            n.span(),
+            entry.span(),
             None,
         );
     }
-    s.newcomers.push(name);
+    script.newcomers.push(name);
 }
 
-fn rate(n: &KdlNode, r: &mut Reader, d: &Deployment, s: &mut Script) {
-    r.only(n, 1, &["rate"], &[]);
-    let request_classes: Names = d.request_classes.iter().map(|t| t.name.clone()).collect();
-    let first = n.entries().iter().find(|e| e.name().is_none());
-    if let Some(place) = first.and_then(|e| r.refer(e, "stream type", &request_classes)) {
-        s.rates[place] = r.number(n, "rate", 0.0);
+fn rate(entry: &KdlNode, reader: &mut Reader, deployment: &Deployment, script: &mut Script) {
+    reader.only(entry, 1, &["rate"], &[]);
+    let request_classes: Names = deployment
+        .request_classes
+        .iter()
+        .map(|t| t.name.clone())
+        .collect();
+    let first = entry.entries().iter().find(|e| e.name().is_none());
+    if let Some(place) = first.and_then(|e| reader.refer(e, "stream type", &request_classes)) {
+        script.rates[place] = reader.number(entry, "rate", 0.0);
     }
 }
 
-fn clock(n: &KdlNode, r: &mut Reader, hosts: &Names, s: &mut Script) {
-    r.only(n, 1, &["ahead", "behind", "fast", "slow"], &[]);
-    let first = n.entries().iter().find(|e| e.name().is_none());
-    let place = first.and_then(|e| r.refer(e, "host", hosts));
-    let fast = r.number_at(n, "fast", 0.0).unwrap_or_default();
-    let drift = fast - r.number_at(n, "slow", 0.0).unwrap_or_default();
-    s.drifts.extend(
+fn clock(entry: &KdlNode, reader: &mut Reader, hosts: &Names, script: &mut Script) {
+    reader.only(entry, 1, &["ahead", "behind", "fast", "slow"], &[]);
+    let first = entry.entries().iter().find(|e| e.name().is_none());
+    let place = first.and_then(|e| reader.refer(e, "host", hosts));
+    let fast = reader.number_at(entry, "fast", 0.0).unwrap_or_default();
+    let drift = fast - reader.number_at(entry, "slow", 0.0).unwrap_or_default();
+    script.drifts.extend(
         place
             .filter(|_| drift != 0.0)
             .map(|p| (hosts.list()[p].clone(), drift)),
     );
-    let ahead = r.span_at(n, "ahead").unwrap_or_default();
-    let ahead = ahead - r.span_at(n, "behind").unwrap_or_default();
-    s.clocks
+    let ahead = reader.span_at(entry, "ahead").unwrap_or_default();
+    let ahead = ahead - reader.span_at(entry, "behind").unwrap_or_default();
+    script
+        .clocks
         .extend(place.map(|p| (hosts.list()[p].clone(), ahead)));
 }
 
-fn tested_rules(n: &KdlNode, r: &mut Reader, s: &mut Script) {
-    r.only(n, usize::MAX, &[], &[]);
-    for e in n.entries() {
+fn tested_rules(entry: &KdlNode, reader: &mut Reader, script: &mut Script) {
+    reader.only(entry, usize::MAX, &[], &[]);
+    for e in entry.entries() {
         match e
             .value()
             .as_integer()
             .filter(|rule| (1..=14).contains(rule))
         {
-            Some(rule) => s.tests.push(rule as u8),
-            None => r.report(
+            Some(rule) => script.tests.push(rule as u8),
+            None => reader.report(
                 "wrong-kind",
                 "rules have numbers 1 to 14".into(),
                 e.span(),
@@ -182,22 +191,22 @@
     }
 }
 
-fn faults_at(n: &KdlNode, r: &mut Reader, d: &Deployment, s: &mut Script) {
-    r.only(n, 1, &[], &KINDS);
-    let text = r.text(n, 0, "a span since the day began");
+fn faults_at(entry: &KdlNode, reader: &mut Reader, deployment: &Deployment, script: &mut Script) {
+    reader.only(entry, 1, &[], &KINDS);
+    let text = reader.text(entry, 0, "a span since the day began");
     let at = Reader::as_span(&text);
     if at.is_none() {
         let help = Some("at \"4s\" { ... }".into());
-        r.report(
+        reader.report(
             "wrong-kind",
             format!("\"{text}\" is not a span"),
-            n.span(),
+            entry.span(),
             help,
         );
     }
-    for entry in n.iter_children() {
-        if let Some(fault) = fault(r, entry, d, &s.newcomers) {
-            s.faults.push((at.unwrap_or_default(), fault));
+    for entry in entry.iter_children() {
+        if let Some(fault) = fault(reader, entry, deployment, &script.newcomers) {
+            script.faults.push((at.unwrap_or_default(), fault));
         }
     }
 }
--- a/crates/scenario/src/script/fault_reader.rs
+++ b/crates/scenario/src/script/fault_reader.rs
@@ -40,24 +40,35 @@
     "repeat",
 ];
 
-pub(super) fn expected(r: &mut Reader, n: &KdlNode) -> Expect {
+pub(super) fn expected(reader: &mut Reader, entry: &KdlNode) -> Expect {
     let keywords = [
         ("taken", Expect::Taken),
         ("turned-down", Expect::TurnedDown),
         ("broken", Expect::Broken),
     ];
-    n.entry("expect")
-        .and_then(|_| r.keyword(n, "expect", &keywords))
+    entry
+        .entry("expect")
+        .and_then(|_| reader.keyword(entry, "expect", &keywords))
         .unwrap_or(Expect::Taken)
 }
 
 /// Names of processes, or of zones: all that is in them.
-fn group(r: &mut Reader, n: &KdlNode, key: &str, d: &Deployment) -> Option<Vec<String>> {
-    let text = r.text_at(n, key).unwrap_or_default();
-    let places = || d.hosts.iter().chain(d.nodes.iter().map(|n| &n.place));
+fn group(
+    reader: &mut Reader,
+    entry: &KdlNode,
+    key: &str,
+    deployment: &Deployment,
+) -> Option<Vec<String>> {
+    let text = reader.text_at(entry, key).unwrap_or_default();
+    let places = || {
+        deployment
+            .hosts
+            .iter()
+            .chain(deployment.nodes.iter().map(|entry| &entry.place))
+    };
     let mut all = Vec::new();
     for keyword in text.split_whitespace() {
-        let of_zone = |zone: &str| d.zones.iter().position(|z| z == zone);
+        let of_zone = |zone: &str| deployment.zones.iter().position(|z| z == zone);
         if let Some(zone) = of_zone(keyword) {
             all.extend(
                 places()
@@ -67,17 +78,22 @@
         } else if keyword == "list" || places().any(|p| p.name == keyword) {
             all.push(keyword.into());
         } else {
-            r.report(
+            reader.report(
                 "unknown-name",
                 format!("no process or zone is called \"{keyword}\""),
-                n.span(),
+                entry.span(),
                 None,
             );
         }
     }
     if all.is_empty() {
         let help = Some("cut between=\"h1 h2\" and=\"h3 h4\" ways=\"one\" for=\"5s\"".into());
-        r.report("missing", format!("`{key}` names nobody"), n.span(), help);
+        reader.report(
+            "missing",
+            format!("`{key}` names nobody"),
+            entry.span(),
+            help,
+        );
     }
     Some(all).filter(|a| !a.is_empty())
 }
@@ -112,9 +128,9 @@
 
 /// One entry on its way to a [`Fault`].
 struct FaultReader<'a> {
-    r: &'a mut Reader,
-    n: &'a KdlNode,
-    d: &'a Deployment,
+    reader: &'a mut Reader,
+    entry: &'a KdlNode,
+    deployment: &'a Deployment,
     nodes: Vec<String>,
     hosts: Vec<String>,
     lasts: Span,
@@ -131,14 +147,14 @@
 impl FaultReader<'_> {
     /// The process or other thing that the entry names first.
     fn name(&mut self, what: &str, names: &[String]) -> Option<String> {
-        match self.n.entries().iter().find(|e| e.name().is_none()) {
+        match self.entry.entries().iter().find(|e| e.name().is_none()) {
             Some(e) => self
-                .r
+                .reader
                 .refer(e, what, &names.iter().cloned().collect())
                 .map(|p| names[p].clone()),
             None => {
-                let text = format!("`{}` needs a {what}", self.n.name().value());
-                self.r.report("missing", text, self.n.span(), None);
+                let text = format!("`{}` needs a {what}", self.entry.name().value());
+                self.reader.report("missing", text, self.entry.span(), None);
                 None
             }
         }
@@ -146,12 +162,12 @@
 
     /// The process named under this key; all of them where the key is not there.
     fn key(&mut self, key: &str, names: &[String]) -> Option<String> {
-        if self.n.entry(key).is_none() {
+        if self.entry.entry(key).is_none() {
             return Some("*".to_string());
         }
-        let place = self
-            .r
-            .refer_at(self.n, key, "process", &names.iter().cloned().collect());
+        let place =
+            self.reader
+                .refer_at(self.entry, key, "process", &names.iter().cloned().collect());
         place.map(|p| names[p].clone())
     }
 
@@ -177,31 +193,34 @@
     fn check_keys(&mut self, kind: &str, known: &[&str]) {
         if kind == "reload" {
             // What stands in it is a document's, and may be wrong on purpose.
-            let mut own = self.n.clone();
+            let mut own = self.entry.clone();
             own.clear_children();
-            self.r.only(&own, 0, known, &[]);
+            self.reader.only(&own, 0, known, &[]);
         } else {
             let names = if ["out", "cancel"].contains(&kind) {
                 usize::MAX
             } else {
                 1
             };
-            self.r.only(self.n, names, known, &[]);
+            self.reader.only(self.entry, names, known, &[]);
         }
     }
 
     /// What all kinds share: how long it lasts, when it is over, of what part.
     fn read_common(&mut self, kind: &str, known: &[&str]) {
         if known.contains(&"for") {
-            self.lasts = self.r.span(self.n, "for");
+            self.lasts = self.reader.span(self.entry, "for");
         }
-        self.back = self.r.span_at(self.n, "after");
+        self.back = self.reader.span_at(self.entry, "after");
         self.after = match kind {
-            "replace" | "release" if self.back.is_none() => self.r.span(self.n, "after"),
+            "replace" | "release" if self.back.is_none() => self.reader.span(self.entry, "after"),
             _ => self.back.unwrap_or_default(),
         };
         if known.contains(&"share") {
-            self.share = self.r.number_at(self.n, "share", 0.0).unwrap_or(1.0);
+            self.share = self
+                .reader
+                .number_at(self.entry, "share", 0.0)
+                .unwrap_or(1.0);
         }
     }
 
@@ -209,20 +228,20 @@
         let (lasts, share) = (self.lasts, self.share);
         match kind {
             "surge" => {
-                let volumes = self.d.volumes.iter().map(|v| v.name.clone());
+                let volumes = self.deployment.volumes.iter().map(|v| v.name.clone());
                 let names: Vec<_> = volumes
-                    .chain(self.d.plans.iter().map(|p| p.name.clone()))
+                    .chain(self.deployment.plans.iter().map(|p| p.name.clone()))
                     .collect();
                 let who = self.name("volume or plan", &or_any(&names))?;
                 Some(Fault::Surge {
                     who,
-                    times: self.r.number(self.n, "times", 0.0),
+                    times: self.reader.number(self.entry, "times", 0.0),
                     lasts,
                 })
             }
             "impatient" => Some(Fault::Impatient {
                 share,
-                part: self.r.number(self.n, "part", 0.0),
+                part: self.reader.number(self.entry, "part", 0.0),
                 lasts,
             }),
             "lead-moves" => Some(Fault::LeadMoves),
@@ -241,7 +260,7 @@
                 let node = self.node_or_any()?;
                 Some(Fault::Slow {
                     node,
-                    times: self.r.number(self.n, "times", 0.0),
+                    times: self.reader.number(self.entry, "times", 0.0),
                     lasts,
                 })
             }
@@ -252,7 +271,7 @@
             }),
             "costly" => {
                 let names: Vec<_> = self
-                    .d
+                    .deployment
                     .request_classes
                     .iter()
                     .map(|s| s.name.clone())
@@ -261,7 +280,7 @@
                 Some(Fault::Costly {
                     request_class,
                     share,
-                    times: self.r.number(self.n, "times", 1.0),
+                    times: self.reader.number(self.entry, "times", 1.0),
                     lasts,
                 })
             }
@@ -273,7 +292,7 @@
             "replace" | "release" => {
                 let node = self.node()?;
                 let nodes = self.nodes.clone();
-                let by = if self.n.entry("by").is_some() {
+                let by = if self.entry.entry("by").is_some() {
                     self.key("by", &nodes)?
                 } else {
                     node.clone()
@@ -305,7 +324,7 @@
                 })
             }
             "lose-labels" | "swap-labels" | "repeat" => self.peer_fault(kind),
-            "cut" | "flap" if self.n.entry("between").is_some() => self.partition(kind),
+            "cut" | "flap" if self.entry.entry("between").is_some() => self.partition(kind),
             "delay" | "reset" | "lose" | "half-close" | "cut" => self.link_fault(kind),
             _ => None,
         }
@@ -338,7 +357,7 @@
     /// What is done to the frames or connections between two processes.
     fn link_fault(&mut self, kind: &str) -> Option<Fault> {
         let by = if kind == "delay" {
-            self.r.span(self.n, "by")
+            self.reader.span(self.entry, "by")
         } else {
             Span::ZERO
         };
@@ -378,15 +397,16 @@
 
     /// Two groups that do not reach each other.
     fn partition(&mut self, kind: &str) -> Option<Fault> {
-        let a = group(self.r, self.n, "between", self.d)?;
-        let b = group(self.r, self.n, "and", self.d)?;
+        let a = group(self.reader, self.entry, "between", self.deployment)?;
+        let b = group(self.reader, self.entry, "and", self.deployment)?;
         let ways = self
-            .r
-            .text_at(self.n, "ways")
+            .reader
+            .text_at(self.entry, "ways")
             .unwrap_or_else(|| "both".into());
         if !["one", "both"].contains(&ways.as_str()) {
             let text = format!("ways=\"{ways}\": \"one\" or \"both\"");
-            self.r.report("wrong-kind", text, self.n.span(), None);
+            self.reader
+                .report("wrong-kind", text, self.entry.span(), None);
         }
         let one_way = ways == "one";
         let lasts = self.lasts;
@@ -401,7 +421,7 @@
                 a,
                 b,
                 one_way,
-                every: self.r.span(self.n, "every"),
+                every: self.reader.span(self.entry, "every"),
                 lasts,
             },
         })
@@ -429,10 +449,10 @@
     fn operator_action(&mut self, kind: &str) -> Option<Fault> {
         let hosts = or_any(&self.hosts);
         if kind == "reload" {
-            let expect = expected(self.r, self.n);
-            let every = self.r.span_at(self.n, "every").unwrap_or_default();
+            let expect = expected(self.reader, self.entry);
+            let every = self.reader.span_at(self.entry, "every").unwrap_or_default();
             let entries = self
-                .n
+                .entry
                 .iter_children()
                 .map(|c| c.to_string().trim().to_string())
                 .collect();
@@ -440,12 +460,12 @@
             return Some(Fault::Reload {
                 host,
                 every,
-                insist: self.r.flag(self.n, "insist"),
+                insist: self.reader.flag(self.entry, "insist"),
                 expect,
                 entries,
             });
         }
-        let names = self.n.entries().iter().filter(|e| e.name().is_none());
+        let names = self.entry.entries().iter().filter(|e| e.name().is_none());
         let names = names
             .filter_map(|e| e.value().as_string().map(str::to_string))
             .collect();
@@ -453,9 +473,9 @@
         if kind == "cancel" {
             return Some(Fault::Cancel { names, via });
         }
-        let shard_away = self.r.flag(self.n, "cell-away");
-        let returns = self.r.flag(self.n, "returns");
-        let expect = expected(self.r, self.n);
+        let shard_away = self.reader.flag(self.entry, "cell-away");
+        let returns = self.reader.flag(self.entry, "returns");
+        let expect = expected(self.reader, self.entry);
         Some(Fault::Out {
             names,
             via,
@@ -469,22 +489,26 @@
 
 /// The fault that an entry names; what is wrong with it goes to the reader.
 pub(super) fn fault(
-    r: &mut Reader,
-    n: &KdlNode,
-    d: &Deployment,
+    reader: &mut Reader,
+    entry: &KdlNode,
+    deployment: &Deployment,
     newcomers: &[String],
 ) -> Option<Fault> {
-    let nodes = d.nodes.iter().map(|n| n.place.name.clone()).collect();
-    let hosts = d
+    let nodes = deployment
+        .nodes
+        .iter()
+        .map(|entry| entry.place.name.clone())
+        .collect();
+    let hosts = deployment
         .hosts
         .iter()
         .map(|h| h.name.clone())
         .chain(newcomers.iter().cloned())
         .collect();
     let mut reader = FaultReader {
-        r,
-        n,
-        d,
+        reader,
+        entry,
+        deployment,
         nodes,
         hosts,
         lasts: Span::ZERO,
@@ -492,8 +516,8 @@
         back: None,
         after: Span::ZERO,
     };
-    let kind = n.name().value();
-    let known = known_keys(kind, n.entry("between").is_some());
+    let kind = entry.name().value();
+    let known = known_keys(kind, entry.entry("between").is_some());
     reader.check_keys(kind, known);
     reader.read_common(kind, known);
     match kind {
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -4,7 +4,10 @@
 
 use gullsail_configuration::Deployment;
 use gullsail_connections::{Link, LinkEvent};
-use gullsail_protocol::*;
+use gullsail_protocol::{
+    Answer, Attempt, AttemptResult, Bounds, EndpointListQuery, Frame, Hello, ListedState, Message,
+    NotTaken, Outcome, Role, Submit,
+};
 use gullsail_scheduler_api::{HostId, Idempotency, IdempotencyScope};
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/simulator/src/client.rs
+++ b/crates/simulator/src/client.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use gullsail_configuration::Deployment;
 use gullsail_connections::{Link, LinkEvent};
-use gullsail_protocol::*;
+use gullsail_protocol::{Answer, Bounds, Frame, Handle, Hello, Message, Outcome, Role, Submit};
 use gullsail_scheduler_api::{Idempotency, IdempotencyScope, Span};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
--- a/crates/simulator/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -1,7 +1,10 @@
 //! The list service: knows which processes run, tells it late to those who watch, and can be out of reach.
 
 use gullsail_connections::{Link, LinkEvent};
-use gullsail_protocol::*;
+use gullsail_protocol::{
+    Bounds, EndpointListRefused, EndpointListUpdate, Frame, Hello, ListedEndpoint, ListedState,
+    Message, Role,
+};
 use gullsail_scheduler_api::Span;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -6,7 +6,10 @@
 use bytes::Bytes;
 use gullsail_configuration::Server;
 use gullsail_connections::{Link, LinkEvent};
-use gullsail_protocol::*;
+use gullsail_protocol::{
+    Attempt, AttemptAnswer, AttemptResult, Bounds, Frame, Handle, Hello, Message, Order,
+    ProbeAnswer, Role,
+};
 use gullsail_scheduler_api::{Instant, SlowStart, Span};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
