--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -6,7 +6,7 @@
 //! `dispatch` (queues, choice of node), `attempts` (outcomes, retry budget, idempotency), `endpoint` (window,
 //! health, slow start), `volume` (token bucket, rate, loans), `demand_reports` (epochs, what hosts report to
 //! each other), `cross_zone` (budgets between zones). The others decide nothing: `request_scheduler`
-//! (hands messages on), `messages`, `queue`, `request_table`, `endpoint_index`, `endpoint_state`,
+//! (hands messages on), `messages`, `queue`, `request_table`,
 //! `volume_table`, `attempt_accounts`, `cross_zone_ledger`, `peer_messages` and `size_metrics` hold state and
 //! keep its books. Here stands the loop over the mailboxes.
 //!
@@ -23,8 +23,6 @@
 mod demand_reports;
 mod dispatch;
 mod endpoint;
-mod endpoint_index;
-mod endpoint_state;
 mod messages;
 mod peer_messages;
 mod queue;
@@ -39,9 +37,7 @@
 use attempts::{RECENT, RETURN_FACTOR};
 use cross_zone_ledger::{AppliedBudget, CrossZoneBytes};
 use dispatch::REVIEW_EVERY;
-use endpoint::FORGET_AFTER;
-use endpoint_index::DrawnEndpoint;
-use endpoint_state::{EndpointTracker, SlowStartAttempt, SparseTrafficWindow};
+use endpoint::tracker::EndpointTracker;
 use gullsail_scheduler_api::{
     Action, Endpoint, EndpointState, Event, Instant, NodeId, SchedulerConfig, UpdateKind,
 };
@@ -49,7 +45,7 @@
     AttemptKey, EPOCH_TIMER, EndpointCapacity, EndpointMessage, Outgoing, POLL_TIMER,
     RequestMessage,
 };
-use queue::{Destination, QueueKey};
+use queue::QueueKey;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use request_scheduler::RequestScheduler;
@@ -107,15 +103,15 @@
             UpdateKind::Snapshot | UpdateKind::StaleSnapshot
         );
         let named: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
-        let missing = self.trackers.values().map(|tracker| &tracker.entry);
-        let missing = missing.filter(|entry| whole && !named.contains(&entry.node));
-        let missing = missing
-            .filter(|entry| entry.state != EndpointState::Gone)
-            .cloned();
-        let gone: Vec<_> = missing
+        let is_missing = |entry: &&Endpoint| {
+            whole && !named.contains(&entry.node) && entry.state != EndpointState::Gone
+        };
+        let known_entries = self.trackers.values().map(EndpointTracker::entry);
+        let gone: Vec<_> = known_entries
+            .filter(is_missing)
             .map(|entry| Endpoint {
                 state: EndpointState::Gone,
-                ..entry
+                ..entry.clone()
             })
             .collect();
         for entry in gone.iter().chain(entries) {
@@ -123,19 +119,19 @@
             self.trackers.entry(entry.node).or_insert_with(new);
             self.post(
                 entry.node,
-                EndpointMessage::Listed {
+                EndpointMessage::EndpointUpdated {
                     entry: entry.clone(),
                     self_reported,
                 },
             );
         }
         self.trackers
-            .retain(|_, tracker| !tracker.is_forgotten(now) || !tracker.mailbox.is_empty());
+            .retain(|_, tracker| !tracker.is_forgotten(now));
     }
 
     fn post(&mut self, id: NodeId, message: EndpointMessage) {
         if let Some(tracker) = self.trackers.get_mut(&id) {
-            tracker.mailbox.push_back(message);
+            tracker.post(message);
             self.with_mail.insert(id);
         }
     }
@@ -156,15 +152,9 @@
             let Some(tracker) = self.trackers.get_mut(&id) else {
                 continue;
             };
-            while let Some(message) = tracker.mailbox.pop_front() {
-                tracker.handle(message, self.requests.now);
-            }
+            tracker.handle_messages(self.requests.now);
             let requests = &mut self.requests;
-            let capacity = tracker.capacity(
-                requests.now,
-                &requests.config,
-                requests.volumes.fleet_demand,
-            );
+            let capacity = tracker.capacity(requests.now, &requests.config, &requests.fleet_demand);
             requests
                 .mailbox
                 .push_back(RequestMessage::Capacity(capacity));
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -2,7 +2,8 @@
 //! and what is shed, with the advice that its answer gives. Called by `request_scheduler`; sends nothing to
 //! nodes.
 
-use super::{DEMAND_WINDOW, Destination, EPOCH, OpenRequest, POLL_TIMER, RequestScheduler, Volume};
+use super::endpoint::index::Destination;
+use super::{DEMAND_WINDOW, EPOCH, OpenRequest, POLL_TIMER, RequestScheduler, Volume};
 use gullsail_scheduler_api::{
     Action, Idempotency, IdempotencyScope, Request, RequestClass, RequestClassId, RequestId,
     SchedulerConfig, Span, TimerId, VolumeAllocation, demand_report,
--- a/src/scheduler/attempt_accounts.rs
+++ b/src/scheduler/attempt_accounts.rs
@@ -2,12 +2,12 @@
 //! in `attempts` and `dispatch`.
 
 use super::attempts::RECENT;
-use super::endpoint::INITIAL_WINDOW;
-use super::endpoint_state::SparseTrafficWindow;
+use super::endpoint::sparse_traffic::SparseTrafficWindows;
+use super::endpoint::window::INITIAL_WINDOW;
 use super::messages::{AttemptKey, EndpointCapacity};
 use crate::decaying_sum::DecayingSum;
-use gullsail_scheduler_api::{AttemptEnd, AttemptOutcome, Instant, SchedulerConfig, Span, ZoneId};
-use std::collections::{BTreeMap, VecDeque};
+use gullsail_scheduler_api::{AttemptEnd, AttemptOutcome, Instant, SchedulerConfig, Span};
+use std::collections::VecDeque;
 
 #[derive(Default)]
 pub(super) struct AttemptAccounts {
@@ -17,7 +17,7 @@
     pub(super) accepted: VecDeque<Instant>,
     /// When retries were sent, within the retry budget's window.
     pub(super) retries_sent: VecDeque<Instant>,
-    pub(super) sparse_windows: BTreeMap<ZoneId, SparseTrafficWindow>,
+    pub(super) sparse_windows: SparseTrafficWindows,
 }
 
 impl AttemptAccounts {
@@ -45,13 +45,8 @@
             self.retries_sent.push_back(now);
         }
         self.sent.add(now, RECENT, 1.0);
-        let window = self
-            .sparse_windows
-            .entry(capacity.entry.zone)
-            .or_insert_with(SparseTrafficWindow::new);
-        if capacity.sparse_traffic {
-            window.in_flight.insert(key, latency_objective);
-        }
+        self.sparse_windows
+            .record_sent(key, capacity, latency_objective);
     }
 
     pub(super) fn record_ended(
@@ -59,18 +54,14 @@
         now: Instant,
         key: AttemptKey,
         end: &AttemptEnd,
-        degraded: bool,
+        recently_degraded: bool,
     ) {
         self.succeeded.add(
             now,
             RECENT,
             f64::from(end.outcome == AttemptOutcome::Succeeded),
         );
-        for window in self.sparse_windows.values_mut() {
-            if let Some(latency_objective) = window.in_flight.remove(&key) {
-                window.attempt_ended(now, end, latency_objective, degraded);
-                return;
-            }
-        }
+        self.sparse_windows
+            .record_ended(now, key, end, recently_degraded);
     }
 }
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -2,8 +2,8 @@
 //! allow. Called by `request_scheduler` and `dispatch`.
 
 use super::{
-    AttemptAccounts, AttemptKey, CrossZoneBytes, EndpointCapacity, EndpointMessage, OpenRequest,
-    Outgoing, RequestScheduler,
+    AttemptAccounts, AttemptKey, CrossZoneBytes, EndpointMessage, OpenRequest, Outgoing,
+    RequestScheduler,
 };
 use gullsail_scheduler_api::{
     AttemptEnd, AttemptOutcome, Endpoint, Idempotency, IdempotencyScope, Instant, OverrunCause,
@@ -41,11 +41,6 @@
             .retry_budget
             .is_none_or(|budget| sent + 1.0 <= budget.free + budget.share * accepted)
     }
-
-    pub(super) fn sparse_window_full(&self, capacity: &EndpointCapacity) -> bool {
-        let window = self.sparse_windows.get(&capacity.entry.zone);
-        window.is_some_and(|w| capacity.sparse_traffic && w.in_flight.len() >= w.window as usize)
-    }
 }
 
 impl RequestScheduler {
@@ -68,12 +63,12 @@
             latency,
         };
         self.outbox.push_back(Outgoing { to: node, message });
-        let degraded = self
+        let recently_degraded = self
             .endpoints
-            .capacities
-            .get(&node)
-            .is_none_or(|capacity| capacity.degraded);
-        self.attempts.record_ended(self.now, key, &end, degraded);
+            .capacity(node)
+            .is_none_or(|capacity| capacity.recently_degraded);
+        self.attempts
+            .record_ended(self.now, key, &end, recently_degraded);
         let Some(plan) = self.requests.open.get(&id).map(|open| open.request.plan) else {
             return;
         };
@@ -104,8 +99,7 @@
     fn may_have_another(&self, open: &OpenRequest, end: &AttemptEnd) -> bool {
         let latency = self
             .endpoints
-            .capacities
-            .get(&end.node)
+            .capacity(end.node)
             .map_or(Span::ZERO, |c| c.latency);
         // After a time-out another attempt mostly does the same work twice.
         let useful = self.now + latency < open.objective_deadline
--- a/src/scheduler/cross_zone.rs
+++ b/src/scheduler/cross_zone.rs
@@ -13,7 +13,7 @@
         let own_zone = self.config.zone?;
         let mut local = self
             .endpoints
-            .of_pool(pool)
+            .capacities_of_pool(pool)
             .filter(|c| c.entry.zone == own_zone)
             .peekable();
         if local.peek().is_none() {
@@ -63,7 +63,7 @@
         };
         let zones = self
             .endpoints
-            .of_pool(pool)
+            .capacities_of_pool(pool)
             .map(|capacity| capacity.entry.zone);
         let zones: BTreeSet<_> = zones.filter(|zone| *zone != own_zone).collect();
         let may_wait = |open: &OpenRequest| {
--- a/src/scheduler/demand_reports.rs
+++ b/src/scheduler/demand_reports.rs
@@ -2,15 +2,10 @@
 //! for tokens and the answers to them. Called by `request_scheduler`, and for tokens by `dispatch` and
 //! `cross_zone`.
 
-use super::{
-    ASK_EVERY, DEMAND_WINDOW, EPOCH, EPOCH_TIMER, FORGET_AFTER, PeerDemand, RequestScheduler,
-    Volume,
-};
+use super::{ASK_EVERY, DEMAND_WINDOW, EPOCH, EPOCH_TIMER, PeerDemand, RequestScheduler, Volume};
 use gullsail_scheduler_api::demand_report::{self, VolumeDemand};
 use gullsail_scheduler_api::{Action, HostId, Instant, SchedulerConfig, VolumeId};
 
-// Of what is asked now, every epoch: over some seconds, as a ramp lasts
-const DEMAND_SMOOTHING: f64 = 0.05;
 const ASKED_PEERS: usize = 3; // at a time: few messages, and one that is lost or has nothing costs little
 // So often the wait between searches for a volume's other hosts doubles, to 16 s
 const SEARCH_DOUBLINGS: u32 = 6;
@@ -47,9 +42,7 @@
             at: Instant::from_micros(next),
         });
         self.requests.forget_settled(now);
-        self.endpoints
-            .last_unavailable
-            .retain(|_, at| now - *at <= FORGET_AFTER);
+        self.endpoints.forget_old(now);
         self.forget_users_and_volumes(EPOCH.times(f64::from(4 << SEARCH_DOUBLINGS)));
         for (to, volume) in self.review_volumes() {
             if to == self.config.me {
@@ -79,10 +72,8 @@
             searches.extend(volume.next_search(*id, now, config).map(|to| (to, *id)));
         }
         self.volumes.mean_excess = excess_sum / f64::max(with_excess, 1.0);
-        let shards = self.endpoints.by_shard.len().max(1) as f64;
-        let fleet_demand =
-            demand * f64::from(config.hosts) * config.slow_start.window.secs() / shards;
-        self.volumes.fleet_demand += (fleet_demand - self.volumes.fleet_demand) * DEMAND_SMOOTHING;
+        self.fleet_demand
+            .update(demand, self.endpoints.shard_count(), config);
         searches
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -2,10 +2,10 @@
 //! of the request that goes to a node with room. Called by `request_scheduler`; what came of an attempt is
 //! for `attempts`.
 
+use super::endpoint::index::Destination;
 use super::{
-    AttemptKey, CrossZoneBytes, Destination, DrawnEndpoint, EndpointCapacity, EndpointMessage,
-    FORGET_AFTER, OpenRequest, Outgoing, PossibleRun, QueueKey, RECENT, RETURN_FACTOR,
-    RequestScheduler,
+    AttemptKey, CrossZoneBytes, EndpointCapacity, EndpointMessage, OpenRequest, Outgoing,
+    PossibleRun, QueueKey, RECENT, RETURN_FACTOR, RequestScheduler,
 };
 use gullsail_scheduler_api::{
     Action, Idempotency, IdempotencyScope, Instant, OverrunCause, PoolId, RequestId, Span,
@@ -76,7 +76,7 @@
         let Some(queue) = self.queues.by_key.get(&key) else {
             return;
         };
-        let unreachable = self.unreachable(key.destination);
+        let unreachable = self.endpoints.is_unreachable(key.destination, self.now);
         let mut hopeless = queue.due_by(if unreachable {
             Instant::from_micros(i64::MAX)
         } else {
@@ -105,20 +105,13 @@
         }
         match key.destination {
             Destination::Shard(shard) => {
-                let nodes = self.endpoints.of_shard(shard);
+                let nodes = self.endpoints.nodes_of_shard(shard);
                 self.outbox.extend(nodes.map(Outgoing::capacity_wanted));
             }
             Destination::Pool(pool) => self.draw_endpoint(pool, rng),
         }
     }
 
-    /// Nobody takes it, and nobody did of late whose successor could come: the wait would be for nothing.
-    fn unreachable(&self, destination: Destination) -> bool {
-        let last_seen = self.endpoints.last_unavailable.get(&destination);
-        self.endpoints.is_empty(destination)
-            && last_seen.is_none_or(|at| self.now - *at > FORGET_AFTER)
-    }
-
     /// The value still due per unit of a request.
     fn value_per_unit(&self, open: &OpenRequest) -> f64 {
         let config = &self.config;
@@ -195,11 +188,11 @@
 
     /// Sends a node that has room one request, if any may go to it.
     pub(super) fn fill_endpoint(&mut self, capacity: &EndpointCapacity, rng: &mut ChaCha8Rng) {
-        let drawn_for = self.endpoints.take_drawn(capacity.entry.node);
+        let drawn_for = self.endpoints.take_choices(capacity.entry.node);
         // Where most of what hosts send fails, together they keep full nodes full, and crowded nodes serve
         // next to nothing: each sends no more than some times what came back in time.
         let earned = RETURN_FACTOR * self.attempts.succeeded.read(self.now, RECENT) + 1.0;
-        let window_full = self.attempts.sparse_window_full(capacity);
+        let window_full = self.attempts.sparse_windows.is_full_for(capacity);
         if capacity.available_slots == 0
             || window_full
             || self.attempts.sent.read(self.now, RECENT) > earned
@@ -252,14 +245,14 @@
                 destination,
             })
         };
-        let ready = self
-            .endpoints
-            .by_pool
-            .get(&pool)
-            .filter(|_| waits(false) || waits(true));
-        let Some(ready) = ready else { return };
+        if !waits(false) && !waits(true) {
+            return;
+        }
+        let ready = self.endpoints.nodes_of_pool(pool);
         let nodes = ready.choose_multiple(rng, SAMPLE);
-        let sample: Vec<_> = nodes.map(|node| &self.endpoints.capacities[node]).collect();
+        let sample: Vec<_> = nodes
+            .filter_map(|node| self.endpoints.capacity(*node))
+            .collect();
         let warm = sample
             .iter()
             .filter(|c| c.available_slots > 0 && c.units.is_infinite())
@@ -283,14 +276,17 @@
             let by_zone = if remote { remote_odds } else { 1.0 };
             c.available_slots as f64 / c.latency.secs().max(1e-3) * by_zone
         };
-        if let Ok(chosen) = takers.choose_weighted(rng, odds) {
-            let node = chosen.entry.node;
-            self.endpoints.drawn.insert(DrawnEndpoint { node, pool });
+        let chosen = takers.choose_weighted(rng, odds).ok();
+        let chosen = chosen.map(|capacity| capacity.entry.node);
+        let without_slots = sample.iter().filter(|c| c.available_slots == 0);
+        let full: Vec<_> = without_slots
+            .map(|c| Outgoing::capacity_wanted(c.entry.node))
+            .collect();
+        if let Some(node) = chosen {
+            self.endpoints.choose(node, pool);
             self.outbox.push_back(Outgoing::capacity_wanted(node));
         }
-        let full = sample.iter().filter(|c| c.available_slots == 0);
-        self.outbox
-            .extend(full.map(|c| Outgoing::capacity_wanted(c.entry.node)));
+        self.outbox.extend(full);
     }
 
     fn send(&mut self, id: RequestId, capacity: &EndpointCapacity) {
--- /dev/null
+++ b/src/scheduler/endpoint/index.rs
@@ -0,0 +1,187 @@
+//! Index of the endpoints that are ready, by pool and by shard, with the last capacity that each reported; and
+//! the endpoints chosen for the next new object of each pool.
+
+use super::super::messages::EndpointCapacity;
+use gullsail_scheduler_api::{Endpoint, EndpointState, Instant, NodeId, PoolId, ShardId, Span};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// After the last endpoint for a destination was seen, a replacement is expected for this long, and requests
+/// wait for it. Shorter, and requests are rejected during a restart; longer, and clients wait in vain.
+const REPLACEMENT_WINDOW: Span = Span::from_micros(60_000_000);
+
+/// Where an attempt can go: to the endpoints that hold a shard, or, for a new object, to any endpoint of a pool.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Destination {
+    Pool(PoolId),
+    Shard(ShardId),
+}
+
+/// An endpoint that was chosen for the next new object of a pool. The order is by node first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PoolChoice {
+    node: NodeId,
+    pool: PoolId,
+}
+
+/// The ready endpoints.
+#[derive(Default)]
+pub(crate) struct EndpointIndex {
+    capacities: BTreeMap<NodeId, EndpointCapacity>,
+    by_pool: BTreeMap<PoolId, Vec<NodeId>>,
+    by_shard: BTreeMap<ShardId, BTreeSet<NodeId>>,
+    choices: BTreeSet<PoolChoice>,
+    /// Destinations of listed endpoints that were not ready, and when that was last seen.
+    last_unready_at: BTreeMap<Destination, Instant>,
+}
+
+/// The number of entries in each collection of the index.
+pub(crate) struct EndpointIndexSizes {
+    pub(crate) capacities: usize,
+    pub(crate) pool_members: usize,
+    pub(crate) shards: usize,
+    pub(crate) choices: usize,
+    pub(crate) unready_destinations: usize,
+}
+
+impl EndpointIndex {
+    /// Takes in what an endpoint reported. True if it is newly ready; then the caller adds it to its pools.
+    pub(crate) fn update(&mut self, capacity: &EndpointCapacity, now: Instant) -> bool {
+        let entry = &capacity.entry;
+        let ready = entry.state == EndpointState::Ready;
+        if !ready {
+            self.record_unready(entry, now);
+        }
+        let moved = |old: &Endpoint| old.shard != entry.shard || old.pools != entry.pools;
+        let outdated = self
+            .capacities
+            .get(&entry.node)
+            .is_some_and(|old| !ready || moved(&old.entry));
+        if outdated {
+            self.remove(entry.node);
+        }
+        if !ready {
+            return false;
+        }
+        let known = self.capacities.insert(entry.node, capacity.clone());
+        if known.is_some() {
+            return false;
+        }
+        let of_shard = self.by_shard.entry(entry.shard).or_default();
+        of_shard.insert(entry.node);
+        true
+    }
+
+    fn record_unready(&mut self, entry: &Endpoint, now: Instant) {
+        for pool in pools(entry) {
+            self.last_unready_at.insert(Destination::Pool(pool), now);
+        }
+        let shard = Destination::Shard(entry.shard);
+        self.last_unready_at.insert(shard, now);
+    }
+
+    pub(crate) fn add_to_pool(&mut self, pool: PoolId, node: NodeId) {
+        self.by_pool.entry(pool).or_default().push(node);
+    }
+
+    fn remove(&mut self, id: NodeId) {
+        let Some(old) = self.capacities.remove(&id) else {
+            return;
+        };
+        if let Some(nodes) = self.by_shard.get_mut(&old.entry.shard) {
+            nodes.remove(&id);
+        }
+        self.by_shard.retain(|_, nodes| !nodes.is_empty());
+        for nodes in self.by_pool.values_mut() {
+            nodes.retain(|other| *other != id);
+        }
+        self.choices.retain(|choice| choice.node != id);
+    }
+
+    /// Notes that the next new object of `pool` should go to `node`.
+    pub(crate) fn choose(&mut self, node: NodeId, pool: PoolId) {
+        self.choices.insert(PoolChoice { node, pool });
+    }
+
+    /// The pools for which an endpoint was chosen; they are no longer noted after this call.
+    pub(crate) fn take_choices(&mut self, node: NodeId) -> Vec<PoolId> {
+        let first = PoolChoice {
+            node,
+            pool: PoolId::ALL,
+        };
+        let last = PoolChoice {
+            node,
+            pool: PoolId::LAST,
+        };
+        let taken = self.choices.extract_if(first..=last, |_| true);
+        taken.map(|choice| choice.pool).collect()
+    }
+
+    /// The last capacity that a ready endpoint reported.
+    pub(crate) fn capacity(&self, node: NodeId) -> Option<&EndpointCapacity> {
+        self.capacities.get(&node)
+    }
+
+    pub(crate) fn nodes_of_shard(&self, shard: ShardId) -> impl Iterator<Item = NodeId> {
+        self.by_shard.get(&shard).into_iter().flatten().copied()
+    }
+
+    /// The ready endpoints of a pool, in the order in which they became ready.
+    pub(crate) fn nodes_of_pool(&self, pool: PoolId) -> &[NodeId] {
+        self.by_pool.get(&pool).map_or(&[], Vec::as_slice)
+    }
+
+    pub(crate) fn capacities_of_pool(
+        &self,
+        pool: PoolId,
+    ) -> impl Iterator<Item = &EndpointCapacity> {
+        let nodes = self.nodes_of_pool(pool).iter();
+        nodes.map(|node| &self.capacities[node])
+    }
+
+    /// No ready endpoint serves this destination, and none that did was seen recently enough for a replacement
+    /// to be expected. Waiting cannot help.
+    pub(crate) fn is_unreachable(&self, destination: Destination, now: Instant) -> bool {
+        let none_ready = match destination {
+            Destination::Shard(shard) => !self.by_shard.contains_key(&shard),
+            Destination::Pool(pool) => self.nodes_of_pool(pool).is_empty(),
+        };
+        let last_unready_at = self.last_unready_at.get(&destination);
+        none_ready && last_unready_at.is_none_or(|at| now - *at > REPLACEMENT_WINDOW)
+    }
+
+    /// Forgets the destinations for which no replacement is expected any more.
+    pub(crate) fn forget_old(&mut self, now: Instant) {
+        self.last_unready_at
+            .retain(|_, at| now - *at <= REPLACEMENT_WINDOW);
+    }
+
+    /// The least latency among a shard's endpoints; zero for a pool and for a shard without endpoints.
+    pub(crate) fn least_latency(&self, destination: Destination) -> Span {
+        let Destination::Shard(shard) = destination else {
+            return Span::ZERO;
+        };
+        let nodes = self.nodes_of_shard(shard);
+        let latencies = nodes.map(|node| self.capacities[&node].latency);
+        latencies.min().unwrap_or(Span::ZERO)
+    }
+
+    /// Number of shards that have a ready endpoint.
+    pub(crate) fn shard_count(&self) -> usize {
+        self.by_shard.len()
+    }
+
+    pub(crate) fn sizes(&self) -> EndpointIndexSizes {
+        EndpointIndexSizes {
+            capacities: self.capacities.len(),
+            pool_members: self.by_pool.values().map(Vec::len).sum(),
+            shards: self.by_shard.len(),
+            choices: self.choices.len(),
+            unready_destinations: self.last_unready_at.len(),
+        }
+    }
+}
+
+/// All pools of an endpoint, with the pool of all endpoints first.
+pub(crate) fn pools(entry: &Endpoint) -> impl Iterator<Item = PoolId> {
+    [PoolId::ALL].into_iter().chain(entry.pools.iter().copied())
+}
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,5 +1,5 @@
 //! What the two sides of the scheduler send each other: [`RequestScheduler`](super::request_scheduler) and
-//! one [`EndpointTracker`](super::endpoint) for each node. Also the numbers of the scheduler's own timers.
+//! one [`EndpointTracker`](super::endpoint::tracker) for each node. Also the numbers of the scheduler's own timers.
 //! Nothing is decided here.
 
 use gullsail_scheduler_api::{AttemptOutcome, Endpoint, Event, NodeId, RequestId, Span, TimerId};
@@ -19,7 +19,7 @@
 
 /// To the tracker of one endpoint. Each is answered by the endpoint's capacity.
 pub(super) enum EndpointMessage {
-    Listed {
+    EndpointUpdated {
         entry: Endpoint,
         self_reported: bool,
     },
@@ -68,8 +68,8 @@
     pub(super) even_units: f64,
     pub(super) latency: Span,
     pub(super) silent: bool,
-    /// Warming up, or late or full within the last minute.
-    pub(super) degraded: bool,
+    /// Warming up, or its window was decreased within the last minute.
+    pub(super) recently_degraded: bool,
     /// It answers too rarely for a window of its own to tell anything.
     pub(super) sparse_traffic: bool,
 }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,19 +1,11 @@
 //! Wait queues: what waits for a shard's nodes or for a pool, with the timers by which the queues are
 //! reviewed. Which request goes next is decided in `dispatch`, not here.
 
+use super::endpoint::index::Destination;
 use super::messages::FIRST_QUEUE_TIMER;
-use gullsail_scheduler_api::{
-    Instant, PoolId, RequestClassId, RequestId, ShardId, TimerId, VolumeId,
-};
+use gullsail_scheduler_api::{Instant, RequestClassId, RequestId, TimerId, VolumeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an attempt can go: to the nodes that hold this data, or, for a new object, to any node of a pool.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Destination {
-    Pool(PoolId),
-    Shard(ShardId),
-}
-
 /// Retries wait in queues of their own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
--- a/src/scheduler/request_scheduler.rs
+++ b/src/scheduler/request_scheduler.rs
@@ -3,7 +3,8 @@
 
 use super::admission::{Admission, FIRST_POLL_WAIT};
 use super::attempt_accounts::AttemptAccounts;
-use super::endpoint_index::{EndpointIndex, pools};
+use super::endpoint::index::{EndpointIndex, pools};
+use super::endpoint::slow_start::FleetDemandEstimate;
 use super::messages::{EPOCH_TIMER, EndpointCapacity, Outgoing, POLL_TIMER, RequestMessage};
 use super::queue::WaitQueues;
 use super::request_table::RequestTable;
@@ -22,6 +23,7 @@
     pub(super) outbox: VecDeque<Outgoing>,
     pub(super) actions: Vec<Action>,
     pub(super) endpoints: EndpointIndex,
+    pub(super) fleet_demand: FleetDemandEstimate,
     pub(super) requests: RequestTable,
     pub(super) queues: WaitQueues,
     pub(super) volumes: VolumeTable,
@@ -31,11 +33,10 @@
 
 impl RequestScheduler {
     pub(super) fn new(config: SchedulerConfig, now: Instant) -> Self {
-        // As much demand as a node is sent in any case: a host that has just started does not know better.
-        let fleet_demand = config.slow_start.units;
         let mut scheduler = RequestScheduler {
             now,
             admission: Admission::new(&config),
+            fleet_demand: FleetDemandEstimate::new(&config),
             config,
             mailbox: VecDeque::new(),
             outbox: VecDeque::new(),
@@ -44,7 +45,6 @@
             requests: RequestTable::default(),
             queues: WaitQueues::default(),
             volumes: VolumeTable {
-                fleet_demand,
                 started_at: now,
                 ..VolumeTable::default()
             },
@@ -124,11 +124,7 @@
             return;
         }
         for pool in pools(&capacity.entry) {
-            self.endpoints
-                .by_pool
-                .entry(pool)
-                .or_default()
-                .push(capacity.entry.node);
+            self.endpoints.add_to_pool(pool, capacity.entry.node);
             self.draw_endpoint(pool, rng);
         }
     }
--- a/src/scheduler/size_metrics.rs
+++ b/src/scheduler/size_metrics.rs
@@ -6,7 +6,8 @@
     /// The length of each collection, by name; what stands within others is summed. Unit: entries.
     pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
         let trackers = self.trackers.values();
-        let (requests, endpoints) = (&self.requests.requests, &self.requests.endpoints);
+        let requests = &self.requests.requests;
+        let endpoints = self.requests.endpoints.sizes();
         let (queues, attempts) = (&self.requests.queues, &self.requests.attempts);
         let table = &self.requests.volumes;
         let volumes = table.by_id.values();
@@ -16,28 +17,19 @@
                 "nodes.out",
                 trackers
                     .clone()
-                    .map(|tracker| tracker.in_flight.len())
+                    .map(|tracker| tracker.in_flight_count())
                     .sum(),
             ),
             (
                 "nodes.cold_sent",
-                trackers
-                    .map(|tracker| tracker.slow_start_attempts.len())
-                    .sum(),
-            ),
-            ("desk.rooms", endpoints.capacities.len()),
-            ("desk.ready", endpoints.by_pool.values().map(Vec::len).sum()),
-            ("desk.cells", endpoints.by_shard.len()),
-            ("desk.drawn", endpoints.drawn.len()),
-            ("desk.left", endpoints.last_unavailable.len()),
-            (
-                "desk.seldom",
-                attempts
-                    .sparse_windows
-                    .values()
-                    .map(|window| window.in_flight.len())
-                    .sum(),
+                trackers.map(|tracker| tracker.slow_start_count()).sum(),
             ),
+            ("desk.rooms", endpoints.capacities),
+            ("desk.ready", endpoints.pool_members),
+            ("desk.cells", endpoints.shards),
+            ("desk.drawn", endpoints.choices),
+            ("desk.left", endpoints.unready_destinations),
+            ("desk.seldom", attempts.sparse_windows.in_flight_count()),
             ("desk.xfers", requests.open.len()),
             ("desk.lines", queues.by_key.len()),
             ("desk.beats", queues.timers.len()),
--- a/src/scheduler/volume_table.rs
+++ b/src/scheduler/volume_table.rs
@@ -81,9 +81,6 @@
     pub(super) users: BTreeMap<VolumeId, BTreeMap<HostId, Instant>>,
     /// What volumes beyond their reserves were sent of late, by weight, in the mean.
     pub(super) mean_excess: f64,
-    /// Estimate of the units that all hosts ask of a node within the slow-start window, if they ask as this
-    /// one does.
-    pub(super) fleet_demand: f64,
     /// When this incarnation of the host started.
     pub(super) started_at: Instant,
 }
