--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -23,27 +23,24 @@
 mod demand_reports;
 mod dispatch;
 mod endpoint;
+mod intervals;
 mod messages;
-mod peer_messages;
 mod queue;
 mod request_scheduler;
 mod request_table;
 mod size_metrics;
 mod volume;
-mod volume_table;
 
 // The files below take each other's types from here.
 use attempt_accounts::AttemptAccounts;
 use attempts::{RECENT, RETURN_FACTOR};
 use cross_zone_ledger::{AppliedBudget, CrossZoneBytes};
-use dispatch::REVIEW_EVERY;
 use endpoint::tracker::EndpointTracker;
 use gullsail_scheduler_api::{
     Action, Endpoint, EndpointState, Event, Instant, NodeId, SchedulerConfig, UpdateKind,
 };
 use messages::{
-    AttemptKey, EPOCH_TIMER, EndpointCapacity, EndpointMessage, Outgoing, POLL_TIMER,
-    RequestMessage,
+    AttemptKey, EndpointCapacity, EndpointMessage, Outgoing, POLL_TIMER, RequestMessage,
 };
 use queue::QueueKey;
 use rand::SeedableRng;
@@ -51,8 +48,6 @@
 use request_scheduler::RequestScheduler;
 use request_table::{OpenRequest, PossibleRun};
 use std::collections::{BTreeMap, BTreeSet};
-use volume::{ASK_EVERY, DEMAND_WINDOW, EPOCH};
-use volume_table::{Loan, PeerDemand, Volume};
 
 /// The decisions of one host: events in, actions out.
 pub struct Scheduler {
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -3,7 +3,8 @@
 //! nodes.
 
 use super::endpoint::index::Destination;
-use super::{DEMAND_WINDOW, EPOCH, OpenRequest, POLL_TIMER, RequestScheduler, Volume};
+use super::intervals::EPOCH;
+use super::{OpenRequest, POLL_TIMER, RequestScheduler};
 use gullsail_scheduler_api::{
     Action, Idempotency, IdempotencyScope, Request, RequestClass, RequestClassId, RequestId,
     SchedulerConfig, Span, TimerId, VolumeAllocation, demand_report,
@@ -79,7 +80,7 @@
                 .requests
                 .push_back(id);
         }
-        self.record_arrival(&request);
+        self.volumes.record_arrival(&request, now, config);
         self.actions.push(Action::SetTimer {
             id: TimerId(id.0),
             at: deadline,
@@ -94,43 +95,12 @@
         self.enqueue(id, rng);
     }
 
-    fn record_arrival(&mut self, request: &Request) {
-        let hosts = if request.volume_hosts > 0 {
-            request.volume_hosts
-        } else {
-            self.config.hosts.max(1)
-        };
-        let hosts = f64::from(hosts);
-        let started_at = self.volumes.started_at;
-        let volume = self.volumes.by_id.entry(request.volume).or_default();
-        if hosts > volume.hosts {
-            // A host that has just started can't know what it spent before a kill: its bucket starts empty.
-            volume.plan = request.plan;
-            volume.hosts = hosts;
-            volume.bucket.tokens = 0.0;
-            volume.bucket.refilled_at = volume.bucket.refilled_at.max(started_at);
-            volume.peers.searches = 0;
-            volume.peers.search_at = self.now;
-        }
-        volume.demand.add(self.now, DEMAND_WINDOW, request.units);
-    }
-
     /// What volumes may be sent from now on. What waits for a volume that this host no longer serves is shed.
     pub(super) fn apply_allocations(&mut self, allocations: &[VolumeAllocation]) {
         let now = self.now;
         for allocation in allocations {
             let id = demand_report::carried(allocation.volume);
-            let withdrawn = allocation.hosts == 0;
-            let volume = self
-                .volumes
-                .by_id
-                .entry(id)
-                .or_insert_with(|| Volume::new(now));
-            volume.plan = allocation.plan;
-            volume.hosts = f64::from(allocation.hosts.max(1));
-            volume.share = allocation.part;
-            volume.withdrawn = withdrawn;
-            volume.refill(now, &self.config);
+            let withdrawn = self.volumes.apply_allocation(allocation, now, &self.config);
             let waits = |open: &OpenRequest| open.request.volume == id && open.attempts_sent == 0;
             let waiting = self
                 .requests
@@ -155,10 +125,10 @@
             return false;
         };
         let (now, own, config) = (self.now, &open.request, &self.config);
-        let Some(volume) = self.volumes.by_id.get_mut(&own.volume) else {
+        let Some(volume) = self.volumes.get_mut(own.volume) else {
             return false;
         };
-        let expected = volume.tokens_by(now, open.objective_deadline, config);
+        let expected = volume.tokens_expected_by(now, open.objective_deadline, config);
         let rank = |other: &OpenRequest| {
             let class = &config.request_classes[other.request.request_class.0];
             (class.priority_weight, now - other.objective_deadline)
@@ -173,7 +143,7 @@
             .values()
             .filter(goes_before)
             .map(|other| other.request.units);
-        volume.bucket.waiting > expected && before.sum::<f64>() > expected
+        volume.bucket().waiting_units() > expected && before.sum::<f64>() > expected
     }
 
     /// The final answer of a request that gets no more attempts, at once.
@@ -191,9 +161,9 @@
                 }
         );
         let never_ran = open.possible_run.is_none() && open.in_flight == 0;
-        let volume = self.volumes.by_id.get(&request.volume);
+        let volume = self.volumes.get(request.volume);
         let refilled = volume.map_or(EPOCH, |volume| {
-            volume.refill_wait(request.units, &self.config)
+            volume.time_until_tokens(request.units, &self.config)
         });
         let latency = request.shard.map_or(EPOCH, |shard| {
             self.endpoints.least_latency(Destination::Shard(shard))
--- a/src/scheduler/bookkeeping.rs
+++ b/src/scheduler/bookkeeping.rs
@@ -3,8 +3,7 @@
 //! `demand_reports` call it.
 
 use super::request_scheduler::RequestScheduler;
-use super::volume::DEMAND_WINDOW;
-use gullsail_scheduler_api::{AttemptEnd, RequestId, Span, VolumeId};
+use gullsail_scheduler_api::{AttemptEnd, RequestId};
 
 impl RequestScheduler {
     pub(super) fn leave_queue(&mut self, id: RequestId) {
@@ -15,8 +14,8 @@
         if !self.queues.remove(key, open.group(), open.waiting()) || open.attempts_sent > 0 {
             return;
         }
-        if let Some(volume) = self.volumes.by_id.get_mut(&open.request.volume) {
-            volume.bucket.waiting -= open.request.units;
+        if let Some(volume) = self.volumes.get_mut(open.request.volume) {
+            volume.bucket_mut().remove_waiting(open.request.units);
         }
     }
 
@@ -42,11 +41,9 @@
         let Some(open) = self.requests.open.get_mut(&end.id) else {
             return;
         };
-        if let (Some(used), Some(volume)) =
-            (end.used, self.volumes.by_id.get_mut(&open.request.volume))
-        {
-            let plan = self.config.plans.get(volume.plan.0);
-            volume.fleet_usage = plan.map(|plan| used * plan.nominal_rate);
+        let volume = self.volumes.get_mut(open.request.volume);
+        if let (Some(used), Some(volume)) = (end.used, volume) {
+            volume.record_fleet_usage(used, &self.config);
         }
         open.in_flight = open.in_flight.saturating_sub(1);
         if end.outcome.never_ran() {
@@ -60,20 +57,4 @@
             order.settled_at = order.settled_at.max(self.now + self.config.order_settle);
         }
     }
-
-    /// Users that have not searched for so long; withdrawn volumes without requests.
-    pub(super) fn forget_users_and_volumes(&mut self, kept_for: Span) {
-        let now = self.now;
-        for users in self.volumes.users.values_mut() {
-            users.retain(|_, searched_at| now - *searched_at < kept_for);
-        }
-        self.volumes.users.retain(|_, users| !users.is_empty());
-        // What was withdrawn is forgotten long after its last request came: no demand report or loan of it
-        // is under way then.
-        let requests = &self.requests.open;
-        let has_open = |id: &VolumeId| requests.values().any(|open| open.request.volume == *id);
-        self.volumes.by_id.retain(|id, volume| {
-            !volume.withdrawn || volume.demand.read(now, DEMAND_WINDOW) > 1e-9 || has_open(id)
-        });
-    }
 }
--- a/src/scheduler/cross_zone.rs
+++ b/src/scheduler/cross_zone.rs
@@ -33,16 +33,10 @@
         };
         let no_local_node = self.no_local_node(open.request.pool).is_some();
         let fits = |budget: AppliedBudget| {
-            let state = &self.volumes.by_id[&budget.id];
-            let even_rate = state
-                .limit(&self.config)
-                .map(|limit| limit.rate / state.hosts);
-            let rate = state
-                .share
-                .map(|share| share.rate)
-                .or(even_rate)
-                .unwrap_or(0.0);
-            let tokens = state.bucket.tokens + rate * within.secs();
+            let tokens = self
+                .volumes
+                .known(budget.id)
+                .tokens_after(within, &self.config);
             (no_local_node && !budget.hard) || tokens >= open.request.bytes
         };
         let time_to_cross = no_local_node || self.now >= open.half_time;
@@ -104,8 +98,8 @@
             .map(|budget| demand_report::carried(budget.id))
             .collect();
         for id in &wanted {
-            if let Some(budget) = self.volumes.by_id.get_mut(id) {
-                budget.bucket.waiting = bytes;
+            if let Some(budget) = self.volumes.get_mut(*id) {
+                budget.bucket_mut().set_waiting(bytes);
             }
         }
         wanted
--- a/src/scheduler/cross_zone_ledger.rs
+++ b/src/scheduler/cross_zone_ledger.rs
@@ -2,8 +2,6 @@
 //! overruns are reported from here; whether something may cross is decided in `cross_zone`.
 
 use super::request_scheduler::RequestScheduler;
-use super::volume::DEMAND_WINDOW;
-use super::volume_table::Volume;
 use gullsail_scheduler_api::{
     Action, BudgetScope, OverrunCause, PlanId, RequestId, VolumeId, ZoneId, demand_report,
 };
@@ -25,28 +23,6 @@
 }
 
 impl RequestScheduler {
-    /// Budgets stand among the volumes, under ids of their own: they fill, are lent and asked for alike.
-    pub(super) fn sync_budgets(&mut self) {
-        let (now, config) = (self.now, &self.config);
-        let place = |id: &VolumeId| {
-            let mut budgets = config.cross_zone_budgets.iter();
-            budgets.position(|b| b.hosts > 0 && demand_report::carried(b.id) == *id)
-        };
-        self.volumes
-            .by_id
-            .retain(|id, v| v.cross_zone_budget.is_none() || place(id).is_some());
-        for budget in config.cross_zone_budgets.iter().filter(|b| b.hosts > 0) {
-            let id = demand_report::carried(budget.id);
-            let volume = self
-                .volumes
-                .by_id
-                .entry(id)
-                .or_insert_with(|| Volume::new(now));
-            volume.cross_zone_budget = place(&id);
-            volume.hosts = f64::from(budget.hosts);
-        }
-    }
-
     /// The budgets that bytes of a plan's volume from zone to zone count against.
     pub(super) fn budgets_across(
         &self,
@@ -78,14 +54,10 @@
             ..
         } in self.budgets_across(plan, from, to).collect::<Vec<_>>()
         {
-            let Some(budget) = self.volumes.by_id.get_mut(&cross_zone_budget) else {
+            let Some(budget) = self.volumes.get_mut(cross_zone_budget) else {
                 continue;
             };
-            budget.refill(self.now, &self.config);
-            budget.demand.add(self.now, DEMAND_WINDOW, bytes);
-            budget.bucket.tokens -= bytes;
-            budget.bucket.waiting = bytes;
-            let over = bytes.min(-budget.bucket.tokens);
+            let over = budget.charge_bytes(self.now, &self.config, bytes);
             if over > 0.0 {
                 self.actions.push(Action::BudgetOverrun {
                     id,
@@ -94,7 +66,7 @@
                     cause,
                 });
             }
-            self.ask_for_tokens(cross_zone_budget);
+            self.request_tokens(cross_zone_budget);
         }
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -3,6 +3,7 @@
 //! for `attempts`.
 
 use super::endpoint::index::Destination;
+use super::intervals::QUEUE_REVIEW_INTERVAL;
 use super::{
     AttemptKey, CrossZoneBytes, EndpointCapacity, EndpointMessage, OpenRequest, Outgoing,
     PossibleRun, QueueKey, RECENT, RETURN_FACTOR, RequestScheduler,
@@ -18,8 +19,6 @@
 const CANDIDATES: usize = 4; // looked at in each group: the first may be too large for now, or wait its turn
 const REMOTE_ODDS: f64 = 0.1; // of the odds of a node at home that one elsewhere has
 const SAMPLE: usize = 8; // nodes looked at for a new object: enough that some have room
-// A queue is reviewed: small against any latency objective
-pub(super) const REVIEW_EVERY: Span = Span::from_micros(10_000);
 
 /// The best request of a queue for a node, with the value that it still brings per unit.
 #[derive(Clone, Copy)]
@@ -50,11 +49,9 @@
         };
         open.queue = Some(key);
         self.queues.insert(key, open.group(), open.waiting());
-        if let (0, Some(volume)) = (
-            open.attempts_sent,
-            self.volumes.by_id.get_mut(&open.request.volume),
-        ) {
-            volume.bucket.waiting += open.request.units;
+        let volume = self.volumes.get_mut(open.request.volume);
+        if let (0, Some(volume)) = (open.attempts_sent, volume) {
+            volume.bucket_mut().add_waiting(open.request.units);
         }
         if self.would_starve(id) {
             self.shed(id);
@@ -68,7 +65,7 @@
             .endpoints
             .least_latency(key.destination)
             .times(USUAL_LATENCY);
-        self.review_queue(key, self.now + soonest.max(REVIEW_EVERY), rng);
+        self.review_queue(key, self.now + soonest.max(QUEUE_REVIEW_INTERVAL), rng);
     }
 
     /// Sheds what can no longer be in time, asks for tokens and for the capacity of nodes.
@@ -93,7 +90,7 @@
         if let Some(id) = self.queues.new_timer(key) {
             self.actions.push(Action::SetTimer {
                 id,
-                at: self.now + REVIEW_EVERY,
+                at: self.now + QUEUE_REVIEW_INTERVAL,
             });
         }
         let Some(queue) = self.queues.by_key.get(&key) else {
@@ -101,7 +98,7 @@
         };
         wanted.extend(queue.groups.keys().map(|group| group.volume));
         for volume in wanted {
-            self.ask_for_tokens(volume);
+            self.request_tokens(volume);
         }
         match key.destination {
             Destination::Shard(shard) => {
@@ -115,14 +112,16 @@
     /// The value still due per unit of a request.
     fn value_per_unit(&self, open: &OpenRequest) -> f64 {
         let config = &self.config;
-        let volume = &self.volumes.by_id[&open.request.volume];
+        let volume = self.volumes.known(open.request.volume);
         let class = &config.request_classes[open.request.request_class.0];
-        let full = class.priority_weight * config.plans[volume.plan.0].price;
+        let full = class.priority_weight * config.plans[volume.plan().0].price;
         // The weighted share: who was sent less than the others, by weight, is inside it.
-        let inside_share = (self.volumes.mean_excess / volume.excess.last().max(1e-9)).min(1.0);
+        let inside_share = volume
+            .reserve()
+            .within_fair_share(self.volumes.mean_excess());
         let beyond_reserve = config.beyond_share_value
             + (config.within_share_value - config.beyond_share_value) * inside_share;
-        full * if volume.reserve >= open.request.units {
+        full * if volume.reserve().covers(open.request.units) {
             1.0
         } else {
             beyond_reserve
@@ -155,8 +154,8 @@
         {
             return false;
         }
-        let volume = &self.volumes.by_id[&request.volume];
-        volume.limit(&self.config).is_none() || volume.bucket.tokens >= request.units
+        let volume = self.volumes.known(request.volume);
+        volume.allows(request.units, &self.config)
     }
 
     fn best_candidate(&mut self, key: QueueKey, capacity: &EndpointCapacity) -> Option<Candidate> {
@@ -167,7 +166,7 @@
             .iter()
             .map(|budget| demand_report::carried(budget.id));
         for id in queue.groups.keys().map(|group| group.volume).chain(budgets) {
-            if let Some(volume) = self.volumes.by_id.get_mut(&id) {
+            if let Some(volume) = self.volumes.get_mut(id) {
                 volume.refill(self.now, &self.config);
             }
         }
@@ -296,7 +295,7 @@
         };
         let (request, attempt) = (open.request.clone(), open.attempts_sent);
         if attempt == 0 {
-            let volume = self.volumes.by_id.get_mut(&request.volume);
+            let volume = self.volumes.get_mut(request.volume);
             let volume = volume.expect("an open request's volume is known");
             volume.spend(self.now, &self.config, request.units);
         }
--- a/src/scheduler/request_scheduler.rs
+++ b/src/scheduler/request_scheduler.rs
@@ -3,12 +3,13 @@
 
 use super::admission::{Admission, FIRST_POLL_WAIT};
 use super::attempt_accounts::AttemptAccounts;
+use super::demand_reports::directory::UserDirectory;
 use super::endpoint::index::{EndpointIndex, pools};
 use super::endpoint::slow_start::FleetDemandEstimate;
 use super::messages::{EPOCH_TIMER, EndpointCapacity, Outgoing, POLL_TIMER, RequestMessage};
 use super::queue::WaitQueues;
 use super::request_table::RequestTable;
-use super::volume_table::VolumeTable;
+use super::volume::table::VolumeTable;
 use gullsail_scheduler_api::{
     Action, Event, Instant, RequestId, SchedulerConfig, TimerId, UpdateKind,
 };
@@ -27,6 +28,7 @@
     pub(super) requests: RequestTable,
     pub(super) queues: WaitQueues,
     pub(super) volumes: VolumeTable,
+    pub(super) directory: UserDirectory,
     pub(super) attempts: AttemptAccounts,
     pub(super) admission: Admission,
 }
@@ -44,16 +46,14 @@
             endpoints: EndpointIndex::default(),
             requests: RequestTable::default(),
             queues: WaitQueues::default(),
-            volumes: VolumeTable {
-                started_at: now,
-                ..VolumeTable::default()
-            },
+            volumes: VolumeTable::new(now),
+            directory: UserDirectory::default(),
             attempts: AttemptAccounts::new(now),
         };
         if scheduler.config.poll_endpoints {
             scheduler.actions.push(Action::WatchEndpoints);
         }
-        scheduler.sync_budgets();
+        scheduler.volumes.sync_budgets(now, &scheduler.config);
         scheduler.start_epoch();
         scheduler
     }
@@ -93,12 +93,10 @@
                 cross_zone_budgets,
                 fleet_membership,
             } => {
-                for volume in self.volumes.by_id.values_mut() {
-                    volume.refill(self.now, &self.config);
-                }
+                self.volumes.refill_all(self.now, &self.config);
                 self.config
                     .apply_change(plans, cross_zone_budgets, fleet_membership);
-                self.sync_budgets();
+                self.volumes.sync_budgets(self.now, &self.config);
                 self.apply_allocations(&allocations);
             }
             Event::Timer(id) => self.handle_timer(id, rng),
--- a/src/scheduler/size_metrics.rs
+++ b/src/scheduler/size_metrics.rs
@@ -10,7 +10,7 @@
         let endpoints = self.requests.endpoints.sizes();
         let (queues, attempts) = (&self.requests.queues, &self.requests.attempts);
         let table = &self.requests.volumes;
-        let volumes = table.by_id.values();
+        let directory = &self.requests.directory;
         vec![
             ("brain.nodes", self.trackers.len()),
             (
@@ -34,22 +34,10 @@
             ("desk.lines", queues.by_key.len()),
             ("desk.beats", queues.timers.len()),
             ("desk.turns", requests.object_orders.len()),
-            ("desk.volumes", table.by_id.len()),
-            (
-                "volumes.lent",
-                volumes
-                    .clone()
-                    .map(|volume| volume.bucket.loans.len())
-                    .sum(),
-            ),
-            (
-                "volumes.peers",
-                volumes.map(|volume| volume.peers.reports.len()).sum(),
-            ),
-            (
-                "desk.users",
-                table.users.values().map(|users| users.len()).sum(),
-            ),
+            ("desk.volumes", table.len()),
+            ("volumes.lent", table.hold_count()),
+            ("volumes.peers", table.peer_count()),
+            ("desk.users", directory.user_count()),
             (
                 "desk.longest_ttl",
                 self.requests.admission.longest_timeouts.len(),
