--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -2,57 +2,59 @@
 //! calls [`Scheduler::step`] with the clock and the events since; it carries out the actions that come back,
 //! in their order. Events, actions, ids and the configuration are those of `gullsail-scheduler-api`.
 //!
-//! These files decide, and are listed as policy: `admission` (accept or shed, and the advice given),
-//! `dispatch` (queues, choice of node), `attempts` (outcomes, retry budget, idempotency), `endpoint` (window,
-//! health, slow start), `volume` (token bucket, rate, loans), `demand_reports` (epochs, what hosts report to
-//! each other), `cross_zone` (budgets between zones). The others decide nothing: `request_scheduler`
-//! (hands messages on), `messages`, `queue`, `request_table`,
-//! `volume_table`, `attempt_accounts`, `cross_zone_ledger`, `peer_messages` and `size_metrics` hold state and
-//! keep its books. Here stands the loop over the mailboxes.
+//! This file moves messages between the two sides of the scheduler: the requests' side and one tracker for
+//! each endpoint. The decisions stand in a folder or file for each component; imports go from the later to the
+//! earlier ones:
+//!
+//! 1. `messages`, `intervals`: what both sides know.
+//! 2. `endpoint`: congestion window, health, slow start, sparse traffic, index of the ready endpoints.
+//! 3. `volume`: token bucket, share of the limit, loans, reserve; also for cross-zone budgets.
+//! 4. `attempts` (`retry_budget`, `overload_guard`, `idempotency`, `limits`), `dispatch::queue`,
+//!    `request_table`, `admission::objective`.
+//! 5. `state`: all components together.
+//! 6. `demand_reports`: epochs, directories of a volume's hosts, messages between hosts.
+//! 7. `cross_zone`: budgets for traffic between zones. `final_answer`: shedding.
+//! 8. `dispatch`: review of queues, choice of endpoints and of requests. `admission`: arrivals, configuration
+//!    changes. `attempts::outcome`: what the end of an attempt means.
+//! 9. `endpoint_polling`: polling of the endpoint list. `request_scheduler`: hands events to the components.
+//!
+//! Invariants:
 //!
 //! 1. State changes only in [`Scheduler::step`]; the clock is the caller's.
 //! 2. All random choices come from one generator, so equal seeds and events give equal actions.
 //! 3. Every request gets at most one final answer.
 
 mod admission;
-mod attempt_accounts;
 mod attempts;
-mod bookkeeping;
 mod cross_zone;
-mod cross_zone_ledger;
 mod demand_reports;
 mod dispatch;
 mod endpoint;
+mod endpoint_polling;
+mod final_answer;
 mod intervals;
 mod messages;
-mod queue;
 mod request_scheduler;
 mod request_table;
 mod size_metrics;
+mod state;
 mod volume;
 
-// The files below take each other's types from here.
-use attempt_accounts::AttemptAccounts;
-use attempts::{RECENT, RETURN_FACTOR};
-use cross_zone_ledger::{AppliedBudget, CrossZoneBytes};
 use endpoint::tracker::EndpointTracker;
 use gullsail_scheduler_api::{
     Action, Endpoint, EndpointState, Event, Instant, NodeId, SchedulerConfig, UpdateKind,
 };
-use messages::{
-    AttemptKey, EndpointCapacity, EndpointMessage, Outgoing, POLL_TIMER, RequestMessage,
-};
-use queue::QueueKey;
+use messages::{EndpointMessage, Outgoing, RequestMessage};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use request_scheduler::RequestScheduler;
-use request_table::{OpenRequest, PossibleRun};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The decisions of one host: events in, actions out.
 pub struct Scheduler {
+    now: Instant,
     trackers: BTreeMap<NodeId, EndpointTracker>,
-    /// Those with messages in their mailboxes: only these are looked at.
+    /// The endpoints whose trackers have messages: a step looks at no others.
     with_mail: BTreeSet<NodeId>,
     requests: RequestScheduler,
     rng: ChaCha8Rng,
@@ -62,6 +64,7 @@
     /// The scheduler of a host that has just started and knows no endpoint yet.
     pub fn new(config: SchedulerConfig, seed: u64, now: Instant) -> Self {
         Scheduler {
+            now,
             trackers: BTreeMap::new(),
             with_mail: BTreeSet::new(),
             requests: RequestScheduler::new(config, now),
@@ -71,7 +74,8 @@
 
     /// Takes in the events in their order and returns what is to be done, in its order.
     pub fn step(&mut self, now: Instant, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
-        self.requests.now = now;
+        self.now = now;
+        self.requests.set_now(now);
         for event in events {
             if let Event::EndpointList {
                 update_kind,
@@ -79,38 +83,29 @@
             } = &event
             {
                 self.update_list(*update_kind, entries);
-                self.run(); // what comes next in this step knows the endpoints of this list
+                // Later events of this step are handled with the endpoints of this list.
+                self.run();
             }
-            self.requests
-                .mailbox
-                .push_back(RequestMessage::Event(event));
+            self.requests.post(RequestMessage::Event(event));
         }
         self.run();
-        std::mem::take(&mut self.requests.actions)
+        self.requests.take_actions()
     }
 
-    /// Hands the entries of a list to their trackers; what a whole list does not name is gone.
+    /// Hands the entries of a list to their trackers. Endpoints that a complete list does not name are gone.
     fn update_list(&mut self, update_kind: UpdateKind, entries: &[Endpoint]) {
-        let now = self.requests.now;
-        let self_reported = update_kind == UpdateKind::SelfReported;
-        let whole = matches!(
+        let is_complete = matches!(
             update_kind,
             UpdateKind::Snapshot | UpdateKind::StaleSnapshot
         );
-        let named: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
-        let is_missing = |entry: &&Endpoint| {
-            whole && !named.contains(&entry.node) && entry.state != EndpointState::Gone
+        let gone = if is_complete {
+            self.gone_endpoints(entries)
+        } else {
+            Vec::new()
         };
-        let known_entries = self.trackers.values().map(EndpointTracker::entry);
-        let gone: Vec<_> = known_entries
-            .filter(is_missing)
-            .map(|entry| Endpoint {
-                state: EndpointState::Gone,
-                ..entry.clone()
-            })
-            .collect();
+        let self_reported = update_kind == UpdateKind::SelfReported;
         for entry in gone.iter().chain(entries) {
-            let new = || EndpointTracker::new(entry.clone(), now);
+            let new = || EndpointTracker::new(entry.clone(), self.now);
             self.trackers.entry(entry.node).or_insert_with(new);
             self.post(
                 entry.node,
@@ -121,7 +116,21 @@
             );
         }
         self.trackers
-            .retain(|_, tracker| !tracker.is_forgotten(now));
+            .retain(|_, tracker| !tracker.is_forgotten(self.now));
+    }
+
+    /// Entries that say "gone" for the known endpoints that are not in a complete list.
+    fn gone_endpoints(&self, entries: &[Endpoint]) -> Vec<Endpoint> {
+        let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
+        let known = self.trackers.values().map(EndpointTracker::entry);
+        let missing = known
+            .filter(|entry| entry.state != EndpointState::Gone && !listed.contains(&entry.node));
+        missing
+            .map(|entry| Endpoint {
+                state: EndpointState::Gone,
+                ..entry.clone()
+            })
+            .collect()
     }
 
     fn post(&mut self, id: NodeId, message: EndpointMessage) {
@@ -131,14 +140,12 @@
         }
     }
 
-    /// Until all mailboxes are empty: requests first, then one endpoint at a time, which reports its
-    /// capacity.
+    /// Runs until all mailboxes are empty: requests first, then one endpoint at a time, which reports its
+    /// capacity to the requests' side.
     fn run(&mut self) {
         loop {
-            while let Some(message) = self.requests.mailbox.pop_front() {
-                self.requests.handle(message, &mut self.rng);
-            }
-            while let Some(Outgoing { to, message }) = self.requests.outbox.pop_front() {
+            self.requests.handle_messages(&mut self.rng);
+            while let Some(Outgoing { to, message }) = self.requests.next_outgoing() {
                 self.post(to, message);
             }
             let Some(id) = self.with_mail.pop_first() else {
@@ -147,12 +154,10 @@
             let Some(tracker) = self.trackers.get_mut(&id) else {
                 continue;
             };
-            tracker.handle_messages(self.requests.now);
-            let requests = &mut self.requests;
-            let capacity = tracker.capacity(requests.now, &requests.config, &requests.fleet_demand);
-            requests
-                .mailbox
-                .push_back(RequestMessage::Capacity(capacity));
+            tracker.handle_messages(self.now);
+            let state = self.requests.state();
+            let capacity = tracker.capacity(self.now, &state.config, &state.fleet_demand);
+            self.requests.post(RequestMessage::Capacity(capacity));
         }
     }
 }
--- /dev/null
+++ b/src/scheduler/attempts/idempotency.rs
@@ -0,0 +1,67 @@
+//! Where a request may be sent again after an attempt that may have run.
+
+use gullsail_scheduler_api::{
+    Endpoint, Idempotency, IdempotencyScope, Instant, RequestClass, ShardId, ZoneId,
+};
+
+/// The first attempt of a request that is not known to have been skipped by its endpoint.
+#[derive(Clone, Copy)]
+pub(crate) struct UnprovenExecution {
+    pub(crate) attempt: u32,
+    pub(crate) shard: ShardId,
+    pub(crate) zone: ZoneId,
+    pub(crate) sent_at: Instant,
+}
+
+/// Whether an endpoint would recognise the repeat of what may have run already, or a repeat does no harm.
+pub(crate) fn may_repeat_at(
+    execution: Option<UnprovenExecution>,
+    endpoint: &Endpoint,
+    idempotency: Idempotency,
+    now: Instant,
+) -> bool {
+    let Idempotency::WithKey { scope, window } = idempotency else {
+        return true;
+    };
+    let Some(execution) = execution else {
+        return true;
+    };
+    let same_shard = execution.shard == endpoint.shard;
+    let in_scope = match scope {
+        IdempotencyScope::All => true,
+        IdempotencyScope::Zone => execution.zone == endpoint.zone || same_shard,
+        IdempotencyScope::Shard => same_shard,
+    };
+    in_scope && now - execution.sent_at < window
+}
+
+/// Whether any endpoint could be sent the request again.
+pub(crate) fn may_run_again(
+    execution: Option<UnprovenExecution>,
+    idempotency: Idempotency,
+) -> bool {
+    idempotency != Idempotency::NonIdempotent || execution.is_none()
+}
+
+/// Whether the endpoints of one shard alone recognise repeats of this class's requests.
+pub(crate) fn is_bound_to_shard(class: &RequestClass) -> bool {
+    matches!(
+        class.idempotency,
+        Idempotency::WithKey {
+            scope: IdempotencyScope::Shard,
+            ..
+        }
+    )
+}
+
+/// Whether a client may repeat this class's requests through any host and endpoint.
+pub(crate) fn is_safe_anywhere(class: &RequestClass) -> bool {
+    matches!(
+        class.idempotency,
+        Idempotency::Idempotent
+            | Idempotency::WithKey {
+                scope: IdempotencyScope::All,
+                ..
+            }
+    )
+}
--- /dev/null
+++ b/src/scheduler/dispatch/mod.rs
@@ -0,0 +1,13 @@
+//! Dispatch: requests wait in a [`queue`] until an endpoint has room. The [`review`] of a queue sheds what can
+//! no longer be in time; [`endpoint_choice`] picks endpoints for new objects; [`candidate`] picks the request
+//! that goes to an endpoint with room, and [`send`] sends it. What came of an attempt is for `attempts`.
+
+pub(super) mod candidate;
+pub(super) mod endpoint_choice;
+pub(super) mod queue;
+pub(super) mod review;
+pub(super) mod send;
+
+/// The median answer takes this fraction of an endpoint's mean latency, because latencies are skewed. An answer
+/// is expected after this part of the mean.
+const MEDIAN_TO_MEAN_LATENCY: f64 = 0.7;
--- a/src/scheduler/endpoint/index.rs
+++ b/src/scheduler/endpoint/index.rs
@@ -1,7 +1,7 @@
 //! Index of the endpoints that are ready, by pool and by shard, with the last capacity that each reported; and
 //! the endpoints chosen for the next new object of each pool.
 
-use super::super::messages::EndpointCapacity;
+use crate::scheduler::messages::EndpointCapacity;
 use gullsail_scheduler_api::{Endpoint, EndpointState, Instant, NodeId, PoolId, ShardId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -9,7 +9,7 @@
 //!
 //! Rules 3 and 4 are inaccurate if the demand of this host differs much from that of the others.
 
-use super::super::messages::AttemptKey;
+use crate::scheduler::messages::AttemptKey;
 use gullsail_scheduler_api::{AttemptOutcome, Instant, NodeId, SchedulerConfig, Span};
 
 /// Part of the promised ramp growth that is used. At 1.0 any node that warms up slower than promised would
--- a/src/scheduler/endpoint/sparse_traffic.rs
+++ b/src/scheduler/endpoint/sparse_traffic.rs
@@ -7,8 +7,8 @@
 //! one attempt in twenty is late without any congestion. Endpoints that warm up, or were late within the last
 //! minute, do not reduce it. The window is too small for the healthy endpoints of a zone if many others fail.
 
-use super::super::messages::{AttemptKey, EndpointCapacity};
 use super::window::MAX_WINDOW;
+use crate::scheduler::messages::{AttemptKey, EndpointCapacity};
 use gullsail_scheduler_api::{AttemptEnd, AttemptOutcome, Instant, Span, ZoneId};
 use std::collections::BTreeMap;
 
--- a/src/scheduler/endpoint/tracker.rs
+++ b/src/scheduler/endpoint/tracker.rs
@@ -2,10 +2,10 @@
 //! tracker takes messages, passes what they tell to the window, the health and the slow start, and reports
 //! the endpoint's capacity.
 
-use super::super::messages::{AttemptKey, EndpointCapacity, EndpointMessage};
 use super::health::EndpointHealth;
 use super::slow_start::{FleetDemandEstimate, SlowStart, SlowStartUnits};
 use super::window::{CongestionWindow, EndedAttempt};
+use crate::scheduler::messages::{AttemptKey, EndpointCapacity, EndpointMessage};
 use gullsail_scheduler_api::{
     AttemptOutcome, Endpoint, EndpointState, Instant, SchedulerConfig, Span,
 };
--- a/src/scheduler/request_scheduler.rs
+++ b/src/scheduler/request_scheduler.rs
@@ -1,129 +1,140 @@
-//! The side of the scheduler that holds requests, queues and volumes. It hands each message to the file that
-//! decides on it; the methods of [`RequestScheduler`] stand in those files.
+//! The requests' side of the scheduler: it hands each event and each endpoint's capacity to the component that
+//! handles it. Nothing is decided here.
 
-use super::admission::{Admission, FIRST_POLL_WAIT};
-use super::attempt_accounts::AttemptAccounts;
-use super::demand_reports::directory::UserDirectory;
-use super::endpoint::index::{EndpointIndex, pools};
-use super::endpoint::slow_start::FleetDemandEstimate;
-use super::messages::{EPOCH_TIMER, EndpointCapacity, Outgoing, POLL_TIMER, RequestMessage};
-use super::queue::WaitQueues;
-use super::request_table::RequestTable;
-use super::volume::table::VolumeTable;
-use gullsail_scheduler_api::{
-    Action, Event, Instant, RequestId, SchedulerConfig, TimerId, UpdateKind,
-};
+use super::admission::arrival::admit;
+use super::admission::config_change::{ConfigChange, apply_config_change};
+use super::attempts::outcome::attempt_ended;
+use super::demand_reports::epoch::start_epoch;
+use super::demand_reports::peer_messages::handle_peer_message;
+use super::dispatch::endpoint_choice::choose_endpoint;
+use super::dispatch::review::review_queue_on_timer;
+use super::dispatch::send::fill_endpoint;
+use super::endpoint::index::pools;
+use super::endpoint_polling::EndpointPolling;
+use super::final_answer::{close, shed};
+use super::messages::{EndpointCapacity, Outgoing, RequestMessage, SchedulerTimer};
+use super::state::SchedulerState;
+use gullsail_scheduler_api::{Action, Event, Instant, SchedulerConfig, TimerId};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
+/// Takes messages and puts out actions and messages to the endpoints' trackers.
 pub(super) struct RequestScheduler {
-    pub(super) now: Instant,
-    pub(super) config: SchedulerConfig,
-    pub(super) mailbox: VecDeque<RequestMessage>,
-    /// For the trackers of endpoints.
-    pub(super) outbox: VecDeque<Outgoing>,
-    pub(super) actions: Vec<Action>,
-    pub(super) endpoints: EndpointIndex,
-    pub(super) fleet_demand: FleetDemandEstimate,
-    pub(super) requests: RequestTable,
-    pub(super) queues: WaitQueues,
-    pub(super) volumes: VolumeTable,
-    pub(super) directory: UserDirectory,
-    pub(super) attempts: AttemptAccounts,
-    pub(super) admission: Admission,
+    mailbox: VecDeque<RequestMessage>,
+    polling: EndpointPolling,
+    state: SchedulerState,
 }
 
 impl RequestScheduler {
     pub(super) fn new(config: SchedulerConfig, now: Instant) -> Self {
-        let mut scheduler = RequestScheduler {
-            now,
-            admission: Admission::new(&config),
-            fleet_demand: FleetDemandEstimate::new(&config),
-            config,
+        let mut state = SchedulerState::new(config, now);
+        if state.config.poll_endpoints {
+            state.actions.push(Action::WatchEndpoints);
+        }
+        start_epoch(&mut state);
+        RequestScheduler {
             mailbox: VecDeque::new(),
-            outbox: VecDeque::new(),
-            actions: Vec::new(),
-            endpoints: EndpointIndex::default(),
-            requests: RequestTable::default(),
-            queues: WaitQueues::default(),
-            volumes: VolumeTable::new(now),
-            directory: UserDirectory::default(),
-            attempts: AttemptAccounts::new(now),
-        };
-        if scheduler.config.poll_endpoints {
-            scheduler.actions.push(Action::WatchEndpoints);
+            polling: EndpointPolling::new(),
+            state,
         }
-        scheduler.volumes.sync_budgets(now, &scheduler.config);
-        scheduler.start_epoch();
-        scheduler
     }
 
-    pub(super) fn handle(&mut self, message: RequestMessage, rng: &mut ChaCha8Rng) {
-        // Whatever comes, also while no node has capacity: else what is accepted then would only pile up.
-        self.attempts.expire(self.now, &self.config);
+    pub(super) fn set_now(&mut self, now: Instant) {
+        self.state.now = now;
+    }
+
+    pub(super) fn state(&self) -> &SchedulerState {
+        &self.state
+    }
+
+    pub(super) fn post(&mut self, message: RequestMessage) {
+        self.mailbox.push_back(message);
+    }
+
+    /// Handles all messages in the mailbox.
+    pub(super) fn handle_messages(&mut self, rng: &mut ChaCha8Rng) {
+        while let Some(message) = self.mailbox.pop_front() {
+            self.handle(message, rng);
+        }
+    }
+
+    /// The next message to an endpoint's tracker.
+    pub(super) fn next_outgoing(&mut self) -> Option<Outgoing> {
+        self.state.outbox.pop_front()
+    }
+
+    /// The actions put out since the last call.
+    pub(super) fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.state.actions)
+    }
+
+    fn handle(&mut self, message: RequestMessage, rng: &mut ChaCha8Rng) {
+        // On every message: while no endpoint has room, arrivals would otherwise pile up.
+        let state = &mut self.state;
+        state.attempt_limits.expire(state.now, &state.config);
         match message {
             RequestMessage::Capacity(capacity) => {
-                self.update_endpoint(&capacity, rng);
-                self.fill_endpoint(&capacity, rng);
+                update_endpoint(state, &capacity, rng);
+                fill_endpoint(state, &capacity, rng);
             }
             RequestMessage::Event(event) => self.handle_event(event, rng),
         }
     }
 
     fn handle_event(&mut self, event: Event, rng: &mut ChaCha8Rng) {
+        let state = &mut self.state;
         match event {
-            Event::RequestArrived(request) => self.admit(request, rng),
-            Event::AttemptEnded(end) => self.attempt_ended(end, rng),
-            Event::ResponseStarted { id, .. } => {
-                if let Some(open) = self.requests.open.get_mut(&id) {
-                    open.closed = true;
-                }
-            }
-            Event::ClientDisconnected(id) => self.close(id),
-            Event::PeerMessage { from, bytes } => self.handle_peer_message(from, &bytes),
-            Event::EndpointListLost => self.retry_endpoint_list(),
-            Event::EndpointList { update_kind, .. } => {
-                if matches!(update_kind, UpdateKind::Delta | UpdateKind::Snapshot) {
-                    self.admission.poll_wait = FIRST_POLL_WAIT;
-                }
+            Event::RequestArrived(request) => admit(state, request, rng),
+            Event::AttemptEnded(end) => attempt_ended(state, &end, rng),
+            Event::ResponseStarted { id, .. } => state.requests.set_answered(id),
+            Event::ClientDisconnected(id) => close(state, id),
+            Event::PeerMessage { from, bytes } => handle_peer_message(state, from, &bytes),
+            Event::EndpointListLost => {
+                let set_timer = self.polling.list_lost(state.now, &state.config);
+                state.actions.push(set_timer);
             }
+            Event::EndpointList { update_kind, .. } => self.polling.list_received(update_kind),
             Event::ConfigChanged {
                 plans,
                 allocations,
                 cross_zone_budgets,
                 fleet_membership,
             } => {
-                self.volumes.refill_all(self.now, &self.config);
-                self.config
-                    .apply_change(plans, cross_zone_budgets, fleet_membership);
-                self.volumes.sync_budgets(self.now, &self.config);
-                self.apply_allocations(&allocations);
+                let change = ConfigChange {
+                    plans,
+                    allocations,
+                    cross_zone_budgets,
+                    fleet_membership,
+                };
+                apply_config_change(state, change);
             }
             Event::Timer(id) => self.handle_timer(id, rng),
         }
     }
 
     fn handle_timer(&mut self, id: TimerId, rng: &mut ChaCha8Rng) {
-        match id {
-            EPOCH_TIMER => self.start_epoch(),
-            POLL_TIMER => self.actions.push(Action::WatchEndpoints),
-            id if id > EPOCH_TIMER => {
-                if let Some(key) = self.queues.timer_fired(id) {
-                    self.review_queue_on_timer(key, rng);
+        let state = &mut self.state;
+        match SchedulerTimer::from(id) {
+            SchedulerTimer::Epoch => start_epoch(state),
+            SchedulerTimer::EndpointPoll => state.actions.push(Action::WatchEndpoints),
+            SchedulerTimer::QueueReview(id) => {
+                if let Some(key) = state.queues.timer_fired(id) {
+                    review_queue_on_timer(state, key, rng);
                 }
             }
-            TimerId(request) => self.shed(RequestId(request)),
+            SchedulerTimer::RequestDeadline(request) => shed(state, request),
         }
     }
+}
 
-    /// Takes in the capacity of an endpoint; one that is newly ready may be drawn for its pools.
-    fn update_endpoint(&mut self, capacity: &EndpointCapacity, rng: &mut ChaCha8Rng) {
-        if !self.endpoints.update(capacity, self.now) {
-            return;
-        }
-        for pool in pools(&capacity.entry) {
-            self.endpoints.add_to_pool(pool, capacity.entry.node);
-            self.draw_endpoint(pool, rng);
-        }
+/// Takes in the capacity of an endpoint. One that is newly ready may be chosen for its pools at once.
+fn update_endpoint(state: &mut SchedulerState, capacity: &EndpointCapacity, rng: &mut ChaCha8Rng) {
+    let newly_ready = state.endpoints.update(capacity, state.now);
+    if !newly_ready {
+        return;
+    }
+    for pool in pools(&capacity.entry) {
+        state.endpoints.add_to_pool(pool, capacity.entry.node);
+        choose_endpoint(state, pool, rng);
     }
 }
--- a/src/scheduler/size_metrics.rs
+++ b/src/scheduler/size_metrics.rs
@@ -1,49 +1,37 @@
-//! How much the decisions hold, for whoever watches them over days: nothing is decided by it.
+//! The sizes of the scheduler's collections, for whoever watches a host over days. Nothing is decided by them.
 
 use super::Scheduler;
 
 impl Scheduler {
-    /// The length of each collection, by name; what stands within others is summed. Unit: entries.
+    /// The number of entries in each collection, by name; nested collections are summed.
     pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
-        let trackers = self.trackers.values();
-        let requests = &self.requests.requests;
-        let endpoints = self.requests.endpoints.sizes();
-        let (queues, attempts) = (&self.requests.queues, &self.requests.attempts);
-        let table = &self.requests.volumes;
-        let directory = &self.requests.directory;
+        let trackers = || self.trackers.values();
+        let state = self.requests.state();
+        let endpoints = state.endpoints.sizes();
+        let limits = state.attempt_limits.sizes();
+        let in_flight = trackers().map(|tracker| tracker.in_flight_count()).sum();
+        let slow_start = trackers().map(|tracker| tracker.slow_start_count()).sum();
         vec![
             ("brain.nodes", self.trackers.len()),
-            (
-                "nodes.out",
-                trackers
-                    .clone()
-                    .map(|tracker| tracker.in_flight_count())
-                    .sum(),
-            ),
-            (
-                "nodes.cold_sent",
-                trackers.map(|tracker| tracker.slow_start_count()).sum(),
-            ),
+            ("nodes.out", in_flight),
+            ("nodes.cold_sent", slow_start),
             ("desk.rooms", endpoints.capacities),
             ("desk.ready", endpoints.pool_members),
             ("desk.cells", endpoints.shards),
             ("desk.drawn", endpoints.choices),
             ("desk.left", endpoints.unready_destinations),
-            ("desk.seldom", attempts.sparse_windows.in_flight_count()),
-            ("desk.xfers", requests.open.len()),
-            ("desk.lines", queues.by_key.len()),
-            ("desk.beats", queues.timers.len()),
-            ("desk.turns", requests.object_orders.len()),
-            ("desk.volumes", table.len()),
-            ("volumes.lent", table.hold_count()),
-            ("volumes.peers", table.peer_count()),
-            ("desk.users", directory.user_count()),
-            (
-                "desk.longest_ttl",
-                self.requests.admission.longest_timeouts.len(),
-            ),
-            ("desk.accepted", attempts.accepted.len()),
-            ("desk.resent", attempts.retries_sent.len()),
+            ("desk.seldom", limits.sparse_in_flight),
+            ("desk.xfers", state.requests.len()),
+            ("desk.lines", state.queues.len()),
+            ("desk.beats", state.queues.timer_count()),
+            ("desk.turns", state.requests.object_count()),
+            ("desk.volumes", state.volumes.len()),
+            ("volumes.lent", state.volumes.hold_count()),
+            ("volumes.peers", state.volumes.peer_count()),
+            ("desk.users", state.directory.user_count()),
+            ("desk.longest_ttl", state.objectives.class_count()),
+            ("desk.accepted", limits.arrivals),
+            ("desk.resent", limits.retries),
         ]
     }
 }
--- a/src/scheduler/volume/peers.rs
+++ b/src/scheduler/volume/peers.rs
@@ -1,8 +1,8 @@
 //! The other hosts that use a volume: what each last reported, whose turn it is to be asked for tokens, and
 //! when to search for further hosts.
 
-use super::super::intervals::EPOCH;
 use super::{DEMAND_WINDOW, Volume};
+use crate::scheduler::intervals::EPOCH;
 use gullsail_scheduler_api::{HostId, Instant, SchedulerConfig, Span, VolumeId};
 use std::collections::BTreeMap;
 
--- a/src/scheduler/volume/share.rs
+++ b/src/scheduler/volume/share.rs
@@ -1,8 +1,8 @@
 //! This host's share of a volume's limit, and what the share will bring.
 
-use super::super::intervals::EPOCH;
 use super::peers::PeerDemand;
 use super::{LimitKind, Volume};
+use crate::scheduler::intervals::EPOCH;
 use gullsail_scheduler_api::{Instant, Limit, SchedulerConfig, Span};
 
 /// Longest time until tokens that is worked out, in seconds. It only bounds the figure: the answer to a client
--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -119,13 +119,17 @@
     pub(crate) fn sync_budgets(&mut self, now: Instant, config: &SchedulerConfig) {
         let position = |id: &VolumeId| {
             let mut budgets = config.cross_zone_budgets.iter();
-            budgets.position(|b| b.hosts > 0 && demand_report::carried(b.id) == *id)
+            budgets.position(|budget| budget.hosts > 0 && demand_report::carried(budget.id) == *id)
         };
         self.by_id.retain(|id, volume| {
             let is_budget = volume.kind != LimitKind::Volume;
             !is_budget || position(id).is_some()
         });
-        for budget in config.cross_zone_budgets.iter().filter(|b| b.hosts > 0) {
+        for budget in config
+            .cross_zone_budgets
+            .iter()
+            .filter(|budget| budget.hosts > 0)
+        {
             let id = demand_report::carried(budget.id);
             let volume = self.by_id.entry(id).or_insert_with(|| Volume::new(now));
             if let Some(position) = position(&id) {
--- a/src/scheduler/volume/token_bucket.rs
+++ b/src/scheduler/volume/token_bucket.rs
@@ -1,6 +1,6 @@
 //! Token bucket of one volume at this host. Tokens are units, or bytes for a cross-zone budget.
 
-use super::super::intervals::QUEUE_REVIEW_INTERVAL;
+use crate::scheduler::intervals::QUEUE_REVIEW_INTERVAL;
 use gullsail_scheduler_api::{Instant, Limit, Span};
 use std::collections::VecDeque;
 
