--- a/crates/benchlink/src/actions.rs
+++ b/crates/benchlink/src/actions.rs
@@ -1,4 +1,4 @@
-//! The scheduler's actions as the bench's messages.
+//! Translates the scheduler's actions to messages of the bench's protocol.
 
 use crate::events::Names;
 use base64::Engine;
@@ -6,10 +6,10 @@
 use gullsail_scheduler_api::{Action, Span};
 use serde_json::{Value, json};
 
-/// The message for an action of an instance; `None`: the bench has none for it.
+/// The message for an action of an instance; `None`: the protocol has none for it.
 pub fn translate(host: u64, action: Action, names: &Names) -> Option<Value> {
     Some(match action {
-        // The settings from the bench state no budgets between zones.
+        // The bench's settings have no cross-zone budgets.
         Action::BudgetOverrun { .. } => return None,
         Action::StartAttempt { id, node, time_out } => json!({
             "type": "PassOn", "host": host, "id": id.0, "node": names.node(node),
--- a/crates/benchlink/src/adapter.rs
+++ b/crates/benchlink/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The instances of the scheduler in one process, and what each batch of events makes them do.
+//! The instances of the scheduler in one process, and the handling of batches of events.
 
 use crate::actions;
 use crate::error::AdapterError;
@@ -10,29 +10,31 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One instance, and the events of this batch for it.
+/// One instance of the scheduler, for one host.
 struct Instance {
     scheduler: Scheduler,
     names: Names,
+    /// Its events in the current batch.
     events: Vec<Event>,
-    /// It is to be stepped at the end of this batch.
+    /// It is stepped at the end of the current batch.
     pending: bool,
 }
 
-/// All instances of the process, by the bench's host numbers.
+/// All instances of the process.
 #[derive(Default)]
 pub struct Adapter {
+    /// By the bench's host numbers.
     instances: BTreeMap<u64, Instance>,
     /// Endpoint lists, to which events refer by number.
     pages: BTreeMap<u64, Vec<Entry>>,
 }
 
 impl Adapter {
-    /// Hands all events of a batch to their instances, steps these once each, in the order of their first
-    /// event, and returns their actions as the bench's messages.
+    /// Hands the events of a batch to their instances and steps each of these once, in the order of their first
+    /// events. Returns their actions as messages of the bench's protocol.
     ///
     /// # Errors
-    /// An event can't be understood; the process is of no further use then.
+    /// An event is malformed. Events that follow it in the batch are lost, so the process should end.
     pub fn handle_batch(&mut self, batch: Batch) -> Result<Vec<Value>, AdapterError> {
         let now = Instant::from_millis(batch.t);
         let mut pending = Vec::new();
@@ -84,7 +86,7 @@
             return Ok(());
         };
         let Some(instance) = self.instances.get_mut(&host) else {
-            eprintln!("gullsail-benchlink: event for host {host}, which does not live: ignored");
+            eprintln!("gullsail-benchlink: event ignored: host {host} is not running");
             return Ok(());
         };
         if let Some(event) = events::translate(event, &mut instance.names, &self.pages)? {
@@ -100,11 +102,13 @@
     fn step_instances(&mut self, now: Instant, pending: &[u64]) -> Vec<Value> {
         let mut outbox = Vec::new();
         for host in pending {
-            // A host that was killed and started again in one batch may stand here twice.
-            let Some(instance) = self.instances.get_mut(host).filter(|i| i.pending) else {
+            let Some(instance) = self.instances.get_mut(host) else {
                 continue;
             };
-            instance.pending = false;
+            // A host that was killed and started again in one batch is listed twice.
+            if !std::mem::take(&mut instance.pending) {
+                continue;
+            }
             let events = std::mem::take(&mut instance.events);
             for action in instance.scheduler.step(now, events) {
                 outbox.extend(actions::translate(*host, action, &instance.names));
--- a/crates/benchlink/src/error.rs
+++ b/crates/benchlink/src/error.rs
@@ -1,39 +1,47 @@
-//! What ends the adapter.
+//! Errors of the adapter.
 
 use std::fmt::{self, Display, Formatter};
 
-/// A problem with the input or the output; the program prints it and exits.
+/// An error of input, output or an event; the program prints it and exits.
 #[derive(Debug)]
 pub enum AdapterError {
     /// Standard input failed.
     Input(std::io::Error),
     /// Standard output failed.
     Output(std::io::Error),
-    /// A line is no batch of events.
+    /// A line is not a batch of events.
     Line(serde_json::Error),
     /// The settings of an instance are invalid, with the reason.
     Settings(String),
-    /// An event names a page that did not come.
+    /// An event refers to an endpoint list that was not received.
     Page(u64),
-    /// An endpoint list of an unknown kind.
+    /// An endpoint list has an unknown kind.
     Mode(String),
-    /// An unknown outcome of an attempt.
+    /// An attempt has an unknown outcome.
     StateCode(String),
-    /// A peer message is not encoded as it should be.
+    /// A peer message is not valid base64.
     Base64(base64::DecodeError),
 }
 
 impl Display for AdapterError {
-    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            AdapterError::Input(e) => write!(f, "cannot read standard input: {e}"),
-            AdapterError::Output(e) => write!(f, "cannot reply: {e}"),
-            AdapterError::Line(e) => write!(f, "malformed line: {e}"),
-            AdapterError::Settings(reason) => f.write_str(reason),
-            AdapterError::Page(table) => write!(f, "unknown page {table}"),
-            AdapterError::Mode(mode) => write!(f, "unknown mode '{mode}'"),
-            AdapterError::StateCode(code) => write!(f, "unknown state-code '{code}'"),
-            AdapterError::Base64(e) => write!(f, "octets are not base64: {e}"),
+            AdapterError::Input(error) => write!(formatter, "cannot read standard input: {error}"),
+            AdapterError::Output(error) => {
+                write!(formatter, "cannot write to standard output: {error}")
+            }
+            AdapterError::Line(error) => write!(formatter, "malformed line: {error}"),
+            AdapterError::Settings(reason) => formatter.write_str(reason),
+            AdapterError::Page(table) => write!(
+                formatter,
+                "endpoint list {table} was not received before the event that refers to it"
+            ),
+            AdapterError::Mode(mode) => write!(
+                formatter,
+                "unknown mode '{mode}', expected 'lost', 'incr', 'total' or 'warm_copy'"
+            ),
+            AdapterError::StateCode(code) => write!(formatter, "unknown state-code '{code}'"),
+            AdapterError::Base64(error) => write!(formatter, "octets are not base64: {error}"),
         }
     }
 }
@@ -41,13 +49,13 @@
 impl std::error::Error for AdapterError {}
 
 impl From<serde_json::Error> for AdapterError {
-    fn from(e: serde_json::Error) -> AdapterError {
-        AdapterError::Line(e)
+    fn from(error: serde_json::Error) -> AdapterError {
+        AdapterError::Line(error)
     }
 }
 
 impl From<base64::DecodeError> for AdapterError {
-    fn from(e: base64::DecodeError) -> AdapterError {
-        AdapterError::Base64(e)
+    fn from(error: base64::DecodeError) -> AdapterError {
+        AdapterError::Base64(error)
     }
 }
--- a/crates/benchlink/src/events.rs
+++ b/crates/benchlink/src/events.rs
@@ -1,4 +1,4 @@
-//! The bench's events as the scheduler's.
+//! Translates the bench's events to the scheduler's.
 
 use crate::error::AdapterError;
 use crate::wire::{Entry, WireEvent};
@@ -12,10 +12,10 @@
 use gullsail_scheduler_settings::{RawSettings, hash};
 use std::collections::BTreeMap;
 
-/// Names of one instance: those of its settings, and the nodes seen so far.
+/// The names behind the ids of one instance: those of its settings, and the nodes listed so far.
 #[derive(Default)]
 pub struct Names {
-    /// Of zones, plans and request classes.
+    /// Names of zones, plans and request classes.
     pub settings: gullsail_scheduler_settings::Names,
     nodes: BTreeMap<NodeId, String>,
 }
@@ -33,7 +33,7 @@
 /// The settings are invalid.
 pub fn config(settings: &RawSettings) -> Result<(SchedulerConfig, Names), AdapterError> {
     let (config, settings) = gullsail_scheduler_settings::config(settings)
-        .map_err(|e| AdapterError::Settings(e.to_string()))?;
+        .map_err(|problem| AdapterError::Settings(problem.to_string()))?;
     Ok((
         config,
         Names {
@@ -43,10 +43,10 @@
     ))
 }
 
-/// The scheduler's event; `None`: it does not concern the scheduler.
+/// The scheduler's event; `None`: the event does not concern the scheduler.
 ///
 /// # Errors
-/// It refers to an unknown page, or holds a word or an encoding that is not understood.
+/// The event refers to an unknown endpoint list, or holds an unknown word or a malformed encoding.
 pub fn translate(
     event: WireEvent,
     names: &mut Names,
@@ -56,41 +56,16 @@
         WireEvent::Start { .. }
         | WireEvent::Page { .. }
         | WireEvent::Detach { .. }
-        | WireEvent::Unknown => {
-            return Ok(None);
-        }
+        | WireEvent::Unknown => return Ok(None),
         WireEvent::Fleet { table, mode, .. } => endpoint_list(table, &mode, names, pages)?,
-        accept @ WireEvent::Accept { .. } => {
-            return Ok(request(accept, names).map(Event::RequestArrived));
-        }
+        WireEvent::Accept { .. } => return Ok(request(event, names).map(Event::RequestArrived)),
         WireEvent::Timer { name, .. } => Event::Timer(TimerId(name)),
         WireEvent::Dropped { id, .. } => Event::ClientDisconnected(RequestId(id)),
         WireEvent::PeerMessage { src, octets, .. } => Event::PeerMessage {
             from: HostId(src),
             bytes: BASE64.decode(&octets)?,
         },
-        WireEvent::Resolved {
-            id,
-            spent,
-            attempt,
-            state_code,
-            node,
-            complete,
-            metered,
-            ..
-        } => Event::AttemptEnded(AttemptEnd {
-            id: RequestId(id),
-            attempt,
-            node: NodeId(hash(&node)),
-            outcome: outcome(&state_code)?,
-            latency: Span::from_millis(spent),
-            finished: complete,
-            used: metered
-                .checked_sub(1)
-                .map(|percent| f64::from(percent) / 100.0),
-            zone: ZoneId::default(),
-            bytes: 0.0,
-        }),
+        WireEvent::Resolved { .. } => return Ok(attempt_end(event)?.map(Event::AttemptEnded)),
         WireEvent::AckFirst {
             id, node, spent, ..
         } => Event::ResponseStarted {
@@ -127,7 +102,37 @@
     })
 }
 
-/// `None`: the event is no request.
+/// `None`: the event is not the end of an attempt.
+fn attempt_end(event: WireEvent) -> Result<Option<AttemptEnd>, AdapterError> {
+    let WireEvent::Resolved {
+        id,
+        spent,
+        attempt,
+        state_code,
+        node,
+        complete,
+        metered,
+        ..
+    } = event
+    else {
+        return Ok(None);
+    };
+    // The protocol sends one more than the percentage, so that 0 means unknown.
+    let used_percent = metered.checked_sub(1);
+    Ok(Some(AttemptEnd {
+        id: RequestId(id),
+        attempt,
+        node: NodeId(hash(&node)),
+        outcome: outcome(&state_code)?,
+        latency: Span::from_millis(spent),
+        finished: complete,
+        used: used_percent.map(|percent| f64::from(percent) / 100.0),
+        zone: ZoneId::default(),
+        bytes: 0.0,
+    }))
+}
+
+/// `None`: the event is not a request.
 fn request(event: WireEvent, names: &Names) -> Option<Request> {
     let WireEvent::Accept {
         id,
@@ -146,7 +151,7 @@
     };
     Some(Request {
         id: RequestId(id),
-        // Requests of classes and plans that the settings do not name are answered by the scheduler at once.
+        // The scheduler rejects requests of classes and plans that the settings do not name.
         request_class: names
             .settings
             .request_class(&profile)
@@ -163,7 +168,7 @@
     })
 }
 
-/// `None`: its health is an unknown word, so what was known of it stays.
+/// `None`: the node's health is an unknown word, so its last known entry stays.
 fn endpoint(entry: &Entry, names: &mut Names) -> Option<Endpoint> {
     let node = NodeId(hash(&entry.node));
     names
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,9 +1,10 @@
-//! The adapter between the bench and the scheduler: it speaks the bench's wire, lines of JSON, for many
-//! instances of the scheduler in one process. The program `gullsail-benchlink` feeds it lines; tests call it
-//! directly.
+//! Adapter between the bench, a simulator of hosts and nodes, and the scheduler. It speaks the bench's protocol,
+//! lines of JSON, for many instances of the scheduler in one process. The program `gullsail-benchlink` feeds it
+//! lines from standard input; tests call it directly.
 //!
-//! [`adapter`] owns the instances, [`wire`] the shapes of the events, [`events`] and [`actions`] translate
-//! both ways. Names in `wire` and in the strings of `actions` are the bench's own. Nothing is decided here.
+//! [`adapter`] owns the instances, [`wire`] defines the events as they are received, [`events`] translates them
+//! to the scheduler's, and [`actions`] translates the scheduler's actions back. The names in `wire` and the
+//! strings in `actions` are those of the bench's protocol.
 
 pub mod actions;
 pub mod adapter;
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,12 +1,12 @@
-//! Speaks the bench's wire on standard input and output for many instances of the scheduler.
+//! Speaks the bench's protocol on standard input and output for many instances of the scheduler.
 
 use gullsail_benchlink::adapter::Adapter;
 use gullsail_benchlink::error::AdapterError;
 use std::io::{BufRead, Write};
 
 fn main() {
-    if let Err(problem) = run() {
-        eprintln!("gullsail-benchlink: {problem}");
+    if let Err(error) = run() {
+        eprintln!("gullsail-benchlink: {error}");
         std::process::exit(2);
     }
 }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,15 +1,15 @@
-//! The shapes of the bench's events. Names are the bench's own; what a field means stands where it is
-//! translated.
+//! The bench's events as they are received. Names are those of the bench's protocol; [`events`](crate::events)
+//! translates them.
 
 use gullsail_scheduler_settings::RawSettings;
 use serde::Deserialize;
 
-/// One line: the events of one moment.
+/// One line: the events at one point in time.
 #[derive(Deserialize)]
 pub struct Batch {
     /// The time in milliseconds.
     pub t: f64,
-    /// Events in their order.
+    /// The events, in order.
     pub arrivals: Vec<WireEvent>,
 }
 
@@ -32,14 +32,14 @@
     pub online_since: f64,
 }
 
-/// An event for one instance, or for all of the process. Its fields are read in `events`.
+/// An event for one host, or for all hosts of the process.
 #[derive(Deserialize)]
 #[serde(tag = "type")]
 pub enum WireEvent {
-    /// An instance starts, with its settings.
+    /// A host starts, with its settings.
     #[serde(rename = "Born", rename_all = "kebab-case")]
     Start {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The seed of its random generator.
         rng_seed: u64,
@@ -54,9 +54,9 @@
         #[serde(default)]
         hosts: Vec<Entry>,
     },
-    /// An endpoint list for an instance, or the loss of discovery.
+    /// An endpoint list for a host, or the loss of discovery.
     Fleet {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The number of the list.
         #[serde(default)]
@@ -67,11 +67,11 @@
     /// A request.
     #[serde(rename_all = "kebab-case")]
     Accept {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The request.
         id: u64,
-        /// Its size.
+        /// Its work, in units.
         quota_units: f64,
         /// How long its client waits, in milliseconds.
         #[serde(rename = "ttl")]
@@ -97,27 +97,27 @@
     },
     /// A timer of the scheduler.
     Timer {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The timer.
         name: u64,
     },
     /// A client disconnected.
     Dropped {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The request.
         id: u64,
     },
-    /// An instance is killed.
+    /// A host is killed.
     Detach {
-        /// The instance.
+        /// The host.
         host: u64,
     },
     /// A peer message.
     #[serde(rename = "Heard")]
     PeerMessage {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The sending host.
         src: u32,
@@ -127,7 +127,7 @@
     /// An attempt ended.
     #[serde(rename_all = "kebab-case")]
     Resolved {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The request.
         id: u64,
@@ -150,7 +150,7 @@
     },
     /// A response began.
     AckFirst {
-        /// The instance.
+        /// The host.
         host: u64,
         /// The request.
         id: u64,
@@ -165,13 +165,13 @@
     Unknown,
 }
 
-/// No shard is known.
+/// The number for "no shard".
 fn no_shard() -> i64 {
     -1
 }
 
 impl WireEvent {
-    /// The instance it is for; `None`: all of the process, or unknown.
+    /// The host that the event is for; `None`: all hosts, or an unknown event.
     pub fn host(&self) -> Option<u64> {
         match *self {
             WireEvent::Start { host, .. }
--- a/crates/scheduler-api/src/action.rs
+++ b/crates/scheduler-api/src/action.rs
@@ -1,69 +1,69 @@
-//! What a host is to do: attempts, final answers, timers, messages to other hosts.
+//! The scheduler's output, which its host carries out: attempts, final answers, timers, messages to other hosts.
 
 use crate::{HostId, Instant, NodeId, RequestId, Span, TimerId, VolumeId};
 
-/// Why a budget between zones was overrun.
+/// Why a cross-zone budget was overrun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OverrunCause {
-    /// Its data lies there.
+    /// The request's data is in the other zone.
     DataPlacement,
-    /// Its own zone has no node that takes it: these drain or are gone.
+    /// No node in the host's zone takes the request: all of them drain or are gone.
     NoLocalNode,
-    /// The nodes of its own zone are silent.
+    /// The nodes in the host's zone do not answer.
     LocalNodesSilent,
-    /// A retry of something that had its first attempt elsewhere.
+    /// The attempt is a retry.
     Retry,
 }
 
-/// What a host is to do, in the order in which the scheduler says it.
+/// What a host must do. Actions are carried out in the order in which the scheduler returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to the node; without a time-out it runs until the deadline.
+    /// Send the request to the node.
     StartAttempt {
         /// The request.
         id: RequestId,
-        /// Where it goes.
+        /// The node.
         node: NodeId,
-        /// The attempt ends as timed out after this.
+        /// The attempt ends as timed out after this time; `None`: it runs until the request's deadline.
         time_out: Option<Span>,
     },
-    /// Final answer: rejected; a repeat does no harm.
+    /// Final answer: the request is rejected. A repeat by the client does no harm.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client may try again; `None`: no advice.
+        /// After what time the client may try again; `None`: the answer gives none.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed; it may have run, so nothing is said of a repeat.
+    /// Final answer: the request failed. It may have run, so a repeat may do harm.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Ask for the node list and its changes from now on.
+    /// Fetch the endpoint list and watch it for changes from now on.
     WatchEndpoints,
-    /// Report the timer when it is due.
+    /// Set a timer; [`Event::Timer`](crate::Event::Timer) reports it.
     SetTimer {
-        /// Given back with the event.
+        /// The timer, as in the event.
         id: TimerId,
         /// When it is due.
         at: Instant,
     },
-    /// This request overran a budget between zones.
+    /// A request overran a cross-zone budget. For accounting: there is nothing to do.
     BudgetOverrun {
         /// The request.
         id: RequestId,
         /// The budget, as in [`CrossZoneBudget`](crate::CrossZoneBudget).
         cross_zone_budget: VolumeId,
-        /// By so many bytes of its own.
+        /// How many of the request's bytes were over the budget.
         bytes: f64,
-        /// Why it crossed.
+        /// Why the request left its zone.
         cause: OverrunCause,
     },
-    /// At most 256 bytes to one host.
+    /// Send a message of at most 256 bytes to another host.
     SendToPeer {
         /// The receiver.
         to: HostId,
-        /// See [`demand_report`](crate::demand_report).
+        /// The message, as in [`demand_report`](crate::demand_report).
         bytes: Vec<u8>,
     },
 }
--- a/crates/scheduler-api/src/config.rs
+++ b/crates/scheduler-api/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::{HostId, PlanId, Span, VolumeId, ZoneId};
 
-/// Which nodes recognise the repeat of a keyed request.
+/// Which nodes recognise the repeat of a request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All nodes.
@@ -13,117 +13,119 @@
     Shard,
 }
 
-/// May a request run again?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// It may run any number of times.
     Idempotent,
-    /// Where its key is known: nodes recognise a repeat.
+    /// It may be sent again to nodes that know its idempotency key: they recognise the repeat.
     WithKey {
         /// The nodes that share their knowledge of keys.
         scope: IdempotencyScope,
-        /// How long they keep it.
+        /// How long they keep a key.
         window: Span,
     },
-    /// Only if it is certain that it did not run.
+    /// It may be sent again only if it is certain that it did not run.
     NonIdempotent,
 }
 
 /// What requests of one class have in common.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// May its requests run again?
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// An answer within this counts in full.
+    /// An answer within this time has its full value.
     pub latency_objective: Span,
-    /// What a unit answered in time is worth against other classes.
+    /// Value of a unit answered in time, relative to other classes.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer after the latency objective still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still has.
     pub late_weight: f64,
-    /// Its requests that share an object run one at a time.
+    /// Its requests on one object run one at a time, in order of arrival.
     pub in_order: bool,
 }
 
-/// What a volume was promised; per second and in units, over all hosts.
+/// What a volume was promised, over all hosts. Rates are in units a second.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// `None`: passes without a limit.
+    /// The most that it may be sent; `None`: no limit.
     pub limit: Option<Limit>,
-    /// What it can count on, however much others ask for.
+    /// The rate that it gets however much other volumes ask for.
     pub reserve: f64,
-    /// What such a volume is sized for.
+    /// The rate that it is expected to need.
     pub nominal_rate: f64,
-    /// Its share of what is left beyond the reserves, against other plans.
+    /// Its weight, relative to other plans, in sharing what is left beyond the reserves.
     pub weight: f64,
-    /// A factor on the priority weight of its requests.
+    /// Factor on the priority weight of its requests.
     pub price: f64,
 }
 
-/// A token bucket's measures, in units or in bytes.
+/// The rate and the burst of a token bucket, in units or in bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// A second.
+    /// Tokens a second.
     pub rate: f64,
-    /// The most that it holds.
+    /// The most tokens that the bucket holds.
     pub burst: f64,
 }
 
-/// A budget of bytes that go from zone to zone, over all hosts together.
+/// A cross-zone budget: a limit on the bytes sent between zones, over all hosts together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CrossZoneBudget {
-    /// As hosts name it to each other.
+    /// Its id in messages between hosts.
     pub id: VolumeId,
-    /// What counts against it.
+    /// The traffic that counts against it.
     pub of: BudgetScope,
-    /// In bytes.
+    /// Rate and burst, in bytes.
     pub limit: Limit,
-    /// What has a choice never goes past it; else it may where its own zone has no node for it.
+    /// A new object never overruns it. A soft budget may be overrun where the host's zone has no node for the
+    /// object.
     pub hard: bool,
-    /// How many hosts share it; 0: not this one.
+    /// How many hosts share it; 0: this host has no share.
     pub hosts: u32,
 }
 
-/// What counts against a budget between zones.
+/// The traffic that counts against a cross-zone budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetScope {
-    /// From, to.
+    /// All traffic from the first zone to the second.
     ZonePair(ZoneId, ZoneId),
-    /// All that crosses for the volumes of a plan.
+    /// All traffic between zones for the volumes of a plan.
     Plan(PlanId),
 }
 
-/// How many attempts beyond each request's first a host may send within `window`.
+/// How many retries a host may send within a window: a fixed number, and a fraction of its requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// So many in any case,
+    /// Retries that are always allowed.
     pub free: f64,
-    /// and this part of the requests accepted in the window.
+    /// Retries allowed for each request that arrived in the window.
     pub share: f64,
-    /// Over which both are counted.
+    /// The time over which retries and requests are counted.
     pub window: Span,
 }
 
 /// What bounds the work sent to a node that has just started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Units that it bears within `window`, from all hosts together.
+    /// Units that it can serve within `window` at its start, from all hosts together.
     pub units: f64,
     /// The time over which the units are counted.
     pub window: Span,
-    /// It starts with this part of its capacity or more,
+    /// Fraction of its capacity that it has at least when it starts.
     pub initial_fraction: f64,
-    /// and has all of it, no slower than evenly, after this.
+    /// Time after which it has its full capacity; until then capacity grows at least linearly.
     pub ramp: Span,
 }
 
-/// What a host's scheduler is given at its start.
+/// The configuration of a host's scheduler. It is one flat struct because it is made in one place from the
+/// operators' settings and read-only afterwards, but for [`SchedulerConfig::apply_change`].
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
     /// This host.
     pub me: HostId,
     /// How many hosts there are, running or not.
     pub hosts: u32,
-    /// How late a timer may fire: final answers are given two of these before the deadline.
+    /// How late a timer may fire. Final answers are given two ticks before the client's deadline.
     pub tick: Span,
     /// By [`RequestClassId`](crate::RequestClassId).
     pub request_classes: Vec<RequestClass>,
@@ -131,43 +133,44 @@
     pub plans: Vec<Plan>,
     /// What bounds the work sent to a node that has just started.
     pub slow_start: SlowStart,
-    /// This host's part of what a node bears while it warms up, where hosts settle it; `None`: an even one.
+    /// This host's fraction of the slow-start budget, where the fleet assigns it; `None`: an even share.
     pub slow_start_share: Option<f64>,
-    /// Between two attempts of this host to a node of which nothing comes: its part of what all hosts may ask
-    /// it so; zero: as it sees fit.
+    /// Shortest interval between two attempts of this host to a node that does not answer, so that all hosts
+    /// together do not probe it too often; zero: no fleet-wide limit.
     pub probe_interval: Span,
     /// `None`: retries are not limited over all requests.
     pub retry_budget: Option<RetryBudget>,
-    /// So much later than it was asked for an attempt may go out, while it waits for its connection.
+    /// How long an attempt may wait for its connection before it goes out.
     pub connect_wait: Span,
-    /// So long an object rests after an attempt that may still run.
+    /// How long the next request on an object waits after an attempt that may still run.
     pub order_settle: Span,
-    /// Of one request, the first included.
+    /// Attempts for one request, the first included.
     pub max_attempts: u32,
     /// The most units that one request has.
     pub max_units: f64,
-    /// The part of the priority weight that units beyond the reserve still earn,
+    /// Fraction of the priority weight that units beyond the reserve have, within the fair share.
     pub within_share_value: f64,
-    /// and that units beyond the weighted share still earn.
+    /// Fraction of the priority weight that units beyond the fair share have.
     pub beyond_share_value: f64,
-    /// The longest wait that a rejection may advise; `None`: no advice reaches clients.
+    /// The longest wait that a rejection tells the client; `None`: it tells none.
     pub max_retry_after: Option<Span>,
-    /// Whether hosts can send each other demand reports.
+    /// Whether hosts can send each other messages.
     pub peer_messages_enabled: bool,
-    /// The node list answers only when asked.
+    /// The endpoint list must be fetched; otherwise its updates come unasked.
     pub poll_endpoints: bool,
-    /// Then it is asked for again at the latest after this; else what it held counts as told.
+    /// Longest interval between polls of the endpoint list. A host that polls less often is taken as informed
+    /// of what it missed.
     pub poll_within: Option<Span>,
-    /// Where this host is; `None`: zones count for nothing.
+    /// The zone of this host; `None`: zones are not taken into account.
     pub zone: Option<ZoneId>,
-    /// All of them, also those that this host has no share of.
+    /// All cross-zone budgets, also those of which this host has no share.
     pub cross_zone_budgets: Vec<CrossZoneBudget>,
     /// The most bytes that one request sends.
     pub max_bytes: f64,
 }
 
 impl SchedulerConfig {
-    /// Units that a node that warms up bears from this host in any case, within the rule's window.
+    /// Units that this host may send to a node within the slow-start window when the node has just started.
     pub fn slow_start_units_per_host(&self) -> f64 {
         match self.slow_start_share {
             Some(part) => self.slow_start.units * part,
@@ -175,7 +178,7 @@
         }
     }
 
-    /// What changes while serving.
+    /// Replaces what may change while the host serves requests.
     pub fn apply_change(
         &mut self,
         plans: Vec<Plan>,
@@ -192,10 +195,10 @@
     }
 }
 
-/// The hosts among which work is shared, where they settle that while they serve.
+/// This host's part among the hosts of a fleet, where the fleet assigns it at run time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetMembership {
-    /// Those that there are, running or not.
+    /// How many hosts there are, running or not.
     pub hosts: u32,
     /// As in [`SchedulerConfig`].
     pub slow_start_share: Option<f64>,
@@ -203,15 +206,15 @@
     pub probe_interval: Span,
 }
 
-/// What a host may do for a volume from now on.
+/// What this host may send for a volume from now on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VolumeAllocation {
     /// The volume.
     pub volume: VolumeId,
-    /// The plan that it has from now on.
+    /// The plan of the volume from now on.
     pub plan: PlanId,
-    /// Through how many hosts its requests come; 0: no longer through this one.
+    /// How many hosts serve the volume; 0: this host no longer does.
     pub hosts: u32,
-    /// This host's part of the limit, where it is not an even one.
+    /// This host's share of the limit, where it is not an even one.
     pub part: Option<Limit>,
 }
--- a/crates/scheduler-api/src/demand_report.rs
+++ b/crates/scheduler-api/src/demand_report.rs
@@ -1,6 +1,7 @@
-//! What hosts send each other about volumes, in messages of at most 256 bytes: a tag and a kind; then, for a
-//! demand report, when it was made and twelve bytes for each volume, or ten bytes for each of a volume's
-//! hosts. Packed and read by the scheduler alone; hosts carry the bytes and shift the time of a report.
+//! Messages between hosts about volumes, of at most 256 bytes each. A message has a tag byte and a kind byte.
+//! A demand report then has its time and twelve bytes for each volume; a search has six bytes for each volume;
+//! a list of users has ten bytes for each of a volume's hosts. Only schedulers pack and unpack messages; hosts
+//! carry the bytes and move the time of a report to the receiver's clock.
 
 use crate::{HostId, Instant, Span, VolumeId};
 
@@ -9,15 +10,15 @@
 pub struct VolumeDemand {
     /// The volume, as [`carried`].
     pub volume: VolumeId,
-    /// Units asked for a second at the sender.
+    /// Demand at the sender, in units a second.
     pub demand: f64,
-    /// Tokens that the sender asks for.
+    /// Tokens that the sender wants to borrow.
     pub wanted: f64,
     /// Tokens that the sender lends with this message.
     pub lent: f64,
 }
 
-/// A host through which requests of a volume come.
+/// A host that serves a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeUser {
     /// The volume, as [`carried`].
@@ -26,39 +27,43 @@
     pub host: HostId,
 }
 
-/// What a message between hosts holds.
+/// A message between hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
     /// A demand report.
     Report {
-        /// On the sender's clock, which is the fleet's.
+        /// When it was made, on the hosts' common clock.
         made_at: Instant,
-        /// The volumes it is about.
+        /// The demand for each volume.
         volumes: Vec<VolumeDemand>,
     },
     /// A search for the other hosts of these volumes.
     Search(Vec<VolumeId>),
-    /// Hosts that use volumes.
+    /// Hosts that serve volumes: the answer to a search.
     Users(Vec<VolumeUser>),
 }
 
+/// First byte of each message. Anything else was not sent by a scheduler.
 const TAG: u8 = 0x67;
 const REPORT: u8 = 2;
 const SEARCH: u8 = 3;
 const USERS: u8 = 4;
-/// Bytes of a volume's id that travel.
+/// Bytes of a volume's id in a message.
 const ID_BYTES: usize = 6;
+/// Bytes for one volume of a demand report: its id and three figures of two bytes.
 const DEMAND_BYTES: usize = 12;
+/// Bytes for one host in a list of users: the volume's id and the host's number of four bytes.
 const USER_BYTES: usize = 10;
-/// How many users one message holds.
+/// How many users fit into one message of 256 bytes.
 pub const USERS_PER_MESSAGE: usize = (256 - 2) / USER_BYTES;
 
-/// A volume's id as it travels: its low six bytes.
+/// A volume's id as messages carry it: its low six bytes.
 pub fn carried(volume: VolumeId) -> VolumeId {
     VolumeId(volume.0 & 0xffff_ffff_ffff)
 }
 
-/// A figure as the receiver will read it: two bytes, rounded down.
+/// A figure as the receiver will read it: encoded in two bytes, rounded down. A lender takes away exactly what
+/// the borrower will add.
 pub fn rounded(figure: f64) -> f64 {
     unpack_figure(pack_figure(figure))
 }
@@ -104,7 +109,7 @@
     bytes
 }
 
-/// Reads a message. `None`: cut off or foreign.
+/// Reads a message; `None`: it is cut off, or was not sent by a scheduler.
 pub fn unpack(bytes: &[u8]) -> Option<PeerMessage> {
     match bytes {
         [TAG, REPORT, body @ ..] => {
@@ -163,8 +168,8 @@
     })
 }
 
-/// The same message, with the time of a demand report moved by `by`: from the sender's clock to the
-/// receiver's. What is no demand report, or cut off, comes back as it is.
+/// The same message with the time of a demand report moved by `by`, from the sender's clock to the receiver's.
+/// A message that is cut off, or is no demand report, is returned unchanged.
 pub fn moved(bytes: &[u8], by: Span) -> Vec<u8> {
     let mut moved = bytes.to_vec();
     if let (true, Some(made_at)) = (bytes.starts_with(&[TAG, REPORT]), moved.get_mut(2..10)) {
--- a/crates/scheduler-api/src/endpoint.rs
+++ b/crates/scheduler-api/src/endpoint.rs
@@ -1,16 +1,16 @@
-//! Storage nodes as the endpoint list has them, and the updates of that list.
+//! Entries of the endpoint list, one for each storage node, and the kinds of its updates.
 
 use crate::{Instant, NodeId, PoolId, ShardId, ZoneId};
 
-/// In the order in which a node goes through them: only a newer start leads back.
+/// State of a node. A node goes through the states in their order; only a newer start leads back to ready.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointState {
+    /// The node takes requests.
     #[default]
-    /// It takes requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The node finishes the requests it has and takes no new ones.
     Draining,
-    /// It is no longer there.
+    /// The node no longer exists.
     Gone,
 }
 
@@ -19,27 +19,27 @@
 pub struct Endpoint {
     /// The node.
     pub node: NodeId,
-    /// The data that it holds.
+    /// The shard of the data that the node holds.
     pub shard: ShardId,
-    /// Where it is.
+    /// The zone of the node.
     pub zone: ZoneId,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// When it last started, if that is known.
+    /// When the node last started, if that is known.
     pub started: Option<Instant>,
-    /// Those it is in beside that of all nodes.
+    /// The pools of the node, beside the pool of all nodes.
     pub pools: Vec<PoolId>,
 }
 
-/// What an update of the endpoint list holds.
+/// How the entries of an update of the endpoint list are to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Entries that changed.
+    /// The entries that changed.
     Delta,
-    /// The whole list; who is not in it is gone.
+    /// The complete list; nodes that are not in it are gone.
     Snapshot,
-    /// The whole list as it was last seen, perhaps long ago.
+    /// The complete list as it was last seen, perhaps long ago.
     StaleSnapshot,
-    /// What these nodes reported of themselves: their starts are certain, whatever was supposed.
+    /// Entries that the nodes reported themselves: their start times replace any that were assumed.
     SelfReported,
 }
--- a/crates/scheduler-api/src/event.rs
+++ b/crates/scheduler-api/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a host: requests, ends of attempts, changes of the list and of the configuration.
+//! The scheduler's input: requests, ends of attempts, updates of the endpoint list and of the configuration.
 
 use crate::{
     CrossZoneBudget, Endpoint, FleetMembership, HostId, NodeId, ObjectId, Plan, PlanId, PoolId,
@@ -11,25 +11,25 @@
 pub struct Request {
     /// Unique within one incarnation of the host.
     pub id: RequestId,
-    /// What it has in common with others.
+    /// Its request class.
     pub request_class: RequestClassId,
     /// The plan of its volume.
     pub plan: PlanId,
-    /// What its units count against.
+    /// Its volume, against whose limit its units count.
     pub volume: VolumeId,
-    /// The work that it is.
+    /// The work it causes, in units.
     pub units: f64,
-    /// What an attempt of it sends.
+    /// Bytes that an attempt sends.
     pub bytes: f64,
-    /// Where the data lies; `None`: a new object.
+    /// The shard of its data; `None`: a new object, which may go to any shard.
     pub shard: Option<ShardId>,
-    /// The piece of data, for classes that keep order.
+    /// Its object, for classes that keep the order of requests on one object.
     pub object: Option<ObjectId>,
-    /// Of a new object: where it may lie.
+    /// For a new object, the pool of nodes that may hold it.
     pub pool: PoolId,
-    /// How long until the client drops this try.
+    /// How long the client waits for the answer.
     pub timeout: Span,
-    /// Through how many hosts the volume's requests come.
+    /// How many hosts serve the volume; 0: unknown.
     pub volume_hosts: u32,
 }
 
@@ -40,28 +40,28 @@
     Succeeded,
     /// The node answered with an error.
     Failed,
-    /// Turned away unseen: it never ran.
+    /// The node rejected it: it never ran.
     Rejected,
-    /// No connection: it never ran.
+    /// There was no connection: it never ran.
     Unreachable,
-    /// Never went out.
+    /// The host did not send it: it never ran.
     NotSent,
-    /// No answer in time.
+    /// No answer came in time.
     TimedOut,
     /// The connection broke.
     ConnectionLost,
-    /// This host broke it off.
+    /// The host cancelled it.
     Cancelled,
 }
 
 impl AttemptOutcome {
-    /// The node may still work on it.
+    /// The node may still work on the attempt.
     pub fn may_still_run(self) -> bool {
         use AttemptOutcome::{Cancelled, ConnectionLost, TimedOut};
         matches!(self, TimedOut | ConnectionLost | Cancelled)
     }
 
-    /// It is certain that the node did nothing for it.
+    /// It is certain that the node did no work for the attempt.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -70,75 +70,77 @@
     }
 }
 
-/// What came of an attempt.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts, from 0.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u32,
-    /// Where it went.
+    /// The node that it was sent to.
     pub node: NodeId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// From when it was sent.
+    /// The latency. A host with sockets counts it from when the attempt was sent; on the platform it counts
+    /// from the scheduler's decision, with the wait for the connection.
     pub latency: Span,
-    /// The client has its final answer.
+    /// Whether the client has its final answer.
     pub finished: bool,
-    /// What the volume was served through all hosts in some finished period, as a part of its usual rate.
+    /// Usage of the volume over all hosts in a finished period, as a fraction of its nominal rate, if the node
+    /// reported it.
     pub used: Option<f64>,
-    /// Where the node is.
+    /// The zone of the node.
     pub zone: ZoneId,
-    /// What it sent back.
+    /// Bytes that the node sent back.
     pub bytes: f64,
 }
 
-/// What happened since the last step.
+/// Something that happened since the last step.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or changes of it.
+    /// An update of the endpoint list.
     EndpointList {
         /// How the entries are to be read.
         update_kind: UpdateKind,
-        /// In the order in which they were received.
+        /// The entries, in the order in which they were received.
         entries: Vec<Endpoint>,
     },
-    /// A call for the list failed, or the watch broke.
+    /// The endpoint list could not be fetched, or the watch broke.
     EndpointListLost,
-    /// A client's request. It gets at most one final answer.
+    /// A client sent a request. It gets at most one final answer.
     RequestArrived(Request),
-    /// All plans as they are from now on, and of every volume whose allocations this changes the new ones.
-    /// Places of plans may be other than before, so a volume that was served must be among these then.
+    /// The configuration changed. If the positions of plans change, every volume that was served must have an
+    /// allocation in the event.
     ConfigChanged {
-        /// All of them, by [`PlanId`](crate::PlanId).
+        /// All plans from now on, by [`PlanId`](crate::PlanId).
         plans: Vec<Plan>,
-        /// Of the volumes that change.
+        /// The allocations of the volumes that change.
         allocations: Vec<VolumeAllocation>,
-        /// All of them.
+        /// All cross-zone budgets from now on.
         cross_zone_budgets: Vec<CrossZoneBudget>,
-        /// `None`: as before.
+        /// The fleet membership from now on; `None`: as before.
         fleet_membership: Option<FleetMembership>,
     },
     /// A timer is due.
     Timer(TimerId),
-    /// The client is gone: it needs no answer any more.
+    /// The client disconnected: it needs no answer any more.
     ClientDisconnected(RequestId),
     /// Another host sent a message.
     PeerMessage {
         /// The sender.
         from: HostId,
-        /// See [`demand_report`](crate::demand_report).
+        /// The message, as in [`demand_report`](crate::demand_report).
         bytes: Vec<u8>,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client gets the beginning of a streamed answer: it is owed no other.
+    /// The client receives the beginning of a streamed answer: it must get no other.
     ResponseStarted {
         /// The request.
         id: RequestId,
         /// The node that answers.
         node: NodeId,
-        /// From when the attempt was sent.
+        /// The latency, counted as in [`AttemptEnd`].
         latency: Span,
     },
 }
--- a/crates/scheduler-api/src/lib.rs
+++ b/crates/scheduler-api/src/lib.rs
@@ -1,7 +1,8 @@
-//! The interface of gullsail's scheduler: events in, actions out, the ids that both name, points in time, and
-//! the configuration that is given at the start. Nothing is decided here, and nothing is read from outside.
+//! The interface of gullsail's scheduler: events in, actions out, the ids in both, points in time, and the
+//! configuration. The crate holds data types only and decides nothing.
 //!
-//! Read `event` and `action` first, then `config`; [`demand_report`] is what hosts send each other.
+//! Read [`Event`] and [`Action`] first, then [`SchedulerConfig`]; [`demand_report`] has the messages between
+//! hosts.
 
 mod action;
 mod config;
--- a/crates/scheduler-api/src/time.rs
+++ b/crates/scheduler-api/src/time.rs
@@ -1,5 +1,5 @@
-//! Points in time and lengths of time, in whole microseconds. The scheduler reads no clock: the caller passes
-//! the time in.
+//! Points in time and durations, in whole microseconds. The scheduler reads no clock: the caller passes the
+//! time in.
 
 use std::ops::{Add, Sub};
 
@@ -7,54 +7,54 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(i64);
 
-/// A length of time in microseconds; never mixes with [`Instant`].
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
 impl Instant {
-    /// So many microseconds after the clock's zero.
+    /// The point in time so many microseconds after the clock's zero.
     pub const fn from_micros(us: i64) -> Self {
         Instant(us)
     }
-    /// So many milliseconds after the clock's zero, to the microsecond.
+    /// The point in time so many milliseconds after the clock's zero, rounded to a microsecond.
     pub fn from_millis(ms: f64) -> Self {
         Instant((ms * 1e3).round() as i64)
     }
-    /// In microseconds since the clock's zero.
+    /// Microseconds since the clock's zero.
     pub const fn micros(self) -> i64 {
         self.0
     }
-    /// In milliseconds since the clock's zero.
+    /// Milliseconds since the clock's zero.
     pub fn millis(self) -> f64 {
         self.0 as f64 / 1e3
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The zero duration.
     pub const ZERO: Span = Span(0);
 
-    /// So many microseconds.
+    /// A duration of so many microseconds.
     pub const fn from_micros(us: i64) -> Self {
         Span(us)
     }
-    /// So many milliseconds, to the microsecond.
+    /// A duration of so many milliseconds, rounded to a microsecond.
     pub fn from_millis(ms: f64) -> Self {
         Span((ms * 1e3).round() as i64)
     }
-    /// In microseconds.
+    /// The duration in microseconds.
     pub const fn micros(self) -> i64 {
         self.0
     }
-    /// In milliseconds.
+    /// The duration in milliseconds.
     pub fn millis(self) -> f64 {
         self.0 as f64 / 1e3
     }
-    /// In seconds.
+    /// The duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// So many times as long, to the microsecond.
+    /// The duration times a factor, rounded to a microsecond.
     pub fn times(self, by: f64) -> Self {
         Span((self.0 as f64 * by).round() as i64)
     }
--- a/crates/scheduler-settings/src/lib.rs
+++ b/crates/scheduler-settings/src/lib.rs
@@ -1,7 +1,9 @@
-//! The operators' settings, as they stand in the simulator's first message and in a host's configuration,
-//! made into [`SchedulerConfig`]. Both routes come through here, so both give the scheduler the same. Read
-//! [`config`] for what becomes of the settings, [`Names`] for what stands behind the numbers, `validation`
-//! for settings that contradict each other. Keys that are not known are skipped.
+//! Translates the operators' settings into [`SchedulerConfig`]. The settings come with the simulator's first
+//! message and in a host's configuration file; both use this crate, so equal settings give equal
+//! configurations. Unknown keys are ignored.
+//!
+//! [`config`] makes the configuration, [`Names`] has the names behind its ids, and `validation` finds settings
+//! that contradict each other.
 
 mod names;
 mod raw;
@@ -12,33 +14,25 @@
     SlowStart, Span,
 };
 pub use names::{Names, Problem, hash};
-use raw::{Policy, Profile, Rules};
+use raw::{Limits, Policy, Profile, Rules};
 pub use raw::{RawSettings, Reach};
 pub use validation::Contradiction;
 
-/// The configuration of a scheduler, and the names behind its numbers.
+/// The configuration of a scheduler, and the names behind its ids.
 ///
 /// # Errors
-/// A setting has a word that is not known.
+/// A setting has an unknown word.
 pub fn config(raw: &RawSettings) -> Result<(SchedulerConfig, Names), Problem> {
+    let request_classes = raw.profiles.iter().map(request_class);
     let config = SchedulerConfig {
         slow_start_share: None,
         probe_interval: Span::ZERO,
         me: HostId(raw.rank),
         hosts: raw.peers_total,
         tick: Span::from_millis(raw.tick),
-        request_classes: raw
-            .profiles
-            .iter()
-            .map(request_class)
-            .collect::<Result<_, _>>()?,
+        request_classes: request_classes.collect::<Result<_, _>>()?,
         plans: plans(&raw.policies),
-        slow_start: SlowStart {
-            units: raw.family_info.cold_units,
-            window: Span::from_millis(raw.rules.overload_for),
-            initial_fraction: raw.rules.start_capacity,
-            ramp: Span::from_millis(raw.rules.ramp_time),
-        },
+        slow_start: slow_start(raw),
         retry_budget: retry_budget(&raw.rules),
         connect_wait: Span::ZERO,
         order_settle: Span::from_millis(raw.rules.order_settle),
@@ -46,10 +40,7 @@
         max_units: raw.family_info.max_units,
         within_share_value: raw.family_info.within_share,
         beyond_share_value: raw.family_info.idle_worth,
-        max_retry_after: raw
-            .limits
-            .retry_after
-            .then_some(Span::from_millis(raw.limits.max_retry_after)),
+        max_retry_after: max_retry_after(&raw.limits),
         peer_messages_enabled: raw.limits.peer_messages,
         poll_endpoints: raw.membership_mode == "ask",
         poll_within: raw.rules.must_ask_in.map(Span::from_millis),
@@ -57,23 +48,35 @@
         cross_zone_budgets: Vec::new(),
         max_bytes: 0.0,
     };
-    let names = Names {
+    Ok((config, names(raw)))
+}
+
+fn names(raw: &RawSettings) -> Names {
+    let plans = raw.policies.iter().map(|policy| policy.name.clone());
+    let request_classes = raw.profiles.iter().map(|profile| profile.name.clone());
+    Names {
         zones: raw.failure_domains.clone(),
-        plans: raw
-            .policies
-            .iter()
-            .map(|policy| policy.name.clone())
-            .collect(),
-        request_classes: raw
-            .profiles
-            .iter()
-            .map(|profile| profile.name.clone())
-            .collect(),
-    };
-    Ok((config, names))
+        plans: plans.collect(),
+        request_classes: request_classes.collect(),
+    }
+}
+
+fn slow_start(raw: &RawSettings) -> SlowStart {
+    SlowStart {
+        units: raw.family_info.cold_units,
+        window: Span::from_millis(raw.rules.overload_for),
+        initial_fraction: raw.rules.start_capacity,
+        ramp: Span::from_millis(raw.rules.ramp_time),
+    }
 }
 
-/// Where the settings have no plans, one that has neither limit nor reserve.
+fn max_retry_after(limits: &Limits) -> Option<Span> {
+    limits
+        .retry_after
+        .then(|| Span::from_millis(limits.max_retry_after))
+}
+
+/// The plans of the settings. If there are none, all volumes have one plan without limit and reserve.
 fn plans(policies: &[Policy]) -> Vec<Plan> {
     if policies.is_empty() {
         return vec![Plan {
@@ -106,26 +109,32 @@
 }
 
 fn request_class(profile: &Profile) -> Result<RequestClass, Problem> {
-    let group = || match profile.group.as_str() {
-        "all" => Ok(IdempotencyScope::All),
-        "zone" => Ok(IdempotencyScope::Zone),
-        "cell" => Ok(IdempotencyScope::Shard),
-        other => Err(Problem::unknown("group", other)),
-    };
-    let idempotency = match profile.idempotency.as_str() {
-        "pure" => Idempotency::Idempotent,
-        "token" => Idempotency::WithKey {
-            scope: group()?,
-            window: Span::from_millis(profile.window),
-        },
-        "side_effect" => Idempotency::NonIdempotent,
-        other => return Err(Problem::unknown("effect", other)),
-    };
     Ok(RequestClass {
-        idempotency,
+        idempotency: idempotency(profile)?,
         latency_objective: Span::from_millis(profile.objective),
         priority_weight: profile.worth,
         late_weight: profile.late_value,
         in_order: profile.serial_by_key,
     })
 }
+
+fn idempotency(profile: &Profile) -> Result<Idempotency, Problem> {
+    match profile.idempotency.as_str() {
+        "pure" => Ok(Idempotency::Idempotent),
+        "token" => Ok(Idempotency::WithKey {
+            scope: idempotency_scope(profile)?,
+            window: Span::from_millis(profile.window),
+        }),
+        "side_effect" => Ok(Idempotency::NonIdempotent),
+        other => Err(Problem::unknown("effect", other)),
+    }
+}
+
+fn idempotency_scope(profile: &Profile) -> Result<IdempotencyScope, Problem> {
+    match profile.group.as_str() {
+        "all" => Ok(IdempotencyScope::All),
+        "zone" => Ok(IdempotencyScope::Zone),
+        "cell" => Ok(IdempotencyScope::Shard),
+        other => Err(Problem::unknown("group", other)),
+    }
+}
--- a/crates/scheduler-settings/src/names.rs
+++ b/crates/scheduler-settings/src/names.rs
@@ -1,10 +1,10 @@
-//! Names and numbers: what the settings call zones, plans and request classes, and the hash that gives other
-//! things their numbers.
+//! Names and ids: the names of zones, plans and request classes in the settings, and the hash that makes ids of
+//! other names.
 
 use gullsail_scheduler_api::{PlanId, RequestClassId, ZoneId};
 use std::hash::Hasher;
 
-/// A setting whose word is not known.
+/// A name or word that the settings do not define.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {what} '{found}'")]
 pub struct Problem {
@@ -13,7 +13,7 @@
 }
 
 impl Problem {
-    /// Such a word, cut to a length that fits into a message.
+    /// An unknown word `found` for `what`, cut to a length that fits into a log line.
     pub fn unknown(what: &'static str, found: &str) -> Problem {
         Problem {
             what,
@@ -22,59 +22,61 @@
     }
 }
 
-/// The names of one host's settings, in the order of their numbers.
+/// Set in the id of each zone that the settings do not name: the highest bit, so that the id is no position.
+const UNKNOWN_ZONE: usize = 1 << (usize::BITS - 1);
+
+/// The names in one host's settings, in the order of their ids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// By `ZoneId`.
+    /// Zones, by `ZoneId`.
     pub zones: Vec<String>,
-    /// By `PlanId`.
+    /// Plans, by `PlanId`.
     pub plans: Vec<String>,
-    /// By `RequestClassId`.
+    /// Request classes, by `RequestClassId`.
     pub request_classes: Vec<String>,
 }
 
 impl Names {
-    /// The plan of a name. Where the settings have no plans, any name is the one that has neither limit nor
+    /// The id of a plan. If the settings have no plans, every name stands for the one plan without limit and
     /// reserve.
     ///
     /// # Errors
-    /// No plan is called so.
+    /// The settings have plans, but none of this name.
     pub fn plan(&self, name: &str) -> Result<PlanId, Problem> {
         if self.plans.is_empty() {
             return Ok(PlanId(0));
         }
-        place(&self.plans, name)
+        position(&self.plans, name)
             .map(PlanId)
             .ok_or_else(|| Problem::unknown("plan", name))
     }
 
-    /// The request class of a name.
+    /// The id of a request class.
     ///
     /// # Errors
-    /// No request class is called so.
+    /// The settings have no request class of this name.
     pub fn request_class(&self, name: &str) -> Result<RequestClassId, Problem> {
-        place(&self.request_classes, name)
+        position(&self.request_classes, name)
             .map(RequestClassId)
-            .ok_or_else(|| Problem::unknown("stream type", name))
+            .ok_or_else(|| Problem::unknown("request class", name))
     }
 
-    /// The zone of a name. A zone that no settings name is none of theirs, and not that of another such name:
-    /// nodes of two of them must not be taken for one group that knows a keyed request's repeats.
+    /// The id of a zone. A zone that the settings do not name gets an id of its own, above all positions: the
+    /// nodes of two such zones must not pass for one zone, whose nodes share their knowledge of idempotency
+    /// keys.
     pub fn zone(&self, name: &str) -> ZoneId {
-        ZoneId(
-            place(&self.zones, name)
-                .unwrap_or_else(|| hash(name) as usize | 1 << (usize::BITS - 1)),
-        )
+        let unknown = || hash(name) as usize | UNKNOWN_ZONE;
+        ZoneId(position(&self.zones, name).unwrap_or_else(unknown))
     }
 }
 
-fn place(list: &[String], name: &str) -> Option<usize> {
-    list.iter().position(|n| n == name)
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
 }
 
-/// Ids must be the same at every host and in every process, so they are hashes of the names.
+/// The id for a name. Ids are hashes because they must be the same at every host and in every process.
 pub fn hash(name: &str) -> u64 {
-    let mut h = fnv::FnvHasher::default();
-    h.write(name.as_bytes());
-    h.finish()
+    let mut hasher = fnv::FnvHasher::default();
+    hasher.write(name.as_bytes());
+    hasher.finish()
 }
--- a/crates/scheduler-settings/src/raw.rs
+++ b/crates/scheduler-settings/src/raw.rs
@@ -1,9 +1,10 @@
-//! The settings as they are read, by the operators' keys, and what the sockets of a host need of them.
+//! The settings as they are read, with the operators' keys, and the part that a host with sockets needs.
 
 use gullsail_scheduler_api::Span;
 use serde::Deserialize;
 
-/// The settings of one host, by the names that the operators state them under. Times in milliseconds.
+/// The settings of one host, under the operators' keys. Times are in milliseconds. The struct has a field for
+/// each key of the operators' document, so it is as wide as that document.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RawSettings {
@@ -19,7 +20,7 @@
     pub(crate) profiles: Vec<Profile>,
     pub(crate) rank: u32,
     pub(crate) rules: Rules,
-    /// The tiers' names, and which of them is this host's.
+    /// The names of the tiers; `tier` is the position of this host's.
     #[serde(default)]
     pub(crate) stages: Vec<String>,
     #[serde(default)]
@@ -37,7 +38,7 @@
     pub(crate) within_share: f64,
     pub(crate) idle_worth: f64,
     pub(crate) slots_total: i64,
-    /// Of each request class: does it write?
+    /// For each request class, whether its requests write.
     pub(crate) writes: Vec<bool>,
 }
 
@@ -45,9 +46,9 @@
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Limits {
     pub(crate) max_attempts: u32,
-    #[serde(default = "quarter_second")]
+    #[serde(default = "default_connect_timeout")]
     pub(crate) connect_timeout: f64,
-    #[serde(default = "half_minute")]
+    #[serde(default = "default_keepalive")]
     pub(crate) keepalive: f64,
     #[serde(default)]
     pub(crate) max_retry_after: f64,
@@ -71,19 +72,22 @@
     pub(crate) reserve: f64,
     #[serde(default)]
     pub(crate) nominal: f64,
-    #[serde(default = "whole")]
+    #[serde(default = "one")]
     pub(crate) value_factor: f64,
 }
 
-fn whole() -> f64 {
+/// A factor that changes nothing.
+fn one() -> f64 {
     1.0
 }
 
-fn quarter_second() -> f64 {
+/// Milliseconds after which a connection attempt is given up, if the settings do not say.
+fn default_connect_timeout() -> f64 {
     250.0
 }
 
-fn half_minute() -> f64 {
+/// Milliseconds for which idle connections are kept, if the settings do not say.
+fn default_keepalive() -> f64 {
     30_000.0
 }
 
@@ -93,7 +97,7 @@
     pub(crate) name: String,
     #[serde(rename = "effect")]
     pub(crate) idempotency: String,
-    /// A request's own deadline is what decides; this is the longest.
+    /// The longest timeout of a request. Each request states its own.
     pub(crate) give_up: f64,
     pub(crate) objective: f64,
     #[serde(default)]
@@ -102,7 +106,7 @@
     pub(crate) window: f64,
     #[serde(default)]
     pub(crate) late_value: f64,
-    #[serde(default = "whole")]
+    #[serde(default = "one")]
     pub(crate) worth: f64,
     #[serde(default)]
     pub(crate) serial_by_key: bool,
@@ -122,34 +126,33 @@
     pub(crate) free_resends: Option<f64>,
     pub(crate) extra_per_request: Option<f64>,
     pub(crate) look_back: Option<f64>,
-    /// Where the list is polled: who does not poll for so long counts as informed.
+    /// Longest interval between polls of the endpoint list; a host that polls less often counts as informed.
     pub(crate) must_ask_in: Option<f64>,
 }
 
-/// What a host on sockets needs beyond the configuration of its scheduler.
+/// What a host with sockets needs of the settings, beyond its scheduler's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reach {
-    /// For a connection to a node.
+    /// Timeout for connecting to a node.
     pub connect_time_out: Span,
-    /// Idle connections to nodes end after this.
+    /// Idle connections to nodes are closed after this time.
     pub keep_alive: Span,
-    /// Of each request class: does it write?
+    /// For each request class, whether its requests write.
     pub writes: Vec<bool>,
-    /// The longest deadline, and the longest latency objective.
+    /// The longest timeout and the longest latency objective of all request classes.
     pub longest: (Span, Span),
-    /// How many shards there are, numbered from 0; 0: not told.
+    /// How many shards there are, numbered from 0; 0: unknown.
     pub shards: i64,
 }
 
 impl RawSettings {
-    /// What the sockets of a host need.
+    /// The part that a host with sockets needs.
     pub fn reach(&self) -> Reach {
-        let longest = |of: fn(&Profile) -> f64| self.profiles.iter().map(of).fold(0.0, f64::max);
+        let profiles = || self.profiles.iter();
+        let timeout = profiles().map(|profile| profile.give_up);
+        let objective = profiles().map(|profile| profile.objective);
         Reach {
-            longest: (
-                Span::from_millis(longest(|p| p.give_up)),
-                Span::from_millis(longest(|p| p.objective)),
-            ),
+            longest: (longest(timeout), longest(objective)),
             connect_time_out: Span::from_millis(self.limits.connect_timeout),
             keep_alive: Span::from_millis(self.limits.keepalive),
             writes: self.family_info.writes.clone(),
@@ -157,3 +160,8 @@
         }
     }
 }
+
+/// The longest of some times in milliseconds; zero if there are none.
+fn longest(times: impl Iterator<Item = f64>) -> Span {
+    Span::from_millis(times.fold(0.0, f64::max))
+}
--- a/crates/scheduler-settings/src/validation.rs
+++ b/crates/scheduler-settings/src/validation.rs
@@ -1,19 +1,19 @@
-//! Settings that contradict each other or ask for what cannot be: [`RawSettings::contradictions`] names each
-//! by its place and says what was meant. What is only unusual passes.
+//! Finds settings that contradict each other or ask for the impossible. [`RawSettings::contradictions`] names
+//! the key of each and what was expected. Settings that are only unusual pass.
 
 use crate::raw::{Policy, RawSettings};
 
-/// One thing that cannot be as the settings have it.
+/// A setting that cannot be as it is.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {meant}")]
 pub struct Contradiction {
-    /// From the settings down, such as `policies[0].limit`.
+    /// The path of its key, such as `policies[0].limit`.
     pub place: String,
-    /// What would have been right.
+    /// What was expected, and what was found.
     pub meant: String,
 }
 
-/// Collects what is found, in order.
+/// The contradictions found so far, in order.
 #[derive(Default)]
 struct Findings(Vec<Contradiction>);
 
@@ -32,21 +32,24 @@
         self.check(
             wrong,
             place,
-            format!("a figure of 0 or more was meant, not {figure}"),
+            format!("expected a number of 0 or more, found {figure}"),
         );
     }
 
     fn check_names_differ<'a>(&mut self, list: &str, names: impl Iterator<Item = &'a str>) {
         let names: Vec<_> = names.collect();
         if let Some(at) = (1..names.len()).find(|at| names[..*at].contains(&names[*at])) {
-            let meant = format!("another name was meant: '{:.40}' is taken", names[at]);
+            let meant = format!(
+                "expected a name of its own, found '{:.40}' twice",
+                names[at]
+            );
             self.check(true, format!("{list}[{at}].name"), meant);
         }
     }
 }
 
 impl RawSettings {
-    /// All of them, in the order of the settings.
+    /// All contradictions, in the order of the settings.
     pub fn contradictions(&self) -> Vec<Contradiction> {
         let mut found = Findings::default();
         self.check_figures(&mut found);
@@ -63,7 +66,7 @@
             self.profiles.iter().map(|profile| profile.name.as_str()),
         );
         self.check_profiles(&mut found);
-        self.check_places(&mut found);
+        self.check_tier_and_zone(&mut found);
         found.0
     }
 
@@ -88,28 +91,31 @@
     }
 
     fn check_host(&self, found: &mut Findings) {
-        let (writes, profiles) = (self.family_info.writes.len(), self.profiles.len());
+        let writes = self.family_info.writes.len();
+        let profiles = self.profiles.len();
         found.check(
             writes > 0 && writes != profiles,
             "family-info.writes",
-            format!("one word for each of {profiles} profiles was meant, not {writes}"),
+            format!("expected one entry for each of the {profiles} profiles, found {writes}"),
         );
-        let no_shards = self.family_info.slots_total < 0;
         found.check(
-            no_shards,
+            self.family_info.slots_total < 0,
             "family-info.slots-total",
-            "a number of shards was meant",
+            format!(
+                "expected a number of shards of 0 or more, found {}",
+                self.family_info.slots_total
+            ),
         );
         found.check(
             self.limits.max_attempts == 0,
             "limits.max-attempts",
-            "at least one leg was meant",
+            "expected at least one attempt, found 0",
         );
         found.check(
             !["push", "ask"].contains(&self.membership_mode.as_str()),
             "membership-mode",
             format!(
-                "'push' or 'ask' was meant, not '{:.40}'",
+                "expected 'push' or 'ask', found '{:.40}'",
                 self.membership_mode
             ),
         );
@@ -117,7 +123,7 @@
             self.rank >= self.peers_total,
             "rank",
             format!(
-                "a number below peers-total, {}, was meant, not {}",
+                "expected a number below peers-total, {}, found {}",
                 self.peers_total, self.rank
             ),
         );
@@ -136,11 +142,12 @@
         for (key, figure) in figures {
             found.check_not_negative(place(key), figure);
         }
-        let (burst, largest) = (policy.limit_burst, self.family_info.max_units);
+        let burst = policy.limit_burst;
+        let largest = self.family_info.max_units;
         found.check(
             policy.limit > 0.0 && burst < largest,
             place("limit-burst"),
-            format!("room for one largest transfer, {largest} units, was meant, not {burst}"),
+            format!("expected room for the largest request, {largest} units, found {burst}"),
         );
     }
 
@@ -155,7 +162,7 @@
                 found.check(
                     wrong,
                     place,
-                    format!("a time above 0 was meant, not {time}"),
+                    format!("expected a time above 0, found {time}"),
                 );
             }
         }
@@ -164,22 +171,26 @@
             rules.look_back.is_none()
                 && (rules.free_resends.is_some() || rules.extra_per_request.is_some()),
             "rules.look-back",
-            "the time over which further legs are counted was meant beside their budget",
+            "required when a retry budget is set: the time over which retries are counted",
         );
     }
 
-    fn check_places(&self, found: &mut Findings) {
-        let (tiers, zones) = (self.stages.len() as i64, &self.failure_domains);
+    fn check_tier_and_zone(&self, found: &mut Findings) {
+        let tiers = self.stages.len() as i64;
+        let zones = &self.failure_domains;
         found.check(
             tiers > 0 && !(0..tiers).contains(&self.tier),
             "tier",
-            format!("one of the {tiers} stages was meant, not {}", self.tier),
+            format!(
+                "expected a number below {tiers}, the number of stages, found {}",
+                self.tier
+            ),
         );
         found.check(
             !self.zone.is_empty() && !zones.is_empty() && !zones.contains(&self.zone),
             "zone",
             format!(
-                "one of the failure-domains {zones:?} was meant, not '{:.40}'",
+                "expected one of the failure-domains {zones:?}, found '{:.40}'",
                 self.zone
             ),
         );
--- a/src/scheduler/attempts/outcome.rs
+++ b/src/scheduler/attempts/outcome.rs
@@ -13,7 +13,7 @@
 
 /// Handles the end of an attempt, also of one whose request has its final answer already.
 pub(crate) fn attempt_ended(state: &mut SchedulerState, end: &AttemptEnd, rng: &mut ChaCha8Rng) {
-    tell_endpoint(state, end);
+    record_at_endpoint(state, end);
     let Some(open) = state.requests.get(end.id) else {
         return;
     };
@@ -49,7 +49,7 @@
 }
 
 /// Passes the outcome to the endpoint's tracker and to the limits over all attempts.
-fn tell_endpoint(state: &mut SchedulerState, end: &AttemptEnd) {
+fn record_at_endpoint(state: &mut SchedulerState, end: &AttemptEnd) {
     let key = AttemptKey {
         request: end.id,
         attempt: end.attempt,
--- a/src/scheduler/attempts/overload_guard.rs
+++ b/src/scheduler/attempts/overload_guard.rs
@@ -4,8 +4,7 @@
 
 use crate::decaying_sum::DecayingSum;
 use crate::scheduler::endpoint::window::INITIAL_WINDOW;
-use gullsail_scheduler_api::Instant;
-use gullsail_scheduler_api::Span;
+use gullsail_scheduler_api::{Instant, Span};
 
 /// Attempts allowed for each success. Half of the attempts may fail before sending is limited. A smaller value
 /// limits a host at ordinary error rates; a larger one lets an overload last.
--- a/src/scheduler/dispatch/candidate.rs
+++ b/src/scheduler/dispatch/candidate.rs
@@ -2,7 +2,7 @@
 //! those that may be sent there now; of equal value, the one with the least time left.
 
 use super::MEDIAN_TO_MEAN_LATENCY;
-use super::queue::QueueKey;
+use super::queue::{QueueKey, WaitingRequest};
 use crate::scheduler::attempts::idempotency::may_repeat_at;
 use crate::scheduler::cross_zone::budget::may_cross;
 use crate::scheduler::messages::EndpointCapacity;
@@ -21,6 +21,12 @@
     pub(crate) id: RequestId,
 }
 
+/// A waiting request with the value that it has per unit.
+struct Valued<'a> {
+    value: f64,
+    waiting: &'a WaitingRequest,
+}
+
 /// The best candidate of one queue, if any of its requests may be sent to the endpoint now.
 pub(crate) fn best_candidate(
     state: &mut SchedulerState,
@@ -35,18 +41,18 @@
         let open = state.requests.known(waiting.id);
         may_send(state, waiting.id, open, capacity)
     });
-    let valued = sendable.map(|waiting| {
-        let value = value_per_unit(state, state.requests.known(waiting.id));
-        (value, waiting)
+    let valued = sendable.map(|waiting| Valued {
+        value: value_per_unit(state, state.requests.known(waiting.id)),
+        waiting,
     });
-    // The later of two waiting requests compares as greater, so the one with the least time left wins.
+    // Of equal value, the request with the least time left is the greatest.
     let best = valued.max_by(|left, right| {
-        let by_value = left.0.total_cmp(&right.0);
-        by_value.then(right.1.cmp(left.1))
+        let by_value = left.value.total_cmp(&right.value);
+        by_value.then(right.waiting.cmp(left.waiting))
     });
-    best.map(|(value, waiting)| Candidate {
-        value,
-        id: waiting.id,
+    best.map(|best| Candidate {
+        value: best.value,
+        id: best.waiting.id,
     })
 }
 
--- a/src/scheduler/dispatch/send.rs
+++ b/src/scheduler/dispatch/send.rs
@@ -102,7 +102,7 @@
         node: capacity.entry.node,
         time_out: Some(time_out),
     });
-    charge_crossing(state, key, &request, capacity.entry.zone);
+    charge_cross_zone(state, key, &request, capacity.entry.zone);
 }
 
 /// Notes the attempt at the limits, at its request and at the endpoint's tracker.
@@ -135,7 +135,7 @@
 }
 
 /// Charges the attempt's bytes to the cross-zone budgets if it leaves this host's zone.
-fn charge_crossing(state: &mut SchedulerState, key: AttemptKey, request: &Request, to: ZoneId) {
+fn charge_cross_zone(state: &mut SchedulerState, key: AttemptKey, request: &Request, to: ZoneId) {
     let Some(own_zone) = state.config.zone else {
         return;
     };
