--- a/src/scheduler/endpoint/window.rs
+++ b/src/scheduler/endpoint/window.rs
@@ -4,12 +4,12 @@
 
 use gullsail_scheduler_api::{AttemptOutcome, Instant, Span};
 
-/// Attempts in flight at an endpoint that has not answered yet. docs/design.md asks for "a few": more would
-/// overload a node before its first answer, fewer would leave it idle for several round trips.
+/// Attempts in flight at an endpoint that has not answered yet: a few. More would overload a small node before
+/// its first answer; fewer would leave a node idle for several round trips.
 pub(crate) const INITIAL_WINDOW: f64 = 4.0;
 
-/// Largest number of attempts in flight at one endpoint, from docs/design.md. Without this bound the window
-/// of a fast node would grow until the node's own queue is full.
+/// Largest number of attempts in flight at one endpoint. Without a bound, the window of a fast node would grow
+/// until the node's own queue is full; a smaller one limits what a host that is alone can send.
 pub(crate) const MAX_WINDOW: f64 = 32.0;
 
 /// Smallest window: one attempt in eight times the latency. With a smaller one, the endpoint is probed less
--- a/src/scheduler/volume/mod.rs
+++ b/src/scheduler/volume/mod.rs
@@ -18,8 +18,8 @@
 use reserve::Reserve;
 use token_bucket::TokenBucket;
 
-/// Time constant of a volume's demand, and the age at which a demand report is too old to count: the window
-/// for demand of docs/design.md.
+/// Time constant of a volume's demand, and the age at which a demand report is too old to count: as in
+/// docs/design.md. Longer, and shares follow the demand late; shorter, and single requests move them.
 pub(super) const DEMAND_WINDOW: Span = Span::from_micros(1_000_000);
 
 /// Demand below this, in units a second, is none: a withdrawn volume may be forgotten. With
