--- a/crates/benchlink/src/adapter.rs
+++ b/crates/benchlink/src/adapter.rs
@@ -36,7 +36,7 @@
     /// # Errors
     /// An event is malformed. Events that follow it in the batch are lost, so the process should end.
     pub fn handle_batch(&mut self, batch: Batch) -> Result<Vec<Value>, AdapterError> {
-        let now = Instant::from_millis(batch.t);
+        let now = Instant::from_millis(batch.time_ms);
         let mut pending = Vec::new();
         for event in batch.arrivals {
             match event {
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -8,7 +8,8 @@
 #[derive(Deserialize)]
 pub struct Batch {
     /// The time in milliseconds.
-    pub t: f64,
+    #[serde(rename = "t")]
+    pub time_ms: f64,
     /// The events, in order.
     pub arrivals: Vec<WireEvent>,
 }
--- a/tests/decisions/bounds.rs
+++ b/tests/decisions/bounds.rs
@@ -1,7 +1,11 @@
 //! What the module keeps is bounded by what is there now, not by all that ever was.
 
 use crate::common::*;
-use gullsail::api::*;
+use gullsail::api::{
+    AttemptEnd, AttemptOutcome, BudgetScope, CrossZoneBudget, Endpoint, EndpointState, Event,
+    HostId, Limit, NodeId, PlanId, Request, RequestId, RetryBudget, SchedulerConfig, ShardId, Span,
+    UpdateKind, VolumeAllocation, VolumeId, ZoneId, demand_report,
+};
 
 fn state(state: EndpointState, started: i64, id: u64) -> Vec<Endpoint> {
     vec![Endpoint {
--- a/tests/decisions/cold_fleet.rs
+++ b/tests/decisions/cold_fleet.rs
@@ -4,7 +4,10 @@
 
 use crate::common::*;
 use gullsail::Scheduler;
-use gullsail::api::*;
+use gullsail::api::{
+    Action, AttemptEnd, AttemptOutcome, Endpoint, Event, HostId, Instant, NodeId, Request,
+    RequestId, SchedulerConfig, ShardId, TimerId, UpdateKind, VolumeId, ZoneId,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -1,7 +1,11 @@
 //! One host under test: feeds events to the decisions and remembers what they asked for.
 
 use gullsail::Scheduler;
-use gullsail::api::*;
+use gullsail::api::{
+    Action, AttemptEnd, AttemptOutcome, Endpoint, EndpointState, Event, Idempotency,
+    IdempotencyScope, Instant, Limit, NodeId, Plan, Request, RequestClass, RequestClassId,
+    RequestId, SchedulerConfig, ShardId, SlowStart, Span, TimerId, UpdateKind, VolumeId, ZoneId,
+};
 
 pub fn ms(ms: i64) -> Span {
     Span::from_micros(ms * 1000)
--- a/tests/decisions/inputs.rs
+++ b/tests/decisions/inputs.rs
@@ -1,7 +1,10 @@
 //! What a host is handed: endpoint lists and pools, extreme configurations, unexpected events.
 
 use crate::common::*;
-use gullsail::api::*;
+use gullsail::api::{
+    Action, AttemptOutcome, Endpoint, EndpointState, Event, HostId, Limit, PlanId, PoolId, Request,
+    RequestId, SchedulerConfig, ShardId, Span, TimerId, UpdateKind,
+};
 
 /// Rule 3: where the list is asked for, it is so again within the time after which what it held counts as
 /// reported.
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -2,7 +2,11 @@
 //! hosts.
 
 use crate::common::*;
-use gullsail::api::*;
+use gullsail::api::{
+    Action, AttemptOutcome, BudgetScope, CrossZoneBudget, Endpoint, EndpointState, Event, HostId,
+    Instant, Limit, OverrunCause, PlanId, Request, RequestId, SchedulerConfig, ShardId, UpdateKind,
+    VolumeAllocation, VolumeId, ZoneId,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/tests/decisions/model.rs
+++ b/tests/decisions/model.rs
@@ -5,7 +5,7 @@
 
 use crate::common::*;
 use crate::world::{Fault, HeldRequest, Requests, Server, World};
-use gullsail::api::*;
+use gullsail::api::{Action, EndpointState, Idempotency, NodeId, RequestClass, RequestId};
 
 fn played(seed: u64, fault: Option<Fault>) -> World {
     let mut w = World::new(seed, fault);
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -1,7 +1,11 @@
 //! Rules 1, 2 and 4 to 7 at one host, event by event.
 
 use crate::common::*;
-use gullsail::api::*;
+use gullsail::api::{
+    Action, AttemptOutcome, Endpoint, Event, HostId, Idempotency, IdempotencyScope, Instant,
+    NodeId, ObjectId, Plan, PlanId, Request, RequestId, RetryBudget, SchedulerConfig, ShardId,
+    Span, UpdateKind, VolumeAllocation, VolumeId, ZoneId, demand_report,
+};
 
 /// Rule 1: one final answer, before the deadline, and nothing sent after it.
 #[test]
--- a/tests/decisions/symptoms.rs
+++ b/tests/decisions/symptoms.rs
@@ -1,5 +1,7 @@
 use crate::common::*;
-use gullsail::api::*;
+use gullsail::api::{
+    AttemptOutcome, Endpoint, Event, Request, SchedulerConfig, ShardId, UpdateKind, ZoneId,
+};
 
 /// One request each `every` ms to a node whose attempts end after `latency` ms; gives the attempts of each
 /// second.
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -2,7 +2,11 @@
 //! clients that come and go. Its storage nodes stand in `world_nodes`.
 
 use crate::common::*;
-use gullsail::api::*;
+use gullsail::api::{
+    Action, AttemptEnd, AttemptOutcome, Endpoint, Event, HostId, Idempotency, IdempotencyScope,
+    Instant, Limit, ObjectId, PlanId, Request, RequestClass, RequestId, RetryBudget,
+    SchedulerConfig, ShardId, SlowStart, UpdateKind, VolumeAllocation, VolumeId, ZoneId,
+};
 use gullsail_reference_model::{Breach, Model, RuleParameters};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/tests/decisions/world_nodes.rs
+++ b/tests/decisions/world_nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::world::{CAN, Mail, NodeFaults, Server, World};
-use gullsail::api::*;
+use gullsail::api::{AttemptOutcome, Endpoint, EndpointState, NodeId, Span};
 use rand::Rng;
 
 impl World {
