--- a/tests/decisions/inputs.rs
+++ b/tests/decisions/inputs.rs
@@ -219,13 +219,6 @@
 /// the new one alone. Data that lies somewhere knows no pools.
 #[test]
 fn new_objects_stay_in_their_pool() {
-    let pools = |id, pools: &[usize]| {
-        let pools = pools.iter().copied().map(PoolId).collect();
-        Endpoint {
-            pools,
-            ..node(id, id as i64)
-        }
-    };
     // pools of nodes 1, 2 and 3; the pool asked for; where requests may go
     type Case<'a> = ([&'a [usize]; 3], usize, &'a [u64]);
     let cases: [Case; 5] = [
@@ -236,21 +229,10 @@
         ([&[1], &[], &[]], 2, &[]),
     ];
     for (of, pool, takers) in cases {
-        let nodes = (1..=3).map(|id| pools(id, of[id as usize - 1]));
+        let nodes = (1..=3).map(|id| in_pools(id, of[id as usize - 1]));
         let mut host = Host::new(config(), nodes.collect(), at(0));
         for id in 1..=60 {
-            host.deliver(Event::RequestArrived(Request {
-                shard: None,
-                pool: PoolId(pool),
-                ..request(id, 0)
-            }));
-            for (attempt, node) in host.attempts(id).into_iter().enumerate() {
-                host.end(id, attempt as u32, node, AttemptOutcome::Failed, 1);
-            }
-            host.pass(ms(5));
-            for (attempt, node) in host.attempts(id).into_iter().enumerate() {
-                host.end(id, attempt as u32, node, AttemptOutcome::Succeeded, 1);
-            }
+            retry_new_object(&mut host, id, pool);
         }
         let went: std::collections::BTreeSet<u64> =
             (1..=60).flat_map(|id| host.attempts(id)).collect();
@@ -259,23 +241,39 @@
         let answered = (1..=60).filter(|id| host.answers(*id).len() == 1).count();
         assert_eq!(answered, if takers.is_empty() { 60 } else { 0 }, "{pool}");
         // All move to the other pool: nothing more goes to them for this one.
-        let other = (1..=3).map(|id| pools(id, &[9])).collect();
+        let other = (1..=3).map(|id| in_pools(id, &[9])).collect();
         host.list(UpdateKind::Delta, other);
-        host.deliver(Event::RequestArrived(Request {
-            shard: None,
-            pool: PoolId(pool),
-            ..request(70, 0)
-        }));
-        host.deliver(Event::RequestArrived(Request {
-            shard: Some(ShardId(3)),
-            pool: PoolId(7),
-            ..request(71, 0)
-        }));
+        host.deliver(Event::RequestArrived(pool_request(70, None, pool)));
+        host.deliver(Event::RequestArrived(pool_request(71, Some(ShardId(3)), 7)));
         host.pass(ms(50));
-        assert_eq!(
-            (host.attempts(70).is_empty(), host.attempts(71)),
-            (pool != 0, vec![3]),
-            "{pool}"
-        );
+        assert_eq!(host.attempts(70).is_empty(), pool != 0, "{pool}");
+        assert_eq!(host.attempts(71), vec![3], "{pool}");
+    }
+}
+
+fn in_pools(id: u64, pools: &[usize]) -> Endpoint {
+    Endpoint {
+        pools: pools.iter().copied().map(PoolId).collect(),
+        ..node(id, id as i64)
+    }
+}
+
+fn pool_request(id: u64, shard: Option<ShardId>, pool: usize) -> Request {
+    Request {
+        shard,
+        pool: PoolId(pool),
+        ..request(id, 0)
+    }
+}
+
+/// A new object arrives; its first attempt fails and its second succeeds.
+fn retry_new_object(host: &mut Host, id: u64, pool: usize) {
+    host.deliver(Event::RequestArrived(pool_request(id, None, pool)));
+    for (attempt, node) in host.attempts(id).into_iter().enumerate() {
+        host.end(id, attempt as u32, node, AttemptOutcome::Failed, 1);
+    }
+    host.pass(ms(5));
+    for (attempt, node) in host.attempts(id).into_iter().enumerate() {
+        host.end(id, attempt as u32, node, AttemptOutcome::Succeeded, 1);
     }
 }
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -40,122 +40,154 @@
     }
 }
 
+/// Delivers a demand report of the other host about volume 7, made at this time.
+fn report_demand(host: &mut Host, made_at: Instant, demand: f64) {
+    let report = demand_report::VolumeDemand {
+        volume: demand_report::carried(VolumeId(7)),
+        demand,
+        wanted: 0.0,
+        lent: 0.0,
+    };
+    host.deliver(Event::PeerMessage {
+        from: HostId(1),
+        bytes: demand_report::pack_report(made_at, &[report]),
+    });
+}
+
+/// When the client of request 5 may try again, if the request was rejected.
+fn advice(host: &Host) -> Option<Option<Span>> {
+    host.asked.iter().find_map(|(_, action)| match action {
+        Action::Reject {
+            id: RequestId(5),
+            retry_after,
+        } => Some(*retry_after),
+        _ => None,
+    })
+}
+
+/// Why request 5 is shed.
+enum ShedCause {
+    /// No node takes it, and none did recently.
+    Unreachable,
+    /// The configuration does not know its plan.
+    UnknownPlan,
+    /// All tokens of its volume go to what waits before it. The other hosts of so many are as busy.
+    NoTokens { hosts: u32 },
+    /// Its latency objective is over when it arrives.
+    Late,
+    /// Its host no longer serves the volume.
+    Withdrawn,
+    /// Its last attempt ended so.
+    AttemptEnded(AttemptOutcome),
+}
+
+impl ShedCause {
+    /// A host that sheds request 5, of the class `kind`, for this cause.
+    fn play(&self, kind: usize) -> Host {
+        let mut config = config();
+        config.max_attempts = 1;
+        config.max_retry_after = Some(ms(600));
+        let nodes = match self {
+            ShedCause::Unreachable => vec![node(9, 9)],
+            _ => vec![node(1, 0)],
+        };
+        let mut host = Host::new(config, nodes, at(1000));
+        let request = request(5, kind);
+        match self {
+            ShedCause::Unreachable => _ = host.deliver(Event::RequestArrived(request)),
+            ShedCause::UnknownPlan => arrive_with_plan(&mut host, request, 7),
+            ShedCause::NoTokens { hosts } => starve(&mut host, request, *hosts),
+            ShedCause::Late => arrive_late(&mut host, request, kind),
+            ShedCause::Withdrawn => {
+                arrive_with_plan(&mut host, request, 1);
+                withdraw_volume(&mut host);
+            }
+            ShedCause::AttemptEnded(outcome) => {
+                host.deliver(Event::RequestArrived(request));
+                host.pass(ms(30));
+                host.end(5, 0, 1, *outcome, 30);
+            }
+        }
+        host
+    }
+}
+
+fn arrive_with_plan(host: &mut Host, request: Request, plan: usize) {
+    host.deliver(Event::RequestArrived(Request {
+        plan: PlanId(plan),
+        ..request
+    }));
+}
+
+/// Four requests of eight units come before this one, while the other host reports demand for the whole limit.
+fn starve(host: &mut Host, request: Request, hosts: u32) {
+    let request = Request {
+        plan: PlanId(1),
+        volume_hosts: hosts,
+        units: 8.0,
+        ..request
+    };
+    for id in 1..=4 {
+        host.deliver(Event::RequestArrived(Request {
+            id: RequestId(id),
+            ..request.clone()
+        }));
+        let made_at = host.now;
+        host.pass(ms(1));
+        report_demand(host, made_at, 40.0);
+    }
+    host.deliver(Event::RequestArrived(request));
+}
+
+/// An earlier request of the class had 500 ms more, and the latency objective is 400 ms.
+fn arrive_late(host: &mut Host, late: Request, kind: usize) {
+    host.deliver(Event::RequestArrived(request(1, kind)));
+    host.deliver(Event::RequestArrived(Request {
+        timeout: ms(500),
+        ..late
+    }));
+}
+
+fn withdraw_volume(host: &mut Host) {
+    host.deliver(Event::ConfigChanged {
+        plans: config().plans,
+        allocations: vec![VolumeAllocation {
+            volume: VolumeId(7),
+            plan: PlanId(1),
+            hosts: 0,
+            part: None,
+        }],
+        cross_zone_budgets: vec![],
+        fleet_membership: None,
+    });
+}
+
 /// In one step with the decision to shed the final answer leaves, whatever the cause and the idempotency:
 /// nothing is held to keep a client from asking again. A rejection says when to retry, within the longest
 /// that the configuration allows.
 #[test]
 fn what_is_shed_is_answered_at_once() {
-    enum ShedCause {
-        Nowhere, // no node takes it, and none did of late
-        Nobodys, // a plan that the configuration does not name
-        // Its tokens all go to what waits before it; so many hosts, of which the others are as busy
-        Starved(u32),
-        Late,                 // it comes with its latency objective over
-        Left,                 // its host no longer serves the volume
-        Ends(AttemptOutcome), // its last attempt
-    }
-    use ShedCause::*;
     let causes = [
-        Nowhere,
-        Nobodys,
-        Starved(1),
-        Starved(2),
-        Late,
-        Left,
-        Ends(AttemptOutcome::TimedOut),
-        Ends(AttemptOutcome::Rejected),
+        ShedCause::Unreachable,
+        ShedCause::UnknownPlan,
+        ShedCause::NoTokens { hosts: 1 },
+        ShedCause::NoTokens { hosts: 2 },
+        ShedCause::Late,
+        ShedCause::Withdrawn,
+        ShedCause::AttemptEnded(AttemptOutcome::TimedOut),
+        ShedCause::AttemptEnded(AttemptOutcome::Rejected),
     ];
     for (place, cause) in causes.iter().enumerate() {
         for kind in 0..3 {
-            let mut f = config();
-            f.max_attempts = 1;
-            f.max_retry_after = Some(ms(600));
-            let nodes = if matches!(cause, Nowhere) {
-                vec![node(9, 9)]
+            let host = cause.play(kind);
+            let ran = matches!(cause, ShedCause::AttemptEnded(outcome) if !outcome.never_ran());
+            let answer = if ran && kind > 0 {
+                "failed"
             } else {
-                vec![node(1, 0)]
+                "rejected"
             };
-            let mut host = Host::new(f, nodes, at(1000));
-            let t = request(5, kind);
-            match cause {
-                Nowhere => _ = host.deliver(Event::RequestArrived(t)),
-                Nobodys => {
-                    _ = host.deliver(Event::RequestArrived(Request {
-                        plan: PlanId(7),
-                        ..t
-                    }))
-                }
-                Starved(hosts) => {
-                    let t = Request {
-                        plan: PlanId(1),
-                        volume_hosts: *hosts,
-                        units: 8.0,
-                        ..t
-                    };
-                    for id in 1..=4 {
-                        host.deliver(Event::RequestArrived(Request {
-                            id: RequestId(id),
-                            ..t.clone()
-                        }));
-                        let line = demand_report::VolumeDemand {
-                            volume: demand_report::carried(t.volume),
-                            demand: 40.0,
-                            wanted: 0.0,
-                            lent: 0.0,
-                        };
-                        let bytes = demand_report::pack_report(host.now, &[line]);
-                        host.pass(ms(1));
-                        host.deliver(Event::PeerMessage {
-                            from: HostId(1),
-                            bytes,
-                        });
-                    }
-                    host.deliver(Event::RequestArrived(t));
-                }
-                Late => {
-                    host.deliver(Event::RequestArrived(request(1, kind)));
-                    host.deliver(Event::RequestArrived(Request {
-                        timeout: ms(500),
-                        ..t
-                    }));
-                }
-                Left => {
-                    host.deliver(Event::RequestArrived(Request {
-                        plan: PlanId(1),
-                        ..t
-                    }));
-                    let allocations = VolumeAllocation {
-                        volume: VolumeId(7),
-                        plan: PlanId(1),
-                        hosts: 0,
-                        part: None,
-                    };
-                    host.deliver(Event::ConfigChanged {
-                        plans: config().plans,
-                        allocations: vec![allocations],
-                        cross_zone_budgets: vec![],
-                        fleet_membership: None,
-                    });
-                }
-                Ends(outcome) => {
-                    host.deliver(Event::RequestArrived(t));
-                    host.pass(ms(30));
-                    host.end(5, 0, 1, *outcome, 30);
-                }
-            }
-            let ran = matches!(cause, Ends(e) if !e.never_ran()) && kind > 0;
-            assert_eq!(
-                host.answers(5),
-                [if ran { "failed" } else { "rejected" }],
-                "cause {place}, type {kind}"
-            );
-            let advice = host.asked.iter().find_map(|a| match a.1 {
-                Action::Reject {
-                    id: RequestId(5),
-                    retry_after,
-                } => Some(retry_after),
-                _ => None,
-            });
+            assert_eq!(host.answers(5), [answer], "cause {place}, type {kind}");
+            let advice = advice(&host);
             let advised = advice.is_none_or(|a| a.is_some_and(|a| a > Span::ZERO && a <= ms(600)));
             assert!(advised, "cause {place}, type {kind}: {advice:?}");
         }
@@ -202,7 +234,7 @@
     ];
     for (volume_hosts, asked, units, at_once) in cases {
         let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-        let t = Request {
+        let large = Request {
             plan: PlanId(1),
             volume_hosts,
             units: 8.0,
@@ -211,144 +243,57 @@
         for id in 1..=2 {
             host.deliver(Event::RequestArrived(Request {
                 id: RequestId(id),
-                ..t.clone()
+                ..large.clone()
             }));
         }
-        let line = demand_report::VolumeDemand {
-            volume: demand_report::carried(t.volume),
-            demand: asked,
-            wanted: 0.0,
-            lent: 0.0,
-        };
-        host.deliver(Event::PeerMessage {
-            from: HostId(1),
-            bytes: demand_report::pack_report(at(1000), &[line]),
-        });
-        host.deliver(Event::RequestArrived(Request { units, ..t }));
-        assert_eq!(
-            host.answers(5).len(),
-            usize::from(at_once),
-            "{volume_hosts} {asked} {units}"
-        );
+        report_demand(&mut host, at(1000), asked);
+        host.deliver(Event::RequestArrived(Request { units, ..large }));
+        let case = format!("{volume_hosts} {asked} {units}");
+        assert_eq!(host.answers(5).len(), usize::from(at_once), "{case}");
         // At least until the own part has brought what waits before it and its own units.
         let least = Span::from_millis(16.0 / (40.0 / f64::from(volume_hosts)) * 1e3).min(ms(1000));
-        let advice_of = |a: &(Instant, Action)| match a.1 {
-            Action::Reject {
-                id: RequestId(5),
-                retry_after,
-            } => Some(retry_after),
-            _ => None,
-        };
-        let advice = host.asked.iter().find_map(advice_of).flatten();
-        assert!(
-            !at_once || advice >= Some(least),
-            "{volume_hosts} {asked} {units}: {advice:?}"
-        );
+        let advice = advice(&host).flatten();
+        assert!(!at_once || advice >= Some(least), "{case}: {advice:?}");
     }
 }
 
 /// Rule 2: what may have run goes again only as its idempotency allows.
 #[test]
 fn no_request_runs_twice_against_its_idempotency() {
-    let idempotency_key = |scope| Idempotency::WithKey {
+    use AttemptOutcome::{Cancelled, ConnectionLost, Failed, Rejected, Unreachable};
+    use Idempotency::{Idempotent, NonIdempotent};
+    let with_key = |scope| Idempotency::WithKey {
         scope,
         window: ms(200),
     };
-    // effect, how the first attempt ended after how long, attempts sent, answers
+    let shard_key = with_key(IdempotencyScope::Shard);
+    let any_key = with_key(IdempotencyScope::All);
+    // how the first attempt ended after how long, attempts sent, the answer if there is no second attempt
     let cases = [
-        (
-            Idempotency::Idempotent,
-            AttemptOutcome::ConnectionLost,
-            20,
-            2,
-            vec![],
-        ),
-        (
-            Idempotency::Idempotent,
-            AttemptOutcome::Failed,
-            20,
-            2,
-            vec![],
-        ),
-        (
-            Idempotency::NonIdempotent,
-            AttemptOutcome::ConnectionLost,
-            20,
-            1,
-            vec!["failed"],
-        ),
-        (
-            Idempotency::NonIdempotent,
-            AttemptOutcome::Failed,
-            20,
-            1,
-            vec!["failed"],
-        ),
-        (
-            Idempotency::NonIdempotent,
-            AttemptOutcome::Cancelled,
-            20,
-            1,
-            vec!["failed"],
-        ),
-        (
-            Idempotency::NonIdempotent,
-            AttemptOutcome::Rejected,
-            20,
-            2,
-            vec![],
-        ),
-        (
-            Idempotency::NonIdempotent,
-            AttemptOutcome::Unreachable,
-            20,
-            2,
-            vec![],
-        ),
-        (
-            idempotency_key(IdempotencyScope::Shard),
-            AttemptOutcome::Failed,
-            20,
-            2,
-            vec![],
-        ),
-        (
-            idempotency_key(IdempotencyScope::All),
-            AttemptOutcome::Failed,
-            20,
-            2,
-            vec![],
-        ),
-        (
-            idempotency_key(IdempotencyScope::Shard),
-            AttemptOutcome::Failed,
-            250,
-            1,
-            vec!["failed"],
-        ),
-        (
-            idempotency_key(IdempotencyScope::All),
-            AttemptOutcome::Failed,
-            250,
-            1,
-            vec!["rejected"],
-        ),
+        (Idempotent, ConnectionLost, 20, 2, ""),
+        (Idempotent, Failed, 20, 2, ""),
+        (NonIdempotent, ConnectionLost, 20, 1, "failed"),
+        (NonIdempotent, Failed, 20, 1, "failed"),
+        (NonIdempotent, Cancelled, 20, 1, "failed"),
+        (NonIdempotent, Rejected, 20, 2, ""),
+        (NonIdempotent, Unreachable, 20, 2, ""),
+        (shard_key, Failed, 20, 2, ""),
+        (any_key, Failed, 20, 2, ""),
+        (shard_key, Failed, 250, 1, "failed"),
+        (any_key, Failed, 250, 1, "rejected"),
     ];
-    for (idempotency, outcome, after, attempts, answers) in cases {
-        let mut f = config();
-        f.request_classes[0].idempotency = idempotency;
-        let mut host = Host::new(f, vec![node(1, 0)], at(1000));
+    for (idempotency, outcome, after, attempts, answer) in cases {
+        let mut config = config();
+        config.request_classes[0].idempotency = idempotency;
+        let mut host = Host::new(config, vec![node(1, 0)], at(1000));
         host.deliver(Event::RequestArrived(request(5, 0)));
         host.pass(ms(after));
         host.end(5, 0, 1, outcome, after);
         host.pass(ms(300 - after.min(250) + 100));
-        assert_eq!(
-            host.attempts(5).len(),
-            attempts,
-            "{idempotency:?} {outcome:?}"
-        );
+        let case = format!("{idempotency:?} {outcome:?}");
+        assert_eq!(host.attempts(5).len(), attempts, "{case}");
         if attempts == 1 {
-            assert_eq!(host.answers(5), answers, "{idempotency:?} {outcome:?}");
+            assert_eq!(host.answers(5), [answer], "{case}");
         }
     }
 }
@@ -416,73 +361,37 @@
 /// evidence: a broken node has just started. Attempts turned away count in full, served ones in part.
 #[test]
 fn slow_start_bounds_what_a_node_is_sent() {
+    use AttemptOutcome::{Rejected, Succeeded};
     let age = |ms: i64| Some(at(20_000 - ms));
+    let minute = age(60_000);
     // started, broken first, what the node then says of its start, how attempts end, least and most units in
     // the first window
     let cases = [
-        (age(0), false, None, AttemptOutcome::Rejected, 1.0, 6.0),
-        (age(4000), false, None, AttemptOutcome::Rejected, 1.0, 14.0),
-        (age(11_000), false, None, AttemptOutcome::Rejected, 1.0, 1e9),
-        (None, false, None, AttemptOutcome::Rejected, 1.0, 1e9),
-        (None, true, None, AttemptOutcome::Rejected, 1.0, 6.0),
-        (None, true, None, AttemptOutcome::Succeeded, 1.0, 19.0),
+        (age(0), false, None, Rejected, 1.0, 6.0),
+        (age(4000), false, None, Rejected, 1.0, 14.0),
+        (age(11_000), false, None, Rejected, 1.0, 1e9),
+        (None, false, None, Rejected, 1.0, 1e9),
+        (None, true, None, Rejected, 1.0, 6.0),
+        (None, true, None, Succeeded, 1.0, 19.0),
         // The same process on a new connection is warm as before; another is cold, whatever the list says.
-        (
-            age(60_000),
-            true,
-            Some(age(60_000)),
-            AttemptOutcome::Succeeded,
-            40.0,
-            1e9,
-        ),
-        (
-            age(60_000),
-            true,
-            Some(age(0)),
-            AttemptOutcome::Rejected,
-            1.0,
-            6.0,
-        ),
-        (
-            age(60_000),
-            false,
-            Some(age(0)),
-            AttemptOutcome::Rejected,
-            1.0,
-            6.0,
-        ),
+        (minute, true, Some(minute), Succeeded, 40.0, 1e9),
+        (minute, true, Some(age(0)), Rejected, 1.0, 6.0),
+        (minute, false, Some(age(0)), Rejected, 1.0, 6.0),
     ];
     for (started, broken, reported_start, outcome, least, most) in cases {
-        let mut host = Host::new(
-            config(),
-            vec![Endpoint {
-                started,
-                ..node(1, 0)
-            }],
-            at(20_000),
-        );
+        let started_at = |started| Endpoint {
+            started,
+            ..node(1, 0)
+        };
+        let mut host = Host::new(config(), vec![started_at(started)], at(20_000));
         if broken {
             host.deliver(Event::RequestArrived(request(100, 2)));
             host.end(100, 0, 1, AttemptOutcome::ConnectionLost, 5);
         }
-        if let Some(started) = reported_start {
-            host.list(
-                UpdateKind::SelfReported,
-                vec![Endpoint {
-                    started,
-                    ..node(1, 0)
-                }],
-            );
-        }
-        for id in 0..50 {
-            host.deliver(Event::RequestArrived(request(id, 0)));
-            host.pass(ms(2));
-            if !host.attempts(id).is_empty() {
-                host.end(id, 0, 1, outcome, 2);
-            }
+        if let Some(reported) = reported_start {
+            host.list(UpdateKind::SelfReported, vec![started_at(reported)]);
         }
-        let sent: usize = (0..50).map(|id| host.attempts(id).len()).sum();
-        let sent = sent as f64;
+        let sent = sent_in_first_window(&mut host, outcome);
         assert!(
             least <= sent && sent <= most,
             "{started:?} {broken} {reported_start:?} {outcome:?}: {sent}"
@@ -490,51 +399,55 @@
     }
 }
 
+/// Fifty requests of one unit arrive within a window, and each attempt ends so. Returns the units sent.
+fn sent_in_first_window(host: &mut Host, outcome: AttemptOutcome) -> f64 {
+    for id in 0..50 {
+        host.deliver(Event::RequestArrived(request(id, 0)));
+        host.pass(ms(2));
+        if !host.attempts(id).is_empty() {
+            host.end(id, 0, 1, outcome, 2);
+        }
+    }
+    let sent: usize = (0..50).map(|id| host.attempts(id).len()).sum();
+    sent as f64
+}
+
 /// Rule 5: requests of one object go one at a time, in order, with a rest after an unknown outcome.
 #[test]
 fn order_is_kept_by_object() {
+    use AttemptOutcome::{Cancelled, ConnectionLost, Failed, Succeeded};
+    let arrive = |host: &mut Host, id, object| {
+        host.deliver(Event::RequestArrived(Request {
+            object: Some(ObjectId(object)),
+            ..request(id, 2)
+        }))
+    };
     // ending of the first, time until the second may go in ms
     for (outcome, rest) in [
-        (AttemptOutcome::Succeeded, 0),
-        (AttemptOutcome::ConnectionLost, 50),
-        (AttemptOutcome::Failed, 0),
-        (AttemptOutcome::Cancelled, 50),
+        (Succeeded, 0),
+        (ConnectionLost, 50),
+        (Failed, 0),
+        (Cancelled, 50),
     ] {
-        let mut f = config();
-        f.order_settle = ms(50);
-        f.request_classes[2].in_order = true;
-        let mut host = Host::new(f, vec![node(1, 0)], at(1000));
+        let mut config = config();
+        config.order_settle = ms(50);
+        config.request_classes[2].in_order = true;
+        let mut host = Host::new(config, vec![node(1, 0)], at(1000));
         for id in [5, 6, 7] {
-            host.deliver(Event::RequestArrived(Request {
-                object: Some(ObjectId(3)),
-                ..request(id, 2)
-            }));
+            arrive(&mut host, id, 3);
         }
-        host.deliver(Event::RequestArrived(Request {
-            object: Some(ObjectId(4)),
-            ..request(8, 2)
-        }));
+        arrive(&mut host, 8, 4);
         host.pass(ms(10));
-        assert_eq!(
-            (
-                host.attempts(5).len(),
-                host.attempts(6).len(),
-                host.attempts(8).len()
-            ),
-            (1, 0, 1)
-        );
-        host.end(8, 0, 1, AttemptOutcome::Succeeded, 10);
+        let sent = |host: &Host, ids: [u64; 3]| ids.map(|id| host.attempts(id).len());
+        assert_eq!(sent(&host, [5, 6, 8]), [1, 0, 1]);
+        host.end(8, 0, 1, Succeeded, 10);
         host.end(5, 0, 1, outcome, 10);
         if rest > 0 {
             host.pass(ms(rest - 10));
             assert_eq!(host.attempts(6).len(), 0, "{outcome:?}");
             host.pass(ms(150));
         }
-        assert_eq!(
-            (host.attempts(6).len(), host.attempts(7).len()),
-            (1, 0),
-            "{outcome:?}"
-        );
+        assert_eq!(sent(&host, [5, 6, 7])[1..], [1, 0], "{outcome:?}");
     }
 }
 
--- a/tests/decisions/symptoms.rs
+++ b/tests/decisions/symptoms.rs
@@ -107,57 +107,54 @@
 fn a_silent_node_is_probed_as_often_as_this_hosts_share_allows() {
     for (probe_interval, least, most) in [(ms(0), 4, 60), (ms(8000), 1, 2)] {
         for times_out in [false, true] {
-            let mut host = Host::new(
-                SchedulerConfig {
-                    probe_interval,
-                    ..config()
-                },
-                vec![node(1, 0)],
-                at(1000),
-            );
-            let mut first = 0;
-            for id in 0..1200 {
-                host.deliver(Event::RequestArrived(request(id, 0)));
-                host.pass(ms(10));
-                // Its first second goes by before anything is known of it.
-                first = if id < 100 { host.order().len() } else { first };
-                let all = host.order();
-                let late = all
-                    .iter()
-                    .filter(|attempt| times_out && **attempt + 40 == id);
-                late.for_each(|attempt| host.end(*attempt, 0, 1, AttemptOutcome::TimedOut, 400));
-            }
-            let asked = host.order().len() - first;
+            let config = SchedulerConfig {
+                probe_interval,
+                ..config()
+            };
+            let mut host = Host::new(config, vec![node(1, 0)], at(1000));
+            let asked = probes_of_a_silent_node(&mut host, times_out);
             let least = if times_out { least } else { 1 };
-            assert!(
-                (least..=most).contains(&asked),
-                "every {probe_interval:?}, times out {times_out}: {asked}"
-            );
-            // It is another process: nothing that was learned of the one before holds it back.
-            if !times_out {
-                continue;
+            let case = format!("every {probe_interval:?}, times out {times_out}");
+            assert!((least..=most).contains(&asked), "{case}: {asked}");
+            if times_out {
+                assert!(is_used_after_restart(&mut host), "{case}: not used again");
             }
-            let started = Some(host.now);
-            host.list(
-                UpdateKind::SelfReported,
-                vec![Endpoint {
-                    started,
-                    ..node(1, 0)
-                }],
-            );
-            let before = host.order().len();
-            // Its latency is still believed to be that of the time-outs, half of it a second later.
-            host.pass(ms(1500));
-            host.deliver(Event::RequestArrived(request(5000, 0)));
-            host.pass(ms(20));
-            assert!(
-                host.order().len() > before,
-                "every {probe_interval:?}, times out {times_out}: not used again"
-            );
         }
     }
 }
 
+/// Requests come for 12 s to a node that does not answer. Returns the attempts after the first second, in which
+/// nothing is known of it.
+fn probes_of_a_silent_node(host: &mut Host, times_out: bool) -> usize {
+    let mut first = 0;
+    for id in 0..1200 {
+        host.deliver(Event::RequestArrived(request(id, 0)));
+        host.pass(ms(10));
+        first = if id < 100 { host.order().len() } else { first };
+        let all = host.order();
+        let late = all
+            .iter()
+            .filter(|attempt| times_out && **attempt + 40 == id);
+        late.for_each(|attempt| host.end(*attempt, 0, 1, AttemptOutcome::TimedOut, 400));
+    }
+    host.order().len() - first
+}
+
+/// The node reports a new start: nothing that was learned of the process before holds it back.
+fn is_used_after_restart(host: &mut Host) -> bool {
+    let restarted = Endpoint {
+        started: Some(host.now),
+        ..node(1, 0)
+    };
+    host.list(UpdateKind::SelfReported, vec![restarted]);
+    let before = host.order().len();
+    // Its latency is still believed to be that of the time-outs, half of it a second later.
+    host.pass(ms(1500));
+    host.deliver(Event::RequestArrived(request(5000, 0)));
+    host.pass(ms(20));
+    host.order().len() > before
+}
+
 /// i30ae33: a node that answers at once with errors is not taken for the best one.
 #[test]
 fn errors_attract_no_new_objects() {
@@ -303,44 +300,41 @@
         (12, 0, 1, 395..=400),
     ];
     for (nodes, late, zones, wanted) in cases {
-        let zoned = |n: u64| Endpoint {
-            zone: ZoneId(n as usize % zones),
-            ..node(n, n as i64)
-        };
-        let mut host = Host::new(config(), (0..nodes).map(zoned).collect(), at(1000));
-        let latency = |node: u64| {
-            if late > 0 && node.is_multiple_of(late) {
-                410
-            } else {
-                20
-            }
-        };
-        let (mut ends, mut done, mut before): (Vec<(i64, u64)>, _, _) = (Vec::new(), 0, 0);
-        for now in 0..8000_i64 {
-            if now % 10 == 0 {
-                let shard = Some(ShardId(now / 10 * 7 % nodes as i64));
-                host.deliver(Event::RequestArrived(Request {
-                    shard,
-                    ..request(now as u64, 0)
-                }));
-            }
-            host.pass(ms(1));
-            let sent = host.order().split_off(done);
-            done += sent.len();
-            ends.extend(
-                sent.into_iter()
-                    .map(|id| (now + latency(host.attempts(id)[0]), id)),
-            );
-            for (_, id) in ends.extract_if(.., |e| e.0 <= now) {
-                let node = host.attempts(id)[0];
-                host.end(id, 0, node, AttemptOutcome::Succeeded, latency(node));
-            }
-            before = if now == 3999 { done } else { before };
+        let sent = sent_to_many_nodes(nodes, late, zones);
+        assert!(wanted.contains(&sent), "{nodes} nodes, late {late}: {sent}");
+    }
+}
+
+/// A request each 10 ms for 8 s, to one node after the other, of which every `late`-th misses the latency
+/// objective. Returns the attempts of the last four seconds.
+fn sent_to_many_nodes(nodes: u64, late: u64, zones: usize) -> usize {
+    let zoned = |n: u64| Endpoint {
+        zone: ZoneId(n as usize % zones),
+        ..node(n, n as i64)
+    };
+    let mut host = Host::new(config(), (0..nodes).map(zoned).collect(), at(1000));
+    let is_late = |node: u64| late > 0 && node.is_multiple_of(late);
+    let latency = |node: u64| if is_late(node) { 410 } else { 20 };
+    let mut ends: Vec<(i64, u64)> = Vec::new();
+    let mut done = 0;
+    let mut before = 0;
+    for now in 0..8000_i64 {
+        if now % 10 == 0 {
+            host.deliver(Event::RequestArrived(Request {
+                shard: Some(ShardId(now / 10 * 7 % nodes as i64)),
+                ..request(now as u64, 0)
+            }));
         }
-        assert!(
-            wanted.contains(&(done - before)),
-            "{nodes} nodes, late {late}: {}",
-            done - before
-        );
+        host.pass(ms(1));
+        let sent = host.order().split_off(done);
+        done += sent.len();
+        let ends_at = |id| now + latency(host.attempts(id)[0]);
+        ends.extend(sent.into_iter().map(|id| (ends_at(id), id)));
+        for (_, id) in ends.extract_if(.., |end| end.0 <= now) {
+            let node = host.attempts(id)[0];
+            host.end(id, 0, node, AttemptOutcome::Succeeded, latency(node));
+        }
+        before = if now == 3999 { done } else { before };
     }
+    done - before
 }
