--- a/tests/decisions/bounds.rs
+++ b/tests/decisions/bounds.rs
@@ -112,62 +112,52 @@
 #[test]
 fn withdrawn_volumes_are_forgotten() {
     let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-    let plans = |allocations| Event::ConfigChanged {
-        plans: config().plans,
-        allocations,
-        cross_zone_budgets: vec![],
-        fleet_membership: None,
-    };
-    for v in 0..200 {
-        host.deliver(plans(vec![allocations(v, 2)]));
-        let t = Request {
-            plan: PlanId(1),
-            volume: VolumeId(v),
-            volume_hosts: 2,
-            ..request(v, 0)
-        };
-        host.deliver(Event::RequestArrived(t));
+    let sizes = |host: &Host| ["desk.volumes", "desk.xfers"].map(|name| host.size_metric(name));
+    for volume in 0..200 {
+        host.deliver(change_allocations(vec![allocations(volume, 2)]));
+        host.deliver(limited_request(volume, volume, 1.0));
         // An attempt of every tenth stays out while its volume leaves.
         host.pass(ms(200));
-        if v % 10 > 0 {
-            host.end(v, 0, 1, AttemptOutcome::Succeeded, 5);
+        if volume % 10 > 0 {
+            host.end(volume, 0, 1, AttemptOutcome::Succeeded, 5);
         }
-        host.deliver(plans(vec![allocations(v, 0)]));
+        host.deliver(change_allocations(vec![allocations(volume, 0)]));
     }
     host.pass(ms(100_000));
-    assert_eq!(
-        host.size_metric("desk.volumes"),
-        host.size_metric("desk.xfers"),
-        "those with an attempt in flight"
-    );
-    (0..200)
-        .step_by(10)
-        .for_each(|v| host.end(v, 0, 1, AttemptOutcome::Succeeded, 5));
+    let [volumes, open] = sizes(&host);
+    assert_eq!(volumes, open, "those with an attempt in flight");
+    for id in (0..200).step_by(10) {
+        host.end(id, 0, 1, AttemptOutcome::Succeeded, 5);
+    }
     host.pass(ms(1000));
-    assert_eq!(
-        (
-            host.size_metric("desk.volumes"),
-            host.size_metric("desk.xfers")
-        ),
-        (0, 0)
-    );
-    host.deliver(plans(vec![allocations(3, 2)]));
+    assert_eq!(sizes(&host), [0, 0]);
+    host.deliver(change_allocations(vec![allocations(3, 2)]));
     let before = host.order().len();
     for id in 1000..1100 {
-        let t = Request {
-            plan: PlanId(1),
-            volume: VolumeId(3),
-            volume_hosts: 2,
-            units: 4.0,
-            ..request(id, 0)
-        };
-        host.deliver(Event::RequestArrived(t));
+        host.deliver(limited_request(id, 3, 4.0));
+    }
+    let sent = host.order().len();
+    assert_eq!(sent, before, "its store was not full when it came back");
+}
+
+fn change_allocations(allocations: Vec<VolumeAllocation>) -> Event {
+    Event::ConfigChanged {
+        plans: config().plans,
+        allocations,
+        cross_zone_budgets: vec![],
+        fleet_membership: None,
     }
-    assert_eq!(
-        host.order().len(),
-        before,
-        "its store was not full when it came back"
-    );
+}
+
+/// A request of a volume with a limit that two hosts share.
+fn limited_request(id: u64, volume: u64, units: f64) -> Event {
+    Event::RequestArrived(Request {
+        plan: PlanId(1),
+        volume: VolumeId(volume),
+        volume_hosts: 2,
+        units,
+        ..request(id, 0)
+    })
 }
 
 /// Who asks for tokens where there are none costs nothing that stays.
@@ -252,6 +242,30 @@
     );
 }
 
+/// A budget of 10,000 bytes from this host's zone to that of its only node. Attempts may wait 250 ms for their
+/// connections.
+fn host_with_budget(limit: Limit) -> Host {
+    let budget = CrossZoneBudget {
+        id: VolumeId(901),
+        of: BudgetScope::ZonePair(ZoneId(0), ZoneId(1)),
+        limit,
+        hard: true,
+        hosts: 1,
+    };
+    let config = SchedulerConfig {
+        zone: Some(ZoneId(0)),
+        cross_zone_budgets: vec![budget],
+        max_bytes: 1000.0,
+        connect_wait: ms(250),
+        ..config()
+    };
+    let far = Endpoint {
+        zone: ZoneId(1),
+        ..node(3, 3)
+    };
+    Host::new(config, vec![far], at(0))
+}
+
 /// Open finding 22 of docs/release-review.md: a budget between zones fills up behind an attempt that waits
 /// for its connection, as volumes' buckets did: what goes out may pass the budget by its rate times that
 /// wait.
@@ -262,30 +276,7 @@
         rate: 10_000.0,
         burst: 10_000.0,
     };
-    let of = BudgetScope::ZonePair(ZoneId(0), ZoneId(1));
-    let cross_zone_budgets = vec![CrossZoneBudget {
-        id: VolumeId(901),
-        of,
-        limit,
-        hard: true,
-        hosts: 1,
-    }];
-    let connect_wait = ms(250);
-    let f = SchedulerConfig {
-        zone: Some(ZoneId(0)),
-        cross_zone_budgets,
-        max_bytes: 1000.0,
-        connect_wait,
-        ..config()
-    };
-    let mut host = Host::new(
-        f,
-        vec![Endpoint {
-            zone: ZoneId(1),
-            ..node(3, 3)
-        }],
-        at(0),
-    );
+    let mut host = host_with_budget(limit);
     host.pass(ms(10_000));
     let new = |id| {
         Event::RequestArrived(Request {
--- a/tests/decisions/cold_fleet.rs
+++ b/tests/decisions/cold_fleet.rs
@@ -178,68 +178,84 @@
     }
 }
 
-/// Returns the most that was sent beyond what is allowed and chance, over all windows, and the part of what
-/// was asked that was sent.
-fn play(load: &Load) -> (f64, f64) {
+/// What a play found.
+struct Played {
+    /// The most units that were sent beyond what is allowed and chance, over all windows.
+    over: f64,
+    /// The part of what was asked that was sent.
+    part: f64,
+}
+
+fn play(load: &Load) -> Played {
     let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
-    let weights = load.weights();
-    let all: f64 = weights.iter().sum();
     let mut w = World::new(load);
     w.start_hosts();
     let learns_at: Vec<i64> = (0..load.hosts)
         .map(|_| rng.random_range(0..=load.reported_within))
         .collect();
-    let cold = Endpoint {
-        started: Some(at(STARTED)),
-        ..node(0, 0)
-    };
-    // Of all hosts, a millisecond.
-    let rate = load.demand * load.cold_units * SHARDS as f64 / w.config.slow_start.window.millis();
     let mut last = 0;
     for now in BEGAN..LASTS {
         for (host, learns_at) in learns_at.iter().enumerate() {
             if *learns_at == now {
-                let entries = vec![cold.clone()];
-                w.step(
-                    host,
-                    now,
-                    Event::EndpointList {
-                        update_kind: UpdateKind::Delta,
-                        entries,
-                    },
-                );
+                w.step(host, now, start_of_cold_node());
             }
             w.fire_timers(host, now);
         }
+        w.arrivals(load, now, &mut last, &mut rng);
+        for shard in 0..SHARDS as usize {
+            w.end_attempts(shard, now);
+        }
+    }
+    let known = w.sent.iter().filter(|s| s.0 >= load.reported_within);
+    Played {
+        over: w.most_over(),
+        part: known.count() as f64 / w.asked.max(1.0),
+    }
+}
+
+fn start_of_cold_node() -> Event {
+    let cold = Endpoint {
+        started: Some(at(STARTED)),
+        ..node(0, 0)
+    };
+    Event::EndpointList {
+        update_kind: UpdateKind::Delta,
+        entries: vec![cold],
+    }
+}
+
+impl World {
+    /// The requests that clients send to all hosts in a millisecond.
+    fn arrivals(&mut self, load: &Load, now: i64, last: &mut u64, rng: &mut ChaCha8Rng) {
+        let weights = load.weights();
+        let all: f64 = weights.iter().sum();
+        let window = self.config.slow_start.window.millis();
+        let rate = load.demand * load.cold_units * SHARDS as f64 / window;
         for (host, weight) in weights.iter().enumerate() {
             if !rng.random_bool((rate * weight / all).min(1.0)) {
                 continue;
             }
-            last += 1;
+            *last += 1;
             let shard = rng.random_range(0..SHARDS);
             if shard == 0 && now >= load.reported_within {
-                w.asked += 1.0;
+                self.asked += 1.0;
             }
-            w.arrival(host, now, last, shard);
-        }
-        for shard in 0..SHARDS as usize {
-            w.end_attempts(shard, now);
+            self.arrival(host, now, *last, shard);
         }
     }
-    let window = w.config.slow_start.window.millis() as i64;
-    let over = w.sent.iter().enumerate().map(|(i, (from, _))| {
-        let within = w.sent[i..].iter().take_while(|s| s.0 < from + window);
-        let sum: f64 = within.map(|s| s.1).sum();
-        // As at the window's beginning: the least that it may be.
-        let n = allowed(&w.config, *from as f64 / 1e3);
-        sum - (n + 2.0 * n.sqrt() + 2.0)
-    });
-    let sent = w
-        .sent
-        .iter()
-        .filter(|s| s.0 >= load.reported_within)
-        .count() as f64;
-    (over.fold(f64::MIN, f64::max), sent / w.asked.max(1.0))
+
+    /// The most units that were sent within a window beyond what is allowed and chance.
+    fn most_over(&self) -> f64 {
+        let window = self.config.slow_start.window.millis() as i64;
+        let over = self.sent.iter().enumerate().map(|(i, (from, _))| {
+            let within = self.sent[i..].iter().take_while(|s| s.0 < from + window);
+            let sum: f64 = within.map(|s| s.1).sum();
+            // As at the window's beginning: the least that it may be.
+            let n = allowed(&self.config, *from as f64 / 1e3);
+            sum - (n + 2.0 * n.sqrt() + 2.0)
+        });
+        over.fold(f64::MIN, f64::max)
+    }
 }
 
 /// The sum over all hosts stays within what the settings allow and chance, twice the root of that and two,
@@ -261,7 +277,7 @@
                         reported_within,
                         seed,
                     };
-                    let (over, part) = play(&load);
+                    let Played { over, part } = play(&load);
                     let case = format!(
                         "{hosts} hosts, {cold_units} units, demand {demand}, uneven {uneven}, known in {reported_within} ms, \
                          seed {seed}: {over:.1} beyond what is allowed and chance, a part of {part:.2} sent"
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -18,6 +18,10 @@
 /// Two hosts; classes 0 idempotent, 1 with an idempotency key known to its shard, 2 non-idempotent; plans 0
 /// without a limit, 1 with one.
 pub fn config() -> SchedulerConfig {
+    let limit = Limit {
+        rate: 40.0,
+        burst: 40.0,
+    };
     let plan = |limit| Plan {
         limit,
         reserve: 10.0,
@@ -25,30 +29,28 @@
         weight: 1.0,
         price: 1.0,
     };
+    let shard_key = Idempotency::WithKey {
+        scope: IdempotencyScope::Shard,
+        window: ms(200),
+    };
+    let slow_start = SlowStart {
+        units: 12.0,
+        window: ms(1500),
+        initial_fraction: 0.2,
+        ramp: ms(10_000),
+    };
     SchedulerConfig {
         hosts: 2,
         tick: ms(2),
-        request_classes: vec![
-            request_class(Idempotency::Idempotent),
-            request_class(Idempotency::WithKey {
-                scope: IdempotencyScope::Shard,
-                window: ms(200),
-            }),
-            request_class(Idempotency::NonIdempotent),
-        ],
-        plans: vec![
-            plan(None),
-            plan(Some(Limit {
-                rate: 40.0,
-                burst: 40.0,
-            })),
-        ],
-        slow_start: SlowStart {
-            units: 12.0,
-            window: ms(1500),
-            initial_fraction: 0.2,
-            ramp: ms(10_000),
-        },
+        request_classes: [
+            Idempotency::Idempotent,
+            shard_key,
+            Idempotency::NonIdempotent,
+        ]
+        .map(request_class)
+        .to_vec(),
+        plans: vec![plan(None), plan(Some(limit))],
+        slow_start,
         max_attempts: 3,
         max_units: 8.0,
         within_share_value: 0.3,
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -4,8 +4,8 @@
 use crate::common::*;
 use gullsail::api::{
     Action, AttemptEnd, AttemptOutcome, Endpoint, Event, HostId, Idempotency, IdempotencyScope,
-    Instant, Limit, ObjectId, PlanId, Request, RequestClass, RequestId, RetryBudget,
-    SchedulerConfig, ShardId, SlowStart, UpdateKind, VolumeAllocation, VolumeId, ZoneId,
+    Instant, Limit, NodeId, ObjectId, PlanId, Request, RequestClass, RequestId, RetryBudget,
+    SchedulerConfig, ShardId, SlowStart, Span, UpdateKind, VolumeAllocation, VolumeId, ZoneId,
 };
 use gullsail_reference_model::{Breach, Model, RuleParameters};
 use rand::{Rng, SeedableRng};
@@ -122,18 +122,35 @@
     f
 }
 
+fn rule_parameters() -> RuleParameters {
+    RuleParameters {
+        drain_grace: ms(0),
+        slack: 0.0,
+        multiple: 2.0,
+        can: CAN,
+        answer_slack: ms(0),
+    }
+}
+
+impl Member {
+    /// A member whose host has not started yet.
+    fn new(returns_at: Instant) -> Member {
+        Member {
+            host: None,
+            incarnation: 0,
+            returns_at,
+            requests: BTreeMap::new(),
+            plans_reversed: false,
+            served: [true; VOLUMES as usize],
+        }
+    }
+}
+
 impl World {
     pub fn new(seed: u64, fault: Option<Fault>) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts = [1, 2, 3, 8][rng.random_range(0..4)];
         let config = world_config(hosts, &mut rng);
-        let parameters = RuleParameters {
-            drain_grace: ms(0),
-            slack: 0.0,
-            multiple: 2.0,
-            can: CAN,
-            answer_slack: ms(0),
-        };
         let now = at(100_000);
         let server = |n: u64| Server {
             entry: Endpoint {
@@ -147,7 +164,7 @@
         let mut w = World {
             rng,
             now,
-            model: Model::new(parameters),
+            model: Model::new(rule_parameters()),
             members: Vec::new(),
             servers: (0..5).map(server).collect(),
             mail: Vec::new(),
@@ -158,16 +175,7 @@
             config,
         };
         for me in 0..hosts {
-            let served = [true; VOLUMES as usize];
-            let (requests, returns_at) = (BTreeMap::new(), now);
-            w.members.push(Member {
-                host: None,
-                incarnation: 0,
-                returns_at,
-                requests,
-                plans_reversed: false,
-                served,
-            });
+            w.members.push(Member::new(now));
             w.start_host(me as usize);
         }
         w
@@ -234,38 +242,41 @@
         }
     }
 
-    pub fn carry_out(&mut self, me: usize, action: Action) {
+    fn start_attempt(&mut self, me: usize, id: RequestId, node: NodeId, time_out: Option<Span>) {
         let incarnation = self.members[me].incarnation;
+        let Some(held) = self.members[me].requests.get_mut(&id) else {
+            return;
+        };
+        let attempt = held.attempts_sent;
+        let units = held.request.units;
+        held.attempts_sent += 1;
+        let time_out = time_out.unwrap_or(ms(1000)).max(ms(1));
+        let (outcome, latency) = self.serve(node, units, time_out);
+        let end = AttemptEnd {
+            id,
+            attempt,
+            node,
+            outcome,
+            latency,
+            finished: outcome == AttemptOutcome::Succeeded,
+            used: None,
+            zone: ZoneId::default(),
+            bytes: 0.0,
+        };
+        // Now and then its end is reported late, after the deadline too: the answer must not wait for it.
+        let late = if self.rng.random_bool(0.02) {
+            ms(self.rng.random_range(0..2000))
+        } else {
+            ms(0)
+        };
+        self.mail
+            .push((self.now + latency + late, me, Mail::End(incarnation, end)));
+    }
+
+    pub fn carry_out(&mut self, me: usize, action: Action) {
         match action {
             Action::StartAttempt { id, node, time_out } => {
-                let Some(held) = self.members[me].requests.get_mut(&id) else {
-                    return;
-                };
-                let attempt = held.attempts_sent;
-                let units = held.request.units;
-                held.attempts_sent += 1;
-                let time_out = time_out.unwrap_or(ms(1000)).max(ms(1));
-                let (outcome, latency) = self.serve(node, units, time_out);
-                let end = AttemptEnd {
-                    id,
-                    attempt,
-                    node,
-                    outcome,
-                    latency,
-                    finished: outcome == AttemptOutcome::Succeeded,
-                    used: None,
-                    zone: ZoneId::default(),
-                    bytes: 0.0,
-                };
-                // Now and then its end is reported late, after the deadline too: the answer must not wait for
-                // it.
-                let late = if self.rng.random_bool(0.02) {
-                    ms(self.rng.random_range(0..2000))
-                } else {
-                    ms(0)
-                };
-                self.mail
-                    .push((self.now + latency + late, me, Mail::End(incarnation, end)));
+                self.start_attempt(me, id, node, time_out);
             }
             Action::SendToPeer { to, bytes } => {
                 for chance in [0.8, 0.2] {
@@ -383,6 +394,25 @@
         }
     }
 
+    fn deliver(&mut self, me: usize, mail: Mail) {
+        match mail {
+            Mail::DemandReport(from, bytes) => self.step(me, Event::PeerMessage { from, bytes }),
+            Mail::End(incarnation, end) => {
+                if incarnation == self.members[me].incarnation {
+                    self.step(me, Event::AttemptEnded(end));
+                }
+            }
+            Mail::List(entries) => self.step(
+                me,
+                Event::EndpointList {
+                    update_kind: UpdateKind::Delta,
+                    entries,
+                },
+            ),
+        }
+    }
+
+    /// A millisecond of one host and its clients.
     pub fn member(&mut self, me: usize) {
         let Some(host) = &mut self.members[me].host else {
             return;
@@ -399,23 +429,7 @@
             .extract_if(.., |m| m.1 == me && m.0 <= self.now)
             .collect::<Vec<_>>();
         for (_, _, mail) in due {
-            match mail {
-                Mail::DemandReport(from, bytes) => {
-                    self.step(me, Event::PeerMessage { from, bytes })
-                }
-                Mail::End(incarnation, end) => {
-                    if incarnation == self.members[me].incarnation {
-                        self.step(me, Event::AttemptEnded(end));
-                    }
-                }
-                Mail::List(entries) => self.step(
-                    me,
-                    Event::EndpointList {
-                        update_kind: UpdateKind::Delta,
-                        entries,
-                    },
-                ),
-            }
+            self.deliver(me, mail);
         }
         if self.rng.random_bool(0.15 / self.members.len() as f64) {
             self.arrival(me);
--- a/tests/decisions/world_nodes.rs
+++ b/tests/decisions/world_nodes.rs
@@ -68,42 +68,48 @@
                 .servers
                 .iter_mut()
                 .for_each(|m| m.faults = NodeFaults::NONE),
-            // It restarts, cold, and its host of the list says so.
-            3 => {
-                let now = self.now;
-                let m = &mut self.servers[place];
-                (m.entry.started, m.entry.state, m.up, m.free_at) =
-                    (Some(now), EndpointState::Ready, true, now);
-                let entry = m.entry.clone();
-                self.announce(&[entry]);
-            }
-            // It drains, and a successor of another name holds its shard, cold.
-            _ => {
-                self.last_node += 1;
-                let (now, id) = (self.now, self.last_node);
-                let m = &mut self.servers[place];
-                if m.entry.state != EndpointState::Ready {
-                    m.up = false;
-                    m.entry.state = EndpointState::Gone;
-                    let gone = m.entry.clone();
-                    return self.announce(&[gone]);
-                }
-                m.entry.state = EndpointState::Draining;
-                let (shard, zone, left) = (m.entry.shard, m.entry.zone, m.entry.clone());
-                let entry = Endpoint {
-                    zone,
-                    started: Some(now),
-                    ..node(id, shard.0)
-                };
-                let next = Server {
-                    entry: entry.clone(),
-                    up: true,
-                    faults: NodeFaults::NONE,
-                    free_at: now,
-                };
-                self.servers.push(next);
-                self.announce(&[left, entry]);
-            }
+            3 => self.restart(place),
+            _ => self.drain(place),
+        }
+    }
+
+    /// A node restarts, cold, and its host of the list says so.
+    fn restart(&mut self, place: usize) {
+        let now = self.now;
+        let m = &mut self.servers[place];
+        m.entry.started = Some(now);
+        m.entry.state = EndpointState::Ready;
+        m.up = true;
+        m.free_at = now;
+        let entry = m.entry.clone();
+        self.announce(&[entry]);
+    }
+
+    /// A node drains, and a successor of another name holds its shard, cold. One that drains already goes.
+    fn drain(&mut self, place: usize) {
+        self.last_node += 1;
+        let now = self.now;
+        let id = self.last_node;
+        let m = &mut self.servers[place];
+        if m.entry.state != EndpointState::Ready {
+            m.up = false;
+            m.entry.state = EndpointState::Gone;
+            let gone = m.entry.clone();
+            return self.announce(&[gone]);
         }
+        m.entry.state = EndpointState::Draining;
+        let left = m.entry.clone();
+        let entry = Endpoint {
+            zone: left.zone,
+            started: Some(now),
+            ..node(id, left.shard.0)
+        };
+        self.servers.push(Server {
+            entry: entry.clone(),
+            up: true,
+            faults: NodeFaults::NONE,
+            free_at: now,
+        });
+        self.announce(&[left, entry]);
     }
 }
