--- a/crates/benchlink/tests/same_config.rs
+++ b/crates/benchlink/tests/same_config.rs
@@ -1,14 +1,12 @@
 //! Both ways into the scheduler, the bench's and the platform's, agree.
 
-use gullsail_benchlink::events;
+use gullsail_benchlink::events::{self, Names};
 use gullsail_benchlink::wire::WireEvent;
+use gullsail_platform::settings_document::SettingsDocument;
 use gullsail_scheduler_api::{Event, Request, RequestId, SchedulerConfig, Span};
 use std::collections::BTreeMap;
 
-/// The bench's adapter and the platform's host make the same configuration and ids of the same settings.
-#[test]
-fn both_routes_make_the_same_config_and_ids() {
-    let settings = r#"{"clients":{"marks-retry":false},"failure-domains":["a","b"],"family":"stores",
+const SETTINGS: &str = r#"{"clients":{"marks-retry":false},"failure-domains":["a","b"],"family":"stores",
         "family-info":{"cold-units":15.0,"idle-worth":0.08,"max-units":8,"slots-total":9,"within-share":0.35,
         "writes":[false,true]},"limits":{"connect-timeout":250.0,"keepalive":15000.0,"max-attempts":4,
         "max-retry-after":1000.0,"peer-messages":true,"retry-after":true},"membership-mode":"ask","peers-total":3,
@@ -19,59 +17,69 @@
         "objective":200.0,"serial-by-key":true}],"rank":2,
         "rules":{"free-resends":3.0,"extra-per-request":0.1,"look-back":5000.0,"overload-for":1500.0,
         "ramp-time":17000.0,"start-capacity":0.17,"order-settle":100.0},"tick":2.0}"#;
-    let start = format!(r#"{{"type":"Born","host":1,"rng-seed":9,"boot-info":{settings}}}"#);
-    let Ok(WireEvent::Start { boot_info, .. }) = serde_json::from_str(&start) else {
-        panic!("{start}")
-    };
-    let (here, mut names) = events::config(&boot_info).unwrap();
+
+const VOLUME: &str = "00000003b4d60021";
+const OBJECT: &str = "7f3a9c21e0b4d655";
+
+fn platform_document() -> SettingsDocument {
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"x:1","limits":{{"cores":1.0,"memory_mb":32,"sockets":256}},
-        "settings":{settings}}}"#
-    );
-    let document =
-        gullsail_platform::settings_document::SettingsDocument::parse("d", &text).unwrap();
-    // An attempt can wait for its connection on sockets alone.
-    let there = SchedulerConfig {
-        connect_wait: Span::ZERO,
-        ..document.config.clone()
-    };
-    assert_eq!(
-        (format!("{here:?}"), &names.settings),
-        (format!("{there:?}"), &document.names)
+        "settings":{SETTINGS}}}"#
     );
-    assert_eq!(document.config.connect_wait, Span::from_millis(250.0));
-    let (volume, object) = ("00000003b4d60021", "7f3a9c21e0b4d655");
+    SettingsDocument::parse("d", &text).unwrap()
+}
+
+fn request_from_bench(names: &mut Names) -> Request {
     let accept = format!(
         r#"{{"type":"Accept","host":1,"id":5,"quota-units":2,"ttl":900.0,"grade":"best","profile":"w",
-        "store-user":"{volume}","lies-in":3,"object":"{object}","mounts":3}}"#
+        "store-user":"{VOLUME}","lies-in":3,"object":"{OBJECT}","mounts":3}}"#
     );
-    let Ok(Some(Event::RequestArrived(here))) = events::translate(
-        serde_json::from_str(&accept).unwrap(),
-        &mut names,
-        &BTreeMap::new(),
-    ) else {
-        panic!("{accept}")
-    };
-    let mut decoder = gullsail_http::Decoder::requests(gullsail_platform::core::BOUNDS);
-    decoder.feed(
-        format!(
-            "PUT /w/{volume}/{object} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: w\r\n\
-             X-Storage-Class: best\r\nX-Expires-In-Ms: 900\r\nX-Extent: units=2,shard=3,hosts=3\r\n\
-             Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n"
-        )
-        .as_bytes(),
+    let event = serde_json::from_str(&accept).unwrap();
+    match events::translate(event, names, &BTreeMap::new()) {
+        Ok(Some(Event::RequestArrived(request))) => request,
+        _ => panic!("{accept}"),
+    }
+}
+
+fn request_from_platform(document: &SettingsDocument) -> Request {
+    let text = format!(
+        "PUT /w/{VOLUME}/{OBJECT} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: w\r\n\
+         X-Storage-Class: best\r\nX-Expires-In-Ms: 900\r\nX-Extent: units=2,shard=3,hosts=3\r\n\
+         Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n"
     );
+    let mut decoder = gullsail_http::Decoder::requests(gullsail_platform::core::BOUNDS);
+    decoder.feed(text.as_bytes());
     let message = decoder.take().unwrap().unwrap();
     let parsed = gullsail_platform::core::request_parser::parse(
         &message,
         &document.names,
         &document.config,
         &document.reach,
-    )
-    .unwrap();
-    let there = Request {
+    );
+    Request {
         id: RequestId(5),
-        ..parsed.request
+        ..parsed.unwrap().request
+    }
+}
+
+/// The bench's adapter and the platform's host make the same configuration and ids of the same settings.
+#[test]
+fn both_routes_make_the_same_config_and_ids() {
+    let start = format!(r#"{{"type":"Born","host":1,"rng-seed":9,"boot-info":{SETTINGS}}}"#);
+    let Ok(WireEvent::Start { boot_info, .. }) = serde_json::from_str(&start) else {
+        panic!("{start}")
+    };
+    let (here, mut names) = events::config(&boot_info).unwrap();
+    let document = platform_document();
+    // An attempt can wait for its connection on sockets alone.
+    assert_eq!(document.config.connect_wait, Span::from_millis(250.0));
+    let there = SchedulerConfig {
+        connect_wait: Span::ZERO,
+        ..document.config.clone()
     };
     assert_eq!(format!("{here:?}"), format!("{there:?}"));
+    assert_eq!(names.settings, document.names);
+    let here = request_from_bench(&mut names);
+    let there = request_from_platform(&document);
+    assert_eq!(format!("{here:?}"), format!("{there:?}"));
 }
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -33,12 +33,6 @@
         scope: IdempotencyScope::Shard,
         window: ms(200),
     };
-    let slow_start = SlowStart {
-        units: 12.0,
-        window: ms(1500),
-        initial_fraction: 0.2,
-        ramp: ms(10_000),
-    };
     SchedulerConfig {
         hosts: 2,
         tick: ms(2),
@@ -50,7 +44,7 @@
         .map(request_class)
         .to_vec(),
         plans: vec![plan(None), plan(Some(limit))],
-        slow_start,
+        slow_start: slow_start(),
         max_attempts: 3,
         max_units: 8.0,
         within_share_value: 0.3,
@@ -61,6 +55,15 @@
     }
 }
 
+fn slow_start() -> SlowStart {
+    SlowStart {
+        units: 12.0,
+        window: ms(1500),
+        initial_fraction: 0.2,
+        ramp: ms(10_000),
+    }
+}
+
 pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         idempotency,
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -3,6 +3,7 @@
 mod bounds;
 mod cold_fleet;
 mod common;
+mod cross_zone;
 mod inputs;
 mod limits;
 mod model;
