--- a/crates/scheduler-api/src/event.rs
+++ b/crates/scheduler-api/src/event.rs
@@ -112,7 +112,7 @@
     /// The configuration changed. If the positions of plans change, every volume that was served must have an
     /// allocation in the event.
     ConfigChanged {
-        /// All plans from now on, by [`PlanId`](crate::PlanId).
+        /// All plans from now on, by [`PlanId`].
         plans: Vec<Plan>,
         /// The allocations of the volumes that change.
         allocations: Vec<VolumeAllocation>,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -92,6 +92,11 @@
         self.requests.take_actions()
     }
 
+    /// The number of entries in each collection, by name; nested collections are summed.
+    pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
+        size_metrics::size_metrics(&self.trackers, self.requests.state())
+    }
+
     /// Hands the entries of a list to their trackers. Endpoints that a complete list does not name are gone.
     fn update_list(&mut self, update_kind: UpdateKind, entries: &[Endpoint]) {
         let is_complete = matches!(
--- a/src/scheduler/admission/starvation.rs
+++ b/src/scheduler/admission/starvation.rs
@@ -18,7 +18,7 @@
         return false;
     }
     let expected = volume.tokens_expected_by(state.now, open.objective_deadline(), &state.config);
-    if volume.bucket().waiting_units() <= expected {
+    if volume.waiting_units() <= expected {
         return false;
     }
     let others = state.requests.iter();
--- a/src/scheduler/attempts/limits.rs
+++ b/src/scheduler/attempts/limits.rs
@@ -68,6 +68,7 @@
         self.retry_budget.expire(now, config);
     }
 
+    /// Whether the retry budget allows another retry.
     pub(crate) fn allow_retry(&self, config: &SchedulerConfig) -> bool {
         self.retry_budget.allows_retry(config)
     }
--- a/src/scheduler/attempts/overload_guard.rs
+++ b/src/scheduler/attempts/overload_guard.rs
@@ -46,6 +46,7 @@
         MAX_SENT_PER_SUCCESS * self.succeeded.read(now, SUCCESS_RATE_WINDOW) + 1.0
     }
 
+    /// Attempts sent recently.
     pub(crate) fn sent(&mut self, now: Instant) -> f64 {
         self.sent.read(now, SUCCESS_RATE_WINDOW)
     }
--- a/src/scheduler/attempts/retry_budget.rs
+++ b/src/scheduler/attempts/retry_budget.rs
@@ -44,6 +44,7 @@
         while self.retries.pop_front_if(|at| *at < retries_from).is_some() {}
     }
 
+    /// Whether another retry is within the budget.
     pub(crate) fn allows_retry(&self, config: &SchedulerConfig) -> bool {
         let Some(budget) = config.retry_budget else {
             return true;
--- a/src/scheduler/cross_zone/budget.rs
+++ b/src/scheduler/cross_zone/budget.rs
@@ -129,7 +129,7 @@
         .collect();
     for id in &wanted {
         if let Some(budget) = state.volumes.get_mut(*id) {
-            budget.bucket_mut().set_waiting(bytes);
+            budget.set_waiting_bytes(bytes);
         }
     }
     wanted
--- a/src/scheduler/demand_reports/epoch.rs
+++ b/src/scheduler/demand_reports/epoch.rs
@@ -5,10 +5,11 @@
 use crate::scheduler::intervals::EPOCH;
 use crate::scheduler::messages::EPOCH_TIMER;
 use crate::scheduler::state::SchedulerState;
-use crate::scheduler::volume::peers::directory_retention;
+use crate::scheduler::volume::search::directory_retention;
 use crate::scheduler::volume::table::VolumeSearch;
 use gullsail_scheduler_api::{Action, Instant, demand_report};
 
+/// Starts an epoch and sets the timer for the next one.
 pub(crate) fn start_epoch(state: &mut SchedulerState) {
     let now = state.now;
     let next_epoch = now.micros().div_euclid(EPOCH.micros()) + 1;
--- a/src/scheduler/demand_reports/peer_messages.rs
+++ b/src/scheduler/demand_reports/peer_messages.rs
@@ -2,11 +2,12 @@
 //! volume, and the answers to such searches.
 
 use super::directory::OtherUsers;
+use crate::scheduler::intervals::DEMAND_WINDOW;
 use crate::scheduler::state::SchedulerState;
-use crate::scheduler::volume::DEMAND_WINDOW;
 use gullsail_scheduler_api::demand_report::{self, PeerMessage, VolumeDemand, VolumeUser};
 use gullsail_scheduler_api::{Action, HostId, Instant, VolumeId};
 
+/// Handles a message from another host. Messages from hosts that the fleet does not have are ignored.
 pub(crate) fn handle_peer_message(state: &mut SchedulerState, from: HostId, bytes: &[u8]) {
     if !is_other_host(state, from) {
         return;
@@ -91,6 +92,6 @@
         return;
     }
     if let Some(volume) = state.volumes.get_mut(user.volume) {
-        volume.peers_mut().add(user.host);
+        volume.add_peer(user.host);
     }
 }
--- a/src/scheduler/dispatch/candidate.rs
+++ b/src/scheduler/dispatch/candidate.rs
@@ -1,10 +1,10 @@
 //! The choice of the request that goes to an endpoint with room: the one with the most value per unit among
 //! those that may be sent there now; of equal value, the one with the least time left.
 
-use super::MEDIAN_TO_MEAN_LATENCY;
 use super::queue::{QueueKey, WaitingRequest};
 use crate::scheduler::attempts::idempotency::may_repeat_at;
 use crate::scheduler::cross_zone::budget::may_cross;
+use crate::scheduler::endpoint::health::MEDIAN_TO_MEAN_LATENCY;
 use crate::scheduler::messages::EndpointCapacity;
 use crate::scheduler::request_table::OpenRequest;
 use crate::scheduler::state::SchedulerState;
@@ -76,12 +76,10 @@
     let volume = state.volumes.known(open.request().volume);
     let class = state.class_of(open.request());
     let full = class.priority_weight * config.plans[volume.plan().0].price;
-    let within_fair_share = volume
-        .reserve()
-        .within_fair_share(state.volumes.mean_excess());
+    let within_fair_share = volume.within_fair_share(state.volumes.mean_excess());
     let factor_beyond_reserve = config.beyond_share_value
         + (config.within_share_value - config.beyond_share_value) * within_fair_share;
-    full * if volume.reserve().covers(open.request().units) {
+    full * if volume.reserve_covers(open.request().units) {
         1.0
     } else {
         factor_beyond_reserve
--- a/src/scheduler/dispatch/mod.rs
+++ b/src/scheduler/dispatch/mod.rs
@@ -7,7 +7,3 @@
 pub(super) mod queue;
 pub(super) mod review;
 pub(super) mod send;
-
-/// The median answer takes this fraction of an endpoint's mean latency, because latencies are skewed. An answer
-/// is expected after this part of the mean.
-const MEDIAN_TO_MEAN_LATENCY: f64 = 0.7;
--- a/src/scheduler/dispatch/review.rs
+++ b/src/scheduler/dispatch/review.rs
@@ -1,13 +1,13 @@
 //! Entry into a wait queue and the review of a queue: requests that can no longer be in time are shed, tokens
 //! are requested for the others, and endpoints are asked for their capacity.
 
-use super::MEDIAN_TO_MEAN_LATENCY;
 use super::endpoint_choice::choose_endpoint;
 use super::queue::QueueKey;
 use crate::scheduler::admission::starvation::no_tokens_in_time;
 use crate::scheduler::attempts::idempotency::is_bound_to_shard;
 use crate::scheduler::cross_zone::budget::{budgets_wanted, without_destination};
 use crate::scheduler::demand_reports::token_request::request_tokens;
+use crate::scheduler::endpoint::health::MEDIAN_TO_MEAN_LATENCY;
 use crate::scheduler::endpoint::index::Destination;
 use crate::scheduler::final_answer::shed;
 use crate::scheduler::intervals::QUEUE_REVIEW_INTERVAL;
--- a/src/scheduler/endpoint/health.rs
+++ b/src/scheduler/endpoint/health.rs
@@ -28,6 +28,11 @@
 /// overload is over. Such endpoints also count against the window of `sparse_traffic`.
 const SPARSE_ANSWERS: f64 = 0.5;
 
+/// The median answer takes this fraction of the mean latency, because latencies are skewed. An attempt is
+/// expected to end after this fraction of the mean. Larger, and requests that would be in time are shed; smaller,
+/// and more attempts are late.
+pub(crate) const MEDIAN_TO_MEAN_LATENCY: f64 = 0.7;
+
 /// What answers and timeouts tell of one endpoint.
 pub(crate) struct EndpointHealth {
     /// Sum of latencies, in seconds.
@@ -60,6 +65,7 @@
         self.last_sent = now;
     }
 
+    /// Takes in the end of an attempt.
     pub(crate) fn record_ended(&mut self, ended: &EndedAttempt, now: Instant) {
         use AttemptOutcome::{Failed, Rejected, Succeeded, TimedOut};
         match ended.outcome {
@@ -91,6 +97,7 @@
         }
     }
 
+    /// The mean of the latencies counted recently.
     pub(crate) fn mean_latency(&self) -> Span {
         let mean_secs = self.latency_sum.last() / self.answers.last().max(1e-9);
         Span::from_millis(mean_secs * 1e3).max(Span::from_millis(MIN_LATENCY_MS))
@@ -108,10 +115,12 @@
         oldest_in_flight.is_some_and(|sent_at| now - sent_at.max(self.last_response) > patience)
     }
 
+    /// Whether the endpoint has sparse traffic from this host.
     pub(crate) fn answers_rarely(&self, now: Instant) -> bool {
         self.answers.clone().read(now, LATENCY_WINDOW) < SPARSE_ANSWERS
     }
 
+    /// The time since the last attempt was sent.
     pub(crate) fn since_sent(&self, now: Instant) -> Span {
         now - self.last_sent
     }
--- a/src/scheduler/endpoint/index.rs
+++ b/src/scheduler/endpoint/index.rs
@@ -79,6 +79,7 @@
         self.last_unready_at.insert(shard, now);
     }
 
+    /// Adds a newly ready endpoint to a pool.
     pub(crate) fn add_to_pool(&mut self, pool: PoolId, node: NodeId) {
         self.by_pool.entry(pool).or_default().push(node);
     }
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -1,11 +1,11 @@
 //! Slow start: how many units may be sent to an endpoint that is warming up, and the estimate of the whole
 //! fleet's demand that this limit needs.
 //!
-//! 1. All hosts together may send what a node bears at its start; each host has an even share of it, which
+//! 1. All hosts together may send what a node can serve at its start, the slow-start budget; each host has an even share of it, which
 //!    grows with the ramp.
 //! 2. An attempt that was served within the window proves capacity and counts in part only.
 //! 3. Where the even share is smaller than one request, a host may send one attempt at a time.
-//! 4. Where the hosts ask for more than the node bears, they start such lone attempts in turns.
+//! 4. Where the hosts ask for more than the budget, they start such lone attempts in turns.
 //!
 //! Rules 3 and 4 are inaccurate if the demand of this host differs much from that of the others.
 
@@ -63,6 +63,7 @@
 }
 
 impl SlowStartUnits {
+    /// For an endpoint that has warmed up.
     const UNLIMITED: SlowStartUnits = SlowStartUnits {
         units: f64::INFINITY,
         even_units: f64::INFINITY,
@@ -184,7 +185,7 @@
 }
 
 impl FleetDemandEstimate {
-    /// A host that has just started knows nothing of its demand. It assumes as much as a node bears.
+    /// A host that has just started knows nothing of its demand. It assumes as much as the slow-start budget.
     pub(crate) fn new(config: &SchedulerConfig) -> Self {
         FleetDemandEstimate {
             units_per_window: config.slow_start.units,
--- a/src/scheduler/endpoint/tracker.rs
+++ b/src/scheduler/endpoint/tracker.rs
@@ -45,6 +45,7 @@
         }
     }
 
+    /// The endpoint as this host knows it.
     pub(crate) fn entry(&self) -> &Endpoint {
         &self.entry
     }
@@ -151,6 +152,7 @@
             .record(&ended, self.in_flight.len(), mean_latency, now);
     }
 
+    /// What the endpoint can take now.
     pub(crate) fn capacity(
         &mut self,
         now: Instant,
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -43,6 +43,7 @@
         self.objective_deadline
     }
 
+    /// Whether half of the time until the objective deadline is over.
     pub(super) fn half_time_passed(&self, now: Instant) -> bool {
         now >= self.half_time
     }
@@ -60,10 +61,12 @@
         self.queue.is_some()
     }
 
+    /// The client is owed no further answer.
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
 
+    /// The first attempt that may have run.
     pub(super) fn unproven_execution(&self) -> Option<UnprovenExecution> {
         self.unproven_execution
     }
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -52,6 +52,7 @@
         }
     }
 
+    /// The class of an open request.
     pub(super) fn class_of(&self, request: &Request) -> &RequestClass {
         &self.config.request_classes[request.request_class.0]
     }
@@ -64,7 +65,7 @@
         self.queues.insert(key, open.group(), open.waiting());
         let volume = self.volumes.get_mut(open.request().volume);
         if let (true, Some(volume)) = (open.is_first_attempt(), volume) {
-            volume.bucket_mut().add_waiting(open.request().units);
+            volume.add_waiting(open.request().units);
         }
     }
 
@@ -81,7 +82,7 @@
             return;
         }
         if let Some(volume) = self.volumes.get_mut(open.request().volume) {
-            volume.bucket_mut().remove_waiting(open.request().units);
+            volume.remove_waiting(open.request().units);
         }
     }
 
--- a/src/scheduler/volume/loans.rs
+++ b/src/scheduler/volume/loans.rs
@@ -3,7 +3,8 @@
 //! whatever becomes of messages, clocks or hosts. A loan whose message is lost is lost to all.
 
 use super::peers::TOKEN_REQUEST_INTERVAL;
-use super::{DEMAND_WINDOW, LimitKind, Volume};
+use super::state::{LimitKind, Volume};
+use crate::scheduler::intervals::DEMAND_WINDOW;
 use gullsail_scheduler_api::demand_report::{self, VolumeDemand};
 use gullsail_scheduler_api::{HostId, Instant, Limit, SchedulerConfig};
 
--- a/src/scheduler/volume/peers.rs
+++ b/src/scheduler/volume/peers.rs
@@ -1,9 +1,7 @@
-//! The other hosts that use a volume: what each last reported, whose turn it is to be asked for tokens, and
-//! when to search for further hosts.
+//! The other hosts that use a volume: what each last reported, and whose turn it is to be asked for tokens.
 
-use super::{DEMAND_WINDOW, Volume};
-use crate::scheduler::intervals::EPOCH;
-use gullsail_scheduler_api::{HostId, Instant, SchedulerConfig, Span, VolumeId};
+use crate::scheduler::intervals::DEMAND_WINDOW;
+use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeMap;
 
 /// Interval between requests for tokens, and the time for which lent tokens may be under way: a few round
@@ -14,18 +12,6 @@
 /// that has nothing to lend, costs little.
 const PEERS_PER_REQUEST: usize = 3;
 
-/// How often the interval between searches doubles: from one epoch (0.25 s) to 16 s.
-const MAX_SEARCH_DOUBLINGS: u32 = 6;
-
-/// How many hosts keep the directory of a volume's hosts. One of them may be down, or have lost it.
-const DIRECTORY_HOSTS: u32 = 2;
-
-/// How long a directory remembers a host that does not search again: four times the longest interval between
-/// its searches, so that lost messages do not remove it.
-pub(crate) fn directory_retention() -> Span {
-    EPOCH.times(f64::from(4 << MAX_SEARCH_DOUBLINGS))
-}
-
 /// A peer's newest demand report.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PeerDemand {
@@ -48,12 +34,10 @@
     next_asked: usize,
     /// When tokens may be asked for again.
     ask_at: Instant,
-    /// Searches for further hosts so far.
-    searches: u32,
-    search_at: Instant,
 }
 
 impl Peers {
+    /// Another host uses the volume. It has no demand until it reports some.
     pub(crate) fn add(&mut self, host: HostId) {
         self.reports.entry(host).or_default();
     }
@@ -71,6 +55,7 @@
         true
     }
 
+    /// The newest report of each peer.
     pub(crate) fn demands(&self) -> impl Iterator<Item = &PeerDemand> {
         self.reports.values()
     }
@@ -79,6 +64,7 @@
         self.reports.len()
     }
 
+    /// Whether the interval since the last request for tokens is over.
     pub(crate) fn may_ask(&self, now: Instant) -> bool {
         now >= self.ask_at
     }
@@ -92,34 +78,4 @@
         let in_turn = self.reports.keys().cycle().skip(first);
         in_turn.take(asked).copied().collect()
     }
-
-    /// More hosts use the volume than were known: the search begins anew.
-    pub(crate) fn restart_search(&mut self, now: Instant) {
-        self.searches = 0;
-        self.search_at = now;
-    }
-}
-
-impl Volume {
-    /// The host to ask for further hosts of this volume, when that is due. The hosts of the directory are
-    /// asked in turn.
-    pub(crate) fn next_search(
-        &mut self,
-        id: VolumeId,
-        now: Instant,
-        config: &SchedulerConfig,
-    ) -> Option<HostId> {
-        let is_shared =
-            self.limit(config).is_some() && self.hosts > 1.0 && config.peer_messages_enabled;
-        let peers = &mut self.peers;
-        if !is_shared || now < peers.search_at {
-            return None;
-        }
-        let doublings = peers.searches.min(MAX_SEARCH_DOUBLINGS);
-        let turn = u64::from(peers.searches % DIRECTORY_HOSTS);
-        let directory_host = (id.0 + turn) % u64::from(config.hosts.max(1));
-        peers.search_at = now + EPOCH.times(f64::from(1 << doublings));
-        peers.searches = peers.searches.wrapping_add(1);
-        Some(HostId(directory_host as u32))
-    }
 }
--- a/src/scheduler/volume/reserve.rs
+++ b/src/scheduler/volume/reserve.rs
@@ -2,9 +2,9 @@
 //! value. Beyond the reserve, a volume that was sent less than the others, by weight, is within its fair share
 //! and has more value than one that was sent more.
 
-use super::{DEMAND_WINDOW, LimitKind, Volume};
 use crate::decaying_sum::DecayingSum;
-use gullsail_scheduler_api::{Instant, SchedulerConfig};
+use crate::scheduler::intervals::DEMAND_WINDOW;
+use gullsail_scheduler_api::Instant;
 
 /// Smallest weight assumed, so that units by weight stay finite.
 const MIN_WEIGHT: f64 = 0.01;
@@ -25,10 +25,16 @@
 }
 
 impl Reserve {
+    /// Adds what a rate brings in a time. The reserve holds at most one second of it and a largest request.
+    pub(crate) fn refill(&mut self, rate: f64, elapsed_secs: f64, max_units: f64) {
+        self.units = (self.units + rate * elapsed_secs).min(rate + max_units);
+    }
+
     pub(crate) fn covers(&self, units: f64) -> bool {
         self.units >= units
     }
 
+    /// Takes the units of a request from the reserve; if it does not cover them, they count as excess.
     pub(crate) fn spend(&mut self, units: f64, weight: f64, now: Instant) {
         if self.covers(units) {
             self.units -= units;
@@ -45,29 +51,17 @@
     }
 }
 
-impl Volume {
-    /// Adds to the reserve this host's share of the plan's reserve, in proportion to its part of the demand.
-    /// A host with little demand still gets half of an even share.
-    pub(crate) fn refill_reserve(
-        &mut self,
-        own_demand: f64,
-        elapsed_secs: f64,
-        config: &SchedulerConfig,
-    ) {
-        if self.kind != LimitKind::Volume {
-            return;
-        }
-        let Some(plan) = config.plans.get(self.plan.0) else {
-            return;
-        };
-        let if_others_alike = own_demand * self.hosts;
-        let fleet_usage = self.fleet_usage.map(|usage| usage.max(own_demand));
-        let fleet_demand = fleet_usage.unwrap_or(if_others_alike).max(MIN_DIVISOR);
-        let least_part = 1.0 / self.hosts / 2.0;
-        let rate = plan.reserve * (own_demand / fleet_demand).max(least_part);
-        let most = rate + config.max_units;
-        self.reserve.units = (self.reserve.units + rate * elapsed_secs).min(most);
-    }
+/// This host's rate of the plan's reserve, in proportion to its part of the fleet's demand. A host with little
+/// demand still gets half of an even share.
+pub(crate) fn reserve_rate(
+    plan_reserve: f64,
+    own_demand: f64,
+    fleet_demand: f64,
+    hosts: f64,
+) -> f64 {
+    let least_part = 1.0 / hosts / 2.0;
+    let part = own_demand / fleet_demand.max(MIN_DIVISOR);
+    plan_reserve * part.max(least_part)
 }
 
 /// The mean weighted excess over the volumes that have one.
--- a/src/scheduler/volume/share.rs
+++ b/src/scheduler/volume/share.rs
@@ -1,7 +1,7 @@
 //! This host's share of a volume's limit, and what the share will bring.
 
 use super::peers::PeerDemand;
-use super::{LimitKind, Volume};
+use super::state::{LimitKind, Volume};
 use crate::scheduler::intervals::EPOCH;
 use gullsail_scheduler_api::{Instant, Limit, SchedulerConfig, Span};
 
--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -2,7 +2,7 @@
 //! they fill, are lent and are asked for in the same way.
 
 use super::reserve::MeanExcess;
-use super::{LimitKind, Volume};
+use super::state::{LimitKind, Volume};
 use gullsail_scheduler_api::{
     HostId, Instant, Request, SchedulerConfig, VolumeAllocation, VolumeId, demand_report,
 };
@@ -62,6 +62,7 @@
         &self.by_id[&id]
     }
 
+    /// Takes in a request that has just arrived.
     pub(crate) fn record_arrival(
         &mut self,
         request: &Request,
@@ -72,6 +73,7 @@
         volume.record_arrival(request, now, self.started_at, config);
     }
 
+    /// Brings all volumes up to date.
     pub(crate) fn refill_all(&mut self, now: Instant, config: &SchedulerConfig) {
         for volume in self.by_id.values_mut() {
             volume.refill(now, config);
--- a/src/scheduler/volume/token_bucket.rs
+++ b/src/scheduler/volume/token_bucket.rs
@@ -52,6 +52,7 @@
         self.tokens = (self.tokens + share.rate * elapsed_secs).min(share.burst);
     }
 
+    /// The bucket is up to date.
     pub(crate) fn set_refilled(&mut self, now: Instant) {
         self.refilled_at = self.refilled_at.max(now);
     }
@@ -61,6 +62,7 @@
         self.tokens = (self.tokens + units).min(burst);
     }
 
+    /// Takes tokens, without asking whether there are any.
     pub(crate) fn take(&mut self, units: f64) {
         self.tokens -= units;
     }
