--- a/crates/scheduler-settings/src/validation.rs
+++ b/crates/scheduler-settings/src/validation.rs
@@ -32,17 +32,14 @@
         self.check(
             wrong,
             place,
-            format!("expected a number of 0 or more, found {figure}"),
+            format!("a figure of 0 or more was meant, not {figure}"),
         );
     }
 
     fn check_names_differ<'a>(&mut self, list: &str, names: impl Iterator<Item = &'a str>) {
         let names: Vec<_> = names.collect();
         if let Some(at) = (1..names.len()).find(|at| names[..*at].contains(&names[*at])) {
-            let meant = format!(
-                "expected a name of its own, found '{:.40}' twice",
-                names[at]
-            );
+            let meant = format!("another name was meant: '{:.40}' is taken", names[at]);
             self.check(true, format!("{list}[{at}].name"), meant);
         }
     }
@@ -96,7 +93,7 @@
         found.check(
             writes > 0 && writes != profiles,
             "family-info.writes",
-            format!("expected one entry for each of the {profiles} profiles, found {writes}"),
+            format!("one word for each of {profiles} profiles was meant, not {writes}"),
         );
         found.check(
             self.family_info.slots_total < 0,
@@ -109,13 +106,13 @@
         found.check(
             self.limits.max_attempts == 0,
             "limits.max-attempts",
-            "expected at least one attempt, found 0",
+            "at least one attempt was meant",
         );
         found.check(
             !["push", "ask"].contains(&self.membership_mode.as_str()),
             "membership-mode",
             format!(
-                "expected 'push' or 'ask', found '{:.40}'",
+                "'push' or 'ask' was meant, not '{:.40}'",
                 self.membership_mode
             ),
         );
@@ -123,7 +120,7 @@
             self.rank >= self.peers_total,
             "rank",
             format!(
-                "expected a number below peers-total, {}, found {}",
+                "a number below peers-total, {}, was meant, not {}",
                 self.peers_total, self.rank
             ),
         );
@@ -147,7 +144,7 @@
         found.check(
             policy.limit > 0.0 && burst < largest,
             place("limit-burst"),
-            format!("expected room for the largest request, {largest} units, found {burst}"),
+            format!("room for one largest transfer, {largest} units, was meant, not {burst}"),
         );
     }
 
@@ -162,7 +159,7 @@
                 found.check(
                     wrong,
                     place,
-                    format!("expected a time above 0, found {time}"),
+                    format!("a time above 0 was meant, not {time}"),
                 );
             }
         }
@@ -181,16 +178,13 @@
         found.check(
             tiers > 0 && !(0..tiers).contains(&self.tier),
             "tier",
-            format!(
-                "expected a number below {tiers}, the number of stages, found {}",
-                self.tier
-            ),
+            format!("one of the {tiers} stages was meant, not {}", self.tier),
         );
         found.check(
             !self.zone.is_empty() && !zones.is_empty() && !zones.contains(&self.zone),
             "zone",
             format!(
-                "expected one of the failure-domains {zones:?}, found '{:.40}'",
+                "one of the failure-domains {zones:?} was meant, not '{:.40}'",
                 self.zone
             ),
         );
