--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -152,6 +152,11 @@
                 .all(|member| !member.first_held.is_empty())
     }
 
+    /// Whether who wrote with this ballot knew of this coordinator's term.
+    pub fn is_current(&self, ballot: Ballot) -> bool {
+        ballot >= self.first_ballot
+    }
+
     /// A host asks for a lease, or to renew it.
     pub fn renew(
         &mut self,
@@ -162,7 +167,7 @@
         let ProcessId { host, incarnation } = renewal.process;
         // What a member wrote before it knew of this term may arrive late, and it may have accepted more from
         // an earlier coordinator since. Found by a random world. It costs the member one more message.
-        if renewal.ballot < self.first_ballot {
+        if !self.is_current(renewal.ballot) {
             return RenewalOutcome::Outdated;
         }
         let until = now + config.lease;
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -171,9 +171,10 @@
         };
         let process = messages::sender(message);
         coordinator.leave(&self.config, process);
-        if let Some(maintenance_coordinator) = &mut self.maintenance_coordinator {
-            maintenance_coordinator.member_left(process.host);
-        }
+        // A departure that was announced to an earlier coordinator may be older than what another process
+        // under its name has learned since.
+        let is_current = coordinator.is_current(messages::ballot(message));
+        self.maintenance_member_left(message, is_current);
         self.follow_coordinator();
         let message = self.new_message(FleetWhat::Left, process.host, process.incarnation);
         self.send(message, Some(link));
--- a/crates/fleet/src/fleet/maintenance.rs
+++ b/crates/fleet/src/fleet/maintenance.rs
@@ -1,8 +1,8 @@
 //! Servers taken offline, as one host takes part: the order book that it knows, which servers it may send to,
 //! and what it reports with its renewals. The coordinator's side is `maintenance_coordination`.
 
-use super::Fleet;
 use super::operator_commands::PendingCommands;
+use super::{Fleet, messages};
 use crate::lease::Ballot;
 use crate::maintenance::{
     Order, OrderBook, OrderBookVersion, SERVED, ServerId, ServerObservation, ServerRole, Servers,
@@ -132,10 +132,11 @@
             .min()
     }
 
-    /// Adds to a renewal what this host reports of maintenance.
-    pub(super) fn add_maintenance_report(&mut self, renewal: FleetMessage) -> FleetMessage {
+    /// Adds to a renewal or a departure what this host reports of maintenance. The message's ballot is that
+    /// of the coordinator that it goes to.
+    pub(super) fn add_maintenance_report(&mut self, message: FleetMessage) -> FleetMessage {
         if self.config.maintenance.is_none() {
-            return renewal;
+            return message;
         }
         let served = self
             .demand
@@ -148,7 +149,8 @@
             .map(|order_book| order_book.version)
             .unwrap_or_default();
         // A coordinator elected since may not know it.
-        let earlier = order_book.filter(|book| book.version.ballot != self.lease_holder.ballot());
+        let coordinator = messages::ballot(&message);
+        let earlier = order_book.filter(|book| book.version.ballot != coordinator);
         let member_for = state
             .first_lease_at
             .map_or(0.0, |at| (self.now - at).millis());
@@ -164,7 +166,7 @@
         };
         FleetMessage {
             maintenance: Some(Box::new(report)),
-            ..renewal
+            ..message
         }
     }
 
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -1,8 +1,8 @@
 //! Servers taken offline, while this host is the coordinator: what members report, what they are answered,
 //! and which operators' commands are accepted.
 
-use super::Fleet;
 use super::maintenance::version;
+use super::{Fleet, messages};
 use crate::coordinator::Member;
 use crate::maintenance::coordinator::{CommandDecision, RenewalReport};
 use crate::maintenance::{FleetSnapshot, OrderBook, ServerId, ServerRole, Servers};
@@ -34,15 +34,49 @@
         &mut self,
         renewal: &FleetMessage,
     ) -> Option<Box<FleetMaintenance>> {
+        self.take_maintenance_report(renewal)?;
+        let coordinator = self.maintenance_coordinator.as_mut()?;
+        coordinator.lease_granted(HostId(renewal.from), self.now);
+        let known = version(renewal.maintenance.as_ref()?);
+        let order_book = coordinator.order_book();
+        let newest = order_book
+            .map(|order_book| order_book.version)
+            .unwrap_or_default();
+        let unknown = order_book.filter(|order_book| order_book.version != known);
+        Some(Box::new(FleetMaintenance {
+            line: unknown.map(|order_book| order_book.to_message(self.now)),
+            round: newest.ballot.round,
+            by: newest.ballot.by,
+            count: newest.count,
+            ..FleetMaintenance::default()
+        }))
+    }
+
+    /// A member leaves: takes what it reports of maintenance, if the report is current, and counts on it that
+    /// the member uses no server any more.
+    pub(super) fn maintenance_member_left(&mut self, departure: &FleetMessage, is_current: bool) {
+        let process = messages::sender(departure);
+        let Some(coordinator) = &self.maintenance_coordinator else {
+            return;
+        };
+        if is_current && coordinator.may_report(process) {
+            self.take_maintenance_report(departure);
+        }
+        if let Some(coordinator) = &mut self.maintenance_coordinator {
+            coordinator.member_left(process);
+        }
+    }
+
+    /// Takes what a message reports of maintenance; `None`: there is nothing.
+    fn take_maintenance_report(&mut self, from_member: &FleetMessage) -> Option<()> {
         let config = self.config.clone();
         let maintenance = config.maintenance.as_ref()?;
         let coordinator = self.maintenance_coordinator.as_mut()?;
-        let message = renewal.maintenance.as_ref()?;
+        let message = from_member.maintenance.as_ref()?;
         let known = version(message);
-        let host = HostId(renewal.from);
         let report = RenewalReport {
-            host,
-            incarnation: renewal.from_incarnation,
+            host: HostId(from_member.from),
+            incarnation: from_member.from_incarnation,
             known: Some(known).filter(|known| known.count > 0),
             released: message
                 .let_go
@@ -60,19 +94,7 @@
         if let Some(order_book) = reported {
             coordinator.order_book_reported(order_book);
         }
-        coordinator.lease_granted(host, self.now);
-        let order_book = coordinator.order_book();
-        let newest = order_book
-            .map(|order_book| order_book.version)
-            .unwrap_or_default();
-        let unknown = order_book.filter(|order_book| order_book.version != known);
-        Some(Box::new(FleetMaintenance {
-            line: unknown.map(|order_book| order_book.to_message(self.now)),
-            round: newest.ballot.round,
-            by: newest.ballot.by,
-            count: newest.count,
-            ..FleetMaintenance::default()
-        }))
+        Some(())
     }
 
     pub(super) fn advance_maintenance_coordinator(&mut self) {
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -3,7 +3,9 @@
 use super::event::Departure;
 use super::{Fleet, messages};
 use crate::allocation::Shares;
+use crate::ballot::Ballot;
 use crate::lease_holder::{GrantId, RenewalRequest};
+use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMessage, FleetPart, FleetWhat};
 use gullsail_scheduler_api::{HostId, VolumeId};
 use std::collections::BTreeMap;
@@ -135,11 +137,31 @@
             return;
         }
         match self.lease_holder.coordinator() {
-            Some(coordinator) => {
-                let message = self.new_message(FleetWhat::Leave, coordinator, 0);
-                self.send(message, None);
+            Some(host) => {
+                let coordinator = ProcessId {
+                    host,
+                    incarnation: 0,
+                };
+                self.send_departure(coordinator, self.lease_holder.ballot(), None);
             }
             None => self.departure = Departure::Complete,
         }
     }
+
+    /// Tells the coordinator with this ballot that this host leaves. A coordinator that has just been elected
+    /// may learn only from this message which orders an earlier one has moved on.
+    pub(super) fn send_departure(
+        &mut self,
+        coordinator: ProcessId,
+        ballot: Ballot,
+        via: Option<HostId>,
+    ) {
+        let message = FleetMessage {
+            round: ballot.round,
+            by: ballot.by,
+            ..self.new_message(FleetWhat::Leave, coordinator.host, coordinator.incarnation)
+        };
+        let message = self.add_maintenance_report(message);
+        self.send(message, via);
+    }
 }
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -148,12 +148,8 @@
             FleetWhat::Ask if stays => self.poll_received(&message, link),
             // The announcement was lost, or there was no coordinator yet.
             FleetWhat::Ask if announced => {
-                let answer = self.new_message(
-                    FleetWhat::Leave,
-                    HostId(message.from),
-                    message.from_incarnation,
-                );
-                self.send(answer, Some(link));
+                let coordinator = sender(&message);
+                self.send_departure(coordinator, ballot(&message), Some(link));
             }
             FleetWhat::Renew => self.renewal_received(&message, link),
             FleetWhat::Grant if stays => self.grant_received(&message),
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -6,6 +6,7 @@
 use super::super::server::ServerId;
 use super::{COUNT_BITS, MaintenanceCoordinator, majority_of_hosts};
 use crate::config::FleetConfig;
+use crate::process_id::ProcessId;
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeSet;
 
@@ -105,9 +106,16 @@
         }
     }
 
-    /// A member has left.
-    pub fn member_left(&mut self, host: HostId) {
-        if let Some(usage) = self.usage.get_mut(&host) {
+    /// Whether a report of this process is taken: no other process has reported under its name.
+    pub fn may_report(&self, process: ProcessId) -> bool {
+        let known = self.usage.get(&process.host);
+        known.is_none_or(|usage| usage.incarnation == process.incarnation)
+    }
+
+    /// A member has left. A departure that comes late does not count for a later process under its name.
+    pub fn member_left(&mut self, process: ProcessId) {
+        let usage = self.usage.get_mut(&process.host);
+        if let Some(usage) = usage.filter(|usage| usage.incarnation == process.incarnation) {
             usage.left = true;
         }
     }
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -238,6 +238,44 @@
     }
 }
 
+/// The coordinator takes its own server offline: it resigns and leaves before most hosts know that the order
+/// drains. The next coordinator learns that from the host itself and does not wait for its lease to expire.
+#[test]
+fn the_coordinators_own_server_goes_offline_without_waiting_for_its_lease() {
+    for (hosts, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (5, 5), (8, 6)] {
+        let mut w = World::with_drift(hosts, seed, 10_000, DRIFT, Some(maintenance_config()));
+        // Longer than the isolation grace: nothing is owed to an earlier process of any host.
+        w.run(8 * LEASE);
+        let is_coordinator = |number: &u32| {
+            let fleet = w.hosts[*number as usize].fleet.as_ref();
+            fleet.is_some_and(|fleet| fleet.decides(w.clock(*number, w.now)))
+        };
+        let coordinator = (0..hosts).find(is_coordinator).unwrap();
+        let through = (coordinator + 1) % hosts;
+        w.command(
+            through,
+            CommandKind::TakeOffline,
+            &[host(coordinator)],
+            away(false),
+        );
+        w.run(4 * LEASE);
+        let fleet = w.hosts[through as usize].fleet.as_ref().unwrap();
+        let order = fleet
+            .orders()
+            .find(|order| order.server == host(coordinator));
+        let order = order.unwrap();
+        let known = known_orders(&w);
+        assert_eq!(order.stage, Stage::Offline, "seed {seed}: {known}");
+        assert!(order.hosts.is_empty(), "seed {seed}: {known}");
+        assert!(w.hosts[coordinator as usize].fleet.is_none());
+        assert_eq!(
+            w.orders.anew.len(),
+            1,
+            "seed {seed}: orders were lost: {known}"
+        );
+    }
+}
+
 /// How long all orders take and what that costs, by size: for docs/results.md, by hand.
 #[test]
 #[ignore = "figures, not a verdict: cargo test -p gullsail-fleet --release --test world line_by_size -- --ignored --nocapture"]
