--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -21,13 +21,18 @@
 /// The share that each member should have of a budget: its floor, then by demand. Where the shares would not
 /// hold a largest request, as many members as can have one get one, in turns.
 ///
-/// `kept`: what hosts that are not in `demands` may be using. The results sum to at most the whole less
-/// `kept`, if the floors of these members do. `turn` selects who comes first where turns are taken.
-pub fn divide(budget: &Budget, demands: &[HostDemand], kept: u64, turn: u64) -> Vec<HostShare> {
+/// `committed_elsewhere`: what hosts that are not in `demands` may be using. The results sum to at most the whole less
+/// `committed_elsewhere`, if the floors of these members do. `turn` selects who comes first where turns are taken.
+pub fn divide(
+    budget: &Budget,
+    demands: &[HostDemand],
+    committed_elsewhere: u64,
+    turn: u64,
+) -> Vec<HostShare> {
     let floor = |host: HostId| u64::from(budget.floor(host));
     let mut shares: Vec<u64> = demands.iter().map(|member| floor(member.host)).collect();
     let floors: u64 = shares.iter().sum();
-    let mut rest = u64::from(WHOLE).saturating_sub(kept + floors);
+    let mut rest = u64::from(WHOLE).saturating_sub(committed_elsewhere + floors);
     let shortfall =
         |place: usize| u64::from(budget.least).saturating_sub(floor(demands[place].host));
     let asking: Vec<usize> = (0..demands.len())
--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 struct Grant {
     serial: u64,
-    until: Instant,
+    expires_at: Instant,
     shares: Shares,
 }
 
@@ -56,12 +56,12 @@
     }
 
     /// What may be in use of a budget, over all hosts.
-    pub fn sum(&self, id: VolumeId) -> u64 {
+    pub fn committed_total(&self, id: VolumeId) -> u64 {
         self.sums.get(&id).copied().unwrap_or_default()
     }
 
     /// What may be in use of a budget at one host.
-    pub fn most(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
+    pub fn committed_share(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let most = self
             .hosts
             .get(&host)
@@ -76,7 +76,7 @@
             .get(&host)?
             .grants
             .iter()
-            .map(|grant| grant.until)
+            .map(|grant| grant.expires_at)
             .max()
     }
 
@@ -109,7 +109,7 @@
         config: &FleetConfig,
         host: HostId,
         serial: u64,
-        until: Instant,
+        expires_at: Instant,
         shares: Shares,
     ) {
         let entry = self.hosts.entry(host).or_default();
@@ -117,19 +117,19 @@
             // The two oldest become one grant that covers both.
             let oldest = entry.grants.remove(0);
             let next = &mut entry.grants[0];
-            next.until = next.until.max(oldest.until);
+            next.expires_at = next.expires_at.max(oldest.expires_at);
             raise(&mut next.shares, &oldest.shares);
         }
         entry.grants.push(Grant {
             serial,
-            until,
+            expires_at,
             shares,
         });
         self.recount(config, host);
     }
 
     /// The host holds the grant with this serial, and so none before it.
-    pub fn release_before(&mut self, config: &FleetConfig, host: HostId, serial: u64) {
+    pub fn drop_grants_before(&mut self, config: &FleetConfig, host: HostId, serial: u64) {
         if let Some(entry) = self.hosts.get_mut(&host) {
             entry.grants.retain(|grant| grant.serial >= serial);
             self.recount(config, host);
@@ -137,18 +137,18 @@
     }
 
     /// The host has reported that it holds nothing and takes no more grants.
-    pub fn clear(&mut self, config: &FleetConfig, host: HostId) {
-        self.release_before(config, host, u64::MAX);
+    pub fn drop_all_grants(&mut self, config: &FleetConfig, host: HostId) {
+        self.drop_grants_before(config, host, u64::MAX);
     }
 
     /// Strikes out the grants whose leases are surely over.
-    pub fn expire(&mut self, config: &FleetConfig, now: Instant) {
-        let has_expired = |entry: &Entry| entry.grants.iter().any(|grant| grant.until <= now);
+    pub fn drop_expired_grants(&mut self, config: &FleetConfig, now: Instant) {
+        let has_expired = |entry: &Entry| entry.grants.iter().any(|grant| grant.expires_at <= now);
         let expired = self.hosts.iter().filter(|(_, entry)| has_expired(entry));
         let hosts: Vec<HostId> = expired.map(|(host, _)| *host).collect();
         for host in hosts {
             if let Some(entry) = self.hosts.get_mut(&host) {
-                entry.grants.retain(|grant| grant.until > now);
+                entry.grants.retain(|grant| grant.expires_at > now);
             }
             self.recount(config, host);
         }
@@ -157,8 +157,8 @@
     /// The most that may be granted to a host of a budget, beside what all others may be using.
     pub fn available(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let others = self
-            .sum(id)
-            .saturating_sub(u64::from(self.most(id, budget, host)));
+            .committed_total(id)
+            .saturating_sub(u64::from(self.committed_share(id, budget, host)));
         u64::from(WHOLE).saturating_sub(others) as u32
     }
 }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -21,16 +21,16 @@
 use std::collections::BTreeMap;
 
 /// Shares are computed anew after this part of a lease, or when members come and go.
-const DIVIDE_LEASES: f64 = 0.125;
+const DIVIDE_INTERVAL_LEASES: f64 = 0.125;
 /// A coordinator issues fewer grants than two to this power.
 const SERIAL_BITS: u32 = 20;
 /// A member that is silent for this part of a lease is suspected.
-const SUSPECT_LEASES: f64 = 0.5;
+const SUSPECT_AFTER_LEASES: f64 = 0.5;
 /// A share that differs by less than this part of itself is left as it is: a change makes its host look at
 /// all its volumes.
 const NEGLIGIBLE_CHANGE: f64 = 0.05;
 /// Where a budget is too small for all, the turn changes after so many leases.
-const TURN_LEASES: f64 = 2.0;
+const TURN_LENGTH_LEASES: f64 = 2.0;
 
 /// Grants leases to the members of the fleet.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
     /// The first ballot of this term: a host that does not know it yet may still accept an earlier
     /// coordinator's grants.
     first_ballot: Ballot,
-    since: Instant,
+    elected_at: Instant,
     takeover_complete: bool,
     /// All hosts that have renewed here.
     pub members: BTreeMap<HostId, Member>,
@@ -59,7 +59,7 @@
             ballot,
             epoch,
             first_ballot: ballot,
-            since: now,
+            elected_at: now,
             takeover_complete: false,
             members: BTreeMap::new(),
             ledger: Ledger::new(config),
@@ -77,12 +77,12 @@
 
     /// When everything that an earlier coordinator granted is surely over.
     pub fn takeover_ends(&self, config: &FleetConfig) -> Instant {
-        self.since + config.lease
+        self.elected_at + config.lease
     }
 
     /// What may be in use of a budget, over all hosts.
-    pub fn sum(&self, id: VolumeId) -> u64 {
-        self.ledger.sum(id)
+    pub fn committed_total(&self, id: VolumeId) -> u64 {
+        self.ledger.committed_total(id)
     }
 
     /// What each host may be using of a budget, of the hosts that may use it.
@@ -90,7 +90,7 @@
         let hosts = budget.through.iter().chain(budget.lagging_hosts.keys());
         let share = |host: &HostId| HostShare {
             host: *host,
-            share: self.ledger.most(id, budget, *host),
+            share: self.ledger.committed_share(id, budget, *host),
         };
         let mut shares: Vec<HostShare> = hosts.map(share).collect();
         shares.sort_unstable();
@@ -112,13 +112,13 @@
     /// Members that are silent become suspected, then out. Returns those that are newly suspected, to be
     /// asked through other hosts.
     pub fn advance(&mut self, config: &FleetConfig, now: Instant) -> Vec<HostId> {
-        self.ledger.expire(config, now);
+        self.ledger.drop_expired_grants(config, now);
         let mut suspects = Vec::new();
         let mut some_out = false;
         for (host, member) in &mut self.members {
             let silent = now - member.last_renewal;
             match member.state {
-                MemberState::Member if silent >= config.lease.times(SUSPECT_LEASES) => {
+                MemberState::Member if silent >= config.lease.times(SUSPECT_AFTER_LEASES) => {
                     member.state = MemberState::Suspected;
                     suspects.push(*host);
                 }
@@ -149,7 +149,7 @@
             && self
                 .members
                 .values()
-                .all(|member| !member.first_held.is_empty())
+                .all(|member| !member.shares_at_first_renewal.is_empty())
     }
 
     /// Whether who wrote with this ballot knew of this coordinator's term.
@@ -168,7 +168,7 @@
         // What a member wrote before it knew of this term may arrive late, and it may have accepted more from
         // an earlier coordinator since. Found by a random world. It costs the member one more message.
         if !self.is_current(renewal.ballot) {
-            return RenewalOutcome::Outdated;
+            return RenewalOutcome::StaleBallot;
         }
         let until = now + config.lease;
         let active = self.members.get(&host).filter(|member| member.is_active());
@@ -182,7 +182,7 @@
         } else {
             self.admit(config, renewal, until, now);
         }
-        self.ledger.expire(config, now);
+        self.ledger.drop_expired_grants(config, now);
         self.divide(config, now);
         self.serial += 1;
         let shares = self.shares(config, host);
@@ -206,7 +206,7 @@
             member.demand = renewal.demand;
         }
         if renewal.serial > 0 {
-            self.ledger.release_before(config, host, renewal.serial);
+            self.ledger.drop_grants_before(config, host, renewal.serial);
         }
     }
 
@@ -221,7 +221,7 @@
             via: renewal.via,
             until,
             demand: renewal.demand,
-            first_held: renewal.held.clone(),
+            shares_at_first_renewal: renewal.held.clone(),
         };
         self.members.insert(host, member);
         if !renewal.held.is_empty() && !self.takeover_complete {
@@ -251,8 +251,11 @@
                 .copied()
                 .unwrap_or(floor)
         } else {
-            let first_held = self.members.get(&host).map(|member| &member.first_held);
-            first_held
+            let shares_at_first_renewal = self
+                .members
+                .get(&host)
+                .map(|member| &member.shares_at_first_renewal);
+            shares_at_first_renewal
                 .and_then(|held| held.get(&id))
                 .copied()
                 .unwrap_or_default()
@@ -268,12 +271,12 @@
     fn divide(&mut self, config: &FleetConfig, now: Instant) {
         let recent = self
             .divided_at
-            .is_some_and(|at| now - at < config.lease.times(DIVIDE_LEASES));
+            .is_some_and(|at| now - at < config.lease.times(DIVIDE_INTERVAL_LEASES));
         if recent || !self.takeover_complete {
             return;
         }
         self.divided_at = Some(now);
-        let turn_length = config.lease.times(TURN_LEASES).micros().max(1);
+        let turn_length = config.lease.times(TURN_LENGTH_LEASES).micros().max(1);
         let turn = now.micros().div_euclid(turn_length) as u64;
         for (id, budget) in &config.budgets {
             self.divide_budget(*id, budget, turn);
@@ -292,10 +295,10 @@
         let demands: Vec<HostDemand> = budget.through.iter().filter_map(demand_of).collect();
         let own: u64 = demands
             .iter()
-            .map(|member| u64::from(self.ledger.most(id, budget, member.host)))
+            .map(|member| u64::from(self.ledger.committed_share(id, budget, member.host)))
             .sum();
-        let kept = self.ledger.sum(id).saturating_sub(own);
-        let new = divide(budget, &demands, kept, turn);
+        let committed_elsewhere = self.ledger.committed_total(id).saturating_sub(own);
+        let new = divide(budget, &demands, committed_elsewhere, turn);
         let old = self.targets.entry(id).or_default();
         let negligible = |new: &HostShare| {
             let before = f64::from(old.get(&new.host).copied().unwrap_or_default());
@@ -311,7 +314,7 @@
         let member = self.members.get_mut(&process.host);
         if let Some(member) = member.filter(|member| member.incarnation == process.incarnation) {
             member.state = MemberState::Left;
-            self.ledger.clear(config, process.host);
+            self.ledger.drop_all_grants(config, process.host);
             self.start_epoch();
         }
     }
--- a/crates/fleet/src/coordinator/member.rs
+++ b/crates/fleet/src/coordinator/member.rs
@@ -55,7 +55,7 @@
     /// What its clients ask for, by budget.
     pub(super) demand: BTreeMap<VolumeId, f64>,
     /// What it held with its first renewal here.
-    pub(super) first_held: Shares,
+    pub(super) shares_at_first_renewal: Shares,
 }
 
 impl Member {
--- a/crates/fleet/src/coordinator/renewal.rs
+++ b/crates/fleet/src/coordinator/renewal.rs
@@ -25,7 +25,7 @@
 /// What a renewal leads to.
 pub enum RenewalOutcome {
     /// It was written before the member knew of this coordinator: it is to be asked again.
-    Outdated,
+    StaleBallot,
     /// The lease is renewed.
     Granted {
         /// Counts the grants of this coordinator.
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/coordinator_lease.rs
@@ -20,7 +20,7 @@
 
 pub use crate::ballot::Ballot;
 pub use crate::process_id::ProcessId;
-pub use acceptor::{Acceptor, AcceptorReply, LiveLease};
+pub use acceptor::{AcceptedCoordinatorLease, Acceptor, AcceptorReply};
 pub use candidate::{
-    CandidateRequest, HeldLease, LeaseCandidate, Proposal, renewal_check_interval,
+    CandidateRequest, HeldCoordinatorLease, LeaseCandidate, Proposal, renewal_check_interval,
 };
--- a/crates/fleet/src/lease/acceptor.rs
+++ b/crates/fleet/src/coordinator_lease/acceptor.rs
@@ -28,7 +28,7 @@
 
 /// A coordinator lease that has not run out yet, as an acceptor knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LiveLease {
+pub struct AcceptedCoordinatorLease {
     /// The process that holds it.
     pub holder: ProcessId,
     /// When it is over, by the acceptor's clock.
@@ -67,9 +67,9 @@
     }
 
     /// The lease that is live here, if there is one.
-    pub fn live(&self, now: Instant) -> Option<LiveLease> {
+    pub fn live(&self, now: Instant) -> Option<AcceptedCoordinatorLease> {
         let accepted = self.accepted.filter(|accepted| now < accepted.until)?;
-        Some(LiveLease {
+        Some(AcceptedCoordinatorLease {
             holder: accepted.holder,
             until: accepted.until,
         })
--- a/crates/fleet/src/lease/candidate.rs
+++ b/crates/fleet/src/coordinator_lease/candidate.rs
@@ -9,14 +9,16 @@
 use std::ops::Range;
 
 /// The holder renews after this part of a lease, so that two rounds may be lost.
-const RENEW_LEASES: f64 = 0.25;
+const RENEWAL_INTERVAL_COORDINATOR_LEASES: f64 = 0.25;
 /// A candidate waits for this part of a lease between tries: long compared with a round trip, short compared
 /// with the lease that a takeover may have to wait for.
-const RETRY_LEASES: Range<f64> = 0.1..0.5;
+const RETRY_COORDINATOR_LEASES: Range<f64> = 0.1..0.5;
 
 /// How often the holder must look at its lease while nothing happens.
 pub fn renewal_check_interval(config: &FleetConfig) -> Span {
-    config.coordinator_lease().times(RENEW_LEASES / 2.0)
+    config
+        .coordinator_lease()
+        .times(RENEWAL_INTERVAL_COORDINATOR_LEASES / 2.0)
 }
 
 #[derive(Clone, Debug)]
@@ -27,7 +29,7 @@
         sent_at: Instant,
         promised_by: BTreeSet<HostId>,
         /// Voters at which another process holds a live lease.
-        taken_at: BTreeSet<HostId>,
+        refused_by_holder_at: BTreeSet<HostId>,
     },
     Proposing {
         proposal: Proposal,
@@ -56,7 +58,7 @@
 
 /// The coordinator lease as its holder relies on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldLease {
+pub struct HeldCoordinatorLease {
     /// The ballot by which it was last granted.
     pub ballot: Ballot,
     /// When it is over, by the holder's clock.
@@ -68,7 +70,7 @@
 pub struct LeaseCandidate {
     me: HostId,
     phase: Phase,
-    held: Option<HeldLease>,
+    held: Option<HeldCoordinatorLease>,
     /// The highest round seen so far, of any host.
     round: u64,
     next: Instant,
@@ -90,7 +92,7 @@
     }
 
     /// The lease, while it is held.
-    pub fn held(&self, now: Instant) -> Option<HeldLease> {
+    pub fn held(&self, now: Instant) -> Option<HeldCoordinatorLease> {
         self.held.filter(|lease| now < lease.until)
     }
 
@@ -120,7 +122,10 @@
             return None;
         }
         if let Some(lease) = self.held {
-            self.next = now + config.coordinator_lease().times(RENEW_LEASES);
+            self.next = now
+                + config
+                    .coordinator_lease()
+                    .times(RENEWAL_INTERVAL_COORDINATOR_LEASES);
             // After a refusal the renewal needs a higher ballot, which has to be prepared first.
             if let Phase::Preparing { .. } = self.phase {
                 return Some(self.prepare(now));
@@ -130,7 +135,7 @@
         // Spread at random: two candidates at the same moment would rule each other out.
         let wait = config
             .coordinator_lease()
-            .times(rng.random_range(RETRY_LEASES));
+            .times(rng.random_range(RETRY_COORDINATOR_LEASES));
         if let Some(until) = taken_until.filter(|until| *until > now) {
             self.phase = Phase::Idle;
             self.next = until + wait;
@@ -155,7 +160,7 @@
             ballot,
             sent_at: now,
             promised_by: BTreeSet::new(),
-            taken_at: BTreeSet::new(),
+            refused_by_holder_at: BTreeSet::new(),
         };
     }
 
@@ -172,7 +177,7 @@
             ballot,
             sent_at,
             promised_by,
-            taken_at,
+            refused_by_holder_at,
         } = &mut self.phase
         else {
             return None;
@@ -183,7 +188,11 @@
         if promised != *ballot || now - *sent_at >= config.held_coordinator_lease() {
             return None;
         }
-        let voters = if taken { taken_at } else { &mut *promised_by };
+        let voters = if taken {
+            refused_by_holder_at
+        } else {
+            &mut *promised_by
+        };
         voters.insert(from);
         if promised_by.len() < config.majority() {
             return None;
@@ -233,12 +242,15 @@
         if accepted_by.len() < config.majority() {
             return false;
         }
-        let granted = HeldLease {
+        let granted = HeldCoordinatorLease {
             ballot: proposal.ballot,
             until,
         };
         if self.held.is_none() {
-            self.next = now + config.coordinator_lease().times(RENEW_LEASES);
+            self.next = now
+                + config
+                    .coordinator_lease()
+                    .times(RENEWAL_INTERVAL_COORDINATOR_LEASES);
         }
         self.held = Some(granted);
         self.phase = Phase::Idle;
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -15,8 +15,8 @@
 mod coordination;
 mod election;
 mod event;
-mod maintenance;
 mod maintenance_coordination;
+mod maintenance_participant;
 mod membership;
 mod messages;
 mod operator_commands;
@@ -27,15 +27,15 @@
 
 use crate::config::FleetConfig;
 use crate::coordinator::{Coordinator, MemberState};
+use crate::coordinator_lease::{Acceptor, LeaseCandidate, renewal_check_interval};
 use crate::demand::Demand;
-use crate::lease::{Acceptor, LeaseCandidate, renewal_check_interval};
-use crate::lease_holder::LeaseHolder;
 use crate::maintenance::coordinator::MaintenanceCoordinator;
+use crate::member_lease::MemberLeaseHolder;
 use crate::status::Counts;
 use event::Departure;
 use gullsail_protocol::{FleetMember, FleetMessage};
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
-use maintenance::MaintenanceState;
+use maintenance_participant::MaintenanceState;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -48,7 +48,7 @@
 
 /// How long a host waits after its acceptor has recovered before it seeks the coordinator lease, in
 /// coordinator leases.
-const FIRST_TRY_LEASES: Range<f64> = 0.0..0.5;
+const FIRST_ATTEMPT_COORDINATOR_LEASES: Range<f64> = 0.0..0.5;
 
 /// One host's part in the fleet.
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
     candidate: LeaseCandidate,
     /// While this host is the coordinator.
     coordinator: Option<Coordinator>,
-    lease_holder: LeaseHolder,
+    lease_holder: MemberLeaseHolder,
     demand: Demand,
     epoch: u64,
     members: Vec<FleetMember>,
@@ -98,7 +98,7 @@
         let acceptor = Acceptor::new(&config, now);
         let wait = config
             .coordinator_lease()
-            .times(rng.random_range(FIRST_TRY_LEASES));
+            .times(rng.random_range(FIRST_ATTEMPT_COORDINATOR_LEASES));
         // Rounds begin at the clock's milliseconds: above those of earlier incarnations, unless clocks are
         // far off. Nothing relies on it: an acceptor accepts a ballot of one incarnation only.
         let round = (now.micros() / 1000).max(0) as u64;
@@ -112,7 +112,7 @@
             acceptor,
             candidate,
             coordinator: None,
-            lease_holder: LeaseHolder::new(now),
+            lease_holder: MemberLeaseHolder::new(now),
             demand: Demand::default(),
             epoch: 0,
             members: Vec::new(),
@@ -196,7 +196,7 @@
     /// Takes an event. What it leads to is in [`Fleet::outputs`], and a change of shares in
     /// [`Fleet::changed`].
     pub fn handle(&mut self, now: Instant, event: Event) {
-        self.expire(now);
+        self.drop_expired_leases(now);
         if !matches!(
             event,
             Event::DemandObserved { .. } | Event::ServersObserved { .. }
@@ -236,7 +236,7 @@
 
     /// Does what is due. Before that it costs next to nothing.
     pub fn advance(&mut self, now: Instant) {
-        self.expire(now);
+        self.drop_expired_leases(now);
         if now < self.due {
             return;
         }
@@ -285,9 +285,9 @@
 
     /// Comes first, whatever happens: leases that are over by this clock are over. A process that stood still
     /// learns of it here, before it does anything.
-    fn expire(&mut self, now: Instant) {
+    fn drop_expired_leases(&mut self, now: Instant) {
         self.now = self.now.max(now);
-        if self.lease_holder.expire(self.now) {
+        if self.lease_holder.drop_expired_lease(self.now) {
             self.counts.leases_lost += 1;
             self.changed = true;
             warn!(
@@ -305,6 +305,6 @@
                 "no longer coordinator: its lease is over"
             );
         }
-        self.expire_maintenance();
+        self.update_isolation();
     }
 }
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, messages};
 use crate::allocation::Shares;
 use crate::coordinator::{Member, MemberState, Renewal, RenewalOutcome};
-use crate::lease::Ballot;
+use crate::coordinator_lease::Ballot;
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
 use gullsail_scheduler_api::{HostId, VolumeId};
@@ -13,9 +13,9 @@
 
 /// Hosts that are no members are asked so often, in leases: a host that is gone for good costs next to
 /// nothing.
-const POLL_LEASES: f64 = 0.5;
+const POLL_INTERVAL_LEASES: f64 = 0.5;
 /// How many other hosts are asked to pass a message on.
-const RELAYS: usize = 2;
+const RELAYS_PER_MESSAGE: usize = 2;
 
 impl Fleet {
     pub(super) fn advance_coordinator(&mut self) {
@@ -38,12 +38,12 @@
             self.poll(host, ballot, None);
         }
         if self.now >= self.next_poll {
-            self.next_poll = self.now + self.config.lease.times(POLL_LEASES);
+            self.next_poll = self.now + self.config.lease.times(POLL_INTERVAL_LEASES);
             for host in missing {
                 self.poll(host, ballot, None);
             }
         }
-        self.follow_coordinator();
+        self.publish_membership();
         self.advance_maintenance_coordinator();
     }
 
@@ -60,7 +60,7 @@
             .map(|member| HostId(member.host));
         members
             .filter(|other| *other != host && *other != me)
-            .choose_multiple(&mut self.rng, RELAYS)
+            .choose_multiple(&mut self.rng, RELAYS_PER_MESSAGE)
     }
 
     /// Asks a host for a renewal.
@@ -77,7 +77,7 @@
     }
 
     /// What this host knows of members is what its own coordinator knows.
-    pub(super) fn follow_coordinator(&mut self) {
+    pub(super) fn publish_membership(&mut self) {
         let Some(coordinator) = &self.coordinator else {
             return;
         };
@@ -110,9 +110,9 @@
         let renewal = read_renewal(message, via);
         let outcome = coordinator.renew(&self.config, renewal, self.now);
         let ballot = coordinator.ballot;
-        self.follow_coordinator();
+        self.publish_membership();
         let answer = match outcome {
-            RenewalOutcome::Outdated => return self.poll(process.host, ballot, via),
+            RenewalOutcome::StaleBallot => return self.poll(process.host, ballot, via),
             RenewalOutcome::Fenced => {
                 let incarnation = process.incarnation;
                 warn!(
@@ -165,7 +165,7 @@
     }
 
     /// A member leaves.
-    pub(super) fn leave_received(&mut self, message: &FleetMessage, link: HostId) {
+    pub(super) fn departure_received(&mut self, message: &FleetMessage, link: HostId) {
         let Some(coordinator) = &mut self.coordinator else {
             return;
         };
@@ -175,7 +175,7 @@
         // under its name has learned since.
         let is_current = coordinator.is_current(messages::ballot(message));
         self.maintenance_member_left(message, is_current);
-        self.follow_coordinator();
+        self.publish_membership();
         let message = self.new_message(FleetWhat::Left, process.host, process.incarnation);
         self.send(message, Some(link));
     }
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -3,7 +3,7 @@
 
 use super::{Fleet, messages};
 use crate::coordinator::Coordinator;
-use crate::lease::{AcceptorReply, Ballot, CandidateRequest, Proposal};
+use crate::coordinator_lease::{AcceptorReply, Ballot, CandidateRequest, Proposal};
 use crate::maintenance::coordinator::MaintenanceCoordinator;
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMessage, FleetWhat};
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -1,7 +1,7 @@
 //! Servers taken offline, while this host is the coordinator: what members report, what they are answered,
 //! and which operators' commands are accepted.
 
-use super::maintenance::version;
+use super::maintenance_participant::version;
 use super::{Fleet, messages};
 use crate::coordinator::Member;
 use crate::maintenance::coordinator::{CommandDecision, RenewalReport};
--- a/crates/fleet/src/fleet/maintenance.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -3,7 +3,7 @@
 
 use super::operator_commands::PendingCommands;
 use super::{Fleet, messages};
-use crate::lease::Ballot;
+use crate::coordinator_lease::Ballot;
 use crate::maintenance::{
     Order, OrderBook, OrderBookVersion, SERVED, ServerId, ServerObservation, ServerRole, Servers,
     Stage, may_use,
@@ -21,9 +21,9 @@
     /// newest.
     confirmed_until: Option<Instant>,
     /// That lease is over.
-    lost: bool,
+    confirmation_expired: bool,
     /// It has been over for so long that nothing is sent to any server.
-    blind: bool,
+    isolated: bool,
     pub(super) servers: Servers,
     /// Servers that this host no longer uses.
     pub(super) released: BTreeSet<ServerId>,
@@ -99,32 +99,35 @@
     }
 
     /// Notes that the confirmed lease is over, or that the host is blind by now.
-    pub(super) fn expire_maintenance(&mut self) {
+    pub(super) fn update_isolation(&mut self) {
         let (Some(config), Some(until)) =
             (&self.config.maintenance, self.maintenance.confirmed_until)
         else {
             return;
         };
         let since = self.now - until;
-        let lost = since >= Span::ZERO;
-        let blind = since >= config.blind_held(self.config.drift);
-        self.changed |= lost != self.maintenance.lost || blind != self.maintenance.blind;
-        if blind && !self.maintenance.blind {
+        let confirmation_expired = since >= Span::ZERO;
+        let isolated = since >= config.blind_held(self.config.drift);
+        self.changed |= confirmation_expired != self.maintenance.confirmation_expired
+            || isolated != self.maintenance.isolated;
+        if isolated && !self.maintenance.isolated {
             warn!(
                 member = self.me.0,
                 "out of touch for too long: nothing is sent to any machine"
             );
         }
-        self.maintenance.lost = lost;
-        self.maintenance.blind = blind;
+        self.maintenance.confirmation_expired = confirmation_expired;
+        self.maintenance.isolated = isolated;
     }
 
     /// When there is something to do for maintenance.
     pub(super) fn maintenance_due(&self) -> Option<Instant> {
         let config = self.config.maintenance.as_ref()?;
         let state = &self.maintenance;
-        let lost = state.confirmed_until.filter(|_| !state.lost);
-        let blind = state.confirmed_until.filter(|_| !state.blind);
+        let lost = state
+            .confirmed_until
+            .filter(|_| !state.confirmation_expired);
+        let blind = state.confirmed_until.filter(|_| !state.isolated);
         let blind = blind.map(|until| until + config.blind_held(self.config.drift));
         [state.commands.next(), lost, blind]
             .into_iter()
@@ -191,7 +194,7 @@
             .is_some_and(|book| book.version == newest);
         if report.count > 0 && confirmed {
             self.maintenance.confirmed_until = self.lease_holder.until();
-            self.expire_maintenance();
+            self.update_isolation();
         }
         if self.going_offline() && self.resign() {
             info!(
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -4,7 +4,7 @@
 use super::{Fleet, messages};
 use crate::allocation::Shares;
 use crate::ballot::Ballot;
-use crate::lease_holder::{GrantId, RenewalRequest};
+use crate::member_lease::{GrantId, RenewalRequest};
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMessage, FleetPart, FleetWhat};
 use gullsail_scheduler_api::{HostId, VolumeId};
@@ -28,7 +28,7 @@
             ..self.new_message(FleetWhat::Renew, coordinator, 0)
         };
         let message = self.add_maintenance_report(message);
-        if renewal.detour {
+        if renewal.use_relays {
             for via in self.relays(coordinator) {
                 self.send(message.clone(), Some(via));
             }
@@ -81,7 +81,7 @@
         let number = self.lease_holder.register_renewal(self.now);
         self.send_renewal(RenewalRequest {
             number,
-            detour: link.0 != poll.from,
+            use_relays: link.0 != poll.from,
         });
     }
 
@@ -126,12 +126,12 @@
             "another process holds this host's name: nothing is used"
         );
         self.fenced = true;
-        self.lease_holder.release();
+        self.lease_holder.drop_lease();
         self.changed = true;
     }
 
     pub(super) fn announce_departure(&mut self) {
-        self.lease_holder.release();
+        self.lease_holder.drop_lease();
         // Whoever was the coordinator until now announces it to the next one, if that asks within a lease.
         if self.resign() || self.lease_holder.coordinator() == Some(self.me) {
             return;
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -4,7 +4,7 @@
 use super::event::Departure;
 use super::{Fleet, Output, RULES};
 use crate::config::WHOLE;
-use crate::lease::Ballot;
+use crate::coordinator_lease::Ballot;
 use crate::maintenance::OrderBook;
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMaintenance, FleetMessage, FleetPart, FleetWhat};
@@ -83,7 +83,7 @@
             return self.count_dropped(cause);
         }
         if message.to != self.me.0 {
-            return self.pass_on(link, message);
+            return self.relay(link, message);
         }
         if message.to_incarnation != 0 && message.to_incarnation != self.incarnation {
             return self.count_dropped("for an earlier process of this name");
@@ -121,7 +121,7 @@
     }
 
     /// A message is passed on once, from the host that wrote it.
-    fn pass_on(&mut self, link: HostId, message: FleetMessage) {
+    fn relay(&mut self, link: HostId, message: FleetMessage) {
         if link.0 != message.from {
             return self.count_dropped("passed on twice");
         }
@@ -153,7 +153,7 @@
             }
             FleetWhat::Renew => self.renewal_received(&message, link),
             FleetWhat::Grant if stays => self.grant_received(&message),
-            FleetWhat::Leave => self.leave_received(&message, link),
+            FleetWhat::Leave => self.departure_received(&message, link),
             FleetWhat::Left if announced => self.departure = Departure::Complete,
             FleetWhat::Fence if ballot(&message) >= self.lease_holder.ballot() => {
                 self.fence_received()
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -10,9 +10,9 @@
 /// Commands that wait for an answer at one host; more are refused.
 const MAX_COMMANDS: usize = 32;
 /// A command is sent again after this part of a lease.
-const RESEND_LEASES: f64 = 0.125;
+const RESEND_INTERVAL_LEASES: f64 = 0.125;
 /// It is given up after so many leases: two takeovers.
-const GIVE_UP_LEASES: f64 = 6.0;
+const GIVE_UP_AFTER_LEASES: f64 = 6.0;
 
 /// The number of an operator's command and its result: accepted, or the server for which it is refused and
 /// why.
@@ -60,7 +60,7 @@
         if commands.pending.len() >= MAX_COMMANDS {
             return commands.refuse(number, &command, CommandRefusal::TooManyCommands);
         }
-        let until = self.now + self.config.lease.times(GIVE_UP_LEASES);
+        let until = self.now + self.config.lease.times(GIVE_UP_AFTER_LEASES);
         commands.pending.insert(
             number,
             PendingCommand {
@@ -75,7 +75,7 @@
     /// Sends the commands that are due to the coordinator, and gives up those that nobody answered.
     pub(super) fn send_commands(&mut self) {
         let now = self.now;
-        let resend_at = now + self.config.lease.times(RESEND_LEASES);
+        let resend_at = now + self.config.lease.times(RESEND_INTERVAL_LEASES);
         let mut due = Vec::new();
         for (number, command) in &mut self.maintenance.commands.pending {
             if command.next <= now {
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -73,7 +73,7 @@
         BudgetStatus {
             budget: id.0,
             share: self.share(id),
-            counted: coordinator.map(|coordinator| coordinator.sum(id)),
+            counted: coordinator.map(|coordinator| coordinator.committed_total(id)),
             parts: parts.map(|part| (part.host.0, part.share)).collect(),
         }
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! Where to begin reading:
 //! - [`config`]: the settings that all hosts share;
-//! - [`lease`]: how a majority of voters elects one coordinator at a time;
+//! - [`coordinator_lease`]: how a majority of voters elects one coordinator at a time;
 //! - [`allocation`]: why the shares in use never sum to more than the whole budget;
-//! - [`coordinator`] and [`lease_holder`]: the two sides of a grant;
+//! - [`coordinator`] and [`member_lease`]: the two sides of a grant;
 //! - [`fleet`]: how messages connect them;
 //! - [`maintenance`]: how servers are taken offline.
 //!
@@ -19,12 +19,12 @@
 pub mod ballot;
 pub mod config;
 pub mod coordinator;
+pub mod coordinator_lease;
 pub mod delayed_increase;
 mod demand;
 pub mod fleet;
-pub mod lease;
-pub mod lease_holder;
 pub mod maintenance;
+pub mod member_lease;
 pub mod process_id;
 pub mod rate_pacer;
 pub mod status;
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -24,16 +24,16 @@
 use usage::HostUsage;
 
 /// What orders wait for is published so often, in leases, while no order moves.
-const PUBLISH_LEASES: f64 = 0.5;
+const PUBLISH_INTERVAL_LEASES: f64 = 0.5;
 /// A coordinator makes fewer changes of the order book than two to this power.
 const COUNT_BITS: u32 = 20;
 /// How long an order that is over is still shown.
-const SHOWN: Span = Span::from_micros(120_000_000);
+const SHOWN_AFTER_END: Span = Span::from_micros(120_000_000);
 
 /// Moves orders from stage to stage.
 #[derive(Clone, Debug)]
 pub struct MaintenanceCoordinator {
-    since: Instant,
+    elected_at: Instant,
     ballot: Ballot,
     /// The order book's count when it first had this ballot: a host that knows that version knows all before
     /// it.
@@ -54,7 +54,7 @@
     /// `own`: the order book that this host knows, if it knows one.
     pub fn new(ballot: Ballot, own: Option<OrderBook>, now: Instant) -> MaintenanceCoordinator {
         MaintenanceCoordinator {
-            since: now,
+            elected_at: now,
             ballot,
             first_count: 0,
             order_book: None,
@@ -164,7 +164,8 @@
             self.plan_order(config, maintenance, now, snapshot, order, &mut plan);
         }
         let restarted = restarted_hosts(order_book, snapshot);
-        let is_forgotten = |order: &&Order| order.stage.over() && order.aged(now) >= SHOWN;
+        let is_forgotten =
+            |order: &&Order| order.stage.over() && order.aged(now) >= SHOWN_AFTER_END;
         let forgotten: Vec<u64> = order_book
             .orders
             .iter()
@@ -241,7 +242,7 @@
         config: &FleetConfig,
         now: Instant,
     ) {
-        if !moved && now - self.published_at < config.lease.times(PUBLISH_LEASES) {
+        if !moved && now - self.published_at < config.lease.times(PUBLISH_INTERVAL_LEASES) {
             return;
         }
         self.published_at = now;
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -132,7 +132,7 @@
             Some(ServerRole::Host(host)) => vec![HostId(*host)],
             _ => config.all_hosts().collect(),
         };
-        let uses = |host: &&HostId| self.uses_until(config, maintenance, **host, order) > now;
+        let uses = |host: &&HostId| self.may_send_until(config, maintenance, **host, order) > now;
         let using: Vec<u32> = users.iter().filter(uses).map(|host| host.0).collect();
         if !using.is_empty() {
             return plan.wait(order, "hosts have not let go", using);
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -10,7 +10,7 @@
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeSet;
 
-/// What one host may still send to, as far as is known here. All but `others_until` is of the process that
+/// What one host may still send to, as far as is known here. All but `earlier_incarnations_until` is of the process that
 /// holds the name.
 #[derive(Clone, Debug)]
 pub(super) struct HostUsage {
@@ -22,7 +22,7 @@
     left: bool,
     served: f64,
     /// Until when other processes under its name may send.
-    others_until: Instant,
+    earlier_incarnations_until: Instant,
 }
 
 /// What a host reports of maintenance with its renewal.
@@ -44,8 +44,12 @@
 impl MaintenanceCoordinator {
     /// Until when a host that has not reported may send: it may have been granted a lease by an earlier
     /// coordinator just before this one was elected.
-    fn unreported_until(&self, config: &FleetConfig, maintenance: &MaintenanceConfig) -> Instant {
-        self.since + config.lease + maintenance.blind
+    fn unreported_host_may_send_until(
+        &self,
+        config: &FleetConfig,
+        maintenance: &MaintenanceConfig,
+    ) -> Instant {
+        self.elected_at + config.lease + maintenance.blind
     }
 
     /// A member renews its lease.
@@ -61,7 +65,8 @@
         // whoever was coordinator.
         let member_for = report.member_for.times(1.0 - config.drift);
         let earlier_until = lease_and_blind(now - member_for);
-        let unreported_until = self.unreported_until(config, maintenance);
+        let unreported_host_may_send_until =
+            self.unreported_host_may_send_until(config, maintenance);
         let first = HostUsage {
             incarnation: report.incarnation,
             granted_at: now,
@@ -69,7 +74,7 @@
             released: BTreeSet::new(),
             left: false,
             served: 0.0,
-            others_until: unreported_until.min(earlier_until),
+            earlier_incarnations_until: unreported_host_may_send_until.min(earlier_until),
         };
         let usage = self
             .usage
@@ -82,7 +87,7 @@
                 lease_and_blind(usage.granted_at)
             };
             *usage = HostUsage {
-                others_until: usage.others_until.max(process_until),
+                earlier_incarnations_until: usage.earlier_incarnations_until.max(process_until),
                 ..first
             };
         }
@@ -158,7 +163,7 @@
     }
 
     /// Until when a host may still send to the server of a draining order.
-    pub(super) fn uses_until(
+    pub(super) fn may_send_until(
         &self,
         config: &FleetConfig,
         maintenance: &MaintenanceConfig,
@@ -166,11 +171,11 @@
         order: &Order,
     ) -> Instant {
         let Some(usage) = self.usage.get(&host) else {
-            return self.unreported_until(config, maintenance);
+            return self.unreported_host_may_send_until(config, maintenance);
         };
         // What an earlier process under its name knew is not known here.
         if self.is_released(usage, order) {
-            return usage.others_until;
+            return usage.earlier_incarnations_until;
         }
         // A host that knows an order book with this order in it uses the server no longer than its lease
         // lasts.
@@ -181,7 +186,7 @@
         let knows = usage.known.is_some_and(|known| known >= requested);
         let blind = if knows { Span::ZERO } else { maintenance.blind };
         usage
-            .others_until
+            .earlier_incarnations_until
             .max(usage.granted_at + config.lease + blind)
     }
 
--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/member_lease.rs
@@ -13,15 +13,15 @@
 const MAX_RENEWALS: usize = 16;
 /// A lease is renewed four times, at slightly random intervals so that the hosts' renewals do not fall
 /// together.
-const RENEW_LEASES: Range<f64> = 0.2..0.3;
+const RENEWAL_INTERVAL_LEASES: Range<f64> = 0.2..0.3;
 /// Without an answer for this part of a lease, other hosts are asked to pass the renewal on.
-const DETOUR_LEASES: f64 = 0.5;
+const RELAY_AFTER_LEASES: f64 = 0.5;
 /// Without an answer for so many leases, no coordinator is known any more.
-const FORGET_LEASES: f64 = 2.0;
+const FORGET_COORDINATOR_AFTER_LEASES: f64 = 2.0;
 
 /// What a member may use, and until when.
 #[derive(Clone, Debug)]
-pub struct Lease {
+pub struct MemberLease {
     /// The serial of the grant.
     pub serial: u64,
     /// When it is over, by this host's clock.
@@ -45,7 +45,7 @@
     /// Its number, by which it is answered.
     pub number: u64,
     /// Other hosts are to pass it on too, since the coordinator does not answer.
-    pub detour: bool,
+    pub use_relays: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -56,11 +56,11 @@
 
 /// Holds a member's lease and says when to renew it.
 #[derive(Clone, Debug)]
-pub struct LeaseHolder {
+pub struct MemberLeaseHolder {
     /// Of the newest coordinator known: messages of earlier ones are ignored.
     ballot: Ballot,
     coordinator: Option<HostId>,
-    lease: Option<Lease>,
+    lease: Option<MemberLease>,
     /// The newest grant ever accepted.
     newest: GrantId,
     /// Renewals that may still be answered, oldest first.
@@ -71,10 +71,10 @@
     next: Instant,
 }
 
-impl LeaseHolder {
+impl MemberLeaseHolder {
     /// A member that knows no coordinator and holds nothing.
-    pub fn new(now: Instant) -> LeaseHolder {
-        LeaseHolder {
+    pub fn new(now: Instant) -> MemberLeaseHolder {
+        MemberLeaseHolder {
             ballot: Ballot::default(),
             coordinator: None,
             lease: None,
@@ -97,7 +97,7 @@
     }
 
     /// Removes a lease that is over. Whether there was one.
-    pub fn expire(&mut self, now: Instant) -> bool {
+    pub fn drop_expired_lease(&mut self, now: Instant) -> bool {
         self.lease.take_if(|lease| now >= lease.until).is_some()
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// The lease, if there is one.
-    pub fn lease(&self) -> Option<&Lease> {
+    pub fn lease(&self) -> Option<&MemberLease> {
         self.lease.as_ref()
     }
 
@@ -140,17 +140,20 @@
         if now < self.next {
             return None;
         }
-        self.next = now + config.lease.times(rng.random_range(RENEW_LEASES));
+        self.next = now
+            + config
+                .lease
+                .times(rng.random_range(RENEWAL_INTERVAL_LEASES));
         self.coordinator?;
         let silent = now - self.last_contact;
-        if silent >= config.lease.times(FORGET_LEASES) {
+        if silent >= config.lease.times(FORGET_COORDINATOR_AFTER_LEASES) {
             self.coordinator = None;
             return None;
         }
         let number = self.register_renewal(now);
         Some(RenewalRequest {
             number,
-            detour: silent >= config.lease.times(DETOUR_LEASES),
+            use_relays: silent >= config.lease.times(RELAY_AFTER_LEASES),
         })
     }
 
@@ -195,7 +198,7 @@
         self.ballot = grant.ballot;
         self.last_contact = now;
         self.newest = grant;
-        self.lease = Some(Lease {
+        self.lease = Some(MemberLease {
             serial: grant.serial,
             until,
             shares,
@@ -204,7 +207,7 @@
     }
 
     /// Nothing is held from now on.
-    pub fn release(&mut self) {
+    pub fn drop_lease(&mut self) {
         self.lease = None;
     }
 
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -2,8 +2,8 @@
 
 use gullsail_fleet::allocation::{HostDemand, divide};
 use gullsail_fleet::coordinator::{Coordinator, Renewal, RenewalOutcome};
-use gullsail_fleet::lease::{Ballot, ProcessId};
-use gullsail_fleet::lease_holder::{GrantId, LeaseHolder};
+use gullsail_fleet::coordinator_lease::{Ballot, ProcessId};
+use gullsail_fleet::member_lease::{GrantId, MemberLeaseHolder};
 use gullsail_fleet::{Budget, FleetConfig, WHOLE};
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 use rand::SeedableRng;
@@ -50,8 +50,8 @@
 }
 
 /// A member that was polled by a coordinator of round 5.
-fn polled_member() -> LeaseHolder {
-    let mut holder = LeaseHolder::new(ms(0));
+fn polled_member() -> MemberLeaseHolder {
+    let mut holder = MemberLeaseHolder::new(ms(0));
     assert!(holder.accept_poll(HostId(0), ballot(5), ms(0)));
     holder
 }
@@ -67,7 +67,7 @@
     let shares = |share| [(B, share)].into();
     assert!(holder.accept_grant(&config, grant_id(5, 2), first, shares(300), ms(600)));
     assert!(!holder.accept_grant(&config, grant_id(5, 1), second, shares(900), ms(700)));
-    assert!(holder.expire(ms(990)));
+    assert!(holder.drop_expired_lease(ms(990)));
     assert!(!holder.accept_grant(&config, grant_id(5, 1), second, shares(900), ms(1000)));
     assert_eq!(holder.share(B, ms(1000)), None);
     // The next one is.
@@ -141,7 +141,7 @@
 fn a_member_renews_four_times_a_lease_and_through_others_when_nobody_answers() {
     let config = fleet_config(2);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut holder = LeaseHolder::new(ms(0));
+    let mut holder = MemberLeaseHolder::new(ms(0));
     assert!(
         holder.next_renewal(&config, ms(1000), &mut rng).is_none(),
         "no coordinator is known"
@@ -150,13 +150,15 @@
     let mut renewals = Vec::new();
     for at in 1001..5000 {
         if let Some(renewal) = holder.next_renewal(&config, ms(at), &mut rng) {
-            renewals.push((at, renewal.detour));
+            renewals.push((at, renewal.use_relays));
         }
     }
     // For two leases, then it knows of no coordinator any more.
     assert!((7..=10).contains(&renewals.len()), "{renewals:?}");
     assert!(
-        renewals.iter().all(|(at, detour)| *detour == (*at >= 1500)),
+        renewals
+            .iter()
+            .all(|(at, use_relays)| *use_relays == (*at >= 1500)),
         "{renewals:?}"
     );
     assert_eq!(holder.coordinator(), None);
@@ -226,7 +228,7 @@
     // What was written before its sender knew of this term says nothing of what is held now.
     let mut coordinator = Coordinator::new(&config, ballot(9), 1, ms(0));
     let outcome = coordinator.renew(&config, renewal(1, 8, 5, 300_000), ms(1));
-    assert!(matches!(outcome, RenewalOutcome::Outdated));
+    assert!(matches!(outcome, RenewalOutcome::StaleBallot));
     assert!(coordinator.members.is_empty());
 }
 
@@ -264,10 +266,10 @@
     coordinator.renew(&config, asking(0, serial, 100.0), ms(2000));
     let grown = granted(coordinator.renew(&config, asking(1, 0, 10_000.0), ms(2050))).unwrap();
     assert!(grown > 800_000);
-    assert!(coordinator.sum(B) <= u64::from(WHOLE));
+    assert!(coordinator.committed_total(B) <= u64::from(WHOLE));
 }
 
-/// Demand of members, kept by others, the least share that holds a request, the turn; the share of each,
+/// Demand of members, committed_elsewhere by others, the least share that holds a request, the turn; the share of each,
 /// within a tolerance.
 #[test]
 fn budgets_go_by_demand_over_floors_and_in_turns_where_they_are_small() {
@@ -333,7 +335,7 @@
             &[400 * K, 50 * K, 50 * K, 500 * K],
         ),
     ];
-    for (demands, kept, least, turn, expected) in cases {
+    for (demands, committed_elsewhere, least, turn, expected) in cases {
         let budget = budget(4, 50 * K, least);
         let members = demands.iter().enumerate();
         let members = members.map(|(host, demand)| HostDemand {
@@ -341,11 +343,12 @@
             demand: *demand,
         });
         let members: Vec<HostDemand> = members.collect();
-        let shares = divide(&budget, &members, kept, turn);
+        let shares = divide(&budget, &members, committed_elsewhere, turn);
         let shares: Vec<u32> = shares.into_iter().map(|member| member.share).collect();
         let sum: u64 = shares.iter().map(|share| u64::from(*share)).sum();
         assert!(
-            sum + kept <= u64::from(WHOLE) && sum + kept > u64::from(WHOLE) - 10,
+            sum + committed_elsewhere <= u64::from(WHOLE)
+                && sum + committed_elsewhere > u64::from(WHOLE) - 10,
             "{shares:?}"
         );
         let near = shares
@@ -354,7 +357,7 @@
             .all(|(a, b)| a.abs_diff(*b) <= 50 * K);
         assert!(
             near,
-            "{demands:?} {kept} {least} {turn}: {shares:?}, {expected:?} expected"
+            "{demands:?} {committed_elsewhere} {least} {turn}: {shares:?}, {expected:?} expected"
         );
     }
 }
--- a/crates/fleet/tests/messages.rs
+++ b/crates/fleet/tests/messages.rs
@@ -2,7 +2,7 @@
 //! nothing and are counted by cause; one name is one process. And the two sides of an election, each by
 //! itself.
 
-use gullsail_fleet::lease::{
+use gullsail_fleet::coordinator_lease::{
     Acceptor, AcceptorReply, Ballot, CandidateRequest, LeaseCandidate, ProcessId, Proposal,
 };
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
