--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -1,12 +1,12 @@
-//! The shares that the members should have of one budget. A pure function: it knows nothing of what is
-//! granted already, but for the part that others keep.
+//! Computes the shares that the members should have of one budget. A pure function: of earlier grants it knows
+//! only what other hosts may still be using.
 
 use super::HostShare;
 use crate::config::{Budget, WHOLE};
 use gullsail_scheduler_api::HostId;
 
-/// This part of what is divided by demand is divided evenly, so that a host that begins to ask has something
-/// to begin with.
+/// The fraction of what is divided by demand that is divided evenly, so that a host without demand has a share
+/// when its first requests come. When it is larger, busy hosts get less.
 const EVEN_PART: f64 = 0.1;
 
 /// What one member is asked for.
--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -6,7 +6,8 @@
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
 
-/// Grants remembered of one host. A few renewals may be unanswered; more grants than this are merged.
+/// Grants remembered of one host: more than the renewals of one lease. Beyond it the two oldest are merged
+/// into one that covers both, so the count is never too low.
 const MAX_GRANTS: usize = 16;
 
 #[derive(Clone, Debug)]
@@ -38,7 +39,7 @@
         ledger
     }
 
-    /// Floors and budgets are others from now on.
+    /// Applies a new configuration with other floors or budgets.
     pub fn config_changed(&mut self, config: &FleetConfig) {
         self.sums = config
             .budgets
@@ -55,12 +56,12 @@
         }
     }
 
-    /// What may be in use of a budget, over all hosts.
+    /// The largest total that all hosts together may be using of a budget.
     pub fn committed_total(&self, id: VolumeId) -> u64 {
         self.sums.get(&id).copied().unwrap_or_default()
     }
 
-    /// What may be in use of a budget at one host.
+    /// The largest share of a budget that one host may be using.
     pub fn committed_share(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let most = self
             .hosts
@@ -141,7 +142,7 @@
         self.drop_grants_before(config, host, u64::MAX);
     }
 
-    /// Strikes out the grants whose leases are surely over.
+    /// Drops the grants whose leases have expired.
     pub fn drop_expired_grants(&mut self, config: &FleetConfig, now: Instant) {
         let has_expired = |entry: &Entry| entry.grants.iter().any(|grant| grant.expires_at <= now);
         let expired = self.hosts.iter().filter(|(_, entry)| has_expired(entry));
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,5 +1,5 @@
-//! The settings that all hosts of a fleet share, from the operators' configuration, and how long a lease
-//! lasts on either side of it. Read by every other module; changed by none.
+//! The settings that all hosts of a fleet share, from the operators' configuration, and the lengths of leases
+//! on the granter's and the holder's side. Every other module reads them; none changes them.
 
 use crate::maintenance::config::MaintenanceConfig;
 use gullsail_scheduler_api::{HostId, Span, VolumeId};
@@ -9,7 +9,7 @@
 /// The whole of a budget, in the units in which shares are counted.
 pub const WHOLE: u32 = 1_000_000;
 
-/// Anything that is limited over all hosts, as the fleet divides it.
+/// A limit that holds over all hosts together, as the fleet divides it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
     /// The hosts through which it is used, in order of their numbers.
@@ -19,12 +19,12 @@
     /// Lagging hosts: those that may still use a larger floor, or one at all, by an earlier revision of the
     /// configuration.
     pub lagging_hosts: BTreeMap<HostId, u32>,
-    /// The share that holds one largest request.
+    /// The smallest useful share: it holds one largest request.
     pub least: u32,
 }
 
 impl Budget {
-    /// What a host uses without a lease, at most.
+    /// The share that a host may use without a lease.
     pub fn floor(&self, host: HostId) -> u32 {
         let own = self.current_floor(host);
         self.lagging_hosts
@@ -59,23 +59,25 @@
     pub fleet: u64,
     /// How many hosts there are; they are numbered from 0.
     pub hosts: u32,
-    /// How long the coordinator waits, by its own clock, until a lease that it granted is surely over.
+    /// A member lease as the coordinator that grants it counts it, by its own clock.
     pub lease: Span,
     /// A second by any host's clock takes no less than 1 - drift and no more than 1 + drift seconds.
     pub drift: f64,
     /// The first so many hosts elect the coordinator.
     pub voters: u32,
-    /// What is divided, by number.
+    /// The budgets that are divided, by number.
     pub budgets: BTreeMap<VolumeId, Budget>,
     /// How servers are taken offline; `None`: there are no such orders.
     pub maintenance: Option<MaintenanceConfig>,
 }
 
 impl FleetConfig {
-    /// How long a member relies on its lease, by its own clock, from before it asked for it.
+    /// A member lease as its holder counts it, by its own clock, from when it sent the renewal: shorter than
+    /// `lease` by the clock drift.
     ///
-    /// The member's span takes at most `held_lease / (1 - drift)` of true time, the coordinator's at least
-    /// `lease / (1 + drift)`. The two are the same, and the member's begins earlier, so it also ends earlier.
+    /// It lasts at most `held_lease / (1 - drift)` of true time at the member, and `lease` at least
+    /// `lease / (1 + drift)` at the coordinator. These are equal, and the member starts counting earlier, so
+    /// the lease ends at the member first.
     pub fn held_lease(&self) -> Span {
         self.lease.times((1.0 - self.drift) / (1.0 + self.drift))
     }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -1,16 +1,15 @@
-//! The coordinator's side of a grant, for as long as this host holds the coordinator lease: who is a member,
-//! and what each member is granted. Called by `Fleet` with the renewals of members; it sends nothing by
-//! itself.
+//! The coordinator's side of member leases: who is a member, and what each member is granted. Called by `Fleet`
+//! with the renewals of members while this host holds the coordinator lease; it sends nothing itself.
 //!
-//! The coordinator owns no state that has to survive it: what is granted is known by its holders. A new one
-//! asks all hosts what they hold and, until all have answered or one lease is over, grants each only what it
-//! reports. Within that time everything that an earlier coordinator granted is over: it was granted before
-//! this one was elected, in answer to a renewal sent before.
+//! The coordinator owns no state that has to survive it: the holders know what they were granted. A new
+//! coordinator takes over by polling all hosts for what they hold. Until all have answered, or one member
+//! lease has passed, it grants each host only what that host reports. After one lease every grant of an
+//! earlier coordinator has expired, since it answered a renewal sent before this one was elected.
 
 mod member;
 mod renewal;
 
-pub use member::{Member, MemberState};
+pub use member::{Member, MemberState, MembershipTransitions};
 pub use renewal::{Renewal, RenewalOutcome};
 
 use crate::allocation::{HostDemand, HostShare, Ledger, Shares, divide};
@@ -20,16 +19,20 @@
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
 
-/// Shares are computed anew after this part of a lease, or when members come and go.
+/// How often shares are recomputed, in member leases, while the members stay the same. When it is larger,
+/// shares follow demand later; when it is smaller, the coordinator computes more.
 const DIVIDE_INTERVAL_LEASES: f64 = 0.125;
-/// A coordinator issues fewer grants than two to this power.
+/// The low bits of a grant's serial count one coordinator's grants; the bits above are its round. A
+/// coordinator issues fewer grants than two to this power.
 const SERIAL_BITS: u32 = 20;
-/// A member that is silent for this part of a lease is suspected.
+/// After how many member leases without a renewal a member is suspected. Renewals come four times in a lease,
+/// so two are missing. When it is larger, less time is left to reach the member through relays.
 const SUSPECT_AFTER_LEASES: f64 = 0.5;
-/// A share that differs by less than this part of itself is left as it is: a change makes its host look at
-/// all its volumes.
+/// A share that would change by less than this fraction is left as it is: a change makes its host check all
+/// its volumes.
 const NEGLIGIBLE_CHANGE: f64 = 0.05;
-/// Where a budget is too small for all, the turn changes after so many leases.
+/// How long a turn lasts, in member leases, where a budget is too small for all hosts. A share that moves to
+/// another host is free only when its old lease is renewed or has expired.
 const TURN_LENGTH_LEASES: f64 = 2.0;
 
 /// Grants leases to the members of the fleet.
@@ -70,17 +73,17 @@
         }
     }
 
-    /// Whether everything that an earlier coordinator granted is known here, or over.
+    /// Whether every grant of an earlier coordinator is known here or has expired.
     pub fn takeover_complete(&self) -> bool {
         self.takeover_complete
     }
 
-    /// When everything that an earlier coordinator granted is surely over.
+    /// When every grant of an earlier coordinator has expired.
     pub fn takeover_ends(&self, config: &FleetConfig) -> Instant {
         self.elected_at + config.lease
     }
 
-    /// What may be in use of a budget, over all hosts.
+    /// The largest total that all hosts together may be using of a budget.
     pub fn committed_total(&self, id: VolumeId) -> u64 {
         self.ledger.committed_total(id)
     }
@@ -98,7 +101,7 @@
         shares
     }
 
-    /// Another configuration is in force.
+    /// Applies a new configuration.
     pub fn config_changed(&mut self, config: &FleetConfig) {
         self.ledger.config_changed(config);
         self.divided_at = None;
@@ -109,40 +112,43 @@
         self.divided_at = None;
     }
 
-    /// Members that are silent become suspected, then out. Returns those that are newly suspected, to be
-    /// asked through other hosts.
-    pub fn advance(&mut self, config: &FleetConfig, now: Instant) -> Vec<HostId> {
+    /// Updates the members' states: without renewals a member becomes suspected, then its lease expires.
+    /// Completes the takeover once every earlier grant is known or has expired.
+    pub fn advance(&mut self, config: &FleetConfig, now: Instant) -> MembershipTransitions {
         self.ledger.drop_expired_grants(config, now);
-        let mut suspects = Vec::new();
-        let mut some_out = false;
+        let mut transitions = MembershipTransitions::default();
         for (host, member) in &mut self.members {
             let silent = now - member.last_renewal;
             match member.state {
                 MemberState::Member if silent >= config.lease.times(SUSPECT_AFTER_LEASES) => {
                     member.state = MemberState::Suspected;
-                    suspects.push(*host);
+                    transitions.suspected.push(*host);
                 }
                 MemberState::Suspected if now >= member.until => {
                     member.state = MemberState::Out;
-                    some_out = true;
+                    transitions.expired.push(*host);
                 }
                 _ => {}
             }
         }
-        if some_out {
+        if !transitions.expired.is_empty() {
             self.start_epoch();
         }
-        if !self.takeover_complete
-            && (now >= self.takeover_ends(config) || self.all_reported(config))
-        {
+        if !self.takeover_complete && self.earlier_grants_settled(config, now) {
             self.takeover_complete = true;
             self.divided_at = None;
+            transitions.takeover_completed = true;
         }
-        suspects
+        transitions
     }
 
-    /// Every host has reported what it holds. A host that reports nothing does not count: another process
-    /// under its name may still hold something.
+    /// Whether every grant of an earlier coordinator is known here or has expired.
+    fn earlier_grants_settled(&self, config: &FleetConfig, now: Instant) -> bool {
+        now >= self.takeover_ends(config) || self.all_reported(config)
+    }
+
+    /// Whether every host has reported what it holds. A host that reports nothing does not count: another
+    /// process of it may still hold a share.
     fn all_reported(&self, config: &FleetConfig) -> bool {
         let complete = self.members.len() as u32 == config.hosts;
         complete
@@ -152,12 +158,12 @@
                 .all(|member| !member.shares_at_first_renewal.is_empty())
     }
 
-    /// Whether who wrote with this ballot knew of this coordinator's term.
+    /// Whether a message with this ballot was sent in this coordinator's term.
     pub fn is_current(&self, ballot: Ballot) -> bool {
         ballot >= self.first_ballot
     }
 
-    /// A host asks for a lease, or to renew it.
+    /// Answers a host that asks for a lease, or to renew it.
     pub fn renew(
         &mut self,
         config: &FleetConfig,
@@ -165,15 +171,16 @@
         now: Instant,
     ) -> RenewalOutcome {
         let ProcessId { host, incarnation } = renewal.process;
-        // What a member wrote before it knew of this term may arrive late, and it may have accepted more from
-        // an earlier coordinator since. Found by a random world. It costs the member one more message.
+        // A renewal that was sent before the member knew of this term may arrive late, and the member may have
+        // accepted more from an earlier coordinator since. Found by the randomized simulation (tests/world). It
+        // costs the member one more message.
         if !self.is_current(renewal.ballot) {
             return RenewalOutcome::StaleBallot;
         }
         let until = now + config.lease;
         let active = self.members.get(&host).filter(|member| member.is_active());
-        // Two processes under one name must not both hold a lease. The cost: a host that is killed and
-        // restarts within its lease waits for the rest of it.
+        // Two processes of one host must not both hold a lease. It may harm a host that is killed and restarts
+        // within its lease: it waits until the lease expires.
         if active.is_some_and(|member| member.incarnation != incarnation && now < member.until) {
             return RenewalOutcome::Fenced;
         }
@@ -309,7 +316,7 @@
         }
     }
 
-    /// A host holds nothing any more and leaves.
+    /// A host has released everything and leaves.
     pub fn leave(&mut self, config: &FleetConfig, process: ProcessId) {
         let member = self.members.get_mut(&process.host);
         if let Some(member) = member.filter(|member| member.incarnation == process.incarnation) {
@@ -319,7 +326,7 @@
         }
     }
 
-    /// Hosts that are not active members: they are to be asked.
+    /// Hosts that are not active members: they are polled.
     pub fn missing_hosts(&self, config: &FleetConfig) -> Vec<HostId> {
         let is_active = |host: &HostId| self.members.get(host).is_some_and(Member::is_active);
         config.all_hosts().filter(|host| !is_active(host)).collect()
--- a/crates/fleet/src/coordinator/member.rs
+++ b/crates/fleet/src/coordinator/member.rs
@@ -12,9 +12,9 @@
 pub enum MemberState {
     /// It renews its lease.
     Member = 1,
-    /// Silent for half of its lease; other hosts are asked to reach it.
+    /// No renewal for half a lease; it is polled through other hosts.
     Suspected = 2,
-    /// Its lease is over, as it knows by itself: it uses nothing but its floors.
+    /// Its lease has expired by the coordinator's clock, so also by its own: it uses floor shares only.
     Out = 3,
     /// It announced that it leaves.
     Left = 4,
@@ -39,18 +39,29 @@
     }
 }
 
+/// What changed as time passed, for the log and for polls.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct MembershipTransitions {
+    /// Members that are suspected from now on.
+    pub suspected: Vec<HostId>,
+    /// Members whose lease has expired.
+    pub expired: Vec<HostId>,
+    /// Whether the takeover from an earlier coordinator has just completed.
+    pub takeover_completed: bool,
+}
+
 /// What the coordinator knows of one host.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// The process that renews under the host's name.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Its state.
     pub state: MemberState,
     /// When its last renewal came.
     pub last_renewal: Instant,
-    /// The host that passed its last renewal on, where it does not reach this one by itself.
+    /// The relay of its last renewal, if that did not come directly.
     pub via: Option<HostId>,
-    /// When its lease is over.
+    /// When its newest lease expires by the coordinator's clock. The ledger's grants expire one by one.
     pub until: Instant,
     /// What its clients ask for, by budget.
     pub(super) demand: BTreeMap<VolumeId, f64>,
--- a/crates/fleet/src/coordinator_lease.rs
+++ b/crates/fleet/src/coordinator_lease.rs
@@ -1,5 +1,5 @@
-//! The lease of the coordinator, without a disk: a majority of voters grants it by ballots, as PaxosLease
-//! does (Trencseni, Gazso, Reinhardt, 2012). [`Acceptor`] is a voter's side, [`LeaseCandidate`] the side of
+//! The coordinator lease, which makes one host the coordinator. A majority of voters grants it by ballots,
+//! without a disk, as PaxosLease does (Trencseni, Gazso, Reinhardt, 2012). [`Acceptor`] is a voter's side, [`LeaseCandidate`] the side of
 //! whoever seeks or renews the lease. `Fleet` carries the messages between the two; neither side sends any by
 //! itself.
 //!
--- a/crates/fleet/src/coordinator_lease/candidate.rs
+++ b/crates/fleet/src/coordinator_lease/candidate.rs
@@ -1,5 +1,5 @@
-//! The side of the coordinator lease that seeks and renews it. Called by `Fleet` with the time and with the
-//! acceptors' replies; it never sends anything itself, but says what to ask the voters.
+//! The candidate's side of the coordinator lease: seeks and renews it. Called by `Fleet` with the time and the
+//! acceptors' replies; it sends nothing itself and returns what to ask the voters.
 
 use crate::ballot::Ballot;
 use crate::config::FleetConfig;
@@ -8,10 +8,12 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// The holder renews after this part of a lease, so that two rounds may be lost.
+/// When the holder renews, in coordinator leases: early enough that two rounds may be lost. When it is larger,
+/// fewer losses end the lease; when it is smaller, the voters get more messages.
 const RENEWAL_INTERVAL_COORDINATOR_LEASES: f64 = 0.25;
-/// A candidate waits for this part of a lease between tries: long compared with a round trip, short compared
-/// with the lease that a takeover may have to wait for.
+/// How long a candidate waits between attempts, in coordinator leases: long compared with a round trip, short
+/// compared with the lease that a takeover may have to wait for. Random, so that two candidates do not refuse
+/// each other again and again.
 const RETRY_COORDINATOR_LEASES: Range<f64> = 0.1..0.5;
 
 /// How often the holder must look at its lease while nothing happens.
@@ -102,7 +104,7 @@
             .map_or(self.next, |lease| lease.until.min(self.next))
     }
 
-    /// Gives the lease back.
+    /// Releases the lease.
     pub fn resign(&mut self) {
         self.held = None;
         self.phase = Phase::Idle;
@@ -183,8 +185,8 @@
             return None;
         };
         // A ballot must not be proposed long after it was prepared: a voter that has restarted since may have
-        // forgotten that it promised a later one. The cost: nobody is elected where a round trip takes a
-        // lease.
+        // forgotten that it promised a later one. It may harm when a round trip takes a
+        // lease: then no host is elected.
         if promised != *ballot || now - *sent_at >= config.held_coordinator_lease() {
             return None;
         }
@@ -233,8 +235,8 @@
         };
         let until = *sent_at + config.held_coordinator_lease();
         // Late acceptances do not count: a lease is renewed by the same ballot, and an acceptance of an
-        // earlier proposal would extend the holder's belief beyond the voters'. Found by a random world in
-        // which two hosts were coordinator.
+        // earlier proposal would extend the holder's belief beyond the voters'. Found by the randomized simulation
+        // (tests/world), in which two hosts were the coordinator.
         if accepted != *proposal || now >= until {
             return false;
         }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,16 +1,17 @@
-//! One host's part in the fleet, as a state machine: [`Fleet::handle`] takes an event, [`Fleet::advance`]
-//! does what is due by the time, [`Fleet::outputs`] yields the messages to send. It has no clock and no
-//! socket, and draws random numbers from its own seed alone. What the host may use is [`Fleet::share`];
-//! [`Fleet::changed`] says whether that may differ from before.
+//! The state machine that each host of a fleet runs. [`Fleet::handle`] takes an event, [`Fleet::advance`]
+//! does what is due at a time, and [`Fleet::outputs`] yields the messages to send. It does no I/O, reads no
+//! clock and draws random numbers from its own seed alone. [`Fleet::share`] returns what the host may use;
+//! [`Fleet::changed`] tells whether that may have changed.
 //!
-//! The parts of it, one concern a file:
-//! - `event`: what comes in and goes out;
-//! - `messages`: which messages are dropped, and which part handles the others;
-//! - `election`: seeking and keeping the coordinator lease;
-//! - `membership`: renewing this host's own lease, and leaving;
-//! - `coordination`: answering renewals while this host is the coordinator;
-//! - `maintenance`, `maintenance_coordination`, `operator_commands`: the same for servers taken offline;
-//! - `status_report`: what an operator is shown.
+//! One concern a file:
+//! - `event`: the events and outputs;
+//! - `messages`: validates each message and dispatches it;
+//! - `election`: seeks and renews the coordinator lease;
+//! - `membership`: renews this host's member lease, and leaves the fleet;
+//! - `coordination`: grants member leases while this host is the coordinator;
+//! - `maintenance_participant`, `maintenance_coordination`: the same two sides for servers taken offline;
+//! - `operator_commands`: sends operators' commands to the coordinator;
+//! - `status_report`: builds the view for operators.
 
 mod coordination;
 mod election;
@@ -43,11 +44,12 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// The version of the rules by which messages are written; messages by another version are dropped.
+/// The version of the protocol. Messages of another version are dropped and counted.
 pub const RULES: u32 = 1;
 
-/// How long a host waits after its acceptor has recovered before it seeks the coordinator lease, in
-/// coordinator leases.
+/// How long a host waits after its acceptor has recovered before it first seeks the coordinator lease, in
+/// coordinator leases. Random, so that hosts that start together do not all compete at once: two candidates
+/// at the same moment refuse each other. A wider range delays the first election.
 const FIRST_ATTEMPT_COORDINATOR_LEASES: Range<f64> = 0.0..0.5;
 
 /// One host's part in the fleet.
@@ -66,16 +68,16 @@
     demand: Demand,
     epoch: u64,
     members: Vec<FleetMember>,
-    /// Another process holds a lease under this name, by a coordinator's message; until that changes nothing
-    /// is used.
+    /// A coordinator reported that another process holds the lease of this host. This process uses nothing
+    /// until a lease is granted to it.
     fenced: bool,
     departure: Departure,
-    /// When hosts that are no members are asked again.
+    /// When hosts that are not members are polled again.
     next_poll: Instant,
-    /// When there is something to do again, unless a message comes.
+    /// When the next timed action is due.
     due: Instant,
     outputs: Vec<Output>,
-    /// Messages of this host to itself.
+    /// Messages of this host to itself, handled in the same step.
     loopback: VecDeque<FleetMessage>,
     changed: bool,
     maintenance: MaintenanceState,
@@ -100,7 +102,7 @@
             .coordinator_lease()
             .times(rng.random_range(FIRST_ATTEMPT_COORDINATOR_LEASES));
         // Rounds begin at the clock's milliseconds: above those of earlier incarnations, unless clocks are
-        // far off. Nothing relies on it: an acceptor accepts a ballot of one incarnation only.
+        // far apart. Safety does not depend on it: an acceptor accepts a ballot from one incarnation only.
         let round = (now.micros() / 1000).max(0) as u64;
         let candidate = LeaseCandidate::new(me, round, acceptor.recovering_until() + wait);
         Fleet {
@@ -148,8 +150,8 @@
         self.lease_holder.share(budget, now).unwrap_or(floor)
     }
 
-    /// What may be used of each budget now, and how long the lease lasts by which it may be; `None`: there is
-    /// no lease.
+    /// The share of each budget that may be used now, and how long the member lease still lasts; `None`: this
+    /// host holds no lease.
     pub fn parts(&self) -> (impl Iterator<Item = (VolumeId, u32)>, Option<Span>) {
         let shares = self.config.budgets.keys().map(|id| (*id, self.share(*id)));
         let lasts = self.lease_holder.until().map(|until| until - self.now);
@@ -161,7 +163,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Is this host the coordinator, at that point?
+    /// Whether this host is the coordinator at that time.
     pub fn decides(&self, now: Instant) -> bool {
         self.coordinator.is_some() && self.candidate.held(now).is_some()
     }
@@ -171,8 +173,8 @@
         self.epoch
     }
 
-    /// Hosts that use nothing but their floors, or nothing at all, by the coordinator's newest message: they
-    /// are out, or have left.
+    /// Hosts whose lease has expired or that have left, by the coordinator's newest message. They use at most
+    /// their floor share.
     pub fn out(&self) -> impl Iterator<Item = HostId> {
         let is_out = |member: &&FleetMember| {
             let state = MemberState::from_number(member.state);
@@ -184,7 +186,7 @@
             .map(|member| HostId(member.host))
     }
 
-    /// Everything that it held is given back, or there is nobody to give it back to.
+    /// Whether this host has left: the coordinator has acknowledged it, or none did in time.
     pub fn has_left(&self) -> bool {
         self.departure == Departure::Complete
     }
@@ -193,8 +195,8 @@
         self.departure != Departure::None
     }
 
-    /// Takes an event. What it leads to is in [`Fleet::outputs`], and a change of shares in
-    /// [`Fleet::changed`].
+    /// Handles an event. Messages that follow from it are in [`Fleet::outputs`]; a change of shares is reported
+    /// by [`Fleet::changed`].
     pub fn handle(&mut self, now: Instant, event: Event) {
         self.drop_expired_leases(now);
         if !matches!(
@@ -211,8 +213,14 @@
             Event::DemandObserved { budget, units } => self.demand.add(budget, units, now),
             Event::Config(config) => self.config_changed(config),
             Event::Leave if !self.is_leaving() => {
-                info!("leaving the fleet: nothing is used any more");
-                self.departure = Departure::Announced(now + self.config.lease);
+                info!(
+                    member = self.me.0,
+                    epoch = self.epoch,
+                    "graceful shutdown: leaving the fleet, shares released"
+                );
+                self.departure = Departure::Announced {
+                    give_up_at: now + self.config.lease,
+                };
                 self.changed = true;
                 self.announce_departure();
             }
@@ -234,14 +242,14 @@
         self.changed = true;
     }
 
-    /// Does what is due. Before that it costs next to nothing.
+    /// Does what is due. Returns at once if nothing is.
     pub fn advance(&mut self, now: Instant) {
         self.drop_expired_leases(now);
         if now < self.due {
             return;
         }
-        if let Departure::Announced(until) = self.departure {
-            if now >= until {
+        if let Departure::Announced { give_up_at } = self.departure {
+            if now >= give_up_at {
                 self.departure = Departure::Complete;
             }
         } else {
@@ -277,14 +285,14 @@
         if self.coordinator.is_some() {
             next = next.min(self.now + renewal_check_interval(&self.config));
         }
-        if let Departure::Announced(until) = self.departure {
-            next = next.min(until);
+        if let Departure::Announced { give_up_at } = self.departure {
+            next = next.min(give_up_at);
         }
         self.maintenance_due().map_or(next, |due| next.min(due))
     }
 
-    /// Comes first, whatever happens: leases that are over by this clock are over. A process that stood still
-    /// learns of it here, before it does anything.
+    /// Drops the leases that have expired by the local clock. Runs before every event, so that a process that
+    /// was paused cannot act on an expired lease.
     fn drop_expired_leases(&mut self, now: Instant) {
         self.now = self.now.max(now);
         if self.lease_holder.drop_expired_lease(self.now) {
@@ -293,7 +301,9 @@
             warn!(
                 member = self.me.0,
                 epoch = self.epoch,
-                "lease is over: floors count until there is one"
+                coordinator = self.lease_holder.coordinator().map(|host| host.0),
+                round = self.lease_holder.ballot().round,
+                "member lease expired: using floor shares until it is renewed"
             );
         }
         if self.coordinator.is_some() && self.candidate.held(self.now).is_none() {
@@ -302,7 +312,8 @@
             warn!(
                 member = self.me.0,
                 epoch = self.epoch,
-                "no longer coordinator: its lease is over"
+                round = self.lease_holder.ballot().round,
+                "coordinator lease expired: stepping down"
             );
         }
         self.update_isolation();
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -1,8 +1,9 @@
-//! While this host is the coordinator: which hosts it asks, and how it answers renewals.
+//! The coordinator's side of membership, while this host holds the coordinator lease: it polls hosts, answers
+//! renewals and publishes the list of members. `Coordinator` decides what is granted.
 
 use super::{Fleet, messages};
 use crate::allocation::Shares;
-use crate::coordinator::{Member, MemberState, Renewal, RenewalOutcome};
+use crate::coordinator::{Member, MemberState, MembershipTransitions, Renewal, RenewalOutcome};
 use crate::coordinator_lease::Ballot;
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
@@ -11,10 +12,11 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// Hosts that are no members are asked so often, in leases: a host that is gone for good costs next to
-/// nothing.
+/// How often hosts that are not members are polled, in leases. When it is larger, a host that starts joins
+/// later; when it is smaller, hosts that are gone for good cost more messages.
 const POLL_INTERVAL_LEASES: f64 = 0.5;
-/// How many other hosts are asked to pass a message on.
+/// How many other hosts are asked to relay a message. With one, a single broken link may stop it; each more
+/// costs one message.
 const RELAYS_PER_MESSAGE: usize = 2;
 
 impl Fleet {
@@ -22,16 +24,12 @@
         let Some(coordinator) = &mut self.coordinator else {
             return;
         };
-        let suspects = coordinator.advance(&self.config, self.now);
+        let transitions = coordinator.advance(&self.config, self.now);
         let ballot = coordinator.ballot;
         let missing = coordinator.missing_hosts(&self.config);
-        for host in suspects {
-            warn!(
-                member = host.0,
-                epoch = self.epoch,
-                "suspected: silent for half of its lease"
-            );
-            // That one host does not reach it proves nothing: others may.
+        self.log_transitions(&transitions);
+        for host in transitions.suspected {
+            // Only the link between the two hosts may be broken.
             for relay in self.relays(host) {
                 self.poll(host, ballot, Some(relay));
             }
@@ -47,7 +45,36 @@
         self.advance_maintenance_coordinator();
     }
 
-    /// Other members, drawn anew each time, that may reach a host that this one does not.
+    fn log_transitions(&self, transitions: &MembershipTransitions) {
+        for host in &transitions.suspected {
+            warn!(
+                coordinator = self.me.0,
+                member = host.0,
+                epoch = self.epoch,
+                "member suspected: no renewal for half a lease, polling it through other hosts"
+            );
+        }
+        for host in &transitions.expired {
+            let coordinator = self.coordinator.as_ref();
+            let member = coordinator.and_then(|coordinator| coordinator.members.get(host));
+            warn!(
+                coordinator = self.me.0,
+                member = host.0,
+                incarnation = member.map(|member| member.incarnation),
+                epoch = self.epoch,
+                "member lease expired: its share is given to other hosts"
+            );
+        }
+        if transitions.takeover_completed {
+            info!(
+                coordinator = self.me.0,
+                epoch = self.epoch,
+                "takeover complete: shares may grow"
+            );
+        }
+    }
+
+    /// Other members, drawn at random each time, that may reach a host that this one does not.
     pub(super) fn relays(&mut self, host: HostId) -> Vec<HostId> {
         let me = self.me;
         let is_member = |member: &&FleetMember| {
@@ -63,7 +90,7 @@
             .choose_multiple(&mut self.rng, RELAYS_PER_MESSAGE)
     }
 
-    /// Asks a host for a renewal.
+    /// Asks a host to renew its lease.
     pub(super) fn poll(&mut self, host: HostId, ballot: Ballot, via: Option<HostId>) {
         let message = self.new_message(FleetWhat::Ask, host, 0);
         self.send(
@@ -91,13 +118,22 @@
         self.members = coordinator.members.iter().map(to_message).collect();
         if epoch_changed {
             self.changed = true;
-            let is_member = |member: &&Member| member.state == MemberState::Member;
-            let members = coordinator.members.values().filter(is_member).count();
-            info!(epoch = self.epoch, members, "membership");
+            let count = |state: MemberState| {
+                let in_state = |member: &&Member| member.state == state;
+                coordinator.members.values().filter(in_state).count()
+            };
+            let members = count(MemberState::Member);
+            let suspected = count(MemberState::Suspected);
+            let expired = count(MemberState::Out);
+            let left = count(MemberState::Left);
+            info!(
+                epoch = self.epoch,
+                members, suspected, expired, left, "membership changed"
+            );
         }
     }
 
-    /// A member asks to renew its lease.
+    /// Answers a member's renewal.
     pub(super) fn renewal_received(&mut self, message: &FleetMessage, link: HostId) {
         let process = messages::sender(message);
         if self.coordinator.is_some() && !self.may_join(process) {
@@ -116,8 +152,11 @@
             RenewalOutcome::Fenced => {
                 let incarnation = process.incarnation;
                 warn!(
+                    coordinator = self.me.0,
                     member = process.host.0,
-                    incarnation, "refused: another process holds this name"
+                    incarnation,
+                    epoch = self.epoch,
+                    "renewal fenced: another incarnation holds the lease of this host"
                 );
                 self.new_message(FleetWhat::Fence, process.host, incarnation)
             }
@@ -134,7 +173,7 @@
         self.send(answer, Some(link));
     }
 
-    /// The answer to a renewal that is granted.
+    /// The answer to a renewal that was granted.
     fn grant(
         &mut self,
         renewal: &FleetMessage,
@@ -164,7 +203,7 @@
         }
     }
 
-    /// A member leaves.
+    /// A member has announced that it leaves.
     pub(super) fn departure_received(&mut self, message: &FleetMessage, link: HostId) {
         let Some(coordinator) = &mut self.coordinator else {
             return;
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -1,4 +1,4 @@
-//! Seeking and keeping the coordinator lease: carries messages between this host's `LeaseCandidate` and the
+//! Seeks and renews the coordinator lease: carries messages between this host's `LeaseCandidate` and the
 //! voters' acceptors.
 
 use super::{Fleet, messages};
@@ -19,7 +19,7 @@
     }
 
     pub(super) fn advance_candidate(&mut self) {
-        // A host whose server is to go hands the lease over first, and no longer seeks it.
+        // A host that goes into maintenance resigns first and does not seek the lease again.
         let recovering = self.now < self.acceptor.recovering_until();
         if !self.config.is_voter(self.me) || recovering || self.going_offline() {
             return;
@@ -117,14 +117,14 @@
 
     fn become_coordinator(&mut self, ballot: Ballot) {
         self.counts.elected += 1;
-        // Above every epoch that this host or its voters know of: a ballot's round is above those before it,
-        // and begins at the clock's milliseconds, should all have forgotten.
+        // Above every epoch that this host or its voters know. Where all have forgotten it, the round still is:
+        // rounds begin at the clock's milliseconds.
         self.epoch = (self.epoch + 1).max(ballot.round);
         info!(
             member = self.me.0,
             epoch = self.epoch,
             round = ballot.round,
-            "coordinator from now on"
+            "elected coordinator"
         );
         self.coordinator = Some(Coordinator::new(&self.config, ballot, self.epoch, self.now));
         let order_book = self.maintenance.order_book.clone();
@@ -134,8 +134,8 @@
         self.advance_coordinator();
     }
 
-    /// Gives the coordinator lease back, if this host holds it: what it granted others stays in force, and
-    /// the next coordinator asks them. Whether it held it.
+    /// Releases the coordinator lease, if this host holds it; returns whether it did. Member leases that it
+    /// granted stay valid, and the next coordinator polls their holders.
     pub(super) fn resign(&mut self) -> bool {
         let Some(lease) = self.candidate.held(self.now) else {
             return false;
--- a/crates/fleet/src/fleet/event.rs
+++ b/crates/fleet/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What comes into a host's part of the fleet and what goes out of it.
+//! The events that [`Fleet`](crate::Fleet) handles, and the messages that it outputs.
 
 use crate::config::FleetConfig;
 use crate::maintenance::{ServerId, Servers};
@@ -24,9 +24,9 @@
         /// How much.
         units: f64,
     },
-    /// Another configuration is in force.
+    /// A new configuration applies from now on.
     Config(Arc<FleetConfig>),
-    /// All requests are answered, and nothing is used any more: the host leaves.
+    /// The host shuts down: all its requests are answered.
     Leave,
     /// The servers as this host observes them.
     ServersObserved {
@@ -48,7 +48,7 @@
 /// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// The host to send it to, which may have to pass it on.
+    /// The host to send it to: the addressee or a relay.
     pub to: HostId,
     /// The message.
     pub message: FleetMessage,
@@ -59,8 +59,11 @@
 pub(super) enum Departure {
     /// The host stays.
     None,
-    /// It has announced that it leaves, and waits for an answer until then.
-    Announced(Instant),
-    /// Everything is given back, or nobody takes it.
+    /// It has announced that it leaves, and waits for an acknowledgement.
+    Announced {
+        /// When it leaves without one.
+        give_up_at: Instant,
+    },
+    /// The departure is acknowledged, or the wait has timed out.
     Complete,
 }
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -1,5 +1,5 @@
-//! Servers taken offline, while this host is the coordinator: what members report, what they are answered,
-//! and which operators' commands are accepted.
+//! The coordinator's side of maintenance, while this host holds the coordinator lease: takes members' reports,
+//! sends them the newest order book and answers operators' commands.
 
 use super::maintenance_participant::version;
 use super::{Fleet, messages};
@@ -11,12 +11,12 @@
 use gullsail_scheduler_api::{HostId, Span};
 use std::collections::BTreeSet;
 
-/// Times in messages are limited to this, so that sums of them do not overflow.
+/// Times in messages are limited to this many milliseconds (35 years), so that sums of them do not overflow.
 const MAX_MILLIS: u64 = 1 << 40;
 const SECONDS_A_DAY: i64 = 86_400;
 
 impl Fleet {
-    /// May this process be a member, by the orders for its server?
+    /// Whether the orders for its server let this process be a member.
     pub(super) fn may_join(&self, process: ProcessId) -> bool {
         if self.config.maintenance.is_none() {
             return true;
@@ -133,8 +133,8 @@
         );
     }
 
-    /// The servers as this host observes them, and of hosts what the coordinator knows: which process runs,
-    /// and whether it is a member.
+    /// The servers as this host observes them. For hosts, the coordinator fills in the incarnation and whether
+    /// they are members.
     fn servers_with_hosts(&self) -> Servers {
         let Some(coordinator) = &self.coordinator else {
             return Servers::new();
@@ -150,7 +150,7 @@
         servers
     }
 
-    /// An operator's command has come from the host that the operator gave it to.
+    /// Answers an operator's command that another host, or this one, has sent.
     pub(super) fn command_received(&mut self, message: &FleetMessage, link: HostId) {
         let config = self.config.clone();
         let command = message
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -1,5 +1,5 @@
-//! Servers taken offline, as one host takes part: the order book that it knows, which servers it may send to,
-//! and what it reports with its renewals. The coordinator's side is `maintenance_coordination`.
+//! The part of a single host in maintenance: the order book that it knows, which servers it may send to, and
+//! what it reports with its renewals. The coordinator's side is `maintenance_coordination`.
 
 use super::operator_commands::PendingCommands;
 use super::{Fleet, messages};
@@ -20,9 +20,9 @@
     /// The end of the last lease that came with the confirmation that this order book is the coordinator's
     /// newest.
     confirmed_until: Option<Instant>,
-    /// That lease is over.
+    /// `confirmed_until` has passed.
     confirmation_expired: bool,
-    /// It has been over for so long that nothing is sent to any server.
+    /// It passed longer ago than the isolation grace (`blind`): this host sends to no server.
     isolated: bool,
     pub(super) servers: Servers,
     /// Servers that this host no longer uses.
@@ -44,7 +44,7 @@
 }
 
 impl Fleet {
-    /// May this host send to a server at that point? Yes, where there is no maintenance.
+    /// Whether this host may send to a server at that time. Always true without maintenance.
     pub fn may_use(&self, server: ServerId, now: Instant) -> bool {
         let Some(config) = &self.config.maintenance else {
             return true;
@@ -79,11 +79,11 @@
             .flat_map(|order_book| &order_book.orders)
     }
 
-    /// The host itself is to go offline: it takes no new requests, and leaves once all are answered.
+    /// Whether this host itself is draining: it accepts no new requests, and leaves once all are answered.
     pub fn going_offline(&self) -> bool {
         let own = self.server_of(self.me);
         let order = own.and_then(|server| self.maintenance.order_book.as_ref()?.order(server));
-        // A process that has started since is another one.
+        // A process that has started since is not the one that drains.
         order.is_some_and(|order| {
             let is_this_process = order.incarnation == self.incarnation || order.incarnation == 0;
             order.stage == Stage::Draining && is_this_process
@@ -98,7 +98,7 @@
             .map(|(server, _)| *server)
     }
 
-    /// Notes that the confirmed lease is over, or that the host is blind by now.
+    /// Notes that the confirmation has expired, and that the isolation grace has passed after it.
     pub(super) fn update_isolation(&mut self) {
         let (Some(config), Some(until)) =
             (&self.config.maintenance, self.maintenance.confirmed_until)
@@ -113,14 +113,15 @@
         if isolated && !self.maintenance.isolated {
             warn!(
                 member = self.me.0,
-                "out of touch for too long: nothing is sent to any machine"
+                epoch = self.epoch,
+                "no confirmed order book for the isolation grace: sending to no node"
             );
         }
         self.maintenance.confirmation_expired = confirmation_expired;
         self.maintenance.isolated = isolated;
     }
 
-    /// When there is something to do for maintenance.
+    /// When the next timed action of maintenance is due.
     pub(super) fn maintenance_due(&self) -> Option<Instant> {
         let config = self.config.maintenance.as_ref()?;
         let state = &self.maintenance;
@@ -173,7 +174,7 @@
         }
     }
 
-    /// A grant has come: what it says of maintenance.
+    /// Takes what a grant says of maintenance.
     pub(super) fn maintenance_granted(&mut self, grant: &FleetMessage) {
         self.maintenance.first_lease_at.get_or_insert(self.now);
         if self.config.maintenance.is_none() {
@@ -183,9 +184,9 @@
             return;
         };
         self.follow_order_book(report);
-        // A coordinator that does not know the order book yet may grant a lease to a host whose own copy is
-        // old, which would then send to a server that is offline. Found by a random world. The cost falls on
-        // hosts whose coordinator finds no majority that remembers one.
+        // A coordinator that has not adopted an order book yet may grant a lease to a host whose copy is stale;
+        // without this check that host could send to a server that is offline. Found by the randomized
+        // simulation (tests/world). It may harm hosts whose coordinator finds no majority with an order book.
         let newest = version(report);
         let confirmed = self
             .maintenance
@@ -199,7 +200,8 @@
         if self.going_offline() && self.resign() {
             info!(
                 member = self.me.0,
-                "its machine goes: another decides from now on"
+                epoch = self.epoch,
+                "coordinator steps down: its server goes into maintenance"
             );
         }
     }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Being a member: renewing this host's own lease, accepting grants, and leaving the fleet.
+//! The member's side: renews this host's member lease, accepts grants, and leaves the fleet.
 
 use super::event::Departure;
 use super::{Fleet, messages};
@@ -36,7 +36,7 @@
         self.send(message, None);
     }
 
-    /// What this host holds and is asked for, by budget.
+    /// The shares that this host holds, and the demand of its clients, by budget.
     fn renewal_parts(&mut self) -> Vec<FleetPart> {
         let mut parts: BTreeMap<VolumeId, FleetPart> = BTreeMap::new();
         let new_part = |id: VolumeId| FleetPart {
@@ -56,15 +56,15 @@
         parts.into_values().collect()
     }
 
-    /// A coordinator asks for a renewal.
+    /// A coordinator asks this host to renew its lease.
     pub(super) fn poll_received(&mut self, poll: &FleetMessage, link: HostId) {
         let ballot = messages::ballot(poll);
         if !self
             .lease_holder
             .accept_poll(HostId(poll.from), ballot, self.now)
         {
-            // It may be a later coordinator whose voters have all forgotten: it goes on above the ballot that
-            // is reported here.
+            // It may have been elected by voters that have all forgotten later ballots. It retries above the
+            // ballot that is reported here.
             let known = self.lease_holder.ballot();
             let message =
                 self.new_message(FleetWhat::Refuse, HostId(poll.from), poll.from_incarnation);
@@ -92,6 +92,7 @@
             ballot: messages::ballot(message),
             serial: message.serial,
         };
+        let had_lease = self.lease_holder.lease().is_some();
         let before: Vec<u32> = self
             .config
             .budgets
@@ -104,8 +105,22 @@
         {
             return self.count_dropped("a grant that is over, or of an earlier coordinator");
         }
+        if !had_lease {
+            info!(
+                member = self.me.0,
+                epoch = message.epoch,
+                coordinator = message.from,
+                round = message.round,
+                "member lease granted"
+            );
+        }
         if std::mem::take(&mut self.fenced) {
-            info!(member = self.me.0, "this process holds its name now");
+            info!(
+                member = self.me.0,
+                epoch = self.epoch,
+                incarnation = self.incarnation,
+                "fencing lifted: lease granted to this incarnation"
+            );
         }
         self.maintenance_granted(message);
         if message.epoch > self.epoch || !message.members.is_empty() {
@@ -119,11 +134,13 @@
         self.changed |= !before.into_iter().eq(after);
     }
 
-    /// A coordinator reports that another process holds a lease under this host's name.
+    /// A coordinator reports that another process of this host holds its lease.
     pub(super) fn fence_received(&mut self) {
         warn!(
             member = self.me.0,
-            "another process holds this host's name: nothing is used"
+            epoch = self.epoch,
+            incarnation = self.incarnation,
+            "fenced: another incarnation of this host holds its lease, serving stops"
         );
         self.fenced = true;
         self.lease_holder.drop_lease();
@@ -132,7 +149,8 @@
 
     pub(super) fn announce_departure(&mut self) {
         self.lease_holder.drop_lease();
-        // Whoever was the coordinator until now announces it to the next one, if that asks within a lease.
+        // A host that was the coordinator announces its departure to the next one, when that polls it within a
+        // lease.
         if self.resign() || self.lease_holder.coordinator() == Some(self.me) {
             return;
         }
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -1,5 +1,4 @@
-//! Messages between hosts: how they are sent, which are dropped and why, and which part of the fleet handles
-//! the others.
+//! Messages between hosts: sends them, drops invalid ones with their cause, and dispatches the others.
 
 use super::event::Departure;
 use super::{Fleet, Output, RULES};
@@ -10,7 +9,7 @@
 use gullsail_protocol::{FleetMaintenance, FleetMessage, FleetPart, FleetWhat};
 use gullsail_scheduler_api::{HostId, VolumeId};
 
-/// The ballot that a message speaks of.
+/// The ballot in a message.
 pub(super) fn ballot(message: &FleetMessage) -> Ballot {
     Ballot {
         round: message.round,
@@ -18,7 +17,7 @@
     }
 }
 
-/// The process that wrote a message.
+/// The process that sent a message.
 pub(super) fn sender(message: &FleetMessage) -> ProcessId {
     ProcessId {
         host: HostId(message.from),
@@ -26,13 +25,13 @@
     }
 }
 
-/// The budget and the share that a part of a message speaks of.
+/// The budget and share in a part of a message.
 pub(super) fn part(part: &FleetPart) -> (VolumeId, u32) {
     (VolumeId(part.budget), part.share)
 }
 
 impl Fleet {
-    /// A message of this host without contents. `to_incarnation` 0: to whichever process bears the name.
+    /// An empty message of this host. `to_incarnation` 0: to any process of that host.
     pub(super) fn new_message(
         &self,
         what: FleetWhat,
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Sends a message, by way of another host where `via` says so.
+    /// Sends a message, through the relay `via` if there is one.
     pub(super) fn send(&mut self, message: FleetMessage, via: Option<HostId>) {
         if message.to == self.me.0 {
             return self.loopback.push_back(message);
@@ -64,8 +63,8 @@
         self.outputs.push(Output { to, message });
     }
 
-    /// Messages of this host to itself are handled in the same step. Each answer leads one stage further, so
-    /// this ends.
+    /// Handles messages of this host to itself in the same step. Each answer is one phase further in its
+    /// exchange, so the loop ends.
     pub(super) fn handle_loopback(&mut self) {
         while let Some(message) = self.loopback.pop_front() {
             self.dispatch(self.me, message);
@@ -91,7 +90,7 @@
         self.dispatch(link, message);
     }
 
-    /// Why a message is dropped before it is read; `None`: it is not.
+    /// Why a message is invalid; `None`: it is valid. The causes are keys in the status JSON, so they stay.
     fn defect(&self, link: HostId, message: &FleetMessage) -> Option<&'static str> {
         let is_known = |host: u32| host < self.config.hosts;
         let maintenance_is_sound = match message.maintenance.as_deref() {
@@ -120,7 +119,7 @@
         readable && maintenance.served.is_finite() && maintenance.served >= 0.0
     }
 
-    /// A message is passed on once, from the host that wrote it.
+    /// Relays a message. Only messages that come directly from their sender are relayed, so none circulates.
     fn relay(&mut self, link: HostId, message: FleetMessage) {
         if link.0 != message.from {
             return self.count_dropped("passed on twice");
@@ -132,11 +131,11 @@
         });
     }
 
-    /// Leads a message to the part of the fleet that it is for.
+    /// Dispatches a message by its kind.
     fn dispatch(&mut self, link: HostId, message: FleetMessage) {
         let is_voter = self.config.is_voter(self.me);
         let stays = !self.is_leaving();
-        let announced = matches!(self.departure, Departure::Announced(_));
+        let announced = matches!(self.departure, Departure::Announced { .. });
         match message.what() {
             FleetWhat::Prepare | FleetWhat::Propose if is_voter && stays => {
                 self.answer_candidate(&message, link);
@@ -146,7 +145,7 @@
             FleetWhat::Accept => self.acceptance_received(&message),
             FleetWhat::Refuse => self.candidate.refused(ballot(&message), self.now),
             FleetWhat::Ask if stays => self.poll_received(&message, link),
-            // The announcement was lost, or there was no coordinator yet.
+            // The departure message was lost, or there was no coordinator when it was due.
             FleetWhat::Ask if announced => {
                 let coordinator = sender(&message);
                 self.send_departure(coordinator, ballot(&message), Some(link));
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -1,5 +1,5 @@
-//! Operators' commands that were given to this host, on their way to the coordinator: each is sent again
-//! until it is answered, and given up after some leases.
+//! Operators' commands that this host was given. Each is sent to the coordinator until it is answered or times
+//! out.
 
 use super::Fleet;
 use crate::maintenance::{CommandRefusal, ServerId};
@@ -7,11 +7,12 @@
 use gullsail_scheduler_api::Instant;
 use std::collections::BTreeMap;
 
-/// Commands that wait for an answer at one host; more are refused.
+/// Commands that may be pending at one host; more are refused. A bound on memory and on messages sent again.
 const MAX_COMMANDS: usize = 32;
-/// A command is sent again after this part of a lease.
+/// How often a pending command is sent again, in leases. When it is larger, a command takes longer after a
+/// takeover; when it is smaller, more duplicates are sent.
 const RESEND_INTERVAL_LEASES: f64 = 0.125;
-/// It is given up after so many leases: two takeovers.
+/// When a pending command times out, in leases: long enough for two takeovers.
 const GIVE_UP_AFTER_LEASES: f64 = 6.0;
 
 /// The number of an operator's command and its result: accepted, or the server for which it is refused and
@@ -33,7 +34,7 @@
 }
 
 impl PendingCommands {
-    /// When the next command is to be sent again.
+    /// When the next command is due to be sent again.
     pub(super) fn next(&self) -> Option<Instant> {
         self.pending.values().map(|command| command.next).min()
     }
@@ -72,7 +73,7 @@
         self.send_commands();
     }
 
-    /// Sends the commands that are due to the coordinator, and gives up those that nobody answered.
+    /// Sends the commands that are due to the coordinator, and refuses those that timed out.
     pub(super) fn send_commands(&mut self) {
         let now = self.now;
         let resend_at = now + self.config.lease.times(RESEND_INTERVAL_LEASES);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,5 @@
-//! Coordination among the hosts of one fleet: who is a member, who is the coordinator, and what share of
-//! every budget each host may use. The hosts agree on it by messages among themselves; nothing is written to
-//! a disk.
+//! Coordinates the hosts of one fleet: who is a member, who is the coordinator, and what share of every budget
+//! each host may use. The hosts agree by messages among themselves; nothing is written to disk.
 //!
 //! [`Fleet`] is the state machine that a host runs: it takes events and the time, and yields messages to
 //! send. It does no I/O, reads no clock and draws random numbers only from its own seeded generator.
@@ -9,11 +8,21 @@
 //! - [`config`]: the settings that all hosts share;
 //! - [`coordinator_lease`]: how a majority of voters elects one coordinator at a time;
 //! - [`allocation`]: why the shares in use never sum to more than the whole budget;
-//! - [`coordinator`] and [`member_lease`]: the two sides of a grant;
+//! - [`coordinator`] and [`member_lease`]: the granter's and the holder's side of a member lease;
 //! - [`fleet`]: how messages connect them;
 //! - [`maintenance`]: how servers are taken offline.
 //!
-//! The argument as a whole, with the alternatives that were weighed, is in docs/fleet.md.
+//! There are two kinds of leases. The **coordinator lease** makes one host the coordinator; a majority of
+//! voters grants it. A **member lease** lets a host use its shares; the coordinator grants it.
+//!
+//! Five counters order what happens:
+//! - a *round* counts attempts to be elected; with the candidate's host it is a *ballot*;
+//! - an *epoch* counts changes of membership;
+//! - a *serial* counts one coordinator's grants, in the order in which they were made;
+//! - a *number* pairs a request with its answer: a renewal, a proposal, an operator's command;
+//! - a *count* is the version of the order book under one ballot.
+//!
+//! docs/fleet.md holds the whole argument and the alternatives that were considered.
 
 pub mod allocation;
 pub mod ballot;
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -6,12 +6,12 @@
 //! - [`coordinator`]: the coordinator's side;
 //! - [`may_use`]: which servers a host may send to.
 //!
-//! The argument as a whole is in docs/works.md.
+//! The whole argument is in docs/maintenance.md.
 //!
 //! **Why nothing is sent to a server that is offline.**
 //! 1. A host sends to a server only while it knows an order book, and either holds a lease and knows no order
-//!    by which the server is draining or offline, or lost its lease less than `blind` ago and knows no order
-//!    for it at all.
+//!    by which the server is draining or offline, or lost its lease less than the isolation grace (`blind`) ago
+//!    and knows no order for it at all.
 //! 2. `Offline` is decided only when every host of the configuration has reported, in its present
 //!    incarnation, that it released the server; or has left; or its last lease is over, plus `blind` unless
 //!    it had reported that it knows the order.
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -1,5 +1,5 @@
-//! What keeps one approved order from going now. Called for each by the selection of the next server; it
-//! changes nothing.
+//! Why one approved order cannot start to drain now. Called by the selection of the next server; it changes
+//! nothing.
 
 use super::config::MaintenanceConfig;
 use super::order::{Order, Stage};
@@ -10,7 +10,7 @@
 
 /// What an order waits for.
 pub struct Blocker {
-    /// It waits for servers that are away, so no later order may take a place that becomes free before it.
+    /// The order waits for servers that are away. A later order must not take a place that becomes free.
     pub by_others: bool,
     /// For operators.
     pub reason: String,
@@ -40,7 +40,7 @@
     order: &Order,
 ) -> Option<Blocker> {
     let Some(seen) = snapshot.servers.get(&order.server) else {
-        return Blocker::by_itself("nobody knows this machine any more");
+        return Blocker::by_itself("the server is no longer in the configuration");
     };
     let check = Check {
         order_book,
@@ -69,7 +69,7 @@
     snapshot: &'a FleetSnapshot<'a>,
     order: &'a Order,
     seen: &'a ServerObservation,
-    /// The server does not work: it takes nothing away by going.
+    /// The server has failed already, so taking it offline removes nothing.
     failed: bool,
 }
 
@@ -105,7 +105,7 @@
             .iter()
             .find(|(from, to)| is_within(*from, *to, second))?;
         Blocker::by_itself(format!(
-            "none goes between {} and {}",
+            "quiet hours: no server goes between {} and {}",
             clock(*from),
             clock(*to)
         ))
@@ -116,7 +116,7 @@
         let is_ahead =
             |other: &Order| other.server != self.order.server && other.stage <= Stage::Draining;
         if is_coordinator && self.order_book.open().any(is_ahead) {
-            return Blocker::by_itself("it decides, and goes last");
+            return Blocker::by_itself("this host is the coordinator and goes last");
         }
         None
     }
@@ -167,7 +167,8 @@
         Blocker::by_others(format!("{count} of {most} away {scope}"))
     }
 
-    /// Without most voters no coordinator is elected, and without most hosts no order book is taken over.
+    /// Without a majority of voters no coordinator is elected; without a majority of hosts no order book is
+    /// adopted.
     fn quorum(&self, me: u32) -> Option<Blocker> {
         if self.failed {
             return None;
@@ -189,7 +190,7 @@
             .count() as u32;
         let too_few_hosts = staying.len() as u32 <= self.snapshot.hosts / 2;
         if too_few_hosts || voters <= self.snapshot.voters / 2 {
-            return Blocker::by_others("too few hosts would be left to decide");
+            return Blocker::by_others("the remaining hosts would have no quorum");
         }
         None
     }
@@ -223,7 +224,7 @@
             .map(|node| node.capacity)
             .sum();
         if rest < (self.config.keep_shard * all).max(f64::MIN_POSITIVE) {
-            return Blocker::by_itself(format!("cell {shard} would be left with too few holders"));
+            return Blocker::by_itself(format!("shard {shard} would have too few holders left"));
         }
         None
     }
@@ -246,15 +247,15 @@
         if rest < keep * all - CAPACITY_TOLERANCE {
             let stays = rest / all * 100.0;
             return Blocker::by_others(format!(
-                "{stays:.0}% of the capacity would stay, {:.0}% must",
+                "{stays:.0}% of the capacity would remain, {:.0}% must",
                 keep * 100.0
             ));
         }
         let served = self.snapshot.served;
         if served > self.config.busy * rest {
             return Blocker::by_others(format!(
-                "{served:.0} units a second are served, the rest can do {rest:.0}: \
-                 no room to spare (needs {needed:.0})"
+                "{served:.0} units/s are served now, too much for the remaining capacity of {rest:.0} units/s \
+                 (this server has {needed:.0})"
             ));
         }
         None
@@ -268,7 +269,7 @@
     scope: &'static str,
 }
 
-/// A spare node that never ran is no server that failed.
+/// Whether a server counts at all. A spare node that never ran has not failed.
 fn exists(seen: &ServerObservation) -> bool {
     seen.well || seen.incarnation != 0 || matches!(seen.what, ServerRole::Host(_))
 }
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -1,7 +1,7 @@
-//! The coordinator's side of maintenance, for as long as this host is the coordinator: it takes over the
-//! newest order book that a majority knows, learns from renewals which host has released which server, and
-//! moves each order from stage to stage. Called by `Fleet`; it sends nothing by itself. Like the coordinator
-//! of shares it owns no state that has to survive it: all of the order book is known by others.
+//! The coordinator's side of maintenance. It adopts the newest order book that a majority knows, learns from
+//! renewals which host has released which server, and moves each order from stage to stage. Called by
+//! `Fleet` while this host is the coordinator; it sends nothing itself. It owns no state that has to survive
+//! it: other hosts hold copies of the order book.
 
 mod commands;
 mod stages;
@@ -23,11 +23,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use usage::HostUsage;
 
-/// What orders wait for is published so often, in leases, while no order moves.
+/// How often changed wait reasons are published while no order moves, in leases. Each publication is a new
+/// version that is sent to all hosts; when it is larger, operators see older reasons.
 const PUBLISH_INTERVAL_LEASES: f64 = 0.5;
 /// A coordinator makes fewer changes of the order book than two to this power.
 const COUNT_BITS: u32 = 20;
-/// How long an order that is over is still shown.
+/// How long a finished order is still shown to operators.
 const SHOWN_AFTER_END: Span = Span::from_micros(120_000_000);
 
 /// Moves orders from stage to stage.
@@ -120,8 +121,8 @@
         if self.order_book.is_some() || !takeover_complete {
             return;
         }
-        // One of so many hosts knows what any majority knew. With too many uninformed hosts so many will
-        // never report.
+        // Any set of `enough` hosts contains one of every majority, so it knows what any majority knew. If too
+        // many hosts report that they know none, that quorum can never be reached.
         let enough = config.hosts as usize + 1 - majority_of_hosts(config);
         let never_enough = self.uninformed.len() + enough > config.hosts as usize;
         if self.informed.len() < enough && !never_enough {
@@ -136,7 +137,7 @@
             count: order_book.version.count + 1,
         };
         self.first_count = order_book.version.count;
-        // Stages that an earlier coordinator counted are known by a host that knows this version.
+        // A host that knows this version knows the stages of all orders in it.
         for order in &mut order_book.orders {
             order.version = self.first_count;
         }
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Lets the next server go, if one may. Returns what the others wait for.
+    /// Starts to drain the next server, if one may go. Returns what the others wait for.
     fn start_next(
         &mut self,
         maintenance: &MaintenanceConfig,
@@ -232,9 +233,9 @@
             .collect()
     }
 
-    /// What orders wait for is part of the order book, but when only that changes, a new version is published
-    /// less often than hosts come and go: a new version is sent to all hosts, and with hundreds of hosts that
-    /// release a server one by one there would be one at each of their renewals.
+    /// Writes wait reasons into the order book. When only they change, a new version is published less often:
+    /// each version is sent to all hosts, and hundreds of hosts that release a server one by one would cause
+    /// one at each of their renewals.
     fn publish_waits(
         &mut self,
         updates: Vec<WaitUpdate>,
@@ -265,8 +266,8 @@
         }
     }
 
-    /// May this process of a host be a member? While the host drains it must learn so; once it has left, only
-    /// another process may join, where a restart is how it returns.
+    /// Whether this process of a host may be a member. A draining host may, since it must learn that it drains.
+    /// Once it has left, only another process may join, and only if the order returns on a restart.
     pub fn may_join(&self, server: ServerId, incarnation: u64) -> bool {
         let Some(order) = self.order_book.as_ref().and_then(|book| book.order(server)) else {
             return true;
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -1,4 +1,4 @@
-//! What operators command, and what the coordinator decides on it.
+//! Operators' commands and the coordinator's decisions on them.
 
 use super::super::config::MaintenanceConfig;
 use super::super::order::{Order, Stage};
@@ -14,7 +14,7 @@
 /// What the coordinator decides on an operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandDecision {
-    /// It counts, whoever is coordinator next: a majority knows.
+    /// A majority of hosts knows the change, so it stays in effect under any later coordinator.
     Accepted,
     /// Nothing of it is done.
     Refused {
@@ -23,16 +23,16 @@
         /// Why.
         refusal: CommandRefusal,
     },
-    /// Not decided yet: the command is to be sent again.
+    /// Not decided yet: the sender repeats the command.
     Pending,
 }
 
-/// What an operator wants of servers.
+/// The kind of an operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandKind {
     /// To take them offline.
     TakeOffline = 1,
-    /// To use them again.
+    /// To put them back into service.
     Return = 2,
     /// To withdraw their orders.
     Cancel = 3,
@@ -52,8 +52,8 @@
 }
 
 impl MaintenanceCoordinator {
-    /// Decides on a command, for all its servers or none. The same command again changes nothing, through
-    /// whichever host it comes.
+    /// Decides on a command. It is atomic (for all its servers or none) and idempotent, through whichever host
+    /// it comes.
     pub fn command(
         &mut self,
         config: &FleetConfig,
@@ -152,7 +152,7 @@
         let Some(order_book) = &mut self.order_book else {
             return;
         };
-        // An order that is over makes way for the new one.
+        // A finished order of the server is replaced.
         order_book.orders.retain(|order| order.server != server);
         let longest = if command.longest_ms == 0 {
             maintenance.longest
@@ -161,8 +161,8 @@
         };
         order_book.orders.push(Order {
             server,
-            // With the round in it: another coordinator that does not know this one's last changes may count
-            // alike.
+            // The round is part of the number: a later coordinator that does not know this one's last changes may
+            // reach the same count.
             number: self.ballot.round << COUNT_BITS | version,
             stage: Stage::Requested,
             version,
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -1,4 +1,4 @@
-//! Which orders move to their next stage, and what the others wait for.
+//! Decides which orders move to their next stage, and what the others wait for.
 
 use super::super::config::MaintenanceConfig;
 use super::super::order::{Order, Stage};
@@ -9,7 +9,7 @@
 use crate::config::FleetConfig;
 use gullsail_scheduler_api::{HostId, Instant};
 
-const MOST_HOSTS_UNINFORMED: &str = "most hosts do not know of it yet";
+const MOST_HOSTS_UNINFORMED: &str = "a majority of hosts does not know the order yet";
 
 /// An order moves to another stage.
 pub(super) struct StageChange {
@@ -59,7 +59,7 @@
     }
 }
 
-/// A host of which another process runs than the one that was to go.
+/// A host that runs another process than the one that was to drain.
 pub(super) struct RestartedHost {
     order: u64,
     incarnation: u64,
@@ -111,14 +111,18 @@
                 if seen.is_some_and(|seen| snapshot.is_well(seen)) {
                     plan.change(order, Stage::Done);
                 } else {
-                    plan.wait(order, "it does not serve since it is back", Vec::new());
+                    plan.wait(
+                        order,
+                        "the server is not serving after its return",
+                        Vec::new(),
+                    );
                 }
             }
             _ => {}
         }
     }
 
-    /// A host that drains holds nothing once it has reported so; a node must be released by all hosts.
+    /// A draining host is done once it has left or released itself; a node must be released by all hosts.
     fn plan_draining(
         &self,
         config: &FleetConfig,
@@ -135,7 +139,7 @@
         let uses = |host: &&HostId| self.may_send_until(config, maintenance, **host, order) > now;
         let using: Vec<u32> = users.iter().filter(uses).map(|host| host.0).collect();
         if !using.is_empty() {
-            return plan.wait(order, "hosts have not let go", using);
+            return plan.wait(order, "hosts still use this server", using);
         }
         // Hosts whose process never reported that it released the server, and whose lease was waited for.
         let unreported = users
@@ -169,8 +173,8 @@
     order: &Order,
     plan: &mut StagePlan,
 ) {
-    // A process that started before the server went offline, and of which the coordinator learns late, is no
-    // return.
+    // A process that started before the server went offline is not a return, even if the coordinator learns of
+    // it only now.
     let offline_for = if order.stage == Stage::Offline {
         order.aged(now)
     } else {
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of which host may still send to which server.
+//! What the coordinator knows about which host may still send to which server.
 
 use super::super::config::MaintenanceConfig;
 use super::super::order::Order;
@@ -10,8 +10,8 @@
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeSet;
 
-/// What one host may still send to, as far as is known here. All but `earlier_incarnations_until` is of the process that
-/// holds the name.
+/// What one host reported last, all of one process; `earlier_incarnations_until` covers the processes before
+/// it.
 #[derive(Clone, Debug)]
 pub(super) struct HostUsage {
     incarnation: u64,
@@ -21,7 +21,7 @@
     released: BTreeSet<ServerId>,
     left: bool,
     served: f64,
-    /// Until when other processes under its name may send.
+    /// Until when other processes of this host may send.
     earlier_incarnations_until: Instant,
 }
 
@@ -35,7 +35,7 @@
     pub known: Option<OrderBookVersion>,
     /// Servers that it no longer uses: no attempt, no connection.
     pub released: BTreeSet<ServerId>,
-    /// Since when it has been a member, by its own clock.
+    /// For how long it has been a member, by its own clock.
     pub member_for: Span,
     /// Units a second that it serves.
     pub served: f64,
@@ -61,8 +61,8 @@
         now: Instant,
     ) {
         let lease_and_blind = |granted: Instant| granted + config.lease + maintenance.blind;
-        // Another process under its name had no lease any more one lease after this one had its first,
-        // whoever was coordinator.
+        // One lease after this process had its first one, no other process of the host held any, whoever was
+        // the coordinator.
         let member_for = report.member_for.times(1.0 - config.drift);
         let earlier_until = lease_and_blind(now - member_for);
         let unreported_host_may_send_until =
@@ -152,7 +152,7 @@
             .is_some_and(|usage| self.is_released(usage, order))
     }
 
-    /// A report that was made with an older order book says nothing: the host may have used the server since.
+    /// A report made with an older order book does not count: the host may have used the server since.
     fn is_released(&self, usage: &HostUsage, order: &Order) -> bool {
         let draining = OrderBookVersion {
             ballot: self.ballot,
@@ -173,7 +173,7 @@
         let Some(usage) = self.usage.get(&host) else {
             return self.unreported_host_may_send_until(config, maintenance);
         };
-        // What an earlier process under its name knew is not known here.
+        // An earlier process of this host may not have known the order.
         if self.is_released(usage, order) {
             return usage.earlier_incarnations_until;
         }
--- a/crates/fleet/src/maintenance/order_book.rs
+++ b/crates/fleet/src/maintenance/order_book.rs
@@ -7,11 +7,11 @@
 use gullsail_protocol::{FleetLine, FleetOrder};
 use gullsail_scheduler_api::{Instant, Span};
 
-/// Open orders at most: a message with all of them stays below the limit of a frame.
+/// The most open orders: a message with all of them stays below the limit of a frame.
 pub const MAX_ORDERS: usize = 1024;
 /// Characters of a text for operators.
 const MAX_TEXT: usize = 200;
-/// Times in messages are limited to this, so that sums of them do not overflow.
+/// Times in messages are limited to this many milliseconds (35 years), so that sums of them do not overflow.
 const MAX_MILLIS: u64 = 1 << 40;
 
 /// Which order book: by whose ballot it was changed, and its count of changes. Ordered by time.
@@ -30,8 +30,8 @@
     pub version: OrderBookVersion,
     /// In the order in which they were taken.
     pub orders: Vec<Order>,
-    /// The round of the coordinator that began this order book without finding enough hosts that remember an
-    /// earlier one, which may be lost; 0: that never happened.
+    /// The round of the coordinator that started this order book without a quorum of hosts that remember an
+    /// earlier one, so earlier orders may be lost; 0: it was never started without a quorum.
     pub anew: u64,
 }
 
@@ -57,7 +57,7 @@
         self.orders.iter().filter(|order| order.stage.open())
     }
 
-    /// As it is sent.
+    /// Encodes the order book for a message.
     pub fn to_message(&self, now: Instant) -> FleetLine {
         FleetLine {
             round: self.version.ballot.round,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// As it is received; `None`: no coordinator sends this.
+    /// Decodes an order book; `None`: it is invalid.
     pub fn from_message(message: &FleetLine, now: Instant) -> Option<OrderBook> {
         if message.count == 0 || message.orders.len() > 2 * MAX_ORDERS {
             return None;
--- a/crates/fleet/src/maintenance/refusal.rs
+++ b/crates/fleet/src/maintenance/refusal.rs
@@ -36,7 +36,7 @@
 impl fmt::Display for CommandRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            CommandRefusal::UnknownServer => "no such machine is known to whoever decides",
+            CommandRefusal::UnknownServer => "the coordinator knows no server of that name",
             CommandRefusal::TooLittleCapacity { remaining, keep } => {
                 let percent = remaining * 100.0;
                 return write!(
@@ -45,16 +45,18 @@
                 );
             }
             CommandRefusal::NoOrder => "there is no order for it",
-            CommandRefusal::NotOffline => "it is not out yet: `cancel` takes its order back",
+            CommandRefusal::NotOffline => "it is not offline yet: `cancel` withdraws its order",
             CommandRefusal::AlreadyOffline => "it is out already: `back` says that it is back",
-            CommandRefusal::HostIsDraining => "this host is leaving already, and will be out",
+            CommandRefusal::HostIsDraining => {
+                "this host is already draining: its order can no longer be withdrawn"
+            }
             CommandRefusal::TooManyOrders => {
                 return write!(f, "more than {MAX_ORDERS} orders would be open");
             }
-            CommandRefusal::NoMaintenance => "the document has no `works`",
-            CommandRefusal::TooManyCommands => "too many orders are on their way from this host",
+            CommandRefusal::NoMaintenance => "the configuration has no `works` entry",
+            CommandRefusal::TooManyCommands => "too many commands of this host wait for an answer",
             CommandRefusal::Unanswered => {
-                "nobody who decides took it in time; it may still count: say it again, it counts once"
+                "no coordinator acknowledged it in time; it may still take effect, and repeating it is safe"
             }
         };
         f.write_str(text)
--- a/crates/fleet/src/maintenance/selection.rs
+++ b/crates/fleet/src/maintenance/selection.rs
@@ -9,8 +9,11 @@
 use super::server::{ServerId, ServerObservation, ServerRole, Servers};
 use super::snapshot::{CAPACITY_TOLERANCE, FleetSnapshot};
 
-/// An order that has been overtaken so often goes before any later one that the same limits hold up.
+/// An order that later ones have overtaken this often is protected: no later order that shares its limits
+/// may start before it. When it is larger, large servers wait longer; when it is smaller, one order that
+/// cannot go holds up more others.
 const MAX_OVERTAKEN: u32 = 4;
+
 /// What an approved order waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitReason {
@@ -31,8 +34,8 @@
 
 /// Selects the next of the approved orders.
 ///
-/// An order that cannot go holds up no other; servers that do not work go first, since they count as away
-/// already.
+/// An order that cannot go does not hold up others, unless it was overtaken too often. Failed servers go
+/// first, since they count as away already.
 pub fn select_next(
     order_book: &OrderBook,
     config: &MaintenanceConfig,
@@ -40,7 +43,7 @@
 ) -> Selection {
     let mut waiting = Vec::new();
     let mut next = None;
-    // An order that was overtaken too often: what holds it up must become free.
+    // The first order that was overtaken too often: the capacity it waits for is kept for it.
     let mut protected: Option<ServerId> = None;
     for order in approved_in_sequence(order_book, snapshot) {
         let server = order.server;
@@ -51,7 +54,7 @@
                     next = Some(server);
                     continue;
                 }
-                "another goes first".to_string()
+                "another server goes first".to_string()
             }
             Some(blocker) => {
                 if order.passed >= MAX_OVERTAKEN && blocker.by_others && protected.is_none() {
@@ -65,7 +68,7 @@
     Selection { next, waiting }
 }
 
-/// Overtaken orders first, then servers that do not work, then by age.
+/// Orders that were overtaken too often first, then failed servers, then by age.
 fn approved_in_sequence<'a>(order_book: &'a OrderBook, snapshot: &FleetSnapshot) -> Vec<&'a Order> {
     let approved = order_book
         .orders
--- a/crates/fleet/src/member_lease.rs
+++ b/crates/fleet/src/member_lease.rs
@@ -1,5 +1,6 @@
-//! The member's side of a grant: what this host holds, from which coordinator, and until when by its own
-//! clock. Called by `Fleet` with the time and with the coordinator's messages; it sends nothing by itself.
+//! The member's side of member leases: which shares this host holds, from which coordinator, and until when by
+//! its own clock. Called by `Fleet` with the time and with the coordinator's messages; it sends nothing
+//! itself. The lease that makes a host the coordinator is in `coordinator_lease`.
 
 use crate::allocation::Shares;
 use crate::ballot::Ballot;
@@ -9,17 +10,19 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// Renewals remembered: more than are sent within a lease.
+/// Renewals remembered: more than are sent within a lease. An answer to a forgotten one is dropped.
 const MAX_RENEWALS: usize = 16;
-/// A lease is renewed four times, at slightly random intervals so that the hosts' renewals do not fall
-/// together.
+/// The interval between renewals, in member leases: four in a lease, so that some may be lost. It is random
+/// so that the hosts' renewals spread out. When it is larger, fewer losses end the lease; when it is smaller,
+/// there are more messages.
 const RENEWAL_INTERVAL_LEASES: Range<f64> = 0.2..0.3;
-/// Without an answer for this part of a lease, other hosts are asked to pass the renewal on.
+/// After how many member leases without an answer the renewal is also sent through relays.
 const RELAY_AFTER_LEASES: f64 = 0.5;
-/// Without an answer for so many leases, no coordinator is known any more.
+/// After how many member leases without a message the coordinator counts as unknown. By then its own lease has
+/// expired and its successor has polled all hosts that it reaches.
 const FORGET_COORDINATOR_AFTER_LEASES: f64 = 2.0;
 
-/// What a member may use, and until when.
+/// A member lease: what the member may use, and until when.
 #[derive(Clone, Debug)]
 pub struct MemberLease {
     /// The serial of the grant.
@@ -44,7 +47,7 @@
 pub struct RenewalRequest {
     /// Its number, by which it is answered.
     pub number: u64,
-    /// Other hosts are to pass it on too, since the coordinator does not answer.
+    /// Whether to send it through relays too, since the coordinator does not answer.
     pub use_relays: bool,
 }
 
@@ -96,7 +99,7 @@
         self.ballot
     }
 
-    /// Removes a lease that is over. Whether there was one.
+    /// Drops the lease if it has expired; returns whether it did.
     pub fn drop_expired_lease(&mut self, now: Instant) -> bool {
         self.lease.take_if(|lease| now >= lease.until).is_some()
     }
@@ -106,7 +109,7 @@
         self.lease.as_ref().map(|lease| lease.until)
     }
 
-    /// What may be used of a budget under the lease; `None`: there is no lease, and the floor counts.
+    /// The share of a budget under the lease; `None`: there is no lease, so the floor share applies.
     pub fn share(&self, id: VolumeId, now: Instant) -> Option<u32> {
         let lease = self.lease.as_ref().filter(|lease| now < lease.until)?;
         Some(lease.shares.get(&id).copied().unwrap_or_default())
@@ -117,7 +120,7 @@
         self.lease.as_ref()
     }
 
-    /// A host asks for a renewal as the coordinator. Whether it is to be answered.
+    /// A host polls as the coordinator. Returns whether to answer it.
     pub fn accept_poll(&mut self, from: HostId, ballot: Ballot, now: Instant) -> bool {
         if ballot < self.ballot {
             return false;
@@ -170,8 +173,8 @@
         self.number
     }
 
-    /// A grant has come: from now on it is all that is held, and its lease counts from when the renewal was
-    /// sent. Whether it is accepted.
+    /// Accepts a grant in place of the current one, if it is valid; returns whether it is. The lease counts
+    /// from when the renewal was sent.
     pub fn accept_grant(
         &mut self,
         config: &FleetConfig,
@@ -184,14 +187,14 @@
             return false;
         };
         let until = sent.sent_at + config.held_lease();
-        // A grant that was long on its way, or comes from a host that is no longer coordinator. The cost:
-        // where the way takes a lease, nothing is ever held.
+        // The grant was delayed, or comes from an earlier coordinator. It may harm when a round trip takes a
+        // lease: then no grant is ever valid.
         if now >= until || grant.ballot < self.ballot {
             return false;
         }
-        // An older grant that comes after the newer one's lease is over, where renewals overtook each other:
-        // the coordinator struck it out when it learned of the newer one. Found by a random world, with 119%
-        // in use.
+        // An older grant may arrive after the lease of a newer one has expired, where renewals overtook each
+        // other. The coordinator dropped the older one when it learned of the newer. Found by the randomized
+        // simulation (tests/world): a simulated run reached 119% of the budget.
         if self.newest >= grant {
             return false;
         }
@@ -206,7 +209,7 @@
         true
     }
 
-    /// Nothing is held from now on.
+    /// Drops the lease.
     pub fn drop_lease(&mut self) {
         self.lease = None;
     }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -14,16 +14,16 @@
     pub me: u32,
     /// Counts the changes of membership.
     pub epoch: u64,
-    /// The round of the coordinator's ballot.
+    /// The highest round that this host has seen of a coordinator.
     pub round: u64,
     /// The newest coordinator known.
     pub coordinator: Option<u32>,
     /// This host is the coordinator; for how long at least, unless it renews its lease.
     pub decides_for_ms: Option<f64>,
-    /// Of a coordinator that takes over: the longest time until the earlier one's grants are over. No share
+    /// Of a coordinator that takes over: the longest time until the earlier one's grants have expired. No share
     /// grows until then.
     pub takes_over_ms: Option<f64>,
-    /// How long this host's own lease lasts, unless renewed; `None`: it has none, and its floors count.
+    /// How long this host's member lease lasts, unless renewed; `None`: it has none and uses floor shares.
     pub lease_ms: Option<f64>,
     /// How long this host's acceptor is still recovering from a start, and answers no candidate.
     #[serde(rename = "mute_ms")]
@@ -48,7 +48,7 @@
     /// The process that runs under its name.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where it stands.
+    /// Its state.
     #[serde(rename = "standing")]
     pub state: MemberState,
     /// Of the coordinator's own view: how long ago its last renewal came.
@@ -56,7 +56,7 @@
     pub last_renewal_ms: Option<f64>,
     /// Of the coordinator's own view: the host that passes its renewals on.
     pub via: Option<u32>,
-    /// Of the coordinator's own view: when its lease is over.
+    /// Of the coordinator's own view: the time until its lease expires.
     pub over_ms: Option<f64>,
 }
 
@@ -83,11 +83,11 @@
     /// Messages that came from other hosts.
     #[serde(rename = "notes_in")]
     pub messages_in: u64,
-    /// Messages passed on between two other hosts.
+    /// Messages relayed between two other hosts.
     pub passed_on: u64,
     /// How often this host was elected coordinator.
     pub elected: u64,
-    /// How often this host's lease ran out.
+    /// How often this host's member lease expired.
     pub leases_lost: u64,
     /// Leases granted as the coordinator.
     pub granted: u64,
--- a/crates/fleet/tests/maintenance/selection.rs
+++ b/crates/fleet/tests/maintenance/selection.rs
@@ -34,7 +34,7 @@
     Case {
         orders: &[(1, Approved, 0), (2, Approved, 0)],
         next: Some(1),
-        waiting: &[(2, "another goes first")],
+        waiting: &[(2, "another server goes first")],
         ..CASE
     },
     // Requested is not approved; one in its zone is away; a place that is free goes to a server that can have
@@ -63,13 +63,13 @@
     // The other holder of its shard is away, or failed by itself.
     Case {
         orders: &[(1, Offline, 0), (2, Approved, 0)],
-        waiting: &[(2, "cell 1 would be left")],
+        waiting: &[(2, "shard 1 would have too few holders left")],
         ..CASE
     },
     Case {
         orders: &[(1, Approved, 0)],
         failed: &[2],
-        waiting: &[(1, "cell 1 would be left")],
+        waiting: &[(1, "shard 1 would have too few holders left")],
         ..CASE
     },
     // A failed one goes first, and takes nothing away by going; but no more are under maintenance than may
@@ -78,7 +78,7 @@
         orders: &[(1, Approved, 0), (4, Approved, 0)],
         failed: &[4],
         next: Some(4),
-        waiting: &[(1, "another goes first")],
+        waiting: &[(1, "another server goes first")],
         ..CASE
     },
     Case {
@@ -104,14 +104,14 @@
     Case {
         orders: &[(1, Approved, 0)],
         served: 451.0,
-        waiting: &[(1, "no room to spare")],
+        waiting: &[(1, "too much for the remaining capacity of")],
         ..CASE
     },
     // None goes at night.
     Case {
         orders: &[(1, Approved, 0)],
         second_of_day: 80_000,
-        waiting: &[(1, "none goes between 22:00 and 06:00")],
+        waiting: &[(1, "quiet hours: no server goes between 22:00 and 06:00")],
         ..CASE
     },
     Case {
@@ -124,7 +124,7 @@
     Case {
         orders: &[(11, Approved, 0), (1, Approved, 0)],
         next: Some(1),
-        waiting: &[(11, "it decides, and goes last")],
+        waiting: &[(11, "this host is the coordinator and goes last")],
         ..CASE
     },
     Case {
