--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -1,7 +1,7 @@
 //! Computes the shares that the members should have of one budget. A pure function: of earlier grants it knows
 //! only what other hosts may still be using.
 
-use super::HostShare;
+use super::share::HostShare;
 use crate::config::{Budget, WHOLE};
 use gullsail_scheduler_api::HostId;
 
--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -1,7 +1,7 @@
 //! The coordinator's count of what each host may still be using of every budget. It never decides who gets
 //! how much.
 
-use super::Shares;
+use super::share::Shares;
 use crate::config::{Budget, FleetConfig, WHOLE};
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -103,6 +103,11 @@
         self.voters.min(self.hosts) as usize / 2 + 1
     }
 
+    /// How many hosts are a majority of all, voters or not.
+    pub fn majority_of_hosts(&self) -> usize {
+        self.hosts as usize / 2 + 1
+    }
+
     /// The hosts that take part in elections.
     pub fn voters(&self) -> impl Iterator<Item = HostId> {
         (0..self.voters.min(self.hosts)).map(HostId)
--- a/crates/fleet/src/coordinator_lease.rs
+++ b/crates/fleet/src/coordinator_lease.rs
@@ -18,8 +18,6 @@
 mod acceptor;
 mod candidate;
 
-pub use crate::ballot::Ballot;
-pub use crate::process_id::ProcessId;
 pub use acceptor::{AcceptedCoordinatorLease, Acceptor, AcceptorReply};
 pub use candidate::{
     CandidateRequest, HeldCoordinatorLease, LeaseCandidate, Proposal, renewal_check_interval,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -24,67 +24,43 @@
 mod status_report;
 
 pub use event::{Event, Output};
+pub use messages::RULES;
 pub use operator_commands::Answer;
 
 use crate::config::FleetConfig;
-use crate::coordinator::{Coordinator, MemberState};
-use crate::coordinator_lease::{Acceptor, LeaseCandidate, renewal_check_interval};
-use crate::demand::Demand;
-use crate::maintenance::coordinator::MaintenanceCoordinator;
-use crate::member_lease::MemberLeaseHolder;
-use crate::status::Counts;
+use crate::coordinator_lease::renewal_check_interval;
+use crate::process_id::ProcessId;
+use crate::status::Statistics;
+use coordination::CoordinatorRole;
+use election::Election;
 use event::Departure;
-use gullsail_protocol::{FleetMember, FleetMessage};
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 use maintenance_participant::MaintenanceState;
-use rand::{Rng, SeedableRng};
+use membership::Membership;
+use messages::Outbox;
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use std::collections::{BTreeMap, VecDeque};
-use std::ops::Range;
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// The version of the protocol. Messages of another version are dropped and counted.
-pub const RULES: u32 = 1;
-
-/// How long a host waits after its acceptor has recovered before it first seeks the coordinator lease, in
-/// coordinator leases. Random, so that hosts that start together do not all compete at once: two candidates
-/// at the same moment refuse each other. A wider range delays the first election.
-const FIRST_ATTEMPT_COORDINATOR_LEASES: Range<f64> = 0.0..0.5;
-
-/// One host's part in the fleet.
+/// The state machine of one host of the fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    me: HostId,
-    incarnation: u64,
+    process: ProcessId,
     config: Arc<FleetConfig>,
     rng: ChaCha8Rng,
     now: Instant,
-    acceptor: Acceptor,
-    candidate: LeaseCandidate,
-    /// While this host is the coordinator.
-    coordinator: Option<Coordinator>,
-    lease_holder: MemberLeaseHolder,
-    demand: Demand,
-    epoch: u64,
-    members: Vec<FleetMember>,
-    /// A coordinator reported that another process holds the lease of this host. This process uses nothing
-    /// until a lease is granted to it.
-    fenced: bool,
-    departure: Departure,
-    /// When hosts that are not members are polled again.
-    next_poll: Instant,
     /// When the next timed action is due.
     due: Instant,
-    outputs: Vec<Output>,
-    /// Messages of this host to itself, handled in the same step.
-    loopback: VecDeque<FleetMessage>,
-    changed: bool,
-    maintenance: MaintenanceState,
+    election: Election,
     /// While this host is the coordinator.
-    maintenance_coordinator: Option<MaintenanceCoordinator>,
-    dropped: BTreeMap<&'static str, u64>,
-    counts: Counts,
+    coordinator_role: Option<CoordinatorRole>,
+    membership: Membership,
+    maintenance: MaintenanceState,
+    outbox: Outbox,
+    statistics: Statistics,
+    /// Shares, members or orders may have changed since [`Fleet::changed`] was last called.
+    changed: bool,
 }
 
 impl Fleet {
@@ -97,38 +73,23 @@
         now: Instant,
     ) -> Fleet {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ incarnation);
-        let acceptor = Acceptor::new(&config, now);
-        let wait = config
-            .coordinator_lease()
-            .times(rng.random_range(FIRST_ATTEMPT_COORDINATOR_LEASES));
-        // Rounds begin at the clock's milliseconds: above those of earlier incarnations, unless clocks are
-        // far apart. Safety does not depend on it: an acceptor accepts a ballot from one incarnation only.
-        let round = (now.micros() / 1000).max(0) as u64;
-        let candidate = LeaseCandidate::new(me, round, acceptor.recovering_until() + wait);
+        let election = Election::new(&config, me, now, &mut rng);
         Fleet {
-            me,
-            incarnation,
+            process: ProcessId {
+                host: me,
+                incarnation,
+            },
             config,
             rng,
             now,
-            acceptor,
-            candidate,
-            coordinator: None,
-            lease_holder: MemberLeaseHolder::new(now),
-            demand: Demand::default(),
-            epoch: 0,
-            members: Vec::new(),
-            fenced: false,
-            departure: Departure::None,
-            next_poll: now,
             due: now,
-            outputs: Vec::new(),
-            loopback: VecDeque::new(),
-            changed: false,
+            election,
+            coordinator_role: None,
+            membership: Membership::new(now),
             maintenance: MaintenanceState::default(),
-            maintenance_coordinator: None,
-            dropped: BTreeMap::new(),
-            counts: Counts::default(),
+            outbox: Outbox::default(),
+            statistics: Statistics::default(),
+            changed: false,
         }
     }
 
@@ -139,22 +100,19 @@
 
     /// The same, at a point that may be later than the last event.
     pub fn share_at(&self, budget: VolumeId, now: Instant) -> u32 {
-        if self.fenced || self.is_leaving() {
-            return 0;
-        }
-        let floor = self
-            .config
-            .budgets
-            .get(&budget)
-            .map_or(0, |budget| budget.floor(self.me));
-        self.lease_holder.share(budget, now).unwrap_or(floor)
+        self.membership
+            .share(&self.config, self.process.host, budget, now)
     }
 
     /// The share of each budget that may be used now, and how long the member lease still lasts; `None`: this
     /// host holds no lease.
     pub fn parts(&self) -> (impl Iterator<Item = (VolumeId, u32)>, Option<Span>) {
         let shares = self.config.budgets.keys().map(|id| (*id, self.share(*id)));
-        let lasts = self.lease_holder.until().map(|until| until - self.now);
+        let lasts = self
+            .membership
+            .lease_holder
+            .until()
+            .map(|until| until - self.now);
         (shares, lasts)
     }
 
@@ -165,34 +123,23 @@
 
     /// Whether this host is the coordinator at that time.
     pub fn decides(&self, now: Instant) -> bool {
-        self.coordinator.is_some() && self.candidate.held(now).is_some()
+        self.coordinator_role.is_some() && self.election.candidate.held(now).is_some()
     }
 
     /// Counts the changes of membership.
     pub fn epoch(&self) -> u64 {
-        self.epoch
+        self.membership.epoch
     }
 
     /// Hosts whose lease has expired or that have left, by the coordinator's newest message. They use at most
     /// their floor share.
     pub fn out(&self) -> impl Iterator<Item = HostId> {
-        let is_out = |member: &&FleetMember| {
-            let state = MemberState::from_number(member.state);
-            matches!(state, Some(MemberState::Out | MemberState::Left))
-        };
-        self.members
-            .iter()
-            .filter(is_out)
-            .map(|member| HostId(member.host))
+        self.membership.inactive_hosts()
     }
 
     /// Whether this host has left: the coordinator has acknowledged it, or none did in time.
     pub fn has_left(&self) -> bool {
-        self.departure == Departure::Complete
-    }
-
-    fn is_leaving(&self) -> bool {
-        self.departure != Departure::None
+        self.membership.departure == Departure::Complete
     }
 
     /// Handles an event. Messages that follow from it are in [`Fleet::outputs`]; a change of shares is reported
@@ -207,18 +154,20 @@
         }
         match event {
             Event::Message { link, message } => {
-                self.counts.messages_in += 1;
+                self.statistics.counts.messages_in += 1;
                 self.receive(link, message);
             }
-            Event::DemandObserved { budget, units } => self.demand.add(budget, units, now),
+            Event::DemandObserved { budget, units } => {
+                self.membership.demand.add(budget, units, now)
+            }
             Event::Config(config) => self.config_changed(config),
-            Event::Leave if !self.is_leaving() => {
+            Event::Leave if !self.membership.is_leaving() => {
                 info!(
-                    member = self.me.0,
-                    epoch = self.epoch,
+                    member = self.process.host.0,
+                    epoch = self.membership.epoch,
                     "graceful shutdown: leaving the fleet, shares released"
                 );
-                self.departure = Departure::Announced {
+                self.membership.departure = Departure::Announced {
                     give_up_at: now + self.config.lease,
                 };
                 self.changed = true;
@@ -236,8 +185,8 @@
 
     fn config_changed(&mut self, config: Arc<FleetConfig>) {
         self.config = config;
-        if let Some(coordinator) = &mut self.coordinator {
-            coordinator.config_changed(&self.config);
+        if let Some(role) = &mut self.coordinator_role {
+            role.shares.config_changed(&self.config);
         }
         self.changed = true;
     }
@@ -248,17 +197,18 @@
         if now < self.due {
             return;
         }
-        if let Departure::Announced { give_up_at } = self.departure {
+        if let Departure::Announced { give_up_at } = self.membership.departure {
             if now >= give_up_at {
-                self.departure = Departure::Complete;
+                self.membership.departure = Departure::Complete;
             }
         } else {
             self.advance_candidate();
             self.advance_coordinator();
             self.send_commands();
-            let renewal = self
-                .lease_holder
-                .next_renewal(&self.config, now, &mut self.rng);
+            let renewal =
+                self.membership
+                    .lease_holder
+                    .next_renewal(&self.config, now, &mut self.rng);
             if let Some(renewal) = renewal {
                 self.send_renewal(renewal);
             }
@@ -269,7 +219,7 @@
 
     /// The messages to send.
     pub fn outputs(&mut self) -> std::vec::Drain<'_, Output> {
-        self.outputs.drain(..)
+        self.outbox.outputs.drain(..)
     }
 
     /// When to call [`Fleet::advance`] at the latest.
@@ -278,14 +228,14 @@
     }
 
     fn next_due(&self) -> Instant {
-        let mut next = self.lease_holder.next();
-        if self.config.is_voter(self.me) {
-            next = next.min(self.candidate.next());
+        let mut next = self.membership.lease_holder.next();
+        if self.config.is_voter(self.process.host) {
+            next = next.min(self.election.candidate.next());
         }
-        if self.coordinator.is_some() {
+        if self.coordinator_role.is_some() {
             next = next.min(self.now + renewal_check_interval(&self.config));
         }
-        if let Departure::Announced { give_up_at } = self.departure {
+        if let Departure::Announced { give_up_at } = self.membership.departure {
             next = next.min(give_up_at);
         }
         self.maintenance_due().map_or(next, |due| next.min(due))
@@ -295,24 +245,27 @@
     /// was paused cannot act on an expired lease.
     fn drop_expired_leases(&mut self, now: Instant) {
         self.now = self.now.max(now);
-        if self.lease_holder.drop_expired_lease(self.now) {
-            self.counts.leases_lost += 1;
+        if self.membership.lease_holder.drop_expired_lease(self.now) {
+            self.statistics.counts.leases_lost += 1;
             self.changed = true;
             warn!(
-                member = self.me.0,
-                epoch = self.epoch,
-                coordinator = self.lease_holder.coordinator().map(|host| host.0),
-                round = self.lease_holder.ballot().round,
+                member = self.process.host.0,
+                epoch = self.membership.epoch,
+                coordinator = self
+                    .membership
+                    .lease_holder
+                    .coordinator()
+                    .map(|host| host.0),
+                round = self.membership.lease_holder.ballot().round,
                 "member lease expired: using floor shares until it is renewed"
             );
         }
-        if self.coordinator.is_some() && self.candidate.held(self.now).is_none() {
-            self.coordinator = None;
-            self.maintenance_coordinator = None;
+        if self.coordinator_role.is_some() && self.election.candidate.held(self.now).is_none() {
+            self.coordinator_role = None;
             warn!(
-                member = self.me.0,
-                epoch = self.epoch,
-                round = self.lease_holder.ballot().round,
+                member = self.process.host.0,
+                epoch = self.membership.epoch,
+                round = self.membership.lease_holder.ballot().round,
                 "coordinator lease expired: stepping down"
             );
         }
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -3,11 +3,16 @@
 
 use super::{Fleet, messages};
 use crate::allocation::Shares;
-use crate::coordinator::{Member, MemberState, MembershipTransitions, Renewal, RenewalOutcome};
-use crate::coordinator_lease::Ballot;
+use crate::ballot::Ballot;
+use crate::config::FleetConfig;
+use crate::coordinator::{
+    Coordinator, Member, MemberState, MembershipTransitions, Renewal, RenewalOutcome,
+};
+use crate::maintenance::OrderBook;
+use crate::maintenance::coordinator::MaintenanceCoordinator;
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
-use gullsail_scheduler_api::{HostId, VolumeId};
+use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
@@ -19,14 +24,72 @@
 /// costs one message.
 const RELAYS_PER_MESSAGE: usize = 2;
 
+/// What a host holds while it is the coordinator.
+#[derive(Clone, Debug)]
+pub(super) struct CoordinatorRole {
+    /// Who is a member, and which shares each one holds.
+    pub(super) shares: Coordinator,
+    /// Which servers are in maintenance.
+    pub(super) maintenance: MaintenanceCoordinator,
+    /// When hosts that are not members are polled again.
+    next_poll: Instant,
+}
+
+impl CoordinatorRole {
+    /// The role of a host that has just been elected. `order_book`: the one that it knows, if it knows one.
+    pub(super) fn new(
+        config: &FleetConfig,
+        ballot: Ballot,
+        epoch: u64,
+        order_book: Option<OrderBook>,
+        now: Instant,
+    ) -> CoordinatorRole {
+        CoordinatorRole {
+            shares: Coordinator::new(config, ballot, epoch, now),
+            maintenance: MaintenanceCoordinator::new(ballot, order_book, now),
+            next_poll: now,
+        }
+    }
+
+    /// The hosts to poll now, if a poll is due.
+    fn hosts_to_poll(
+        &mut self,
+        config: &FleetConfig,
+        missing: Vec<HostId>,
+        now: Instant,
+    ) -> Vec<HostId> {
+        if now < self.next_poll {
+            return Vec::new();
+        }
+        self.next_poll = now + config.lease.times(POLL_INTERVAL_LEASES);
+        missing
+    }
+
+    fn member_messages(&self) -> Vec<FleetMember> {
+        let to_message = |(host, member): (&HostId, &Member)| FleetMember {
+            host: host.0,
+            incarnation: member.incarnation,
+            state: member.state as u32,
+        };
+        self.shares.members.iter().map(to_message).collect()
+    }
+
+    /// How many members are in a state.
+    fn count(&self, state: MemberState) -> usize {
+        let in_state = |member: &&Member| member.state == state;
+        self.shares.members.values().filter(in_state).count()
+    }
+}
+
 impl Fleet {
     pub(super) fn advance_coordinator(&mut self) {
-        let Some(coordinator) = &mut self.coordinator else {
+        let Some(role) = &mut self.coordinator_role else {
             return;
         };
-        let transitions = coordinator.advance(&self.config, self.now);
-        let ballot = coordinator.ballot;
-        let missing = coordinator.missing_hosts(&self.config);
+        let transitions = role.shares.advance(&self.config, self.now);
+        let ballot = role.shares.ballot;
+        let missing = role.shares.missing_hosts(&self.config);
+        let missing = role.hosts_to_poll(&self.config, missing, self.now);
         self.log_transitions(&transitions);
         for host in transitions.suspected {
             // Only the link between the two hosts may be broken.
@@ -35,11 +98,8 @@
             }
             self.poll(host, ballot, None);
         }
-        if self.now >= self.next_poll {
-            self.next_poll = self.now + self.config.lease.times(POLL_INTERVAL_LEASES);
-            for host in missing {
-                self.poll(host, ballot, None);
-            }
+        for host in missing {
+            self.poll(host, ballot, None);
         }
         self.publish_membership();
         self.advance_maintenance_coordinator();
@@ -48,27 +108,27 @@
     fn log_transitions(&self, transitions: &MembershipTransitions) {
         for host in &transitions.suspected {
             warn!(
-                coordinator = self.me.0,
+                coordinator = self.process.host.0,
                 member = host.0,
-                epoch = self.epoch,
+                epoch = self.membership.epoch,
                 "member suspected: no renewal for half a lease, polling it through other hosts"
             );
         }
         for host in &transitions.expired {
-            let coordinator = self.coordinator.as_ref();
-            let member = coordinator.and_then(|coordinator| coordinator.members.get(host));
+            let role = self.coordinator_role.as_ref();
+            let member = role.and_then(|role| role.shares.members.get(host));
             warn!(
-                coordinator = self.me.0,
+                coordinator = self.process.host.0,
                 member = host.0,
                 incarnation = member.map(|member| member.incarnation),
-                epoch = self.epoch,
+                epoch = self.membership.epoch,
                 "member lease expired: its share is given to other hosts"
             );
         }
         if transitions.takeover_completed {
             info!(
-                coordinator = self.me.0,
-                epoch = self.epoch,
+                coordinator = self.process.host.0,
+                epoch = self.membership.epoch,
                 "takeover complete: shares may grow"
             );
         }
@@ -76,11 +136,12 @@
 
     /// Other members, drawn at random each time, that may reach a host that this one does not.
     pub(super) fn relays(&mut self, host: HostId) -> Vec<HostId> {
-        let me = self.me;
+        let me = self.process.host;
         let is_member = |member: &&FleetMember| {
             MemberState::from_number(member.state) == Some(MemberState::Member)
         };
         let members = self
+            .membership
             .members
             .iter()
             .filter(is_member)
@@ -103,32 +164,24 @@
         );
     }
 
-    /// What this host knows of members is what its own coordinator knows.
-    pub(super) fn publish_membership(&mut self) {
-        let Some(coordinator) = &self.coordinator else {
+    /// Takes over the members from this host's own coordinator role.
+    fn publish_membership(&mut self) {
+        let Some(role) = &self.coordinator_role else {
             return;
         };
-        let epoch_changed = coordinator.epoch != self.epoch;
-        self.epoch = coordinator.epoch;
-        let to_message = |(host, member): (&HostId, &Member)| FleetMember {
-            host: host.0,
-            incarnation: member.incarnation,
-            state: member.state as u32,
-        };
-        self.members = coordinator.members.iter().map(to_message).collect();
+        let epoch_changed = role.shares.epoch != self.membership.epoch;
+        self.membership.epoch = role.shares.epoch;
+        self.membership.members = role.member_messages();
         if epoch_changed {
             self.changed = true;
-            let count = |state: MemberState| {
-                let in_state = |member: &&Member| member.state == state;
-                coordinator.members.values().filter(in_state).count()
-            };
-            let members = count(MemberState::Member);
-            let suspected = count(MemberState::Suspected);
-            let expired = count(MemberState::Out);
-            let left = count(MemberState::Left);
             info!(
-                epoch = self.epoch,
-                members, suspected, expired, left, "membership changed"
+                coordinator = self.process.host.0,
+                epoch = self.membership.epoch,
+                members = role.count(MemberState::Member),
+                suspected = role.count(MemberState::Suspected),
+                expired = role.count(MemberState::Out),
+                left = role.count(MemberState::Left),
+                "membership changed"
             );
         }
     }
@@ -136,12 +189,13 @@
     /// Answers a member's renewal.
     pub(super) fn renewal_received(&mut self, message: &FleetMessage, link: HostId) {
         let process = messages::sender(message);
-        if self.coordinator.is_some() && !self.may_join(process) {
+        if self.coordinator_role.is_some() && !self.may_join(process) {
             return self.count_dropped("of a machine that is out for work");
         }
-        let Some(coordinator) = &mut self.coordinator else {
+        let Some(role) = &mut self.coordinator_role else {
             return self.count_dropped("not the coordinator");
         };
+        let coordinator = &mut role.shares;
         let via = Some(link).filter(|link| *link != process.host);
         let renewal = read_renewal(message, via);
         let outcome = coordinator.renew(&self.config, renewal, self.now);
@@ -152,10 +206,10 @@
             RenewalOutcome::Fenced => {
                 let incarnation = process.incarnation;
                 warn!(
-                    coordinator = self.me.0,
+                    coordinator = self.process.host.0,
                     member = process.host.0,
                     incarnation,
-                    epoch = self.epoch,
+                    epoch = self.membership.epoch,
                     "renewal fenced: another incarnation holds the lease of this host"
                 );
                 self.new_message(FleetWhat::Fence, process.host, incarnation)
@@ -181,7 +235,7 @@
         serial: u64,
         shares: &Shares,
     ) -> FleetMessage {
-        self.counts.granted += 1;
+        self.statistics.counts.granted += 1;
         let maintenance = self.maintenance_renewed(renewal);
         let part = |(id, share): (&VolumeId, &u32)| FleetPart {
             budget: id.0,
@@ -189,10 +243,10 @@
             asked: 0.0,
         };
         // The members are sent to hosts that do not know them yet.
-        let members = if renewal.epoch == self.epoch {
+        let members = if renewal.epoch == self.membership.epoch {
             Vec::new()
         } else {
-            self.members.clone()
+            self.membership.members.clone()
         };
         FleetMessage {
             serial,
@@ -205,9 +259,10 @@
 
     /// A member has announced that it leaves.
     pub(super) fn departure_received(&mut self, message: &FleetMessage, link: HostId) {
-        let Some(coordinator) = &mut self.coordinator else {
+        let Some(role) = &mut self.coordinator_role else {
             return;
         };
+        let coordinator = &mut role.shares;
         let process = messages::sender(message);
         coordinator.leave(&self.config, process);
         // A departure that was announced to an earlier coordinator may be older than what another process
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -1,38 +1,78 @@
 //! Seeks and renews the coordinator lease: carries messages between this host's `LeaseCandidate` and the
 //! voters' acceptors.
 
+use super::coordination::CoordinatorRole;
 use super::{Fleet, messages};
-use crate::coordinator::Coordinator;
-use crate::coordinator_lease::{AcceptorReply, Ballot, CandidateRequest, Proposal};
-use crate::maintenance::coordinator::MaintenanceCoordinator;
+use crate::ballot::Ballot;
+use crate::config::FleetConfig;
+use crate::coordinator_lease::{
+    Acceptor, AcceptorReply, CandidateRequest, LeaseCandidate, Proposal,
+};
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMessage, FleetWhat};
-use gullsail_scheduler_api::HostId;
+use gullsail_scheduler_api::{HostId, Instant};
+use rand::Rng;
+use std::ops::Range;
 use tracing::info;
 
-impl Fleet {
-    fn process(&self) -> ProcessId {
-        ProcessId {
-            host: self.me,
-            incarnation: self.incarnation,
+/// How long a host waits after its acceptor has recovered before it first seeks the coordinator lease, in
+/// coordinator leases. Random, so that hosts that start together do not all compete at once: two candidates
+/// at the same moment refuse each other. A wider range delays the first election.
+const FIRST_ATTEMPT_COORDINATOR_LEASES: Range<f64> = 0.0..0.5;
+
+/// This host in elections: as a voter, and as a candidate.
+#[derive(Clone, Debug)]
+pub(super) struct Election {
+    pub(super) acceptor: Acceptor,
+    pub(super) candidate: LeaseCandidate,
+}
+
+impl Election {
+    pub(super) fn new(
+        config: &FleetConfig,
+        own: HostId,
+        now: Instant,
+        rng: &mut impl Rng,
+    ) -> Election {
+        let acceptor = Acceptor::new(config, now);
+        let wait = config
+            .coordinator_lease()
+            .times(rng.random_range(FIRST_ATTEMPT_COORDINATOR_LEASES));
+        // Rounds begin at the clock's milliseconds: above those of earlier incarnations, unless clocks are
+        // far apart. Safety does not depend on it: an acceptor accepts a ballot from one incarnation only.
+        let round = (now.micros() / 1000).max(0) as u64;
+        let candidate = LeaseCandidate::new(own, round, acceptor.recovering_until() + wait);
+        Election {
+            acceptor,
+            candidate,
         }
     }
 
+    /// Seeks or renews the coordinator lease, if that is due. Returns what to ask the voters.
+    fn advance(
+        &mut self,
+        config: &FleetConfig,
+        own: ProcessId,
+        now: Instant,
+        rng: &mut impl Rng,
+    ) -> Option<CandidateRequest> {
+        let accepted = self.acceptor.live(now);
+        let held_by_other = accepted.filter(|lease| lease.holder != own);
+        let taken_until = held_by_other.map(|lease| lease.until);
+        self.candidate.advance(config, taken_until, now, rng)
+    }
+}
+
+impl Fleet {
     pub(super) fn advance_candidate(&mut self) {
         // A host that goes into maintenance resigns first and does not seek the lease again.
-        let recovering = self.now < self.acceptor.recovering_until();
-        if !self.config.is_voter(self.me) || recovering || self.going_offline() {
+        let recovering = self.now < self.election.acceptor.recovering_until();
+        if !self.config.is_voter(self.process.host) || recovering || self.going_offline() {
             return;
         }
-        let own = self.process();
-        let taken = self
-            .acceptor
-            .live(self.now)
-            .filter(|lease| lease.holder != own);
-        let taken_until = taken.map(|lease| lease.until);
         let request = self
-            .candidate
-            .advance(&self.config, taken_until, self.now, &mut self.rng);
+            .election
+            .advance(&self.config, self.process, self.now, &mut self.rng);
         if let Some(request) = request {
             self.ask_voters(request);
         }
@@ -61,11 +101,12 @@
     pub(super) fn answer_candidate(&mut self, request: &FleetMessage, link: HostId) {
         let ballot = messages::ballot(request);
         let process = messages::sender(request);
-        self.candidate.observe(ballot);
+        self.election.candidate.observe(ballot);
         let reply = if request.what() == FleetWhat::Prepare {
-            self.acceptor.prepare(ballot, process, self.now)
+            self.election.acceptor.prepare(ballot, process, self.now)
         } else {
-            self.acceptor
+            self.election
+                .acceptor
                 .propose(&self.config, ballot, process, self.now)
         };
         let (what, ballot, number) = match reply {
@@ -85,11 +126,12 @@
     }
 
     pub(super) fn promise_received(&mut self, promise: &FleetMessage) {
-        self.epoch = self.epoch.max(promise.epoch);
+        self.membership.epoch = self.membership.epoch.max(promise.epoch);
         let from = HostId(promise.from);
         let ballot = messages::ballot(promise);
         let taken = promise.number > 0;
         let request = self
+            .election
             .candidate
             .promised(&self.config, from, ballot, taken, self.now);
         if let Some(request) = request {
@@ -103,47 +145,47 @@
             ballot,
             number: acceptance.number,
         };
-        if !self
-            .candidate
-            .accepted(&self.config, HostId(acceptance.from), proposal, self.now)
-        {
+        if !self.election.candidate.accepted(
+            &self.config,
+            HostId(acceptance.from),
+            proposal,
+            self.now,
+        ) {
             return;
         }
-        match &mut self.coordinator {
-            Some(coordinator) => coordinator.ballot = ballot,
+        match &mut self.coordinator_role {
+            Some(role) => role.shares.ballot = ballot,
             None => self.become_coordinator(ballot),
         }
     }
 
     fn become_coordinator(&mut self, ballot: Ballot) {
-        self.counts.elected += 1;
+        self.statistics.counts.elected += 1;
         // Above every epoch that this host or its voters know. Where all have forgotten it, the round still is:
         // rounds begin at the clock's milliseconds.
-        self.epoch = (self.epoch + 1).max(ballot.round);
+        self.membership.epoch = (self.membership.epoch + 1).max(ballot.round);
         info!(
-            member = self.me.0,
-            epoch = self.epoch,
+            member = self.process.host.0,
+            epoch = self.membership.epoch,
             round = ballot.round,
             "elected coordinator"
         );
-        self.coordinator = Some(Coordinator::new(&self.config, ballot, self.epoch, self.now));
         let order_book = self.maintenance.order_book.clone();
-        self.maintenance_coordinator =
-            Some(MaintenanceCoordinator::new(ballot, order_book, self.now));
-        self.next_poll = self.now;
+        let epoch = self.membership.epoch;
+        let role = CoordinatorRole::new(&self.config, ballot, epoch, order_book, self.now);
+        self.coordinator_role = Some(role);
         self.advance_coordinator();
     }
 
     /// Releases the coordinator lease, if this host holds it; returns whether it did. Member leases that it
     /// granted stay valid, and the next coordinator polls their holders.
     pub(super) fn resign(&mut self) -> bool {
-        let Some(lease) = self.candidate.held(self.now) else {
+        let Some(lease) = self.election.candidate.held(self.now) else {
             return false;
         };
-        self.candidate.resign();
-        self.coordinator = None;
-        self.maintenance_coordinator = None;
-        let me = self.me;
+        self.election.candidate.resign();
+        self.coordinator_role = None;
+        let me = self.process.host;
         for voter in self
             .config
             .voters()
@@ -158,8 +200,8 @@
             };
             self.send(message, None);
         }
-        let own = self.process();
-        self.acceptor.release(own);
+        let own = self.process;
+        self.election.acceptor.release(own);
         true
     }
 }
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -21,11 +21,11 @@
         if self.config.maintenance.is_none() {
             return true;
         }
-        let Some(coordinator) = &self.maintenance_coordinator else {
+        let Some(role) = &self.coordinator_role else {
             return true;
         };
         let server = self.server_of(process.host);
-        server.is_none_or(|server| coordinator.may_join(server, process.incarnation))
+        server.is_none_or(|server| role.maintenance.may_join(server, process.incarnation))
     }
 
     /// A member has renewed its lease: takes what it reports of maintenance. Returns the newest version, and
@@ -35,7 +35,7 @@
         renewal: &FleetMessage,
     ) -> Option<Box<FleetMaintenance>> {
         self.take_maintenance_report(renewal)?;
-        let coordinator = self.maintenance_coordinator.as_mut()?;
+        let coordinator = &mut self.coordinator_role.as_mut()?.maintenance;
         coordinator.lease_granted(HostId(renewal.from), self.now);
         let known = version(renewal.maintenance.as_ref()?);
         let order_book = coordinator.order_book();
@@ -56,14 +56,14 @@
     /// the member uses no server any more.
     pub(super) fn maintenance_member_left(&mut self, departure: &FleetMessage, is_current: bool) {
         let process = messages::sender(departure);
-        let Some(coordinator) = &self.maintenance_coordinator else {
+        let Some(role) = &self.coordinator_role else {
             return;
         };
-        if is_current && coordinator.may_report(process) {
+        if is_current && role.maintenance.may_report(process) {
             self.take_maintenance_report(departure);
         }
-        if let Some(coordinator) = &mut self.maintenance_coordinator {
-            coordinator.member_left(process);
+        if let Some(role) = &mut self.coordinator_role {
+            role.maintenance.member_left(process);
         }
     }
 
@@ -71,7 +71,7 @@
     fn take_maintenance_report(&mut self, from_member: &FleetMessage) -> Option<()> {
         let config = self.config.clone();
         let maintenance = config.maintenance.as_ref()?;
-        let coordinator = self.maintenance_coordinator.as_mut()?;
+        let coordinator = &mut self.coordinator_role.as_mut()?.maintenance;
         let message = from_member.maintenance.as_ref()?;
         let known = version(message);
         let report = RenewalReport {
@@ -103,12 +103,11 @@
             return;
         };
         let servers = self.servers_with_hosts();
-        let (Some(coordinator), Some(maintenance_coordinator)) =
-            (&self.coordinator, &mut self.maintenance_coordinator)
-        else {
+        let Some(role) = &mut self.coordinator_role else {
             return;
         };
-        let active = coordinator
+        let active = role
+            .shares
             .members
             .iter()
             .filter(|(_, member)| member.is_active());
@@ -119,30 +118,30 @@
             members: &members,
             hosts: config.hosts,
             voters: config.voters.min(config.hosts),
-            served: maintenance_coordinator.served(&config, self.now),
-            coordinator: self.me.0,
+            served: role.maintenance.served(&config, self.now),
+            coordinator: self.process.host.0,
             second_of_day: seconds.rem_euclid(SECONDS_A_DAY) as u32,
         };
-        maintenance_coordinator.advance(
+        role.maintenance.advance(
             &config,
             maintenance,
             self.now,
             &snapshot,
-            coordinator.ballot,
-            coordinator.takeover_complete(),
+            role.shares.ballot,
+            role.shares.takeover_complete(),
         );
     }
 
     /// The servers as this host observes them. For hosts, the coordinator fills in the incarnation and whether
     /// they are members.
     fn servers_with_hosts(&self) -> Servers {
-        let Some(coordinator) = &self.coordinator else {
+        let Some(role) = &self.coordinator_role else {
             return Servers::new();
         };
         let mut servers = self.maintenance.servers.clone();
         for server in servers.values_mut() {
             if let ServerRole::Host(host) = server.what {
-                let member = coordinator.members.get(&HostId(host));
+                let member = role.shares.members.get(&HostId(host));
                 server.incarnation = member.map_or(0, |member| member.incarnation);
                 server.well = member.is_some_and(Member::is_active);
             }
@@ -157,14 +156,12 @@
             .maintenance
             .as_ref()
             .and_then(|maintenance| maintenance.command.as_ref());
-        let (Some(maintenance), Some(coordinator), Some(command)) = (
-            &config.maintenance,
-            &mut self.maintenance_coordinator,
-            command,
-        ) else {
+        let (Some(maintenance), Some(role), Some(command)) =
+            (&config.maintenance, &mut self.coordinator_role, command)
+        else {
             return self.count_dropped("not the coordinator");
         };
-        let decision = coordinator.command(
+        let decision = role.maintenance.command(
             &config,
             maintenance,
             command,
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -3,7 +3,7 @@
 
 use super::operator_commands::PendingCommands;
 use super::{Fleet, messages};
-use crate::coordinator_lease::Ballot;
+use crate::ballot::Ballot;
 use crate::maintenance::{
     Order, OrderBook, OrderBookVersion, SERVED, ServerId, ServerObservation, ServerRole, Servers,
     Stage, may_use,
@@ -49,7 +49,7 @@
         let Some(config) = &self.config.maintenance else {
             return true;
         };
-        if self.fenced || self.is_leaving() {
+        if self.membership.fenced || self.membership.is_leaving() {
             return false;
         }
         let Some(until) = self.maintenance.confirmed_until else {
@@ -81,11 +81,12 @@
 
     /// Whether this host itself is draining: it accepts no new requests, and leaves once all are answered.
     pub fn going_offline(&self) -> bool {
-        let own = self.server_of(self.me);
+        let own = self.server_of(self.process.host);
         let order = own.and_then(|server| self.maintenance.order_book.as_ref()?.order(server));
         // A process that has started since is not the one that drains.
         order.is_some_and(|order| {
-            let is_this_process = order.incarnation == self.incarnation || order.incarnation == 0;
+            let is_this_process =
+                order.incarnation == self.process.incarnation || order.incarnation == 0;
             order.stage == Stage::Draining && is_this_process
         })
     }
@@ -112,8 +113,8 @@
             || isolated != self.maintenance.isolated;
         if isolated && !self.maintenance.isolated {
             warn!(
-                member = self.me.0,
-                epoch = self.epoch,
+                member = self.process.host.0,
+                epoch = self.membership.epoch,
                 "no confirmed order book for the isolation grace: sending to no node"
             );
         }
@@ -143,6 +144,7 @@
             return message;
         }
         let served = self
+            .membership
             .demand
             .rates(self.now)
             .find(|(id, _)| *id == SERVED)
@@ -194,13 +196,13 @@
             .as_ref()
             .is_some_and(|book| book.version == newest);
         if report.count > 0 && confirmed {
-            self.maintenance.confirmed_until = self.lease_holder.until();
+            self.maintenance.confirmed_until = self.membership.lease_holder.until();
             self.update_isolation();
         }
         if self.going_offline() && self.resign() {
             info!(
-                member = self.me.0,
-                epoch = self.epoch,
+                member = self.process.host.0,
+                epoch = self.membership.epoch,
                 "coordinator steps down: its server goes into maintenance"
             );
         }
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -1,13 +1,17 @@
 //! Messages between hosts: sends them, drops invalid ones with their cause, and dispatches the others.
 
-use super::event::Departure;
-use super::{Fleet, Output, RULES};
+use super::Fleet;
+use super::event::{Departure, Output};
+use crate::ballot::Ballot;
 use crate::config::WHOLE;
-use crate::coordinator_lease::Ballot;
 use crate::maintenance::OrderBook;
 use crate::process_id::ProcessId;
 use gullsail_protocol::{FleetMaintenance, FleetMessage, FleetPart, FleetWhat};
 use gullsail_scheduler_api::{HostId, VolumeId};
+use std::collections::VecDeque;
+
+/// The version of the protocol. Messages of another version are dropped and counted.
+pub const RULES: u32 = 1;
 
 /// The ballot in a message.
 pub(super) fn ballot(message: &FleetMessage) -> Ballot {
@@ -30,6 +34,15 @@
     (VolumeId(part.budget), part.share)
 }
 
+/// Messages that this host sends.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Outbox {
+    /// To other hosts.
+    pub(super) outputs: Vec<Output>,
+    /// To itself, handled in the same step.
+    loopback: VecDeque<FleetMessage>,
+}
+
 impl Fleet {
     /// An empty message of this host. `to_incarnation` 0: to any process of that host.
     pub(super) fn new_message(
@@ -42,38 +55,38 @@
             fleet: self.config.fleet,
             rules: RULES,
             what: what as i32,
-            from: self.me.0,
-            from_incarnation: self.incarnation,
+            from: self.process.host.0,
+            from_incarnation: self.process.incarnation,
             to: to.0,
             to_incarnation,
-            epoch: self.epoch,
+            epoch: self.membership.epoch,
             ..FleetMessage::default()
         }
     }
 
     /// Sends a message, through the relay `via` if there is one.
     pub(super) fn send(&mut self, message: FleetMessage, via: Option<HostId>) {
-        if message.to == self.me.0 {
-            return self.loopback.push_back(message);
+        if message.to == self.process.host.0 {
+            return self.outbox.loopback.push_back(message);
         }
         let to = via
-            .filter(|via| *via != self.me)
+            .filter(|via| *via != self.process.host)
             .unwrap_or(HostId(message.to));
-        self.counts.messages_out += 1;
-        self.outputs.push(Output { to, message });
+        self.statistics.counts.messages_out += 1;
+        self.outbox.outputs.push(Output { to, message });
     }
 
     /// Handles messages of this host to itself in the same step. Each answer is one phase further in its
     /// exchange, so the loop ends.
     pub(super) fn handle_loopback(&mut self) {
-        while let Some(message) = self.loopback.pop_front() {
-            self.dispatch(self.me, message);
+        while let Some(message) = self.outbox.loopback.pop_front() {
+            self.dispatch(self.process.host, message);
         }
     }
 
     /// Counts a message that is dropped, by cause.
     pub(super) fn count_dropped(&mut self, cause: &'static str) {
-        *self.dropped.entry(cause).or_default() += 1;
+        self.statistics.count_dropped(cause);
     }
 
     /// A message has come from another host.
@@ -81,10 +94,10 @@
         if let Some(cause) = self.defect(link, &message) {
             return self.count_dropped(cause);
         }
-        if message.to != self.me.0 {
+        if message.to != self.process.host.0 {
             return self.relay(link, message);
         }
-        if message.to_incarnation != 0 && message.to_incarnation != self.incarnation {
+        if message.to_incarnation != 0 && message.to_incarnation != self.process.incarnation {
             return self.count_dropped("for an earlier process of this name");
         }
         self.dispatch(link, message);
@@ -103,7 +116,7 @@
             Some("of another fleet")
         } else if !is_known(message.from) || !is_known(message.to) || !is_known(link.0) {
             Some("of an unknown host")
-        } else if message.from == self.me.0 {
+        } else if message.from == self.process.host.0 {
             Some("of another process with this host's name")
         } else if !message.parts.iter().all(part_is_sound) || !maintenance_is_sound {
             Some("with figures that make no sense")
@@ -124,8 +137,8 @@
         if link.0 != message.from {
             return self.count_dropped("passed on twice");
         }
-        self.counts.passed_on += 1;
-        self.outputs.push(Output {
+        self.statistics.counts.passed_on += 1;
+        self.outbox.outputs.push(Output {
             to: HostId(message.to),
             message,
         });
@@ -133,17 +146,17 @@
 
     /// Dispatches a message by its kind.
     fn dispatch(&mut self, link: HostId, message: FleetMessage) {
-        let is_voter = self.config.is_voter(self.me);
-        let stays = !self.is_leaving();
-        let announced = matches!(self.departure, Departure::Announced { .. });
+        let is_voter = self.config.is_voter(self.process.host);
+        let stays = !self.membership.is_leaving();
+        let announced = matches!(self.membership.departure, Departure::Announced { .. });
         match message.what() {
             FleetWhat::Prepare | FleetWhat::Propose if is_voter && stays => {
                 self.answer_candidate(&message, link);
             }
-            FleetWhat::Release if is_voter => self.acceptor.release(sender(&message)),
+            FleetWhat::Release if is_voter => self.election.acceptor.release(sender(&message)),
             FleetWhat::Promise => self.promise_received(&message),
             FleetWhat::Accept => self.acceptance_received(&message),
-            FleetWhat::Refuse => self.candidate.refused(ballot(&message), self.now),
+            FleetWhat::Refuse => self.election.candidate.refused(ballot(&message), self.now),
             FleetWhat::Ask if stays => self.poll_received(&message, link),
             // The departure message was lost, or there was no coordinator when it was due.
             FleetWhat::Ask if announced => {
@@ -153,8 +166,8 @@
             FleetWhat::Renew => self.renewal_received(&message, link),
             FleetWhat::Grant if stays => self.grant_received(&message),
             FleetWhat::Leave => self.departure_received(&message, link),
-            FleetWhat::Left if announced => self.departure = Departure::Complete,
-            FleetWhat::Fence if ballot(&message) >= self.lease_holder.ballot() => {
+            FleetWhat::Left if announced => self.membership.departure = Departure::Complete,
+            FleetWhat::Fence if ballot(&message) >= self.membership.lease_holder.ballot() => {
                 self.fence_received()
             }
             FleetWhat::OperatorCommand => self.command_received(&message, link),
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -96,7 +96,7 @@
     }
 
     fn send_command(&mut self, number: u64, command: FleetCommand) {
-        let Some(coordinator) = self.lease_holder.coordinator() else {
+        let Some(coordinator) = self.membership.lease_holder.coordinator() else {
             return;
         };
         let maintenance = FleetMaintenance {
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::config::Budget;
-use crate::coordinator::MemberState;
+use crate::coordinator::{Coordinator, MemberState};
 use crate::status::{BudgetStatus, MemberStatus, Status};
 use gullsail_protocol::FleetMember;
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
@@ -10,25 +10,31 @@
 impl Fleet {
     /// The fleet as this host sees it.
     pub fn status(&self) -> Status {
-        let coordinator = self.coordinator.as_ref();
-        let held = coordinator.and(self.candidate.held(self.now));
+        let coordinator = self.coordinator();
+        let held = coordinator.and(self.election.candidate.held(self.now));
         let takes_over = coordinator.filter(|coordinator| !coordinator.takeover_complete());
         let recovering_until =
-            Some(self.acceptor.recovering_until()).filter(|until| *until > self.now);
+            Some(self.election.acceptor.recovering_until()).filter(|until| *until > self.now);
         Status {
-            me: self.me.0,
-            epoch: self.epoch,
-            round: self.lease_holder.ballot().round,
-            coordinator: self.lease_holder.coordinator().map(|host| host.0),
+            me: self.process.host.0,
+            epoch: self.membership.epoch,
+            round: self.membership.lease_holder.ballot().round,
+            coordinator: self
+                .membership
+                .lease_holder
+                .coordinator()
+                .map(|host| host.0),
             decides_for_ms: held.map(|lease| self.millis_until(lease.until)),
             takes_over_ms: takes_over.map(|c| self.millis_until(c.takeover_ends(&self.config))),
             lease_ms: self
+                .membership
                 .lease_holder
                 .until()
                 .map(|until| self.millis_until(until)),
             recovering_ms: recovering_until.map(|until| self.millis_until(until)),
-            fenced: self.fenced,
+            fenced: self.membership.fenced,
             members: self
+                .membership
                 .members
                 .iter()
                 .filter_map(|member| self.member_status(member))
@@ -40,20 +46,25 @@
                 .map(|(id, budget)| self.budget_status(*id, budget))
                 .collect(),
             dropped: self
+                .statistics
                 .dropped
                 .iter()
                 .map(|(cause, count)| (cause.to_string(), *count))
                 .collect(),
-            counts: self.counts,
+            counts: self.statistics.counts,
         }
     }
 
+    fn coordinator(&self) -> Option<&Coordinator> {
+        self.coordinator_role.as_ref().map(|role| &role.shares)
+    }
+
     fn millis_until(&self, at: Instant) -> f64 {
         (at - self.now).max(Span::ZERO).millis()
     }
 
     fn member_status(&self, member: &FleetMember) -> Option<MemberStatus> {
-        let coordinator = self.coordinator.as_ref();
+        let coordinator = self.coordinator();
         let known =
             coordinator.and_then(|coordinator| coordinator.members.get(&HostId(member.host)));
         Some(MemberStatus {
@@ -67,7 +78,7 @@
     }
 
     fn budget_status(&self, id: VolumeId, budget: &Budget) -> BudgetStatus {
-        let coordinator = self.coordinator.as_ref();
+        let coordinator = self.coordinator();
         let in_use = coordinator.map(|coordinator| coordinator.shares_in_use(id, budget));
         let parts = in_use.unwrap_or_default().into_iter();
         BudgetStatus {
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -26,8 +26,6 @@
 /// How often changed wait reasons are published while no order moves, in leases. Each publication is a new
 /// version that is sent to all hosts; when it is larger, operators see older reasons.
 const PUBLISH_INTERVAL_LEASES: f64 = 0.5;
-/// A coordinator makes fewer changes of the order book than two to this power.
-const COUNT_BITS: u32 = 20;
 /// How long a finished order is still shown to operators.
 const SHOWN_AFTER_END: Span = Span::from_micros(120_000_000);
 
@@ -123,7 +121,7 @@
         }
         // Any set of `enough` hosts contains one of every majority, so it knows what any majority knew. If too
         // many hosts report that they know none, that quorum can never be reached.
-        let enough = config.hosts as usize + 1 - majority_of_hosts(config);
+        let enough = config.hosts as usize + 1 - config.majority_of_hosts();
         let never_enough = self.uninformed.len() + enough > config.hosts as usize;
         if self.informed.len() < enough && !never_enough {
             return;
@@ -278,8 +276,3 @@
         }
     }
 }
-
-/// How many hosts are more than half of all.
-fn majority_of_hosts(config: &FleetConfig) -> usize {
-    config.hosts as usize / 2 + 1
-}
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -1,13 +1,14 @@
 //! Operators' commands and the coordinator's decisions on them.
 
-use super::super::config::MaintenanceConfig;
-use super::super::order::{Order, Stage};
-use super::super::order_book::{MAX_ORDERS, OrderBook, truncate};
-use super::super::refusal::CommandRefusal;
-use super::super::selection::permanent_blocker;
-use super::super::server::{ServerId, ServerRole, Servers};
-use super::{COUNT_BITS, MaintenanceCoordinator};
+use super::MaintenanceCoordinator;
 use crate::config::FleetConfig;
+use crate::maintenance::config::MaintenanceConfig;
+use crate::maintenance::order::COUNT_BITS;
+use crate::maintenance::order::{Order, Stage};
+use crate::maintenance::order_book::{MAX_ORDERS, OrderBook, truncate};
+use crate::maintenance::refusal::CommandRefusal;
+use crate::maintenance::selection::permanent_blocker;
+use crate::maintenance::server::{ServerId, ServerRole, Servers};
 use gullsail_protocol::FleetCommand;
 use gullsail_scheduler_api::{Instant, Span};
 
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -1,12 +1,12 @@
 //! Decides which orders move to their next stage, and what the others wait for.
 
-use super::super::config::MaintenanceConfig;
-use super::super::order::{Order, Stage};
-use super::super::order_book::OrderBook;
-use super::super::server::{ServerId, ServerObservation, ServerRole};
-use super::super::snapshot::FleetSnapshot;
 use super::MaintenanceCoordinator;
 use crate::config::FleetConfig;
+use crate::maintenance::config::MaintenanceConfig;
+use crate::maintenance::order::{Order, Stage};
+use crate::maintenance::order_book::OrderBook;
+use crate::maintenance::server::{ServerId, ServerObservation, ServerRole};
+use crate::maintenance::snapshot::FleetSnapshot;
 use gullsail_scheduler_api::{HostId, Instant};
 
 const MOST_HOSTS_UNINFORMED: &str = "a majority of hosts does not know the order yet";
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -1,11 +1,12 @@
 //! What the coordinator knows about which host may still send to which server.
 
-use super::super::config::MaintenanceConfig;
-use super::super::order::Order;
-use super::super::order_book::OrderBookVersion;
-use super::super::server::ServerId;
-use super::{COUNT_BITS, MaintenanceCoordinator, majority_of_hosts};
+use super::MaintenanceCoordinator;
 use crate::config::FleetConfig;
+use crate::maintenance::config::MaintenanceConfig;
+use crate::maintenance::order::COUNT_BITS;
+use crate::maintenance::order::Order;
+use crate::maintenance::order_book::OrderBookVersion;
+use crate::maintenance::server::ServerId;
 use crate::process_id::ProcessId;
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeSet;
@@ -142,7 +143,7 @@
             count,
         };
         let knows = |usage: &&HostUsage| usage.known.is_some_and(|known| known >= version);
-        self.usage.values().filter(knows).count() >= majority_of_hosts(config)
+        self.usage.values().filter(knows).count() >= config.majority_of_hosts()
     }
 
     /// Whether a host has reported that it released an order's server.
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -5,6 +5,10 @@
 use gullsail_scheduler_api::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
+/// The low bits of an order's number are the order book's count at its request; the bits above are the
+/// coordinator's round. A coordinator makes fewer changes of the order book than two to this power.
+pub(super) const COUNT_BITS: u32 = 20;
+
 /// The stages of an order, in sequence. It can be cancelled in any stage before `Drained`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -73,6 +73,21 @@
     pub parts: Vec<(u32, u32)>,
 }
 
+/// What a host counts, for its status.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Statistics {
+    /// Messages that were dropped, by cause.
+    pub(crate) dropped: BTreeMap<&'static str, u64>,
+    pub(crate) counts: Counts,
+}
+
+impl Statistics {
+    /// Counts a message that is dropped, by cause.
+    pub(crate) fn count_dropped(&mut self, cause: &'static str) {
+        *self.dropped.entry(cause).or_default() += 1;
+    }
+}
+
 /// Events counted since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -1,9 +1,10 @@
 //! The two sides of a grant, each by itself, and how a budget is divided.
 
 use gullsail_fleet::allocation::{HostDemand, divide};
+use gullsail_fleet::ballot::Ballot;
 use gullsail_fleet::coordinator::{Coordinator, Renewal, RenewalOutcome};
-use gullsail_fleet::coordinator_lease::{Ballot, ProcessId};
 use gullsail_fleet::member_lease::{GrantId, MemberLeaseHolder};
+use gullsail_fleet::process_id::ProcessId;
 use gullsail_fleet::{Budget, FleetConfig, WHOLE};
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 use rand::SeedableRng;
--- a/crates/fleet/tests/maintenance/coordinator.rs
+++ b/crates/fleet/tests/maintenance/coordinator.rs
@@ -2,7 +2,7 @@
 //! over.
 
 use crate::fixtures::{Driver, SERVER, ms, order, report};
-use gullsail_fleet::coordinator_lease::Ballot;
+use gullsail_fleet::ballot::Ballot;
 use gullsail_fleet::maintenance::coordinator::{CommandDecision, CommandKind, RenewalReport};
 use gullsail_fleet::maintenance::{OrderBook, OrderBookVersion, Stage};
 use gullsail_protocol::FleetCommand;
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -2,7 +2,7 @@
 //! hosts.
 
 use gullsail_fleet::FleetConfig;
-use gullsail_fleet::coordinator_lease::Ballot;
+use gullsail_fleet::ballot::Ballot;
 use gullsail_fleet::maintenance::coordinator::{
     CommandDecision, MaintenanceCoordinator, RenewalReport,
 };
--- a/crates/fleet/tests/messages.rs
+++ b/crates/fleet/tests/messages.rs
@@ -2,9 +2,11 @@
 //! nothing and are counted by cause; one name is one process. And the two sides of an election, each by
 //! itself.
 
+use gullsail_fleet::ballot::Ballot;
 use gullsail_fleet::coordinator_lease::{
-    Acceptor, AcceptorReply, Ballot, CandidateRequest, LeaseCandidate, ProcessId, Proposal,
+    Acceptor, AcceptorReply, CandidateRequest, LeaseCandidate, Proposal,
 };
+use gullsail_fleet::process_id::ProcessId;
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
 use gullsail_protocol::{FleetMessage, FleetPart, FleetWhat};
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
