--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -243,7 +243,7 @@
         let budgets = config
             .budgets
             .iter()
-            .filter(|(_, b)| b.through.binary_search(&host).is_ok());
+            .filter(|(_, budget)| budget.through.binary_search(&host).is_ok());
         budgets
             .map(|(id, budget)| (*id, self.share(*id, budget, host)))
             .collect()
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -191,27 +191,33 @@
         ) {
             return self.count_dropped("a grant that is over, or of an earlier coordinator");
         }
+        self.log_grant(message, had_lease);
+        self.membership.fenced = false;
+        self.maintenance_granted(message);
+        self.changed |= self.membership.take_members(message);
+        let after = self.config.budgets.keys().map(|id| self.share(*id));
+        self.changed |= !before.into_iter().eq(after);
+    }
+
+    /// Logs a grant that changes this host's state; most grants only renew it.
+    fn log_grant(&self, grant: &FleetMessage, had_lease: bool) {
         if !had_lease {
             info!(
                 member = self.process.host.0,
-                epoch = message.epoch,
-                coordinator = message.from,
-                round = message.round,
+                epoch = grant.epoch,
+                coordinator = grant.from,
+                round = grant.round,
                 "member lease granted"
             );
         }
-        if std::mem::take(&mut self.membership.fenced) {
+        if self.membership.fenced {
             info!(
                 member = self.process.host.0,
-                epoch = self.membership.epoch,
+                epoch = grant.epoch,
                 incarnation = self.process.incarnation,
                 "fencing lifted: lease granted to this incarnation"
             );
         }
-        self.maintenance_granted(message);
-        self.changed |= self.membership.take_members(message);
-        let after = self.config.budgets.keys().map(|id| self.share(*id));
-        self.changed |= !before.into_iter().eq(after);
     }
 
     /// A coordinator reports that another process of this host holds its lease.
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -1,4 +1,4 @@
-//! What an operator is shown of the fleet, as this host sees it. Reads everything, changes nothing.
+//! Builds the status of the fleet that operators see. It reads all parts of `Fleet` and changes none.
 
 use super::Fleet;
 use crate::config::Budget;
@@ -13,48 +13,41 @@
         let coordinator = self.coordinator();
         let held = coordinator.and(self.election.candidate.held(self.now));
         let takes_over = coordinator.filter(|coordinator| !coordinator.takeover_complete());
-        let recovering_until =
-            Some(self.election.acceptor.recovering_until()).filter(|until| *until > self.now);
+        let takeover_ends = takes_over.map(|coordinator| coordinator.takeover_ends(&self.config));
+        let recovers_at = self.election.acceptor.recovering_until();
+        let recovering_until = Some(recovers_at).filter(|until| *until > self.now);
+        let lease_holder = &self.membership.lease_holder;
         Status {
             me: self.process.host.0,
             epoch: self.membership.epoch,
-            round: self.membership.lease_holder.ballot().round,
-            coordinator: self
-                .membership
-                .lease_holder
-                .coordinator()
-                .map(|host| host.0),
+            round: lease_holder.ballot().round,
+            coordinator: lease_holder.coordinator().map(|host| host.0),
             decides_for_ms: held.map(|lease| self.millis_until(lease.until)),
-            takes_over_ms: takes_over.map(|c| self.millis_until(c.takeover_ends(&self.config))),
-            lease_ms: self
-                .membership
-                .lease_holder
-                .until()
-                .map(|until| self.millis_until(until)),
+            takes_over_ms: takeover_ends.map(|until| self.millis_until(until)),
+            lease_ms: lease_holder.until().map(|until| self.millis_until(until)),
             recovering_ms: recovering_until.map(|until| self.millis_until(until)),
             fenced: self.membership.fenced,
-            members: self
-                .membership
-                .members
-                .iter()
-                .filter_map(|member| self.member_status(member))
-                .collect(),
-            budgets: self
-                .config
-                .budgets
-                .iter()
-                .map(|(id, budget)| self.budget_status(*id, budget))
-                .collect(),
-            dropped: self
-                .statistics
-                .dropped
-                .iter()
-                .map(|(cause, count)| (cause.to_string(), *count))
-                .collect(),
+            members: self.member_statuses(),
+            budgets: self.budget_statuses(),
+            dropped: self.statistics.dropped_by_cause(),
             counts: self.statistics.counts,
         }
     }
 
+    fn member_statuses(&self) -> Vec<MemberStatus> {
+        let members = self.membership.members.iter();
+        members
+            .filter_map(|member| self.member_status(member))
+            .collect()
+    }
+
+    fn budget_statuses(&self) -> Vec<BudgetStatus> {
+        let budgets = self.config.budgets.iter();
+        budgets
+            .map(|(id, budget)| self.budget_status(*id, budget))
+            .collect()
+    }
+
     fn coordinator(&self) -> Option<&Coordinator> {
         self.coordinator_role.as_ref().map(|role| &role.shares)
     }
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -282,9 +282,9 @@
     }
 }
 
-fn same_pool(a: &ServerObservation, b: &ServerObservation) -> bool {
-    match (&a.what, &b.what) {
-        (ServerRole::Node { pool: a, .. }, ServerRole::Node { pool: b, .. }) => a == b,
+fn same_pool(one: &ServerObservation, other: &ServerObservation) -> bool {
+    match (&one.what, &other.what) {
+        (ServerRole::Node { pool: one, .. }, ServerRole::Node { pool: other, .. }) => one == other,
         (ServerRole::Host(_), ServerRole::Host(_)) => true,
         _ => false,
     }
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -14,28 +14,28 @@
 #[serde(rename_all = "kebab-case")]
 #[repr(u32)]
 pub enum Stage {
-    /// An operator has requested it.
+    /// Requested by an operator; a majority of the hosts may not know it yet.
     #[serde(rename = "asked")]
     Requested = 1,
-    /// A majority of the hosts knows of it: the server goes when the limits allow.
+    /// Known by a majority of the hosts. It starts to drain when the limits allow.
     #[serde(rename = "cleared")]
     Approved = 2,
-    /// No host may begin anything on it; some may still be sending.
+    /// No host may start an attempt to the server; earlier attempts may still run.
     #[serde(rename = "leaving")]
     Draining = 3,
-    /// No host sends to it any more. It is reported as offline only once a majority knows that, so that no
-    /// later coordinator can take it back.
+    /// No host sends to the server. It is reported as offline only once a majority knows that, so that every
+    /// later coordinator knows it too.
     #[serde(rename = "let-go")]
     Drained = 4,
-    /// It may be switched off.
+    /// The server may be switched off.
     #[serde(rename = "out")]
     Offline = 5,
-    /// Offline for longer than it may be.
+    /// Offline for longer than the order allows.
     Overdue = 6,
-    /// It is used again, and watched.
+    /// The server is in service again and is watched.
     #[serde(rename = "back")]
     Returning = 7,
-    /// It has returned and serves.
+    /// The server has returned and serves.
     Done = 8,
     /// The order was withdrawn.
     Cancelled = 9,
@@ -85,11 +85,13 @@
 }
 
 /// One server's order.
+///
+/// It has more than twelve fields because it is the record that hosts send each other and keep as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     /// The server that is to go.
     pub server: ServerId,
-    /// Given by the coordinator that took the order: its place in the queue.
+    /// Given by the coordinator that accepted the order: its place in the queue.
     pub number: u64,
     /// How far it has come.
     pub stage: Stage,
@@ -97,24 +99,24 @@
     pub version: u64,
     /// How long before `as_of` this stage began.
     pub age: Span,
-    /// By the clock of the host that holds this copy.
+    /// When `age` was taken, by the clock of the host that holds this copy.
     pub as_of: Instant,
     /// How long the server may be offline.
     pub longest: Span,
-    /// Its shard may be without a holder meanwhile.
+    /// Whether its shard may be without a holder meanwhile.
     pub shard_away: bool,
-    /// It has returned as soon as it has restarted; otherwise an operator has to say so.
+    /// Whether a restart counts as its return; otherwise an operator has to command it.
     pub returns: bool,
     /// The operator's reason.
     pub reason: String,
     /// What the order waits for, for operators.
     pub waits: String,
-    /// While it drains, the hosts that have not released the server; once it is offline, those that never
-    /// reported so and whose lease was waited for.
+    /// While it drains, the hosts that still use the server. Once it is offline, the hosts that never reported
+    /// its release, so that their lease had to be waited out.
     pub hosts: Vec<u32>,
-    /// How many later orders have gone before it.
+    /// How many later orders have overtaken it.
     pub passed: u32,
-    /// The process that is to go; another one under the server's name has restarted.
+    /// The process that was to drain. If another one runs, the server has restarted; 0: not known.
     pub incarnation: u64,
 }
 
--- a/crates/fleet/src/maintenance/snapshot.rs
+++ b/crates/fleet/src/maintenance/snapshot.rs
@@ -3,7 +3,8 @@
 use super::server::{ServerId, ServerObservation, ServerRole, Servers};
 use std::collections::BTreeSet;
 
-/// Sums of capacities are compared with this tolerance.
+/// Sums of capacities are compared with this tolerance, in units a second: far above rounding errors, far
+/// below one node's capacity.
 pub(super) const CAPACITY_TOLERANCE: f64 = 1e-9;
 
 /// The state of the fleet, beside the order book.
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Both are nodes, or both are hosts: one takes up the capacity or the places that the other needs.
-    pub(super) fn share_limits(&self, a: ServerId, b: ServerId) -> bool {
+    /// Whether two servers are both nodes or both hosts: then one takes up the limits that the other needs.
+    pub(super) fn share_limits(&self, one: ServerId, other: ServerId) -> bool {
         let is_host = |server: ServerId| {
             self.servers
                 .get(&server)
                 .map(|seen| matches!(seen.what, ServerRole::Host(_)))
         };
-        is_host(a) == is_host(b)
+        is_host(one) == is_host(other)
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,12 +1,14 @@
-//! What an operator is shown of the fleet, as one host sees it. Filled by `Fleet::status`; serialized for the
+//! The status of the fleet as one host sees it, for operators. Built by `Fleet::status`; serialized for the
 //! control socket.
 
 use crate::coordinator::MemberState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One host's view of the fleet. Hosts are numbered by their place in the configuration; whoever shows the
-/// status puts names in. Fields that another version does not write are empty when read.
+/// One host's view of the fleet. Hosts are numbered by their place in the configuration; the command line
+/// shows their names. Fields that another version does not write are empty when read.
+///
+/// It has more than twelve fields because it is the control socket's JSON object, whose keys stay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
@@ -82,6 +84,14 @@
 }
 
 impl Statistics {
+    /// The dropped messages, as the status shows them.
+    pub(crate) fn dropped_by_cause(&self) -> BTreeMap<String, u64> {
+        let dropped = self.dropped.iter();
+        dropped
+            .map(|(cause, count)| (cause.to_string(), *count))
+            .collect()
+    }
+
     /// Counts a message that is dropped, by cause.
     pub(crate) fn count_dropped(&mut self, cause: &'static str) {
         *self.dropped.entry(cause).or_default() += 1;
