--- a/crates/config-transition/src/error.rs
+++ b/crates/config-transition/src/error.rs
@@ -1,36 +1,37 @@
-//! Why a revision of the configuration is refused.
+//! The errors of [`ConfigTransition::go_on`](crate::ConfigTransition::go_on), with the texts that operators
+//! read.
 
 use crate::revision_limits::Revision;
 
 /// Why a host does not accept the next revision of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
-    /// It is older than the one in force.
+    /// It is older than the current one.
     #[error("revision {} is not later than {}, which this host holds to", .next.0, .held.0)]
     NotLater {
-        /// The revision in force.
+        /// The current revision.
         held: Revision,
         /// The one that was given.
         next: Revision,
     },
-    /// It bears the number of the one in force, but differs in limits or hosts.
+    /// It has the number of the current one, but other limits or hosts.
     #[error("limits or hosts of volumes change, and revision {} is the one that this host holds to: give the \
              document the next number, and name the file of the one before with `after`", .0.0)]
     SameRevision(Revision),
-    /// It is given as following a revision with the number of the one in force, which is another.
+    /// It names an earlier revision with the number of the current one, but other limits or hosts.
     #[error("the document named for revision {} is not the one that this host holds to", .0.0)]
     Other(Revision),
-    /// It does not follow the one in force.
+    /// It does not follow the current one.
     #[error("revision {} comes after {}, but this host holds to {}", .next.0, .after.0, .held.0)]
     NotNext {
-        /// The revision in force.
+        /// The current revision.
         held: Revision,
         /// The one that it follows.
         after: Revision,
         /// The one that was given.
         next: Revision,
     },
-    /// The revisions given with it do not reach back to this one, which some host may still follow.
+    /// The chain given with it does not reach back to this revision, which some host may still follow.
     #[error("some hosts are not known to have gone past revision {}: keep naming it with `after`", .0.0)]
-    TooShort(Revision),
+    ChainTooShort(Revision),
 }
--- a/crates/config-transition/src/lib.rs
+++ b/crates/config-transition/src/lib.rs
@@ -1,9 +1,9 @@
-//! What each host may send for each volume while the hosts change, one after the other, from one revision of
-//! the configuration to the next: the limit of a volume must hold over all of them meanwhile.
+//! Limits each host while the hosts change, one after the other, from one revision of the configuration to the
+//! next. The limit of a volume must hold over all hosts at every moment of that.
 //!
-//! [`ConfigTransition`] is a state machine that a host runs: it is given revisions of the configuration and
-//! the notices of other hosts, and yields allocations and notices to send. It does no I/O, reads no clock and
-//! has no random generator of its own. [`RevisionLimits`] is the part of a configuration that it looks at.
+//! [`ConfigTransition`] is the state machine that a host runs. It takes revisions of the configuration and the
+//! notices of other hosts, and returns allocations and notices to send. It does no I/O, reads no clock and has
+//! no random generator of its own. [`RevisionLimits`] is the part of a configuration that it reads.
 
 mod error;
 mod notice;
--- a/crates/config-transition/src/notice.rs
+++ b/crates/config-transition/src/notice.rs
@@ -1,16 +1,16 @@
-//! What hosts report to each other of the revisions that they follow. The host carries it in its own
+//! Notices by which hosts report which revisions they and others follow. The host carries them in its own
 //! messages.
 
 use crate::revision_limits::Revision;
 use gullsail_scheduler_api::HostId;
 
-/// Hosts that one notice can report on, within 256 bytes.
+/// The most hosts that one notice can report on: one bit each, so that a notice stays within 256 bytes.
 pub const MOST_HOSTS: u32 = 1900;
 
 /// Which hosts are known to follow a revision or a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisionNotice {
-    /// What its sender follows.
+    /// The revision that its sender follows.
     pub held: Revision,
     /// The revision that `hosts` is about.
     pub revision: Revision,
@@ -48,16 +48,16 @@
 /// What a notice changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NoticeEffect {
-    /// Nothing that was not known.
+    /// Nothing new.
     Nothing,
-    /// Some host follows a later revision than was known.
+    /// Some host follows a later revision than this host knew.
     News,
     /// The sender follows an older revision than it did, unless this notice is late: limits may be exceeded
     /// until it follows again.
     WentBack {
-        /// What it followed.
+        /// The revision that it followed.
         from: Revision,
-        /// What it follows now.
+        /// The revision that it follows now.
         to: Revision,
     },
 }
@@ -67,6 +67,6 @@
 pub struct NoticeOutcome {
     /// What it changed.
     pub effect: NoticeEffect,
-    /// To be sent back, where this host knows more than the sender.
+    /// The notice to send back, if this host knows more than the sender.
     pub reply: Option<RevisionNotice>,
 }
--- a/crates/config-transition/src/revision_limits.rs
+++ b/crates/config-transition/src/revision_limits.rs
@@ -25,8 +25,8 @@
         self.hosts.binary_search(&host).is_ok()
     }
 
-    /// What that host may send by this revision alone: an even share, or the `share` that it was granted, if
-    /// it serves the volume, else nothing. `None`: without a limit.
+    /// What that host may send by this revision alone: an even share, or the `share` that it was granted. A
+    /// host that does not serve the volume may send nothing. `None`: the volume has no limit.
     fn limit_for(&self, host: HostId, share: Option<f64>) -> Option<Limit> {
         let limit = self.limit?;
         let count = self.hosts.len().max(1) as f64;
@@ -52,28 +52,29 @@
 }
 
 impl RevisionLimits {
-    /// The same limits over the same hosts; places of plans may differ.
+    /// Whether both state the same limits over the same hosts. Places of plans may differ.
     pub(crate) fn same_limits_as(&self, other: &RevisionLimits) -> bool {
-        let same = |a: &SharedLimit, b: &SharedLimit| a.limit == b.limit && a.hosts == b.hosts;
+        let same = |ours: &SharedLimit, theirs: &SharedLimit| {
+            ours.limit == theirs.limit && ours.hosts == theirs.hosts
+        };
         let mut pairs = self.volumes.iter().zip(&other.volumes);
         self.volumes.len() == other.volumes.len()
-            && pairs.all(|(a, b)| a.0 == b.0 && same(a.1, b.1))
+            && pairs.all(|(ours, theirs)| ours.0 == theirs.0 && same(ours.1, theirs.1))
     }
 
-    /// What a host may send for a volume by this revision alone; `None`: without a limit. For a volume that
-    /// the revision does not know, hosts that follow it send nothing, and so take nothing from the others: it
-    /// counts as without a limit.
+    /// What a host may send for a volume by this revision alone; `None`: no limit applies. For a volume that
+    /// is not in the revision, hosts that follow it send nothing and so take nothing from the others.
     pub fn limit_for(&self, volume: VolumeId, host: HostId, share: Option<f64>) -> Option<Limit> {
         self.volumes.get(&volume)?.limit_for(host, share)
     }
 }
 
 /// The lower of two limits, rate and burst each by itself.
-pub(crate) fn lower(a: Option<Limit>, b: Option<Limit>) -> Option<Limit> {
-    match (a, b) {
-        (Some(a), Some(b)) => Some(Limit {
-            rate: a.rate.min(b.rate),
-            burst: a.burst.min(b.burst),
+pub(crate) fn lower(one: Option<Limit>, other: Option<Limit>) -> Option<Limit> {
+    match (one, other) {
+        (Some(one), Some(other)) => Some(Limit {
+            rate: one.rate.min(other.rate),
+            burst: one.burst.min(other.burst),
         }),
         (one, other) => one.or(other),
     }
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -1,19 +1,21 @@
-//! From one revision of the configuration to the next, host by host. Owned and called by the host.
+//! The transition from one revision of the configuration to the next, host by host. The host owns and calls
+//! it.
 //!
-//! **The rule.** A host counts a chain of revisions: the one that it follows, and those before it back to the
-//! oldest that some host may still follow. For each volume it may send the lowest of its limits by all of
-//! them.
+//! **The rule.** A host keeps a chain of revisions: the one that it follows, and earlier ones back to the oldest
+//! that some host may still follow. For each volume it may send the lowest of its limits in the chain.
 //!
-//! **Why the limit holds.** Let m be the oldest revision that any serving host follows now. The host that
-//! follows it is not beyond m, so no host has learned that all are beyond m, and m is still in the chain of
-//! each (it is not after the host's own, for m is the oldest). So each host sends at most its limit by m, and
-//! these sum to the limit that revision m states. This is so at every moment, in whatever order hosts change,
-//! whatever notices are lost, late or repeated: a lost notice only keeps a chain long. A host that is down
-//! sends nothing, and the others keep its revision in their chains until it reports that it has gone on.
+//! **Why the limit holds.** Let m be the oldest revision that any serving host follows now.
+//! 1. The host that follows m has not reported a later one, so no host knows that all have passed m.
+//! 2. So m is still in the chain of every host; it is not later than the host's own, since m is the oldest.
+//! 3. So each host sends at most its limit by m, and these limits sum to the limit that revision m states.
 //!
-//! **What it relies on.** A host that starts is given a revision no older than the one that it last followed,
-//! and the chain given with it reaches back to a revision that no host is older than. Both are the operators'
-//! to keep; a host that is seen to go back is reported ([`crate::NoticeEffect::WentBack`]).
+//! This holds at every moment, in whatever order hosts change. Notices may be lost, late or repeated: a lost
+//! notice only keeps a chain long. A host that is down sends nothing; the others keep its revision in their
+//! chains until it reports a later one.
+//!
+//! **Assumptions.** A host that starts is given a revision no older than the one that it last followed, and a
+//! chain that reaches back to the oldest revision that any host follows. Operators have to ensure both; a host
+//! that goes back to an earlier revision is reported ([`crate::NoticeEffect::WentBack`]).
 
 mod notices;
 
@@ -23,7 +25,7 @@
 use notices::{FINAL_ROUNDS, FIRST_WAIT};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A host that may still use a volume by an earlier revision than the one that this host follows.
+/// A host that may still use a volume by an earlier revision than this host follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaggingHost {
     /// The host.
@@ -32,12 +34,12 @@
     pub sharing: usize,
 }
 
-/// Decides what this host may send for each volume until all hosts follow the same revision.
+/// Decides what this host may send for each volume, also while hosts follow different revisions.
 pub struct ConfigTransition {
     me: HostId,
     /// Oldest first; never empty. The last is followed.
     chain: VecDeque<RevisionLimits>,
-    /// By host: it follows this revision, or a later one.
+    /// By host: the latest revision that it is known to follow; it may follow a later one.
     reached: Vec<Revision>,
     /// The allocations as they were last returned.
     reported: BTreeMap<VolumeId, VolumeAllocation>,
@@ -45,18 +47,17 @@
     wait: Span,
     /// Rounds that are still sent once all hosts follow the same revision.
     final_rounds: u32,
-    /// By volume, the share of it that the fleet settled for this host; `None`: even shares by the
-    /// configuration.
+    /// By volume, the share that the fleet granted to this host; `None`: even shares by the configuration.
     shares: Option<BTreeMap<VolumeId, f64>>,
-    /// Hosts that the fleet has put out: they use nothing but their floors.
-    out: BTreeSet<HostId>,
-    /// Revisions that all other hosts are beyond, and a host that is out may still follow.
+    /// Hosts whose member lease has expired: they use at most their floor share.
+    expired_members: BTreeSet<HostId>,
+    /// Revisions that only hosts with an expired lease may still follow.
     retained: Vec<RevisionLimits>,
 }
 
 impl ConfigTransition {
-    /// `chain` is the revision to follow and those named before it; none of `hosts` hosts is older than the
-    /// oldest of them. An empty chain states no limit.
+    /// `chain` holds the revision to follow and the earlier ones; none of the `hosts` hosts follows one older
+    /// than the oldest of them. An empty chain states no limit.
     pub fn new(
         me: HostId,
         hosts: u32,
@@ -77,11 +78,11 @@
             wait: FIRST_WAIT,
             final_rounds: FINAL_ROUNDS,
             shares: None,
-            out: BTreeSet::new(),
+            expired_members: BTreeSet::new(),
             retained: Vec::new(),
         };
-        transition.arrive();
-        // A host that starts takes its even shares by itself.
+        transition.activate_latest();
+        // The scheduler starts with even shares, so these count as reported.
         let volumes = transition.current().volumes.keys();
         transition.reported = volumes
             .map(|id| (*id, transition.even_allocation(*id)))
@@ -103,15 +104,15 @@
         self.current().revision
     }
 
-    /// This host follows the last revision of the chain from now on.
-    fn arrive(&mut self) {
+    /// Follows the last revision of the chain from now on.
+    fn activate_latest(&mut self) {
         let revision = self.revision();
         self.reach(self.me, revision);
         self.drop_outdated();
     }
 
-    /// Revisions that all hosts are beyond are dropped. A host that is out holds up nobody: it uses its floor
-    /// by the revision that it follows, which is retained as long as it may.
+    /// Drops revisions that all hosts have passed. A host whose lease has expired does not hold up the others:
+    /// it uses its floor share by the revision that it follows, which is retained apart.
     fn drop_outdated(&mut self) {
         let reached = || {
             self.reached
@@ -119,7 +120,7 @@
                 .zip(0..)
                 .map(|(revision, number)| (HostId(number), *revision))
         };
-        let active = reached().filter(|(host, _)| !self.out.contains(host));
+        let active = reached().filter(|(host, _)| !self.expired_members.contains(host));
         let oldest_active = active
             .map(|(_, revision)| revision)
             .min()
@@ -132,25 +133,25 @@
             && self
                 .chain
                 .front()
-                .is_some_and(|p| p.revision < oldest_active)
+                .is_some_and(|limits| limits.revision < oldest_active)
         {
             self.retained.extend(self.chain.pop_front());
         }
         self.retained.retain(|limits| limits.revision >= oldest);
     }
 
-    /// Hosts were added at the end of the configuration: they never followed an older revision.
+    /// Adds hosts at the end of the configuration. They never followed an older revision.
     pub fn joined(&mut self, hosts: u32) {
         let revision = self.revision();
         let count = (hosts as usize).max(self.reached.len());
         self.reached.resize(count, revision);
     }
 
-    /// What the fleet settled: this host's share of each volume, and which hosts are out. The limits by all
-    /// revisions of the chain change with it.
-    pub fn settle(&mut self, shares: BTreeMap<VolumeId, f64>, out: BTreeSet<HostId>) {
+    /// Sets what the fleet granted: this host's share of each volume, and the hosts whose lease has expired. The
+    /// limits by all revisions of the chain change with it.
+    pub fn settle(&mut self, shares: BTreeMap<VolumeId, f64>, expired_members: BTreeSet<HostId>) {
         self.shares = Some(shares);
-        self.out = out;
+        self.expired_members = expired_members;
         self.drop_outdated();
     }
 
@@ -185,24 +186,27 @@
             .map(|shares| shares.get(&volume).copied().unwrap_or_default())
     }
 
-    /// Follows the next revision, given with those before it, oldest first. One of the same number must state
-    /// the same limits; places of plans may differ.
+    /// Applies the next revision, given with earlier ones, oldest first. A revision with the current number must
+    /// state the same limits; places of plans may differ.
     ///
     /// # Errors
-    /// The chain does not go on from the revision in force, or does not reach back to all that other hosts
-    /// may still follow: nothing is changed then.
+    /// The chain does not continue from the current revision, or does not reach back to every revision that
+    /// other hosts may still follow. Nothing changes then.
     pub fn go_on(
         &mut self,
         chain: Vec<RevisionLimits>,
         now: Instant,
     ) -> Result<(), TransitionError> {
-        let held = self.revision();
+        let current = self.revision();
         let next = self.check_next(&chain)?;
         self.chain.pop_back();
-        self.chain
-            .extend(chain.into_iter().filter(|limits| limits.revision >= held));
-        if next > held {
-            self.arrive();
+        self.chain.extend(
+            chain
+                .into_iter()
+                .filter(|limits| limits.revision >= current),
+        );
+        if next > current {
+            self.activate_latest();
             self.next_round = now;
             self.wait = FIRST_WAIT;
             self.final_rounds = FINAL_ROUNDS;
@@ -210,36 +214,43 @@
         Ok(())
     }
 
-    /// Returns the number of the chain's last revision, if the chain goes on from the revision in force.
+    /// Returns the number of the chain's last revision, if the chain continues from the current one.
     fn check_next(&self, chain: &[RevisionLimits]) -> Result<Revision, TransitionError> {
-        let held = self.revision();
+        let current = self.revision();
         let (Some(first), Some(last)) = (chain.first(), chain.last()) else {
             return Err(TransitionError::NotLater {
-                held,
+                held: current,
                 next: Revision(0),
             });
         };
         let next = last.revision;
-        if next < held {
-            return Err(TransitionError::NotLater { held, next });
+        if next < current {
+            return Err(TransitionError::NotLater {
+                held: current,
+                next,
+            });
         }
-        match chain.iter().find(|limits| limits.revision == held) {
+        match chain.iter().find(|limits| limits.revision == current) {
             Some(same) if same.same_limits_as(self.current()) => {}
-            Some(_) if next == held => return Err(TransitionError::SameRevision(held)),
-            Some(_) => return Err(TransitionError::Other(held)),
+            Some(_) if next == current => return Err(TransitionError::SameRevision(current)),
+            Some(_) => return Err(TransitionError::Other(current)),
             None => {
                 let after = chain
                     .iter()
                     .rev()
                     .nth(1)
                     .map_or(next, |limits| limits.revision);
-                return Err(TransitionError::NotNext { held, after, next });
+                return Err(TransitionError::NotNext {
+                    held: current,
+                    after,
+                    next,
+                });
             }
         }
-        // A host that starts with the new chain must count all that this one counts.
+        // A host that starts with the new chain must keep every revision that this one keeps.
         let oldest = self.chain.front().map(|limits| limits.revision);
         match oldest.filter(|oldest| first.revision > *oldest) {
-            Some(oldest) => Err(TransitionError::TooShort(oldest)),
+            Some(oldest) => Err(TransitionError::ChainTooShort(oldest)),
             None => Ok(next),
         }
     }
@@ -256,10 +267,10 @@
         let behind = reached.filter(move |(reached, _)| **reached < revision);
         behind
             .map(|(_, number)| HostId(number))
-            .filter(|host| !self.out.contains(host))
+            .filter(|host| !self.expired_members.contains(host))
     }
 
-    /// What this host may send for a volume; `None`: no limit is to be kept.
+    /// What this host may send for a volume; `None`: no limit applies.
     pub fn limit_of(&self, volume: VolumeId) -> Option<Limit> {
         let share = self.share(volume);
         let limits = self
@@ -308,7 +319,7 @@
         }
         let limit = self.limit_of(id);
         let even_limit = self.current().limit_for(id, self.me, None);
-        // An even share is left to whoever holds it: rounding must not make two different limits of one.
+        // An even share is reported as such, so that rounding does not turn one limit into two.
         VolumeAllocation {
             part: limit.filter(|_| limit != even_limit),
             ..even
@@ -330,7 +341,7 @@
         for allocation in &changed {
             self.reported.insert(allocation.volume, allocation.clone());
         }
-        // Reported as gone, and named by no revision of the chain: nothing is left to compare with.
+        // A volume that was reported as gone and is in no revision of the chain need not be remembered.
         let chain = &self.chain;
         let is_named = |id: &VolumeId| chain.iter().any(|limits| limits.volumes.contains_key(id));
         self.reported
--- a/crates/config-transition/src/transition/notices.rs
+++ b/crates/config-transition/src/transition/notices.rs
@@ -1,5 +1,4 @@
-//! Which host follows which revision, as hosts report it to each other: each round goes to a few random
-//! hosts.
+//! Gossip about which host follows which revision: each round of notices goes to a few random hosts.
 
 use super::ConfigTransition;
 use crate::notice::{AddressedNotice, NoticeEffect, NoticeOutcome, RevisionNotice};
@@ -7,18 +6,22 @@
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use rand::Rng;
 
-/// Hosts that a round goes to. With three, news is with all of two hundred hosts after five or six rounds.
+/// How many hosts a round goes to. With three, all of two hundred hosts know after five or six rounds. Fewer
+/// need more rounds; more cost messages.
 const FANOUT: usize = 3;
-/// Between rounds while there is news: some round trips. Without any the wait doubles up to the longest.
+/// The first backoff between rounds after something new: some round trips. It doubles up to [`LONGEST_WAIT`]
+/// while nothing new comes. When it is larger, hosts learn later; when it is smaller, more notices repeat what
+/// is known.
 pub(super) const FIRST_WAIT: Span = Span::from_micros(100_000);
-/// A host that was down waits for the others' notices at most this long.
+/// The longest backoff between rounds: a host that was down waits for notices at most this long. When it is
+/// smaller, hosts that wait for one that is down send more.
 const LONGEST_WAIT: Span = Span::from_micros(6_400_000);
-/// Rounds in which a host that knows that all follow its revision still reports so, so that the last of them
-/// learn soon.
+/// How many rounds a host still sends once it knows that all hosts follow its revision, so that the last hosts
+/// learn it too. With fewer, the last ones wait for the longest backoff.
 pub(super) const FINAL_ROUNDS: u32 = 3;
 
 impl ConfigTransition {
-    /// A host follows this revision, or a later one. Whether that was not known.
+    /// Notes that a host follows this revision or a later one; returns whether that is new.
     pub(super) fn reach(&mut self, host: HostId, revision: Revision) -> bool {
         match self.reached.get_mut(host.0 as usize) {
             Some(known) if *known < revision => {
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Takes a notice of another host.
+    /// Handles a notice of another host.
     pub fn handle_notice(
         &mut self,
         from: HostId,
@@ -83,7 +86,7 @@
         NoticeOutcome { effect, reply }
     }
 
-    /// Notes which hosts follow which revision. Whether any of it was not known.
+    /// Notes which hosts follow which revision; returns whether any of it is new.
     fn learn(&mut self, from: HostId, notice: &RevisionNotice) -> bool {
         let mut news = self.reach(from, notice.held);
         for place in 0..self.reached.len() {
@@ -119,7 +122,7 @@
         let others = self.reached.len() - 1;
         let me = self.me.0 as usize;
         let places = rand::seq::index::sample(rng, others, FANOUT.min(others)).into_iter();
-        // Places among the others: from this host's own on, each is one further.
+        // The samples are places among the other hosts: from this host's own place on, each is one higher.
         let hosts = places.map(|place| HostId((place + usize::from(place >= me)) as u32));
         hosts
             .map(|to| AddressedNotice {
--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -49,7 +49,7 @@
         }
         let volumes: Vec<_> = volumes
             .iter()
-            .map(|(id, l, h)| (*id, *l, h.as_slice()))
+            .map(|(id, limit, hosts)| (*id, *limit, hosts.as_slice()))
             .collect();
         revision_limits(revision, &volumes)
     };
@@ -326,101 +326,158 @@
     assert!(needed.get() > 100, "{}", needed.get());
 }
 
+fn rate(transition: &ConfigTransition) -> Option<f64> {
+    transition.limit_of(VolumeId(7)).map(|limit| limit.rate)
+}
+
+/// Eight rounds of notices among some hosts, none lost.
+fn exchange_notices(hosts: &mut [ConfigTransition]) {
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    for round in 0..8 {
+        for me in 0..hosts.len() {
+            for sent in hosts[me].due_notices(at(200 * round), &mut rng) {
+                let to = &mut hosts[sent.to.0 as usize];
+                to.handle_notice(HostId(me as u32), &sent.notice, at(200 * round));
+            }
+        }
+    }
+}
+
 /// One volume over hosts 0 and 1, then over all three with another limit.
+struct LimitCase {
+    limit_after: Option<f64>,
+    /// What hosts 0 and 2 may send once both have changed and host 1 has not.
+    during: [f64; 2],
+    /// What they may send once all have changed and know it.
+    after: [f64; 2],
+}
+
 #[test]
-fn limits_on_the_way() {
-    let old = revision_limits(1, &[(7, Some(60.0), &[0, 1])]);
-    let rate =
-        |transition: &ConfigTransition| transition.limit_of(VolumeId(7)).map(|limit| limit.rate);
-    // the limit after; what hosts 0 and 2 may send once host 0 alone, then all have changed
+fn limits_during_a_transition() {
+    let case = |limit_after, during, after| LimitCase {
+        limit_after: Some(limit_after),
+        during,
+        after,
+    };
     let cases = [
-        (Some(60.0), [20.0, 0.0], [20.0, 20.0]),
-        (Some(300.0), [30.0, 0.0], [100.0, 100.0]),
-        (Some(30.0), [10.0, 0.0], [10.0, 10.0]),
+        case(60.0, [20.0, 0.0], [20.0, 20.0]),
+        case(300.0, [30.0, 0.0], [100.0, 100.0]),
+        case(30.0, [10.0, 0.0], [10.0, 10.0]),
     ];
-    for (limit, first, then) in cases {
-        let chain = vec![old.clone(), revision_limits(2, &[(7, limit, &[0, 1, 2])])];
-        let mut hosts: Vec<_> = (0..3)
-            .map(|me| ConfigTransition::new(HostId(me), 3, vec![old.clone()], at(0)))
-            .collect();
-        assert_eq!(hosts[0].changed(), []);
-        hosts[0].go_on(chain.clone(), at(1)).unwrap();
-        hosts[2].go_on(chain.clone(), at(1)).unwrap();
-        let changed = hosts[2].changed();
-        assert_eq!(changed.len(), 1);
-        assert_eq!(changed[0].hosts, 3);
-        assert_eq!(changed[0].part.map(|limit| limit.rate), Some(0.0));
-        assert_eq!([rate(&hosts[0]), rate(&hosts[2])], first.map(Some));
-        hosts[1].go_on(chain.clone(), at(1)).unwrap();
-        let mut rng = ChaCha8Rng::seed_from_u64(1);
-        for round in 0..8 {
-            for me in 0..3 {
-                for sent in hosts[me].due_notices(at(200 * round), &mut rng) {
-                    let to = &mut hosts[sent.to.0 as usize];
-                    to.handle_notice(HostId(me as u32), &sent.notice, at(200 * round));
-                }
-            }
-        }
-        assert_eq!([rate(&hosts[0]), rate(&hosts[2])], then.map(Some));
-        // Reported once, as an even share again.
-        let changed = hosts[2].changed();
-        assert_eq!(changed.len(), 1);
-        assert_eq!(changed[0].part, None);
-        assert_eq!(hosts[2].changed(), []);
-        assert_eq!(hosts[0].next(), None, "all know: nothing more is sent");
+    for case in cases {
+        check_limits(&case);
     }
 }
 
-#[test]
-fn chains_that_do_not_go_on_are_refused() {
-    let limits = |revision: u64| revision_limits(revision, &[(7, Some(revision as f64), &[0, 1])]);
-    let chain = |revisions: &[u64]| revisions.iter().copied().map(limits).collect::<Vec<_>>();
-    let other = |revision, limit| revision_limits(revision, &[(7, Some(limit), &[0, 1])]);
-    // what the host follows, with those it counts; the next chain; why it is refused
-    let cases: [(&[u64], Vec<RevisionLimits>, Option<&str>); 11] = [
-        (&[4], chain(&[4, 5]), None),
-        (&[4], chain(&[3, 4, 5, 6]), None),
-        (&[4], chain(&[4]), None),
-        (
+fn check_limits(case: &LimitCase) {
+    let old = revision_limits(1, &[(7, Some(60.0), &[0, 1])]);
+    let new = revision_limits(2, &[(7, case.limit_after, &[0, 1, 2])]);
+    let chain = vec![old.clone(), new];
+    let mut hosts: Vec<_> = (0..3)
+        .map(|me| ConfigTransition::new(HostId(me), 3, vec![old.clone()], at(0)))
+        .collect();
+    assert_eq!(hosts[0].changed(), []);
+    hosts[0].go_on(chain.clone(), at(1)).unwrap();
+    hosts[2].go_on(chain.clone(), at(1)).unwrap();
+    let changed = hosts[2].changed();
+    assert_eq!(changed.len(), 1);
+    assert_eq!(changed[0].hosts, 3);
+    assert_eq!(changed[0].part.map(|limit| limit.rate), Some(0.0));
+    assert_eq!([rate(&hosts[0]), rate(&hosts[2])], case.during.map(Some));
+    hosts[1].go_on(chain, at(1)).unwrap();
+    exchange_notices(&mut hosts);
+    assert_eq!([rate(&hosts[0]), rate(&hosts[2])], case.after.map(Some));
+    // Reported once, as an even share again.
+    let changed = hosts[2].changed();
+    assert_eq!(changed.len(), 1);
+    assert_eq!(changed[0].part, None);
+    assert_eq!(hosts[2].changed(), []);
+    assert_eq!(hosts[0].next(), None, "all know: nothing more is sent");
+}
+
+/// A chain that is given to a host.
+struct ChainCase {
+    /// The revisions in the host's chain; it follows the last.
+    current: &'static [u64],
+    next: Vec<RevisionLimits>,
+    /// A part of the error; `None`: the chain is accepted.
+    refused: Option<&'static str>,
+}
+
+fn limits_of_revision(revision: u64) -> RevisionLimits {
+    revision_limits(revision, &[(7, Some(revision as f64), &[0, 1])])
+}
+
+fn chain(revisions: &[u64]) -> Vec<RevisionLimits> {
+    revisions.iter().copied().map(limits_of_revision).collect()
+}
+
+fn accepted_chains() -> [ChainCase; 4] {
+    let accepted = |current, next: &[u64]| ChainCase {
+        current,
+        next: chain(next),
+        refused: None,
+    };
+    [
+        accepted(&[4], &[4, 5]),
+        accepted(&[4], &[3, 4, 5, 6]),
+        accepted(&[4], &[4]),
+        accepted(&[3, 4], &[3, 4, 5]),
+    ]
+}
+
+fn refused_chains() -> [ChainCase; 7] {
+    let refused = |current, next, why| ChainCase {
+        current,
+        next,
+        refused: Some(why),
+    };
+    let differs = revision_limits(4, &[(7, Some(9.0), &[0, 1])]);
+    [
+        refused(
             &[4],
-            vec![other(4, 9.0)],
-            Some("limits or hosts of volumes change, and revision 4 is the one"),
+            vec![differs.clone()],
+            "limits or hosts of volumes change, and revision 4 is the one",
         ),
-        (
+        refused(
             &[4],
-            vec![other(4, 9.0), limits(5)],
-            Some("the document named for revision 4 is not the one"),
+            vec![differs, limits_of_revision(5)],
+            "the document named for revision 4 is not the one",
         ),
-        (&[4], chain(&[2]), Some("revision 2 is not later than 4")),
-        (&[4], chain(&[]), Some("revision 0 is not later than 4")),
-        (
+        refused(&[4], chain(&[2]), "revision 2 is not later than 4"),
+        refused(&[4], chain(&[]), "revision 0 is not later than 4"),
+        refused(
             &[4],
             chain(&[5, 6]),
-            Some("revision 6 comes after 5, but this host holds to 4"),
+            "revision 6 comes after 5, but this host holds to 4",
         ),
-        (
+        refused(
             &[3, 4],
             chain(&[4, 5]),
-            Some("not known to have gone past revision 3"),
+            "not known to have gone past revision 3",
         ),
-        (
+        refused(
             &[3, 4],
             chain(&[4]),
-            Some("not known to have gone past revision 3"),
+            "not known to have gone past revision 3",
         ),
-        (&[3, 4], chain(&[3, 4, 5]), None),
-    ];
-    for (held, next, refused) in cases {
-        let mut t = ConfigTransition::new(HostId(0), 3, chain(held), at(0));
-        let last = next.last().map(|limits| limits.revision);
-        let revision_before = t.revision();
-        let limit_before = t.limit_of(VolumeId(7));
-        match (t.go_on(next, at(1)), refused) {
-            (Ok(()), None) => assert_eq!(Some(t.revision()), last),
-            (Err(e), Some(why)) => {
-                assert!(e.to_string().contains(why), "{e}");
-                assert_eq!(t.revision(), revision_before, "nothing has changed");
-                assert_eq!(t.limit_of(VolumeId(7)), limit_before, "nothing has changed");
+    ]
+}
+
+#[test]
+fn chains_that_do_not_continue_are_refused() {
+    for case in accepted_chains().into_iter().chain(refused_chains()) {
+        let held = case.current;
+        let mut transition = ConfigTransition::new(HostId(0), 3, chain(held), at(0));
+        let last = case.next.last().map(|limits| limits.revision);
+        let revision_before = transition.revision();
+        let limit_before = transition.limit_of(VolumeId(7));
+        match (transition.go_on(case.next, at(1)), case.refused) {
+            (Ok(()), None) => assert_eq!(Some(transition.revision()), last),
+            (Err(error), Some(why)) => {
+                assert!(error.to_string().contains(why), "{error}");
+                assert_eq!(transition.revision(), revision_before, "nothing changes");
+                assert_eq!(transition.limit_of(VolumeId(7)), limit_before);
             }
             (result, _) => panic!("{held:?}: {result:?}"),
         }
@@ -429,7 +486,7 @@
 
 /// Notices of unknown hosts, cut off, of hosts that went back, and of more hosts than there are.
 #[test]
-fn strange_notices() {
+fn invalid_and_unusual_notices() {
     let notice = |held, revision, hosts: &[u8]| RevisionNotice {
         held: Revision(held),
         revision: Revision(revision),
@@ -452,9 +509,11 @@
     ];
     for (from, notice, expected) in cases {
         let chain = vec![revision_limits(4, &[]), revision_limits(5, &[])];
-        let mut t = ConfigTransition::new(HostId(0), 3, chain, at(0));
+        let mut transition = ConfigTransition::new(HostId(0), 3, chain, at(0));
         assert_eq!(
-            t.handle_notice(HostId(from), &notice, at(1)).effect,
+            transition
+                .handle_notice(HostId(from), &notice, at(1))
+                .effect,
             expected,
             "{notice:?}"
         );
@@ -463,7 +522,7 @@
 
 /// Notices for two hundred hosts are small, and all know after a few rounds though one was down for long.
 #[test]
-fn two_hundred_hosts() {
+fn two_hundred_hosts_learn_of_a_revision() {
     let count = 200;
     let revisions = vec![
         revision_limits(1, &[(0, Some(10.0), &[0, 1])]),
