--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -9,7 +9,7 @@
 /// when its first requests come. When it is larger, busy hosts get less.
 const EVEN_PART: f64 = 0.1;
 
-/// What one member is asked for.
+/// The demand of one member's clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostDemand {
     /// The member.
@@ -18,11 +18,12 @@
     pub demand: f64,
 }
 
-/// The share that each member should have of a budget: its floor, then by demand. Where the shares would not
-/// hold a largest request, as many members as can have one get one, in turns.
+/// The share that each member should have of a budget: its floor share, then by demand. Where there is not
+/// enough for one largest request at each member with demand, members get it in turns.
 ///
-/// `committed_elsewhere`: what hosts that are not in `demands` may be using. The results sum to at most the whole less
-/// `committed_elsewhere`, if the floors of these members do. `turn` selects who comes first where turns are taken.
+/// `committed_elsewhere`: what hosts that are not in `demands` may be using. The results sum to at most the
+/// whole less `committed_elsewhere`, if the floors of these members do. `turn` selects who comes first where
+/// turns are taken.
 pub fn divide(
     budget: &Budget,
     demands: &[HostDemand],
@@ -61,7 +62,7 @@
         .collect()
 }
 
-/// Too little to be split: some members hold one largest request's share now, others in the next turn.
+/// Gives one largest request's share to as many members as possible; the others get it in later turns.
 fn take_turns(
     shares: &mut [u64],
     asking: &[usize],
@@ -81,7 +82,7 @@
     shares[asking[first]] += rest;
 }
 
-/// Divides what is left after floors and largest requests.
+/// Divides by demand what is left after floor shares and largest requests.
 fn divide_by_demand(shares: &mut [u64], demands: &[HostDemand], rest: u64) {
     let total: f64 = demands.iter().map(|member| member.demand).sum();
     let even = if total > 0.0 { EVEN_PART } else { 1.0 };
--- /dev/null
+++ b/crates/fleet/tests/coordinator_lease.rs
@@ -0,0 +1,163 @@
+//! The two sides of the coordinator lease, each by itself: an acceptor and a candidate.
+
+use gullsail_fleet::FleetConfig;
+use gullsail_fleet::ballot::Ballot;
+use gullsail_fleet::coordinator_lease::{
+    Acceptor, AcceptorReply, CandidateRequest, LeaseCandidate, Proposal,
+};
+use gullsail_fleet::process_id::ProcessId;
+use gullsail_scheduler_api::{HostId, Instant, Span};
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeMap;
+
+fn ms(at: i64) -> Instant {
+    Instant::from_micros(1_000_000_000 + at * 1000)
+}
+
+/// Three voters, with a coordinator lease of one second.
+fn slow_config() -> FleetConfig {
+    FleetConfig {
+        fleet: 7,
+        hosts: 3,
+        lease: Span::from_millis(2000.0),
+        drift: 0.001,
+        voters: 3,
+        budgets: BTreeMap::new(),
+        maintenance: None,
+    }
+}
+
+/// What a candidate asks of an acceptor.
+#[derive(Clone, Copy, Debug)]
+enum Request {
+    Prepare,
+    Propose,
+}
+
+/// A request to an acceptor, and the reply that is expected.
+struct AcceptorStep {
+    request: Request,
+    ballot: Ballot,
+    process: ProcessId,
+    at: i64,
+    expected: AcceptorReply,
+}
+
+fn process(host: u32, incarnation: u64) -> ProcessId {
+    ProcessId {
+        host: HostId(host),
+        incarnation,
+    }
+}
+
+/// Two candidates, the first of which restarts, ask an acceptor that has just started.
+fn acceptor_steps() -> [AcceptorStep; 11] {
+    use AcceptorReply::{Accepted, Promised, Recovering, Refused};
+    use Request::{Prepare, Propose};
+    let step = |request, ballot, process, at, expected| AcceptorStep {
+        request,
+        ballot,
+        process,
+        at,
+        expected,
+    };
+    let ballot = |round, by| Ballot { round, by };
+    let first = process(1, 21);
+    let restarted = process(1, 22);
+    let second = process(2, 31);
+    let taken = Promised { taken: true };
+    let promised = Promised { taken: false };
+    [
+        // For two leases a promise of the acceptor's earlier incarnation may be in force.
+        step(Prepare, ballot(9, 1), first, 1999, Recovering),
+        step(Propose, ballot(9, 1), first, 1999, Recovering),
+        step(Prepare, ballot(9, 1), first, 2000, promised),
+        step(Prepare, ballot(8, 2), second, 2001, Refused(ballot(9, 1))),
+        step(Propose, ballot(8, 2), second, 2001, Refused(ballot(9, 1))),
+        step(
+            Propose,
+            ballot(9, 1),
+            restarted,
+            2002,
+            Refused(ballot(9, 1)),
+        ),
+        step(Propose, ballot(9, 1), first, 2002, Accepted),
+        // Live for a lease: another candidate is told so, and takes no ballot away by asking.
+        step(Prepare, ballot(12, 2), second, 3001, taken),
+        step(Propose, ballot(9, 1), first, 3001, Accepted),
+        step(Prepare, ballot(12, 2), second, 4000, taken),
+        step(Prepare, ballot(12, 2), second, 4001, promised),
+    ]
+}
+
+#[test]
+fn an_acceptor_is_bound_by_earlier_replies_and_silent_while_it_recovers() {
+    let config = slow_config();
+    let mut acceptor = Acceptor::new(&config, ms(0));
+    for (place, step) in acceptor_steps().into_iter().enumerate() {
+        let at = ms(step.at);
+        let reply = match step.request {
+            Request::Prepare => acceptor.prepare(step.ballot, step.process, at),
+            Request::Propose => acceptor.propose(&config, step.ballot, step.process, at),
+        };
+        assert_eq!(reply, step.expected, "step {place}, {:?}", step.request);
+    }
+    let first = process(1, 21);
+    let second = process(2, 31);
+    let ballot = |round, by| Ballot { round, by };
+    assert_eq!(
+        acceptor.propose(&config, ballot(9, 1), first, ms(4002)),
+        AcceptorReply::Refused(ballot(12, 2))
+    );
+    acceptor.propose(&config, ballot(12, 2), second, ms(4003));
+    acceptor.release(first);
+    assert!(
+        acceptor.live(ms(4004)).is_some(),
+        "only the holder releases the lease"
+    );
+    acceptor.release(second);
+    assert!(acceptor.live(ms(4004)).is_none());
+}
+
+/// Promises that come a lease after they were asked for are worth nothing: a voter that has restarted since
+/// may have promised another ballot.
+#[test]
+fn a_ballot_is_given_up_after_a_lease() {
+    let config = slow_config();
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    for (late, goes_on) in [(500, true), (997, true), (999, false), (1500, false)] {
+        let mut candidate = LeaseCandidate::new(HostId(0), 5, ms(0));
+        let request = candidate.advance(&config, None, ms(0), &mut rng);
+        let Some(CandidateRequest::Prepare(ballot)) = request else {
+            panic!("{request:?}")
+        };
+        assert_eq!(
+            candidate.promised(&config, HostId(0), ballot, false, ms(late)),
+            None,
+            "one of three is no majority"
+        );
+        let request = candidate.promised(&config, HostId(1), ballot, false, ms(late));
+        assert_eq!(request.is_some(), goes_on, "{late}");
+        if let Some(CandidateRequest::Propose(proposal)) = request {
+            check_held_from_proposal(&mut candidate, &config, proposal, late);
+        }
+    }
+}
+
+/// The candidate relies on its lease from when it proposed, not from when it was accepted.
+fn check_held_from_proposal(
+    candidate: &mut LeaseCandidate,
+    config: &FleetConfig,
+    proposal: Proposal,
+    proposed_at: i64,
+) {
+    let accepted_at = ms(proposed_at + 900);
+    candidate.accepted(config, HostId(0), proposal, accepted_at);
+    assert!(candidate.accepted(config, HostId(2), proposal, accepted_at));
+    let held = candidate.held(accepted_at).unwrap();
+    assert_eq!(
+        held.until,
+        ms(proposed_at) + config.held_coordinator_lease()
+    );
+}
--- a/crates/fleet/tests/delayed_increase.rs
+++ b/crates/fleet/tests/delayed_increase.rs
@@ -3,84 +3,45 @@
 use gullsail_fleet::delayed_increase::DelayedIncrease;
 use gullsail_scheduler_api::{Instant, Span};
 
+/// A share that is held from some time on, in milliseconds.
 struct Step {
     at: i64,
     held: u32,
     usable: u32,
+    /// When the usable share changes next.
     next: Option<i64>,
 }
 
-#[test]
-fn an_increase_counts_a_window_later_and_a_decrease_at_once() {
-    let steps = [
-        Step {
-            at: 0,
-            held: 100,
-            usable: 100,
-            next: None,
-        },
-        Step {
-            at: 10,
-            held: 300,
-            usable: 100,
-            next: Some(1010),
-        },
-        Step {
-            at: 500,
-            held: 200,
-            usable: 100,
-            next: Some(1500),
-        },
-        Step {
-            at: 600,
-            held: 400,
-            usable: 100,
-            next: Some(1500),
-        },
-        Step {
-            at: 1500,
-            held: 400,
-            usable: 200,
-            next: Some(1600),
-        },
-        Step {
-            at: 1600,
-            held: 400,
-            usable: 400,
-            next: None,
-        },
-        Step {
-            at: 1700,
-            held: 50,
-            usable: 50,
-            next: None,
-        },
-        Step {
-            at: 1800,
-            held: 400,
-            usable: 50,
-            next: Some(2800),
-        },
-        Step {
-            at: 2800,
-            held: 400,
-            usable: 400,
-            next: None,
-        },
-    ];
-    let ms = |ms: i64| Instant::from_micros(ms * 1000);
-    let mut delayed_increase = DelayedIncrease::new(Span::from_millis(1000.0));
-    for Step {
+fn steps() -> [Step; 9] {
+    let step = |at, held, usable, next| Step {
         at,
         held,
         usable,
         next,
-    } in steps
-    {
+    };
+    [
+        step(0, 100, 100, None),
+        step(10, 300, 100, Some(1010)),
+        step(500, 200, 100, Some(1500)),
+        step(600, 400, 100, Some(1500)),
+        step(1500, 400, 200, Some(1600)),
+        step(1600, 400, 400, None),
+        step(1700, 50, 50, None),
+        step(1800, 400, 50, Some(2800)),
+        step(2800, 400, 400, None),
+    ]
+}
+
+#[test]
+fn an_increase_counts_a_window_later_and_a_decrease_at_once() {
+    let ms = |ms: i64| Instant::from_micros(ms * 1000);
+    let mut delayed_increase = DelayedIncrease::new(Span::from_millis(1000.0));
+    for step in steps() {
         assert_eq!(
-            delayed_increase.hold(held, ms(at)),
-            (usable, next.map(ms)),
-            "at {at}"
+            delayed_increase.hold(step.held, ms(step.at)),
+            (step.usable, step.next.map(ms)),
+            "at {}",
+            step.at
         );
     }
 }
--- a/crates/fleet/tests/exploration.rs
+++ b/crates/fleet/tests/exploration.rs
@@ -1,7 +1,7 @@
-//! All orders of what can happen next, some steps deep, in worlds of three hosts and one budget: any message
-//! in flight is delivered, lost or repeated, time passes, a host dies, restarts, stands still or goes on.
-//! From points where it matters: before a coordinator is elected, while shares move, after the coordinator
-//! died. `FLEET_DEPTH` goes deeper.
+//! Explores all orders of events, some steps deep, in fleets of three hosts and one budget. A message in flight
+//! is delivered, lost or repeated; time passes; a host fails, restarts, is paused or continues. It starts
+//! before a coordinator is elected, while shares move, and after the coordinator failed or was paused.
+//! `FLEET_DEPTH` sets the number of steps.
 
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
 use gullsail_protocol::FleetMessage;
@@ -68,7 +68,7 @@
 
 impl State {
     fn new() -> State {
-        let mut s = State {
+        let mut state = State {
             now: 0,
             hosts: vec![None, None, None],
             still: [false; 3],
@@ -76,38 +76,38 @@
             in_flight: vec![],
             faults: 0,
         };
-        (0..3).for_each(|h| s.start(h));
-        s
+        (0..3).for_each(|host| state.start(host));
+        state
     }
 
-    fn clock(&self, h: u32) -> Instant {
-        Instant::from_micros(5_000_000 + (self.now as f64 * CLOCK_RATES[h as usize]) as i64)
+    fn clock(&self, host: u32) -> Instant {
+        Instant::from_micros(5_000_000 + (self.now as f64 * CLOCK_RATES[host as usize]) as i64)
     }
 
-    fn start(&mut self, h: u32) {
+    fn start(&mut self, host: u32) {
         self.incarnations += 1;
-        let incarnation = u64::from(h + 1) << 32 | self.incarnations;
-        self.hosts[h as usize] = Some(Fleet::new(
+        let incarnation = u64::from(host + 1) << 32 | self.incarnations;
+        self.hosts[host as usize] = Some(Fleet::new(
             fleet_config(),
-            HostId(h),
+            HostId(host),
             incarnation,
-            u64::from(h),
-            self.clock(h),
+            u64::from(host),
+            self.clock(host),
         ));
-        self.still[h as usize] = false;
+        self.still[host as usize] = false;
     }
 
-    fn turn(&mut self, h: u32) {
-        let now = self.clock(h);
-        let Some(f) = self.hosts[h as usize]
+    fn turn(&mut self, host: u32) {
+        let now = self.clock(host);
+        let Some(fleet) = self.hosts[host as usize]
             .as_mut()
-            .filter(|_| !self.still[h as usize])
+            .filter(|_| !self.still[host as usize])
         else {
             return;
         };
-        f.advance(now);
-        let sent = f.outputs().map(|output| InFlight {
-            from: h,
+        fleet.advance(now);
+        let sent = fleet.outputs().map(|output| InFlight {
+            from: host,
             to: output.to.0,
             message: output.message,
         });
@@ -120,11 +120,11 @@
             self.in_flight.remove(place);
         }
         let now = self.clock(to);
-        if let Some(f) = self.hosts[to as usize]
+        if let Some(fleet) = self.hosts[to as usize]
             .as_mut()
             .filter(|_| !self.still[to as usize])
         {
-            f.handle(
+            fleet.handle(
                 now,
                 Event::Message {
                     link: HostId(from),
@@ -140,17 +140,17 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 20_000;
-            (0..3).for_each(|h| self.turn(h));
+            (0..3).for_each(|host| self.turn(host));
             while !self.in_flight.is_empty() {
                 self.deliver(0, false);
             }
         }
     }
 
-    fn set_demand(&mut self, h: u32, units: f64) {
-        let now = self.clock(h);
-        if let Some(f) = &mut self.hosts[h as usize] {
-            f.handle(
+    fn set_demand(&mut self, host: u32, units: f64) {
+        let now = self.clock(host);
+        if let Some(fleet) = &mut self.hosts[host as usize] {
+            fleet.handle(
                 now,
                 Event::DemandObserved {
                     budget: BUDGET,
@@ -172,15 +172,15 @@
                     .map(Step::Lost)
                     .chain(in_flight.map(Step::Repeated)),
             );
-            for h in 0..3 {
-                match (&self.hosts[h as usize], self.still[h as usize]) {
-                    (None, _) => all.push(Step::Starts(h)),
-                    (Some(_), false) => all.extend([Step::Dies(h), Step::StandsStill(h)]),
+            for host in 0..3 {
+                match (&self.hosts[host as usize], self.still[host as usize]) {
+                    (None, _) => all.push(Step::Starts(host)),
+                    (Some(_), false) => all.extend([Step::Dies(host), Step::StandsStill(host)]),
                     _ => {}
                 }
             }
         }
-        let still = (0..3).filter(|h| self.still[*h as usize]);
+        let still = (0..3).filter(|host| self.still[*host as usize]);
         all.extend(still.map(Step::GoesOn));
         all
     }
@@ -190,59 +190,59 @@
             Step::Delivered(place) => return self.deliver(place, false),
             Step::TimePasses(span) => {
                 self.now += span;
-                return (0..3).for_each(|h| self.turn(h));
+                return (0..3).for_each(|host| self.turn(host));
             }
-            Step::GoesOn(h) => {
-                self.still[h as usize] = false;
-                return self.turn(h);
+            Step::GoesOn(host) => {
+                self.still[host as usize] = false;
+                return self.turn(host);
             }
             Step::Lost(place) => _ = self.in_flight.remove(place),
             Step::Repeated(place) => self.deliver(place, true),
-            Step::Dies(h) => self.hosts[h as usize] = None,
-            Step::Starts(h) => {
-                self.start(h);
-                self.turn(h);
+            Step::Dies(host) => self.hosts[host as usize] = None,
+            Step::Starts(host) => {
+                self.start(host);
+                self.turn(host);
             }
-            Step::StandsStill(h) => self.still[h as usize] = true,
+            Step::StandsStill(host) => self.still[host as usize] = true,
         }
         self.faults += 1;
     }
 
     /// What does not hold now, if anything; of the hosts that run and do not stand still.
     fn violation(&self) -> Option<String> {
-        let runs = (0..3).filter(|h| !self.still[*h as usize]);
+        let runs = (0..3).filter(|host| !self.still[*host as usize]);
         let runs: Vec<_> = runs
-            .filter_map(|h| Some((h, self.hosts[h as usize].as_ref()?)))
+            .filter_map(|host| Some((host, self.hosts[host as usize].as_ref()?)))
             .collect();
         let shares: Vec<_> = runs
             .iter()
-            .map(|(h, f)| (*h, f.share_at(BUDGET, self.clock(*h))))
+            .map(|(host, fleet)| (*host, fleet.share_at(BUDGET, self.clock(*host))))
             .collect();
         let deciding = runs
             .iter()
-            .filter(|(h, f)| f.decides(self.clock(*h)))
+            .filter(|(host, fleet)| fleet.decides(self.clock(*host)))
             .count();
-        let sum: u32 = shares.iter().map(|s| s.1).sum();
+        let sum: u32 = shares.iter().map(|(_, share)| share).sum();
         (sum > WHOLE || deciding > 1).then(|| format!("{shares:?} in use, {deciding} decide"))
     }
 
     fn fingerprint(&self) -> u64 {
-        let mut h = DefaultHasher::new();
+        let mut hasher = DefaultHasher::new();
         format!(
             "{:?}{:?}{:?}{}",
             self.hosts, self.in_flight, self.still, self.now
         )
-        .hash(&mut h);
-        h.finish()
+        .hash(&mut hasher);
+        hasher.finish()
     }
 }
 
-fn explore(s: &State, depth: u32, seen: &mut HashSet<(u64, u32)>, path: &mut Vec<Step>) {
-    if depth == 0 || !seen.insert((s.fingerprint(), depth)) {
+fn explore(state: &State, depth: u32, seen: &mut HashSet<(u64, u32)>, path: &mut Vec<Step>) {
+    if depth == 0 || !seen.insert((state.fingerprint(), depth)) {
         return;
     }
-    for step in s.steps() {
-        let mut next = s.clone();
+    for step in state.steps() {
+        let mut next = state.clone();
         next.apply(step);
         path.push(step);
         if let Some(what) = next.violation() {
@@ -257,7 +257,7 @@
 fn no_order_of_events_breaks_the_invariants() {
     let depth = std::env::var("FLEET_DEPTH")
         .ok()
-        .and_then(|d| d.parse().ok())
+        .and_then(|depth| depth.parse().ok())
         .unwrap_or(5);
     let mut starting = State::new();
     starting.calm(LEASE - 20_000);
@@ -267,12 +267,12 @@
     moving.set_demand(0, 100.0);
     moving.calm(6 * LEASE);
     moving.set_demand(2, 1000.0);
-    (0..3).for_each(|h| moving.turn(h));
+    (0..3).for_each(|host| moving.turn(host));
     let mut coordinator_died = moving.clone();
-    let coordinator = (0..3).find(|h| {
-        coordinator_died.hosts[*h as usize]
+    let coordinator = (0..3).find(|host| {
+        coordinator_died.hosts[*host as usize]
             .as_ref()
-            .is_some_and(|f| f.decides(coordinator_died.clock(*h)))
+            .is_some_and(|fleet| fleet.decides(coordinator_died.clock(*host)))
     });
     let coordinator = coordinator.expect("a coordinator is elected by now");
     coordinator_died.hosts[coordinator as usize] = None;
@@ -282,9 +282,9 @@
     coordinator_still.still[coordinator as usize] = true;
     coordinator_still.now += LEASE;
     let mut states = 0;
-    for s in [starting, moving, coordinator_died, coordinator_still] {
+    for state in [starting, moving, coordinator_died, coordinator_still] {
         let mut seen = HashSet::new();
-        explore(&s, depth, &mut seen, &mut Vec::new());
+        explore(&state, depth, &mut seen, &mut Vec::new());
         states += seen.len();
     }
     assert!(states > 1000, "{states}");
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-const B: VolumeId = VolumeId(1);
+const BUDGET: VolumeId = VolumeId(1);
 
 fn budget(hosts: u32, floor: u32, least: u32) -> Budget {
     Budget {
@@ -23,7 +23,7 @@
 }
 
 fn fleet_config(hosts: u32) -> FleetConfig {
-    let budgets = [(B, budget(hosts, 50_000, 1000))].into();
+    let budgets = [(BUDGET, budget(hosts, 50_000, 1000))].into();
     FleetConfig {
         fleet: 7,
         hosts,
@@ -65,12 +65,12 @@
     let mut holder = polled_member();
     let first = holder.register_renewal(ms(0));
     let second = holder.register_renewal(ms(500));
-    let shares = |share| [(B, share)].into();
+    let shares = |share| [(BUDGET, share)].into();
     assert!(holder.accept_grant(&config, grant_id(5, 2), first, shares(300), ms(600)));
     assert!(!holder.accept_grant(&config, grant_id(5, 1), second, shares(900), ms(700)));
     assert!(holder.drop_expired_lease(ms(990)));
     assert!(!holder.accept_grant(&config, grant_id(5, 1), second, shares(900), ms(1000)));
-    assert_eq!(holder.share(B, ms(1000)), None);
+    assert_eq!(holder.share(BUDGET, ms(1000)), None);
     // The next one is.
     assert!(holder.accept_grant(&config, grant_id(5, 3), second, shares(400), ms(1000)));
 }
@@ -86,9 +86,8 @@
     share: Option<u32>,
 }
 
-#[test]
-fn a_grant_counts_from_its_renewal_and_only_forwards() {
-    let config = fleet_config(2);
+/// Grants that come to a member one after the other, in several cases.
+fn grant_sequences() -> [Vec<Grant>; 6] {
     let grant = |round, serial, renewal, at, accepted, share| Grant {
         round,
         serial,
@@ -97,7 +96,7 @@
         accepted,
         share,
     };
-    let cases = [
+    [
         vec![grant(5, 1, 1, 100, true, Some(1))],
         // A lease less the drift after the renewal was sent it is over.
         vec![
@@ -118,19 +117,24 @@
             grant(6, 1, 2, 200, true, Some(1)),
             grant(5, 2, 2, 300, false, Some(1)),
         ],
-    ];
-    for (case, grants) in cases.iter().enumerate() {
+    ]
+}
+
+#[test]
+fn a_grant_counts_from_its_renewal_and_only_forwards() {
+    let config = fleet_config(2);
+    for (case, grants) in grant_sequences().iter().enumerate() {
         let mut holder = polled_member();
         assert!(!holder.accept_poll(HostId(0), ballot(4), ms(0)));
         assert_eq!(holder.register_renewal(ms(0)), 1);
         assert_eq!(holder.register_renewal(ms(0)), 2);
         for (step, grant) in grants.iter().enumerate() {
-            let shares = [(B, grant.serial as u32)].into();
+            let shares = [(BUDGET, grant.serial as u32)].into();
             let id = grant_id(grant.round, grant.serial);
             let accepted = holder.accept_grant(&config, id, grant.renewal, shares, ms(grant.at));
             assert_eq!(accepted, grant.accepted, "case {case}, grant {step}");
             assert_eq!(
-                holder.share(B, ms(grant.at)),
+                holder.share(BUDGET, ms(grant.at)),
                 grant.share,
                 "case {case}, grant {step}"
             );
@@ -176,7 +180,7 @@
         serial,
         demand: BTreeMap::new(),
         held: if held > 0 {
-            [(B, held)].into()
+            [(BUDGET, held)].into()
         } else {
             BTreeMap::new()
         },
@@ -185,7 +189,7 @@
 
 fn granted(outcome: RenewalOutcome) -> Option<u32> {
     if let RenewalOutcome::Granted { shares, .. } = outcome {
-        shares.get(&B).copied()
+        shares.get(&BUDGET).copied()
     } else {
         None
     }
@@ -239,7 +243,7 @@
     let config = fleet_config(2);
     let mut coordinator = Coordinator::new(&config, ballot(9), 1, ms(0));
     let asking = |host: u32, serial: u64, demand: f64| Renewal {
-        demand: [(B, demand)].into(),
+        demand: [(BUDGET, demand)].into(),
         ..renewal(host, 9, serial, 0)
     };
     let serial = |outcome: &RenewalOutcome| match outcome {
@@ -267,77 +271,61 @@
     coordinator.renew(&config, asking(0, serial, 100.0), ms(2000));
     let grown = granted(coordinator.renew(&config, asking(1, 0, 10_000.0), ms(2050))).unwrap();
     assert!(grown > 800_000);
-    assert!(coordinator.committed_total(B) <= u64::from(WHOLE));
+    assert!(coordinator.committed_total(BUDGET) <= u64::from(WHOLE));
+}
+
+/// A thousandth of the whole: the unit of the table below.
+const THOUSANDTH: u32 = WHOLE / 1000;
+
+/// How a budget is divided among four members.
+struct DivisionCase {
+    demands: [f64; 4],
+    committed_elsewhere: u64,
+    /// The share that holds one largest request.
+    least: u32,
+    turn: u64,
+    /// The share of each member, within a tolerance.
+    expected: [u32; 4],
+}
+
+fn division_cases() -> [DivisionCase; 8] {
+    let case = |demands, committed_elsewhere, expected: [u32; 4]| DivisionCase {
+        demands,
+        committed_elsewhere,
+        least: 1,
+        turn: 0,
+        expected: expected.map(|share| share * THOUSANDTH),
+    };
+    let large_requests = |demands, least, turn, expected| DivisionCase {
+        least: least * THOUSANDTH,
+        turn,
+        ..case(demands, 0, expected)
+    };
+    [
+        case([0.0, 0.0, 0.0, 0.0], 0, [250, 250, 250, 250]),
+        case([10.0, 0.0, 0.0, 0.0], 0, [790, 70, 70, 70]),
+        case([30.0, 10.0, 0.0, 0.0], 0, [610, 250, 70, 70]),
+        case([10.0, 10.0, 0.0, 0.0], 600_000, [145, 145, 55, 55]),
+        // One largest request for each member with demand comes first.
+        large_requests([99.0, 1.0, 0.0, 0.0], 200, 0, [650, 210, 70, 70]),
+        // Two of four at a time.
+        large_requests([1.0, 1.0, 1.0, 1.0], 400, 0, [500, 400, 50, 50]),
+        large_requests([1.0, 1.0, 1.0, 1.0], 400, 1, [50, 500, 400, 50]),
+        large_requests([1.0, 1.0, 1.0, 1.0], 400, 3, [400, 50, 50, 500]),
+    ]
 }
 
-/// Demand of members, committed_elsewhere by others, the least share that holds a request, the turn; the share of each,
-/// within a tolerance.
 #[test]
 fn budgets_go_by_demand_over_floors_and_in_turns_where_they_are_small() {
-    const K: u32 = 1000;
-    type Case = (&'static [f64], u64, u32, u64, &'static [u32]);
-    let cases: [Case; 8] = [
-        (
-            &[0.0, 0.0, 0.0, 0.0],
-            0,
-            1,
-            0,
-            &[250 * K, 250 * K, 250 * K, 250 * K],
-        ),
-        (
-            &[10.0, 0.0, 0.0, 0.0],
-            0,
-            1,
-            0,
-            &[790 * K, 70 * K, 70 * K, 70 * K],
-        ),
-        (
-            &[30.0, 10.0, 0.0, 0.0],
-            0,
-            1,
-            0,
-            &[610 * K, 250 * K, 70 * K, 70 * K],
-        ),
-        (
-            &[10.0, 10.0, 0.0, 0.0],
-            600_000,
-            1,
-            0,
-            &[145 * K, 145 * K, 55 * K, 55 * K],
-        ),
-        // A whole request for each member that asks comes first.
-        (
-            &[99.0, 1.0, 0.0, 0.0],
-            0,
-            200 * K,
-            0,
-            &[650 * K, 210 * K, 70 * K, 70 * K],
-        ),
-        // Two of four at a time.
-        (
-            &[1.0, 1.0, 1.0, 1.0],
-            0,
-            400 * K,
-            0,
-            &[500 * K, 400 * K, 50 * K, 50 * K],
-        ),
-        (
-            &[1.0, 1.0, 1.0, 1.0],
-            0,
-            400 * K,
-            1,
-            &[50 * K, 500 * K, 400 * K, 50 * K],
-        ),
-        (
-            &[1.0, 1.0, 1.0, 1.0],
-            0,
-            400 * K,
-            3,
-            &[400 * K, 50 * K, 50 * K, 500 * K],
-        ),
-    ];
-    for (demands, committed_elsewhere, least, turn, expected) in cases {
-        let budget = budget(4, 50 * K, least);
+    for case in division_cases() {
+        let DivisionCase {
+            demands,
+            committed_elsewhere,
+            least,
+            turn,
+            expected,
+        } = case;
+        let budget = budget(4, 50 * THOUSANDTH, least);
         let members = demands.iter().enumerate();
         let members = members.map(|(host, demand)| HostDemand {
             host: HostId(host as u32),
@@ -355,7 +343,7 @@
         let near = shares
             .iter()
             .zip(expected)
-            .all(|(a, b)| a.abs_diff(*b) <= 50 * K);
+            .all(|(share, expected)| share.abs_diff(expected) <= 50 * THOUSANDTH);
         assert!(
             near,
             "{demands:?} {committed_elsewhere} {least} {turn}: {shares:?}, {expected:?} expected"
--- a/crates/fleet/tests/maintenance/access.rs
+++ b/crates/fleet/tests/maintenance/access.rs
@@ -13,17 +13,15 @@
     may: bool,
 }
 
-#[test]
-fn what_a_host_may_send_to_goes_by_its_order_book_and_its_lease() {
-    use Stage::*;
-    let at = |ms: i64| Instant::from_micros(ms * 1000);
+fn cases() -> [Case; 14] {
+    use Stage::{Cancelled, Done, Drained, Draining, Offline, Overdue, Requested, Returning};
     let case = |stage, lease_lost, now, may| Case {
         stage,
         lease_lost,
         now,
         may,
     };
-    let cases = [
+    [
         case(None, None, 0, true),
         case(Some(Requested), None, 0, true),
         case(Some(Draining), None, 0, false),
@@ -32,22 +30,27 @@
         case(Some(Overdue), None, 0, false),
         case(Some(Returning), None, 0, true),
         case(Some(Cancelled), None, 0, true),
-        // Without a lease: servers with an open order are released at once, all others once the blind time is
-        // over.
+        // Without a lease: servers with an open order are released at once, all others after the
+        // isolation grace.
         case(None, Some(100), 200, true),
         case(None, Some(100), 3000, true),
         case(None, Some(100), 3100, false),
         case(Some(Requested), Some(100), 100, false),
         case(Some(Returning), Some(100), 100, false),
         case(Some(Done), Some(100), 200, true),
-    ];
+    ]
+}
+
+#[test]
+fn what_a_host_may_send_to_goes_by_its_order_book_and_its_lease() {
+    let at = |ms: i64| Instant::from_micros(ms * 1000);
     let config = maintenance_config();
     for Case {
         stage,
         lease_lost,
         now,
         may,
-    } in cases
+    } in cases()
     {
         let orders = stage.map(|stage| order(1, stage, 0)).into_iter().collect();
         let order_book = OrderBook {
--- a/crates/fleet/tests/maintenance/coordinator.rs
+++ b/crates/fleet/tests/maintenance/coordinator.rs
@@ -137,23 +137,26 @@
             "{rounds:?}: before earlier grants are over"
         );
         driver.advance(ms(1000), true);
-        // What is approved may go in the same step.
-        let stage = driver.stage().map(|stage| {
-            if stage == Stage::Draining {
-                Stage::Approved
-            } else {
-                stage
-            }
-        });
-        let order_book = driver.coordinator.order_book();
-        let got = order_book.map(|order_book| TakenOver {
-            stage,
-            anew: order_book.anew != 0,
-        });
-        assert_eq!(got, expected, "{rounds:?}");
+        assert_eq!(taken_over(&driver), expected, "{rounds:?}");
     }
 }
 
+fn taken_over(driver: &Driver) -> Option<TakenOver> {
+    // An approved order may start to drain in the same step.
+    let stage = driver.stage().map(|stage| {
+        if stage == Stage::Draining {
+            Stage::Approved
+        } else {
+            stage
+        }
+    });
+    let order_book = driver.coordinator.order_book()?;
+    Some(TakenOver {
+        stage,
+        anew: order_book.anew != 0,
+    })
+}
+
 /// All five hosts renew and have released the server. The first `informed` know the newest order book, the
 /// others `old`.
 fn all_released(
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -65,10 +65,10 @@
         };
         (ServerId(n), observation(what, n as u32 % 2))
     };
-    let host = |h: u32| {
+    let host = |number: u32| {
         (
-            ServerId(11 + u64::from(h)),
-            observation(ServerRole::Host(h), 2 + h),
+            ServerId(11 + u64::from(number)),
+            observation(ServerRole::Host(number), 2 + number),
         )
     };
     (1..=6).map(node).chain((0..5).map(host)).collect()
--- a/crates/fleet/tests/world/faults.rs
+++ b/crates/fleet/tests/world/faults.rs
@@ -70,10 +70,11 @@
         let hosts = self.hosts.len() as u32;
         let first_group: Vec<bool> = (0..hosts).map(|_| self.rng.random_bool(0.5)).collect();
         let both_ways = self.rng.random_bool(0.5);
-        for (a, b) in (0..hosts).flat_map(|a| (0..hosts).map(move |b| (a, b))) {
-            let apart = first_group[a as usize] != first_group[b as usize];
-            if apart && (both_ways || first_group[a as usize]) {
-                self.cut(a, b, span);
+        let pairs = (0..hosts).flat_map(|from| (0..hosts).map(move |to| (from, to)));
+        for (from, to) in pairs {
+            let apart = first_group[from as usize] != first_group[to as usize];
+            if apart && (both_ways || first_group[from as usize]) {
+                self.cut(from, to, span);
             }
         }
     }
--- a/crates/fleet/tests/world/harness.rs
+++ b/crates/fleet/tests/world/harness.rs
@@ -85,6 +85,24 @@
     pub used_at: Vec<i64>,
 }
 
+impl Host {
+    /// A host that is down, with a clock that may be ahead and run fast or slow.
+    fn random(rng: &mut ChaCha8Rng, drift: f64) -> Host {
+        Host {
+            fleet: None,
+            ahead: rng.random_range(0..100 * SECOND),
+            rate: 1.0 + rng.random_range(-drift..drift),
+            still_until: 0,
+            timer_at: 0,
+            waiting: Vec::new(),
+            demand: 0.0,
+            incarnations: 0,
+            epoch: (0, 0),
+            used_at: vec![i64::MIN / 2; NODES as usize],
+        }
+    }
+}
+
 /// A storage node.
 #[derive(Clone, Copy)]
 pub struct Node {
@@ -137,19 +155,7 @@
             maintenance,
             ..fleet_config(hosts, least, drift)
         });
-        let new_host = |_| Host {
-            fleet: None,
-            ahead: rng.random_range(0..100 * SECOND),
-            rate: 1.0 + rng.random_range(-drift..drift),
-            still_until: 0,
-            timer_at: 0,
-            waiting: Vec::new(),
-            demand: 0.0,
-            incarnations: 0,
-            epoch: (0, 0),
-            used_at: vec![i64::MIN / 2; NODES as usize],
-        };
-        let all: Vec<Host> = (0..hosts).map(new_host).collect();
+        let all: Vec<Host> = (0..hosts).map(|_| Host::random(&mut rng, drift)).collect();
         let mut world = World {
             seed,
             rng,
--- a/crates/fleet/tests/world/main.rs
+++ b/crates/fleet/tests/world/main.rs
@@ -61,8 +61,11 @@
 /// The seeds to play: those of `FLEET_SEEDS`, or the first few.
 pub fn seeds(few: u64) -> std::ops::Range<u64> {
     let text = std::env::var("FLEET_SEEDS").unwrap_or_default();
-    match text.split_once("..").map(|(a, b)| (a.parse(), b.parse())) {
-        Some((Ok(a), Ok(b))) => a..b,
+    match text
+        .split_once("..")
+        .map(|(from, to)| (from.parse(), to.parse()))
+    {
+        Some((Ok(from), Ok(to))) => from..to,
         _ => 0..few,
     }
 }
@@ -120,6 +123,46 @@
     idle: Option<f64>,
 }
 
+fn twelve_join_and_six_leave(w: &mut World) {
+    (12..24).for_each(|host| w.start(host));
+    (6..12).for_each(|host| w.leave(host));
+}
+
+/// Messages between host 7 and every second host are lost: the others relay its messages.
+fn cut_from_every_second_host(w: &mut World) {
+    let others = (0..12).filter(|host| host % 2 == 0 && *host != 7);
+    others.for_each(|host| w.cut_both(host, 7, 6 * LEASE));
+}
+
+fn every_second_host_fails(w: &mut World) {
+    let failing = (0..12).filter(|host| host % 2 == 1);
+    failing.for_each(|host| w.kill(host));
+}
+
+fn all_fail_and_restart(w: &mut World) {
+    (0..12).for_each(|host| w.kill(host));
+    w.run(LEASE / 2);
+    (0..12).for_each(|host| w.start(host));
+}
+
+fn split_in_two_halves(w: &mut World) {
+    let pairs = (0..6).flat_map(|one| (6..12).map(move |other| (one, other)));
+    pairs.for_each(|(one, other)| w.cut_both(one, other, 20 * LEASE));
+}
+
+fn restart_within_the_lease(w: &mut World) {
+    w.kill(9);
+    w.run(LEASE / 4);
+    w.start(9);
+}
+
+fn link_flaps(w: &mut World) {
+    for _ in 0..20 {
+        w.cut_both(0, 3, LEASE / 10);
+        w.run(LEASE / 5);
+    }
+}
+
 fn hard_cases() -> [HardCase; 7] {
     let case = |name, served, fault| HardCase {
         name,
@@ -131,49 +174,30 @@
     [
         HardCase {
             spare_hosts: 12,
-            ..case("twelve join at once while six leave", Some(20), |w| {
-                (12..24).for_each(|host| w.start(host));
-                (6..12).for_each(|host| w.leave(host));
-            })
+            ..case(
+                "twelve join at once while six leave",
+                Some(20),
+                twelve_join_and_six_leave,
+            )
         },
-        // Messages between it and every second host are lost: the others pass its messages on.
-        case("suspected by every second one", Some(7), |w| {
-            let others = (0..12).filter(|host| host % 2 == 0 && *host != 7);
-            others.for_each(|host| w.cut_both(host, 7, 6 * LEASE));
-        }),
-        case("half die within a second", None, |w| {
-            (0..12)
-                .filter(|host| host % 2 == 1)
-                .for_each(|host| w.kill(host));
-        }),
-        case("all die and come back", None, |w| {
-            (0..12).for_each(|host| w.kill(host));
-            w.run(LEASE / 2);
-            (0..12).for_each(|host| w.start(host));
-        }),
+        case(
+            "suspected by every second one",
+            Some(7),
+            cut_from_every_second_host,
+        ),
+        case("half fail within a second", None, every_second_host_fails),
+        case("all fail and restart", None, all_fail_and_restart),
         // The served host has all five voters on its side.
         HardCase {
             idle: Some(6.0 / 12.0),
-            ..case("two groups for twenty leases", Some(5), |w| {
-                let pairs = (0..6).flat_map(|a| (6..12).map(move |b| (a, b)));
-                pairs.for_each(|(a, b)| w.cut_both(a, b, 20 * LEASE));
-            })
+            ..case("two groups for twenty leases", Some(5), split_in_two_halves)
         },
         case(
             "back within the lease of its earlier incarnation",
             Some(9),
-            |w| {
-                w.kill(9);
-                w.run(LEASE / 4);
-                w.start(9);
-            },
+            restart_within_the_lease,
         ),
-        case("a connection flaps twenty times", Some(3), |w| {
-            for _ in 0..20 {
-                w.cut_both(0, 3, LEASE / 10);
-                w.run(LEASE / 5);
-            }
-        }),
+        case("a connection flaps twenty times", Some(3), link_flaps),
     ]
 }
 
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -145,41 +145,46 @@
 }
 
 /// Faults of all kinds, and commands through any host.
+/// Random faults and commands for thirty seconds. Then all orders are to come to an end.
+fn play_orders(seed: u64) -> World {
+    let hosts = [3, 5, 5, 8][seed as usize % 4];
+    let mut w = World::with_drift(hosts, seed, 10_000, DRIFT, Some(maintenance_config()));
+    w.run(4 * LEASE);
+    w.faults(w.now + 30 * SECOND, [0.0, 0.05, 0.3][seed as usize % 3]);
+    let end = w.now + 30 * SECOND;
+    while w.now < end {
+        random_command(&mut w, hosts);
+        let span = w.rng.random_range(0..2 * SECOND);
+        work(&mut w, span);
+    }
+    w.heal();
+    work(&mut w, 3 * LEASE);
+    w.heal();
+    // All orders have their turn: two at once, each some leases. Of orders that only few hosts knew of
+    // when the coordinator died, nothing may be left.
+    let mut rounds = 0;
+    while open_orders(&w) > 0 && rounds < 60 {
+        work(&mut w, 2 * LEASE);
+        rounds += 1;
+        // Hosts that left and are not known to be offline are started in the end.
+        if rounds % 10 == 0 {
+            w.heal();
+        }
+    }
+    w
+}
+
 #[test]
 fn maintenance_keeps_its_invariants_through_random_worlds() {
     let mut orders = 0;
     let mut done = 0;
     let mut anew = 0;
     for seed in seeds(60) {
-        let hosts = [3, 5, 5, 8][seed as usize % 4];
-        let mut w = World::with_drift(hosts, seed, 10_000, DRIFT, Some(maintenance_config()));
-        w.run(4 * LEASE);
-        w.faults(w.now + 30 * SECOND, [0.0, 0.05, 0.3][seed as usize % 3]);
-        let end = w.now + 30 * SECOND;
-        while w.now < end {
-            random_command(&mut w, hosts);
-            let span = w.rng.random_range(0..2 * SECOND);
-            work(&mut w, span);
-        }
-        w.heal();
-        work(&mut w, 3 * LEASE);
-        w.heal();
-        // All orders have their turn: two at once, each some leases. Of orders that only few hosts knew of
-        // when the coordinator died, nothing may be left.
-        let mut rounds = 0;
-        while open_orders(&w) > 0 && rounds < 60 {
-            work(&mut w, 2 * LEASE);
-            rounds += 1;
-            // Hosts that left and are not known to be offline are started in the end.
-            if rounds % 10 == 0 {
-                w.heal();
-            }
-        }
+        let w = play_orders(seed);
         assert_eq!(open_orders(&w), 0, "seed {seed}: {}", known_orders(&w));
-        orders += w.orders.stages.len();
-        done += w
-            .orders
-            .stages
+        let stages = &w.orders.stages;
+        orders += stages.len();
+        done += stages
             .values()
             .filter(|stage| **stage == Stage::Done)
             .count();
@@ -297,35 +302,7 @@
         // One of each two that hold a shard, up to forty.
         let servers: Vec<ServerId> = (0..nodes).step_by(2).take(40).map(node).collect();
         let at = w.now;
-        let command = FleetCommand {
-            returns: true,
-            ..FleetCommand::default()
-        };
-        w.command(hosts / 2, CommandKind::TakeOffline, &servers, command);
-        let mut restarted: BTreeSet<ServerId> = BTreeSet::new();
-        let done = |w: &World| {
-            servers
-                .iter()
-                .filter(|server| stage(w, **server) == Some(Stage::Done))
-                .count()
-        };
-        while done(&w) < servers.len() && w.now - at < 600 * SECOND {
-            w.run(50_000);
-            let offline = servers
-                .iter()
-                .filter(|server| stage(&w, **server) == Some(Stage::Offline));
-            let offline: Vec<ServerId> = offline
-                .copied()
-                .filter(|server| restarted.insert(*server))
-                .collect();
-            for server in offline {
-                let place = (server.0 - FIRST_NODE) as usize;
-                w.nodes[place] = Node {
-                    incarnation: w.nodes[place].incarnation + 1000,
-                    well: true,
-                };
-            }
-        }
+        take_offline_and_restart(&mut w, hosts / 2, &servers);
         let leases = (w.now - at) as f64 / LEASE as f64;
         println!(
             "{hosts} hosts, {nodes} nodes: {} orders, four at once, done after {leases:.1} leases; {:.1} messages a second from a \
@@ -337,6 +314,37 @@
     }
 }
 
+/// Takes servers offline through a host, and restarts each one once it is, until all are done or ten minutes
+/// have passed.
+fn take_offline_and_restart(w: &mut World, through: u32, servers: &[ServerId]) {
+    let at = w.now;
+    let command = FleetCommand {
+        returns: true,
+        ..FleetCommand::default()
+    };
+    w.command(through, CommandKind::TakeOffline, servers, command);
+    let mut restarted: BTreeSet<ServerId> = BTreeSet::new();
+    let in_stage = |w: &World, wanted: Stage| -> Vec<ServerId> {
+        let servers = servers.iter().copied();
+        servers
+            .filter(|server| stage(w, *server) == Some(wanted))
+            .collect()
+    };
+    while in_stage(w, Stage::Done).len() < servers.len() && w.now - at < 600 * SECOND {
+        w.run(50_000);
+        for server in in_stage(w, Stage::Offline) {
+            if !restarted.insert(server) {
+                continue;
+            }
+            let place = (server.0 - FIRST_NODE) as usize;
+            w.nodes[place] = Node {
+                incarnation: w.nodes[place].incarnation + 1000,
+                well: true,
+            };
+        }
+    }
+}
+
 fn median(messages: &mut [u64], leases: f64) -> f64 {
     messages.sort_unstable();
     messages[messages.len() / 2] as f64 / leases
--- a/crates/fleet/tests/world/network.rs
+++ b/crates/fleet/tests/world/network.rs
@@ -22,9 +22,9 @@
         });
     }
 
-    pub fn cut_both(&mut self, a: u32, b: u32, span: i64) {
-        self.cut(a, b, span);
-        self.cut(b, a, span);
+    pub fn cut_both(&mut self, one: u32, other: u32, span: i64) {
+        self.cut(one, other, span);
+        self.cut(other, one, span);
     }
 
     /// Loses, repeats and delays a message by chance.
