--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -1,5 +1,5 @@
-//! The coordinator's count of what each host may still be using of every budget. It never decides who gets
-//! how much.
+//! The coordinator's count of what each host may still be using of every budget. It never decides the
+//! size of a share.
 
 use super::share::Shares;
 use crate::config::{Budget, FleetConfig, WHOLE};
@@ -47,7 +47,7 @@
             .map(|(id, budget)| (*id, budget.floors()))
             .collect();
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
-        // Each entry is counted anew, on top of the floors that the sums begin with.
+        // Each entry is recounted, on top of the floor shares that the sums start with.
         for host in hosts {
             if let Some(entry) = self.hosts.get_mut(&host) {
                 entry.most = Shares::new();
@@ -71,7 +71,7 @@
         most.unwrap_or_default().max(budget.floor(host))
     }
 
-    /// Until when a host may use more than its floors; `None`: it does not.
+    /// Until when a host may use more than its floor shares; `None`: it does not.
     pub fn until(&self, host: HostId) -> Option<Instant> {
         self.hosts
             .get(&host)?
@@ -81,7 +81,7 @@
             .max()
     }
 
-    /// Brings the sums in line with the grants of one host.
+    /// Updates the sums after the grants of one host have changed.
     fn recount(&mut self, config: &FleetConfig, host: HostId) {
         let Some(entry) = self.hosts.get_mut(&host) else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Counts a grant until it is released or its lease is over.
+    /// Counts a grant until it is released or its lease has expired.
     pub fn grant(
         &mut self,
         config: &FleetConfig,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The most that may be granted to a host of a budget, beside what all others may be using.
+    /// The largest share of a budget that may be granted to a host, beside what all others may be using.
     pub fn available(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let others = self
             .committed_total(id)
@@ -164,7 +164,7 @@
     }
 }
 
-/// Raises each share to the other one's where that is larger.
+/// Raises each share to the other one where that is larger.
 fn raise(shares: &mut Shares, others: &Shares) {
     for (id, other) in others {
         let share = shares.entry(*id).or_default();
--- a/crates/fleet/src/ballot.rs
+++ b/crates/fleet/src/ballot.rs
@@ -6,6 +6,6 @@
 pub struct Ballot {
     /// Grows with every attempt to be elected.
     pub round: u64,
-    /// The number of the host that seeks the lease with this ballot.
+    /// The number of the candidate's host.
     pub by: u32,
 }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -124,7 +124,7 @@
                     member.state = MemberState::Suspected;
                     transitions.suspected.push(*host);
                 }
-                MemberState::Suspected if now >= member.until => {
+                MemberState::Suspected if now >= member.expires_at => {
                     member.state = MemberState::Out;
                     transitions.expired.push(*host);
                 }
@@ -177,26 +177,27 @@
         if !self.is_current(renewal.ballot) {
             return RenewalOutcome::StaleBallot;
         }
-        let until = now + config.lease;
+        let expires_at = now + config.lease;
         let active = self.members.get(&host).filter(|member| member.is_active());
         // Two processes of one host must not both hold a lease. It may harm a host that is killed and restarts
         // within its lease: it waits until the lease expires.
-        if active.is_some_and(|member| member.incarnation != incarnation && now < member.until) {
+        if active.is_some_and(|member| member.incarnation != incarnation && now < member.expires_at)
+        {
             return RenewalOutcome::Fenced;
         }
         if active.is_some_and(|member| member.incarnation == incarnation) {
             self.renew_member(config, renewal, now);
         } else {
-            self.admit(config, renewal, until, now);
+            self.admit(config, renewal, expires_at, now);
         }
         self.ledger.drop_expired_grants(config, now);
         self.divide(config, now);
         self.serial += 1;
         let shares = self.shares(config, host);
         self.ledger
-            .grant(config, host, self.serial, until, shares.clone());
+            .grant(config, host, self.serial, expires_at, shares.clone());
         if let Some(member) = self.members.get_mut(&host) {
-            member.until = until;
+            member.expires_at = expires_at;
         }
         RenewalOutcome::Granted {
             serial: self.serial,
@@ -219,21 +220,21 @@
 
     /// A host renews here for the first time, or after it was out: what it reports was granted by an earlier
     /// coordinator, or it holds nothing.
-    fn admit(&mut self, config: &FleetConfig, renewal: Renewal, until: Instant, now: Instant) {
+    fn admit(&mut self, config: &FleetConfig, renewal: Renewal, expires_at: Instant, now: Instant) {
         let host = renewal.process.host;
         let member = Member {
             incarnation: renewal.process.incarnation,
             state: MemberState::Member,
             last_renewal: now,
             via: renewal.via,
-            until,
+            expires_at,
             demand: renewal.demand,
             shares_at_first_renewal: renewal.held.clone(),
         };
         self.members.insert(host, member);
         if !renewal.held.is_empty() && !self.takeover_complete {
             self.ledger
-                .grant(config, host, renewal.serial, until, renewal.held);
+                .grant(config, host, renewal.serial, expires_at, renewal.held);
         }
         self.start_epoch();
     }
--- a/crates/fleet/src/coordinator/member.rs
+++ b/crates/fleet/src/coordinator/member.rs
@@ -62,7 +62,7 @@
     /// The relay of its last renewal, if that did not come directly.
     pub via: Option<HostId>,
     /// When its newest lease expires by the coordinator's clock. The ledger's grants expire one by one.
-    pub until: Instant,
+    pub expires_at: Instant,
     /// What its clients ask for, by budget.
     pub(super) demand: BTreeMap<VolumeId, f64>,
     /// What it held with its first renewal here.
--- a/crates/fleet/src/coordinator_lease/acceptor.rs
+++ b/crates/fleet/src/coordinator_lease/acceptor.rs
@@ -1,11 +1,16 @@
-//! A voter's side of the coordinator lease: what it has promised and accepted. Called by `Fleet` for each
-//! prepare, propose and release message; it never sends anything.
+//! The voter's side of the coordinator lease: what it has promised and accepted. Called by `Fleet` for each
+//! prepare, propose and release message; it sends nothing itself.
 
 use crate::ballot::Ballot;
 use crate::config::FleetConfig;
 use crate::process_id::ProcessId;
 use gullsail_scheduler_api::Instant;
 
+/// How long an acceptor that has just started answers nothing, in coordinator leases. A ballot that its earlier
+/// incarnation promised is proposed for at most one lease and relied upon for one more. When it is smaller,
+/// two hosts may be the coordinator at once; when it is larger, hosts that start together elect later.
+const RECOVERY_COORDINATOR_LEASES: f64 = 2.0;
+
 /// A voter's memory of ballots.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
@@ -23,16 +28,16 @@
 #[derive(Clone, Copy, Debug)]
 struct Acceptance {
     holder: ProcessId,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// A coordinator lease that has not run out yet, as an acceptor knows it.
+/// A coordinator lease that has not expired yet, as an acceptor knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedCoordinatorLease {
     /// The process that holds it.
     pub holder: ProcessId,
-    /// When it is over, by the acceptor's clock.
-    pub until: Instant,
+    /// When it expires, by the acceptor's clock.
+    pub expires_at: Instant,
 }
 
 /// How an acceptor replies to a candidate.
@@ -57,25 +62,28 @@
         Acceptor {
             promised: Promise::default(),
             accepted: None,
-            recovering_until: now + config.coordinator_lease().times(2.0),
+            recovering_until: now
+                + config
+                    .coordinator_lease()
+                    .times(RECOVERY_COORDINATOR_LEASES),
         }
     }
 
-    /// Until then it answers no candidate.
+    /// The acceptor answers no candidate before this time.
     pub fn recovering_until(&self) -> Instant {
         self.recovering_until
     }
 
     /// The lease that is live here, if there is one.
     pub fn live(&self, now: Instant) -> Option<AcceptedCoordinatorLease> {
-        let accepted = self.accepted.filter(|accepted| now < accepted.until)?;
+        let accepted = self.accepted.filter(|accepted| now < accepted.expires_at)?;
         Some(AcceptedCoordinatorLease {
             holder: accepted.holder,
-            until: accepted.until,
+            expires_at: accepted.expires_at,
         })
     }
 
-    /// A later ballot is promised, or the same one to another incarnation.
+    /// Whether a later ballot is promised, or the same one to another incarnation.
     fn is_superseded(&self, ballot: Ballot, incarnation: u64) -> bool {
         let same_ballot = ballot == self.promised.ballot;
         ballot < self.promised.ballot || (same_ballot && incarnation != self.promised.incarnation)
@@ -84,7 +92,7 @@
     /// A candidate asks for a promise.
     pub fn prepare(&mut self, ballot: Ballot, process: ProcessId, now: Instant) -> AcceptorReply {
         // A promise of the earlier incarnation is forgotten: without this, a proposal that it had ruled out
-        // could be accepted. The cost: where most voters start at once, nobody is elected for two leases.
+        // could be accepted. It may harm where most voters start at once: no host is elected for two leases.
         if now < self.recovering_until {
             return AcceptorReply::Recovering;
         }
@@ -123,12 +131,12 @@
         };
         self.accepted = Some(Acceptance {
             holder: process,
-            until: now + config.coordinator_lease(),
+            expires_at: now + config.coordinator_lease(),
         });
         AcceptorReply::Accepted
     }
 
-    /// The holder gives the lease back. Nothing changes if another process holds it.
+    /// The holder releases the lease. Nothing changes if another process holds it.
     pub fn release(&mut self, process: ProcessId) {
         self.accepted.take_if(|accepted| accepted.holder == process);
     }
--- a/crates/fleet/src/coordinator_lease/candidate.rs
+++ b/crates/fleet/src/coordinator_lease/candidate.rs
@@ -63,8 +63,8 @@
 pub struct HeldCoordinatorLease {
     /// The ballot by which it was last granted.
     pub ballot: Ballot,
-    /// When it is over, by the holder's clock.
-    pub until: Instant,
+    /// When it expires, by the holder's clock.
+    pub expires_at: Instant,
 }
 
 /// Seeks the coordinator lease and renews it.
@@ -95,13 +95,13 @@
 
     /// The lease, while it is held.
     pub fn held(&self, now: Instant) -> Option<HeldCoordinatorLease> {
-        self.held.filter(|lease| now < lease.until)
+        self.held.filter(|lease| now < lease.expires_at)
     }
 
-    /// When to call [`LeaseCandidate::advance`] at the latest.
+    /// When [`LeaseCandidate::advance`] is due at the latest.
     pub fn next(&self) -> Instant {
         self.held
-            .map_or(self.next, |lease| lease.until.min(self.next))
+            .map_or(self.next, |lease| lease.expires_at.min(self.next))
     }
 
     /// Releases the lease.
@@ -110,7 +110,7 @@
         self.phase = Phase::Idle;
     }
 
-    /// Does what is due. `taken_until`: when the live lease of another process ends, as far as this host
+    /// Does what is due. `taken_until`: when the live lease of another process expires, as far as this host
     /// knows.
     pub fn advance(
         &mut self,
@@ -119,7 +119,7 @@
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<CandidateRequest> {
-        self.held.take_if(|lease| now >= lease.until);
+        self.held.take_if(|lease| now >= lease.expires_at);
         if now < self.next {
             return None;
         }
@@ -134,7 +134,7 @@
             }
             return Some(self.propose(lease.ballot, now));
         }
-        // Spread at random: two candidates at the same moment would rule each other out.
+        // Spread at random: two candidates at the same moment would refuse each other.
         let wait = config
             .coordinator_lease()
             .times(rng.random_range(RETRY_COORDINATOR_LEASES));
@@ -166,7 +166,7 @@
         };
     }
 
-    /// A voter has promised a ballot. `taken`: another process holds a live lease there.
+    /// Counts a voter's promise. `taken`: another process holds a live lease there, so it is no promise.
     pub fn promised(
         &mut self,
         config: &FleetConfig,
@@ -217,7 +217,7 @@
         CandidateRequest::Propose(proposal)
     }
 
-    /// A voter has accepted a proposal. Whether this acceptance granted or renewed the lease.
+    /// Counts a voter's acceptance; returns whether it granted or renewed the lease.
     pub fn accepted(
         &mut self,
         config: &FleetConfig,
@@ -233,11 +233,11 @@
         else {
             return false;
         };
-        let until = *sent_at + config.held_coordinator_lease();
+        let expires_at = *sent_at + config.held_coordinator_lease();
         // Late acceptances do not count: a lease is renewed by the same ballot, and an acceptance of an
         // earlier proposal would extend the holder's belief beyond the voters'. Found by the randomized simulation
         // (tests/world), in which two hosts were the coordinator.
-        if accepted != *proposal || now >= until {
+        if accepted != *proposal || now >= expires_at {
             return false;
         }
         accepted_by.insert(from);
@@ -246,7 +246,7 @@
         }
         let granted = HeldCoordinatorLease {
             ballot: proposal.ballot,
-            until,
+            expires_at,
         };
         if self.held.is_none() {
             self.next = now
@@ -271,7 +271,7 @@
         if later <= own {
             return;
         }
-        // The holder tries again at once, with a higher ballot; others wait for their turn.
+        // The holder retries at once with a higher ballot; other candidates wait.
         if self.held.is_some() {
             self.next = now;
             self.start_preparing(own, now);
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Another ballot exists: the next one of this host is above it.
+    /// Notes a ballot that exists: this host's next one is above it.
     pub fn observe(&mut self, ballot: Ballot) {
         self.round = self.round.max(ballot.round);
     }
--- a/crates/fleet/src/delayed_increase.rs
+++ b/crates/fleet/src/delayed_increase.rs
@@ -1,6 +1,6 @@
-//! A share that limits work within a window, and not a token bucket: the host that gives some of it up may
-//! have used it just now, so the host that gains it may use it only a window later. A decrease counts at
-//! once. Used by the host for its slow-start share.
+//! A share of a limit that is counted within a window. The host that gives up a share may have used it just
+//! now, so the host that gains it may use it only one window later; a decrease applies at once. The host uses
+//! it for its slow-start share. Token buckets do not need it.
 
 use gullsail_scheduler_api::{Instant, Span};
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// `share` is held from now on. Returns what may be used of it now, and when to call again at the latest.
+    /// Holds `share` from now on. Returns the share that may be used now, and when that grows next.
     pub fn hold(&mut self, share: u32, now: Instant) -> (u32, Option<Instant>) {
         if self.held.back().is_none_or(|last| last.share != share) {
             while self.held.pop_back_if(|last| last.share >= share).is_some() {}
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,16 +1,16 @@
-//! What clients ask of this host, by budget: decaying sums, so that the share of a host that falls quiet
-//! shrinks within seconds. Filled by `Fleet` and read for each renewal.
+//! The demand of this host's clients, by budget, as decaying sums: the share of a host that becomes idle shrinks
+//! within seconds. `Fleet` fills it and reads it for each renewal.
 
 use gullsail_scheduler_api::{Instant, Span, VolumeId};
 use std::collections::BTreeMap;
 
-/// A request counts half after this time: a surge shows within one lease, and a gap of some hundred
-/// milliseconds does not.
+/// A request counts half after this time. With a smaller one, a gap of some hundred milliseconds would move
+/// shares; with a larger one, a surge would show only after a lease.
 const HALF_LIFE: Span = Span::from_micros(1_000_000);
-/// A rate below this many units a second counts as none.
+/// A rate below this many units a second counts as no demand, so that its budget is forgotten.
 const MIN_RATE: f64 = 1e-3;
-/// A sum is decayed at most once in this part of a half-life: a power for each request would cost more than
-/// all else here.
+/// A sum is decayed at most once in this fraction of a half-life: computing a power for each request would cost
+/// more than everything else here. When it is larger, the demand is less exact.
 const DECAY_STEP: f64 = 0.01;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
 pub struct Demand(BTreeMap<VolumeId, DecayingSum>);
 
 impl Demand {
-    /// Clients ask for so many units of a budget.
+    /// Adds units of a budget that clients ask for.
     pub fn add(&mut self, budget: VolumeId, units: f64, now: Instant) {
         let entry = self.0.entry(budget).or_insert(DecayingSum {
             sum: 0.0,
@@ -51,7 +51,7 @@
         };
     }
 
-    /// Units a second, of each budget that is asked for.
+    /// The demand for each budget, in units a second. Forgets budgets without demand.
     pub fn rates(&mut self, now: Instant) -> impl Iterator<Item = (VolumeId, f64)> {
         self.0.retain(|_, entry| entry.rate(now) > MIN_RATE);
         self.0.iter().map(move |(id, entry)| (*id, entry.rate(now)))
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -64,7 +64,7 @@
 }
 
 impl Fleet {
-    /// `incarnation` and `seed` are drawn anew each time a host starts.
+    /// `incarnation` and `seed` are drawn at random each time a host starts.
     pub fn new(
         config: Arc<FleetConfig>,
         me: HostId,
@@ -111,7 +111,7 @@
         let lasts = self
             .membership
             .lease_holder
-            .until()
+            .expires_at()
             .map(|until| until - self.now);
         (shares, lasts)
     }
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -58,7 +58,7 @@
     ) -> Option<CandidateRequest> {
         let accepted = self.acceptor.live(now);
         let held_by_other = accepted.filter(|lease| lease.holder != own);
-        let taken_until = held_by_other.map(|lease| lease.until);
+        let taken_until = held_by_other.map(|lease| lease.expires_at);
         self.candidate.advance(config, taken_until, now, rng)
     }
 }
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -196,7 +196,7 @@
             .as_ref()
             .is_some_and(|book| book.version == newest);
         if report.count > 0 && confirmed {
-            self.maintenance.confirmed_until = self.membership.lease_holder.until();
+            self.maintenance.confirmed_until = self.membership.lease_holder.expires_at();
             self.update_isolation();
         }
         if self.going_offline() && self.resign() {
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -15,18 +15,18 @@
 /// When a pending command times out, in leases: long enough for two takeovers.
 const GIVE_UP_AFTER_LEASES: f64 = 6.0;
 
-/// The number of an operator's command and its result: accepted, or the server for which it is refused and
-/// why.
+/// The number of an operator's command and its result: accepted, or the server that it is refused for and
+/// the reason.
 pub type Answer = (u64, Result<(), (ServerId, String)>);
 
 #[derive(Clone, Debug)]
 struct PendingCommand {
     command: FleetCommand,
     next: Instant,
-    until: Instant,
+    gives_up_at: Instant,
 }
 
-/// Commands that wait for an answer, and results that nobody has taken yet.
+/// Commands that wait for an answer, and results that the host has not taken yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingCommands {
     pending: BTreeMap<u64, PendingCommand>,
@@ -61,13 +61,13 @@
         if commands.pending.len() >= MAX_COMMANDS {
             return commands.refuse(number, &command, CommandRefusal::TooManyCommands);
         }
-        let until = self.now + self.config.lease.times(GIVE_UP_AFTER_LEASES);
+        let gives_up_at = self.now + self.config.lease.times(GIVE_UP_AFTER_LEASES);
         commands.pending.insert(
             number,
             PendingCommand {
                 command,
                 next: self.now,
-                until,
+                gives_up_at,
             },
         );
         self.send_commands();
@@ -84,8 +84,16 @@
                 due.push((*number, command.clone()));
             }
         }
-        for (number, PendingCommand { command, until, .. }) in due {
-            if now >= until {
+        for (
+            number,
+            PendingCommand {
+                command,
+                gives_up_at,
+                ..
+            },
+        ) in due
+        {
+            if now >= gives_up_at {
                 let commands = &mut self.maintenance.commands;
                 commands.pending.remove(&number);
                 commands.refuse(number, &command, CommandRefusal::Unanswered);
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -22,9 +22,11 @@
             epoch: self.membership.epoch,
             round: lease_holder.ballot().round,
             coordinator: lease_holder.coordinator().map(|host| host.0),
-            decides_for_ms: held.map(|lease| self.millis_until(lease.until)),
+            decides_for_ms: held.map(|lease| self.millis_until(lease.expires_at)),
             takes_over_ms: takeover_ends.map(|until| self.millis_until(until)),
-            lease_ms: lease_holder.until().map(|until| self.millis_until(until)),
+            lease_ms: lease_holder
+                .expires_at()
+                .map(|until| self.millis_until(until)),
             recovering_ms: recovering_until.map(|until| self.millis_until(until)),
             fenced: self.membership.fenced,
             members: self.member_statuses(),
@@ -66,7 +68,7 @@
             state: MemberState::from_number(member.state)?,
             last_renewal_ms: known.map(|known| (self.now - known.last_renewal).millis()),
             via: known.and_then(|known| known.via).map(|via| via.0),
-            over_ms: known.map(|known| self.millis_until(known.until)),
+            over_ms: known.map(|known| self.millis_until(known.expires_at)),
         })
     }
 
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -13,10 +13,10 @@
 //!    by which the server is draining or offline, or lost its lease less than the isolation grace (`blind`) ago
 //!    and knows no order for it at all.
 //! 2. `Offline` is decided only when every host of the configuration has reported, in its present
-//!    incarnation, that it released the server; or has left; or its last lease is over, plus `blind` unless
+//!    incarnation, that it released the server; or has left; or its last lease has expired, plus `blind` unless
 //!    it had reported that it knows the order.
 //! 3. A majority of all hosts must have reported that they know that the server is drained. A later
-//!    coordinator takes over the newest order book of a majority that remembers one, so it knows too.
+//!    coordinator adopts the newest order book that a majority remembers, so it knows too.
 
 pub mod access;
 pub mod blockers;
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct HostUsage {
     incarnation: u64,
-    /// When it was last granted a lease.
+    /// When it was last granted a lease, by the coordinator's clock.
     granted_at: Instant,
     known: Option<OrderBookVersion>,
     released: BTreeSet<ServerId>,
@@ -178,8 +178,7 @@
         if self.is_released(usage, order) {
             return usage.earlier_incarnations_until;
         }
-        // A host that knows an order book with this order in it uses the server no longer than its lease
-        // lasts.
+        // A host that knows this order sends to the server only while it holds a lease.
         let requested = OrderBookVersion {
             ballot: self.ballot,
             count: self.count_with(order),
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -89,7 +89,7 @@
 /// It has more than twelve fields because it is the record that hosts send each other and keep as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// The server that is to go.
+    /// The server that is to go offline.
     pub server: ServerId,
     /// Given by the coordinator that accepted the order: its place in the queue.
     pub number: u64,
--- a/crates/fleet/src/maintenance/server.rs
+++ b/crates/fleet/src/maintenance/server.rs
@@ -1,5 +1,4 @@
-//! What a host observes of each server. Filled by the host; read by the coordinator's choice of the next
-//! server.
+//! What a host observes of each server. The host fills it in; the coordinator selects the next server by it.
 
 use gullsail_scheduler_api::{Span, VolumeId};
 use serde::{Deserialize, Serialize};
@@ -14,14 +13,15 @@
 )]
 pub struct ServerId(pub u64);
 
-/// What a host observes of a server by itself.
+/// What one host observes of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerObservation {
     /// Node or host.
     pub what: ServerRole,
     /// Its zone's number.
     pub zone: u32,
-    /// It serves: ready by the endpoint list and connected here. Of a host, the coordinator fills this in.
+    /// Whether it serves: the endpoint list names it ready, and this host is connected to it. For a host the
+    /// coordinator fills this in.
     pub well: bool,
     /// The process that runs there; 0: not known.
     pub incarnation: u64,
--- a/crates/fleet/src/member_lease.rs
+++ b/crates/fleet/src/member_lease.rs
@@ -27,8 +27,8 @@
 pub struct MemberLease {
     /// The serial of the grant.
     pub serial: u64,
-    /// When it is over, by this host's clock.
-    pub until: Instant,
+    /// When it expires, by this host's clock.
+    pub expires_at: Instant,
     /// What may be used under it.
     pub shares: Shares,
 }
@@ -101,17 +101,19 @@
 
     /// Drops the lease if it has expired; returns whether it did.
     pub fn drop_expired_lease(&mut self, now: Instant) -> bool {
-        self.lease.take_if(|lease| now >= lease.until).is_some()
+        self.lease
+            .take_if(|lease| now >= lease.expires_at)
+            .is_some()
     }
 
-    /// When the lease is over, if there is one.
-    pub fn until(&self) -> Option<Instant> {
-        self.lease.as_ref().map(|lease| lease.until)
+    /// When the lease expires, if there is one.
+    pub fn expires_at(&self) -> Option<Instant> {
+        self.lease.as_ref().map(|lease| lease.expires_at)
     }
 
     /// The share of a budget under the lease; `None`: there is no lease, so the floor share applies.
     pub fn share(&self, id: VolumeId, now: Instant) -> Option<u32> {
-        let lease = self.lease.as_ref().filter(|lease| now < lease.until)?;
+        let lease = self.lease.as_ref().filter(|lease| now < lease.expires_at)?;
         Some(lease.shares.get(&id).copied().unwrap_or_default())
     }
 
@@ -125,8 +127,8 @@
         if ballot < self.ballot {
             return false;
         }
-        // From here on no grant of an earlier coordinator is accepted: what the next renewal reports is all
-        // that is held.
+        // From now on no grant of an earlier coordinator is accepted, so the next renewal reports everything that
+        // this host holds.
         self.ballot = ballot;
         self.coordinator = Some(from);
         self.last_contact = now;
@@ -186,10 +188,10 @@
         let Some(sent) = self.sent.iter().find(|sent| sent.number == renewal) else {
             return false;
         };
-        let until = sent.sent_at + config.held_lease();
+        let expires_at = sent.sent_at + config.held_lease();
         // The grant was delayed, or comes from an earlier coordinator. It may harm when a round trip takes a
         // lease: then no grant is ever valid.
-        if now >= until || grant.ballot < self.ballot {
+        if now >= expires_at || grant.ballot < self.ballot {
             return false;
         }
         // An older grant may arrive after the lease of a newer one has expired, where renewals overtook each
@@ -203,7 +205,7 @@
         self.newest = grant;
         self.lease = Some(MemberLease {
             serial: grant.serial,
-            until,
+            expires_at,
             shares,
         });
         true
@@ -216,6 +218,7 @@
 
     /// When to look at the lease again at the latest.
     pub fn next(&self) -> Instant {
-        self.until().map_or(self.next, |until| until.min(self.next))
+        self.expires_at()
+            .map_or(self.next, |expires_at| expires_at.min(self.next))
     }
 }
--- a/crates/fleet/src/rate_pacer.rs
+++ b/crates/fleet/src/rate_pacer.rs
@@ -1,24 +1,24 @@
-//! Spaces out what all hosts do to one node at a limited rate, such as opening connections: each host does it
-//! at its share of the rate. Over any span one host begins at most one more than its share allows, so all
-//! together begin at most what the rate allows, and one more for each host. Each host begins at a random
-//! point, so hosts that lose the same node in the same instant return to it one after the other. Used by the
-//! host for each node.
+//! Spaces out operations of all hosts on one node that have a common rate limit, such as opening connections.
+//! Each host paces its own at its share of the rate. Over any span one host starts at most one operation more
+//! than its share allows, so all together exceed the rate by at most one for each host. Each host starts at a
+//! random point, so hosts that lose the same node at once return to it one after the other. The host has one
+//! pacer for each node and kind of operation.
 
 use gullsail_scheduler_api::{Instant, Span};
 use rand::Rng;
 
-/// After as long as two operations take without a call, the node counts as idle: a caller that waits for its
-/// turn asks again after one at the latest.
+/// After so many intervals without a call the node counts as idle, and the credit is drawn at random. A caller
+/// that waits for its turn asks again after one interval at the latest, so it never counts as idle.
 const IDLE_INTERVALS: f64 = 2.0;
-/// Instants have microseconds: a credit that is this close to one operation counts as one.
+/// A credit that is this close to one operation counts as one, since instants are rounded to microseconds.
 const ROUNDING: f64 = 1e-3;
-/// A caller is not asked to come again earlier than this.
+/// The shortest wait that a caller is told, so that it does not ask again at once.
 const MIN_WAIT: Span = Span::from_micros(1000);
 
 /// The credit towards the next operation.
 #[derive(Clone, Copy, Debug)]
 struct Credit {
-    /// Part of one operation; negative after one that was begun early.
+    /// In operations; negative after one that started early.
     amount: f64,
     as_of: Instant,
     /// The interval between two operations at that time.
@@ -26,14 +26,14 @@
 }
 
 impl Credit {
-    /// What has been gained since. A share that grew counts from now on: until just now another host may have
-    /// had it.
+    /// The credit gained since then. A share that grew counts from now on: another host may have had it until
+    /// now.
     fn gained(&self, interval: Span, now: Instant) -> f64 {
         (now - self.as_of).secs().max(0.0) / interval.max(self.interval).secs()
     }
 }
 
-/// Spaces out what one host does to one node.
+/// Paces the operations of one host on one node.
 #[derive(Clone, Debug, Default)]
 pub struct RatePacer {
     /// `None`: there was no operation yet.
@@ -41,15 +41,14 @@
 }
 
 impl RatePacer {
-    /// Asks to begin an operation now. `interval`: the time between two by this host's share. `Err`: when to
-    /// ask again.
+    /// Asks to start an operation now. `interval`: the time between two operations by this host's share.
     ///
-    /// Credit that is not used for long is at most one operation and is drawn at random then: otherwise all
-    /// hosts would have one to spend in the same instant. The cost: a host that is alone in wanting it waits
-    /// for half an interval on average.
+    /// Credit that has been unused for long is drawn at random, below one operation: otherwise all hosts could
+    /// start one in the same instant. It may harm a host that is the only one to need the node: it waits for
+    /// half an interval on average.
     ///
     /// # Errors
-    /// It is not this host's turn; holds when to ask again.
+    /// It is not this host's turn. The error is when to ask again.
     pub fn take(
         &mut self,
         interval: Span,
--- a/crates/fleet/tests/coordinator_lease.rs
+++ b/crates/fleet/tests/coordinator_lease.rs
@@ -157,7 +157,7 @@
     assert!(candidate.accepted(config, HostId(2), proposal, accepted_at));
     let held = candidate.held(accepted_at).unwrap();
     assert_eq!(
-        held.until,
+        held.expires_at,
         ms(proposed_at) + config.held_coordinator_lease()
     );
 }
