--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -4,11 +4,16 @@
 //! scheduler's actions, by timers, and by what happens on the nodes' connections; nothing here decides
 //! whether there is another.
 
+use super::Core;
 use super::request_handling::FinalAnswer;
 use super::requests::{AttemptId, StartedAttempt};
+use super::timers::TimerKind;
 use super::zone_traffic::AnsweredAttempt;
-use super::*;
-use gullsail_protocol::{Attempt, AttemptAnswer, AttemptResult, Cancel, Outcome};
+use gullsail_protocol::{Attempt, AttemptAnswer, AttemptResult, Cancel, Frame, Outcome};
+use gullsail_scheduler_api::{
+    AttemptEnd, AttemptOutcome, EndpointState, Event, NodeId, RequestId, Span, ZoneId,
+};
+use tracing::debug;
 
 /// How an attempt ended, as far as its node reported.
 #[derive(Clone, Copy, Debug)]
--- a/crates/host/src/core/back_pressure.rs
+++ b/crates/host/src/core/back_pressure.rs
@@ -1,7 +1,9 @@
 //! Back-pressure to clients: when their connections are read, and when they have to wait. Called at the end
 //! of each [`Core::advance`], and when a connection's queue changes.
 
-use super::*;
+use super::Core;
+use super::connection_table::PeerKind;
+use super::input_output::{LinkId, Output};
 
 impl Core {
     /// Clients wait while this host holds all it may; each waits while its own answers pile up.
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -2,10 +2,16 @@
 //! reasons. What it means for limits meanwhile is decided by
 //! [`gullsail_config_transition::ConfigTransition`].
 
-use super::*;
+use super::Core;
+use super::input_output::{Output, RequesterId};
+use super::timers::TimerKind;
 use gullsail_config_transition::{NoticeEffect, Revision, RevisionNotice};
+use gullsail_configuration::Deployment;
 use gullsail_configuration::diff::{Change, Class};
-use gullsail_protocol::Reached;
+use gullsail_protocol::{Frame, Reached};
+use gullsail_scheduler_api::{Event, HostId, UpdateKind};
+use std::sync::Arc;
+use tracing::{info, warn};
 
 /// A configuration that somebody wants this host to serve by.
 #[derive(Debug)]
--- a/crates/host/src/core/connection_table.rs
+++ b/crates/host/src/core/connection_table.rs
@@ -2,7 +2,14 @@
 //! by which a response is due. The other files of this module open, use and close connections through the
 //! methods here; nothing here reads a frame's content.
 
-use super::*;
+use super::Core;
+use super::input_output::{LinkId, Output};
+use super::peers::IncomingPeer;
+use super::reconnect::ConnectionState;
+use super::timers::TimerKind;
+use gullsail_protocol::{Frame, Hello, Role};
+use gullsail_scheduler_api::{HostId, Instant, NodeId};
+use tracing::{debug, info};
 
 /// How many connect timeouts the other side's first frame, or the endpoint list's reply, may take.
 pub(super) const FIRST_FRAME_CONNECT_TIMES: f64 = 4.0;
--- a/crates/host/src/core/counters.rs
+++ b/crates/host/src/core/counters.rs
@@ -1,6 +1,8 @@
 //! What a host counts since its start, for its operators: nothing is decided by these figures.
 
-use super::*;
+use super::Core;
+use gullsail_scheduler_api::Span;
+use tracing::warn;
 
 /// What was counted since the start.
 ///
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -1,8 +1,12 @@
 //! The connection to the endpoint list, and its updates on their way to the scheduler.
 
-use super::*;
-use connection_table::FIRST_FRAME_CONNECT_TIMES;
-use gullsail_protocol::EndpointListUpdate;
+use super::Core;
+use super::connection_table::{FIRST_FRAME_CONNECT_TIMES, PeerKind};
+use super::input_output::LinkId;
+use super::reconnect::ConnectionState;
+use gullsail_protocol::{EndpointListQuery, EndpointListUpdate, Frame, Hello, Role};
+use gullsail_scheduler_api::{Event, UpdateKind};
+use tracing::{debug, warn};
 
 impl Core {
     /// Queries the list, once its connection is up; opens the connection where there is none.
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -2,12 +2,21 @@
 //! hosts, the demand on each budget is reported there, and the shares that come back become allocations for
 //! the scheduler.
 
-use super::*;
+use super::Core;
+use super::timers::TimerKind;
+use gullsail_configuration::Deployment;
+use gullsail_fleet::Event as FleetEvent;
+use gullsail_fleet::delayed_increase::DelayedIncrease;
 use gullsail_fleet::maintenance::SERVED;
-use gullsail_fleet::{Status, WHOLE};
-use gullsail_protocol::FleetMessage;
+use gullsail_fleet::{Fleet, Status, WHOLE};
+use gullsail_protocol::{FleetMessage, Frame};
+use gullsail_scheduler_api::{
+    BudgetScope, Event, FleetMembership, HostId, Instant, NodeId, PlanId, Span, VolumeId, ZoneId,
+};
 use serde::{Deserialize, Serialize};
-use tracing::{Level, enabled};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use tracing::{Level, debug, enabled};
 
 /// The slow-start budget, among the budgets: numbers of volumes are shorter.
 pub(super) const SLOW_START_BUDGET: VolumeId = VolumeId(u64::MAX);
--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -1,10 +1,13 @@
 //! The budgets that hosts share out among themselves, as the fleet is configured with them and as operators
 //! see them.
 
+use super::Core;
 use super::fleet::{CONNECT_BUDGET, PROBE_BUDGET, SLOW_START_BUDGET};
-use super::*;
 use gullsail_fleet::config::{floor, least};
 use gullsail_fleet::{Budget, FleetConfig};
+use gullsail_scheduler_api::{HostId, VolumeId};
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
 impl Core {
     /// The fleet's configuration; `None`: there is no fleet.
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -1,10 +1,15 @@
 //! Frames that come in, dispatched by the role of their sender. A frame that its sender may not send ends
 //! that connection and nothing else; a frame of a newer version is skipped.
 
+use super::Core;
 use super::clock::PeerClock;
-use super::*;
-use gullsail_protocol::ClockReply;
+use super::connection_table::PeerKind;
+use super::input_output::LinkId;
+use super::peers::IncomingPeer;
+use gullsail_protocol::{ClockReply, Frame, Hello, Message, Role};
+use gullsail_scheduler_api::Span;
 use std::collections::VecDeque;
+use tracing::{debug, warn};
 
 impl Core {
     /// A frame that may have waited while the process stood still. The client's timeout has run on since it
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -1,8 +1,10 @@
 //! Connections that others open to this host: how many there may be, and which one gives way when all places
 //! are taken.
 
-use super::*;
-use connection_table::FIRST_FRAME_CONNECT_TIMES;
+use super::Core;
+use super::connection_table::{FIRST_FRAME_CONNECT_TIMES, Link, PeerKind};
+use super::input_output::LinkId;
+use gullsail_scheduler_api::{Instant, Span};
 
 /// Connections that others open to this host, where the caller sets no number.
 pub(super) const MAX_LINKS: usize = 20_000;
--- a/crates/host/src/core/input_output.rs
+++ b/crates/host/src/core/input_output.rs
@@ -1,6 +1,7 @@
 //! What goes into the host's core and what comes out of it.
 
-use super::{config_change, maintenance};
+use super::config_change::{Proposal, ProposalOutcome};
+use super::maintenance::{CommandOutcome, OperatorCommand};
 use gullsail_protocol::Frame;
 use gullsail_scheduler_api::{Instant, Span};
 
@@ -27,9 +28,9 @@
     /// The connection ended, with the reason; nothing more comes of it.
     Closed(LinkId, String),
     /// Another configuration, compared with the current one.
-    Propose(Box<config_change::Proposal>),
+    Propose(Box<Proposal>),
     /// An operator command on servers.
-    OperatorCommand(RequesterId, maintenance::OperatorCommand),
+    OperatorCommand(RequesterId, OperatorCommand),
     /// Admit nothing new, answer what is open, then finish.
     Stop,
 }
@@ -70,14 +71,14 @@
         /// Who proposed.
         requester: RequesterId,
         /// Applied, or refused with the reasons.
-        outcome: config_change::ProposalOutcome,
+        outcome: ProposalOutcome,
     },
     /// The result of an operator command.
     CommandOutcome {
         /// Who gave the command.
         requester: RequesterId,
         /// Accepted, or why not.
-        outcome: maintenance::CommandOutcome,
+        outcome: CommandOutcome,
     },
     /// The host was stopped and everything is answered.
     Finished,
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -1,10 +1,14 @@
 //! Operator commands on servers, and what operators see of maintenance. The commands go to `gullsail-fleet`,
 //! whose maintenance coordinator decides; how this host acts on its decisions is in `server_drains`.
 
-use super::*;
+use super::Core;
+use super::input_output::{Output, RequesterId};
+use super::timers::TimerKind;
 use gullsail_configuration::{meant, node_id, number};
+use gullsail_fleet::Event as FleetEvent;
 use gullsail_fleet::maintenance::{Order, ServerId, Stage};
 use gullsail_protocol::FleetCommand;
+use gullsail_scheduler_api::{EndpointState, NodeId, Span};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/host/src/core/mod.rs
+++ b/crates/host/src/core/mod.rs
@@ -44,27 +44,26 @@
 pub use counters::{Counts, HeldLoad};
 pub use input_output::{Input, LinkId, Output, RequesterId};
 
-use connection_table::{Link, PeerKind};
+use connection_table::Link;
 use gullsail::Scheduler;
 use gullsail_config_transition::ConfigTransition;
 use gullsail_configuration::Deployment;
+use gullsail_fleet::Fleet;
 use gullsail_fleet::delayed_increase::DelayedIncrease;
-use gullsail_fleet::{Event as FleetEvent, Fleet};
-use gullsail_protocol::{EndpointListQuery, Frame, Hello, Message, Role};
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{Event, FleetMembership, HostId, Instant, Span, UpdateKind};
 use gullsail_timers::Timers;
 use gullsail_zone_traffic::{Ledger, Overruns};
 use incoming_connections::MAX_LINKS;
 use nodes::Nodes;
-use peers::{IncomingPeer, OutgoingPeer};
+use peers::OutgoingPeer;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use reconnect::{ConnectionState, OutboundConnection};
+use reconnect::OutboundConnection;
 use requests::Requests;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use timers::{SWEEP_INTERVAL, TimerKind};
-use tracing::{debug, info, warn};
+use tracing::info;
 
 /// Length of one bucket of the ledger of traffic between zones.
 const LEDGER_BUCKET: Span = Span::from_micros(10_000_000);
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -1,13 +1,23 @@
 //! Connections to nodes: they are opened before they are needed, and attempts that wait for one are sent, or
 //! ended, by what comes of it.
 
-use super::*;
+use super::Core;
+use super::connection_table::PeerKind;
+use super::input_output::LinkId;
+use super::nodes::NodeSide;
+use super::reconnect::ConnectionState;
+use super::timers::TimerKind;
+use gullsail_protocol::{Hello, Role};
+use gullsail_scheduler_api::{
+    AttemptOutcome, EndpointState, Event, NodeId, ShardId, Span, UpdateKind,
+};
+use tracing::{debug, info, warn};
 
 impl Core {
     /// Opens connections to all usable nodes that have none, before they are needed: only a node's first
     /// frame tells how long it has been running.
     pub(super) fn connect_nodes(&mut self) {
-        let wanted = |n: &nodes::NodeSide| {
+        let wanted = |n: &NodeSide| {
             let usable = n.state != EndpointState::Gone && !n.barred;
             usable && n.connection.state == ConnectionState::Idle && !n.address.is_empty()
         };
--- a/crates/host/src/core/nodes.rs
+++ b/crates/host/src/core/nodes.rs
@@ -8,7 +8,9 @@
 use gullsail_configuration::{Deployment, node_id};
 use gullsail_fleet::rate_pacer::RatePacer;
 use gullsail_protocol::{ListedEndpoint, ListedState};
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{
+    Endpoint, EndpointState, Instant, NodeId, PoolId, ShardId, Span, ZoneId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Incarnations remembered for a node: the list is late by a few restarts at most.
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -1,10 +1,15 @@
 //! Peer hosts: the connection to each, frames that wait for it, and what is known of its clock. Demand
 //! reports of a peer are handed to the scheduler only once its clock is known.
 
+use super::Core;
 use super::clock::{Learned, PeerClock};
-use super::*;
-use gullsail_protocol::{ClockQuery, ClockReply, DemandReport};
+use super::connection_table::PeerKind;
+use super::input_output::LinkId;
+use super::reconnect::{ConnectionState, OutboundConnection};
+use gullsail_protocol::{ClockQuery, ClockReply, DemandReport, Frame, Hello, Role};
+use gullsail_scheduler_api::{Event, HostId, Instant, demand_report};
 use std::collections::VecDeque;
+use tracing::{info, warn};
 
 /// Frames that wait for a connection, or demand reports that wait for a clock: they count for a tenth of a
 /// second only.
--- a/crates/host/src/core/reconnect.rs
+++ b/crates/host/src/core/reconnect.rs
@@ -1,7 +1,7 @@
 //! One connection that this host keeps to a node, a peer or the endpoint list: up, being made, or waiting for
 //! the next try. Waits between tries grow exponentially and are jittered.
 
-use super::LinkId;
+use super::input_output::LinkId;
 use gullsail_scheduler_api::{Instant, Span};
 use rand::Rng;
 
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -1,9 +1,12 @@
 //! Requests of clients: each is checked and handed to the scheduler, and gets one final answer. The
 //! scheduler's actions are carried out from here.
 
+use super::Core;
+use super::input_output::LinkId;
 use super::requests::{OpenRequest, object};
-use super::*;
-use gullsail_protocol::{Answer, Handle, NotTaken, Outcome, Submit};
+use super::timers::TimerKind;
+use gullsail_protocol::{Answer, Frame, Handle, NotTaken, Outcome, Submit};
+use gullsail_scheduler_api::{Action, Event, Request, RequestClassId, RequestId, ShardId, Span};
 
 /// The most that an attempt's frame holds beside names and body.
 const ATTEMPT_HEAD: usize = 96;
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -2,10 +2,10 @@
 //! from the moment it is accepted until its one final answer, an attempt until its end is reported to the
 //! scheduler; an attempt may outlive its request, so that the node's window is released at the right time.
 
-use super::LinkId;
+use super::input_output::LinkId;
 use bytes::Bytes;
 use gullsail_protocol::{Handle, Submit};
-use gullsail_scheduler_api::*;
+use gullsail_scheduler_api::{Instant, NodeId, ObjectId, RequestId, Span};
 use std::collections::BTreeMap;
 
 /// An attempt's number at this host, for its node.
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -2,11 +2,18 @@
 //! scheduler and lose their connection from here, and what is observed of all servers is reported to the
 //! fleet.
 
+use super::Core;
+use super::input_output::Output;
 use super::maintenance::{CommandError, of_host, of_node};
 use super::nodes::NodeSide;
-use super::*;
+use super::timers::TimerKind;
 use gullsail_configuration::number;
+use gullsail_fleet::Event as FleetEvent;
+use gullsail_fleet::Fleet;
 use gullsail_fleet::maintenance::{ServerObservation, ServerRole, Servers};
+use gullsail_scheduler_api::{AttemptOutcome, EndpointState, Event, NodeId, Span, UpdateKind};
+use std::collections::BTreeSet;
+use tracing::{debug, info};
 
 /// Between observations of servers, while nothing happens: short beside a lease renewal, by which they are
 /// reported.
--- a/crates/host/src/core/size_metrics.rs
+++ b/crates/host/src/core/size_metrics.rs
@@ -1,6 +1,7 @@
 //! How much a host holds, for whoever watches it over days: nothing is decided by it.
 
-use super::*;
+use super::Core;
+use super::connection_table::{Link, PeerKind};
 
 impl Core {
     /// The length of each collection in entries, by name, those of the scheduler included.
--- a/crates/host/src/core/timers.rs
+++ b/crates/host/src/core/timers.rs
@@ -1,7 +1,14 @@
 //! What each timer of the core is for, and what is done when it fires.
 
-use super::*;
-use requests::AttemptId;
+use super::Core;
+use super::connection_table::{Link, PeerKind};
+use super::input_output::LinkId;
+use super::nodes::NodeSide;
+use super::peers::OutgoingPeer;
+use super::reconnect::ConnectionState;
+use super::requests::AttemptId;
+use gullsail_scheduler_api::{Event, HostId, Instant, NodeId, Span, TimerId};
+use tracing::warn;
 
 /// Between searches for stalled connections and for nodes that are gone long since.
 pub(super) const SWEEP_INTERVAL: Span = Span::from_micros(1_000_000);
@@ -51,8 +58,7 @@
     }
 
     fn reconnect_node(&mut self, node: NodeId) {
-        let waits =
-            |n: &&mut nodes::NodeSide| matches!(n.connection.state, ConnectionState::Waiting(_));
+        let waits = |n: &&mut NodeSide| matches!(n.connection.state, ConnectionState::Waiting(_));
         if let Some(n) = self.nodes.get(node).filter(waits) {
             n.connection.state = ConnectionState::Idle;
             self.connect_nodes();
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -1,10 +1,16 @@
 //! Traffic between zones, counted as frames go out and come in, and overruns of its budgets as the scheduler
 //! decides them. Nothing is decided by these figures here.
 
-use super::*;
-use gullsail_protocol::Message;
+use super::Core;
+use super::connection_table::PeerKind;
+use super::input_output::LinkId;
+use gullsail_protocol::{Frame, Message};
+use gullsail_scheduler_api::{
+    HostId, OverrunCause, PlanId, RequestClassId, RequestId, VolumeId, ZoneId,
+};
 use gullsail_zone_traffic::{Flow, FlowOf, Overrun, OverrunReason, Reason, Total};
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 
 /// A flow and its total, by the names of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
