--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -1,12 +1,13 @@
-//! Attempts: each is sent to its node as a frame, and its end is reported to the scheduler once.
+//! Attempts. Each is sent to its node as a frame, and its end is reported to the scheduler once.
 //!
-//! An attempt whose node has no connection waits for it, no longer than one takes to be made. Called by the
-//! scheduler's actions, by timers, and by what happens on the nodes' connections; nothing here decides
-//! whether there is another.
+//! An attempt whose node has no connection waits for it, for one connect timeout at most. The methods here
+//! are called by the scheduler's actions, by timers, and when something happens on a node's connection. Nothing
+//! here decides whether there is a retry.
 
 use super::Core;
+use super::input_output::LinkId;
 use super::request_handling::FinalAnswer;
-use super::requests::{AttemptId, StartedAttempt};
+use super::requests::{AttemptId, OpenRequest, StartedAttempt};
 use super::timers::TimerKind;
 use super::zone_traffic::AnsweredAttempt;
 use gullsail_protocol::{Attempt, AttemptAnswer, AttemptResult, Cancel, Frame, Outcome};
@@ -15,13 +16,13 @@
 };
 use tracing::debug;
 
-/// How an attempt ended, as far as its node reported.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReport {
     outcome: AttemptOutcome,
-    /// The part of the node's capacity that is in use, where it is reported.
+    /// How much of the volume's nominal rate is in use over all hosts, as a fraction, where the node reports it.
     used: Option<f64>,
-    /// Of the node's answer; 0: there was none.
+    /// Bytes of the node's answer; 0 without an answer.
     answer_bytes: usize,
 }
 
@@ -39,7 +40,7 @@
     /// Starts an attempt that the scheduler decided on.
     pub(super) fn start_attempt(&mut self, id: RequestId, node: NodeId, time_out: Option<Span>) {
         let now = self.now;
-        let number = self.requests.get(id).map_or(0, |o| o.attempts);
+        let number = self.requests.get(id).map_or(0, |open| open.attempts);
         if self.nodes.get(node).is_none() {
             return self.attempt_not_started(id, number, node);
         }
@@ -47,22 +48,23 @@
             return self.attempt_not_started(id, number, node);
         };
         self.counts.attempts += 1;
-        let StartedAttempt { id: attempt, lasts } = started;
-        let Some(n) = self.nodes.get(node).filter(|n| n.connection.up().is_none()) else {
+        let StartedAttempt {
+            id: attempt,
+            timeout,
+        } = started;
+        let record = self.nodes.get(node);
+        let Some(record) = record.filter(|record| record.connection.up().is_none()) else {
             return self.send_attempt(attempt);
         };
-        // It waits for the connection, no longer than one takes to be made: until then it certainly never
-        // ran.
-        n.pending.insert(attempt);
-        self.at(
-            now + self.deployment.bounds.connect.min(lasts),
-            TimerKind::Attempt(attempt),
-        );
+        // It waits for the connection for one connect timeout at most. Until then it certainly has not run.
+        record.pending.insert(attempt);
+        let wait = self.deployment.bounds.connect.min(timeout);
+        self.set_timer(now + wait, TimerKind::Attempt(attempt));
         self.connect_nodes();
     }
 
-    /// Its node is forgotten, or its request has ended: the attempt is not sent. The scheduler knows of the
-    /// request's end before it starts an attempt, since it takes all events of a batch first.
+    /// Reports an attempt as not sent, because its node is forgotten or its request has ended. The scheduler
+    /// learns of a request's end before it starts attempts, since it handles all events of a batch first.
     fn attempt_not_started(&mut self, id: RequestId, attempt: u32, node: NodeId) {
         let finished = self.requests.get(id).is_none();
         self.events.push(Event::AttemptEnded(AttemptEnd {
@@ -81,64 +83,55 @@
     /// Sends an attempt over its node's connection.
     pub(super) fn send_attempt(&mut self, attempt: AttemptId) {
         let now = self.now;
-        let Some(out) = self.requests.attempt(attempt) else {
+        let Some(in_flight) = self.requests.attempt(attempt) else {
             return;
         };
-        let (request, node, number, left) = (out.request, out.node, out.number, out.ends - now);
-        // It may have waited for the connection, and its node began to drain meanwhile.
-        let ready = self
-            .nodes
-            .get(node)
-            .filter(|n| n.state == EndpointState::Ready && !n.barred);
-        let link = ready.and_then(|n| n.connection.up());
-        let Some((link, open)) = link
-            .zip(self.requests.get(request))
-            .filter(|_| left > Span::ZERO)
-        else {
+        let request = in_flight.request;
+        let node = in_flight.node;
+        let number = in_flight.number;
+        let left = in_flight.timeout_at - now;
+        // It may have waited for the connection while its node began to drain.
+        let link = self.ready_connection(node);
+        let open = self.requests.get(request);
+        let Some((link, open)) = link.zip(open).filter(|_| left > Span::ZERO) else {
             return self.attempt_ended(attempt, AttemptOutcome::NotSent);
         };
-        let submit = &open.submit;
-        let frame = Attempt {
-            attempt: attempt.0,
-            request_class: submit.request_class.clone(),
-            volume: submit.volume.clone(),
-            units: submit.units,
-            write: open.write,
-            handle: submit.handle,
-            mark: submit.mark.clone(),
-            repeat: submit.repeat,
-            number,
-            time_out_us: left.micros(),
-        };
-        let frame = Frame::from(frame).with_body(open.body.clone());
-        let ends = now + left;
-        if let Some(out) = self.requests.attempt(attempt) {
-            out.sent = Some(now);
+        let frame = attempt_frame(attempt, open, number, left);
+        let timeout_at = now + left;
+        if let Some(in_flight) = self.requests.attempt(attempt) {
+            in_flight.sent_at = Some(now);
         }
         let zone = self.node_zone(node);
         self.count_attempt(zone, request, number, frame.len());
-        self.send_by(link, frame, Some(ends));
-        self.at(ends, TimerKind::Attempt(attempt));
+        self.send_by(link, frame, Some(timeout_at));
+        self.set_timer(timeout_at, TimerKind::Attempt(attempt));
     }
 
-    /// Reports to the scheduler how an attempt ended; once for each attempt.
+    /// The connection to a node that attempts may be sent to.
+    fn ready_connection(&mut self, node: NodeId) -> Option<LinkId> {
+        let record = self.nodes.get(node)?;
+        let ready = record.state == EndpointState::Ready && !record.offline_or_unknown;
+        record.connection.up().filter(|_| ready)
+    }
+
+    /// Reports to the scheduler how an attempt ended, once for each attempt.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, report: impl Into<AttemptReport>) {
         let report: AttemptReport = report.into();
-        let Some(out) = self.requests.attempt_ended(attempt) else {
+        let Some(ended) = self.requests.attempt_ended(attempt) else {
             return;
         };
-        if let Some(n) = self.nodes.get(out.node) {
-            n.pending.remove(&attempt);
+        if let Some(node) = self.nodes.get(ended.node) {
+            node.pending.remove(&attempt);
         }
         let succeeded = report.outcome == AttemptOutcome::Succeeded;
-        let finished = succeeded || self.requests.get(out.request).is_none();
-        let zone = self.node_zone(out.node);
+        let finished = succeeded || self.requests.get(ended.request).is_none();
+        let zone = self.node_zone(ended.node);
         self.events.push(Event::AttemptEnded(AttemptEnd {
-            id: out.request,
-            attempt: out.number,
-            node: out.node,
+            id: ended.request,
+            attempt: ended.number,
+            node: ended.node,
             outcome: report.outcome,
-            latency: self.now - out.sent.unwrap_or(out.made),
+            latency: self.now - ended.sent_at.unwrap_or(ended.started_at),
             finished,
             used: report.used,
             zone,
@@ -148,24 +141,24 @@
 
     /// The timer of an attempt: for its connection, or for its answer.
     pub(super) fn on_attempt_deadline(&mut self, attempt: AttemptId) {
-        let Some(out) = self.requests.attempt(attempt) else {
+        let Some(in_flight) = self.requests.attempt(attempt) else {
             return;
         };
-        match out.sent {
+        match in_flight.sent_at {
             None => self.attempt_ended(attempt, AttemptOutcome::Unreachable),
-            Some(_) if out.ends <= self.now => {
-                let node = out.node;
+            Some(_) if in_flight.timeout_at <= self.now => {
+                let node = in_flight.node;
                 self.attempt_ended(attempt, AttemptOutcome::TimedOut);
-                if let Some(link) = self.nodes.get(node).and_then(|n| n.connection.up()) {
+                if let Some(link) = self.node_connection(node) {
                     self.send(link, Frame::from(Cancel { attempt: attempt.0 }));
                 }
             }
-            // The timer of its wait for the connection, which came in time.
+            // The timer of its wait for the connection, which was established before the timer fired.
             Some(_) => {}
         }
     }
 
-    /// A node's answer to an attempt. `bytes`: of the whole frame.
+    /// Handles a node's answer to an attempt. `bytes`: length of the whole frame.
     pub(super) fn attempt_answer(
         &mut self,
         node: NodeId,
@@ -175,21 +168,19 @@
     ) {
         let attempt = AttemptId(answer.attempt);
         self.count_attempt_answer(node, &answer, bytes);
-        // Late, or another node's: nothing waits for it here.
-        let Some(out) = self
-            .requests
-            .attempt(attempt)
-            .filter(|o| o.node == node && o.sent.is_some())
-        else {
+        // The answer is late, or another node's.
+        let in_flight = self.requests.attempt(attempt);
+        let answered = in_flight.filter(|out| out.node == node && out.sent_at.is_some());
+        let Some(answered) = answered else {
             self.counts.late_node_answers += 1;
             debug!(
                 attempt = answer.attempt,
                 node = node.0,
-                "late answer of a node: discarded"
+                "node answer discarded: attempt already ended"
             );
             return;
         };
-        let request = out.request;
+        let request = answered.request;
         let used = answer
             .used_plus_one
             .checked_sub(1)
@@ -197,40 +188,37 @@
         let outcome = match AttemptResult::try_from(answer.result) {
             Ok(AttemptResult::Succeeded) => AttemptOutcome::Succeeded,
             Ok(AttemptResult::Rejected) => AttemptOutcome::Rejected,
-            // A result of a newer version: it may have run.
+            // A result of a newer version may mean that it ran.
             Ok(AttemptResult::Failed | AttemptResult::Unknown) | Err(_) => AttemptOutcome::Failed,
         };
         if outcome == AttemptOutcome::Succeeded {
             self.request_succeeded(request, &answer, body);
         } else if !answer.reason.is_empty() {
             debug!(
+                request = request.0,
                 attempt = answer.attempt,
                 node = node.0,
                 reason = answer.reason,
-                "leg not done"
+                "attempt failed"
             );
         }
-        self.attempt_ended(
-            attempt,
-            AttemptReport {
-                outcome,
-                used,
-                answer_bytes: bytes,
-            },
-        );
+        let report = AttemptReport {
+            outcome,
+            used,
+            answer_bytes: bytes,
+        };
+        self.attempt_ended(attempt, report);
     }
 
     fn count_attempt_answer(&mut self, node: NodeId, answer: &AttemptAnswer, bytes: usize) {
         let zone = self.node_zone(node);
-        let out = self
-            .requests
-            .attempt(AttemptId(answer.attempt))
-            .filter(|o| o.node == node);
-        let attempt = out.map(|o| AnsweredAttempt {
-            request: o.request,
-            number: o.number,
+        let in_flight = self.requests.attempt(AttemptId(answer.attempt));
+        let answered = in_flight.filter(|in_flight| in_flight.node == node);
+        let attempt = answered.map(|answered| AnsweredAttempt {
+            request: answered.request,
+            number: answered.number,
         });
-        let awaited = attempt.is_some_and(|a| self.requests.get(a.request).is_some());
+        let awaited = attempt.is_some_and(|attempt| self.requests.get(attempt.request).is_some());
         let used = awaited && answer.result == AttemptResult::Succeeded as i32;
         self.count_answer(zone, attempt, bytes, used);
     }
@@ -242,8 +230,8 @@
         body: bytes::Bytes,
     ) {
         let open = self.requests.get(request);
-        let handle = answer.handle.or(open.and_then(|o| o.submit.handle));
-        let units = open.map_or(0.0, |o| o.submit.units);
+        let handle = answer.handle.or(open.and_then(|open| open.submit.handle));
+        let units = open.map_or(0.0, |open| open.submit.units);
         self.record_served(units);
         let answer = FinalAnswer {
             handle,
@@ -254,6 +242,30 @@
     }
 
     fn node_zone(&mut self, node: NodeId) -> ZoneId {
-        self.nodes.get(node).map_or(ZoneId::default(), |n| n.zone)
+        self.nodes
+            .get(node)
+            .map_or(ZoneId::default(), |node| node.zone)
+    }
+
+    fn node_connection(&mut self, node: NodeId) -> Option<LinkId> {
+        self.nodes.get(node)?.connection.up()
     }
 }
+
+/// The frame that carries an attempt to its node.
+fn attempt_frame(attempt: AttemptId, open: &OpenRequest, number: u32, timeout: Span) -> Frame {
+    let submit = &open.submit;
+    let message = Attempt {
+        attempt: attempt.0,
+        request_class: submit.request_class.clone(),
+        volume: submit.volume.clone(),
+        units: submit.units,
+        write: open.write,
+        handle: submit.handle,
+        mark: submit.mark.clone(),
+        repeat: submit.repeat,
+        number,
+        time_out_us: timeout.micros(),
+    };
+    Frame::from(message).with_body(open.body.clone())
+}
--- a/crates/host/src/core/clock.rs
+++ b/crates/host/src/core/clock.rs
@@ -6,12 +6,13 @@
 
 use gullsail_scheduler_api::{Instant, Span};
 
-/// How much faster or slower than ours a sound clock may run: quartz is ten times better, and a clock being
-/// slewed by its machine may reach it.
-const DRIFT: f64 = 500e-6;
+/// How much faster or slower than ours a correct clock may run: 500 ppm. Quartz is ten times better; a clock that
+/// its server slews may reach this. If it is too small, the truth may lie outside the bounds; if it is too
+/// large, the bounds widen needlessly between two queries.
+const MAX_DRIFT: f64 = 500e-6;
 /// Readings are rounded down to whole microseconds, on both sides.
 const ROUNDING: Span = Span::from_micros(2);
-/// Answers that took longer are not used: they narrow nothing.
+/// Replies that took longer than 1 s are not used: they would hardly narrow the bounds.
 const MAX_ROUND_TRIP: Span = Span::from_micros(1_000_000);
 
 /// How far a peer's clock is ahead of ours.
@@ -35,7 +36,7 @@
     known: Option<Measurement>,
 }
 
-/// What an answer brought.
+/// What a reply said of the clock.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Learned {
     /// It took too long.
@@ -44,12 +45,12 @@
     First,
     /// Narrower bounds.
     Narrowed,
-    /// It contradicts what was known: the peer's clock was set.
+    /// It contradicts the earlier bounds: the peer's clock was set.
     Stepped,
 }
 
 impl PeerClock {
-    /// Takes in the answer to one query.
+    /// Takes in the reply to one query.
     pub fn learn(
         &mut self,
         queried_at: Instant,
@@ -60,7 +61,7 @@
             return Learned::Nothing;
         }
         // By the time of the answer's arrival the peer's clock may have drifted since the reading.
-        let uncertainty = (answered_at - queried_at).times(DRIFT) + ROUNDING;
+        let uncertainty = (answered_at - queried_at).times(MAX_DRIFT) + ROUNDING;
         let measured = ClockOffset {
             least: reading - answered_at - uncertainty,
             most: reading - queried_at + uncertainty,
@@ -92,7 +93,7 @@
     /// The bounds by now, wider by what both clocks may have drifted; `None`: nothing is known yet.
     pub fn bounds(&self, now: Instant) -> Option<ClockOffset> {
         let Measurement { offset, at } = self.known?;
-        let drift = (now - at).max(Span::ZERO).times(DRIFT);
+        let drift = (now - at).max(Span::ZERO).times(MAX_DRIFT);
         Some(ClockOffset {
             least: offset.least - drift,
             most: offset.most + drift,
@@ -106,7 +107,7 @@
         self.bounds(now).map(|offset| Span::ZERO - offset.most)
     }
 
-    /// Whether it is certainly further from ours than that.
+    /// Whether it is certainly further from ours than `apart`.
     pub fn too_far(&self, now: Instant, apart: Span) -> bool {
         self.bounds(now)
             .is_some_and(|offset| offset.least > apart || offset.most < Span::ZERO - apart)
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -1,15 +1,15 @@
-//! Another configuration while serving: applied as a whole between two steps, or refused as a whole with the
-//! reasons. What it means for limits meanwhile is decided by
-//! [`gullsail_config_transition::ConfigTransition`].
+//! Changing the configuration while serving. A proposed configuration is applied as a whole between two steps,
+//! or rejected as a whole with the reasons. [`gullsail_config_transition::ConfigTransition`] decides which
+//! limits hold until all hosts have it.
 
 use super::Core;
 use super::input_output::{Output, RequesterId};
 use super::timers::TimerKind;
-use gullsail_config_transition::{NoticeEffect, Revision, RevisionNotice};
+use gullsail_config_transition::{ConfigTransition, NoticeEffect, Revision, RevisionNotice};
 use gullsail_configuration::Deployment;
 use gullsail_configuration::diff::{Change, Class};
 use gullsail_protocol::{Frame, Reached};
-use gullsail_scheduler_api::{Event, HostId, UpdateKind};
+use gullsail_scheduler_api::{Event, HostId, Instant, UpdateKind};
 use std::sync::Arc;
 use tracing::{info, warn};
 
@@ -18,14 +18,14 @@
 pub struct Proposal {
     /// Who waits for the outcome.
     pub requester: RequesterId,
-    /// What it was compared with. Whoever proposes holds both until the outcome is known: the last reference
-    /// to a large configuration is dropped there, and not in the loop.
+    /// The configuration it was compared with. The proposer holds both until the outcome is known, so that the
+    /// last reference to a large configuration is dropped there and does not delay the loop.
     pub from: Arc<Deployment>,
     /// The proposed configuration.
     pub to: Arc<Deployment>,
     /// What differs between them.
     pub changes: Vec<Change>,
-    /// Apply dangerous changes too, where they can be made while serving.
+    /// Apply dangerous changes too, if they can be made while serving.
     pub insist: bool,
 }
 
@@ -37,75 +37,102 @@
         /// The revision that is served by now.
         revision: Revision,
     },
-    /// It is refused: a line for each reason. Nothing has changed.
+    /// It is rejected, with one line for each reason. Nothing has changed.
     TurnedDown(Vec<String>),
 }
 
-/// The changes that can't be made now, each with its reason.
+/// The changes that cannot be made now, each with its reason.
 fn refusals(changes: &[Change], insist: bool) -> Vec<String> {
     let refused = changes
         .iter()
-        .filter(|c| !c.while_serving || (c.class == Class::Dangerous && !insist));
-    let line = |c: &Change| {
-        let need = match c.class {
-            Class::Dangerous if c.while_serving => "dangerous, and not insisted on",
-            Class::Dangerous => "dangerous, and not to be made while serving",
+        .filter(|change| !change.while_serving || (change.class == Class::Dangerous && !insist));
+    let line = |change: &Change| {
+        let need = match change.class {
+            Class::Dangerous if change.while_serving => "dangerous, and not insisted on",
+            Class::Dangerous => "dangerous, and not possible while serving",
             _ => "needs a restart",
         };
         format!(
             "{} {}: {} -> {}: {need}: {}",
-            c.of, c.what, c.from, c.to, c.why
+            change.of, change.what, change.from, change.to, change.why
         )
     };
     refused.map(line).collect()
 }
 
+/// The transition from one configuration to the next over all hosts.
+pub(super) struct ConfigChangeState {
+    pub(super) transition: ConfigTransition,
+    /// When peers are sent revision notices next; `None`: nothing is due.
+    pub(super) next_round: Option<Instant>,
+}
+
+impl ConfigChangeState {
+    pub(super) fn new(host: HostId, deployment: &Deployment, now: Instant) -> ConfigChangeState {
+        let host_count = deployment.hosts.len() as u32;
+        ConfigChangeState {
+            transition: ConfigTransition::new(host, host_count, deployment.line.clone(), now),
+            next_round: None,
+        }
+    }
+
+    /// When the next round of revision notices is due, if a timer must be set for it: none is set, or one that
+    /// is later.
+    fn round_without_timer(&self) -> Option<Instant> {
+        let due = self.transition.next()?;
+        let covered = self.next_round.is_some_and(|set| set <= due);
+        (!covered).then_some(due)
+    }
+}
+
 impl Core {
-    /// Applies a proposal or refuses it, and reports the outcome.
-    pub(super) fn propose(&mut self, p: Proposal) {
-        let outcome = match self.apply_proposal(&p) {
+    /// Applies a proposal or rejects it, and reports the outcome.
+    pub(super) fn propose(&mut self, proposal: Proposal) {
+        let outcome = match self.apply_proposal(&proposal) {
             Ok(()) => ProposalOutcome::Taken {
-                revision: self.config_transition.revision(),
+                revision: self.config_change.transition.revision(),
             },
-            Err(why) => ProposalOutcome::TurnedDown(why),
+            Err(reasons) => ProposalOutcome::TurnedDown(reasons),
         };
         match &outcome {
             ProposalOutcome::Taken { .. } => self.counts.documents_taken += 1,
             ProposalOutcome::TurnedDown(_) => self.counts.documents_turned_down += 1,
         }
         info!(
-            revision = self.config_transition.revision().0,
-            reply = ?outcome,
-            changes = p.changes.len(),
-            "another document"
+            revision = self.config_change.transition.revision().0,
+            outcome = ?outcome,
+            changes = proposal.changes.len(),
+            "configuration proposal decided"
         );
         self.outputs.push(Output::ProposalDecided {
-            requester: p.requester,
+            requester: proposal.requester,
             outcome,
         });
     }
 
-    fn apply_proposal(&mut self, p: &Proposal) -> Result<(), Vec<String>> {
-        if self.stopping {
+    fn apply_proposal(&mut self, proposal: &Proposal) -> Result<(), Vec<String>> {
+        if self.shutdown.requested {
             return Err(vec!["this host is leaving".into()]);
         }
-        if !Arc::ptr_eq(&p.from, &self.deployment) {
+        if !Arc::ptr_eq(&proposal.from, &self.deployment) {
             return Err(vec![
-                "another document was taken meanwhile: ask again".into(),
+                "another configuration was applied meanwhile: try again".into(),
             ]);
         }
-        let refusals = refusals(&p.changes, p.insist);
+        let refusals = refusals(&proposal.changes, proposal.insist);
         if !refusals.is_empty() {
             return Err(refusals);
         }
-        self.config_transition
-            .go_on(p.to.line.clone(), self.now)
-            .map_err(|e| vec![e.to_string()])?;
-        let old = std::mem::replace(&mut self.deployment, p.to.clone());
-        self.config_transition
+        self.config_change
+            .transition
+            .go_on(proposal.to.line.clone(), self.now)
+            .map_err(|error| vec![error.to_string()])?;
+        let old = std::mem::replace(&mut self.deployment, proposal.to.clone());
+        self.config_change
+            .transition
             .joined(self.deployment.hosts.len() as u32);
         self.update_fleet_config();
-        // Positions of plans may differ now, so the plans are reported even if no allocation changes.
+        // The positions of plans may have changed, so the plans are reported even if no allocation changed.
         self.report_config(true);
         if old.routes.pools != self.deployment.routes.pools || old.zones != self.deployment.zones {
             let entries = self.nodes.reassign_pools(&self.deployment);
@@ -120,55 +147,59 @@
 
     /// Reports changed allocations to the scheduler; with `always`, the plans even if no allocation changed.
     fn report_config(&mut self, always: bool) {
-        let allocations = self.config_transition.changed();
+        let allocations = self.config_change.transition.changed();
         if always || !allocations.is_empty() {
             let plans = self.deployment.figures().plans.clone();
-            let cross_zone_budgets = self.deployment.cross_zone_budgets_at(self.me);
+            let cross_zone_budgets = self.deployment.cross_zone_budgets_at(self.identity.host);
             self.events.push(Event::ConfigChanged {
                 plans,
                 allocations,
                 cross_zone_budgets,
-                fleet_membership: self.last_membership,
+                fleet_membership: self.fleet.last_membership,
             });
         }
     }
 
-    /// What a host starts with may already differ from its even shares.
+    /// Reports the first allocations, which may differ from an equal share of each limit.
     pub(super) fn start_config_transition(&mut self) {
         self.report_config(false);
         self.schedule_revision_round();
     }
 
-    /// Sets the timer of the next round of revision reports, if there is to be one.
+    /// Sets the timer of the next round of revision notices, if one is due earlier than the timer that is set.
     pub(super) fn schedule_revision_round(&mut self) {
-        let Some(at) = self
-            .config_transition
-            .next()
-            .filter(|at| self.next_revision_round.is_none_or(|set| *at < set))
-        else {
+        let Some(at) = self.config_change.round_without_timer() else {
             return;
         };
-        self.next_revision_round = Some(at);
-        self.at(at, TimerKind::RevisionRound);
+        self.config_change.next_round = Some(at);
+        self.set_timer(at, TimerKind::RevisionRound);
     }
 
-    /// Sends the reports that are due to peers.
+    /// Sends the revision notices that are due to peers.
     pub(super) fn revision_round(&mut self) {
-        if self.next_revision_round.is_some_and(|at| at <= self.now) {
-            self.next_revision_round = None;
-            for due in self.config_transition.due_notices(self.now, &mut self.rng) {
+        if self
+            .config_change
+            .next_round
+            .is_some_and(|at| at <= self.now)
+        {
+            self.config_change.next_round = None;
+            for due in self
+                .config_change
+                .transition
+                .due_notices(self.now, &mut self.rng)
+            {
                 self.send_revision(due.to, due.notice);
             }
         }
         self.schedule_revision_round();
     }
 
-    fn send_revision(&mut self, to: HostId, report: RevisionNotice) {
+    fn send_revision(&mut self, to: HostId, notice: RevisionNotice) {
         let RevisionNotice {
             held,
             revision,
             hosts,
-        } = report;
+        } = notice;
         self.send_to_peer(
             to,
             Frame::from(Reached {
@@ -180,46 +211,46 @@
     }
 
     /// A peer reports which revisions hosts hold.
-    pub(super) fn peer_revision(&mut self, from: HostId, r: Reached) {
-        let report = RevisionNotice {
-            held: Revision(r.held),
-            revision: Revision(r.revision),
-            hosts: r.hosts,
+    pub(super) fn peer_revision(&mut self, from: HostId, reached: Reached) {
+        let notice = RevisionNotice {
+            held: Revision(reached.held),
+            revision: Revision(reached.revision),
+            hosts: reached.hosts,
         };
         let outcome = self
-            .config_transition
-            .handle_notice(from, &report, self.now);
+            .config_change
+            .transition
+            .handle_notice(from, &notice, self.now);
         match outcome.effect {
             NoticeEffect::Nothing => {}
             NoticeEffect::News => self.report_config(false),
             NoticeEffect::WentBack { from: before, to } => {
-                let peer = from.0;
                 warn!(
-                    peer,
-                    before = before.0,
-                    now = to.0,
-                    "a host went back to an older document"
+                    peer = from.0,
+                    previous_revision = before.0,
+                    revision = to.0,
+                    "peer reverted to an older configuration revision: limits may be exceeded"
                 );
             }
         }
-        if let Some(report) = outcome.reply {
-            self.send_revision(from, report);
+        if let Some(notice) = outcome.reply {
+            self.send_revision(from, notice);
         }
         self.schedule_revision_round();
     }
 
     /// Which host this is.
     pub fn me(&self) -> HostId {
-        self.me
+        self.identity.host
     }
 
-    /// The configuration that is served by.
+    /// The configuration that this host serves by.
     pub fn deployment(&self) -> &Arc<Deployment> {
         &self.deployment
     }
 
     /// Hosts that are not known to hold the current revision.
     pub fn hosts_behind(&self) -> Vec<HostId> {
-        self.config_transition.missing().collect()
+        self.config_change.transition.missing().collect()
     }
 }
--- a/crates/host/src/core/counters.rs
+++ b/crates/host/src/core/counters.rs
@@ -1,18 +1,23 @@
-//! What a host counts since its start, for its operators: nothing is decided by these figures.
+//! What a host counts from its start on, for its operators. Nothing is decided by these figures.
 
 use super::Core;
 use gullsail_scheduler_api::Span;
 use tracing::warn;
 
+/// A step of the loop that takes longer counts as long: 10 ms, in microseconds. A larger value hides steps that
+/// delay answers; with a smaller one, a busy machine's ordinary delays count too.
+const LONG_STEP_US: u64 = 10_000;
+
 /// What was counted since the start.
 ///
-/// Read from another version, what that version does not count is 0.
+/// A counter that another version does not have is 0 when its counters are read here. The struct has more than
+/// twelve fields because it is one flat JSON object of the control socket.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Counts {
     /// Requests that were accepted from clients.
     pub taken: u64,
-    /// Requests that were refused before anything was decided.
+    /// Requests that were not accepted: invalid, or received during the shutdown. The scheduler did not see them.
     pub not_taken: u64,
     /// Requests that succeeded.
     pub done: u64,
@@ -27,44 +32,52 @@
     /// Attempts, sent or not.
     #[serde(rename = "legs")]
     pub attempts: u64,
-    /// Answers of nodes to attempts that had ended already.
+    /// Node answers that were discarded since their attempt had ended.
     pub late_node_answers: u64,
     /// Connections that ended.
-    pub links_broken: u64,
+    #[serde(rename = "links_broken")]
+    pub connections_closed: u64,
     /// Demand reports sent to peers.
     #[serde(rename = "labels_sent")]
     pub demand_reports_sent: u64,
     /// Demand reports handed to the scheduler.
     #[serde(rename = "labels_heard")]
     pub demand_reports_received: u64,
-    /// Demand reports that were not handed on: the sender's clock is not known yet, or too far off.
+    /// Demand reports that were dropped: the sender's clock is too far off, or too many waited for it.
     #[serde(rename = "labels_dropped")]
     pub demand_reports_dropped: u64,
-    /// Nodes that reconnected as another process.
+    /// Times that a node reconnected as another process.
     pub nodes_restarted: u64,
-    /// Nodes that connected first, or reconnected as the same process.
+    /// Times that a node connected for the first time, or reconnected as the same process.
     pub nodes_met_again: u64,
-    /// Times that the endpoint list could not be reached.
-    pub list_lost: u64,
-    /// Connections that were refused, since there were as many as there may be.
-    pub links_refused: u64,
-    /// Times that clients had to wait, since the host held all it may.
-    pub held_back: u64,
-    /// The longest time that the loop worked between two waits.
+    /// Times that the endpoint list became unavailable.
+    #[serde(rename = "list_lost")]
+    pub endpoint_list_losses: u64,
+    /// Incoming connections that were refused: the limit was reached, or the host was shutting down.
+    #[serde(rename = "links_refused")]
+    pub connections_refused: u64,
+    /// Times that the host stopped reading from all clients, since it held as much as it may.
+    #[serde(rename = "held_back")]
+    pub back_pressure_events: u64,
+    /// The longest time that the loop worked between two waits, in microseconds.
     pub longest_step_us: u64,
     /// Steps of the loop that took more than ten milliseconds.
     pub long_steps: u64,
-    /// Times that the process stood still.
-    pub stood_still: u64,
-    /// The longest time that the process stood still.
-    pub longest_still_us: u64,
-    /// Requests whose timeout was shortened by the time they may have waited while the process stood still.
-    pub aged: u64,
-    /// Answers that were not sent, since their client no longer waited.
-    pub answers_withheld: u64,
+    /// Times that the process was stalled.
+    #[serde(rename = "stood_still")]
+    pub stalls: u64,
+    /// The longest stall of the process, in microseconds.
+    #[serde(rename = "longest_still_us")]
+    pub longest_stall_us: u64,
+    /// Requests whose timeout was shortened by the time they may have waited during a stall.
+    #[serde(rename = "aged")]
+    pub timeouts_shortened: u64,
+    /// Final answers that were not sent, since the client's deadline had passed.
+    #[serde(rename = "answers_withheld")]
+    pub late_answers_dropped: u64,
     /// Configurations that were applied.
     pub documents_taken: u64,
-    /// Configurations that were refused.
+    /// Configurations that were rejected.
     pub documents_turned_down: u64,
     /// The most requests that were open at once.
     pub most_open: u64,
@@ -84,20 +97,23 @@
 }
 
 impl Core {
-    /// Records how long the loop around this worked between two waits.
+    /// Records how long the caller's loop worked between two waits.
     pub fn worked(&mut self, span: Span) {
         let us = span.micros().max(0) as u64;
         self.counts.longest_step_us = self.counts.longest_step_us.max(us);
-        self.counts.long_steps += u64::from(us > 10_000);
+        self.counts.long_steps += u64::from(us > LONG_STEP_US);
     }
 
-    /// Records that the process stood still for so long.
-    pub fn stood_still(&mut self, span: Span) {
-        warn!(ms = span.millis(), "this process stood still");
-        self.counts.stood_still += 1;
-        self.counts.longest_still_us = self
+    /// Records a stall of the process and how long it lasted.
+    pub fn stalled(&mut self, span: Span) {
+        warn!(
+            stalled_ms = span.millis(),
+            "process stalled: request timeouts are shortened, leases may have expired"
+        );
+        self.counts.stalls += 1;
+        self.counts.longest_stall_us = self
             .counts
-            .longest_still_us
+            .longest_stall_us
             .max(span.micros().max(0) as u64);
     }
 
@@ -111,7 +127,7 @@
         HeldLoad {
             open_requests: self.requests.open(),
             attempts_out: self.requests.attempts_out(),
-            bytes: self.requests.held() + self.unsent,
+            bytes: self.requests.held() + self.connections.unsent_bytes,
         }
     }
 }
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -1,51 +1,63 @@
 //! The connection to the endpoint list, and its updates on their way to the scheduler.
 
 use super::Core;
-use super::connection_table::{FIRST_FRAME_CONNECT_TIMES, PeerKind};
+use super::connection_table::{HANDSHAKE_TIMEOUT_FACTOR, PeerKind};
 use super::input_output::LinkId;
 use super::reconnect::ConnectionState;
+use super::reconnect::OutboundConnection;
 use gullsail_protocol::{EndpointListQuery, EndpointListUpdate, Frame, Hello, Role};
 use gullsail_scheduler_api::{Event, UpdateKind};
 use tracing::{debug, warn};
 
+/// The connection to the endpoint list service.
+#[derive(Debug, Default)]
+pub(super) struct EndpointListState {
+    pub(super) connection: OutboundConnection,
+    /// A query was sent on the connection and has no reply yet.
+    pub(super) query_outstanding: bool,
+}
+
 impl Core {
-    /// Queries the list, once its connection is up; opens the connection where there is none.
+    /// Queries the endpoint list once its connection is up. Opens the connection if there is none.
     pub(super) fn connect_endpoint_list(&mut self) {
-        if let Some(link) = self.endpoint_list.up() {
-            if !self.poll_endpoints {
-                self.poll_endpoints = true;
+        if let Some(link) = self.endpoint_list.connection.up() {
+            if !self.endpoint_list.query_outstanding {
+                self.endpoint_list.query_outstanding = true;
                 self.send(link, Frame::from(EndpointListQuery { watch: true }));
-                self.expect_response(link, FIRST_FRAME_CONNECT_TIMES);
+                self.expect_response(link, HANDSHAKE_TIMEOUT_FACTOR);
             }
-        } else if self.endpoint_list.link().is_none() {
+        } else if self.endpoint_list.connection.link().is_none() {
             let address = self.deployment.list.address.clone();
             let link = self.connect(PeerKind::EndpointList, address);
-            self.endpoint_list.state = ConnectionState::Connecting(link);
+            self.endpoint_list.connection.state = ConnectionState::Connecting(link);
         }
     }
 
     pub(super) fn endpoint_list_hello(&mut self, id: LinkId, hello: &Hello) {
         if hello.role != Role::List as i32 {
-            return self.close_link(id, "no node list answers at its address");
+            return self.close_connection(id, "not an endpoint list");
         }
-        self.endpoint_list.is_up(id);
-        self.response_received(id);
+        self.endpoint_list.connection.is_up(id);
+        self.connections.response_received(id);
         self.connect_endpoint_list();
     }
 
-    pub(super) fn endpoint_list_lost(&mut self, why: &str) {
-        warn!(why, "node list out of reach");
-        self.counts.list_lost += 1;
+    pub(super) fn endpoint_list_lost(&mut self, reason: &str) {
+        warn!(
+            reason,
+            "endpoint list unavailable: the last known endpoints stay in use"
+        );
+        self.counts.endpoint_list_losses += 1;
         self.events.push(Event::EndpointListLost);
     }
 
     pub(super) fn endpoint_list_update(&mut self, update: EndpointListUpdate) {
-        self.poll_endpoints = false;
+        self.endpoint_list.query_outstanding = false;
         debug!(
             version = update.version,
-            whole = update.whole,
-            entries = update.entries.len(),
-            "node list"
+            snapshot = update.whole,
+            endpoints = update.entries.len(),
+            "endpoint list update received"
         );
         let entries = self
             .nodes
@@ -54,7 +66,7 @@
             warn!(
                 shard = shard.0,
                 nodes = names.join(" "),
-                "the list names two ready nodes with one cell"
+                "two ready nodes hold one shard: reads of it may go to either"
             );
         }
         let update_kind = if update.whole {
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -1,6 +1,5 @@
-//! This host's part in the fleet: its messages go to and from `gullsail-fleet` over the connections between
-//! hosts, the demand on each budget is reported there, and the shares that come back become allocations for
-//! the scheduler.
+//! This host as a member of the fleet. It passes messages between `gullsail-fleet` and the connections to peers
+//! and reports the demand on each budget. The shares that come back become allocations for the scheduler.
 
 use super::Core;
 use super::timers::TimerKind;
@@ -11,21 +10,27 @@
 use gullsail_fleet::{Fleet, Status, WHOLE};
 use gullsail_protocol::{FleetMessage, Frame};
 use gullsail_scheduler_api::{
-    BudgetScope, Event, FleetMembership, HostId, Instant, NodeId, PlanId, Span, VolumeId, ZoneId,
+    BudgetScope, Event, FleetMembership, HostId, Instant, NodeId, PlanId, Span, VolumeAllocation,
+    VolumeId, ZoneId,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tracing::{Level, debug, enabled};
 
-/// The slow-start budget, among the budgets: numbers of volumes are shorter.
+/// Id of the slow-start budget. Ids of volumes are shorter, so these three never meet one.
 pub(super) const SLOW_START_BUDGET: VolumeId = VolumeId(u64::MAX);
-/// New connections to nodes, a second to each.
+/// Id of the budget of new connections to nodes, per second and node.
 pub(super) const CONNECT_BUDGET: VolumeId = VolumeId(u64::MAX - 1);
-/// Attempts to nodes that do not answer, a second to each.
+/// Id of the budget of attempts to nodes that do not answer, per second and node.
 pub(super) const PROBE_BUDGET: VolumeId = VolumeId(u64::MAX - 2);
-/// At the latest after so long, also where a host has next to no share: so that no node is left out for good.
-const LONGEST_INTERVAL: Span = Span::from_micros(60_000_000);
+/// The longest interval between two operations of one kind: 60 s. A host with almost no share still tries each
+/// node this often, so that no node is left out forever. A smaller value exceeds the fleet's rate with many
+/// such hosts; with a larger one such a host finds a recovered node later.
+const MAX_PACING_INTERVAL: Span = Span::from_micros(60_000_000);
+/// Shortest time between two fleet timers: 1 ms, in microseconds. It keeps a fleet that is due at once from
+/// waking the host in a tight loop.
+const MIN_FLEET_TIMER_US: i64 = 1000;
 
 /// The fleet as this host sees it, with names.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -35,7 +40,7 @@
     pub name: String,
     /// How long a lease lasts, in milliseconds.
     pub lease_ms: f64,
-    /// Names of hosts, by their numbers in `status`.
+    /// Names of hosts, indexed by their numbers in `status`.
     pub hosts: Vec<String>,
     /// Names of budgets, by their numbers in `status`.
     pub budgets: Vec<(u64, String)>,
@@ -43,23 +48,52 @@
     pub status: Status,
 }
 
+/// This host's membership in the fleet, and what it last told the scheduler and the log about it.
+pub(super) struct FleetState {
+    /// This host as a member of the fleet; `None`: the configuration has no fleet.
+    pub(super) member: Option<Fleet>,
+    /// When the member has to advance next.
+    pub(super) next_turn: Option<Instant>,
+    /// Hosts that have left the fleet or use only their floors, according to the coordinator.
+    pub(super) inactive_members: BTreeSet<HostId>,
+    /// This host's share of the slow-start budget. A rise takes effect with a delay.
+    pub(super) slow_start_share: DelayedIncrease,
+    /// When the slow-start share rises next.
+    pub(super) next_slow_start_increase: Option<Instant>,
+    /// The fleet membership that the scheduler knows.
+    pub(super) last_membership: Option<FleetMembership>,
+}
+
+impl FleetState {
+    pub(super) fn new(deployment: &Deployment) -> FleetState {
+        FleetState {
+            member: None,
+            next_turn: None,
+            inactive_members: BTreeSet::new(),
+            slow_start_share: slow_start_delayed_increase(deployment),
+            next_slow_start_increase: None,
+            last_membership: None,
+        }
+    }
+}
+
 impl Core {
     pub(super) fn start_fleet(&mut self, seed: u64) {
         if let Some(fleet_config) = self.fleet_config() {
-            self.fleet = Some(Fleet::new(
+            self.fleet.member = Some(Fleet::new(
                 Arc::new(fleet_config),
-                self.me,
-                self.incarnation,
+                self.identity.host,
+                self.identity.incarnation,
                 seed,
                 self.now,
             ));
             self.apply_shares();
-            self.fleet_turn();
+            self.advance_fleet();
         }
     }
 
     pub(super) fn notify_fleet(&mut self, event: FleetEvent) {
-        if let Some(fleet) = &mut self.fleet {
+        if let Some(fleet) = &mut self.fleet.member {
             fleet.handle(self.now, event);
         }
     }
@@ -72,48 +106,50 @@
         self.notify_fleet(FleetEvent::DemandObserved { budget, units });
     }
 
-    /// An accepted request counts for its volume, for the slow-start budget, and for how often this host may
-    /// probe silent nodes: a host with more requests has more use of what it learns.
+    /// Counts an accepted request for its volume, for the slow-start budget, and for the rate at which this host
+    /// may probe silent nodes: a host with more requests benefits more from what it learns.
     pub(super) fn record_request_demand(&mut self, volume: VolumeId, units: f64) {
         self.record_demand(volume, units);
         self.record_demand(SLOW_START_BUDGET, units);
         self.record_demand(PROBE_BUDGET, units);
     }
 
-    /// What succeeded counts as served: the servers that stay must be able to do as much.
+    /// Counts units that succeeded. Maintenance leaves enough servers to serve as much.
     pub(super) fn record_served(&mut self, units: f64) {
         self.record_demand(SERVED, units);
     }
 
-    /// This host's interval between two of what all hosts together do so many times a second; zero: as often
-    /// as it likes.
-    fn interval(&self, budget: VolumeId, rate: Option<f64>) -> Span {
-        let (Some(fleet), Some(rate)) = (&self.fleet, rate) else {
+    /// The interval between operations at this host's share of a fleet-wide rate (per second). Zero: unlimited.
+    fn pacing_interval(&self, budget: VolumeId, rate: Option<f64>) -> Span {
+        let (Some(fleet), Some(rate)) = (&self.fleet.member, rate) else {
             return Span::ZERO;
         };
         let own_rate = f64::from(fleet.share(budget)) / f64::from(WHOLE) * rate;
         if own_rate > 0.0 {
-            Span::from_millis(1e3 / own_rate).min(LONGEST_INTERVAL)
+            Span::from_millis(1e3 / own_rate).min(MAX_PACING_INTERVAL)
         } else {
-            LONGEST_INTERVAL
+            MAX_PACING_INTERVAL
         }
     }
 
-    /// Whether a connection to the node may be opened now. `Err`: when to try again.
+    /// Whether a connection to the node may be opened now. `Err`: the time to try again.
     pub(super) fn may_connect(&mut self, node: NodeId) -> Result<(), Instant> {
-        let interval = self.interval(
+        let interval = self.pacing_interval(
             CONNECT_BUDGET,
-            self.deployment.fleet.as_ref().and_then(|f| f.connects),
+            self.deployment
+                .fleet
+                .as_ref()
+                .and_then(|fleet| fleet.connects),
         );
-        let Some(n) = self.nodes.get(node) else {
+        let Some(record) = self.nodes.get(node) else {
             return Ok(());
         };
-        let may = n.rate_pacer.take(interval, self.now, &mut self.rng);
+        let may = record.rate_pacer.take(interval, self.now, &mut self.rng);
         self.record_demand(CONNECT_BUDGET, 1.0);
         may
     }
 
-    /// Traffic between zones counts against its budgets.
+    /// Counts traffic between zones as demand on its budgets.
     pub(super) fn record_cross_zone_demand(
         &mut self,
         from: ZoneId,
@@ -121,16 +157,18 @@
         plan: Option<PlanId>,
         bytes: usize,
     ) {
-        if self.fleet.is_none() {
+        if self.fleet.member.is_none() {
             return;
         }
-        let d = self.deployment.clone();
-        let counts = |scope: &BudgetScope| {
+        let deployment = self.deployment.clone();
+        let is_charged = |scope: &BudgetScope| {
             *scope == BudgetScope::ZonePair(from, to)
-                || plan.is_some_and(|p| *scope == BudgetScope::Plan(p))
+                || plan.is_some_and(|plan| *scope == BudgetScope::Plan(plan))
         };
-        for c in d.cross_zone_budgets.iter().filter(|c| counts(&c.of)) {
-            self.record_demand(c.id, bytes as f64);
+        for budget in &deployment.cross_zone_budgets {
+            if is_charged(&budget.of) {
+                self.record_demand(budget.id, bytes as f64);
+            }
         }
     }
 
@@ -140,88 +178,104 @@
         }
     }
 
-    /// Lets the fleet act before anything is decided: on leases that ended, and on messages that came.
-    pub(super) fn fleet_turn(&mut self) {
-        let Some(fleet) = &mut self.fleet else { return };
+    /// Advances the fleet. This comes before the scheduler's decisions, so that they see leases that ended and
+    /// messages that arrived.
+    pub(super) fn advance_fleet(&mut self) {
+        let Some(fleet) = &mut self.fleet.member else {
+            return;
+        };
         fleet.advance(self.now);
         let outputs: Vec<_> = fleet.outputs().collect();
-        let (next, changed) = (fleet.next(), fleet.changed());
+        let next = fleet.next();
+        let changed = fleet.changed();
         for output in outputs {
             self.send_to_peer(output.to, Frame::from(output.message));
         }
-        if changed
-            || self
-                .next_slow_start_increase
-                .is_some_and(|at| at <= self.now)
-        {
+        let share_rises = self.fleet.next_slow_start_increase;
+        if changed || share_rises.is_some_and(|at| at <= self.now) {
             self.apply_shares();
         }
-        self.maintenance_turn(changed);
-        if self
-            .next_fleet_turn
-            .is_none_or(|at| at <= self.now || next < at)
-        {
-            // A timer that is replaced fires all the same, for nothing.
-            let at = next.max(self.now + Span::from_micros(1000));
-            self.next_fleet_turn = Some(at);
-            self.at(at, TimerKind::Fleet);
+        self.advance_maintenance(changed);
+        self.schedule_fleet_turn(next);
+    }
+
+    /// Sets a timer for the fleet's next turn. Timers cannot be cancelled; a replaced one fires without effect.
+    fn schedule_fleet_turn(&mut self, next: Instant) {
+        let set = self.fleet.next_turn;
+        if set.is_none_or(|at| at <= self.now || next < at) {
+            let at = next.max(self.now + Span::from_micros(MIN_FLEET_TIMER_US));
+            self.fleet.next_turn = Some(at);
+            self.set_timer(at, TimerKind::Fleet);
         }
     }
 
-    /// Reports the shares to the scheduler, ahead of all events of this step.
+    /// Passes this host's shares on to the scheduler, ahead of all other events of this step.
     fn apply_shares(&mut self) {
-        let Some(fleet) = &self.fleet else { return };
-        let d = self.deployment.clone();
-        let share = |id: VolumeId| f64::from(fleet.share(id)) / f64::from(WHOLE);
-        let ids = d
-            .volumes
-            .iter()
-            .map(|v| v.id)
-            .chain(d.cross_zone_budgets.iter().map(|c| c.id));
-        let shares: BTreeMap<VolumeId, f64> = ids.map(|id| (id, share(id))).collect();
+        let Some(fleet) = &self.fleet.member else {
+            return;
+        };
+        let shares = self.budget_shares(fleet);
         let slow_start_share = fleet.share(SLOW_START_BUDGET);
-        let offline: BTreeSet<HostId> = fleet.out().collect();
-        let was_offline = std::mem::replace(&mut self.hosts_offline, offline.clone());
+        let inactive: BTreeSet<HostId> = fleet.out().collect();
+        let was_inactive = std::mem::replace(&mut self.fleet.inactive_members, inactive.clone());
         self.log_shares();
-        self.config_transition.settle(shares, offline);
-        let allocations = self.config_transition.changed();
-        let (slow_start_share, next_increase) =
-            self.slow_start_share.hold(slow_start_share, self.now);
-        self.next_slow_start_increase = next_increase;
-        if let Some(at) = next_increase {
-            self.at(at, TimerKind::Fleet);
-        }
-        let fleet_membership = self.fleet_membership(slow_start_share);
-        if !allocations.is_empty() || self.last_membership != Some(fleet_membership) {
-            self.last_membership = Some(fleet_membership);
-            let plans = d.figures().plans.clone();
-            let event = Event::ConfigChanged {
-                plans,
-                allocations,
-                cross_zone_budgets: d.cross_zone_budgets_at(self.me),
-                fleet_membership: Some(fleet_membership),
-            };
-            // After configurations that came in the same step, before all else.
-            self.insert_after_last(event, |e| matches!(e, Event::ConfigChanged { .. }));
-        }
-        if was_offline != self.hosts_offline {
-            // Floors of hosts that may hold an older configuration differ now.
+        self.config_change.transition.settle(shares, inactive);
+        let allocations = self.config_change.transition.changed();
+        let slow_start_share = self.hold_slow_start_share(slow_start_share);
+        self.report_allocations(allocations, slow_start_share);
+        if was_inactive != self.fleet.inactive_members {
+            // The floors of hosts that may hold an older configuration have changed.
             self.update_fleet_config();
             self.schedule_revision_round();
         }
     }
 
-    /// Inserts an event behind the last of those that must come first, ahead of all others of this step.
-    pub(super) fn insert_after_last(&mut self, event: Event, comes_first: impl Fn(&Event) -> bool) {
-        let last = self.events.iter().rposition(comes_first);
-        self.events.insert(last.map_or(0, |place| place + 1), event);
+    /// This host's share of each volume and of each cross-zone budget, as a fraction.
+    fn budget_shares(&self, fleet: &Fleet) -> BTreeMap<VolumeId, f64> {
+        let volumes = self.deployment.volumes.iter().map(|volume| volume.id);
+        let cross_zone = self.deployment.cross_zone_budgets.iter();
+        let budgets = volumes.chain(cross_zone.map(|budget| budget.id));
+        budgets
+            .map(|id| (id, f64::from(fleet.share(id)) / f64::from(WHOLE)))
+            .collect()
+    }
+
+    /// Delays a rise of the slow-start share. Returns the share that this host may use now.
+    fn hold_slow_start_share(&mut self, granted: u32) -> u32 {
+        let (usable, next_increase) = self.fleet.slow_start_share.hold(granted, self.now);
+        self.fleet.next_slow_start_increase = next_increase;
+        if let Some(at) = next_increase {
+            self.set_timer(at, TimerKind::Fleet);
+        }
+        usable
+    }
+
+    /// Reports allocations and the fleet membership to the scheduler, if any of them changed.
+    fn report_allocations(&mut self, allocations: Vec<VolumeAllocation>, slow_start_share: u32) {
+        let membership = Some(self.fleet_membership(slow_start_share));
+        if allocations.is_empty() && self.fleet.last_membership == membership {
+            return;
+        }
+        self.fleet.last_membership = membership;
+        let event = Event::ConfigChanged {
+            plans: self.deployment.figures().plans.clone(),
+            allocations,
+            cross_zone_budgets: self.deployment.cross_zone_budgets_at(self.identity.host),
+            fleet_membership: membership,
+        };
+        // After configurations that came in the same step, before everything else.
+        self.events
+            .insert_after_last(event, |event| matches!(event, Event::ConfigChanged { .. }));
     }
 
     fn fleet_membership(&self, slow_start_share: u32) -> FleetMembership {
         let slow_start_share = Some(f64::from(slow_start_share) / f64::from(WHOLE));
-        let probe_interval = self.interval(
+        let probe_interval = self.pacing_interval(
             PROBE_BUDGET,
-            self.deployment.fleet.as_ref().and_then(|f| f.probes),
+            self.deployment
+                .fleet
+                .as_ref()
+                .and_then(|fleet| fleet.probes),
         );
         FleetMembership {
             hosts: self.deployment.hosts.len() as u32,
@@ -230,67 +284,62 @@
         }
     }
 
-    /// Logs what this host may use from now on, and for how long: a line for each change, with all budgets,
-    /// so only where it is enabled. The scenario runner parses these lines.
+    /// Logs the shares that this host holds and for how long. Each change is one line with all budgets, so it
+    /// is built only where it is enabled. The scenario runner parses these lines: their target, message and
+    /// fields must stay (`parts`: share by budget name; `lasts_us`: -1 without a lease; `member`: a host name).
     fn log_shares(&self) {
-        let Some(fleet) = self
-            .fleet
-            .as_ref()
-            .filter(|_| enabled!(target: "gullsail_parts", Level::DEBUG))
-        else {
+        let Some(fleet) = &self.fleet.member else {
             return;
         };
-        let (parts, lease) = fleet.parts();
-        let held: BTreeMap<_, _> = parts
+        if !enabled!(target: "gullsail_parts", Level::DEBUG) {
+            return;
+        }
+        let (shares, lease) = fleet.parts();
+        let held: BTreeMap<_, _> = shares
             .filter_map(|(id, share)| Some((self.budget_name(id.0)?, share)))
             .collect();
-        let (epoch, held) = (
-            fleet.epoch(),
-            serde_json::to_string(&held).unwrap_or_default(),
-        );
+        let epoch = fleet.epoch();
+        // A map from strings to numbers always has a JSON form.
+        let held = serde_json::to_string(&held).unwrap_or_default();
         let lasts_us = lease.map_or(-1, Span::micros);
-        let member = self
-            .deployment
-            .hosts
-            .get(self.me.0 as usize)
-            .map_or("", |h| h.name.as_str());
-        let incarnation = self.incarnation;
+        let own_place = self.deployment.hosts.get(self.identity.host.0 as usize);
+        let member = own_place.map_or("", |host| host.name.as_str());
+        let incarnation = self.identity.incarnation;
         debug!(target: "gullsail_parts", member, incarnation, epoch, lasts_us, parts = held, "parts");
     }
 
-    /// Rises of this host's share of the slow-start budget count a window later: a tenth longer than the
-    /// rule's, as the scheduler counts it, and as long as an attempt may wait.
-    pub(super) fn slow_start_delayed_increase(d: &Deployment) -> DelayedIncrease {
-        DelayedIncrease::new(d.figures().slow_start.window.times(1.1) + d.figures().connect_wait)
-    }
-
-    /// Everything is answered: the fleet is notified. Returns whether this host may leave: once the fleet
-    /// knows, or soon.
+    /// Notifies the fleet that everything is answered. Returns whether this host may exit: the fleet knows of its
+    /// departure, or has had enough time to learn of it.
     pub(super) fn leave_fleet(&mut self) -> bool {
         self.notify_fleet(FleetEvent::Leave);
-        self.fleet_turn();
-        self.fleet.as_ref().is_none_or(Fleet::has_left)
+        self.advance_fleet();
+        self.fleet.member.as_ref().is_none_or(Fleet::has_left)
     }
 
-    /// What operators see of the fleet; `None`: there is none.
-    pub fn fleet(&self) -> Option<FleetView> {
-        let (fleet, named) = (self.fleet.as_ref()?, self.deployment.fleet.as_ref()?);
+    /// What operators see of the fleet; `None`: the configuration has no fleet.
+    pub fn fleet_view(&self) -> Option<FleetView> {
+        let fleet = self.fleet.member.as_ref()?;
+        let configured = self.deployment.fleet.as_ref()?;
         let status = fleet.status();
-        let names = status
-            .budgets
-            .iter()
-            .filter_map(|b| Some((b.budget, self.budget_name(b.budget)?)));
+        let budgets = status.budgets.iter();
+        let budgets =
+            budgets.filter_map(|budget| Some((budget.budget, self.budget_name(budget.budget)?)));
+        let hosts = self.deployment.hosts.iter();
         Some(FleetView {
-            name: named.name.clone(),
-            lease_ms: named.lease.millis(),
-            hosts: self
-                .deployment
-                .hosts
-                .iter()
-                .map(|h| h.name.clone())
-                .collect(),
-            budgets: names.collect(),
+            name: configured.name.clone(),
+            lease_ms: configured.lease.millis(),
+            hosts: hosts.map(|host| host.name.clone()).collect(),
+            budgets: budgets.collect(),
             status,
         })
     }
 }
+
+/// Delays a rise of this host's share of the slow-start budget by one window of that budget and the time an
+/// attempt may wait for its connection. The window is taken a tenth longer than configured, as in the
+/// scheduler. Attempts counted against the old shares have left the window by then, so the shares of all
+/// hosts never add up to more than the budget.
+fn slow_start_delayed_increase(deployment: &Deployment) -> DelayedIncrease {
+    let figures = deployment.figures();
+    DelayedIncrease::new(figures.slow_start.window.times(1.1) + figures.connect_wait)
+}
--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -1,5 +1,5 @@
-//! The budgets that hosts share out among themselves, as the fleet is configured with them and as operators
-//! see them.
+//! The budgets that hosts share among themselves: the fleet's configuration of them, and their names for
+//! operators.
 
 use super::Core;
 use super::fleet::{CONNECT_BUDGET, PROBE_BUDGET, SLOW_START_BUDGET};
@@ -10,106 +10,112 @@
 use std::sync::Arc;
 
 impl Core {
-    /// The fleet's configuration; `None`: there is no fleet.
+    /// The fleet's configuration; `None`: the configuration has no fleet.
     pub(super) fn fleet_config(&self) -> Option<FleetConfig> {
-        let d = &self.deployment;
-        let fleet = d.fleet.as_ref()?;
-        let mut budgets = BTreeMap::new();
-        for v in &d.volumes {
-            let Some(limit) = d.plans.get(v.plan.0).and_then(|p| p.decisions.limit) else {
-                continue;
-            };
-            let least = least(d.figures().max_units, limit.burst);
-            budgets.insert(
-                v.id,
-                self.fleet_budget(v.id, v.hosts.clone(), least, fleet.floor),
-            );
-        }
-        for c in &d.cross_zone_budgets {
-            let least = least(d.figures().max_bytes, c.limit.burst);
-            budgets.insert(
-                c.id,
-                self.fleet_budget(c.id, c.hosts.clone(), least, fleet.floor),
-            );
-        }
+        let deployment = &self.deployment;
+        let fleet = deployment.fleet.as_ref()?;
+        let mut budgets = self.volume_budgets(fleet.floor);
+        budgets.extend(self.cross_zone_budgets(fleet.floor));
         budgets.extend(self.node_budgets(fleet.floor, fleet.connects, fleet.probes));
         Some(FleetConfig {
             fleet: gullsail_configuration::number(&fleet.name),
-            hosts: d.hosts.len() as u32,
+            hosts: deployment.hosts.len() as u32,
             lease: fleet.lease,
             drift: fleet.drift,
             voters: fleet.voters,
             budgets,
-            maintenance: d.maintenance.clone(),
+            maintenance: deployment.maintenance.clone(),
         })
     }
 
-    pub(super) fn fleet_budget(
+    /// The limits of volumes whose plan has one.
+    fn volume_budgets(&self, floor_share: f64) -> BTreeMap<VolumeId, Budget> {
+        let deployment = &self.deployment;
+        let max_units = deployment.figures().max_units;
+        let mut budgets = BTreeMap::new();
+        for volume in &deployment.volumes {
+            let plan = deployment.plans.get(volume.plan.0);
+            if let Some(limit) = plan.and_then(|plan| plan.decisions.limit) {
+                let least = least(max_units, limit.burst);
+                let budget = self.shared_budget(volume.id, &volume.hosts, least, floor_share);
+                budgets.insert(volume.id, budget);
+            }
+        }
+        budgets
+    }
+
+    fn cross_zone_budgets(&self, floor_share: f64) -> BTreeMap<VolumeId, Budget> {
+        let max_bytes = self.deployment.figures().max_bytes;
+        let configured = self.deployment.cross_zone_budgets.iter();
+        configured
+            .map(|budget| {
+                let least = least(max_bytes, budget.limit.burst);
+                let shared = self.shared_budget(budget.id, &budget.hosts, least, floor_share);
+                (budget.id, shared)
+            })
+            .collect()
+    }
+
+    /// A budget that these hosts share. `least`: the smallest share that holds the largest request.
+    fn shared_budget(
         &self,
         id: VolumeId,
-        through: Arc<[HostId]>,
+        through: &Arc<[HostId]>,
         least: u32,
         floor_share: f64,
     ) -> Budget {
-        let floor = floor(floor_share, through.len());
         Budget {
-            through,
-            floor,
+            through: through.clone(),
+            floor: floor(floor_share, through.len()),
             lagging_hosts: self.lagging_hosts(id, floor_share),
             least,
         }
     }
 
-    /// Budgets of all hosts for their nodes: what nodes bear that warm up, connections and probes.
-    pub(super) fn node_budgets(
+    /// Budgets of all hosts for nodes: slow start, new connections, and probes.
+    fn node_budgets(
         &self,
         floor_share: f64,
         connects: Option<f64>,
         probes: Option<f64>,
     ) -> BTreeMap<VolumeId, Budget> {
-        let d = &self.deployment;
-        let through: Arc<[HostId]> = (0..d.hosts.len() as u32).map(HostId).collect();
-        let least = least(d.figures().max_units, d.figures().slow_start.units);
-        let floor = floor(floor_share, through.len());
+        let figures = self.deployment.figures();
+        let host_count = self.deployment.hosts.len() as u32;
+        let through: Arc<[HostId]> = (0..host_count).map(HostId).collect();
         let slow_start = Budget {
+            floor: floor(floor_share, through.len()),
             through,
-            floor,
             lagging_hosts: BTreeMap::new(),
-            least,
+            least: least(figures.max_units, figures.slow_start.units),
+        };
+        // Rates have no largest request that a share must hold, since their operations are paced.
+        let paced = Budget {
+            least: 0,
+            ..slow_start.clone()
         };
-        // Rates have no largest request that a share must hold: each is spaced out.
         let mut budgets = BTreeMap::new();
         for (id, rate) in [(CONNECT_BUDGET, connects), (PROBE_BUDGET, probes)] {
             if rate.is_some() {
-                budgets.insert(
-                    id,
-                    Budget {
-                        least: 0,
-                        ..slow_start.clone()
-                    },
-                );
+                budgets.insert(id, paced.clone());
             }
         }
         budgets.insert(SLOW_START_BUDGET, slow_start);
         budgets
     }
 
-    /// Hosts that may still use a floor by an earlier configuration, with that floor.
-    pub(super) fn lagging_hosts(
-        &self,
-        budget: VolumeId,
-        floor_share: f64,
-    ) -> BTreeMap<HostId, u32> {
-        let mut all: BTreeMap<HostId, u32> = BTreeMap::new();
-        for lagging in self.config_transition.lagging_hosts(budget) {
-            let most = all.entry(lagging.host).or_default();
-            *most = floor(floor_share, lagging.sharing).max(*most);
+    /// Hosts that may still use a floor of an earlier configuration, with that floor.
+    fn lagging_hosts(&self, budget: VolumeId, floor_share: f64) -> BTreeMap<HostId, u32> {
+        let mut floors: BTreeMap<HostId, u32> = BTreeMap::new();
+        for lagging in self.config_change.transition.lagging_hosts(budget) {
+            let highest = floors.entry(lagging.host).or_default();
+            *highest = floor(floor_share, lagging.sharing).max(*highest);
         }
-        all
+        floors
     }
 
+    /// The name of a budget, as operators and the log see it.
     pub(super) fn budget_name(&self, id: u64) -> Option<String> {
-        let d = &self.deployment;
+        let deployment = &self.deployment;
         let node_budgets = [
             (SLOW_START_BUDGET, "cold nodes"),
             (CONNECT_BUDGET, "connections to nodes"),
@@ -118,16 +124,11 @@
         if let Some((_, name)) = node_budgets.iter().find(|(budget, _)| budget.0 == id) {
             return Some(name.to_string());
         }
-        let volume = d
-            .volumes
-            .iter()
-            .find(|v| v.id.0 == id)
-            .map(|v| v.name.clone());
-        volume.or_else(|| {
-            d.cross_zone_budgets
-                .iter()
-                .find(|c| c.id.0 == id)
-                .map(|c| format!("crossing {}", c.name))
-        })
+        if let Some(volume) = deployment.volumes.iter().find(|volume| volume.id.0 == id) {
+            return Some(volume.name.clone());
+        }
+        let mut cross_zone = deployment.cross_zone_budgets.iter();
+        let budget = cross_zone.find(|budget| budget.id.0 == id)?;
+        Some(format!("crossing {}", budget.name))
     }
 }
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -1,137 +1,220 @@
-//! Frames that come in, dispatched by the role of their sender. A frame that its sender may not send ends
-//! that connection and nothing else; a frame of a newer version is skipped.
+//! Frames that come in, dispatched by the role of their sender. A frame that its sender may not send closes
+//! that connection and affects nothing else. A frame of a newer version is skipped.
 
 use super::Core;
 use super::clock::PeerClock;
 use super::connection_table::PeerKind;
 use super::input_output::LinkId;
 use super::peers::IncomingPeer;
+use bytes::Bytes;
 use gullsail_protocol::{ClockReply, Frame, Hello, Message, Role};
-use gullsail_scheduler_api::Span;
+use gullsail_scheduler_api::{HostId, NodeId, Span};
 use std::collections::VecDeque;
 use tracing::{debug, warn};
 
+/// The sender of a frame, by what this host knows of its connection.
+#[derive(Clone, Copy)]
+enum Sender {
+    Unidentified,
+    Client,
+    IncomingPeer(HostId),
+    OutgoingPeer(HostId),
+    Node(NodeId),
+    EndpointList,
+}
+
+impl From<&PeerKind> for Sender {
+    fn from(peer_kind: &PeerKind) -> Sender {
+        match peer_kind {
+            PeerKind::Unidentified { .. } => Sender::Unidentified,
+            PeerKind::Client => Sender::Client,
+            PeerKind::IncomingPeer(peer) => Sender::IncomingPeer(peer.host),
+            PeerKind::OutgoingPeer(host) => Sender::OutgoingPeer(*host),
+            PeerKind::Node(node) => Sender::Node(*node),
+            PeerKind::EndpointList => Sender::EndpointList,
+        }
+    }
+}
+
+/// What comes with a frame's message.
+struct FrameContext {
+    id: LinkId,
+    body: Bytes,
+    /// Bytes of the whole frame.
+    frame_bytes: usize,
+    /// The frame may have waited while the process was stalled, so its request's timeout was shortened.
+    timeout_shortened: bool,
+}
+
 impl Core {
-    /// A frame that may have waited while the process stood still. The client's timeout has run on since it
-    /// sent this; what has too little left is refused.
+    /// Handles a frame that may have waited while the process was stalled. The client's timeout has run on
+    /// since the client sent it, so the request's timeout is shortened by the longest possible wait.
     pub(super) fn handle_delayed_frame(&mut self, id: LinkId, mut frame: Frame, waited: Span) {
         if let Message::Submit(submit) = &mut frame.message {
             submit.timeout_us = (Span::from_micros(submit.timeout_us) - waited).micros();
-            self.counts.aged += 1;
+            self.counts.timeouts_shortened += 1;
         }
         self.handle_frame(id, frame, true);
     }
 
-    /// `aged`: it may have waited while the process stood still.
-    pub(super) fn handle_frame(&mut self, id: LinkId, frame: Frame, aged: bool) {
-        let (name, bytes) = (frame.message.name(), frame.len());
+    /// Handles a frame. `timeout_shortened`: it may have waited while the process was stalled.
+    pub(super) fn handle_frame(&mut self, id: LinkId, frame: Frame, timeout_shortened: bool) {
+        let frame_bytes = frame.len();
         self.count_frame(id, &frame, false);
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.open.get_mut(&id) else {
             return;
         };
-        link.last_frame_at = self.now;
-        match (&link.peer_kind, frame.message) {
-            (_, Message::Newer { kind }) => {
-                debug!(link = id.0, kind, "kind of a newer version: skipped")
-            }
-            (PeerKind::Unidentified { .. }, Message::Hello(hello)) => self.identify_link(id, hello),
-            (PeerKind::Client, Message::Submit(s)) => self.submit(id, s, frame.body, aged),
-            (PeerKind::Client, Message::Withdraw(w)) => self.withdraw(id, w.id),
-            (PeerKind::IncomingPeer(_), Message::DemandReport(l)) => {
-                self.demand_report(id, l.bytes)
-            }
-            (PeerKind::IncomingPeer(_), Message::ClockReply(t)) => self.clock_reply(id, t),
-            (PeerKind::IncomingPeer(peer), Message::Reached(r)) => {
-                let host = peer.host;
-                self.peer_revision(host, r);
-            }
-            (PeerKind::IncomingPeer(peer), Message::FleetMessage(message)) => {
-                let host = peer.host;
-                self.fleet_message(host, message);
-            }
-            (PeerKind::OutgoingPeer(_), Message::ClockQuery(a)) => {
-                let clock_us = self.now.micros();
-                self.send(
-                    id,
-                    Frame::from(ClockReply {
-                        asked_us: a.asked_us,
-                        clock_us,
-                    }),
-                );
-            }
-            (PeerKind::OutgoingPeer(host), Message::Hello(hello)) => {
-                let host = *host;
-                self.peer_hello(id, host, hello);
+        connection.last_frame_at = self.now;
+        if let Message::Newer { kind } = frame.message {
+            debug!(
+                connection = id.0,
+                kind, "frame skipped: kind of a newer version"
+            );
+            return;
+        }
+        let sender = Sender::from(&connection.peer_kind);
+        let context = FrameContext {
+            id,
+            body: frame.body,
+            frame_bytes,
+            timeout_shortened,
+        };
+        match sender {
+            Sender::Unidentified => self.unidentified_frame(&context, frame.message),
+            Sender::Client => self.client_frame(context, frame.message),
+            Sender::IncomingPeer(host) => self.incoming_peer_frame(&context, host, frame.message),
+            Sender::OutgoingPeer(host) => self.outgoing_peer_frame(&context, host, frame.message),
+            Sender::Node(node) => self.node_frame(context, node, frame.message),
+            Sender::EndpointList => self.endpoint_list_frame(&context, frame.message),
+        }
+    }
+
+    fn unidentified_frame(&mut self, context: &FrameContext, message: Message) {
+        match message {
+            Message::Hello(hello) => self.identify_connection(context.id, &hello),
+            other => self.unexpected_frame(context.id, &other),
+        }
+    }
+
+    fn client_frame(&mut self, context: FrameContext, message: Message) {
+        let id = context.id;
+        match message {
+            Message::Submit(submit) => {
+                self.submit(id, submit, context.body, context.timeout_shortened);
             }
-            (PeerKind::Node(node), Message::Hello(hello)) => {
-                let node = *node;
-                self.node_hello(id, node, hello);
+            Message::Withdraw(withdraw) => self.withdraw(id, withdraw.id),
+            other => self.unexpected_frame(id, &other),
+        }
+    }
+
+    fn incoming_peer_frame(&mut self, context: &FrameContext, host: HostId, message: Message) {
+        let id = context.id;
+        match message {
+            Message::DemandReport(report) => self.demand_report(id, report.bytes),
+            Message::ClockReply(reply) => self.clock_reply(id, reply),
+            Message::Reached(reached) => self.peer_revision(host, reached),
+            Message::FleetMessage(message) => self.fleet_message(host, message),
+            other => self.unexpected_frame(id, &other),
+        }
+    }
+
+    fn outgoing_peer_frame(&mut self, context: &FrameContext, host: HostId, message: Message) {
+        let id = context.id;
+        match message {
+            Message::ClockQuery(query) => {
+                let reply = ClockReply {
+                    asked_us: query.asked_us,
+                    clock_us: self.now.micros(),
+                };
+                self.send(id, Frame::from(reply));
             }
-            (PeerKind::Node(node), Message::AttemptAnswer(a)) => {
-                let node = *node;
-                self.attempt_answer(node, a, frame.body, bytes);
+            Message::Hello(hello) => self.peer_hello(id, host, &hello),
+            other => self.unexpected_frame(id, &other),
+        }
+    }
+
+    fn node_frame(&mut self, context: FrameContext, node: NodeId, message: Message) {
+        let id = context.id;
+        match message {
+            Message::Hello(hello) => self.node_hello(id, node, &hello),
+            Message::AttemptAnswer(answer) => {
+                self.attempt_answer(node, answer, context.body, context.frame_bytes);
             }
-            (PeerKind::Node(_), Message::ProbeAnswer(_)) => {}
-            (PeerKind::EndpointList, Message::Hello(hello)) => self.endpoint_list_hello(id, &hello),
-            (PeerKind::EndpointList, Message::EndpointListUpdate(update)) => {
-                self.response_received(id);
+            Message::ProbeAnswer(_) => {}
+            other => self.unexpected_frame(id, &other),
+        }
+    }
+
+    fn endpoint_list_frame(&mut self, context: &FrameContext, message: Message) {
+        let id = context.id;
+        match message {
+            Message::Hello(hello) => self.endpoint_list_hello(id, &hello),
+            Message::EndpointListUpdate(update) => {
+                self.connections.response_received(id);
                 self.endpoint_list_update(update);
             }
-            (PeerKind::EndpointList, Message::EndpointListRefused(r)) => {
-                self.response_received(id);
-                self.poll_endpoints = false;
-                self.endpoint_list_lost(&r.reason);
+            Message::EndpointListRefused(refused) => {
+                self.connections.response_received(id);
+                self.endpoint_list.query_outstanding = false;
+                self.endpoint_list_lost(&refused.reason);
             }
-            _ => {
-                warn!(
-                    link = id.0,
-                    frame = name,
-                    "a frame that this side may not send: link ended"
-                );
-                self.close_link(id, "a frame that this side may not send");
+            other => self.unexpected_frame(id, &other),
+        }
+    }
+
+    /// Closes a connection whose sender may not send such a frame.
+    fn unexpected_frame(&mut self, id: LinkId, message: &Message) {
+        let connection = self.connections.open.get(&id);
+        let role = connection.map_or("", |connection| connection.peer_kind.role());
+        warn!(
+            connection = id.0,
+            role,
+            frame = message.name(),
+            "connection closed: unexpected frame for role"
+        );
+        self.close_connection(id, "unexpected frame for role");
+    }
+
+    /// Handles the first frame of a connection that somebody opened to this host.
+    fn identify_connection(&mut self, id: LinkId, hello: &Hello) {
+        match Role::try_from(hello.role) {
+            Ok(Role::Client) => {
+                self.set_peer_kind(id, PeerKind::Client);
+                self.update_reading(id);
             }
+            Ok(Role::Host) => self.identify_peer(id, hello),
+            _ => self.close_connection(
+                id,
+                "unexpected role: only clients and hosts connect to a host",
+            ),
         }
     }
 
-    /// The first frame of a connection that somebody opened to this host.
-    fn identify_link(&mut self, id: LinkId, hello: Hello) {
-        let peer_kind = match Role::try_from(hello.role) {
-            Ok(Role::Client) => PeerKind::Client,
-            Ok(Role::Host) => match self.deployment.host(&hello.name).filter(|h| *h != self.me) {
-                Some(host) => {
-                    let clock = PeerClock::default();
-                    PeerKind::IncomingPeer(IncomingPeer {
-                        host,
-                        clock,
-                        waiting: VecDeque::new(),
-                        too_far: false,
-                    })
-                }
-                None => {
-                    return self
-                        .close_link(id, "calls itself a host that the document does not know");
-                }
-            },
-            _ => return self.close_link(id, "only clients and hosts connect to a host"),
+    fn identify_peer(&mut self, id: LinkId, hello: &Hello) {
+        let named = self.deployment.host(&hello.name);
+        let Some(host) = named.filter(|host| *host != self.identity.host) else {
+            return self.close_connection(id, "host name is not another host of the configuration");
         };
-        let peer = if let PeerKind::IncomingPeer(peer) = &peer_kind {
-            Some(peer.host)
-        } else {
-            None
+        let peer = IncomingPeer {
+            host,
+            clock: PeerClock::default(),
+            waiting: VecDeque::new(),
+            clock_too_far: false,
         };
-        let mut sent = 0;
-        if let Some(link) = self.links.get_mut(&id) {
-            if let PeerKind::Unidentified { sent: bytes } = link.peer_kind {
-                sent = bytes;
-            }
-            link.peer_kind = peer_kind;
-            link.response_deadline = None;
-        }
-        if let Some(host) = peer {
-            self.count_peer_frame(host, sent);
-            self.query_clock(id);
-        } else {
-            self.update_reading(id);
+        let sent_bytes = self.set_peer_kind(id, PeerKind::IncomingPeer(peer));
+        self.count_peer_frame(host, sent_bytes);
+        self.query_clock(id);
+    }
+
+    /// Records who is on the other side. Returns the bytes that were sent to it before that was known.
+    fn set_peer_kind(&mut self, id: LinkId, peer_kind: PeerKind) -> usize {
+        let Some(connection) = self.connections.open.get_mut(&id) else {
+            return 0;
+        };
+        connection.response_deadline = None;
+        match std::mem::replace(&mut connection.peer_kind, peer_kind) {
+            PeerKind::Unidentified { sent_bytes } => sent_bytes,
+            _ => 0,
         }
     }
 }
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -1,64 +1,71 @@
-//! Connections that others open to this host: how many there may be, and which one gives way when all places
-//! are taken.
+//! Connections that others open to this host: how many there may be, and which one is evicted when the limit
+//! is reached.
 
 use super::Core;
-use super::connection_table::{FIRST_FRAME_CONNECT_TIMES, Link, PeerKind};
+use super::connection_table::{Connection, HANDSHAKE_TIMEOUT_FACTOR, PeerKind};
 use super::input_output::LinkId;
 use gullsail_scheduler_api::{Instant, Span};
 
-/// Connections that others open to this host, where the caller sets no number.
-pub(super) const MAX_LINKS: usize = 20_000;
-/// Between searches for an idle client, while all places are taken.
+/// The most connections that others may open, where the caller sets no lower number. It bounds the memory
+/// that connections without a request hold; above it, an idle client is evicted or the connection is refused.
+pub(super) const MAX_INCOMING_CONNECTIONS: usize = 20_000;
+/// Shortest time between two searches for an idle client: 100 ms. A search visits all connections, so a
+/// shorter interval lets whoever connects often keep the host busy; a longer one refuses connections although
+/// an idle client could be evicted.
 const IDLE_SEARCH_INTERVAL: Span = Span::from_micros(100_000);
 
 impl Core {
-    /// Somebody connected; `None`: there are as many connections as there may be, and this one is to be
-    /// dropped.
+    /// Accepts a connection that somebody opened. `None`: the limit is reached or the host shuts down, and
+    /// the caller must drop the connection.
     pub fn accept(&mut self, now: Instant) -> Option<LinkId> {
         self.now = self.now.max(now);
-        if self.stopping
-            || (self.incoming_links >= self.max_incoming_links && !self.close_idle_client())
-        {
-            self.counts.links_refused += 1;
+        if self.shutdown.requested || !self.has_room_for_incoming() {
+            self.counts.connections_refused += 1;
             return None;
         }
-        self.incoming_links += 1;
+        self.connections.incoming += 1;
         let hello = self.hello();
-        let link = self.open_link(PeerKind::Unidentified { sent: hello.len() });
-        self.expect_response(link, FIRST_FRAME_CONNECT_TIMES);
+        let unidentified = PeerKind::Unidentified {
+            sent_bytes: hello.len(),
+        };
+        let link = self.connections.insert(unidentified, self.now);
+        self.expect_response(link, HANDSHAKE_TIMEOUT_FACTOR);
         self.send(link, hello);
         Some(link)
     }
 
-    /// How many connections others may open: below what the process can hold, so that nodes, peers, the list
-    /// and the operator can still be reached when clients take all they get.
+    /// Sets how many connections others may open: fewer than the process can hold, so that nodes, peers, the
+    /// endpoint list and the operator can still be reached when clients open as many as they may.
     pub fn set_max_incoming_links(&mut self, most: usize) {
-        self.max_incoming_links = most.clamp(1, MAX_LINKS);
+        self.connections.max_incoming = most.clamp(1, MAX_INCOMING_CONNECTIONS);
+    }
+
+    /// Whether one more connection may be accepted, if need be after evicting an idle client.
+    fn has_room_for_incoming(&mut self) -> bool {
+        self.connections.incoming < self.connections.max_incoming || self.evict_idle_client()
     }
 
-    /// Closes the client that has been idle longest, if one has been for as long as a stalled one may be. It
-    /// is searched for at intervals only, since a search visits all connections.
-    fn close_idle_client(&mut self) -> bool {
-        if self.now < self.next_idle_search {
+    /// Closes the client that has been idle longest, if it has been idle for longer than `client-stall`.
+    fn evict_idle_client(&mut self) -> bool {
+        if self.now < self.connections.next_idle_search {
             return false;
         }
-        self.next_idle_search = self.now + IDLE_SEARCH_INTERVAL;
-        let idle = |id: LinkId, l: &Link| {
-            matches!(l.peer_kind, PeerKind::Client) && l.unsent == 0 && !self.requests.has_any(id)
+        self.connections.next_idle_search = self.now + IDLE_SEARCH_INTERVAL;
+        let is_idle = |id: LinkId, connection: &Connection| {
+            matches!(connection.peer_kind, PeerKind::Client)
+                && connection.unsent_bytes == 0
+                && !self.requests.has_any(id)
         };
-        let oldest = self
-            .links
-            .iter()
-            .filter(|(id, l)| idle(**id, l))
-            .min_by_key(|(_, l)| l.last_frame_at);
-        let patience = self.deployment.bounds.client_stall;
-        let Some(id) = oldest
-            .filter(|(_, l)| self.now - l.last_frame_at > patience)
-            .map(|(id, _)| *id)
+        let idle = self.connections.open.iter();
+        let idle = idle.filter(|(id, connection)| is_idle(**id, connection));
+        let Some((&id, longest_idle)) = idle.min_by_key(|(_, connection)| connection.last_frame_at)
         else {
             return false;
         };
-        self.close_link(id, "idle, and others want its place");
+        if self.now - longest_idle.last_frame_at <= self.deployment.bounds.client_stall {
+            return false;
+        }
+        self.close_connection(id, "evicted: idle, connection limit reached");
         true
     }
 }
--- a/crates/host/src/core/input_output.rs
+++ b/crates/host/src/core/input_output.rs
@@ -1,4 +1,4 @@
-//! What goes into the host's core and what comes out of it.
+//! The inputs and outputs of the host's core.
 
 use super::config_change::{Proposal, ProposalOutcome};
 use super::maintenance::{CommandOutcome, OperatorCommand};
@@ -9,38 +9,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// Who waits for the result of a proposal or of an operator command; chosen by the caller.
+/// Whoever waits for the result of a proposal or of an operator command. The caller chooses the number.
 pub type RequesterId = u64;
 
-/// What happened outside.
+/// Something that happened outside of the core.
 #[derive(Debug)]
 pub enum Input {
     /// A connection that was requested is established.
     Connected(LinkId),
-    /// A connection that was requested could not be made; with the reason.
+    /// A connection that was requested could not be established, with the reason.
     ConnectFailed(LinkId, String),
     /// A frame was read.
     Frame(LinkId, Frame),
-    /// A frame that may have waited that long before it was read, because the process stood still.
+    /// A frame that may have waited this long before it was read, because the process was stalled.
     DelayedFrame(LinkId, Frame, Span),
-    /// So many bytes of what was sent are written.
+    /// This many bytes of what was sent are written.
     Written(LinkId, usize),
-    /// The connection ended, with the reason; nothing more comes of it.
+    /// The connection ended, with the reason. It is the last input of this connection.
     Closed(LinkId, String),
-    /// Another configuration, compared with the current one.
+    /// A proposed configuration, compared with the current one.
     Propose(Box<Proposal>),
     /// An operator command on servers.
     OperatorCommand(RequesterId, OperatorCommand),
-    /// Admit nothing new, answer what is open, then finish.
+    /// Shut down: accept nothing new, answer what is open, then finish.
     Stop,
 }
 
-/// What is to be done outside.
+/// Something that the caller must do.
 #[derive(Debug)]
 pub enum Output {
     /// Open a connection to an address.
     Connect {
-        /// Its name from now on.
+        /// Its id from now on.
         link: LinkId,
         /// Where to connect.
         address: String,
@@ -51,26 +51,26 @@
         link: LinkId,
         /// What to write.
         frame: Frame,
-        /// Not later than this: nobody waits for it then.
+        /// The frame is of no use after this time.
         until: Option<Instant>,
     },
-    /// Write what was sent, then close the connection; also one that is still being made.
+    /// Write what was sent, then close the connection, even if it is still being established.
     Close {
         /// The connection.
         link: LinkId,
     },
-    /// Read from the connection, or let its other side wait.
+    /// Read from the connection, or stop reading from it.
     Reading {
         /// The connection.
         link: LinkId,
-        /// Whether it is read.
+        /// Whether to read.
         on: bool,
     },
     /// The result of a proposal.
     ProposalDecided {
         /// Who proposed.
         requester: RequesterId,
-        /// Applied, or refused with the reasons.
+        /// Applied, or rejected with the reasons.
         outcome: ProposalOutcome,
     },
     /// The result of an operator command.
@@ -80,6 +80,6 @@
         /// Accepted, or why not.
         outcome: CommandOutcome,
     },
-    /// The host was stopped and everything is answered.
+    /// The shutdown is complete: everything is answered.
     Finished,
 }
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -1,5 +1,5 @@
 //! Operator commands on servers, and what operators see of maintenance. The commands go to `gullsail-fleet`,
-//! whose maintenance coordinator decides; how this host acts on its decisions is in `server_drains`.
+//! whose maintenance coordinator decides. `server_drains` carries out its decisions on this host.
 
 use super::Core;
 use super::input_output::{Output, RequesterId};
@@ -8,8 +8,9 @@
 use gullsail_fleet::Event as FleetEvent;
 use gullsail_fleet::maintenance::{Order, ServerId, Stage};
 use gullsail_protocol::FleetCommand;
-use gullsail_scheduler_api::{EndpointState, NodeId, Span};
+use gullsail_scheduler_api::{EndpointState, Instant, NodeId, Span};
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 use thiserror::Error;
 
 /// An operator's command on servers.
@@ -18,16 +19,16 @@
 pub struct OperatorCommand {
     /// `out`, `back` or `cancel`.
     pub kind: String,
-    /// Nodes, hosts, or zones: all that is in them.
+    /// Names of nodes, hosts, or zones. A zone stands for all nodes and hosts in it.
     pub names: Vec<String>,
-    /// How long they may be offline; 0: as configured.
+    /// How long the servers may be offline, in milliseconds; 0: as configured.
     pub longest_ms: u64,
-    /// Shards may be left without a node.
+    /// The operator permits that shards are left without a node.
     #[serde(rename = "cell_away")]
     pub shard_away: bool,
     /// The servers will return.
     pub returns: bool,
-    /// Why, for other operators.
+    /// The reason, for other operators.
     pub reason: String,
 }
 
@@ -38,10 +39,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// The configuration does not provide for maintenance.
-    #[error("the document has no `works`: machines are not taken out here")]
+    #[error("the configuration has no `works` entry, so servers cannot be taken offline")]
     NoMaintenance,
     /// There is no such kind of command.
-    #[error("\"{kind}\": out, back or cancel")]
+    #[error("unknown command \"{kind}\": expected out, back or cancel")]
     UnknownKind {
         /// What was given.
         kind: String,
@@ -55,12 +56,12 @@
         hint: String,
     },
     /// Too few or too many servers are named.
-    #[error("{count} machines are named; one at least and {max} at most", max = MAX_SERVERS)]
+    #[error("{count} servers named: expected 1 to {max}", max = MAX_SERVERS)]
     ServerCount {
         /// How many.
         count: usize,
     },
-    /// The fleet refuses the command for one of its servers.
+    /// The fleet rejects the command because of one of its servers.
     #[error("{server}: {reason}")]
     Refused {
         /// The server's name.
@@ -76,7 +77,7 @@
     /// The server's name.
     #[serde(rename = "machine")]
     pub server: String,
-    /// So many open orders come before it.
+    /// How many open orders come before it.
     pub before: usize,
     /// How far it has come.
     pub stage: Stage,
@@ -86,7 +87,7 @@
     pub longest_ms: f64,
     /// What it waits for.
     pub waits: String,
-    /// Hosts that have not drained the server, or whose lease had to run out.
+    /// Hosts that have not drained the server, or whose lease must expire first.
     pub hosts: Vec<String>,
     /// Why, as the operator gave it.
     pub reason: String,
@@ -96,93 +97,89 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MaintenanceView {
-    /// The orders are known from a coordinator.
+    /// A coordinator has reported the orders to this host.
     pub known: bool,
-    /// Too many hosts had lost their state when this series of orders began: orders from before may be lost.
+    /// Too many hosts had lost their state when this order book was started, so earlier orders may be lost.
     pub anew: bool,
     /// All orders.
     pub orders: Vec<OrderView>,
 }
 
-/// A command has its result within this time, as long as a majority of voters can be reached; a host that
-/// leaves waits no longer for it.
-const COMMAND_TIMEOUT: Span = Span::from_micros(2_000_000);
-/// By their numbers on the wire, from 1.
+/// How long a shutdown waits for the result of an operator command: 2 s. While a majority of voters can be
+/// reached, a command has its result sooner. With a longer time, a host that cannot reach them shuts down
+/// later; with a shorter one, it may exit before the operator has the result.
+const SHUTDOWN_COMMAND_GRACE: Span = Span::from_micros(2_000_000);
+/// Kinds of commands, in the order of their numbers on the wire, which start at 1.
 const COMMAND_KINDS: [&str; 3] = ["out", "back", "cancel"];
-/// The most servers in one command.
+/// The most servers in one command. It bounds the frame that carries the command to the coordinator.
 const MAX_SERVERS: usize = 1024;
 
-pub(super) fn of_host(name: &str) -> ServerId {
+/// A host's id among servers.
+pub(super) fn host_server(name: &str) -> ServerId {
     ServerId(number(&format!("host {name}")))
 }
 
-pub(super) fn of_node(id: NodeId) -> ServerId {
+/// A node's id among servers.
+pub(super) fn node_server(id: NodeId) -> ServerId {
     ServerId(id.0)
 }
 
+/// What this host keeps for operator commands and for the servers that go offline.
+pub(super) struct MaintenanceState {
+    /// When this host reports next to the fleet what it observes of servers.
+    pub(super) next_observation: Instant,
+    /// The stage of each maintenance order that was logged last, by the order's number.
+    pub(super) logged_stages: BTreeMap<u64, Stage>,
+    /// Operator commands without a result, and until when a shutdown waits for the result.
+    pub(super) pending_commands: BTreeMap<RequesterId, Instant>,
+}
+
+impl MaintenanceState {
+    pub(super) fn new(now: Instant) -> MaintenanceState {
+        MaintenanceState {
+            next_observation: now,
+            logged_stages: BTreeMap::new(),
+            pending_commands: BTreeMap::new(),
+        }
+    }
+}
+
 impl Core {
-    /// Whether servers can be taken offline here.
-    pub(super) fn maintenance(&self) -> bool {
-        self.fleet.is_some() && self.deployment.maintenance.is_some()
+    /// Whether servers can be taken offline: the configuration has a fleet and a `works` entry.
+    pub(super) fn maintenance_enabled(&self) -> bool {
+        self.fleet.member.is_some() && self.deployment.maintenance.is_some()
     }
 
     /// This host's name.
-    pub(super) fn name(&self) -> String {
+    pub(super) fn own_name(&self) -> String {
         self.deployment
             .hosts
-            .get(self.me.0 as usize)
-            .map_or(String::new(), |h| h.name.clone())
+            .get(self.identity.host.0 as usize)
+            .map_or(String::new(), |host| host.name.clone())
     }
 
+    /// A server's name, for operators and the log.
     pub(super) fn server_name(&self, server: ServerId) -> String {
-        let node = self
-            .nodes
-            .iter()
-            .find(|(id, _)| of_node(*id) == server)
-            .map(|(_, n)| n.name.clone());
-        let host = || {
-            self.deployment
-                .hosts
-                .iter()
-                .find(|h| of_host(&h.name) == server)
-                .map(|h| h.name.clone())
-        };
-        node.or_else(host)
-            .unwrap_or_else(|| format!("machine {}", server.0))
+        let mut nodes = self.nodes.iter();
+        if let Some((_, node)) = nodes.find(|(id, _)| node_server(*id) == server) {
+            return node.name.clone();
+        }
+        let mut hosts = self.deployment.hosts.iter();
+        match hosts.find(|host| host_server(&host.name) == server) {
+            Some(host) => host.name.clone(),
+            None => format!("server {}", server.0),
+        }
     }
 
-    /// The servers of these names. A zone's name stands for all that is in it.
+    /// The servers of these names. A zone's name stands for all nodes and hosts in it.
     fn servers(&self, names: &[String]) -> Result<Vec<ServerId>, CommandError> {
-        let d = &self.deployment;
         let mut all = Vec::new();
         for name in names {
-            let before = all.len();
-            if let Some(zone) = d.zones.iter().position(|z| z == name) {
-                let nodes = self
-                    .nodes
-                    .iter()
-                    .filter(|(_, n)| n.zone.0 == zone && n.state == EndpointState::Ready);
-                all.extend(nodes.map(|(id, _)| of_node(id)));
-                all.extend(
-                    d.hosts
-                        .iter()
-                        .filter(|h| h.zone.0 == zone)
-                        .map(|h| of_host(&h.name)),
-                );
-            }
-            if self
-                .nodes
-                .iter()
-                .any(|(id, n)| n.name == *name && id == node_id(name))
-            {
-                all.push(of_node(node_id(name)));
-            }
-            if d.host(name).is_some() {
-                all.push(of_host(name));
-            }
-            if all.len() == before {
+            let named = self.servers_named(name);
+            if named.is_empty() {
                 return Err(self.unknown_name(name));
             }
+            all.extend(named);
         }
         all.sort_unstable();
         all.dedup();
@@ -192,37 +189,67 @@
         Ok(all)
     }
 
+    /// The servers of one name, which may be that of a zone, a node, a host, or several of these.
+    fn servers_named(&self, name: &str) -> Vec<ServerId> {
+        let deployment = &self.deployment;
+        let mut servers = Vec::new();
+        if let Some(zone) = deployment.zones.iter().position(|zone| zone == name) {
+            let nodes = self.nodes.iter();
+            let ready =
+                nodes.filter(|(_, node)| node.zone.0 == zone && node.state == EndpointState::Ready);
+            servers.extend(ready.map(|(id, _)| node_server(id)));
+            let hosts = deployment.hosts.iter().filter(|host| host.zone.0 == zone);
+            servers.extend(hosts.map(|host| host_server(&host.name)));
+        }
+        let node = node_id(name);
+        if self
+            .nodes
+            .iter()
+            .any(|(id, record)| record.name == name && id == node)
+        {
+            servers.push(node_server(node));
+        }
+        if deployment.host(name).is_some() {
+            servers.push(host_server(name));
+        }
+        servers
+    }
+
     fn unknown_name(&self, name: &str) -> CommandError {
         let d = &self.deployment;
-        let nodes: Vec<String> = self.nodes.iter().map(|(_, n)| n.name.clone()).collect();
+        let nodes: Vec<String> = self
+            .nodes
+            .iter()
+            .map(|(_, node)| node.name.clone())
+            .collect();
         let known = d
             .hosts
             .iter()
-            .map(|h| &h.name)
+            .map(|host| &host.name)
             .chain(&nodes)
             .chain(&d.zones);
         let known: Vec<&str> = known.map(String::as_str).collect();
-        let hint = meant(name, &known).map_or(String::new(), |m| format!("; {m}"));
+        let hint = meant(name, &known).map_or(String::new(), |meant| format!("; {meant}"));
         CommandError::UnknownName {
             name: name.to_string(),
             hint,
         }
     }
 
-    /// Hands an operator command to the fleet, or refuses it at once.
+    /// Hands an operator command to the fleet, or rejects it at once.
     pub(super) fn command(&mut self, requester: RequesterId, command: OperatorCommand) {
         match self.fleet_command(command) {
-            Err(error) => {
-                self.outputs.push(Output::CommandOutcome {
-                    requester,
-                    outcome: Err(error),
-                });
-            }
+            Err(error) => self.outputs.push(Output::CommandOutcome {
+                requester,
+                outcome: Err(error),
+            }),
             Ok(command) => {
-                let until = self.now + COMMAND_TIMEOUT;
-                self.pending_commands.retain(|_, until| *until > self.now);
-                self.pending_commands.insert(requester, until);
-                self.at(until, TimerKind::Fleet);
+                let until = self.now + SHUTDOWN_COMMAND_GRACE;
+                self.maintenance
+                    .pending_commands
+                    .retain(|_, until| *until > self.now);
+                self.maintenance.pending_commands.insert(requester, until);
+                self.set_timer(until, TimerKind::Fleet);
                 self.notify_fleet(FleetEvent::OperatorCommand {
                     number: requester,
                     command,
@@ -232,10 +259,10 @@
     }
 
     fn fleet_command(&self, command: OperatorCommand) -> Result<FleetCommand, CommandError> {
-        if !self.maintenance() {
+        if !self.maintenance_enabled() {
             return Err(CommandError::NoMaintenance);
         }
-        let Some(kind) = COMMAND_KINDS.iter().position(|k| *k == command.kind) else {
+        let Some(kind) = COMMAND_KINDS.iter().position(|kind| *kind == command.kind) else {
             return Err(CommandError::UnknownKind { kind: command.kind });
         };
         let servers = self.servers(&command.names)?;
@@ -252,30 +279,47 @@
 
     /// What operators see of maintenance; `None`: it is not configured.
     pub fn maintenance_view(&self) -> Option<MaintenanceView> {
-        let fleet = self.fleet.as_ref().filter(|_| self.maintenance())?;
-        let name = |h: &u32| {
-            self.deployment
-                .hosts
-                .get(*h as usize)
-                .map_or(format!("host {h}"), |h| h.name.clone())
-        };
-        let line = fleet.line();
-        let before =
-            |o: &Order| line.map_or(0, |l| l.open().filter(|b| b.number < o.number).count());
-        let order = |o: &Order| OrderView {
-            server: self.server_name(o.server),
-            before: before(o),
-            stage: o.stage,
-            for_ms: o.aged(self.now).millis(),
-            longest_ms: o.longest.millis(),
-            waits: o.waits.clone(),
-            hosts: o.hosts.iter().map(name).collect(),
-            reason: o.reason.clone(),
+        if !self.maintenance_enabled() {
+            return None;
+        }
+        let fleet = self.fleet.member.as_ref()?;
+        let order_book = fleet.line();
+        let orders_before = |order: &Order| {
+            order_book.map_or(0, |book| {
+                let open = book.open();
+                open.filter(|other| other.number < order.number).count()
+            })
         };
         Some(MaintenanceView {
-            known: line.is_some(),
-            anew: line.is_some_and(|l| l.anew != 0),
-            orders: fleet.orders().map(order).collect(),
+            known: order_book.is_some(),
+            anew: order_book.is_some_and(|book| book.anew != 0),
+            orders: fleet
+                .orders()
+                .map(|order| self.order_view(order, orders_before(order)))
+                .collect(),
         })
     }
+
+    fn order_view(&self, order: &Order, before: usize) -> OrderView {
+        OrderView {
+            server: self.server_name(order.server),
+            before,
+            stage: order.stage,
+            for_ms: order.aged(self.now).millis(),
+            longest_ms: order.longest.millis(),
+            waits: order.waits.clone(),
+            hosts: order
+                .hosts
+                .iter()
+                .map(|host| self.host_name(*host))
+                .collect(),
+            reason: order.reason.clone(),
+        }
+    }
+
+    /// A host's name by its number in the configuration.
+    fn host_name(&self, number: u32) -> String {
+        let host = self.deployment.hosts.get(number as usize);
+        host.map_or_else(|| format!("host {number}"), |host| host.name.clone())
+    }
 }
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -1,10 +1,10 @@
-//! Connections to nodes: they are opened before they are needed, and attempts that wait for one are sent, or
-//! ended, by what comes of it.
+//! Connections to nodes. They are opened before they are needed. Attempts that wait for a connection are sent
+//! once it is up, or end with it.
 
 use super::Core;
 use super::connection_table::PeerKind;
 use super::input_output::LinkId;
-use super::nodes::NodeSide;
+use super::nodes::{NodeProcess, NodeRecord};
 use super::reconnect::ConnectionState;
 use super::timers::TimerKind;
 use gullsail_protocol::{Hello, Role};
@@ -14,80 +14,90 @@
 use tracing::{debug, info, warn};
 
 impl Core {
-    /// Opens connections to all usable nodes that have none, before they are needed: only a node's first
-    /// frame tells how long it has been running.
+    /// Opens connections to all usable nodes that have none. This is done before an attempt needs one, because
+    /// only a node's first frame says for certain how long the node has been running.
     pub(super) fn connect_nodes(&mut self) {
-        let wanted = |n: &NodeSide| {
-            let usable = n.state != EndpointState::Gone && !n.barred;
-            usable && n.connection.state == ConnectionState::Idle && !n.address.is_empty()
+        let is_wanted = |node: &NodeRecord| {
+            let usable = node.state != EndpointState::Gone && !node.offline_or_unknown;
+            let has_none = node.connection.state == ConnectionState::Idle;
+            usable && has_none && !node.address.is_empty()
         };
-        let nodes = self.nodes.iter().filter(|(_, n)| wanted(n));
-        let nodes: Vec<_> = nodes.map(|(id, n)| (id, n.address.clone())).collect();
-        for (id, address) in nodes {
+        let wanted: Vec<_> = self
+            .nodes
+            .iter()
+            .filter(|(_, node)| is_wanted(node))
+            .map(|(id, node)| (id, node.address.clone()))
+            .collect();
+        for (id, address) in wanted {
             let state = match self.may_connect(id) {
                 Ok(()) => ConnectionState::Connecting(self.connect(PeerKind::Node(id), address)),
                 Err(retry_at) => {
-                    self.at(retry_at, TimerKind::ReconnectNode(id));
+                    self.set_timer(retry_at, TimerKind::ReconnectNode(id));
                     ConnectionState::Waiting(retry_at)
                 }
             };
-            if let Some(n) = self.nodes.get(id) {
-                n.connection.state = state;
+            if let Some(node) = self.nodes.get(id) {
+                node.connection.state = state;
             }
         }
     }
 
-    /// A node's first frame: it must be the node that the endpoint list named.
-    pub(super) fn node_hello(&mut self, id: LinkId, node: NodeId, hello: Hello) {
-        let Some(n) = self.nodes.get(node) else {
-            return self.close_link(id, "forgotten");
+    /// Handles a node's first frame. It must come from the node that the endpoint list named.
+    pub(super) fn node_hello(&mut self, id: LinkId, node: NodeId, hello: &Hello) {
+        let Some(record) = self.nodes.get(node) else {
+            return self.close_connection(id, "node no longer known");
         };
-        let (is_node, same_name) = (hello.role == Role::Node as i32, n.name == hello.name);
-        if !is_node || !same_name || n.shard != ShardId(hello.shard_plus_one - 1) {
+        let found_shard = ShardId(hello.shard_plus_one - 1);
+        let is_node = hello.role == Role::Node as i32;
+        if !is_node || record.name != hello.name || record.shard != found_shard {
             warn!(
-                node = n.name,
+                expected = record.name,
+                expected_shard = record.shard.0,
                 found = hello.name,
-                shard = hello.shard_plus_one - 1,
-                "another node answers there"
+                found_shard = found_shard.0,
+                "node identity mismatch: connection closed"
             );
-            return self.close_link(id, "another node answers at this node's address");
+            return self.close_connection(id, "node identity mismatch");
         }
-        if n.connection.link() == Some(id) {
-            self.node_up(node, id, hello.incarnation, Span::from_micros(hello.age_us));
+        if record.connection.link() == Some(id) {
+            self.node_up(node, id, hello);
         }
     }
 
-    /// A node identified itself: its start is reported to the scheduler before anything is sent to it.
-    fn node_up(&mut self, node: NodeId, link: LinkId, incarnation: u64, age: Span) {
-        let same_process = self
+    /// Handles a node that identified itself. Its start is reported to the scheduler before anything is sent
+    /// to it.
+    fn node_up(&mut self, node: NodeId, link: LinkId, hello: &Hello) {
+        let age = Span::from_micros(hello.age_us);
+        let Some(identified) = self
             .nodes
-            .get(node)
-            .is_some_and(|n| n.incarnation == Some(incarnation));
-        let Some(greeted) = self.nodes.greeted(node, incarnation, age, self.now) else {
+            .identified(node, hello.incarnation, age, self.now)
+        else {
             return;
         };
-        let Some(n) = self.nodes.get(node) else {
+        let Some(record) = self.nodes.get(node) else {
             return;
         };
-        n.connection.is_up(link);
-        let pending = std::mem::take(&mut n.pending);
-        let name = &n.name;
-        if greeted.restarted {
+        record.connection.is_up(link);
+        let pending = std::mem::take(&mut record.pending);
+        let name = &record.name;
+        let incarnation = hello.incarnation;
+        if identified.process == NodeProcess::Restarted {
             self.counts.nodes_restarted += 1;
-            info!(node = name, "node restarted");
+            info!(node = name, incarnation, "node restarted");
         } else {
             self.counts.nodes_met_again += 1;
-            debug!(node = name, "node is up, the same process as before");
+            debug!(node = name, incarnation, "node connected");
         }
-        self.response_received(link);
-        let entries = vec![greeted.endpoint];
+        self.connections.response_received(link);
         self.events.push(Event::EndpointList {
             update_kind: UpdateKind::SelfReported,
-            entries,
+            entries: vec![identified.endpoint],
         });
-        // What waited was decided for the process before, or for one whose start was not known: while the
-        // node warms up it is not all sent at once, but decided anew. None of it ran.
-        let warming_up = !same_process && age < self.deployment.figures().slow_start.ramp;
+        // The scheduler decided on the pending attempts for another process, or before the node's start was
+        // known. A node that warms up must not receive all of them at once, so they end as not sent, and the
+        // scheduler decides again. None of them ran.
+        let warming_up = identified.process != NodeProcess::Same
+            && age < self.deployment.figures().slow_start.ramp;
         for attempt in pending {
             if warming_up {
                 self.attempt_ended(attempt, AttemptOutcome::NotSent);
@@ -97,37 +107,34 @@
         }
     }
 
-    /// Its connection ended, or could not be made. Attempts that were sent may have run; others wait for the
-    /// next try as long as they may.
-    pub(super) fn node_connection_lost(&mut self, node: NodeId, why: &str) {
-        let redial = self.deployment.bounds.redial;
+    /// Handles the end of a node's connection, or an attempt to connect that failed. Attempts that were sent
+    /// may have run. The others wait for the next connection as long as they may, unless the node is gone.
+    pub(super) fn node_connection_lost(&mut self, node: NodeId, reason: &str) {
+        let backoff = self.deployment.bounds.redial;
         let attempts = self.requests.at_node(node);
-        let Some(n) = self.nodes.get(node) else {
+        let Some(record) = self.nodes.get(node) else {
             return;
         };
-        if n.connection.up().is_some() {
+        if record.connection.up().is_some() {
             warn!(
-                node = n.name,
-                why,
+                node = record.name,
+                reason,
                 attempts = attempts.len(),
-                "connection to node broke"
+                "node connection lost: sent attempts may have run"
             );
         } else {
-            debug!(node = n.name, why, "no connection to node");
+            debug!(node = record.name, reason, "node connection failed");
         }
-        let gone = n.state == EndpointState::Gone;
-        let retry_at = n.connection.lost(self.now, redial, &mut self.rng);
+        let gone = record.state == EndpointState::Gone;
+        let retry_at = record.connection.lost(self.now, backoff, &mut self.rng);
         if gone {
-            n.connection.state = ConnectionState::Idle;
+            record.connection.state = ConnectionState::Idle;
         } else {
-            self.at(retry_at, TimerKind::ReconnectNode(node));
+            self.set_timer(retry_at, TimerKind::ReconnectNode(node));
         }
         for attempt in attempts {
-            if self
-                .requests
-                .attempt(attempt)
-                .is_some_and(|out| out.sent.is_some())
-            {
+            let in_flight = self.requests.attempt(attempt);
+            if in_flight.is_some_and(|in_flight| in_flight.sent_at.is_some()) {
                 self.attempt_ended(attempt, AttemptOutcome::ConnectionLost);
             } else if gone {
                 self.attempt_ended(attempt, AttemptOutcome::Unreachable);
--- a/crates/host/src/core/nodes.rs
+++ b/crates/host/src/core/nodes.rs
@@ -1,7 +1,7 @@
-//! The nodes, by the endpoint list and by their own first frames. Both sources report when a node started,
-//! the list later than the node itself. Both name the incarnation, so that one start has one point in time
-//! here, whichever source reports it first; otherwise a start reported twice would look like two, and the
-//! second report would end a drain.
+//! The nodes, as the endpoint list and their own first frames describe them. Both sources report when a node
+//! started, the list later than the node itself. Both name the incarnation, so this host keeps one start time
+//! for each incarnation, whichever source reports it first. Otherwise a start that is reported twice would
+//! look like two starts, and the second report would end a drain.
 
 use super::reconnect::OutboundConnection;
 use super::requests::AttemptId;
@@ -13,14 +13,19 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Incarnations remembered for a node: the list is late by a few restarts at most.
-const REMEMBERED: usize = 8;
-/// Longer than the scheduler remembers a node that is gone: the same start must not be reported to it again.
-const FORGET: Span = Span::from_micros(120_000_000);
+/// Incarnations remembered for a node. The endpoint list is late by a few restarts at most; with fewer, a late
+/// report of an old start would look like a new one. More only hold memory.
+const MAX_INCARNATIONS: usize = 8;
+/// How long a node that is gone is remembered: 120 s, longer than the scheduler remembers it. With less, the
+/// same start could be reported to the scheduler twice, as if the node had restarted.
+const GONE_RETENTION: Span = Span::from_micros(120_000_000);
 
 /// One node, as this host knows it.
+///
+/// It has more than twelve fields because three sources describe a node: the endpoint list, the node's own
+/// first frames, and this host's connection to it.
 #[derive(Debug)]
-pub struct NodeSide {
+pub struct NodeRecord {
     /// Its name in the configuration or in the endpoint list.
     pub name: String,
     /// Where to connect; empty: not known yet.
@@ -29,27 +34,27 @@
     pub shard: ShardId,
     /// The zone that it is in.
     pub zone: ZoneId,
-    /// Its kind, by which pools are formed.
+    /// Its kind. Pools are formed by it.
     pub kind: String,
     /// The pools that it belongs to, by its zone and kind.
     pub pools: Vec<PoolId>,
-    /// By the endpoint list.
+    /// Its state according to the endpoint list.
     pub state: EndpointState,
     /// This host's connection to it.
     pub connection: OutboundConnection,
     /// Nothing may be sent to it: it is offline for maintenance, or this host does not know whether it is.
-    pub barred: bool,
-    /// How often that ended: the scheduler ends a drain for a newer start only, so each time counts as a
-    /// start that is a microsecond later.
-    times_unbarred: i64,
-    /// New connections to it, where hosts share out how many.
+    pub offline_or_unknown: bool,
+    /// How often the node returned from that. The scheduler ends a drain only for a newer start, so each
+    /// return is reported as a start one microsecond later.
+    times_returned: i64,
+    /// Paces new connections to it where the hosts share a limit on their rate.
     pub rate_pacer: RatePacer,
-    /// By its first frame on its newest connection.
+    /// Its incarnation according to its first frame on its newest connection.
     pub incarnation: Option<u64>,
     /// When each incarnation started, as first reported.
     starts: VecDeque<NodeStart>,
-    /// Since when the list calls it gone.
-    gone: Option<Instant>,
+    /// When the endpoint list first called it gone.
+    gone_since: Option<Instant>,
     /// Attempts that wait for the connection.
     pub pending: BTreeSet<AttemptId>,
 }
@@ -63,18 +68,29 @@
     pub at: Option<Instant>,
 }
 
-/// What a node's first frame brought.
+/// The process behind a node's first frame, compared with the one that identified itself before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NodeProcess {
+    /// No process of this node has identified itself before.
+    First,
+    /// The same process as before.
+    Same,
+    /// Another process than before.
+    Restarted,
+}
+
+/// What a node's first frame on a connection says of the node.
 #[derive(Debug)]
-pub struct Greeted {
+pub struct IdentifiedNode {
     /// The node's state for the scheduler.
     pub endpoint: Endpoint,
-    /// It is another process than before.
-    pub restarted: bool,
+    /// Whether the node restarted.
+    pub process: NodeProcess,
 }
 
-impl NodeSide {
-    fn new(name: String, shard: ShardId, zone: ZoneId, state: EndpointState) -> NodeSide {
-        NodeSide {
+impl NodeRecord {
+    fn new(name: String, shard: ShardId, zone: ZoneId, state: EndpointState) -> NodeRecord {
+        NodeRecord {
             name,
             address: String::new(),
             shard,
@@ -83,21 +99,27 @@
             pools: Vec::new(),
             state,
             connection: OutboundConnection::default(),
-            barred: false,
-            times_unbarred: 0,
+            offline_or_unknown: false,
+            times_returned: 0,
             rate_pacer: RatePacer::default(),
             incarnation: None,
             starts: VecDeque::new(),
-            gone: None,
+            gone_since: None,
             pending: BTreeSet::new(),
         }
     }
 
-    fn start(&mut self, incarnation: u64, age: Span, now: Instant) -> Option<Instant> {
+    /// Remembers a start that was reported. Returns when it was first reported to have happened; `None`: the
+    /// incarnation is not known.
+    fn record_start(&mut self, incarnation: u64, age: Span, now: Instant) -> Option<Instant> {
         if incarnation == 0 {
             return None;
         }
-        if let Some(start) = self.starts.iter().find(|s| s.incarnation == incarnation) {
+        if let Some(start) = self
+            .starts
+            .iter()
+            .find(|start| start.incarnation == incarnation)
+        {
             return start.at;
         }
         let start = Some(now - age.max(Span::ZERO));
@@ -105,7 +127,7 @@
             incarnation,
             at: start,
         });
-        if self.starts.len() > REMEMBERED {
+        if self.starts.len() > MAX_INCARNATIONS {
             self.starts.pop_front();
         }
         start
@@ -117,9 +139,9 @@
     }
 
     /// Nothing may be sent to it from now on, or something again.
-    pub fn bar(&mut self, barred: bool) {
-        self.times_unbarred += i64::from(self.barred && !barred);
-        self.barred = barred;
+    pub fn set_offline_or_unknown(&mut self, offline_or_unknown: bool) {
+        self.times_returned += i64::from(self.offline_or_unknown && !offline_or_unknown);
+        self.offline_or_unknown = offline_or_unknown;
     }
 
     /// The newest start that was reported.
@@ -129,154 +151,172 @@
 
     /// Its state for the scheduler.
     pub fn entry(&self, id: NodeId, started: Option<Instant>) -> Endpoint {
-        let since = |started: Option<Instant>| {
-            started.unwrap_or_default() + Span::from_micros(self.times_unbarred)
+        let state = if self.offline_or_unknown {
+            self.state.max(EndpointState::Draining)
+        } else {
+            self.state
         };
         Endpoint {
             node: id,
             shard: self.shard,
             zone: self.zone,
-            state: if self.barred {
-                self.state.max(EndpointState::Draining)
-            } else {
-                self.state
-            },
-            // What is not known of it yet must not look like a start that it had.
-            started: match (self.barred, self.times_unbarred) {
-                (true, _) => None,
-                (false, 0) => started,
-                (false, _) => Some(since(started)),
-            },
+            state,
+            started: self.reported_start(started),
             pools: self.pools.clone(),
         }
     }
+
+    /// The start that is reported to the scheduler. It is left out while the node may be offline: an unknown
+    /// state must not look like a start.
+    fn reported_start(&self, started: Option<Instant>) -> Option<Instant> {
+        if self.offline_or_unknown {
+            None
+        } else if self.times_returned == 0 {
+            started
+        } else {
+            Some(started.unwrap_or_default() + Span::from_micros(self.times_returned))
+        }
+    }
 }
 
 /// All nodes that one host knows.
 #[derive(Debug, Default)]
 pub struct Nodes {
-    all: BTreeMap<NodeId, NodeSide>,
+    all: BTreeMap<NodeId, NodeRecord>,
 }
 
 impl Nodes {
-    /// The nodes of the configuration, but for spares.
-    pub fn from_document(d: &Deployment) -> Nodes {
-        let side = |n: &gullsail_configuration::NodePlace| NodeSide {
-            address: n.place.address.clone(),
-            kind: n.kind.clone(),
-            pools: d.routes.pools_of(n.place.zone, &n.kind),
-            ..NodeSide::new(
-                n.place.name.clone(),
-                n.shard,
-                n.place.zone,
-                EndpointState::Ready,
-            )
+    /// The nodes of the configuration, except spares.
+    pub fn from_document(deployment: &Deployment) -> Nodes {
+        let record = |configured: &gullsail_configuration::NodePlace| {
+            let place = &configured.place;
+            let name = place.name.clone();
+            NodeRecord {
+                address: place.address.clone(),
+                kind: configured.kind.clone(),
+                pools: deployment.routes.pools_of(place.zone, &configured.kind),
+                ..NodeRecord::new(name, configured.shard, place.zone, EndpointState::Ready)
+            }
         };
+        let in_use = deployment.nodes.iter().filter(|node| !node.spare);
         Nodes {
-            all: d
-                .nodes
-                .iter()
-                .filter(|n| !n.spare)
-                .map(|n| (node_id(&n.place.name), side(n)))
+            all: in_use
+                .map(|node| (node_id(&node.place.name), record(node)))
                 .collect(),
         }
     }
 
     /// A node, by its id.
-    pub fn get(&mut self, id: NodeId) -> Option<&mut NodeSide> {
+    pub fn get(&mut self, id: NodeId) -> Option<&mut NodeRecord> {
         self.all.get_mut(&id)
     }
 
     /// All nodes, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (NodeId, &NodeSide)> {
-        self.all.iter().map(|(id, n)| (*id, n))
+    pub fn iter(&self) -> impl Iterator<Item = (NodeId, &NodeRecord)> {
+        self.all.iter().map(|(id, node)| (*id, node))
     }
 
-    /// Takes in an update of the endpoint list; returns the nodes of it for the scheduler.
+    /// Takes in an update of the endpoint list. Returns the endpoints in it, for the scheduler. `snapshot`: nodes
+    /// that are not in it are gone.
     pub fn listed(
         &mut self,
-        whole: bool,
+        snapshot: bool,
         update: Vec<ListedEndpoint>,
-        d: &Deployment,
+        deployment: &Deployment,
         now: Instant,
     ) -> Vec<Endpoint> {
-        let named: BTreeSet<NodeId> = update.iter().map(|e| node_id(&e.name)).collect();
-        if whole {
-            let missing = self.all.iter_mut().filter(|(id, _)| !named.contains(id));
-            missing.for_each(|(_, n)| n.state = EndpointState::Gone);
+        if snapshot {
+            self.mark_unlisted_gone(&update);
         }
-        let mut entries = Vec::with_capacity(update.len());
-        for e in update {
-            let id = node_id(&e.name);
-            let zone = ZoneId(
-                d.zones
-                    .iter()
-                    .position(|z| *z == e.zone)
-                    .unwrap_or(usize::MAX),
-            );
-            let state = match ListedState::try_from(e.state) {
-                Ok(ListedState::Ready) => EndpointState::Ready,
-                Ok(ListedState::Gone) => EndpointState::Gone,
-                // A state of a newer version: whatever it is, it is not plainly ready.
-                Ok(ListedState::Draining) | Err(_) => EndpointState::Draining,
-            };
-            let shard = ShardId(e.shard);
-            let side = self
-                .all
-                .entry(id)
-                .or_insert_with(|| NodeSide::new(e.name.clone(), shard, zone, state));
-            side.address = e.address;
-            side.shard = shard;
-            side.zone = zone;
-            side.state = state;
-            side.pools = d.routes.pools_of(zone, &e.kind);
-            side.kind = e.kind;
-            let started = side.start(e.incarnation, Span::from_micros(e.age_us), now);
-            entries.push(side.entry(id, started));
+        let listed = update.into_iter();
+        listed
+            .map(|listed| self.listed_endpoint(listed, deployment, now))
+            .collect()
+    }
+
+    fn mark_unlisted_gone(&mut self, update: &[ListedEndpoint]) {
+        let named: BTreeSet<NodeId> = update.iter().map(|listed| node_id(&listed.name)).collect();
+        for (id, node) in &mut self.all {
+            if !named.contains(id) {
+                node.state = EndpointState::Gone;
+            }
         }
-        entries
     }
 
-    /// A node's first frame on a connection: its start is certain now. `None`: the node is forgotten.
-    pub fn greeted(
+    fn listed_endpoint(
+        &mut self,
+        listed: ListedEndpoint,
+        deployment: &Deployment,
+        now: Instant,
+    ) -> Endpoint {
+        let id = node_id(&listed.name);
+        let shard = ShardId(listed.shard);
+        let zones = &deployment.zones;
+        let zone = zones.iter().position(|zone| *zone == listed.zone);
+        // A zone that the configuration does not have is different from all that it has.
+        let zone = ZoneId(zone.unwrap_or(usize::MAX));
+        let state = match ListedState::try_from(listed.state) {
+            Ok(ListedState::Ready) => EndpointState::Ready,
+            Ok(ListedState::Gone) => EndpointState::Gone,
+            // A state of a newer version may be anything but ready.
+            Ok(ListedState::Draining) | Err(_) => EndpointState::Draining,
+        };
+        let node = self
+            .all
+            .entry(id)
+            .or_insert_with(|| NodeRecord::new(listed.name, shard, zone, state));
+        node.address = listed.address;
+        node.shard = shard;
+        node.zone = zone;
+        node.state = state;
+        node.pools = deployment.routes.pools_of(zone, &listed.kind);
+        node.kind = listed.kind;
+        let age = Span::from_micros(listed.age_us);
+        let started = node.record_start(listed.incarnation, age, now);
+        node.entry(id, started)
+    }
+
+    /// Takes in a node's first frame on a connection, which makes its start certain. `None`: the node is
+    /// forgotten.
+    pub fn identified(
         &mut self,
         id: NodeId,
         incarnation: u64,
         age: Span,
         now: Instant,
-    ) -> Option<Greeted> {
-        let side = self.all.get_mut(&id)?;
-        let started = side.start(incarnation, age, now);
-        let restarted = side
-            .incarnation
-            .replace(incarnation)
-            .is_some_and(|before| before != incarnation);
-        Some(Greeted {
-            endpoint: side.entry(id, started),
-            restarted,
+    ) -> Option<IdentifiedNode> {
+        let node = self.all.get_mut(&id)?;
+        let started = node.record_start(incarnation, age, now);
+        let process = match node.incarnation.replace(incarnation) {
+            None => NodeProcess::First,
+            Some(before) if before == incarnation => NodeProcess::Same,
+            Some(_) => NodeProcess::Restarted,
+        };
+        Some(IdentifiedNode {
+            endpoint: node.entry(id, started),
+            process,
         })
     }
 
     /// Another configuration has other pools: all nodes as they are now, for the scheduler.
-    pub fn reassign_pools(&mut self, d: &Deployment) -> Vec<Endpoint> {
-        for n in self.all.values_mut() {
-            n.pools = d.routes.pools_of(n.zone, &n.kind);
+    pub fn reassign_pools(&mut self, deployment: &Deployment) -> Vec<Endpoint> {
+        for node in self.all.values_mut() {
+            node.pools = deployment.routes.pools_of(node.zone, &node.kind);
         }
         self.all
             .iter()
-            .map(|(id, n)| n.entry(*id, n.newest_start().at))
+            .map(|(id, node)| node.entry(*id, node.newest_start().at))
             .collect()
     }
 
-    /// Ready nodes that hold the same shard as another, which only a hand-over explains.
+    /// The shards that two or more ready nodes hold, with the nodes' names. This is expected only while one
+    /// node replaces another.
     pub fn duplicate_shards(&self) -> BTreeMap<ShardId, Vec<&str>> {
         let mut shards: BTreeMap<ShardId, Vec<&str>> = BTreeMap::new();
-        for n in self
-            .all
-            .values()
-            .filter(|n| n.state == EndpointState::Ready)
-        {
-            shards.entry(n.shard).or_default().push(&n.name);
+        for node in self.all.values() {
+            if node.state == EndpointState::Ready {
+                shards.entry(node.shard).or_default().push(&node.name);
+            }
         }
         shards.retain(|_, nodes| nodes.len() > 1);
         shards
@@ -284,11 +324,17 @@
 
     /// Forgets nodes that are long gone and that nothing here needs.
     pub fn forget(&mut self, now: Instant) {
-        for n in self.all.values_mut() {
-            n.gone = (n.state == EndpointState::Gone).then(|| n.gone.unwrap_or(now));
+        for node in self.all.values_mut() {
+            node.gone_since =
+                (node.state == EndpointState::Gone).then(|| node.gone_since.unwrap_or(now));
         }
-        let needed = |n: &NodeSide| !n.pending.is_empty() || n.connection.link().is_some();
+        let is_needed =
+            |node: &NodeRecord| !node.pending.is_empty() || node.connection.link().is_some();
+        let is_recent = |node: &NodeRecord| {
+            node.gone_since
+                .is_none_or(|since| now - since <= GONE_RETENTION)
+        };
         self.all
-            .retain(|_, n| needed(n) || n.gone.is_none_or(|since| now - since <= FORGET));
+            .retain(|_, node| is_needed(node) || is_recent(node));
     }
 }
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -1,5 +1,5 @@
-//! Peer hosts: the connection to each, frames that wait for it, and what is known of its clock. Demand
-//! reports of a peer are handed to the scheduler only once its clock is known.
+//! Peer hosts: the connection to each, frames that wait for it, and what is known of its clock. A demand
+//! report is handed to the scheduler only once the clock of the peer that sent it is known.
 
 use super::Core;
 use super::clock::{Learned, PeerClock};
@@ -11,8 +11,9 @@
 use std::collections::VecDeque;
 use tracing::{info, warn};
 
-/// Frames that wait for a connection, or demand reports that wait for a clock: they count for a tenth of a
-/// second only.
+/// The most frames that wait for one connection, and the most demand reports that wait for one clock. A
+/// demand report is of use for a tenth of a second only, so more of them would hold memory for nothing; with
+/// fewer, a peer that connects anew would lose the newest ones.
 const MAX_WAITING_FRAMES: usize = 8;
 
 /// A peer that opened a connection to this host, and what is known of its clock.
@@ -21,37 +22,31 @@
     pub(super) clock: PeerClock,
     /// Demand reports that wait until something is known of the clock.
     pub(super) waiting: VecDeque<Vec<u8>>,
-    /// Its clock is too far from ours.
-    pub(super) too_far: bool,
+    /// Its clock is certainly more than `clock-apart` away from ours.
+    pub(super) clock_too_far: bool,
 }
 
 impl IncomingPeer {
     fn log_clock(&self, learned: &Learned, was_too_far: bool, now: Instant) {
         let bounds = self.clock.bounds(now).unwrap_or_default();
-        let (peer, least, most) = (self.host.0, bounds.least.millis(), bounds.most.millis());
+        let peer = self.host.0;
+        let min_ahead_ms = bounds.least.millis();
+        let max_ahead_ms = bounds.most.millis();
         match learned {
             Learned::First => info!(
                 peer,
-                ahead_ms_least = least,
-                ahead_ms_most = most,
-                "clock of peer"
+                min_ahead_ms, max_ahead_ms, "peer clock offset measured"
+            ),
+            Learned::Stepped => warn!(
+                peer,
+                min_ahead_ms, max_ahead_ms, "peer clock stepped: its offset is measured anew"
             ),
-            Learned::Stepped => {
-                warn!(
-                    peer,
-                    ahead_ms_least = least,
-                    ahead_ms_most = most,
-                    "clock of peer was set"
-                )
-            }
             Learned::Narrowed | Learned::Nothing => {}
         }
-        if self.too_far && !was_too_far {
+        if self.clock_too_far && !was_too_far {
             warn!(
                 peer,
-                ahead_ms_least = least,
-                ahead_ms_most = most,
-                "clock of peer too far off: labels dropped"
+                min_ahead_ms, max_ahead_ms, "peer clock offset too large: demand reports dropped"
             );
         }
     }
@@ -66,11 +61,13 @@
 }
 
 impl Core {
+    /// Sends a demand report of the scheduler to a peer.
     pub(super) fn send_demand_report(&mut self, to: HostId, bytes: Vec<u8>) {
         self.counts.demand_reports_sent += 1;
         self.send_to_peer(to, Frame::from(DemandReport { bytes }));
     }
 
+    /// Sends a frame to a peer, or keeps it until the connection is up. Opens the connection if there is none.
     pub(super) fn send_to_peer(&mut self, to: HostId, frame: Frame) {
         let Some(place) = self.deployment.hosts.get(to.0 as usize) else {
             return;
@@ -79,7 +76,7 @@
         if let Some(link) = peer.connection.up() {
             return self.send(link, frame);
         }
-        // The newest count: what waits longer than the next try takes is stale.
+        // The newest frames matter most: the older ones are stale by the time the connection is up.
         if peer.waiting.len() >= MAX_WAITING_FRAMES {
             peer.waiting.pop_front();
         }
@@ -100,27 +97,27 @@
         );
     }
 
-    pub(super) fn peer_hello(&mut self, id: LinkId, host: HostId, hello: Hello) {
+    pub(super) fn peer_hello(&mut self, id: LinkId, host: HostId, hello: &Hello) {
         let expected = self
             .deployment
             .hosts
             .get(host.0 as usize)
-            .is_some_and(|h| h.name == hello.name);
+            .is_some_and(|configured| configured.name == hello.name);
         if hello.role != Role::Host as i32 || !expected {
-            return self.close_link(id, "another process answers at the peer's address");
+            return self.close_connection(id, "peer identity mismatch");
         }
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
         peer.connection.is_up(id);
         let waiting = std::mem::take(&mut peer.waiting);
-        self.response_received(id);
+        self.connections.response_received(id);
         for frame in waiting {
             self.send(id, frame);
         }
     }
 
-    /// A peer's reading of its clock.
+    /// A peer reports what its clock shows. Demand reports that waited for this are handed on.
     pub(super) fn clock_reply(&mut self, id: LinkId, reply: ClockReply) {
         let max_apart = self.deployment.bounds.clock_apart;
         let now = self.now;
@@ -132,8 +129,8 @@
             Instant::from_micros(reply.clock_us),
             now,
         );
-        let was_too_far = peer.too_far;
-        peer.too_far = peer.clock.too_far(now, max_apart);
+        let was_too_far = peer.clock_too_far;
+        peer.clock_too_far = peer.clock.too_far(now, max_apart);
         peer.log_clock(&learned, was_too_far, now);
         let waiting = std::mem::take(&mut peer.waiting);
         if learned != Learned::Nothing {
@@ -143,15 +140,15 @@
         }
     }
 
-    /// A demand report is read by our clock. One whose sender's clock is not known waits for it; one whose
-    /// sender's clock is too far off is dropped: something is wrong there, and a lost demand report costs no
-    /// limit.
+    /// Hands a peer's demand report to the scheduler, with its times moved to this host's clock. A report
+    /// waits while the peer's clock is not known. It is dropped when that clock is too far off: something is
+    /// wrong there, and no limit is exceeded because of a lost report.
     pub(super) fn demand_report(&mut self, id: LinkId, bytes: Vec<u8>) {
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
             return;
         };
-        let offset = if peer.too_far {
+        let offset = if peer.clock_too_far {
             None
         } else {
             peer.clock.earliest(now)
@@ -163,7 +160,7 @@
                 from,
                 bytes: demand_report::moved(&bytes, offset),
             });
-        } else if peer.too_far || peer.waiting.len() >= MAX_WAITING_FRAMES {
+        } else if peer.clock_too_far || peer.waiting.len() >= MAX_WAITING_FRAMES {
             self.counts.demand_reports_dropped += 1;
         } else {
             peer.waiting.push_back(bytes);
@@ -171,7 +168,12 @@
     }
 
     fn incoming_peer(&mut self, id: LinkId) -> Option<&mut IncomingPeer> {
-        match self.links.get_mut(&id).map(|l| &mut l.peer_kind) {
+        match self
+            .connections
+            .open
+            .get_mut(&id)
+            .map(|connection| &mut connection.peer_kind)
+        {
             Some(PeerKind::IncomingPeer(peer)) => Some(peer),
             _ => None,
         }
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -1,22 +1,30 @@
-//! Requests of clients: each is checked and handed to the scheduler, and gets one final answer. The
-//! scheduler's actions are carried out from here.
+//! Requests of clients. Each is checked, handed to the scheduler, and gets at most one final answer. The
+//! scheduler's actions are carried out here.
 
 use super::Core;
 use super::input_output::LinkId;
 use super::requests::{OpenRequest, object};
 use super::timers::TimerKind;
+use bytes::Bytes;
 use gullsail_protocol::{Answer, Frame, Handle, NotTaken, Outcome, Submit};
 use gullsail_scheduler_api::{Action, Event, Request, RequestClassId, RequestId, ShardId, Span};
+use thiserror::Error;
 
-/// The most that an attempt's frame holds beside names and body.
-const ATTEMPT_HEAD: usize = 96;
+/// Bytes that are charged for an attempt's frame beside its names and body. No frame has a larger head, so a
+/// budget is never charged too little; a larger value would charge small requests too much.
+const ATTEMPT_HEAD_BYTES: usize = 96;
 
-/// What a client is answered.
+/// Ticks that must be left of a request's timeout. The scheduler ends open requests two ticks ahead of their
+/// deadlines. It could answer a request with less time only as too late, and a loop that is held up for those
+/// two ticks would answer after the deadline.
+const MIN_TICKS_LEFT: f64 = 2.0;
+
+/// The final answer to a request.
 pub(super) struct FinalAnswer {
     pub(super) outcome: Outcome,
     pub(super) handle: Option<Handle>,
     pub(super) retry_after: Span,
-    pub(super) body: bytes::Bytes,
+    pub(super) body: Bytes,
 }
 
 impl From<Outcome> for FinalAnswer {
@@ -25,118 +33,116 @@
             outcome,
             handle: None,
             retry_after: Span::ZERO,
-            body: bytes::Bytes::new(),
+            body: Bytes::new(),
         }
     }
 }
 
-/// The places of a request's names in the configuration.
+/// Where the names of a request are in the configuration.
 struct RequestPlaces {
     volume: usize,
     request_class: usize,
 }
 
+/// A request that this host may hand to the scheduler.
+struct ValidRequest {
+    link: LinkId,
+    submit: Submit,
+    body: Bytes,
+    timeout_shortened: bool,
+    places: RequestPlaces,
+}
+
+/// Why a request is not accepted. The texts are shown to the client.
+#[derive(Debug, Error)]
+enum InvalidRequest {
+    #[error("unknown request class \"{0}\"")]
+    UnknownClass(String),
+    #[error("unknown volume \"{0}\"")]
+    UnknownVolume(String),
+    #[error("volume \"{0}\" is not served through this host")]
+    VolumeElsewhere(String),
+    #[error("units out of range: got {units}, allowed 0 < units <= {max}")]
+    UnitsOutOfRange { units: f64, max: f64 },
+    #[error("deadline passed or closer than 2 ticks")]
+    DeadlineTooClose,
+    #[error("a read needs the handle of what it reads")]
+    ReadWithoutHandle,
+    #[error("a read must not have a body")]
+    ReadWithBody,
+}
+
 impl Core {
-    /// A client hands a request over. What can't be accepted is refused at once, with the reason. `aged`: it
-    /// may have waited while the process stood still.
-    pub(super) fn submit(&mut self, link: LinkId, submit: Submit, body: bytes::Bytes, aged: bool) {
-        if self.requests.find(link, submit.id).is_some() {
-            return self.close_link(link, "one id for two open transfers");
+    /// Handles a request of a client. One that is invalid, or that comes during the shutdown, is refused at
+    /// once with the reason. `timeout_shortened`: it may have waited while the process was stalled.
+    pub(super) fn submit(
+        &mut self,
+        link: LinkId,
+        submit: Submit,
+        body: Bytes,
+        timeout_shortened: bool,
+    ) {
+        if self.requests.by_client_id(link, submit.id).is_some() {
+            return self.close_connection(link, "one id used for two open requests");
         }
-        if self.stopping {
-            return self.refuse(link, submit.id, "this host is leaving".into(), true);
+        if self.shutdown.requested {
+            return self.refuse(link, submit.id, "this host is shutting down".into(), true);
         }
         match self.check_submit(&submit, &body) {
-            Ok(places) => self.admit(link, submit, body, aged, &places),
-            Err(reason) => self.refuse(link, submit.id, reason, false),
+            Ok(places) => self.hand_to_scheduler(ValidRequest {
+                link,
+                submit,
+                body,
+                timeout_shortened,
+                places,
+            }),
+            Err(invalid) => self.refuse(link, submit.id, invalid.to_string(), false),
         }
     }
 
-    /// Where the request's names are in the configuration; else why it can't be accepted, as the client is to
-    /// read it.
-    fn check_submit(&self, submit: &Submit, body: &bytes::Bytes) -> Result<RequestPlaces, String> {
-        let d = &self.deployment;
-        let Some(place) = d
-            .request_classes
-            .iter()
-            .position(|s| s.name == submit.request_class)
-        else {
-            return Err(format!(
-                "no stream type is called \"{}\"",
-                submit.request_class
-            ));
+    /// Checks a request. Returns where its names are in the configuration.
+    fn check_submit(&self, submit: &Submit, body: &Bytes) -> Result<RequestPlaces, InvalidRequest> {
+        let deployment = &self.deployment;
+        let figures = deployment.figures();
+        let mut classes = deployment.request_classes.iter();
+        let Some(class_place) = classes.position(|class| class.name == submit.request_class) else {
+            return Err(InvalidRequest::UnknownClass(submit.request_class.clone()));
         };
-        let Some(at) = d.volume_at(&submit.volume) else {
-            return Err(format!("no volume is called \"{}\"", submit.volume));
+        let Some(volume_place) = deployment.volume_at(&submit.volume) else {
+            return Err(InvalidRequest::UnknownVolume(submit.volume.clone()));
         };
-        let (volume, request_class) = (&d.volumes[at], &d.request_classes[place]);
-        let most = d.figures().max_units;
-        if !volume.through(self.me) {
-            return Err(format!(
-                "volume \"{}\" does not come through this host",
-                volume.name
-            ));
-        }
-        if !(submit.units > 0.0 && submit.units <= most) {
-            return Err(format!(
-                "{} units; more than 0 and at most {most} can be taken",
-                submit.units
-            ));
+        let volume = &deployment.volumes[volume_place];
+        if !volume.through(self.identity.host) {
+            return Err(InvalidRequest::VolumeElsewhere(volume.name.clone()));
         }
-        // The scheduler ends what is open two ticks ahead of its deadline: this request it could only answer
-        // as too late, and a loop that is held up for those two ticks would answer late.
-        if submit.timeout_us <= d.figures().tick.times(2.0).micros() {
-            return Err("its time is up, or less than two ticks are left".into());
+        let units = submit.units;
+        let max = figures.max_units;
+        if !(units > 0.0 && units <= max) {
+            return Err(InvalidRequest::UnitsOutOfRange { units, max });
         }
-        if !request_class.write && submit.handle.is_none() {
-            return Err("a read needs the handle of what it reads".into());
+        if submit.timeout_us <= figures.tick.times(MIN_TICKS_LEFT).micros() {
+            return Err(InvalidRequest::DeadlineTooClose);
         }
-        if !request_class.write && !body.is_empty() {
-            return Err("a read has no body".into());
+        if !deployment.request_classes[class_place].write {
+            check_read(submit, body)?;
         }
         Ok(RequestPlaces {
-            volume: at,
-            request_class: place,
+            volume: volume_place,
+            request_class: class_place,
         })
     }
 
-    fn admit(
-        &mut self,
-        link: LinkId,
-        submit: Submit,
-        body: bytes::Bytes,
-        aged: bool,
-        places: &RequestPlaces,
-    ) {
-        let d = &self.deployment;
-        let volume = &d.volumes[places.volume];
-        let request_class = &d.request_classes[places.request_class];
-        // No less than its attempts' frames will have: names, figures, and the body.
-        let names = submit.request_class.len() + submit.volume.len() + submit.mark.len();
-        let request = Request {
-            id: RequestId::default(),
-            request_class: RequestClassId(places.request_class),
-            plan: volume.plan,
-            volume: volume.id,
-            units: submit.units,
-            shard: submit.handle.map(|h| ShardId(h.shard)),
-            object: object(&submit),
-            timeout: Span::from_micros(submit.timeout_us).min(request_class.deadline),
-            volume_hosts: volume.hosts.len() as u32,
-            pool: d
-                .routes
-                .pool(places.volume, RequestClassId(places.request_class)),
-            bytes: (ATTEMPT_HEAD + names + body.len()) as f64,
-        };
-        let write = request_class.write;
-        let deadline = self.now + request.timeout;
-        let id = self.requests.take(OpenRequest {
-            link,
-            submit,
+    /// Opens a valid request and hands it to the scheduler, which decides on it in the next step.
+    fn hand_to_scheduler(&mut self, valid: ValidRequest) {
+        let request = self.scheduler_request(&valid);
+        let write = self.deployment.request_classes[valid.places.request_class].write;
+        let id = self.requests.insert(OpenRequest {
+            link: valid.link,
+            submit: valid.submit,
             write,
-            body,
-            deadline,
-            aged,
+            body: valid.body,
+            deadline: self.now + request.timeout,
+            timeout_shortened: valid.timeout_shortened,
             attempts: 0,
         });
         self.counts.taken += 1;
@@ -145,28 +151,51 @@
             .push(Event::RequestArrived(Request { id, ..request }));
     }
 
-    /// Tells a client that its request is not accepted; nothing was decided on it. `leaving`: this host
-    /// stops.
-    pub(super) fn refuse(&mut self, link: LinkId, id: u64, reason: String, leaving: bool) {
+    /// The request as the scheduler sees it, without its number.
+    fn scheduler_request(&self, valid: &ValidRequest) -> Request {
+        let deployment = &self.deployment;
+        let submit = &valid.submit;
+        let volume = &deployment.volumes[valid.places.volume];
+        let class = RequestClassId(valid.places.request_class);
+        let class_deadline = deployment.request_classes[valid.places.request_class].deadline;
+        // No less than the frames of its attempts will have: names, figures and the body.
+        let names = submit.request_class.len() + submit.volume.len() + submit.mark.len();
+        let bytes = ATTEMPT_HEAD_BYTES + names + valid.body.len();
+        Request {
+            id: RequestId::default(),
+            request_class: class,
+            plan: volume.plan,
+            volume: volume.id,
+            units: submit.units,
+            shard: submit.handle.map(|handle| ShardId(handle.shard)),
+            object: object(submit),
+            timeout: Span::from_micros(submit.timeout_us).min(class_deadline),
+            volume_hosts: volume.hosts.len() as u32,
+            pool: deployment.routes.pool(valid.places.volume, class),
+            bytes: bytes as f64,
+        }
+    }
+
+    /// Reports to a client that its request is not accepted. Nothing of it ran. `leaving`: this host shuts
+    /// down, so the client should use another.
+    fn refuse(&mut self, link: LinkId, id: u64, reason: String, leaving: bool) {
         self.counts.not_taken += 1;
-        self.send(
-            link,
-            Frame::from(NotTaken {
-                id,
-                reason,
-                leaving,
-            }),
-        );
+        let refused = NotTaken {
+            id,
+            reason,
+            leaving,
+        };
+        self.send(link, Frame::from(refused));
     }
 
-    /// A client no longer wants what it calls by this name.
-    pub(super) fn withdraw(&mut self, link: LinkId, name: u64) {
-        if let Some(id) = self.requests.find(link, name) {
+    /// A client withdraws a request.
+    pub(super) fn withdraw(&mut self, link: LinkId, client_request_id: u64) {
+        if let Some(id) = self.requests.by_client_id(link, client_request_id) {
             self.client_left(id);
         }
     }
 
-    /// Nobody waits for this request any more.
+    /// The client of this request no longer waits for its answer.
     pub(super) fn client_left(&mut self, id: RequestId) {
         if self.requests.end(id).is_some() {
             self.counts.clients_left += 1;
@@ -179,14 +208,11 @@
         match action {
             Action::StartAttempt { id, node, time_out } => self.start_attempt(id, node, time_out),
             Action::Reject { id, retry_after } => {
-                let retry_after = retry_after.unwrap_or(Span::ZERO);
-                self.answer(
-                    id,
-                    FinalAnswer {
-                        retry_after,
-                        ..FinalAnswer::from(Outcome::Rejected)
-                    },
-                );
+                let rejected = FinalAnswer {
+                    retry_after: retry_after.unwrap_or(Span::ZERO),
+                    ..FinalAnswer::from(Outcome::Rejected)
+                };
+                self.answer(id, rejected);
             }
             Action::Fail { id } => self.answer(id, FinalAnswer::from(Outcome::Failed)),
             Action::BudgetOverrun {
@@ -196,30 +222,18 @@
                 ..
             } => self.record_overrun(cross_zone_budget, bytes, cause),
             Action::WatchEndpoints => self.connect_endpoint_list(),
-            Action::SetTimer { id, at } => self.at(at, TimerKind::Scheduler(id)),
+            Action::SetTimer { id, at } => self.set_timer(at, TimerKind::Scheduler(id)),
             Action::SendToPeer { to, bytes } => self.send_demand_report(to, bytes),
         }
     }
 
-    /// The one final answer. A request that has it is no longer open, so there is no second.
+    /// Sends the one final answer. A request that has it is no longer open, so there is no second.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(open) = self.requests.end(id) else {
             return;
         };
-        // Keeps rule 1 after the process stood still: the client's timeout is over, and it may have tried
-        // elsewhere. Otherwise answers are due two ticks before the deadline.
         if self.now > open.deadline {
-            self.counts.answers_withheld += 1;
-            if open.aged && open.attempts == 0 {
-                // The client may still wait, and nothing of the request ran.
-                self.refuse(
-                    open.link,
-                    open.submit.id,
-                    "its time may be up".into(),
-                    false,
-                );
-            }
-            return;
+            return self.drop_late_answer(&open);
         }
         match answer.outcome {
             Outcome::Succeeded => self.counts.done += 1,
@@ -235,4 +249,26 @@
         self.send_by(open.link, frame.with_body(answer.body), Some(open.deadline));
         self.update_reading(open.link);
     }
+
+    /// Guards "at most one final answer" after a stall of the process: the client's timeout has passed, and
+    /// the client may have sent the request to another host. Without a stall, answers are due two ticks
+    /// before the deadline and never get here.
+    fn drop_late_answer(&mut self, open: &OpenRequest) {
+        self.counts.late_answers_dropped += 1;
+        if open.timeout_shortened && open.attempts == 0 {
+            // The client may still wait, and nothing of the request ran.
+            let reason = "deadline may have passed while the host was stalled".into();
+            self.refuse(open.link, open.submit.id, reason, false);
+        }
+    }
+}
+
+fn check_read(submit: &Submit, body: &Bytes) -> Result<(), InvalidRequest> {
+    if submit.handle.is_none() {
+        return Err(InvalidRequest::ReadWithoutHandle);
+    }
+    if !body.is_empty() {
+        return Err(InvalidRequest::ReadWithBody);
+    }
+    Ok(())
 }
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -1,51 +1,52 @@
-//! The open requests and the attempts that have not ended, with the bytes they hold. A request stands here
-//! from the moment it is accepted until its one final answer, an attempt until its end is reported to the
-//! scheduler; an attempt may outlive its request, so that the node's window is released at the right time.
+//! The open requests and the attempts in flight, with the bytes they hold. A request is kept from the moment
+//! it is accepted until its one final answer, an attempt until its end is reported to the scheduler. An attempt
+//! may outlive its request, so that the node's window is released at the right time.
 
 use super::input_output::LinkId;
 use bytes::Bytes;
+use gullsail_configuration::number;
 use gullsail_protocol::{Handle, Submit};
 use gullsail_scheduler_api::{Instant, NodeId, ObjectId, RequestId, Span};
 use std::collections::BTreeMap;
 
-/// An attempt's number at this host, for its node.
+/// An attempt's number at this host. The node repeats it in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
-/// A request without its answer.
+/// A request that has no final answer yet.
 #[derive(Debug)]
 pub struct OpenRequest {
     /// Where to send the answer.
     pub link: LinkId,
-    /// What the client asked for, under the client's own id.
+    /// The request as the client sent it, with the client's own id.
     pub submit: Submit,
     /// Whether it writes.
     pub write: bool,
-    /// What is written.
+    /// The bytes to write; empty for a read.
     pub body: Bytes,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: Instant,
-    /// Its timeout was shortened by what it may have waited: its client may wait longer than that.
-    pub aged: bool,
-    /// Attempts that were started.
+    /// Its timeout was shortened because the process was stalled, so its client may wait beyond `deadline`.
+    pub timeout_shortened: bool,
+    /// How many attempts were started.
     pub attempts: u32,
 }
 
-/// An attempt that has not ended.
+/// An attempt that was started and has not ended.
 #[derive(Debug)]
-pub struct AttemptOut {
-    /// Whose it is.
+pub struct InFlightAttempt {
+    /// The request it belongs to.
     pub request: RequestId,
     /// Its place among its request's attempts, from 0.
     pub number: u32,
-    /// Where it is tried.
+    /// The node it is sent to.
     pub node: NodeId,
-    /// When it was started.
-    pub made: Instant,
-    /// When its frame went out; until then it certainly never ran.
-    pub sent: Option<Instant>,
+    /// When the scheduler started it.
+    pub started_at: Instant,
+    /// When its frame was sent. Until then it certainly has not run.
+    pub sent_at: Option<Instant>,
     /// When it times out.
-    pub ends: Instant,
+    pub timeout_at: Instant,
 }
 
 /// An attempt that was just started.
@@ -54,7 +55,7 @@
     /// Its number.
     pub id: AttemptId,
     /// How long it may take.
-    pub lasts: Span,
+    pub timeout: Span,
 }
 
 /// Lengths of the collections of [`Requests`].
@@ -62,8 +63,8 @@
 pub struct RequestSizes {
     /// Open requests.
     pub open: usize,
-    /// Open requests by their clients' names for them.
-    pub named: usize,
+    /// Entries of the index by client and client's id.
+    pub client_ids: usize,
     /// Attempts that have not ended.
     pub attempts: usize,
 }
@@ -73,65 +74,70 @@
 pub struct Requests {
     /// Boxed: the map moves its entries about.
     open: BTreeMap<RequestId, Box<OpenRequest>>,
-    /// By what clients call them: one name at a time on a connection.
-    named: BTreeMap<(LinkId, u64), RequestId>,
-    attempts: BTreeMap<AttemptId, AttemptOut>,
+    /// By connection and the client's own id, which is unique among the open requests of a connection.
+    by_client_id: BTreeMap<(LinkId, u64), RequestId>,
+    attempts: BTreeMap<AttemptId, InFlightAttempt>,
     last_request: u64,
     last_attempt: u64,
-    held: usize,
+    held_bytes: usize,
 }
 
 impl Requests {
     /// Body bytes of open requests.
     pub fn held(&self) -> usize {
-        self.held
+        self.held_bytes
     }
-    /// How many are open.
+
+    /// How many requests are open.
     pub fn open(&self) -> usize {
         self.open.len()
     }
+
     /// How many attempts have not ended.
     pub fn attempts_out(&self) -> usize {
         self.attempts.len()
     }
-    /// The lengths of its collections.
+
+    /// The lengths of the collections.
     pub fn size_metrics(&self) -> RequestSizes {
         RequestSizes {
             open: self.open.len(),
-            named: self.named.len(),
+            client_ids: self.by_client_id.len(),
             attempts: self.attempts.len(),
         }
     }
+
     /// An open request.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id).map(Box::as_ref)
     }
-    /// The open request that a client calls by this name.
-    pub fn find(&self, link: LinkId, name: u64) -> Option<RequestId> {
-        self.named.get(&(link, name)).copied()
+
+    /// The open request that a client knows by this id.
+    pub fn by_client_id(&self, link: LinkId, client_request_id: u64) -> Option<RequestId> {
+        self.by_client_id.get(&(link, client_request_id)).copied()
     }
 
-    /// Enters a new request.
-    pub fn take(&mut self, open: OpenRequest) -> RequestId {
+    /// Adds a request and gives it this host's own number.
+    pub fn insert(&mut self, open: OpenRequest) -> RequestId {
         self.last_request += 1;
         let id = RequestId(self.last_request);
-        self.held += open.body.len();
-        self.named.insert((open.link, open.submit.id), id);
+        self.held_bytes += open.body.len();
+        self.by_client_id.insert((open.link, open.submit.id), id);
         self.open.insert(id, Box::new(open));
         id
     }
 
-    /// Removes a request that has its answer, or for whose answer nobody waits.
+    /// Removes a request that has its answer, or whose client no longer waits.
     pub fn end(&mut self, id: RequestId) -> Option<Box<OpenRequest>> {
         let open = self.open.remove(&id)?;
-        self.held -= open.body.len();
-        self.named.remove(&(open.link, open.submit.id));
+        self.held_bytes -= open.body.len();
+        self.by_client_id.remove(&(open.link, open.submit.id));
         Some(open)
     }
 
-    /// Is any of a client's requests open?
+    /// Whether a client has an open request.
     pub fn has_any(&self, link: LinkId) -> bool {
-        self.named
+        self.by_client_id
             .range((link, 0)..=(link, u64::MAX))
             .next()
             .is_some()
@@ -139,13 +145,14 @@
 
     /// A client's open requests.
     pub fn of_link(&self, link: LinkId) -> Vec<RequestId> {
-        self.named
+        self.by_client_id
             .range((link, 0)..=(link, u64::MAX))
             .map(|(_, id)| *id)
             .collect()
     }
 
-    /// Starts an attempt of an open request; it never lasts beyond the deadline. The request counts it.
+    /// Starts an attempt of an open request and counts it there. It times out at the request's deadline at the
+    /// latest.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
@@ -155,47 +162,46 @@
     ) -> Option<StartedAttempt> {
         let open = self.open.get_mut(&id)?;
         let left = open.deadline - now;
-        let lasts = time_out.map_or(left, |t| t.min(left));
+        let timeout = time_out.map_or(left, |timeout| timeout.min(left));
         self.last_attempt += 1;
-        let attempt = AttemptOut {
+        let attempt = InFlightAttempt {
             request: id,
             number: open.attempts,
             node,
-            made: now,
-            sent: None,
-            ends: now + lasts,
+            started_at: now,
+            sent_at: None,
+            timeout_at: now + timeout,
         };
         open.attempts += 1;
         self.attempts.insert(AttemptId(self.last_attempt), attempt);
         Some(StartedAttempt {
             id: AttemptId(self.last_attempt),
-            lasts,
+            timeout,
         })
     }
 
     /// An attempt that has not ended.
-    pub fn attempt(&mut self, attempt: AttemptId) -> Option<&mut AttemptOut> {
+    pub fn attempt(&mut self, attempt: AttemptId) -> Option<&mut InFlightAttempt> {
         self.attempts.get_mut(&attempt)
     }
 
     /// Removes an attempt that ended.
-    pub fn attempt_ended(&mut self, attempt: AttemptId) -> Option<AttemptOut> {
+    pub fn attempt_ended(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
         self.attempts.remove(&attempt)
     }
 
-    /// The attempts at a node, in the order they were made.
+    /// The attempts at a node, in the order they were started.
     pub fn at_node(&self, node: NodeId) -> Vec<AttemptId> {
         self.attempts
             .iter()
-            .filter(|(_, l)| l.node == node)
+            .filter(|(_, attempt)| attempt.node == node)
             .map(|(id, _)| *id)
             .collect()
     }
 }
 
-/// The object's number for the scheduler: requests that keep an order are one sequence for each object.
+/// The object's number for the scheduler. Requests that keep an order form one sequence for each object.
 pub fn object(submit: &Submit) -> Option<ObjectId> {
-    use gullsail_configuration::number;
     if !submit.order_key.is_empty() {
         return Some(ObjectId(number(&submit.order_key)));
     }
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -1,61 +1,65 @@
-//! Servers that go offline, as this host acts on them: nodes that it may not send to are draining for the
-//! scheduler and lose their connection from here, and what is observed of all servers is reported to the
+//! Servers that go offline, as this host acts on them. Nodes that it must not send to are draining for the
+//! scheduler and lose their connection from here. What this host observes of all servers is reported to the
 //! fleet.
 
 use super::Core;
 use super::input_output::Output;
-use super::maintenance::{CommandError, of_host, of_node};
-use super::nodes::NodeSide;
+use super::maintenance::{CommandError, host_server, node_server};
+use super::nodes::NodeRecord;
 use super::timers::TimerKind;
 use gullsail_configuration::number;
 use gullsail_fleet::Event as FleetEvent;
 use gullsail_fleet::Fleet;
-use gullsail_fleet::maintenance::{ServerObservation, ServerRole, Servers};
-use gullsail_scheduler_api::{AttemptOutcome, EndpointState, Event, NodeId, Span, UpdateKind};
+use gullsail_fleet::maintenance::{ServerId, ServerObservation, ServerRole, Servers, Stage};
+use gullsail_scheduler_api::{
+    AttemptOutcome, EndpointState, Event, Instant, NodeId, Span, UpdateKind,
+};
 use std::collections::BTreeSet;
 use tracing::{debug, info};
 
-/// Between observations of servers, while nothing happens: short beside a lease renewal, by which they are
-/// reported.
+/// Time between two observations of servers while nothing happens: 50 ms. It is short beside a lease renewal,
+/// which carries the observations. A shorter interval costs time; a longer one delays drains and returns.
 const OBSERVATION_INTERVAL: Span = Span::from_micros(50_000);
+/// Orders whose last logged stage is remembered. Orders are few, so this only bounds memory; if it is exceeded,
+/// a stage of the oldest order may be logged twice.
+const MAX_LOGGED_ORDERS: usize = 4096;
+
+/// A node that must not be sent to any more, or that may be sent to again.
+struct NodeUseChange {
+    node: NodeId,
+    offline_or_unknown: bool,
+}
 
 impl Core {
-    /// At the start nothing is known of any server: nothing may be sent.
+    /// At the start nothing is known of any server, so nothing may be sent to any.
     pub(super) fn start_maintenance(&mut self) {
-        if self.maintenance() {
-            self.update_barred_nodes();
+        if self.maintenance_enabled() {
+            self.update_offline_nodes();
         }
     }
 
-    /// Called after the fleet's turn, ahead of what is decided in this step.
-    pub(super) fn maintenance_turn(&mut self, changed: bool) {
-        if !self.maintenance() {
+    /// Acts on what the fleet decided. Called after the fleet advanced, ahead of the scheduler's decisions.
+    pub(super) fn advance_maintenance(&mut self, fleet_changed: bool) {
+        if !self.maintenance_enabled() {
             return;
         }
-        if changed {
-            self.update_barred_nodes();
+        if fleet_changed {
+            self.update_offline_nodes();
             self.log_stages();
         }
-        if self.next_server_check <= self.now || changed {
-            self.drain_barred_nodes();
-            self.report_servers();
-            self.next_server_check = self.now + OBSERVATION_INTERVAL;
-            if self
-                .nodes
-                .iter()
-                .any(|(_, n)| n.barred && n.connection.link().is_some())
-            {
-                self.at(self.next_server_check, TimerKind::Fleet);
-            }
+        if self.maintenance.next_observation <= self.now || fleet_changed {
+            self.observe_servers();
         }
-        let Some(fleet) = &mut self.fleet else { return };
+        let Some(fleet) = &mut self.fleet.member else {
+            return;
+        };
         let answers: Vec<_> = fleet.answers().collect();
-        if fleet.going_offline() && !self.stopping {
-            info!("this host's machine goes out for work: nothing new is taken");
-            self.stopping = true;
+        if fleet.going_offline() && !self.shutdown.requested {
+            info!("graceful shutdown: this host's server goes into maintenance");
+            self.shutdown.requested = true;
         }
         for (requester, answer) in answers {
-            self.pending_commands.remove(&requester);
+            self.maintenance.pending_commands.remove(&requester);
             let outcome = answer.map_err(|(server, reason)| CommandError::Refused {
                 server: self.server_name(server),
                 reason: reason.to_string(),
@@ -65,26 +69,33 @@
         }
     }
 
-    /// Nodes that nothing may be sent to become draining, ahead of all that came in this step; others are
-    /// ready again.
-    pub(super) fn update_barred_nodes(&mut self) {
-        let Some(fleet) = &self.fleet else { return };
-        let now = self.now;
-        let changed = |(id, n): (NodeId, &NodeSide)| {
-            let barred = !fleet.may_use(of_node(id), now);
-            (n.barred != barred).then_some((id, barred))
-        };
-        let changed: Vec<(NodeId, bool)> = self.nodes.iter().filter_map(changed).collect();
+    /// Disconnects drained nodes and reports to the fleet what this host observes of servers. Wakes up again
+    /// soon while a node is still draining.
+    fn observe_servers(&mut self) {
+        self.disconnect_offline_nodes();
+        self.report_servers();
+        self.maintenance.next_observation = self.now + OBSERVATION_INTERVAL;
+        let is_draining =
+            |node: &NodeRecord| node.offline_or_unknown && node.connection.link().is_some();
+        if self.nodes.iter().any(|(_, node)| is_draining(node)) {
+            self.set_timer(self.maintenance.next_observation, TimerKind::Fleet);
+        }
+    }
+
+    /// Makes nodes that must not be sent to draining for the scheduler, and others ready again, ahead of
+    /// everything that came in this step.
+    fn update_offline_nodes(&mut self) {
+        let changes = self.node_use_changes();
         let mut entries = Vec::new();
-        let mut waiting = Vec::new();
-        for (id, barred) in &changed {
-            let Some(n) = self.nodes.get(*id) else {
+        let mut unsent_attempts = Vec::new();
+        for change in &changes {
+            let Some(node) = self.nodes.get(change.node) else {
                 continue;
             };
-            n.bar(*barred);
-            entries.push(n.entry(*id, n.newest_start().at));
-            if *barred {
-                waiting.extend(std::mem::take(&mut n.pending));
+            node.set_offline_or_unknown(change.offline_or_unknown);
+            entries.push(node.entry(change.node, node.newest_start().at));
+            if change.offline_or_unknown {
+                unsent_attempts.extend(std::mem::take(&mut node.pending));
             }
         }
         if !entries.is_empty() {
@@ -92,38 +103,61 @@
                 update_kind: UpdateKind::Delta,
                 entries,
             };
-            self.insert_after_last(event, |e| {
-                matches!(e, Event::ConfigChanged { .. } | Event::EndpointList { .. })
+            self.events.insert_after_last(event, |event| {
+                matches!(
+                    event,
+                    Event::ConfigChanged { .. } | Event::EndpointList { .. }
+                )
             });
         }
-        // None of them was sent.
-        for attempt in waiting {
+        for attempt in unsent_attempts {
             self.attempt_ended(attempt, AttemptOutcome::NotSent);
         }
-        if changed.iter().any(|(_, barred)| !barred) {
+        if changes.iter().any(|change| !change.offline_or_unknown) {
             self.connect_nodes();
         }
     }
 
-    /// Barred nodes without an attempt lose their connection.
-    pub(super) fn drain_barred_nodes(&mut self) {
-        let barred = self.nodes.iter().filter(|(_, n)| n.barred);
-        let barred: Vec<_> = barred.map(|(id, n)| (id, n.connection.link())).collect();
-        for (id, link) in barred {
-            if let Some(link) = link.filter(|_| self.requests.at_node(id).is_empty()) {
-                self.close_link(link, "out for work");
+    /// The nodes for which it changed whether they may be sent to.
+    fn node_use_changes(&self) -> Vec<NodeUseChange> {
+        let Some(fleet) = &self.fleet.member else {
+            return Vec::new();
+        };
+        let changed = |(id, record): (NodeId, &NodeRecord)| {
+            let offline_or_unknown = !fleet.may_use(node_server(id), self.now);
+            (record.offline_or_unknown != offline_or_unknown).then_some(NodeUseChange {
+                node: id,
+                offline_or_unknown,
+            })
+        };
+        self.nodes.iter().filter_map(changed).collect()
+    }
+
+    /// Closes the connections of nodes that must not be sent to and have no attempt in flight.
+    fn disconnect_offline_nodes(&mut self) {
+        let offline = self
+            .nodes
+            .iter()
+            .filter(|(_, node)| node.offline_or_unknown);
+        let connected: Vec<_> = offline
+            .filter_map(|(id, node)| Some((id, node.connection.link()?)))
+            .collect();
+        for (id, link) in connected {
+            if self.requests.at_node(id).is_empty() {
+                self.close_connection(link, "node offline for maintenance");
             }
         }
     }
 
-    /// Reports to the fleet what this host observes of servers, and which barred nodes it has drained.
-    pub(super) fn report_servers(&mut self) {
+    /// Reports to the fleet what this host observes of servers, and which of them it has drained.
+    fn report_servers(&mut self) {
         let mut servers = Servers::new();
         let mut released = BTreeSet::new();
-        for (id, n) in self.nodes.iter() {
-            servers.insert(of_node(id), self.observe_node(n));
-            if n.barred && n.connection.link().is_none() && self.requests.at_node(id).is_empty() {
-                released.insert(of_node(id));
+        for (id, node) in self.nodes.iter() {
+            servers.insert(node_server(id), self.observe_node(node));
+            let disconnected = node.offline_or_unknown && node.connection.link().is_none();
+            if disconnected && self.requests.at_node(id).is_empty() {
+                released.insert(node_server(id));
             }
         }
         for (place, host) in self.deployment.hosts.iter().enumerate() {
@@ -134,57 +168,60 @@
                 incarnation: 0,
                 up: Span::ZERO,
             };
-            servers.insert(of_host(&host.name), observation);
+            servers.insert(host_server(&host.name), observation);
         }
         self.notify_fleet(FleetEvent::ServersObserved { servers, released });
     }
 
-    pub(super) fn observe_node(&self, n: &NodeSide) -> ServerObservation {
-        let d = &self.deployment;
-        let server = d
-            .node(&n.name)
-            .and_then(|place| d.servers.get(place.server));
-        let can = server.map_or(1.0, gullsail_configuration::Server::can);
-        let start = n.newest_start();
+    /// What this host observes of a node. A node that must not be sent to has no connection, so its state in the
+    /// endpoint list alone says whether it is well.
+    fn observe_node(&self, node: &NodeRecord) -> ServerObservation {
+        let configured = self.deployment.node(&node.name);
+        let server = configured.and_then(|place| self.deployment.servers.get(place.server));
+        let start = node.newest_start();
+        let reachable = node.offline_or_unknown || node.connection.up().is_some();
+        let up_for = |started: Instant| (self.now - started).max(Span::ZERO);
         ServerObservation {
             what: ServerRole::Node {
-                shard: n.shard.0,
-                pool: number(&n.kind),
-                can,
+                shard: node.shard.0,
+                pool: number(&node.kind),
+                can: server.map_or(1.0, gullsail_configuration::Server::can),
             },
-            zone: n.zone.0 as u32,
-            well: n.state == EndpointState::Ready && (n.barred || n.connection.up().is_some()),
+            zone: node.zone.0 as u32,
+            well: node.state == EndpointState::Ready && reachable,
             incarnation: start.incarnation,
-            up: start
-                .at
-                .map_or(Span::ZERO, |at| (self.now - at).max(Span::ZERO)),
+            up: start.at.map_or(Span::ZERO, up_for),
         }
     }
 
-    /// Logs when this host knew which stage of which order. The scenario runner parses these lines.
-    pub(super) fn log_stages(&mut self) {
-        let Some(line) = self.fleet.as_ref().and_then(Fleet::line) else {
+    /// Logs each stage of an order when this host first knows of it. The scenario runner parses these lines:
+    /// their target, message and fields must stay.
+    fn log_stages(&mut self) {
+        let Some(order_book) = self.fleet.member.as_ref().and_then(Fleet::line) else {
             return;
         };
-        let stages: Vec<_> = line
-            .orders
-            .iter()
-            .map(|o| (o.number, o.server, o.stage))
+        let orders = order_book.orders.iter();
+        let stages: Vec<_> = orders
+            .map(|order| (order.number, order.server, order.stage))
             .collect();
         for (number, server, stage) in stages {
-            let known = self.logged_stages.insert(number, stage);
-            if known != Some(stage) {
-                let (member, incarnation, name) =
-                    (self.name(), self.incarnation, self.server_name(server));
-                let stage = serde_json::to_value(stage)
-                    .ok()
-                    .and_then(|s| s.as_str().map(str::to_string));
-                let stage = stage.unwrap_or_default();
-                debug!(target: "gullsail_works", member, incarnation, number, server = name, stage, "stage");
+            let logged = self.maintenance.logged_stages.insert(number, stage);
+            if logged != Some(stage) {
+                self.log_stage(number, server, stage);
             }
         }
-        while self.logged_stages.len() > 4096 {
-            self.logged_stages.pop_first();
+        while self.maintenance.logged_stages.len() > MAX_LOGGED_ORDERS {
+            self.maintenance.logged_stages.pop_first();
         }
     }
+
+    fn log_stage(&self, number: u64, server: ServerId, stage: Stage) {
+        let member = self.own_name();
+        let incarnation = self.identity.incarnation;
+        let name = self.server_name(server);
+        // A stage is a JSON string.
+        let stage = serde_json::to_value(stage).unwrap_or_default();
+        let stage = stage.as_str().unwrap_or_default();
+        debug!(target: "gullsail_works", member, incarnation, number, server = name, stage, "stage");
+    }
 }
--- a/crates/host/src/core/timers.rs
+++ b/crates/host/src/core/timers.rs
@@ -1,20 +1,19 @@
-//! What each timer of the core is for, and what is done when it fires.
+//! What each timer of the core is for, and what happens when it fires.
 
 use super::Core;
-use super::connection_table::{Link, PeerKind};
+use super::connection_table::{Connection, PeerKind};
 use super::input_output::LinkId;
-use super::nodes::NodeSide;
-use super::peers::OutgoingPeer;
 use super::reconnect::ConnectionState;
 use super::requests::AttemptId;
 use gullsail_scheduler_api::{Event, HostId, Instant, NodeId, Span, TimerId};
 use tracing::warn;
 
-/// Between searches for stalled connections and for nodes that are gone long since.
+/// Time between two sweeps: 1 s. A sweep visits all connections and nodes, so a shorter interval costs time; a
+/// longer one closes stalled connections that much later than `client-stall`.
 pub(super) const SWEEP_INTERVAL: Span = Span::from_micros(1_000_000);
 
-/// What is due at the end of a timer. A timer is never cancelled: what it finds when it fires decides whether
-/// there is anything to do.
+/// What is due when a timer fires. Timers cannot be cancelled: whoever handles one checks whether there is
+/// still anything to do.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerKind {
     /// A timer of the scheduler.
@@ -23,22 +22,23 @@
     Attempt(AttemptId),
     /// A connection, its first frame, or the endpoint list's reply may have taken too long.
     ResponseDeadline(LinkId),
-    /// The next try to connect to a node.
+    /// This host may try again to connect to the node.
     ReconnectNode(NodeId),
-    /// The next try to connect to a peer may be made.
+    /// This host may try again to connect to the peer.
     ReconnectPeer(HostId),
     /// Peers are asked for their clocks.
     ClockQueries,
-    /// Stalled connections are closed, and nodes that are gone are forgotten.
+    /// Stalled connections are closed, and nodes that are long gone are forgotten.
     Sweep,
-    /// The fleet has something to do.
+    /// Only wakes the host, for the fleet, a slow-start share that rises, servers that drain, or a pending
+    /// operator command: [`Core::advance`] advances the fleet in each step.
     Fleet,
     /// Peers are sent the revisions that hosts hold.
     RevisionRound,
 }
 
 impl Core {
-    pub(super) fn at(&mut self, at: Instant, timer: TimerKind) {
+    pub(super) fn set_timer(&mut self, at: Instant, timer: TimerKind) {
         self.timers.set(at, timer);
     }
 
@@ -50,7 +50,7 @@
             TimerKind::ReconnectNode(node) => self.reconnect_node(node),
             TimerKind::ReconnectPeer(host) => self.reconnect_peer(host),
             TimerKind::RevisionRound => self.revision_round(),
-            // Each step takes the fleet's turn anyway.
+            // Each step advances the fleet anyway.
             TimerKind::Fleet => {}
             TimerKind::ClockQueries => self.query_clocks(),
             TimerKind::Sweep => self.sweep(),
@@ -58,55 +58,58 @@
     }
 
     fn reconnect_node(&mut self, node: NodeId) {
-        let waits = |n: &&mut NodeSide| matches!(n.connection.state, ConnectionState::Waiting(_));
-        if let Some(n) = self.nodes.get(node).filter(waits) {
-            n.connection.state = ConnectionState::Idle;
+        let Some(record) = self.nodes.get(node) else {
+            return;
+        };
+        if matches!(record.connection.state, ConnectionState::Waiting(_)) {
+            record.connection.state = ConnectionState::Idle;
             self.connect_nodes();
         }
     }
 
     fn reconnect_peer(&mut self, host: HostId) {
-        let waits =
-            |p: &&mut OutgoingPeer| matches!(p.connection.state, ConnectionState::Waiting(_));
-        if let Some(peer) = self.peers.get_mut(&host).filter(waits) {
+        let Some(peer) = self.peers.get_mut(&host) else {
+            return;
+        };
+        if matches!(peer.connection.state, ConnectionState::Waiting(_)) {
             peer.connection.state = ConnectionState::Idle;
         }
     }
 
     fn query_clocks(&mut self) {
-        let peers = self
-            .links
-            .iter()
-            .filter(|(_, l)| matches!(l.peer_kind, PeerKind::IncomingPeer(_)));
-        let peers: Vec<LinkId> = peers.map(|(id, _)| *id).collect();
-        for link in peers {
-            self.query_clock(link);
+        let is_incoming_peer =
+            |connection: &Connection| matches!(connection.peer_kind, PeerKind::IncomingPeer(_));
+        for peer in self.connections.ids_where(is_incoming_peer) {
+            self.query_clock(peer);
         }
-        self.at(
-            self.now + self.deployment.bounds.clock_every,
-            TimerKind::ClockQueries,
-        );
+        let next = self.now + self.deployment.bounds.clock_every;
+        self.set_timer(next, TimerKind::ClockQueries);
     }
 
     fn sweep(&mut self) {
-        let patience = self.deployment.bounds.client_stall;
-        let stalled = |l: &Link| l.unsent > 0 && self.now - l.no_progress_since > patience;
-        let stalled = self.links.iter().filter(|(_, l)| stalled(l));
-        let stalled: Vec<_> = stalled
-            .map(|(id, l)| (*id, matches!(l.peer_kind, PeerKind::Client)))
-            .collect();
-        for (link, is_client) in stalled {
-            if is_client {
-                warn!(link = link.0, "client takes none of its answers: let go");
-            } else {
+        self.close_stalled_connections();
+        self.nodes.forget(self.now);
+        self.set_timer(self.now + SWEEP_INTERVAL, TimerKind::Sweep);
+    }
+
+    /// Closes connections whose other side has read nothing for `client-stall` although bytes wait for it.
+    fn close_stalled_connections(&mut self) {
+        let max_stall = self.deployment.bounds.client_stall;
+        let now = self.now;
+        let is_stalled = |connection: &Connection| {
+            connection.unsent_bytes > 0 && now - connection.no_progress_since > max_stall
+        };
+        for id in self.connections.ids_where(is_stalled) {
+            if let Some(connection) = self.connections.open.get(&id) {
                 warn!(
-                    link = link.0,
-                    "the other side takes none of what is sent to it: let go"
+                    connection = id.0,
+                    role = connection.peer_kind.role(),
+                    pending_bytes = connection.unsent_bytes,
+                    stalled_ms = (now - connection.no_progress_since).millis(),
+                    "connection closed: peer stopped reading"
                 );
             }
-            self.close_link(link, "takes none of what is sent to it");
+            self.close_connection(id, "peer stopped reading");
         }
-        self.nodes.forget(self.now);
-        self.at(self.now + SWEEP_INTERVAL, TimerKind::Sweep);
     }
 }
