--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,56 +1,61 @@
-//! One TCP connection that carries frames: a task that reads and one that writes, each with a bounded queue.
-//! Nothing is decided here; whoever opens a [`Link`] owns it and receives its events. Dropping a link writes
-//! what is queued, for at most [`LINGER`], and ends both tasks. The hosts' runtime, the simulator and the
-//! scenario runner open links.
+//! One TCP connection that carries frames: one task reads, one writes, each with a bounded queue. Nothing is
+//! decided here. Whoever opens a [`Link`] owns it and receives its events. Dropping a link writes what is
+//! queued, for at most [`LINGER`], and ends both tasks. The hosts' runtime, the simulator and the scenario
+//! runner open links.
 
+mod close_reason;
+mod read_budget;
 mod reader;
-mod room;
 mod writer;
 
-pub use room::Room;
+pub use read_budget::ReadBudget;
 
+use close_reason::CloseReason;
 use gullsail_protocol::{Bounds, Frame};
 use reader::Reader;
 use socket2::{SockRef, TcpKeepalive};
 use std::time::Duration;
 use tokio::net::TcpStream;
+use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How long a link that was dropped may go on writing what it holds.
+/// How long a link that was dropped may go on writing what it holds: 500 ms. With less, last answers to slow
+/// readers are lost; with more, a process with such readers exits later.
 pub const LINGER: Duration = Duration::from_millis(500);
-/// After so long without a byte, the system checks whether the other side is still there.
+/// After this long without a byte, the system checks whether the other side still exists: 60 s. The check
+/// costs a packet for each idle connection; until it fails, a server that vanished keeps its connections.
 const KEEPALIVE: Duration = Duration::from_secs(60);
 
 /// What happened on a link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A frame came.
+    /// A frame was received.
     Frame(Frame),
-    /// So many bytes of what was queued are with the operating system.
+    /// This many queued bytes are with the operating system, or were dropped because their time had passed.
     Written(usize),
-    /// The connection ended, with the reason; nothing else comes of it.
+    /// The connection ended, with the reason. It is the last event of this link.
     Closed(String),
 }
 
-/// Where events go, with the name that the opener gave the link.
+/// Where events go, with the key that the opener gave the link.
 pub type Sink<K> = mpsc::Sender<(K, LinkEvent)>;
 
 /// What may be read from a connection.
 #[derive(Clone, Debug)]
 pub struct ReadLimits {
-    /// For each frame.
+    /// The largest frame.
     pub bounds: Bounds,
     /// For frames that wait to be handled; `None`: bounded by the queue alone.
-    pub room: Option<Room>,
+    pub budget: Option<ReadBudget>,
 }
 
 /// A frame that waits to be written.
 #[derive(Debug)]
 struct QueuedFrame {
     frame: Frame,
-    /// Nobody has use of it after this.
+    /// The frame is of no use after this time.
     until: Option<Instant>,
 }
 
@@ -62,13 +67,13 @@
     reading: watch::Sender<bool>,
 }
 
-/// The queue to the other side is full, or the link is over.
+/// The queue to the other side is full, or the link has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Full;
 
 impl Link {
-    /// Opens a link over a stream; both its tasks are put into `tasks`. `queue` bounds the frames that wait
-    /// to be written.
+    /// Opens a link over a stream and puts its two tasks into `tasks`. `queue` bounds the number of frames that
+    /// wait to be written.
     pub fn open<K: Copy + Send + 'static>(
         stream: TcpStream,
         key: K,
@@ -80,14 +85,18 @@
         Link::open_within(
             stream,
             key,
-            ReadLimits { bounds, room: None },
+            ReadLimits {
+                bounds,
+                budget: None,
+            },
             queue,
             sink,
             tasks,
         )
     }
 
-    /// The same with limits on what is read: frames that come in take their room first, where there is one.
+    /// The same with limits on what is read. A frame that was read takes its bytes from the budget, if there is
+    /// one, before it is handed over.
     pub fn open_within<K: Copy + Send + 'static>(
         stream: TcpStream,
         key: K,
@@ -96,39 +105,21 @@
         sink: &Sink<K>,
         tasks: &mut JoinSet<()>,
     ) -> Link {
-        // Small frames must not wait for each other; a socket that refuses this is about to break anyway.
-        let _ = stream.set_nodelay(true);
-        // A machine that went away sends nothing more: without this its connection would stay open for ever.
-        let alive = TcpKeepalive::new()
-            .with_time(KEEPALIVE)
-            .with_interval(KEEPALIVE / 4);
-        let _ = SockRef::from(&stream).set_tcp_keepalive(&alive);
+        set_socket_options(&stream);
         let (from, to) = stream.into_split();
         let (frames, queued) = mpsc::channel(queue);
         let (reading, may_read) = watch::channel(true);
-        let events = sink.clone();
-        tasks.spawn(async move {
-            let reader = Reader {
-                from,
-                key,
-                limits,
-                sink: &events,
-                may_read,
-                partial: None,
-            };
-            let why = reader.run().await;
-            // The owner may be gone already.
-            let _ = events.send((key, LinkEvent::Closed(why))).await;
-        });
-        let events = sink.clone();
         let gone = reading.subscribe();
-        tasks.spawn(async move {
-            if let Err(e) = writer::write(to, key, queued, gone, &events).await {
-                let _ = events
-                    .send((key, LinkEvent::Closed(format!("write: {e}"))))
-                    .await;
-            }
-        });
+        let reader = Reader {
+            from,
+            key,
+            limits,
+            sink: sink.clone(),
+            may_read,
+            partial: None,
+        };
+        tasks.spawn(run_reader(reader));
+        tasks.spawn(run_writer(to, key, queued, gone, sink.clone()));
         Link {
             frames: Some(frames),
             reading,
@@ -143,8 +134,8 @@
         self.send_by(frame, None)
     }
 
-    /// Queues a frame that is of no use to anybody after `until`: it is not written then, as when this
-    /// process or the other side stood still.
+    /// Queues a frame that is of no use after `until`. It is not written after that time, as may happen when
+    /// this process or the other side was stalled.
     ///
     /// # Errors
     /// [`Full`]: the frame is not queued.
@@ -156,14 +147,51 @@
             .map_err(|_| Full)
     }
 
-    /// Writes what is queued and then ends this direction alone; reading goes on.
+    /// Writes what is queued and then closes this direction. Reading goes on.
     pub fn finish(&mut self) {
         self.frames = None;
     }
 
-    /// Stops or goes on reading: back-pressure for the other side.
+    /// Stops reading or resumes it, as back pressure for the other side.
     pub fn reading(&self, on: bool) {
         self.reading
             .send_if_modified(|was| std::mem::replace(was, on) != on);
     }
 }
+
+fn set_socket_options(stream: &TcpStream) {
+    // Small frames must not wait for each other. A socket that refuses an option is about to fail anyway, and
+    // its reader will report that.
+    let _ = stream.set_nodelay(true);
+    // A server that vanished sends nothing more. Without keepalive, its connection would stay open forever.
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE)
+        .with_interval(KEEPALIVE / 4);
+    let _ = SockRef::from(stream).set_tcp_keepalive(&keepalive);
+}
+
+async fn run_reader<K: Copy>(reader: Reader<K>) {
+    let key = reader.key;
+    let events = reader.sink.clone();
+    let reason = reader.run().await;
+    // The owner may have dropped its end already.
+    let _ = events
+        .send((key, LinkEvent::Closed(reason.to_string())))
+        .await;
+}
+
+async fn run_writer<K: Copy>(
+    to: OwnedWriteHalf,
+    key: K,
+    queued: mpsc::Receiver<QueuedFrame>,
+    gone: watch::Receiver<bool>,
+    events: Sink<K>,
+) {
+    if let Err(error) = writer::write(to, key, queued, gone, &events).await {
+        let reason = CloseReason::Write(error);
+        // The owner may have dropped its end already.
+        let _ = events
+            .send((key, LinkEvent::Closed(reason.to_string())))
+            .await;
+    }
+}
--- a/crates/connections/src/reader.rs
+++ b/crates/connections/src/reader.rs
@@ -1,5 +1,7 @@
-//! The task that reads one connection: bytes to frames, as long as its owner lets it read and there is room.
+//! The task that reads one connection. It turns bytes into frames while its owner lets it read and the read
+//! budget has room.
 
+use crate::close_reason::CloseReason;
 use crate::{LinkEvent, ReadLimits, Sink};
 use bytes::BytesMut;
 use gullsail_protocol::{AHEAD, announced, decode};
@@ -9,116 +11,114 @@
 use tokio::sync::{OwnedSemaphorePermit, watch};
 use tokio::time::sleep;
 
-const READ_BUFFER: usize = 32 << 10;
-/// The owner dropped its end.
-const CLOSED_HERE: &str = "closed here";
+/// Bytes that are read at once at most: 32 KiB. A larger buffer costs memory on each connection, a smaller one
+/// more system calls for large bodies.
+const READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// The reading end of one connection.
-pub(crate) struct Reader<'a, K> {
+pub(crate) struct Reader<K> {
     pub(crate) from: OwnedReadHalf,
     pub(crate) key: K,
     pub(crate) limits: ReadLimits,
-    pub(crate) sink: &'a Sink<K>,
-    /// Whether the owner wants it read; its sender is gone when the link was dropped.
+    pub(crate) sink: Sink<K>,
+    /// Whether the owner wants it read. Its sender is gone when the link was dropped.
     pub(crate) may_read: watch::Receiver<bool>,
-    /// Held while a part of a large frame has come.
+    /// Held while a part of a large frame was received.
     pub(crate) partial: Option<OwnedSemaphorePermit>,
 }
 
-impl<K: Copy> Reader<'_, K> {
-    /// Reads until the connection ends; returns why it did.
-    pub(crate) async fn run(mut self) -> String {
-        let mut buf = BytesMut::with_capacity(READ_BUFFER);
+/// What follows after the budget for a large frame was asked for.
+enum PartialFrame {
+    /// More may be read.
+    Read,
+    /// The owner changed whether this connection is read, so frames are delivered first.
+    DeliverAgain,
+}
+
+impl<K: Copy> Reader<K> {
+    /// Reads until the connection ends. Returns why it did.
+    pub(crate) async fn run(mut self) -> CloseReason {
+        let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
         loop {
-            if let Err(why) = self.deliver(&mut buf).await {
-                return why;
+            if let Err(reason) = self.deliver(&mut buffer).await {
+                return reason;
             }
-            match self.take_partial_room(&buf).await {
-                Ok(true) => {}
-                Ok(false) => continue,
-                Err(why) => return why,
+            match self.take_partial_budget(&buffer).await {
+                Ok(PartialFrame::Read) => {}
+                Ok(PartialFrame::DeliverAgain) => continue,
+                Err(reason) => return reason,
             }
-            if buf.capacity() - buf.len() < READ_BUFFER / 4 {
-                buf.reserve(READ_BUFFER);
+            if buffer.capacity() - buffer.len() < READ_BUFFER_BYTES / 4 {
+                buffer.reserve(READ_BUFFER_BYTES);
             }
-            if let Err(why) = self.read(&mut buf).await {
-                return why;
+            if let Err(reason) = self.read(&mut buffer).await {
+                return reason;
             }
         }
     }
 
     /// Hands over all frames that are complete. `Err`: why the connection ends.
-    async fn deliver(&mut self, buf: &mut BytesMut) -> Result<(), String> {
+    async fn deliver(&mut self, buffer: &mut BytesMut) -> Result<(), CloseReason> {
         loop {
             // The end of the owner's link ends this task too.
             if self.may_read.wait_for(|on| *on).await.is_err() {
-                return Err(CLOSED_HERE.into());
+                return Err(CloseReason::ClosedHere);
             }
-            let Some(frame) =
-                decode(buf, self.limits.bounds).map_err(|broken| broken.to_string())?
-            else {
+            let decoded = decode(buffer, self.limits.bounds);
+            let Some(frame) = decoded.map_err(CloseReason::InvalidFrame)? else {
                 return Ok(());
             };
-            if let Some(room) = &self.limits.room {
-                room.take(frame.len()).await;
+            if let Some(budget) = &self.limits.budget {
+                budget.take(frame.len()).await;
             }
             self.partial = None;
-            if self
-                .sink
-                .send((self.key, LinkEvent::Frame(frame)))
-                .await
-                .is_err()
-            {
-                return Err("nobody listens".into());
+            let event = (self.key, LinkEvent::Frame(frame));
+            if self.sink.send(event).await.is_err() {
+                return Err(CloseReason::ReceiverDropped);
             }
         }
     }
 
-    /// Takes room for a large frame of which a part has come. `Ok(false)`: the owner changed whether this is
-    /// read, so begin again.
-    async fn take_partial_room(&mut self, buf: &BytesMut) -> Result<bool, String> {
-        let Some(room) = self
-            .limits
-            .room
-            .as_ref()
-            .filter(|room| room.bounds_partial_frames())
-        else {
-            return Ok(true);
+    /// Takes the budget for a large frame of which a part was received.
+    async fn take_partial_budget(
+        &mut self,
+        buffer: &BytesMut,
+    ) -> Result<PartialFrame, CloseReason> {
+        let budget = self.limits.budget.as_ref();
+        let Some(budget) = budget.filter(|budget| budget.bounds_partial_frames()) else {
+            return Ok(PartialFrame::Read);
         };
-        let Some(whole) = announced(buf).filter(|whole| *whole > AHEAD && self.partial.is_none())
-        else {
-            return Ok(true);
+        let needs_budget = |bytes: &usize| *bytes > AHEAD && self.partial.is_none();
+        let Some(frame_bytes) = announced(buffer).filter(needs_budget) else {
+            return Ok(PartialFrame::Read);
         };
         tokio::select! {
-            permit = room.take_partial(whole) => {
+            permit = budget.take_partial(frame_bytes) => {
                 self.partial = permit;
-                Ok(true)
+                Ok(PartialFrame::Read)
             }
             changed = self.may_read.changed() => match changed {
-                Ok(()) => Ok(false),
-                Err(_) => Err(CLOSED_HERE.into()),
+                Ok(()) => Ok(PartialFrame::DeliverAgain),
+                Err(_) => Err(CloseReason::ClosedHere),
             },
         }
     }
 
-    /// Reads what has come, or waits until the owner changes whether this is read.
-    async fn read(&mut self, buf: &mut BytesMut) -> Result<(), String> {
-        let stall_limit = self
-            .limits
-            .room
-            .as_ref()
-            .and_then(|room| room.stall_limit());
+    /// Reads what was received, or waits until the owner changes whether this connection is read.
+    async fn read(&mut self, buffer: &mut BytesMut) -> Result<(), CloseReason> {
+        let budget = self.limits.budget.as_ref();
+        let stall_limit = budget.and_then(|budget| budget.stall_limit());
         let stall_limit = stall_limit.unwrap_or(Duration::MAX);
         tokio::select! {
-            read = self.from.read_buf(buf) => match read {
-                Ok(0) if buf.is_empty() => Err("closed by the other side".into()),
-                Ok(0) => Err(format!("closed by the other side within a frame, after {} bytes", buf.len())),
+            read = self.from.read_buf(buffer) => match read {
+                Ok(0) if buffer.is_empty() => Err(CloseReason::ClosedByPeer),
+                Ok(0) => Err(CloseReason::ClosedWithinFrame { received: buffer.len() }),
                 Ok(_) => Ok(()),
-                Err(e) => Err(format!("read: {e}")),
+                Err(error) => Err(CloseReason::Read(error)),
             },
-            changed = self.may_read.changed() => changed.map_err(|_| CLOSED_HERE.into()),
+            changed = self.may_read.changed() => changed.map_err(|_| CloseReason::ClosedHere),
             () = sleep(stall_limit), if self.partial.is_some() => {
-                Err(format!("half a frame, {} bytes, and nothing more for {stall_limit:?}", buf.len()))
+                Err(CloseReason::StalledWithinFrame { received: buffer.len(), stall_limit })
             }
         }
     }
--- a/crates/connections/src/writer.rs
+++ b/crates/connections/src/writer.rs
@@ -8,10 +8,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep};
 
-/// Heads of frames that are ready together leave in one write; bodies beyond this are written on their own.
+/// Frames that are ready together are gathered into one write of about this size. A body longer than a quarter
+/// of it is written on its own, without a copy. A larger value copies more, a smaller one costs system calls.
 const GATHER_BYTES: usize = 16 << 10;
 
-/// Writes queued frames until the queue ends; frames that are ready together leave in one write.
+/// Writes queued frames until the queue ends. Frames that are ready together leave in one write.
 pub(crate) async fn write<K: Copy>(
     mut to: OwnedWriteHalf,
     key: K,
@@ -33,23 +34,23 @@
             if frame.body.len() <= GATHER_BYTES / 4 {
                 gathered.extend_from_slice(&frame.body);
             } else {
-                put(&mut to, &gathered.split().freeze(), &mut gone).await?;
-                put(&mut to, &frame.body, &mut gone).await?;
+                write_all(&mut to, &gathered.split().freeze(), &mut gone).await?;
+                write_all(&mut to, &frame.body, &mut gone).await?;
             }
             if gathered.len() >= GATHER_BYTES {
-                put(&mut to, &gathered.split().freeze(), &mut gone).await?;
+                write_all(&mut to, &gathered.split().freeze(), &mut gone).await?;
             }
             next = queued.try_recv().ok();
         }
-        put(&mut to, &gathered.split().freeze(), &mut gone).await?;
-        // The owner may have dropped the link: what is queued is still written.
+        write_all(&mut to, &gathered.split().freeze(), &mut gone).await?;
+        // The owner may have dropped its end: what is queued is still written.
         let _ = sink.send((key, LinkEvent::Written(bytes))).await;
     }
     to.shutdown().await
 }
 
-/// Writes all, however long the other side takes; once the link was dropped, for [`LINGER`] at most.
-async fn put(
+/// Writes all bytes, however long the other side takes. Once the link was dropped, for [`LINGER`] at most.
+async fn write_all(
     to: &mut OwnedWriteHalf,
     bytes: &Bytes,
     gone: &mut watch::Receiver<bool>,
@@ -60,7 +61,7 @@
     };
     tokio::select! {
         biased;
-        put = to.write_all(bytes) => put,
+        written = to.write_all(bytes) => written,
         () = dropped => Err(io::ErrorKind::TimedOut.into()),
     }
 }
--- a/crates/connections/tests/room.rs
+++ b/crates/connections/tests/read_budget.rs
@@ -1,9 +1,9 @@
-//! Frames that wait to be handled are bounded in bytes over all links; who sends more waits, and goes on when
-//! there is room.
+//! Frames that wait to be handled are bounded in bytes over all links. Whoever sends more waits, and goes on when
+//! the budget has room.
 
 use bytes::{Bytes, BytesMut};
-use gullsail_connections::{Link, LinkEvent, ReadLimits, Room};
-use gullsail_protocol::*;
+use gullsail_connections::{Link, LinkEvent, ReadBudget, ReadLimits};
+use gullsail_protocol::{Bounds, Frame, Withdraw};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -21,11 +21,13 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        // room in bytes, how many frames of each of two links may wait together
+        // budget in bytes, how many frames of each of two links may wait together
         for (all, most) in [(1_000_000, 3), (BODY + 1000, 1), (1000, 1)] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (sink, mut inbox) = mpsc::channel(64);
-            let (mut tasks, mut links, room) = (JoinSet::new(), Vec::new(), Room::new(all));
+            let mut tasks = JoinSet::new();
+            let mut links = Vec::new();
+            let budget = ReadBudget::new(all);
             for key in 0..2 {
                 let mut stream = TcpStream::connect(listener.local_addr().unwrap())
                     .await
@@ -33,7 +35,7 @@
                 let (other, _) = listener.accept().await.unwrap();
                 let within = ReadLimits {
                     bounds: Bounds::DEFAULT,
-                    room: Some(room.clone()),
+                    budget: Some(budget.clone()),
                 };
                 links.push(Link::open_within(other, key, within, 8, &sink, &mut tasks));
                 tokio::spawn(async move {
@@ -48,28 +50,31 @@
                     stream
                 });
             }
-            let (mut waiting, mut came) = (Vec::new(), 0);
-            while came < 20 {
-                // All that comes without room being given back, then one of them is handled.
-                while let Ok(Some((_, happened))) =
+            let mut waiting = Vec::new();
+            let mut received = 0;
+            while received < 20 {
+                // All that comes without bytes being given back, then one of them is handled.
+                while let Ok(Some((_, event))) =
                     timeout(Duration::from_millis(40), inbox.recv()).await
                 {
-                    if let LinkEvent::Frame(frame) = happened {
+                    if let LinkEvent::Frame(frame) = event {
                         waiting.push(frame.len());
-                        came += 1;
+                        received += 1;
                     }
                 }
                 assert!(
                     waiting.len() <= most,
-                    "{} wait in room of {all}",
+                    "{} wait in a budget of {all} bytes",
                     waiting.len()
                 );
                 let Some(bytes) = waiting.pop() else { continue };
-                room.give_back(bytes);
+                budget.give_back(bytes);
             }
-            waiting.into_iter().for_each(|bytes| room.give_back(bytes));
+            waiting
+                .into_iter()
+                .for_each(|bytes| budget.give_back(bytes));
             assert_eq!(
-                timeout(LONG, async { room.free() }).await,
+                timeout(LONG, async { budget.free() }).await,
                 Ok(all),
                 "all of it is given back"
             );
--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -1,13 +1,13 @@
-//! The control socket of a host: a local one, on which its operator's program queries the state, has the
-//! configuration read again, or gives maintenance commands. One JSON object a line goes in, one comes out.
-//! Configurations are read, checked and compared here, away from the loop that serves; the loop only applies
-//! or refuses what is ready.
+//! The control socket of a host, a local socket. On it, an operator's program queries the state, reloads the
+//! configuration, or gives maintenance commands. Each request and each reply is one JSON object on one line.
+//! Configurations are read, checked and compared here, outside of the loop that serves requests. The loop only
+//! applies or rejects them.
 
 mod messages;
 
 pub use messages::{ControlReply, ControlRequest, State};
 
-use crate::core::config_change::ProposalOutcome;
+use crate::core::config_change::{Proposal, ProposalOutcome};
 use crate::core::maintenance::{CommandOutcome, OperatorCommand};
 use crate::core::{Input, RequesterId};
 use gullsail_configuration::diff::{Change, diff};
@@ -22,40 +22,44 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
-/// The longest line: it names a thousand servers.
+/// The longest request line, in bytes: it has room for a command that names a thousand servers.
 const MAX_LINE_BYTES: u64 = 128 * 1024;
-/// For a requester to send its line, and to read the answer. They are served one after the other.
+/// The time a requester has to send its line, and again to read the reply: 5 s. Requesters are served one after
+/// the other, so a longer time lets a silent one block the next.
 const REQUESTER_TIMEOUT: Duration = Duration::from_secs(5);
-/// For a configuration to be read and checked: a disk that does not respond must not block the socket for
-/// good.
+/// The time a configuration may take to be read and checked: 20 s. A disk that does not respond must not block the
+/// socket forever; with less, a large configuration on a slow disk cannot be loaded.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads the host's configuration again: the configuration, or all that is wrong with it.
+/// Time between attempts to accept while that fails: 50 ms, so that the task does not spin.
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+
+/// Reads the host's configuration again. Returns the configuration, or everything that is wrong with it.
 pub type Load = dyn Fn() -> Result<Deployment, Vec<DiagnosticRecord>> + Send + Sync;
 
-/// What the socket's task asks of the loop, with where to send the answer.
+/// A request of the socket's task to the loop, with the channel for the answer.
 pub enum LoopRequest {
-    /// The configuration that is served by.
+    /// Returns the configuration that the host serves by.
     Deployment(oneshot::Sender<Arc<Deployment>>),
-    /// The state.
+    /// Returns the host's state.
     State(oneshot::Sender<State>),
-    /// A proposal, given the number of who waits for its outcome.
+    /// Proposes a configuration. The function receives the number of the requester.
     Propose(
         Box<dyn FnOnce(RequesterId) -> Input + Send>,
         oneshot::Sender<ProposalOutcome>,
     ),
-    /// An operator command.
+    /// Gives an operator command.
     OperatorCommand(OperatorCommand, oneshot::Sender<CommandOutcome>),
 }
 
-/// A socket that is bound, and how it reads configurations.
+/// The bound control socket, and how it reads configurations.
 pub struct Control {
     listener: UnixListener,
     path: PathBuf,
-    /// The socket's file: another process may have put its own there since.
+    /// The socket's file, by which this process knows whether another one has replaced it.
     file: Option<FileId>,
     load: Arc<Load>,
-    /// A read that took too long and goes on by itself; there is no second one beside it.
+    /// A read that took too long and still runs. No second one is started beside it.
     reading: Mutex<Option<JoinHandle<()>>>,
     read_timeout: Duration,
 }
@@ -75,15 +79,15 @@
 }
 
 impl Control {
-    /// Binds the socket, for this user only. A socket file at which nobody answers any more is replaced.
+    /// Binds the socket, for this user only. A socket file at which no process answers is replaced.
     ///
     /// # Errors
-    /// Another process answers there, or it can't be bound.
+    /// Another process answers there, or the socket cannot be bound.
     pub fn bind(path: &Path, load: Arc<Load>) -> io::Result<Control> {
         if path.exists() {
             if std::os::unix::net::UnixStream::connect(path).is_ok() {
-                let why = format!("another process answers at {}", path.display());
-                return Err(io::Error::new(io::ErrorKind::AddrInUse, why));
+                let message = format!("another process answers at {}", path.display());
+                return Err(io::Error::new(io::ErrorKind::AddrInUse, message));
             }
             std::fs::remove_file(path)?;
         }
@@ -99,20 +103,20 @@
         })
     }
 
-    /// Sets how long a configuration may take to be read; twenty seconds where this is not called.
+    /// Sets how long a configuration may take to be read. The default is 20 s.
     pub fn reading_within(mut self, read_timeout: Duration) -> Control {
         self.read_timeout = read_timeout;
         self
     }
 
-    /// Answers one requester after the other; ends with the loop.
+    /// Answers one requester after the other. Ends with the loop.
     pub async fn serve(self, to_loop: mpsc::Sender<LoopRequest>) {
         while !to_loop.is_closed() {
             let Ok((stream, _)) = self.listener.accept().await else {
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             };
-            // A requester that is gone, or sends nothing, needs no answer.
+            // A requester that left, or sends nothing, needs no answer.
             let _ = self.answer(stream, &to_loop).await;
         }
     }
@@ -129,8 +133,8 @@
         let request = serde_json::from_str(&line);
         let reply = match request {
             Ok(request) => self.reply(request, to_loop).await,
-            Err(e) => Some(ControlReply::Error {
-                why: format!("not understood: {e}"),
+            Err(error) => Some(ControlReply::Error {
+                why: format!("request not understood: {error}"),
             }),
         };
         let reply = reply.unwrap_or(ControlReply::Error {
@@ -174,14 +178,14 @@
         to_loop: &mpsc::Sender<LoopRequest>,
     ) -> Option<ControlReply> {
         let from = query_loop(to_loop, LoopRequest::Deployment).await?;
-        let (changes, to) = match self.read_configuration(&from).await {
-            Ok(Proposed { changes, to }) => (changes, to),
+        let Proposed { changes, to } = match self.read_configuration(&from).await {
+            Ok(proposed) => proposed,
             Err(reply) => return Some(reply),
         };
-        let kept_changes = changes.clone();
-        let both = (from.clone(), to.clone());
+        let reported_changes = changes.clone();
+        let configurations = [from.clone(), to.clone()];
         let propose = move |requester| {
-            let proposal = crate::core::config_change::Proposal {
+            let proposal = Proposal {
                 requester,
                 from,
                 to,
@@ -194,28 +198,29 @@
             LoopRequest::Propose(Box::new(propose), reply)
         })
         .await?;
-        // The last reference to the configuration that is not served by is dropped here, not in the loop;
-        // nothing comes of it.
-        let _ = tokio::task::spawn_blocking(move || drop(both)).await;
+        // The last reference to the configuration that is not in use is dropped here, so that it does not delay
+        // the loop. Dropping returns nothing.
+        let _ = tokio::task::spawn_blocking(move || drop(configurations)).await;
         Some(match outcome {
             ProposalOutcome::Taken { revision } => ControlReply::Taken {
                 revision: revision.0,
-                changes: kept_changes,
+                changes: reported_changes,
             },
             ProposalOutcome::TurnedDown(why) => ControlReply::TurnedDown { why },
         })
     }
 
-    /// Reads the configuration and compares it with the current one; else the reply that says why not.
+    /// Reads the configuration and compares it with the current one. `Err`: the reply that says why this failed.
     async fn read_configuration(&self, from: &Arc<Deployment>) -> Result<Proposed, ControlReply> {
         if self.read_in_progress() {
-            let why = "the document is still being read for an earlier reload; the one that is served by stays";
+            let why = "the configuration is still being read for an earlier reload; the current one stays";
             return Err(ControlReply::Error { why: why.into() });
         }
         let (result, received) = oneshot::channel();
-        let (load, from) = (self.load.clone(), from.clone());
+        let load = self.load.clone();
+        let from = from.clone();
         let reading = tokio::task::spawn_blocking(move || {
-            // The requester may have given up.
+            // The requester may no longer wait.
             let _ = result.send(load().map(|to| Proposed {
                 changes: diff(&from, &to),
                 to: Arc::new(to),
@@ -228,11 +233,11 @@
             Ok(Ok(Ok(proposed))) => Ok(proposed),
             Ok(Ok(Err(problems))) => Err(ControlReply::Broken { problems }),
             Ok(Err(_)) => Err(ControlReply::Error {
-                why: "the document could not be read: its reader failed".into(),
+                why: "the configuration could not be read: its reader failed".into(),
             }),
             Err(_) => {
                 let why = format!(
-                    "the document was not read within {:?}; the one that is served by stays",
+                    "the configuration was not read within {:?}; the current one stays",
                     self.read_timeout
                 );
                 Err(ControlReply::Error { why })
@@ -257,14 +262,14 @@
 
 impl Drop for Control {
     fn drop(&mut self) {
-        // If it is gone already, or another process's by now, so be it.
         if self.file.is_some() && file_at(&self.path) == self.file {
+            // Nothing can be done about a file that cannot be removed; the next host replaces it.
             let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
-/// Sends a request to the loop and waits for the answer; `None`: the loop has ended.
+/// Sends a request to the loop and waits for the answer. `None`: the loop has ended.
 async fn query_loop<T>(
     to_loop: &mpsc::Sender<LoopRequest>,
     request: impl FnOnce(oneshot::Sender<T>) -> LoopRequest,
@@ -277,7 +282,7 @@
 /// Sends a request to a host's control socket, as its operator's program does, and waits for the answer.
 ///
 /// # Errors
-/// Nobody answers there, or not in time.
+/// No process answers there, or not before the timeout.
 pub async fn ask(path: &Path, request: ControlRequest, wait: Duration) -> io::Result<ControlReply> {
     let exchange = async {
         let mut stream = UnixStream::connect(path).await?;
--- a/crates/host/src/control/messages.rs
+++ b/crates/host/src/control/messages.rs
@@ -1,7 +1,7 @@
-//! What goes over the control socket.
+//! The messages of the control socket.
 //!
-//! The keys of the JSON objects stay the same from version to version; where a field or variant has another
-//! name here, a serde attribute keeps its key.
+//! The keys of the JSON objects stay the same from version to version. If a field or variant has another name
+//! here, a serde attribute keeps its key.
 
 use crate::core::Counts;
 use crate::core::fleet::FleetView;
@@ -11,19 +11,19 @@
 use gullsail_configuration::diff::Change;
 use serde::{Deserialize, Serialize};
 
-/// What an operator's program asks of a host.
+/// A request of an operator's program.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum ControlRequest {
-    /// Read the configuration again and serve by it.
+    /// Reads the configuration again and serves by it.
     Reload {
-        /// With dangerous changes too.
+        /// Apply dangerous changes too.
         #[serde(default)]
         insist: bool,
     },
-    /// Report the state.
+    /// Reports the host's state.
     Status,
-    /// Take servers offline, or back, or cancel that.
+    /// Takes servers offline or back, or cancels that.
     #[serde(rename = "word")]
     OperatorCommand(OperatorCommand),
 }
@@ -39,29 +39,29 @@
         /// What differs from the one before.
         changes: Vec<Change>,
     },
-    /// The request is valid, and can't be carried out now.
+    /// The request is valid but cannot be carried out now.
     TurnedDown {
-        /// A line for each reason.
+        /// One line for each reason.
         why: Vec<String>,
     },
     /// The configuration is not valid.
     Broken {
-        /// All that is wrong with it.
+        /// Everything that is wrong with it.
         problems: Vec<DiagnosticRecord>,
     },
-    /// The state.
+    /// The host's state.
     Status(Box<State>),
-    /// The maintenance command is accepted, whichever host decides; what it waits for is in the state.
+    /// The maintenance command is accepted, whichever host decided. The state says what it waits for.
     #[serde(rename = "word-taken")]
     CommandTaken,
-    /// The line was not understood, or could not be answered.
+    /// The line was not understood or could not be answered.
     Error {
         /// Why.
         why: String,
     },
 }
 
-/// The state of a host. What one version does not report is empty or 0 where another reads it.
+/// The state of a host. A field that another version does not report is read as empty or 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
@@ -69,14 +69,14 @@
     pub host: String,
     /// The revision that it serves by.
     pub revision: u64,
-    /// Hosts not known to hold this revision: until they do, the lower shares of limits hold.
+    /// Hosts that are not known to hold this revision. Until they do, the lower limit of both revisions holds.
     pub behind: Vec<String>,
     /// Open requests.
     pub open: usize,
     /// Attempts that have not ended.
     #[serde(rename = "legs_out")]
     pub attempts_out: usize,
-    /// Bytes held for requests and connections.
+    /// Bytes held for requests and for connections.
     pub held_bytes: usize,
     /// What was counted since the start.
     pub counts: Counts,
--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -36,6 +36,23 @@
     }
 }
 
+impl AttemptReport {
+    fn from_answer(answer: &AttemptAnswer, answer_bytes: usize) -> AttemptReport {
+        let outcome = match AttemptResult::try_from(answer.result) {
+            Ok(AttemptResult::Succeeded) => AttemptOutcome::Succeeded,
+            Ok(AttemptResult::Rejected) => AttemptOutcome::Rejected,
+            // A result of a newer version may mean that it ran.
+            Ok(AttemptResult::Failed | AttemptResult::Unknown) | Err(_) => AttemptOutcome::Failed,
+        };
+        let used_percent = answer.used_plus_one.checked_sub(1);
+        AttemptReport {
+            outcome,
+            used: used_percent.map(|percent| f64::from(percent) / 100.0),
+            answer_bytes,
+        }
+    }
+}
+
 impl Core {
     /// Starts an attempt that the scheduler decided on.
     pub(super) fn start_attempt(&mut self, id: RequestId, node: NodeId, time_out: Option<Span>) {
@@ -181,17 +198,8 @@
             return;
         };
         let request = answered.request;
-        let used = answer
-            .used_plus_one
-            .checked_sub(1)
-            .map(|percent| f64::from(percent) / 100.0);
-        let outcome = match AttemptResult::try_from(answer.result) {
-            Ok(AttemptResult::Succeeded) => AttemptOutcome::Succeeded,
-            Ok(AttemptResult::Rejected) => AttemptOutcome::Rejected,
-            // A result of a newer version may mean that it ran.
-            Ok(AttemptResult::Failed | AttemptResult::Unknown) | Err(_) => AttemptOutcome::Failed,
-        };
-        if outcome == AttemptOutcome::Succeeded {
+        let report = AttemptReport::from_answer(&answer, bytes);
+        if report.outcome == AttemptOutcome::Succeeded {
             self.request_succeeded(request, &answer, body);
         } else if !answer.reason.is_empty() {
             debug!(
@@ -202,11 +210,6 @@
                 "attempt failed"
             );
         }
-        let report = AttemptReport {
-            outcome,
-            used,
-            answer_bytes: bytes,
-        };
         self.attempt_ended(attempt, report);
     }
 
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -216,18 +216,18 @@
     }
 
     fn unknown_name(&self, name: &str) -> CommandError {
-        let d = &self.deployment;
+        let deployment = &self.deployment;
         let nodes: Vec<String> = self
             .nodes
             .iter()
             .map(|(_, node)| node.name.clone())
             .collect();
-        let known = d
+        let known = deployment
             .hosts
             .iter()
             .map(|host| &host.name)
             .chain(&nodes)
-            .chain(&d.zones);
+            .chain(&deployment.zones);
         let known: Vec<&str> = known.map(String::as_str).collect();
         let hint = meant(name, &known).map_or(String::new(), |meant| format!("; {meant}"));
         CommandError::UnknownName {
--- a/crates/host/src/core/size_metrics.rs
+++ b/crates/host/src/core/size_metrics.rs
@@ -3,40 +3,16 @@
 
 use super::Core;
 use super::connection_table::{Connection, PeerKind};
+use super::nodes::NodeRecord;
 
 impl Core {
     /// The length of each collection in entries, by name, those of the scheduler included.
     pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
-        let waiting_reports = |connection: &Connection| {
-            if let PeerKind::IncomingPeer(peer) = &connection.peer_kind {
-                peer.waiting.len()
-            } else {
-                0
-            }
-        };
         let requests = self.requests.size_metrics();
         let (line, sent) = self.config_change.transition.size_metrics();
         let mut all = self.scheduler.size_metrics();
+        all.extend(self.connection_sizes());
         all.extend([
-            ("core.links", self.connections.open.len()),
-            (
-                "core.labels_wait",
-                self.connections.open.values().map(waiting_reports).sum(),
-            ),
-            ("core.nodes", self.nodes.iter().count()),
-            (
-                "core.starts",
-                self.nodes.iter().map(|(_, node)| node.starts()).sum(),
-            ),
-            (
-                "core.pending",
-                self.nodes.iter().map(|(_, node)| node.pending.len()).sum(),
-            ),
-            ("core.peers", self.peers.len()),
-            (
-                "core.peers_wait",
-                self.peers.values().map(|peer| peer.waiting.len()).sum(),
-            ),
             ("core.open", requests.open),
             ("core.named", requests.client_ids),
             ("core.legs", requests.attempts),
@@ -48,4 +24,29 @@
         ]);
         all
     }
+
+    /// The lengths of the collections that belong to connections, nodes and peers.
+    fn connection_sizes(&self) -> [(&'static str, usize); 7] {
+        let connections = &self.connections.open;
+        let reports = connections.values().map(waiting_reports).sum();
+        let nodes = || self.nodes.iter().map(|(_, node)| node);
+        let frames = self.peers.values().map(|peer| peer.waiting.len()).sum();
+        [
+            ("core.links", connections.len()),
+            ("core.labels_wait", reports),
+            ("core.nodes", nodes().count()),
+            ("core.starts", nodes().map(NodeRecord::starts).sum()),
+            ("core.pending", nodes().map(|node| node.pending.len()).sum()),
+            ("core.peers", self.peers.len()),
+            ("core.peers_wait", frames),
+        ]
+    }
+}
+
+/// Demand reports of a peer that wait for its clock.
+fn waiting_reports(connection: &Connection) -> usize {
+    match &connection.peer_kind {
+        PeerKind::IncomingPeer(peer) => peer.waiting.len(),
+        _ => 0,
+    }
 }
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -1,8 +1,8 @@
-//! The thin layer around the host's core: sockets, one timer, the clock. Whatever happens is handed to
-//! [`Core`], whatever it puts out is carried out in its order; nothing is decided here.
+//! The thin layer around the host's core: sockets, one timer, the clock. It passes whatever happens to [`Core`]
+//! and carries out the outputs in their order. Nothing is decided here.
 //!
-//! Each turn of the loop: let the core advance, carry out its outputs, wait for the next thing to happen,
-//! hand it over.
+//! Each turn of the loop lets the core advance, carries out its outputs, waits for the next thing to happen,
+//! and passes that to the core.
 
 mod control_requests;
 mod sockets;
@@ -12,40 +12,41 @@
 use crate::stall_detector::StallDetector;
 use control_requests::Requesters;
 use gullsail_configuration::Deployment;
-use gullsail_connections::{Link, LinkEvent, ReadLimits, Room};
+use gullsail_connections::LinkEvent;
 use gullsail_scheduler_api::{HostId, Span};
 pub use gullsail_timers::HostClock;
-use sockets::AcceptErrors;
-use std::collections::BTreeMap;
+use sockets::Sockets;
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::task::{AbortHandle, JoinSet};
+use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// For a last answer to an operator, of some hundred bytes on a local socket.
+/// Time for the last answer to an operator: 20 ms. The answer has some hundred bytes and goes to a local socket.
+/// With less, an operator may see the connection end without the answer; with more, each host exits later.
 const LAST_ANSWER_TIME: Duration = Duration::from_millis(20);
-/// Frames that wait to be handled, over all connections; then sockets are not read.
+/// Frames that wait to be handled, over all connections. When there are more, sockets are not read. Their bytes
+/// are bounded by the read budget; this bounds the number of small ones.
 const INBOX_FRAMES: usize = 1024;
-/// Requesters on the control socket: one is served at a time, and each sends at most two requests to the
-/// loop.
+/// Requests of the control socket that wait for the loop. The socket serves one requester at a time, and each
+/// sends at most two requests to the loop.
 const LOOP_REQUESTS: usize = 2;
-/// Frames that are handled together before anything is sent.
+/// Frames that are handled together before anything is sent. A larger batch saves steps of the scheduler under
+/// load, and delays the answers to its first frames.
 const BATCH_FRAMES: usize = 256;
-
-/// Which host this is, and in which process.
+/// Which host this is, and which process serves as it.
 #[derive(Clone, Debug)]
 pub struct HostProcess {
     /// The configuration to begin with.
     pub deployment: Arc<Deployment>,
     /// Which of its hosts this is.
     pub me: HostId,
-    /// For the scheduler's and the host's random choices.
+    /// Seed of the scheduler's and the host's random choices.
     pub seed: u64,
-    /// Another one for each process.
+    /// Differs for each process.
     pub incarnation: u64,
     /// The host's clock.
     pub clock: HostClock,
@@ -70,18 +71,7 @@
     clock: HostClock,
     /// Empty between two turns.
     outputs: Vec<Output>,
-    /// For frames that wait to be handled.
-    room: Room,
-    limits: ReadLimits,
-    incoming_limits: ReadLimits,
-    sink: mpsc::Sender<(LinkId, LinkEvent)>,
-    links: BTreeMap<LinkId, Link>,
-    tasks: JoinSet<()>,
-    connecting: JoinSet<(LinkId, io::Result<TcpStream>)>,
-    connect_tasks: BTreeMap<LinkId, AbortHandle>,
-    /// `None`: the host stops.
-    listener: Option<TcpListener>,
-    accept_errors: AcceptErrors,
+    sockets: Sockets,
     requesters: Requesters,
     stall: StallDetector,
     /// When the last wait ended.
@@ -99,38 +89,31 @@
     let (sink, mut inbox) = mpsc::channel(INBOX_FRAMES);
     let mut runtime = Runtime::new(process, listener, sink);
     let (to_loop, mut loop_requests) = mpsc::channel(LOOP_REQUESTS);
-    let control = control.map(|control| runtime.tasks.spawn(control.serve(to_loop)));
+    let control = control.map(|control| runtime.sockets.tasks.spawn(control.serve(to_loop)));
     let mut batch = Vec::with_capacity(BATCH_FRAMES);
     tokio::pin!(stop);
     loop {
         let overfull = runtime.turn(inbox.is_empty());
         if runtime.finished {
-            // The last answers are written before the end, for requesters that wait for one.
-            tokio::time::sleep(LAST_ANSWER_TIME).await;
-            sockets::finish(runtime.links, &mut runtime.tasks).await;
-            if let Some(task) = control {
-                task.abort();
-            }
-            return runtime.core.counts().clone();
+            return runtime.finish(control).await;
         }
         if !overfull.is_empty() {
             runtime.close_overfull(overfull);
             continue;
         }
-        runtime.core.worked(to_span(runtime.woken_at.elapsed()));
-        let requested = runtime.core.next_wake_up().map(|at| runtime.clock.at(at));
-        let wake_up_at = runtime.stall.next_turn(requested);
-        let accept_from = runtime.accept_errors.accept_from();
+        let wake_up_at = runtime.wake_up_at();
+        let sockets = &mut runtime.sockets;
+        let accept_from = sockets.accept_errors.accept_from();
         let woken = tokio::select! {
-            () = &mut stop, if runtime.listener.is_some() => Woken::Stop,
-            accepted = sockets::accept(runtime.listener.as_ref(), accept_from) => Woken::Accepted(accepted),
-            connected = runtime.connecting.join_next(), if !runtime.connecting.is_empty() => {
+            () = &mut stop, if sockets.listener.is_some() => Woken::Stop,
+            accepted = sockets::accept(sockets.listener.as_ref(), accept_from) => Woken::Accepted(accepted),
+            connected = sockets.connecting.join_next(), if !sockets.connecting.is_empty() => {
                 Woken::Connected(connected.and_then(Result::ok))
             }
             _ = inbox.recv_many(&mut batch, BATCH_FRAMES) => Woken::Frames,
             Some(request) = loop_requests.recv() => Woken::Control(request),
             () = tokio::time::sleep_until(wake_up_at) => Woken::Timer,
-            _ = runtime.tasks.join_next(), if !runtime.tasks.is_empty() => Woken::TaskEnded,
+            _ = sockets.tasks.join_next(), if !sockets.tasks.is_empty() => Woken::TaskEnded,
         };
         runtime.handle(woken, &mut batch);
     }
@@ -142,43 +125,23 @@
         listener: TcpListener,
         sink: mpsc::Sender<(LinkId, LinkEvent)>,
     ) -> Runtime {
-        let HostProcess {
-            deployment,
-            me,
-            seed,
-            incarnation,
-            clock,
-        } = process;
-        let bounds = deployment.bounds.frame;
-        // Frames that wait to be handled: a part of what may be held, and at least one of the largest.
-        let room = Room::new((deployment.bounds.most_held / 4).max(bounds.message + bounds.body));
-        let max_incoming_links = sockets::max_incoming_links(&deployment);
-        let stall_limit =
-            Duration::from_micros(deployment.bounds.client_stall.micros().max(0) as u64);
-        let incoming_room = room.of_strangers(stall_limit);
-        let mut core = Core::new(deployment, me, seed, incarnation, clock.now());
-        core.set_max_incoming_links(max_incoming_links);
         let now = Instant::now();
+        let sockets = Sockets::new(&process.deployment, listener, sink, now);
+        let max_incoming_links = sockets::max_incoming_links(&process.deployment);
+        let clock = process.clock;
+        let mut core = Core::new(
+            process.deployment,
+            process.me,
+            process.seed,
+            process.incarnation,
+            clock.now(),
+        );
+        core.set_max_incoming_links(max_incoming_links);
         Runtime {
             core,
             clock,
             outputs: Vec::new(),
-            limits: ReadLimits {
-                bounds,
-                room: Some(room.clone()),
-            },
-            incoming_limits: ReadLimits {
-                bounds,
-                room: Some(incoming_room),
-            },
-            room,
-            sink,
-            links: BTreeMap::new(),
-            tasks: JoinSet::new(),
-            connecting: JoinSet::new(),
-            connect_tasks: BTreeMap::new(),
-            listener: Some(listener),
-            accept_errors: AcceptErrors::new(now),
+            sockets,
             requesters: Requesters::default(),
             stall: StallDetector::new(now),
             woken_at: now,
@@ -186,13 +149,31 @@
         }
     }
 
-    /// Lets the core advance and carries out its outputs; returns connections whose queues are full.
+    /// Records how long the loop worked since the last wait. Returns when the next wait ends at the latest.
+    fn wake_up_at(&mut self) -> Instant {
+        self.core.worked(to_span(self.woken_at.elapsed()));
+        let requested = self.core.next_wake_up().map(|at| self.clock.at(at));
+        self.stall.next_turn(requested)
+    }
+
+    /// Writes what is queued and ends all tasks. Returns what was counted.
+    async fn finish(self, control: Option<AbortHandle>) -> Counts {
+        // Operators that wait for an answer receive it before the end.
+        tokio::time::sleep(LAST_ANSWER_TIME).await;
+        self.sockets.finish().await;
+        if let Some(task) = control {
+            task.abort();
+        }
+        self.core.counts().clone()
+    }
+
+    /// Lets the core advance and carries out its outputs. Returns connections whose write queues are full.
     fn turn(&mut self, inbox_empty: bool) -> Vec<LinkId> {
         if let Some(interval) = self.stall.turn(Instant::now(), inbox_empty) {
             self.core.stalled(to_span(interval));
         }
-        // After a stall, what came in meanwhile is read before anything is decided on what is known from
-        // before.
+        // After a stall, whatever arrived meanwhile is read first. The core must not decide by what it knew
+        // before the stall.
         if self.stall.settling() {
             return Vec::new();
         }
@@ -211,21 +192,18 @@
         match output {
             Output::Send { link, frame, until } => {
                 let until = until.map(|until| self.clock.at(until));
-                if self
-                    .links
-                    .get(&link)
-                    .is_some_and(|l| l.send_by(frame, until).is_err())
-                {
+                let open = self.sockets.links.get(&link);
+                if open.is_some_and(|open| open.send_by(frame, until).is_err()) {
                     overfull.push(link);
                 }
             }
             Output::Reading { link, on } => {
-                if let Some(l) = self.links.get(&link) {
-                    l.reading(on);
+                if let Some(open) = self.sockets.links.get(&link) {
+                    open.reading(on);
                 }
             }
-            Output::Connect { link, address } => self.connect(link, address),
-            Output::Close { link } => self.close(link),
+            Output::Connect { link, address } => self.sockets.connect(link, address),
+            Output::Close { link } => self.sockets.close(link),
             Output::ProposalDecided { requester, outcome } => {
                 self.requesters.proposal_decided(requester, outcome);
             }
@@ -236,12 +214,13 @@
         }
     }
 
-    /// Connections whose other side takes nothing of what is sent.
+    /// Closes connections whose write queues are full, since the other side reads too slowly.
     fn close_overfull(&mut self, overfull: Vec<LinkId>) {
         for link in overfull {
-            if self.links.remove(&link).is_some() {
-                let why = "takes nothing of what is sent".into();
-                self.core.handle(self.clock.now(), Input::Closed(link, why));
+            if self.sockets.links.remove(&link).is_some() {
+                let reason = "write queue full: peer reads too slowly".into();
+                self.core
+                    .handle(self.clock.now(), Input::Closed(link, reason));
             }
         }
     }
@@ -250,7 +229,7 @@
         self.woken_at = Instant::now();
         match woken {
             Woken::Stop => {
-                self.listener = None;
+                self.sockets.listener = None;
                 self.core.handle(self.clock.now(), Input::Stop);
             }
             Woken::Accepted(accepted) => self.accepted(accepted),
@@ -267,19 +246,19 @@
         }
         let now = self.clock.now();
         let waited = self.stall.waited(self.woken_at).map(to_span);
-        for (id, happened) in batch.drain(..) {
-            let input = match happened {
+        for (id, event) in batch.drain(..) {
+            let input = match event {
                 LinkEvent::Frame(frame) => {
-                    self.room.give_back(frame.len());
+                    self.sockets.read_budget.give_back(frame.len());
                     match waited {
                         Some(waited) => Input::DelayedFrame(id, frame, waited),
                         None => Input::Frame(id, frame),
                     }
                 }
                 LinkEvent::Written(bytes) => Input::Written(id, bytes),
-                LinkEvent::Closed(why) => {
-                    self.links.remove(&id);
-                    Input::Closed(id, why)
+                LinkEvent::Closed(reason) => {
+                    self.sockets.links.remove(&id);
+                    Input::Closed(id, reason)
                 }
             };
             self.core.handle(now, input);
--- a/crates/host/src/runtime/control_requests.rs
+++ b/crates/host/src/runtime/control_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the control socket's task to the loop, and who waits for their results.
+//! Requests of the control socket's task to the loop, and the requesters that wait for their results.
 
 use super::Runtime;
 use crate::control::{LoopRequest, State};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Who waits for a result of the core.
+/// The requesters that wait for a result of the core.
 #[derive(Default)]
 pub(super) struct Requesters {
     proposals: BTreeMap<RequesterId, oneshot::Sender<ProposalOutcome>>,
@@ -41,11 +41,12 @@
 impl Runtime {
     pub(super) fn control_request(&mut self, request: LoopRequest) {
         match request {
-            // A requester that left needs no answer.
             LoopRequest::Deployment(reply) => {
+                // A requester that left needs no answer.
                 let _ = reply.send(self.core.deployment().clone());
             }
             LoopRequest::State(reply) => {
+                // A requester that left needs no answer.
                 let _ = reply.send(state(&self.core));
             }
             LoopRequest::Propose(propose, reply) => {
@@ -63,9 +64,13 @@
     }
 }
 
+/// The state of the host, as the control socket reports it.
 fn state(core: &Core) -> State {
     let deployment = core.deployment();
-    let name = |h: &HostId| deployment.hosts.get(h.0 as usize).map(|p| p.name.clone());
+    let name = |host: &HostId| {
+        let place = deployment.hosts.get(host.0 as usize)?;
+        Some(place.name.clone())
+    };
     let load = core.load();
     let zone_traffic = core.zone_traffic();
     State {
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -1,46 +1,54 @@
-//! Sockets of a running host: connections that are accepted, made and ended, within the process's file
-//! descriptors.
+//! Sockets of a running host. Connections are accepted, established and closed here, within the limit on the
+//! process's file descriptors.
 
 use super::Runtime;
 use crate::core::{Input, LinkId};
 use gullsail_configuration::Deployment;
-use gullsail_connections::Link;
+use gullsail_connections::{Link, ReadBudget, ReadLimits, Sink};
 use nix::sys::resource::{Resource, getrlimit};
 use std::collections::BTreeMap;
 use std::io;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::task::JoinSet;
+use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Frames that wait to be written to one connection; a connection on which more pile up is closed.
+/// Frames that wait to be written to one connection. A connection on which more pile up is closed. With fewer, a
+/// burst of small answers closes connections of clients that do read; more only hold memory for those that do not.
 const OUTBOX_FRAMES: usize = 16_384;
 /// Descriptors reserved for the process itself: standard streams, listener, control socket and its requester,
-/// a configuration that is read, the runtime's own.
+/// a configuration that is read, and the runtime's own. With fewer, a reload may fail while clients open as many
+/// connections as they may.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Between tries to accept while that fails.
+/// Time between attempts to accept while that fails: 50 ms. A shorter time keeps the loop busy, a longer one
+/// delays clients once descriptors are free again.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// Between lines in the log that report such failures.
+/// Time between log lines that report such failures: 5 s, so that a shortage does not fill the log.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Frames that wait to be handled may hold this part of `held-bytes`: a quarter. With a larger part, the host
+/// holds that much more than `held-bytes`; with a smaller one, large frames of many clients wait for each other.
+const READ_BUDGET_DIVISOR: usize = 4;
 
-/// How many connections others may open: nodes, peers and the endpoint list come first, with two descriptors
-/// each since they may be replaced and connect anew; a quarter is left to others in any case.
-pub(super) fn max_incoming_links(d: &Deployment) -> usize {
+/// How many connections others may open. Nodes, peers and the endpoint list come first, with two descriptors
+/// each, since a connection may be replaced while the old one closes. A quarter of all descriptors is left to
+/// others in any case.
+pub(super) fn max_incoming_links(deployment: &Deployment) -> usize {
     let descriptors =
         getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
-    let kept = RESERVED_DESCRIPTORS + 2 * (d.nodes.len() + d.hosts.len() + 1);
-    let left = descriptors.saturating_sub(kept);
+    let outgoing = deployment.nodes.len() + deployment.hosts.len() + 1;
+    let reserved = RESERVED_DESCRIPTORS + 2 * outgoing;
+    let left = descriptors.saturating_sub(reserved);
     if left < descriptors / 4 {
         warn!(
             descriptors,
-            kept, "few file descriptors for this document: raise the limit"
+            reserved, "few file descriptors for this configuration: raise the limit"
         );
     }
     left.max(descriptors / 4)
 }
 
-/// Failures to accept, mostly for want of file descriptors.
+/// Failures to accept connections. Most are caused by a lack of file descriptors.
 pub(super) struct AcceptErrors {
     accept_from: Instant,
     log_from: Instant,
@@ -64,7 +72,7 @@
     fn record(&mut self, error: &io::Error, now: Instant) {
         self.unlogged += 1;
         if now >= self.log_from {
-            warn!(error = %error, times = self.unlogged, "cannot accept a connection");
+            warn!(error = %error, failures = self.unlogged, "cannot accept a connection: next attempt soon");
             self.log_from = now + LOG_INTERVAL;
             self.unlogged = 0;
         }
@@ -72,7 +80,7 @@
     }
 }
 
-/// The next connection that somebody opens, not before `from`; never ready without a listener.
+/// Accepts the next connection, not before `from`. Never ready without a listener.
 pub(super) async fn accept(listener: Option<&TcpListener>, from: Instant) -> io::Result<TcpStream> {
     let Some(listener) = listener else {
         return std::future::pending().await;
@@ -84,25 +92,65 @@
     Ok(stream)
 }
 
-/// Lets each connection write what it still holds, for a bounded time, then ends all that is left.
-pub(super) async fn finish(links: BTreeMap<LinkId, Link>, tasks: &mut JoinSet<()>) {
-    info!(links = links.len(), "leaving");
-    drop(links);
-    let all = async { while tasks.join_next().await.is_some() {} };
-    // Both a reader that waits for its queue and a writer whose other side takes nothing end with the set.
-    let _ = tokio::time::timeout(gullsail_connections::LINGER * 2, all).await;
-    tasks.shutdown().await;
+/// The host's sockets, and the tasks that read, write and open them.
+pub(super) struct Sockets {
+    /// Open connections.
+    pub(super) links: BTreeMap<LinkId, Link>,
+    /// Tasks of open connections and of the control socket.
+    pub(super) tasks: JoinSet<()>,
+    /// Connections that are being established.
+    pub(super) connecting: JoinSet<(LinkId, io::Result<TcpStream>)>,
+    connect_tasks: BTreeMap<LinkId, AbortHandle>,
+    /// `None`: the host shuts down.
+    pub(super) listener: Option<TcpListener>,
+    pub(super) accept_errors: AcceptErrors,
+    /// For frames that wait to be handled.
+    pub(super) read_budget: ReadBudget,
+    limits: ReadLimits,
+    incoming_limits: ReadLimits,
+    sink: Sink<LinkId>,
 }
 
-impl Runtime {
-    /// Begins to make a connection.
+impl Sockets {
+    pub(super) fn new(
+        deployment: &Deployment,
+        listener: TcpListener,
+        sink: Sink<LinkId>,
+        now: Instant,
+    ) -> Sockets {
+        let bounds = deployment.bounds.frame;
+        // At least one of the largest frames must fit.
+        let largest_frame = bounds.message + bounds.body;
+        let budget_bytes = deployment.bounds.most_held / READ_BUDGET_DIVISOR;
+        let read_budget = ReadBudget::new(budget_bytes.max(largest_frame));
+        let stall_limit_us = deployment.bounds.client_stall.micros().max(0) as u64;
+        let incoming_budget = read_budget.for_incoming(Duration::from_micros(stall_limit_us));
+        let limits = |budget: &ReadBudget| ReadLimits {
+            bounds,
+            budget: Some(budget.clone()),
+        };
+        Sockets {
+            links: BTreeMap::new(),
+            tasks: JoinSet::new(),
+            connecting: JoinSet::new(),
+            connect_tasks: BTreeMap::new(),
+            listener: Some(listener),
+            accept_errors: AcceptErrors::new(now),
+            limits: limits(&read_budget),
+            incoming_limits: limits(&incoming_budget),
+            read_budget,
+            sink,
+        }
+    }
+
+    /// Starts to establish a connection.
     pub(super) fn connect(&mut self, link: LinkId, address: String) {
         let connect = async move { (link, TcpStream::connect(&address).await) };
         let task = self.connecting.spawn(connect);
         self.connect_tasks.insert(link, task);
     }
 
-    /// Ends a connection, also one that is still being made.
+    /// Closes a connection, even if it is still being established.
     pub(super) fn close(&mut self, link: LinkId) {
         self.links.remove(&link);
         if let Some(task) = self.connect_tasks.remove(&link) {
@@ -110,52 +158,58 @@
         }
     }
 
-    /// Somebody opened a connection, or accepting one failed.
+    fn open(&mut self, id: LinkId, stream: TcpStream, limits: ReadLimits) {
+        let tasks = &mut self.tasks;
+        let link = Link::open_within(stream, id, limits, OUTBOX_FRAMES, &self.sink, tasks);
+        self.links.insert(id, link);
+    }
+
+    /// Lets each connection write what is queued, for a bounded time, then ends all tasks that are left.
+    pub(super) async fn finish(self) {
+        let Sockets {
+            links, mut tasks, ..
+        } = self;
+        info!(connections = links.len(), "connections closing");
+        drop(links);
+        let all = async { while tasks.join_next().await.is_some() {} };
+        // After the time, a reader that waits for its queue and a writer whose other side reads nothing end
+        // with the set.
+        let _ = tokio::time::timeout(gullsail_connections::LINGER * 2, all).await;
+        tasks.shutdown().await;
+    }
+}
+
+impl Runtime {
+    /// Handles a connection that somebody opened, or a failure to accept one.
     pub(super) fn accepted(&mut self, accepted: io::Result<TcpStream>) {
         let stream = match accepted {
             Ok(stream) => stream,
             // A moment later there may be free descriptors.
-            Err(e) => return self.accept_errors.record(&e, self.woken_at),
+            Err(error) => return self.sockets.accept_errors.record(&error, self.woken_at),
         };
-        // The core's first frame to it is among its outputs, so the link must stand before those.
+        // The core's first frame to it is among its outputs, so the link must be open before those.
         if let Some(id) = self.core.accept(self.clock.now()) {
-            let limits = self.incoming_limits.clone();
-            let link = Link::open_within(
-                stream,
-                id,
-                limits,
-                OUTBOX_FRAMES,
-                &self.sink,
-                &mut self.tasks,
-            );
-            self.links.insert(id, link);
+            let limits = self.sockets.incoming_limits.clone();
+            self.sockets.open(id, stream, limits);
         }
     }
 
-    /// A connection attempt ended, well or not.
+    /// Handles the end of an attempt to connect.
     pub(super) fn connected(&mut self, connected: Option<(LinkId, io::Result<TcpStream>)>) {
         let Some((id, connected)) = connected else {
             return;
         };
-        // Else it was closed meanwhile.
-        if self.connect_tasks.remove(&id).is_none() {
+        // Without an entry, it was closed meanwhile.
+        if self.sockets.connect_tasks.remove(&id).is_none() {
             return;
         }
         let input = match connected {
             Ok(stream) => {
-                let limits = self.limits.clone();
-                let link = Link::open_within(
-                    stream,
-                    id,
-                    limits,
-                    OUTBOX_FRAMES,
-                    &self.sink,
-                    &mut self.tasks,
-                );
-                self.links.insert(id, link);
+                let limits = self.sockets.limits.clone();
+                self.sockets.open(id, stream, limits);
                 Input::Connected(id)
             }
-            Err(e) => Input::ConnectFailed(id, e.to_string()),
+            Err(error) => Input::ConnectFailed(id, error.to_string()),
         };
         self.core.handle(self.clock.now(), input);
     }
--- a/crates/host/src/stall_detector.rs
+++ b/crates/host/src/stall_detector.rs
@@ -1,27 +1,30 @@
-//! Detects that this process stood still: stopped by a signal, by its machine, or by one step of its own that
-//! took very long. A loop that stood still does not see it by what it reads: what came in meanwhile looks as
-//! if it had come just now. So the loop turns at least each [`MAX_TURN_INTERVAL`]; where a turn comes much
-//! later than that, all that is read next may have waited since the turn before it, until what waited in
-//! sockets and queues has certainly been read.
+//! Detects that this process was stalled: stopped by a signal or by its server, or held up by one long step of its
+//! own. A loop cannot see a stall in what it reads: a frame that arrived meanwhile looks as if it had just
+//! arrived. So the loop turns at least once each [`MAX_TURN_INTERVAL`]. If a turn is much later than that,
+//! everything that is read next may have waited since the turn before, until whatever waited in sockets and
+//! queues has certainly been read.
 //!
 //! Owned by the runtime's loop; it reads no clock itself.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The loop turns at least so often. Short beside two ticks of any configuration, by which answers are given
-/// before their deadline; fifty turns a second cost a thousandth of a core.
+/// The loop turns at least this often: 20 ms. That is short beside two ticks of any configuration, the time by
+/// which answers precede their deadline. Fifty turns a second cost a thousandth of a core; a longer interval
+/// hides stalls of that length.
 pub const MAX_TURN_INTERVAL: Duration = Duration::from_millis(20);
-/// After an interval of this length the process counts as having stood still: a busy machine's delays are
-/// mostly shorter. Too small, requests lose that much of their time for nothing; too large, stalls of that
-/// length stay unnoticed.
-const STALL: Duration = Duration::from_millis(60);
-/// For so long after it, what was in sockets is read first and nothing is decided; the runtime asks the
-/// system for what is ready many times in that.
-const SETTLE: Duration = Duration::from_millis(10);
-/// Until then, and until nothing waits in the queue, what is read may have come while the process stood
-/// still.
-const DOUBT: Duration = Duration::from_millis(100);
+/// An interval of this length between two turns counts as a stall: 60 ms. The delays of a busy server are mostly
+/// shorter. If it is too small, requests lose that much of their time for nothing; if it is too large, stalls
+/// of that length stay unnoticed.
+const MIN_STALL: Duration = Duration::from_millis(60);
+/// For this long after a stall, whatever waited in sockets is read and nothing is decided: 10 ms. The runtime polls
+/// the sockets many times in that. With less, the host decides by what it knew before the stall; with more, it
+/// answers later.
+const SETTLE_TIME: Duration = Duration::from_millis(10);
+/// For this long after a stall, and until the queue is empty, whatever is read may have arrived during it: 100 ms. If
+/// it is too short, a request may be answered after its deadline; if it is too long, requests that did not wait
+/// lose time.
+const SUSPECT_TIME: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug)]
 struct Stall {
@@ -31,7 +34,7 @@
     ended: Instant,
 }
 
-/// When the loop turned, and whether the process stood still lately.
+/// When the loop turned last, and whether the process was stalled recently.
 #[derive(Debug)]
 pub struct StallDetector {
     last_turn: Instant,
@@ -47,38 +50,38 @@
         }
     }
 
-    /// Records a turn of the loop; returns how long the process stood still before it, if it did.
+    /// Records a turn of the loop. Returns how long the process was stalled before it, if it was.
     /// `queue_empty`: nothing waits to be handled.
     pub fn turn(&mut self, now: Instant, queue_empty: bool) -> Option<Duration> {
         self.stall
-            .take_if(|stall| queue_empty && now.duration_since(stall.ended) > DOUBT);
+            .take_if(|stall| queue_empty && now.duration_since(stall.ended) > SUSPECT_TIME);
         let before = std::mem::replace(&mut self.last_turn, now);
         let interval = now.duration_since(before);
-        if interval < STALL {
+        if interval < MIN_STALL {
             return None;
         }
-        // Where it stood still twice in a row, what waits may have come in the first of them.
+        // After two stalls in a row, whatever waits may have arrived during the first of them.
         let since = self.stall.map_or(before, |stall| stall.since);
         self.stall = Some(Stall { since, ended: now });
         Some(interval)
     }
 
-    /// How long a frame that was read now may have waited, if the process stood still lately.
+    /// How long a frame that is read now may have waited, if the process was stalled recently.
     pub fn waited(&self, now: Instant) -> Option<Duration> {
         self.stall.map(|stall| now.duration_since(stall.since))
     }
 
-    /// Whether only what came in is to be handled for now, and nothing is to be decided.
+    /// Whether only input is handled for now, and nothing is decided.
     pub fn settling(&self) -> bool {
         self.stall
-            .is_some_and(|stall| self.last_turn < stall.ended + SETTLE)
+            .is_some_and(|stall| self.last_turn < stall.ended + SETTLE_TIME)
     }
 
-    /// When the loop has to turn at the latest, if it is otherwise wanted at `requested`.
+    /// The latest time of the loop's next turn, if the core requested one at `requested`.
     pub fn next_turn(&self, requested: Option<Instant>) -> Instant {
         let latest = self.last_turn + MAX_TURN_INTERVAL;
         match self.stall {
-            Some(stall) if self.settling() => stall.ended + SETTLE,
+            Some(stall) if self.settling() => stall.ended + SETTLE_TIME,
             _ => requested.map_or(latest, |at| at.min(latest)),
         }
     }
--- a/crates/timers/src/clock.rs
+++ b/crates/timers/src/clock.rs
@@ -3,13 +3,13 @@
 use gullsail_scheduler_api::{Instant, Span};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Starts from the wall clock and never runs back: setting the machine's clock while the host runs does not
-/// move it.
+/// A clock that starts from the wall clock and never runs back. Setting the server's clock while the host runs
+/// does not move it.
 #[derive(Clone, Copy, Debug)]
 pub struct HostClock {
     base: tokio::time::Instant,
     wall: Instant,
-    /// How fast it runs, relative to the machine's.
+    /// How fast it runs, relative to the server's clock.
     rate: f64,
 }
 
@@ -27,8 +27,8 @@
         }
     }
 
-    /// The same clock, running faster by this part, or slower where it is negative: for tests of hosts whose
-    /// clocks drift.
+    /// The same clock, running faster by this fraction, or slower if it is negative. This is for tests of hosts
+    /// whose clocks drift.
     pub fn running(self, faster: f64) -> HostClock {
         HostClock {
             rate: 1.0 + faster.clamp(-0.5, 0.5),
@@ -38,12 +38,13 @@
 
     /// The time now.
     pub fn now(&self) -> Instant {
-        self.wall + Span::from_micros((self.base.elapsed().as_micros() as f64 * self.rate) as i64)
+        let elapsed_us = self.base.elapsed().as_micros() as f64 * self.rate;
+        self.wall + Span::from_micros(elapsed_us as i64)
     }
 
     /// The same point in time for tokio's timers.
     pub fn at(&self, at: Instant) -> tokio::time::Instant {
-        self.base
-            + Duration::from_micros(((at - self.wall).micros().max(0) as f64 / self.rate) as u64)
+        let ahead_us = (at - self.wall).micros().max(0) as f64 / self.rate;
+        self.base + Duration::from_micros(ahead_us as u64)
     }
 }
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Shared by the host and the platform: a queue of timers ([`Timers`]), and a clock that never runs back
-//! ([`HostClock`]). Neither sleeps or wakes anybody: the caller does.
+//! A queue of timers ([`Timers`]) and a clock that never runs back ([`HostClock`]), shared by the host and the
+//! platform. Neither of them sleeps or wakes a task: the caller does.
 
 mod clock;
 mod timer_queue;
--- a/crates/timers/src/timer_queue.rs
+++ b/crates/timers/src/timer_queue.rs
@@ -1,19 +1,24 @@
-//! A queue of timers. There are many of them (several for each request), and what most of them are for has
-//! ended when they fire, so they are kept in buckets of a millisecond: setting one is a look-up among some
-//! thousands of buckets, not among all timers. No timer fires early; each fires at most a millisecond late.
-//! Timers are never cancelled.
+//! A queue of timers. There are several timers for each request, and most of them fire after what they were set
+//! for has ended. They are kept in buckets of a millisecond, so setting one is a look-up among some thousands of
+//! buckets and not among all timers. No timer fires early, and each fires at most a millisecond late. Timers
+//! cannot be cancelled.
 
 use gullsail_scheduler_api::Instant;
 use std::collections::BTreeMap;
 
-/// Length of one bucket in microseconds: the timers of the runtimes are no finer.
+/// Length of one bucket in microseconds: 1 ms, since the timers of the runtimes are no finer. Timers fire up to
+/// this much late; shorter buckets would be more numerous.
 const BUCKET_US: i64 = 1000;
 
-/// Timers by when they are due.
+/// Emptied buckets that are kept for reuse. More hold memory after a burst; fewer cost an allocation for most
+/// buckets.
+const MAX_SPARE_BUCKETS: usize = 64;
+
+/// Timers by the time at which they are due.
 #[derive(Debug)]
 pub struct Timers<T> {
     buckets: BTreeMap<i64, Vec<T>>,
-    /// Emptied buckets, used again.
+    /// Emptied buckets, kept for reuse.
     spare: Vec<Vec<T>>,
 }
 
@@ -39,30 +44,29 @@
             .push(timer);
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     pub fn next(&self) -> Option<Instant> {
         self.buckets
             .first_key_value()
             .map(|(bucket, _)| Instant::from_micros(bucket.saturating_mul(BUCKET_US)))
     }
 
-    /// The oldest bucket of timers that are due; `None`: none is. Timers come in order of time and, within a
-    /// millisecond, in the order in which they were set.
+    /// Removes the oldest bucket of timers that are due; `None`: none is due. Timers are in order of time and,
+    /// within a millisecond, in the order in which they were set.
     pub fn take(&mut self, now: Instant) -> Option<Vec<T>> {
-        self.buckets
-            .first_entry()
-            .filter(|e| e.key().saturating_mul(BUCKET_US) <= now.micros())
-            .map(|e| e.remove())
+        let first = self.buckets.first_entry()?;
+        let due_us = first.key().saturating_mul(BUCKET_US);
+        (due_us <= now.micros()).then(|| first.remove())
     }
 
-    /// How many are set.
+    /// How many timers are set.
     pub fn pending(&self) -> usize {
         self.buckets.values().map(Vec::len).sum()
     }
 
-    /// Hands a bucket back that was taken, for later use.
+    /// Returns a bucket that was taken, for reuse.
     pub fn give_back(&mut self, mut bucket: Vec<T>) {
-        if self.spare.len() < 64 {
+        if self.spare.len() < MAX_SPARE_BUCKETS {
             bucket.clear();
             self.spare.push(bucket);
         }
