--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -1,12 +1,12 @@
 //! Another document while the host serves.
 
-use crate::rig::*;
+use crate::rig::{Rig, SentAttempt, document, ms, text_of};
 use gullsail_configuration::diff::diff;
 use gullsail_configuration::{Deployment, Memory, load};
 use gullsail_host::core::Input;
 use gullsail_host::core::config_change::{Proposal, ProposalOutcome};
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{AttemptResult, Hello, Outcome, Reached, Role, Submit};
+use gullsail_scheduler_api::Instant;
 use std::sync::Arc;
 
 const START: Instant = Instant::from_micros(1_000_000_000);
@@ -20,9 +20,9 @@
         ("new.kdl".to_string(), text),
         ("first.kdl".to_string(), first),
     ];
-    let (d, _) =
+    let (deployment, _) =
         load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems));
-    Arc::new(d)
+    Arc::new(deployment)
 }
 
 pub fn first() -> Arc<Deployment> {
@@ -30,21 +30,21 @@
 }
 
 pub fn propose(
-    r: &mut Rig,
+    rig: &mut Rig,
     from: &Arc<Deployment>,
     to: &Arc<Deployment>,
     insist: bool,
 ) -> ProposalOutcome {
     let changes = diff(from, to);
     let (from, to) = (from.clone(), to.clone());
-    r.handle(Input::Propose(Box::new(Proposal {
+    rig.handle(Input::Propose(Box::new(Proposal {
         requester: 7,
         from,
         to,
         changes,
         insist,
     })));
-    let (requester, reply) = r.proposals_decided.pop().unwrap();
+    let (requester, reply) = rig.proposals_decided.pop().unwrap();
     assert_eq!(requester, 7);
     reply
 }
@@ -73,9 +73,9 @@
             ),
         ),
     ] {
-        let mut r = Rig::new(&old, 0, START);
+        let mut rig = Rig::new(&old, 0, START);
         match (
-            propose(&mut r, &old, &numbered(&[LIMIT], revision), false),
+            propose(&mut rig, &old, &numbered(&[LIMIT], revision), false),
             why,
         ) {
             (ProposalOutcome::Taken { revision }, None) => assert_eq!(revision.0, 1),
@@ -91,14 +91,14 @@
 #[test]
 fn what_others_may_hold_to_stays_named() {
     let old = first();
-    let mut r = Rig::new(&old, 0, START);
+    let mut rig = Rig::new(&old, 0, START);
     let second = after(&[LIMIT], SECOND);
     assert!(matches!(
-        propose(&mut r, &old, &second, false),
+        propose(&mut rig, &old, &second, false),
         ProposalOutcome::Taken { .. }
     ));
     let alone = after(&[LIMIT], "revision 2\nroute to=\"all\"\n");
-    match propose(&mut r, &second, &alone, true) {
+    match propose(&mut rig, &second, &alone, true) {
         ProposalOutcome::TurnedDown(why) => {
             assert!(
                 why[0].contains("gone past revision 1: keep naming it"),
@@ -108,8 +108,8 @@
         taken => panic!("{taken:?}"),
     }
     // The other host says that it has followed.
-    let link = r.core.accept(r.now).unwrap();
-    r.frame(
+    let link = rig.core.accept(rig.now).unwrap();
+    rig.frame(
         link,
         Hello {
             role: Role::Host as i32,
@@ -117,7 +117,7 @@
             ..Hello::default()
         },
     );
-    r.frame(
+    rig.frame(
         link,
         Reached {
             held: 2,
@@ -125,9 +125,9 @@
             hosts: vec![0b10],
         },
     );
-    assert!(r.core.hosts_behind().is_empty());
+    assert!(rig.core.hosts_behind().is_empty());
     assert!(matches!(
-        propose(&mut r, &second, &alone, false),
+        propose(&mut rig, &second, &alone, false),
         ProposalOutcome::Taken { .. }
     ));
 }
@@ -206,11 +206,11 @@
     ];
     for (change, revision, insist, why) in cases {
         let old = first();
-        let mut r = Rig::new(&old, 0, START);
-        let (c, (n1, _)) = (r.client(), r.nodes_up());
-        r.submit(c, 5, "read");
+        let mut rig = Rig::new(&old, 0, START);
+        let (client, (n1, _)) = (rig.client(), rig.nodes_up());
+        rig.submit(client, 5, "read");
         let to = after(change, revision);
-        match (propose(&mut r, &old, &to, insist), why) {
+        match (propose(&mut rig, &old, &to, insist), why) {
             (ProposalOutcome::Taken { .. }, None) => {}
             (ProposalOutcome::TurnedDown(all), Some(why)) => {
                 assert!(all.join("\n").contains(why), "{all:?}")
@@ -218,20 +218,20 @@
             (reply, _) => panic!("{change:?} {revision}: {reply:?}"),
         }
         assert!(Arc::ptr_eq(
-            r.core.deployment(),
+            rig.core.deployment(),
             if why.is_none() { &to } else { &old }
         ));
         // What was under way goes on, and new requests are taken.
-        r.answer(n1, r.attempts(n1)[0].attempt, AttemptResult::Succeeded);
-        r.submit(c, 6, "read");
-        r.answer(n1, r.attempts(n1)[1].attempt, AttemptResult::Succeeded);
+        rig.answer(n1, rig.attempts(n1)[0].attempt, AttemptResult::Succeeded);
+        rig.submit(client, 6, "read");
+        rig.answer(n1, rig.attempts(n1)[1].attempt, AttemptResult::Succeeded);
         assert_eq!(
-            (r.outcomes(c, 5), r.outcomes(c, 6)),
+            (rig.outcomes(client, 5), rig.outcomes(client, 6)),
             (vec![Outcome::Succeeded], vec![Outcome::Succeeded])
         );
         // What was compared with a document that is no longer served by is not taken.
         if why.is_none() {
-            let stale = propose(&mut r, &old, &after(&[], FIRST), true);
+            let stale = propose(&mut rig, &old, &after(&[], FIRST), true);
             assert!(
                 matches!(stale, ProposalOutcome::TurnedDown(all) if all[0].contains("meanwhile"))
             );
@@ -244,11 +244,11 @@
 #[test]
 fn a_volume_leaves_a_host() {
     let old = first();
-    let mut r = Rig::new(&old, 0, START);
-    let (c, (n1, _)) = (r.client(), r.nodes_up());
-    r.pass(ms(2000.0));
-    (1..=60).for_each(|id| r.submit_to(c, id, "read", "w", 1));
-    let sent = r.attempts(n1).len() as u64;
+    let mut rig = Rig::new(&old, 0, START);
+    let (client, (n1, _)) = (rig.client(), rig.nodes_up());
+    rig.pass(ms(2000.0));
+    (1..=60).for_each(|id| rig.submit_to(client, id, "read", "w", 1));
+    let sent = rig.attempts(n1).len() as u64;
     assert!((4..60).contains(&sent), "{sent}");
     let leaves = (
         "volume \"w\" plan=\"held\"",
@@ -256,20 +256,20 @@
     );
     let to = after(&[leaves], SECOND);
     assert!(matches!(
-        propose(&mut r, &old, &to, true),
+        propose(&mut rig, &old, &to, true),
         ProposalOutcome::Taken { .. }
     ));
     let rejected = (1..=60)
-        .filter(|id| r.outcomes(c, *id) == [Outcome::Rejected])
+        .filter(|id| rig.outcomes(client, *id) == [Outcome::Rejected])
         .count() as u64;
     assert_eq!(rejected, 60 - sent, "at once");
-    r.attempts(n1)
+    rig.attempts(n1)
         .into_iter()
-        .for_each(|l| r.answer(n1, l.attempt, AttemptResult::Succeeded));
-    assert!((1..=60).all(|id| r.outcomes(c, id).len() == 1));
-    r.submit_to(c, 99, "read", "w", 1);
+        .for_each(|attempt| rig.answer(n1, attempt.attempt, AttemptResult::Succeeded));
+    assert!((1..=60).all(|id| rig.outcomes(client, id).len() == 1));
+    rig.submit_to(client, 99, "read", "w", 1);
     assert_eq!(
-        r.not_taken(c),
+        rig.not_taken(client),
         ["volume \"w\" is not served through this host"]
     );
 }
@@ -286,9 +286,9 @@
         format!("{pools}route to=\"slow\" {{ volume \"{volume}\"; }}\nroute to=\"fast\"\n")
     };
     let old = after(&kinds, &routes("v"));
-    let mut r = Rig::new(&old, 0, START);
-    let (c, nodes) = (r.client(), r.nodes_up());
-    let put = |r: &mut Rig, first: u64| {
+    let mut rig = Rig::new(&old, 0, START);
+    let (client, nodes) = (rig.client(), rig.nodes_up());
+    let put = |rig: &mut Rig, first: u64| {
         for id in first..first + 12 {
             let (request_class, volume, mark) = ("write".into(), "v".into(), format!("m{id}"));
             let s = Submit {
@@ -300,26 +300,26 @@
                 timeout_us: 1_500_000,
                 ..Submit::default()
             };
-            r.frame(c, s);
-            r.pass(ms(5.0));
-            for SentAttempt { link, attempt, .. } in r.new_attempts() {
-                r.answer(link, attempt.attempt, AttemptResult::Succeeded);
+            rig.frame(client, s);
+            rig.pass(ms(5.0));
+            for SentAttempt { link, attempt, .. } in rig.new_attempts() {
+                rig.answer(link, attempt.attempt, AttemptResult::Succeeded);
             }
         }
         [nodes.0, nodes.1].map(|n| {
-            r.attempts(n)
+            rig.attempts(n)
                 .iter()
-                .filter(|l| l.mark[1..].parse::<u64>().unwrap() >= first)
+                .filter(|attempt| attempt.mark[1..].parse::<u64>().unwrap() >= first)
                 .count()
         })
     };
-    assert_eq!(put(&mut r, 100), [12, 0]);
+    assert_eq!(put(&mut rig, 100), [12, 0]);
     let to = after(&kinds, &routes("far"));
     assert!(matches!(
-        propose(&mut r, &old, &to, false),
+        propose(&mut rig, &old, &to, false),
         ProposalOutcome::Taken { .. }
     ));
-    assert_eq!(put(&mut r, 200), [0, 12]);
+    assert_eq!(put(&mut rig, 200), [0, 12]);
 }
 
 /// Plans that stand in another order are the same plans: a volume keeps its own limit, and one without stays
@@ -334,28 +334,28 @@
     for change in [plans, more] {
         for (volume, most, least) in [("w", 33, 32), ("v", 100, 100)] {
             let old = first();
-            let mut r = Rig::new(&old, 0, START);
-            let (c, (n1, _)) = (r.client(), r.nodes_up());
+            let mut rig = Rig::new(&old, 0, START);
+            let (client, (n1, _)) = (rig.client(), rig.nodes_up());
             // The volume is known by its old place, and its bucket full.
-            r.submit_to(c, 1, "read", volume, 1);
-            r.pass(ms(20.0));
-            r.attempts(n1)
+            rig.submit_to(client, 1, "read", volume, 1);
+            rig.pass(ms(20.0));
+            rig.attempts(n1)
                 .into_iter()
-                .for_each(|l| r.answer(n1, l.attempt, AttemptResult::Succeeded));
-            r.pass(ms(4000.0));
+                .for_each(|attempt| rig.answer(n1, attempt.attempt, AttemptResult::Succeeded));
+            rig.pass(ms(4000.0));
             assert!(matches!(
-                propose(&mut r, &old, &after(&[change], FIRST), false),
+                propose(&mut rig, &old, &after(&[change], FIRST), false),
                 ProposalOutcome::Taken { .. }
             ));
-            r.new_attempts();
+            rig.new_attempts();
             for id in 100..200 {
-                r.submit_to(c, id, "read", volume, 1);
-                for SentAttempt { link, attempt, .. } in r.new_attempts() {
-                    r.answer(link, attempt.attempt, AttemptResult::Succeeded);
+                rig.submit_to(client, id, "read", volume, 1);
+                for SentAttempt { link, attempt, .. } in rig.new_attempts() {
+                    rig.answer(link, attempt.attempt, AttemptResult::Succeeded);
                 }
             }
             let done = (100..200)
-                .filter(|id| r.outcomes(c, *id) == [Outcome::Succeeded])
+                .filter(|id| rig.outcomes(client, *id) == [Outcome::Succeeded])
                 .count();
             assert!(
                 (least..=most).contains(&done),
--- a/crates/host/tests/host/clocks.rs
+++ b/crates/host/tests/host/clocks.rs
@@ -1,11 +1,11 @@
 //! Hosts whose clocks differ: what is learned of a peer's clock is a bound, and limits hold over two hosts
 //! that lend to each other through demand reports which are late, lost, and timed by clocks a second apart.
 
-use crate::rig::*;
+use crate::rig::{ConnectRequest, Rig, SentFrame, document, ms};
 use gullsail_host::core::clock::{ClockOffset, Learned, PeerClock};
 use gullsail_host::core::{Input, LinkId};
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{AttemptAnswer, AttemptResult, Message};
+use gullsail_scheduler_api::{Instant, Span};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{Rng, SeedableRng};
@@ -51,19 +51,19 @@
 #[test]
 fn a_clock_that_is_set_is_learned_anew() {
     let at = |ms: f64| Instant::from_millis(ms);
-    let mut c = PeerClock::default();
-    assert_eq!(c.learn(at(0.0), at(500.0), at(2.0)), Learned::First);
+    let mut clock = PeerClock::default();
+    assert_eq!(clock.learn(at(0.0), at(500.0), at(2.0)), Learned::First);
     assert_eq!(
-        c.learn(at(1000.0), at(1500.5), at(1001.0)),
+        clock.learn(at(1000.0), at(1500.5), at(1001.0)),
         Learned::Narrowed
     );
     assert_eq!(
-        c.learn(at(2000.0), at(1000.0), at(2001.0)),
+        clock.learn(at(2000.0), at(1000.0), at(2001.0)),
         Learned::Stepped
     );
     // Half a microsecond of drift within the exchange, rounded, and two for readings cut to whole ones.
     assert_eq!(
-        c.bounds(at(2001.0)),
+        clock.bounds(at(2001.0)),
         Some(ClockOffset {
             least: ms(-1001.003),
             most: ms(-999.997)
@@ -71,11 +71,11 @@
     );
     // An answer that took longer than a second narrows nothing.
     assert_eq!(
-        c.learn(at(3000.0), at(9000.0), at(5000.0)),
+        clock.learn(at(3000.0), at(9000.0), at(5000.0)),
         Learned::Nothing
     );
-    let far = |c: &PeerClock, apart: f64| c.too_far(at(2001.0), ms(apart));
-    assert!(far(&c, 500.0) && !far(&c, 1500.0));
+    let far = |clock: &PeerClock, apart: f64| clock.too_far(at(2001.0), ms(apart));
+    assert!(far(&clock, 500.0) && !far(&clock, 1500.0));
 }
 
 /// A host's end of a connection.
@@ -121,11 +121,11 @@
 
 impl Pair {
     fn new(apart: Span, lose: f64, seed: u64) -> Pair {
-        let d = document(&[]);
+        let deployment = document(&[]);
         let now = Instant::from_micros(1_000_000_000);
         let ahead = vec![Span::ZERO, apart];
         let hosts: Vec<_> = (0..2)
-            .map(|h| Rig::new(&d, h, now + ahead[h as usize]))
+            .map(|host| Rig::new(&deployment, host, now + ahead[host as usize]))
             .collect();
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let other_ends = BTreeMap::new();
@@ -142,7 +142,7 @@
             lose,
             first: Vec::new(),
         };
-        pair.hosts.iter_mut().for_each(|h| _ = h.nodes_up());
+        pair.hosts.iter_mut().for_each(|host| _ = host.nodes_up());
         pair
     }
 
@@ -152,8 +152,11 @@
             let to = 1 - from;
             let Seen { connects, sent } = self.seen[from];
             let (new_connects, new_sent) = {
-                let h = &self.hosts[from];
-                (h.connects[connects..].to_vec(), h.sent[sent..].to_vec())
+                let host = &self.hosts[from];
+                (
+                    host.connects[connects..].to_vec(),
+                    host.sent[sent..].to_vec(),
+                )
             };
             let host = &self.hosts[from];
             self.seen[from] = Seen {
@@ -229,15 +232,15 @@
 
     fn pass(&mut self) {
         self.now = self.now + ms(1.0);
-        for h in 0..2 {
-            let until = self.now + self.ahead[h];
-            let rest = until - self.hosts[h].now;
-            self.hosts[h].pass(rest);
+        for host in 0..2 {
+            let until = self.now + self.ahead[host];
+            let rest = until - self.hosts[host].now;
+            self.hosts[host].pass(rest);
         }
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.carried)
             .into_iter()
-            .partition(|c| c.at <= now);
+            .partition(|clock| clock.at <= now);
         self.carried = later;
         for Carried { host, input, .. } in due {
             self.hosts[host].handle(input);
@@ -259,32 +262,32 @@
 
 /// Rule 7 over two hosts: one asks for far more than its share, the other little, and roles change.
 fn ten_seconds(apart: f64, lose: f64) -> TenSeconds {
-    let mut p = Pair::new(ms(apart), lose, 7);
-    let clients: Vec<_> = p.hosts.iter_mut().map(Rig::client).collect();
+    let mut pair = Pair::new(ms(apart), lose, 7);
+    let clients: Vec<_> = pair.hosts.iter_mut().map(Rig::client).collect();
     for i in 0..10_000u64 {
         let busy = usize::from(i >= 6000);
         if i % 8 == 0 {
-            p.hosts[busy].submit_to(clients[busy], i, "read", "w", 1 + (i / 8 % 2) as i64);
+            pair.hosts[busy].submit_to(clients[busy], i, "read", "w", 1 + (i / 8 % 2) as i64);
         }
         if i % 400 == 0 {
-            p.hosts[1 - busy].submit_to(clients[1 - busy], i + 1, "read", "w", 1);
+            pair.hosts[1 - busy].submit_to(clients[1 - busy], i + 1, "read", "w", 1);
         }
-        p.pass();
+        pair.pass();
     }
     let mut level = 64.0f64;
     let mut lowest = 64.0f64;
-    let mut level_at = p.first[0].at;
-    for first in &p.first {
+    let mut level_at = pair.first[0].at;
+    for first in &pair.first {
         level = (level + 40.0 * (first.at - level_at).secs()).min(64.0) - first.units;
         level_at = first.at;
         lowest = lowest.min(level);
     }
-    let sum = |count: fn(&Rig) -> u64| p.hosts.iter().map(count).sum::<u64>();
+    let sum = |count: fn(&Rig) -> u64| pair.hosts.iter().map(count).sum::<u64>();
     TenSeconds {
-        sent: p.first.iter().map(|first| first.units).sum(),
+        sent: pair.first.iter().map(|first| first.units).sum(),
         lowest,
-        received: sum(|h| h.core.counts().demand_reports_received),
-        dropped: sum(|h| h.core.counts().demand_reports_dropped),
+        received: sum(|host| host.core.counts().demand_reports_received),
+        dropped: sum(|host| host.core.counts().demand_reports_dropped),
     }
 }
 
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -1,14 +1,17 @@
 //! The host's core against nodes, clients and peers that fail, in given time.
 
-use crate::rig::*;
+use crate::rig::{Rig, document, ms};
 use bytes::Bytes;
 use gullsail_host::core::{Input, LinkId};
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{
+    Attempt, AttemptAnswer, AttemptResult, Cancel, DemandReport, EndpointListUpdate, Frame, Handle,
+    Hello, Message, Outcome, Role, Submit, Withdraw,
+};
+use gullsail_scheduler_api::Instant;
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
-fn rig() -> Rig {
+fn new_rig() -> Rig {
     Rig::new(&document(&[]), 0, START)
 }
 
@@ -37,127 +40,130 @@
         ("write", End::Break, 2, Failed),
     ];
     for (place, (request_class, end, attempts, outcome)) in cases.into_iter().enumerate() {
-        let mut r = rig();
-        let c = r.client();
+        let mut rig = new_rig();
+        let client = rig.client();
         let up = !matches!(end, End::NeverSent);
         let n = if up {
-            r.node_up("n1", 11, ms(1e7))
+            rig.node_up("n1", 11, ms(1e7))
         } else {
             LinkId(0)
         };
-        r.submit(c, 5, request_class);
-        assert_eq!(r.attempts(n).len(), usize::from(up), "case {place}");
-        r.pass(ms(10.0));
+        rig.submit(client, 5, request_class);
+        assert_eq!(rig.attempts(n).len(), usize::from(up), "case {place}");
+        rig.pass(ms(10.0));
         match end {
-            End::Answer(result) => r.answer(n, r.attempts(n)[0].attempt, result),
+            End::Answer(result) => rig.answer(n, rig.attempts(n)[0].attempt, result),
             End::Break => {
-                r.handle(Input::Closed(n, "reset".into()));
-                r.pass(ms(30.0));
-                r.node_up("n1", 11, ms(1e7));
+                rig.handle(Input::Closed(n, "reset".into()));
+                rig.pass(ms(30.0));
+                rig.node_up("n1", 11, ms(1e7));
             }
             End::Silence | End::NeverSent => {}
         }
-        r.pass(ms(3000.0));
-        let sent = r.new_attempts();
+        rig.pass(ms(3000.0));
+        let sent = rig.new_attempts();
         assert_eq!(
-            (sent.len(), r.outcomes(c, 5)),
+            (sent.len(), rig.outcomes(client, 5)),
             (attempts, vec![outcome]),
             "case {place}"
         );
         assert!(
-            sent.iter().all(|s| s.attempt.mark == "m5"),
+            sent.iter().all(|sent| sent.attempt.mark == "m5"),
             "a repeat is known by its mark"
         );
         assert!(
             sent.iter()
                 .enumerate()
-                .all(|(number, s)| s.attempt.number == number as u32)
+                .all(|(number, sent)| sent.attempt.number == number as u32)
         );
     }
 }
 
 #[test]
 fn a_late_answer_of_a_node_is_discarded_and_counted() {
-    let mut r = rig();
-    let (c, (n, _)) = (r.client(), r.nodes_up());
-    r.submit(c, 5, "read");
-    let attempt = r.attempts(n)[0].attempt;
-    r.pass(ms(1000.0));
+    let mut rig = new_rig();
+    let (client, (n, _)) = (rig.client(), rig.nodes_up());
+    rig.submit(client, 5, "read");
+    let attempt = rig.attempts(n)[0].attempt;
+    rig.pass(ms(1000.0));
     assert!(
-        r.on(n)
-            .any(|f| f.message == Message::Cancel(Cancel { attempt })),
+        rig.on(n)
+            .any(|frame| frame.message == Message::Cancel(Cancel { attempt })),
         "the node is told"
     );
-    assert_eq!(r.outcomes(c, 5), [Outcome::Rejected]);
-    r.answer(n, attempt, AttemptResult::Succeeded);
+    assert_eq!(rig.outcomes(client, 5), [Outcome::Rejected]);
+    rig.answer(n, attempt, AttemptResult::Succeeded);
     // And answers to what was never asked, or was asked of another node.
-    r.answer(n, 999, AttemptResult::Succeeded);
-    assert_eq!(r.outcomes(c, 5), [Outcome::Rejected]);
-    assert_eq!(r.core.counts().late_node_answers, 2);
+    rig.answer(n, 999, AttemptResult::Succeeded);
+    assert_eq!(rig.outcomes(client, 5), [Outcome::Rejected]);
+    assert_eq!(rig.core.counts().late_node_answers, 2);
 }
 
 #[test]
 fn another_nodes_answer_ends_nothing() {
-    let mut r = rig();
-    let (c, (n1, n2)) = (r.client(), r.nodes_up());
-    r.submit(c, 5, "read");
-    let attempt = r.attempts(n1)[0].attempt;
-    r.answer(n2, attempt, AttemptResult::Succeeded);
-    assert_eq!(r.outcomes(c, 5), []);
-    r.answer_with(
+    let mut rig = new_rig();
+    let (client, (n1, n2)) = (rig.client(), rig.nodes_up());
+    rig.submit(client, 5, "read");
+    let attempt = rig.attempts(n1)[0].attempt;
+    rig.answer(n2, attempt, AttemptResult::Succeeded);
+    assert_eq!(rig.outcomes(client, 5), []);
+    rig.answer_with(
         n1,
         attempt,
         AttemptResult::Succeeded,
         Bytes::from_static(b"bytes"),
     );
-    assert_eq!(r.outcomes(c, 5), [Outcome::Succeeded]);
-    assert!(r.on(c).any(|f| f.body == "bytes"));
+    assert_eq!(rig.outcomes(client, 5), [Outcome::Succeeded]);
+    assert!(rig.on(client).any(|frame| frame.body == "bytes"));
 }
 
 #[test]
 fn a_stop_answers_all_that_is_held_and_takes_nothing_new() {
-    let d = document(&[("open=50", "open=2000"), ("4000B", "4MB")]);
-    let mut r = Rig::new(&d, 0, START);
-    let (c, _) = (r.client(), r.nodes_up());
+    let deployment = document(&[("open=50", "open=2000"), ("4000B", "4MB")]);
+    let mut rig = Rig::new(&deployment, 0, START);
+    let (client, _) = (rig.client(), rig.nodes_up());
     for id in 0..1000 {
-        r.submit(c, id, ["read", "write", "trip"][id as usize % 3]);
+        rig.submit(client, id, ["read", "write", "trip"][id as usize % 3]);
     }
-    r.handle(Input::Stop);
-    assert!(!r.finished, "a thousand are open");
-    r.submit(c, 5000, "read");
-    assert_eq!(r.not_taken(c), ["this host is shutting down"]);
-    assert_eq!(r.core.accept(r.now), None);
-    r.pass(ms(1500.0));
-    assert!(r.finished);
-    assert!((0..1000).all(|id| r.outcomes(c, id).len() == 1));
-    let attempts = r.sent.len();
-    r.pass(ms(3000.0));
-    let later = r.sent[attempts..]
+    rig.handle(Input::Stop);
+    assert!(!rig.finished, "a thousand are open");
+    rig.submit(client, 5000, "read");
+    assert_eq!(rig.not_taken(client), ["this host is shutting down"]);
+    assert_eq!(rig.core.accept(rig.now), None);
+    rig.pass(ms(1500.0));
+    assert!(rig.finished);
+    assert!((0..1000).all(|id| rig.outcomes(client, id).len() == 1));
+    let attempts = rig.sent.len();
+    rig.pass(ms(3000.0));
+    let later = rig.sent[attempts..]
         .iter()
-        .filter(|s| matches!(s.frame.message, Message::Attempt(_) | Message::Answer(_)));
+        .filter(|sent| matches!(sent.frame.message, Message::Attempt(_) | Message::Answer(_)));
     assert_eq!(later.count(), 0, "nothing is sent after the answers");
 }
 
 #[test]
 fn clients_that_leave_or_withdraw_get_nothing_more() {
-    let mut r = rig();
-    let (c, other, (n, _)) = (r.client(), r.client(), r.nodes_up());
-    r.submit(c, 5, "read");
-    r.submit(c, 6, "read");
-    r.submit(other, 5, "read");
-    r.frame(c, Withdraw { id: 6 });
-    r.handle(Input::Closed(c, "gone".into()));
-    let before = r.on(c).count();
-    for attempt in r.attempts(n) {
-        r.answer(n, attempt.attempt, AttemptResult::Succeeded);
+    let mut rig = new_rig();
+    let (client, other, (n, _)) = (rig.client(), rig.client(), rig.nodes_up());
+    rig.submit(client, 5, "read");
+    rig.submit(client, 6, "read");
+    rig.submit(other, 5, "read");
+    rig.frame(client, Withdraw { id: 6 });
+    rig.handle(Input::Closed(client, "gone".into()));
+    let before = rig.on(client).count();
+    for attempt in rig.attempts(n) {
+        rig.answer(n, attempt.attempt, AttemptResult::Succeeded);
     }
-    r.pass(ms(2000.0));
+    rig.pass(ms(2000.0));
     assert_eq!(
-        (r.on(c).count(), r.outcomes(other, 5)),
+        (rig.on(client).count(), rig.outcomes(other, 5)),
         (before, vec![Outcome::Succeeded])
     );
     assert_eq!(
-        (r.core.counts().clients_left, r.core.load().open_requests),
+        (
+            rig.core.counts().clients_left,
+            rig.core.load().open_requests
+        ),
         (2, 0)
     );
 }
@@ -166,116 +172,83 @@
 /// which does not go out and must not stay in the node's window.
 #[test]
 fn attempts_of_those_who_left_keep_no_room() {
-    let mut r = rig();
-    let (stays, n) = (r.client(), r.node_up("n1", 11, ms(1e7)));
+    let mut rig = new_rig();
+    let (stays, n) = (rig.client(), rig.node_up("n1", 11, ms(1e7)));
     for id in 0..40 {
-        let c = r.client();
-        r.submit(c, id, "read");
-        let attempt = r.attempts(n).last().unwrap().attempt;
+        let client = rig.client();
+        rig.submit(client, id, "read");
+        let attempt = rig.attempts(n).last().unwrap().attempt;
         let failed = AttemptAnswer {
             attempt,
             result: AttemptResult::Failed as i32,
             ..AttemptAnswer::default()
         };
-        r.core.handle(r.now, Input::Frame(n, failed.into()));
-        r.core.handle(r.now, Input::Closed(c, "gone".into()));
-        r.settle();
+        rig.core.handle(rig.now, Input::Frame(n, failed.into()));
+        rig.core
+            .handle(rig.now, Input::Closed(client, "gone".into()));
+        rig.settle();
         // In between, the node serves well: its window does not fall for the failures alone.
         for other in 0..4 {
-            r.submit(stays, 1000 + id * 4 + other, "read");
-            let attempt = r.attempts(n).last().unwrap().attempt;
-            r.answer(n, attempt, AttemptResult::Succeeded);
-            r.pass(ms(20.0));
+            rig.submit(stays, 1000 + id * 4 + other, "read");
+            let attempt = rig.attempts(n).last().unwrap().attempt;
+            rig.answer(n, attempt, AttemptResult::Succeeded);
+            rig.pass(ms(20.0));
         }
     }
-    assert_eq!(r.core.load().attempts_out, 0, "no leg is out");
+    assert_eq!(rig.core.load().attempts_out, 0, "no leg is out");
     let done = (1000..1160)
-        .filter(|id| r.outcomes(stays, *id) == [Outcome::Succeeded])
+        .filter(|id| rig.outcomes(stays, *id) == [Outcome::Succeeded])
         .count();
     assert_eq!(done, 160, "the node has room throughout");
 }
 
 #[test]
 fn what_is_not_taken_has_its_reason() {
-    let mut r = rig();
-    r.nodes_up();
+    let mut rig = new_rig();
+    rig.nodes_up();
     let good = Submit {
-        request_class: "read".into(),
-        volume: "v".into(),
-        units: 1.0,
         handle: Some(Handle {
             shard: 1,
             object: 1,
         }),
         timeout_us: 1_000_000,
-        ..Submit::default()
+        ..rig.submitted("read", "v", 1)
+    };
+    let changed = |change: fn(&mut Submit)| {
+        let mut submit = good.clone();
+        change(&mut submit);
+        submit
     };
+    let unknown_class = changed(|submit| submit.request_class = "raed".into());
+    let unknown_volume = changed(|submit| submit.volume = "x".into());
+    let other_hosts = changed(|submit| submit.volume = "far".into());
+    let too_many = changed(|submit| submit.units = 9.0);
+    let not_a_number = changed(|submit| submit.units = f64::NAN);
+    let no_time = changed(|submit| submit.timeout_us = 0);
+    let two_ticks = changed(|submit| submit.timeout_us = 40_000);
+    let no_handle = changed(|submit| submit.handle = None);
     let cases = [
+        (unknown_class, "unknown request class \"raed\""),
+        (unknown_volume, "unknown volume \"x\""),
+        (other_hosts, "is not served through this host"),
         (
-            Submit {
-                request_class: "raed".into(),
-                ..good.clone()
-            },
-            "unknown request class \"raed\"",
-        ),
-        (
-            Submit {
-                volume: "x".into(),
-                ..good.clone()
-            },
-            "unknown volume \"x\"",
-        ),
-        (
-            Submit {
-                volume: "far".into(),
-                ..good.clone()
-            },
-            "is not served through this host",
-        ),
-        (
-            Submit {
-                units: 9.0,
-                ..good.clone()
-            },
+            too_many,
             "units out of range: got 9, allowed 0 < units <= 8",
         ),
-        (
-            Submit {
-                units: f64::NAN,
-                ..good.clone()
-            },
-            "units out of range: got NaN",
-        ),
-        (
-            Submit {
-                timeout_us: 0,
-                ..good.clone()
-            },
-            "deadline passed or closer than 2 ticks",
-        ),
-        (
-            Submit {
-                timeout_us: 40_000,
-                ..good.clone()
-            },
-            "deadline passed or closer than 2 ticks",
-        ),
-        (
-            Submit {
-                handle: None,
-                ..good.clone()
-            },
-            "needs the handle",
-        ),
+        (not_a_number, "units out of range: got NaN"),
+        (no_time, "deadline passed or closer than 2 ticks"),
+        (two_ticks, "deadline passed or closer than 2 ticks"),
+        (no_handle, "needs the handle"),
     ];
-    let c = r.client();
-    for (s, reason) in cases {
-        r.frame(c, s);
-        let refusal = r.not_taken(c).pop().unwrap();
+    let client = rig.client();
+    for (submit, reason) in cases {
+        rig.frame(client, submit);
+        let refusal = rig.not_taken(client).pop().unwrap();
         assert!(refusal.contains(reason), "{refusal}");
     }
-    r.frame(c, good);
-    assert_eq!((r.core.counts().taken, r.core.counts().not_taken), (1, 8));
+    rig.frame(client, good);
+    let counts = rig.core.counts();
+    assert_eq!((counts.taken, counts.not_taken), (1, 8));
 }
 
 /// A frame that its sender may not send ends that link and no other.
@@ -290,36 +263,36 @@
         AttemptAnswer::default().into(),
         Hello::default().into(),
     ] {
-        let mut r = rig();
-        let (c, other, (n, _)) = (r.client(), r.client(), r.nodes_up());
-        r.frame(c, bad.clone());
-        assert_eq!(r.closed, [c], "{bad:?}");
-        r.submit(other, 5, "read");
-        r.answer(n, r.attempts(n)[0].attempt, AttemptResult::Succeeded);
-        assert_eq!(r.outcomes(other, 5), [Outcome::Succeeded]);
+        let mut rig = new_rig();
+        let (client, other, (n, _)) = (rig.client(), rig.client(), rig.nodes_up());
+        rig.frame(client, bad.clone());
+        assert_eq!(rig.closed, [client], "{bad:?}");
+        rig.submit(other, 5, "read");
+        rig.answer(n, rig.attempts(n)[0].attempt, AttemptResult::Succeeded);
+        assert_eq!(rig.outcomes(other, 5), [Outcome::Succeeded]);
     }
     // One id for two open requests can't be answered: that link ends too.
-    let mut r = rig();
-    let c = r.client();
-    r.submit(c, 5, "read");
-    r.submit(c, 5, "read");
-    assert_eq!(r.closed, [c]);
+    let mut rig = new_rig();
+    let client = rig.client();
+    rig.submit(client, 5, "read");
+    rig.submit(client, 5, "read");
+    assert_eq!(rig.closed, [client]);
     // A newer kind is skipped.
-    let mut r = rig();
-    let c = r.client();
-    r.frame(
-        c,
+    let mut rig = new_rig();
+    let client = rig.client();
+    rig.frame(
+        client,
         Frame {
             message: Message::Newer { kind: 500 },
             body: Bytes::new(),
         },
     );
-    assert_eq!(r.closed, []);
+    assert_eq!(rig.closed, []);
     // A stranger that says nothing, a node that answers at another's address.
-    let stranger = r.core.accept(r.now).unwrap();
-    let n = r.connection_to("n1").unwrap();
-    r.handle(Input::Connected(n));
-    r.frame(
+    let stranger = rig.core.accept(rig.now).unwrap();
+    let n = rig.connection_to("n1").unwrap();
+    rig.handle(Input::Connected(n));
+    rig.frame(
         n,
         Hello {
             role: Role::Node as i32,
@@ -328,34 +301,34 @@
             ..Hello::default()
         },
     );
-    assert_eq!(r.closed, [n]);
-    r.pass(ms(1000.0));
-    assert!(r.closed.contains(&stranger) && !r.closed.contains(&c));
+    assert_eq!(rig.closed, [n]);
+    rig.pass(ms(1000.0));
+    assert!(rig.closed.contains(&stranger) && !rig.closed.contains(&client));
 }
 
 #[test]
 fn memory_is_bounded_and_clients_wait() {
-    let mut r = rig();
-    let c = r.client();
+    let mut rig = new_rig();
+    let client = rig.client();
     for id in 0..50 {
-        r.submit(c, id, "read");
+        rig.submit(client, id, "read");
     }
     assert_eq!(
-        r.reading.get(&c),
+        rig.reading.get(&client),
         Some(&false),
         "as many as may be are open"
     );
-    r.pass(ms(3000.0));
-    assert_eq!(r.reading.get(&c), Some(&true), "they are answered");
-    assert_eq!(r.core.counts().back_pressure_events, 1);
+    rig.pass(ms(3000.0));
+    assert_eq!(rig.reading.get(&client), Some(&true), "they are answered");
+    assert_eq!(rig.core.counts().back_pressure_events, 1);
     // One that takes none of its answers waits, alone, and is let go.
-    let mut r = rig();
-    let (c, slow, n) = (r.client(), r.client(), r.node_up("n1", 11, ms(1e7)));
-    r.stuck.insert(slow);
+    let mut rig = new_rig();
+    let (client, slow, n) = (rig.client(), rig.client(), rig.node_up("n1", 11, ms(1e7)));
+    rig.stuck.insert(slow);
     for id in 0..5 {
-        r.submit(slow, id, "read");
-        let attempt = r.attempts(n).last().unwrap().attempt;
-        r.answer_with(
+        rig.submit(slow, id, "read");
+        let attempt = rig.attempts(n).last().unwrap().attempt;
+        rig.answer_with(
             n,
             attempt,
             AttemptResult::Succeeded,
@@ -363,12 +336,18 @@
         );
     }
     assert_eq!(
-        (r.reading.get(&slow), r.reading.get(&c)),
+        (rig.reading.get(&slow), rig.reading.get(&client)),
         (Some(&false), None)
     );
-    assert!(r.core.load().bytes >= 4000, "what waits for it is counted");
-    r.pass(ms(5000.0));
-    assert_eq!((r.closed.contains(&slow), r.core.load().bytes), (true, 0));
+    assert!(
+        rig.core.load().bytes >= 4000,
+        "what waits for it is counted"
+    );
+    rig.pass(ms(5000.0));
+    assert_eq!(
+        (rig.closed.contains(&slow), rig.core.load().bytes),
+        (true, 0)
+    );
 }
 
 /// What waited while the process stood still has as much less time; what would have next to none is not
@@ -383,32 +362,32 @@
         (300, 800, false, 0),
     ];
     for (timeout, waited, taken, lasts) in cases {
-        let mut r = rig();
-        let (c, (n, _)) = (r.client(), r.nodes_up());
-        r.submit(c, 1, "read");
+        let mut rig = new_rig();
+        let (client, (n, _)) = (rig.client(), rig.nodes_up());
+        rig.submit(client, 1, "read");
         let submit = Submit {
             timeout_us: timeout * 1000,
             id: 9,
             mark: "m9".into(),
-            ..r.submitted("read", "v", 1)
+            ..rig.submitted("read", "v", 1)
         };
-        r.handle(Input::DelayedFrame(
-            c,
+        rig.handle(Input::DelayedFrame(
+            client,
             Frame::from(submit),
             ms(waited as f64),
         ));
         assert_eq!(
-            (r.not_taken(c).is_empty(), r.attempts(n).len()),
+            (rig.not_taken(client).is_empty(), rig.attempts(n).len()),
             (taken, 1 + usize::from(taken)),
             "{waited}"
         );
         assert!(
-            r.attempts(n)
+            rig.attempts(n)
                 .iter()
                 .skip(1)
-                .all(|l| l.time_out_us <= lasts * 1000),
+                .all(|attempt| attempt.time_out_us <= lasts * 1000),
             "{:?}",
-            r.attempts(n)
+            rig.attempts(n)
         );
     }
 }
--- a/crates/host/tests/host/model/surroundings.rs
+++ b/crates/host/tests/host/model/surroundings.rs
@@ -1,13 +1,26 @@
 //! What is around the hosts: nodes that answer, connections that break, the endpoint list, and faults.
 
-use super::*;
+use super::world::{CAN, Mail, NAMES, NodeState, World};
+use crate::rig::{ConnectRequest, ms};
+use gullsail_host::core::{Input, LinkId};
+use gullsail_protocol::{
+    Attempt, AttemptResult, EndpointListUpdate, Hello, ListedEndpoint, ListedState, Role,
+};
+use gullsail_scheduler_api::{AttemptOutcome, Event, HostId, Span, UpdateKind};
+use rand::Rng;
 
 impl World {
-    pub(super) fn node_takes(&mut self, h: usize, n: usize, link: LinkId, l: &Attempt) {
+    pub(super) fn node_takes(
+        &mut self,
+        host_index: usize,
+        n: usize,
+        link: LinkId,
+        attempt: &Attempt,
+    ) {
         let (now, node) = (self.now, &mut self.nodes[n]);
         let part = (0.2 + 0.8 * (now - node.started_at).secs() / 10.0).min(1.0);
-        node.free_at =
-            node.free_at.max(now) + Span::from_millis(l.units / (CAN * part) * 1e3 * node.slowdown);
+        node.free_at = node.free_at.max(now)
+            + Span::from_millis(attempt.units / (CAN * part) * 1e3 * node.slowdown);
         let result = if self.rng.random_bool(node.error_rate) {
             if self.rng.random_bool(0.3) {
                 AttemptResult::Rejected
@@ -23,37 +36,37 @@
             now
         };
         let at = answered_at + ms(2.0);
-        let incarnation = self.hosts[h].incarnation;
+        let incarnation = self.hosts[host_index].incarnation;
         self.mail.push(Mail {
             at,
-            host: h,
+            host: host_index,
             incarnation,
             link,
-            attempt: l.attempt,
+            attempt: attempt.attempt,
             result,
         });
     }
 
     /// New connections: nodes and the list answer, peers do not.
-    pub(super) fn connects(&mut self, h: usize) {
-        while self.hosts[h].connects < self.hosts[h].rig.connects.len() {
+    pub(super) fn connects(&mut self, host_index: usize) {
+        while self.hosts[host_index].connects < self.hosts[host_index].rig.connects.len() {
             let ConnectRequest { link, address, .. } =
-                self.hosts[h].rig.connects[self.hosts[h].connects].clone();
-            self.hosts[h].connects += 1;
+                self.hosts[host_index].rig.connects[self.hosts[host_index].connects].clone();
+            self.hosts[host_index].connects += 1;
             self.model.step();
             if address == "list" {
-                self.hosts[h].list = Some(link);
-                self.handle(h, Input::Connected(link));
+                self.hosts[host_index].list = Some(link);
+                self.handle(host_index, Input::Connected(link));
                 let hello = Hello {
                     role: Role::List as i32,
                     name: "list".into(),
                     ..Hello::default()
                 };
-                self.handle(h, Input::Frame(link, hello.into()));
-                (0..2).for_each(|n| self.list(h, n));
+                self.handle(host_index, Input::Frame(link, hello.into()));
+                (0..2).for_each(|n| self.list(host_index, n));
             } else if let Some(n) = NAMES.iter().position(|name| *name == address) {
-                self.hosts[h].links[n] = Some(link);
-                self.handle(h, Input::Connected(link));
+                self.hosts[host_index].links[n] = Some(link);
+                self.handle(host_index, Input::Connected(link));
                 let NodeState {
                     incarnation,
                     started_at,
@@ -66,41 +79,44 @@
                     age_us: (self.now - started_at).micros(),
                     shard_plus_one: n as i64 + 2,
                 };
-                let entries =
-                    vec![self.entry(n, self.hosts[h].last_list_state[n], Some(started_at))];
+                let entries = vec![self.entry(
+                    n,
+                    self.hosts[host_index].last_list_state[n],
+                    Some(started_at),
+                )];
                 self.saw(
-                    h,
+                    host_index,
                     &Event::EndpointList {
                         update_kind: UpdateKind::SelfReported,
                         entries,
                     },
                 );
-                self.handle(h, Input::Frame(link, hello.into()));
+                self.handle(host_index, Input::Frame(link, hello.into()));
             } else {
-                self.handle(h, Input::ConnectFailed(link, "refused".into()));
+                self.handle(host_index, Input::ConnectFailed(link, "refused".into()));
             }
         }
     }
 
-    pub(super) fn reset(&mut self, h: usize, n: usize) {
-        let Some(link) = self.hosts[h].links[n].take() else {
+    pub(super) fn reset(&mut self, host_index: usize, n: usize) {
+        let Some(link) = self.hosts[host_index].links[n].take() else {
             return;
         };
         self.model.step();
-        let attempts: Vec<u64> = self.hosts[h]
+        let attempts: Vec<u64> = self.hosts[host_index]
             .out
             .iter()
             .filter(|(_, out)| out.link == link)
-            .map(|(l, _)| *l)
+            .map(|(attempt, _)| *attempt)
             .collect();
         attempts
             .into_iter()
-            .for_each(|attempt| self.ended(h, attempt, AttemptOutcome::ConnectionLost));
-        self.handle(h, Input::Closed(link, "reset".into()));
+            .for_each(|attempt| self.ended(host_index, attempt, AttemptOutcome::ConnectionLost));
+        self.handle(host_index, Input::Closed(link, "reset".into()));
     }
 
-    pub(super) fn list(&mut self, h: usize, n: usize) {
-        let Some(link) = self.hosts[h].list else {
+    pub(super) fn list(&mut self, host_index: usize, n: usize) {
+        let Some(link) = self.hosts[host_index].list else {
             return;
         };
         let NodeState {
@@ -119,17 +135,17 @@
             ..ListedEndpoint::default()
         };
         self.model.step();
-        self.hosts[h].last_list_state[n] = state;
+        self.hosts[host_index].last_list_state[n] = state;
         let entries = vec![self.entry(n, state, Some(started_at))];
         self.saw(
-            h,
+            host_index,
             &Event::EndpointList {
                 update_kind: UpdateKind::Delta,
                 entries,
             },
         );
         self.handle(
-            h,
+            host_index,
             Input::Frame(
                 link,
                 EndpointListUpdate {
@@ -143,7 +159,7 @@
     }
 
     pub(super) fn fault(&mut self) {
-        let (n, h) = (self.rng.random_range(0..2), self.rng.random_range(0..2));
+        let (n, host_index) = (self.rng.random_range(0..2), self.rng.random_range(0..2));
         match self.rng.random_range(0..8) {
             0 | 1 => self.nodes[n].error_rate = self.rng.random_range(0.2..0.8),
             2 => self.nodes[n].slowdown = self.rng.random_range(1.0..10.0),
@@ -153,25 +169,25 @@
                     node.slowdown = 1.0;
                 }
             }
-            4 => self.reset(h, n),
+            4 => self.reset(host_index, n),
             5 => {
                 // Restarts, cold; connections break, the list says so.
                 let now = self.now;
                 self.nodes[n] = NodeState::ready(self.rng.random_range(100..u64::MAX), now, now);
-                for h in 0..2 {
-                    self.reset(h, n);
-                    self.list(h, n);
+                for host_index in 0..2 {
+                    self.reset(host_index, n);
+                    self.list(host_index, n);
                 }
             }
             6 => {
                 self.nodes[n].state = ListedState::Draining;
-                (0..2).for_each(|h| self.list(h, n));
+                (0..2).for_each(|host_index| self.list(host_index, n));
             }
             _ => {
                 // A host is killed, and is back at once.
-                self.model.killed(self.now, HostId(h as u32));
-                let incarnation = self.hosts[h].incarnation + 1;
-                self.hosts[h] = self.start_host(h, incarnation);
+                self.model.killed(self.now, HostId(host_index as u32));
+                let incarnation = self.hosts[host_index].incarnation + 1;
+                self.hosts[host_index] = self.start_host(host_index, incarnation);
             }
         }
     }
--- a/crates/host/tests/host/nodes.rs
+++ b/crates/host/tests/host/nodes.rs
@@ -1,13 +1,15 @@
 //! Nodes and the endpoint list, as a host's core connects to them and learns of their starts and drains.
 
-use crate::rig::*;
+use crate::rig::{ConnectRequest, Rig, document, ms};
 use gullsail_host::core::Input;
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{
+    AttemptResult, EndpointListUpdate, Hello, ListedEndpoint, ListedState, Message, Outcome, Role,
+};
+use gullsail_scheduler_api::Instant;
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
-fn rig() -> Rig {
+fn new_rig() -> Rig {
     Rig::new(&document(&[]), 0, START)
 }
 
@@ -16,25 +18,25 @@
 #[test]
 fn only_another_incarnation_is_a_restart() {
     for (incarnation, age, cold, restarts) in [(11, 1e7, false, 0), (99, 0.0, true, 1)] {
-        let mut r = rig();
-        let c = r.client();
-        let n = r.node_up("n1", 11, ms(1e7));
+        let mut rig = new_rig();
+        let client = rig.client();
+        let n = rig.node_up("n1", 11, ms(1e7));
         // With an attempt out, or the decisions hear nothing of the break.
-        r.submit(c, 99, "trip");
-        r.handle(Input::Closed(n, "reset".into()));
-        assert_eq!(r.outcomes(c, 99), [Outcome::Failed]);
-        r.pass(ms(50.0));
-        let n = r.node_up("n1", incarnation, ms(age));
+        rig.submit(client, 99, "trip");
+        rig.handle(Input::Closed(n, "reset".into()));
+        assert_eq!(rig.outcomes(client, 99), [Outcome::Failed]);
+        rig.pass(ms(50.0));
+        let n = rig.node_up("n1", incarnation, ms(age));
         for id in 0..40 {
-            r.submit(c, id, "read");
-            r.pass(ms(5.0));
-            if let Some(l) = r.attempts(n).last().cloned() {
-                r.answer(n, l.attempt, AttemptResult::Succeeded);
+            rig.submit(client, id, "read");
+            rig.pass(ms(5.0));
+            if let Some(attempt) = rig.attempts(n).last().cloned() {
+                rig.answer(n, attempt.attempt, AttemptResult::Succeeded);
             }
         }
-        let sent = r.attempts(n).len();
+        let sent = rig.attempts(n).len();
         assert_eq!(sent < 20, cold, "{sent} legs to incarnation {incarnation}");
-        assert_eq!(r.core.counts().nodes_restarted, restarts);
+        assert_eq!(rig.core.counts().nodes_restarted, restarts);
     }
 }
 
@@ -67,12 +69,12 @@
         ),
     ];
     for (place, (news, may)) in cases.into_iter().enumerate() {
-        let mut r = rig();
-        let c = r.client();
-        let n = r.node_up("n1", 11, ms(1e7));
-        let list = r.connection_to("list").unwrap();
-        r.handle(Input::Connected(list));
-        r.frame(
+        let mut rig = new_rig();
+        let client = rig.client();
+        let n = rig.node_up("n1", 11, ms(1e7));
+        let list = rig.connection_to("list").unwrap();
+        rig.handle(Input::Connected(list));
+        rig.frame(
             list,
             Hello {
                 role: Role::List as i32,
@@ -80,15 +82,15 @@
                 ..Hello::default()
             },
         );
-        r.frame(list, entry(Draining, 11, 1_000_000));
-        r.handle(Input::Closed(n, "reset".into()));
-        r.pass(ms(50.0));
-        r.node_up("n1", 11, ms(1e7 + 50.0));
-        news.into_iter().for_each(|n| r.frame(list, n));
-        r.new_attempts();
-        r.submit(c, 5, "read");
-        r.pass(ms(100.0));
-        assert_eq!(!r.new_attempts().is_empty(), may, "case {place}");
+        rig.frame(list, entry(Draining, 11, 1_000_000));
+        rig.handle(Input::Closed(n, "reset".into()));
+        rig.pass(ms(50.0));
+        rig.node_up("n1", 11, ms(1e7 + 50.0));
+        news.into_iter().for_each(|n| rig.frame(list, n));
+        rig.new_attempts();
+        rig.submit(client, 5, "read");
+        rig.pass(ms(100.0));
+        assert_eq!(!rig.new_attempts().is_empty(), may, "case {place}");
     }
 }
 
@@ -97,31 +99,31 @@
 #[test]
 fn nodes_that_cannot_be_reached_cost_a_bounded_wait() {
     for refuses in [true, false] {
-        let mut r = rig();
-        let c = r.client();
-        r.submit(c, 5, "trip");
+        let mut rig = new_rig();
+        let client = rig.client();
+        rig.submit(client, 5, "trip");
         let mut seen = 0;
         for _ in 0..6000 {
-            for place in seen..r.connects.len() {
-                let ConnectRequest { link, address, .. } = r.connects[place].clone();
+            for place in seen..rig.connects.len() {
+                let ConnectRequest { link, address, .. } = rig.connects[place].clone();
                 if address == "n1" && refuses {
-                    r.handle(Input::ConnectFailed(link, "refused".into()));
+                    rig.handle(Input::ConnectFailed(link, "refused".into()));
                 } else if address == "n1" {
-                    r.handle(Input::Connected(link));
+                    rig.handle(Input::Connected(link));
                 }
             }
-            seen = r.connects.len();
-            r.pass(ms(1.0));
+            seen = rig.connects.len();
+            rig.pass(ms(1.0));
         }
         assert_eq!(
-            r.outcomes(c, 5),
+            rig.outcomes(client, 5),
             [Outcome::Rejected],
             "it never ran, and is told so"
         );
-        let answered = r
+        let answered = rig
             .sent
             .iter()
-            .find(|s| matches!(s.frame.message, Message::Answer(_)))
+            .find(|sent| matches!(sent.frame.message, Message::Answer(_)))
             .unwrap()
             .at;
         assert!(
@@ -129,20 +131,20 @@
             "{}",
             (answered - START).millis()
         );
-        let connects: Vec<_> = r
+        let connects: Vec<_> = rig
             .connects
             .iter()
-            .filter(|c| c.address == "n1")
-            .map(|c| c.at)
+            .filter(|client| client.address == "n1")
+            .map(|client| client.at)
             .collect();
         assert!(
             (5..=40).contains(&connects.len()),
             "{} tries in six seconds",
             connects.len()
         );
-        let gaps: Vec<_> = connects.windows(2).map(|w| w[1] - w[0]).collect();
+        let gaps: Vec<_> = connects.windows(2).map(|pair| pair[1] - pair[0]).collect();
         assert!(
-            gaps.iter().all(|g| *g <= ms(500.0 + 1000.0)),
+            gaps.iter().all(|gap| *gap <= ms(500.0 + 1000.0)),
             "no wait past the longest"
         );
         assert!(gaps.last() > gaps.first(), "waits grow");
@@ -151,11 +153,11 @@
 
 #[test]
 fn a_list_may_name_two_nodes_with_one_shard() {
-    let mut r = rig();
-    let (c, (n1, _)) = (r.client(), r.nodes_up());
-    let list = r.connection_to("list").unwrap();
-    r.handle(Input::Connected(list));
-    r.frame(
+    let mut rig = new_rig();
+    let (client, (n1, _)) = (rig.client(), rig.nodes_up());
+    let list = rig.connection_to("list").unwrap();
+    rig.handle(Input::Connected(list));
+    rig.frame(
         list,
         Hello {
             role: Role::List as i32,
@@ -171,7 +173,7 @@
         age_us: 1 << 40,
         ..ListedEndpoint::default()
     };
-    r.frame(
+    rig.frame(
         list,
         EndpointListUpdate {
             version: 1,
@@ -179,10 +181,10 @@
             entries: vec![entry("n1", 11), entry("n9", 19)],
         },
     );
-    let n9 = r.connection_to("n9").unwrap();
-    r.handle(Input::Connected(n9));
+    let n9 = rig.connection_to("n9").unwrap();
+    rig.handle(Input::Connected(n9));
     let (role, name) = (Role::Node as i32, "n9".to_string());
-    r.frame(
+    rig.frame(
         n9,
         Hello {
             role,
@@ -193,17 +195,17 @@
         },
     );
     for id in 0..40 {
-        r.submit(c, id, "read");
+        rig.submit(client, id, "read");
     }
-    for attempt in r.new_attempts() {
-        r.answer(
+    for attempt in rig.new_attempts() {
+        rig.answer(
             attempt.link,
             attempt.attempt.attempt,
             AttemptResult::Succeeded,
         );
     }
     assert!(
-        !r.attempts(n1).is_empty() && !r.attempts(n9).is_empty(),
+        !rig.attempts(n1).is_empty() && !rig.attempts(n9).is_empty(),
         "both serve the cell"
     );
 }
@@ -212,18 +214,22 @@
 /// again with growing waits.
 #[test]
 fn a_lost_list_is_asked_again() {
-    let mut r = rig();
+    let mut rig = new_rig();
     for _ in 0..20_000 {
-        let newest = r.connects.last().cloned();
+        let newest = rig.connects.last().cloned();
         if let Some(ConnectRequest { at, link, address }) = newest
             && address == "list"
-            && at == r.now
+            && at == rig.now
         {
-            r.handle(Input::ConnectFailed(link, "refused".into()));
+            rig.handle(Input::ConnectFailed(link, "refused".into()));
         }
-        r.pass(ms(1.0));
+        rig.pass(ms(1.0));
     }
-    let tries = r.connects.iter().filter(|c| c.address == "list").count();
+    let tries = rig
+        .connects
+        .iter()
+        .filter(|client| client.address == "list")
+        .count();
     assert!((4..=9).contains(&tries), "{tries} calls in twenty seconds");
-    assert!(r.core.counts().endpoint_list_losses as usize >= tries - 1);
+    assert!(rig.core.counts().endpoint_list_losses as usize >= tries - 1);
 }
--- a/crates/host/tests/host/other_configurations.rs
+++ b/crates/host/tests/host/other_configurations.rs
@@ -1,12 +1,12 @@
 //! Configurations that have little in common with the current one, or are cut off.
 
 use crate::changes::{first, propose};
-use crate::rig::*;
+use crate::rig::{Rig, ms, text_of};
 use gullsail_configuration::diff::{Class, diff};
 use gullsail_configuration::{Memory, load};
 use gullsail_host::core::config_change::ProposalOutcome;
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{AttemptAnswer, AttemptResult};
+use gullsail_scheduler_api::Instant;
 use std::sync::Arc;
 
 const START: Instant = Instant::from_micros(1_000_000_000);
@@ -15,10 +15,10 @@
 #[test]
 fn a_document_with_other_plans_alone_is_borne() {
     let old = first();
-    let mut r = Rig::new(&old, 0, START);
-    let (c, (n, _)) = (r.client(), r.nodes_up());
-    r.pass(ms(3000.0));
-    (1..=3).for_each(|id| r.submit_to(c, id, "read", ["v", "w"][id as usize % 2], 1));
+    let mut rig = Rig::new(&old, 0, START);
+    let (client, (n, _)) = (rig.client(), rig.nodes_up());
+    rig.pass(ms(3000.0));
+    (1..=3).for_each(|id| rig.submit_to(client, id, "read", ["v", "w"][id as usize % 2], 1));
     let others = |line: &&str| !line.starts_with("plan") && !line.starts_with("volume");
     let text = text_of(&[])
         .lines()
@@ -36,24 +36,24 @@
         load(&Memory(files.into()), "new.kdl").unwrap_or_else(|e| panic!("{:?}", e.problems));
     let new = Arc::new(new);
     assert!(matches!(
-        propose(&mut r, &old, &new, true),
+        propose(&mut rig, &old, &new, true),
         ProposalOutcome::Taken { .. }
     ));
-    for l in r.attempts(n) {
-        r.frame(
+    for attempt in rig.attempts(n) {
+        rig.frame(
             n,
             AttemptAnswer {
-                attempt: l.attempt,
+                attempt: attempt.attempt,
                 result: AttemptResult::Succeeded as i32,
                 used_plus_one: 51,
                 ..AttemptAnswer::default()
             },
         );
     }
-    r.pass(ms(3000.0));
-    assert!((1..=3).all(|id| r.outcomes(c, id).len() == 1));
-    r.submit(c, 9, "read");
-    assert_eq!(r.not_taken(c), ["unknown volume \"v\""]);
+    rig.pass(ms(3000.0));
+    assert!((1..=3).all(|id| rig.outcomes(client, id).len() == 1));
+    rig.submit(client, 9, "read");
+    assert_eq!(rig.not_taken(client), ["unknown volume \"v\""]);
 }
 
 /// A document of two files cut at every byte, as if it were read half written: it is turned down, or what is
@@ -81,21 +81,21 @@
                 ("first.kdl", &before),
             ];
             let files = files.map(|(name, text)| (name.to_string(), text.to_string()));
-            let Ok((d, _)) = load(&Memory(files.into()), "new.kdl") else {
+            let Ok((deployment, _)) = load(&Memory(files.into()), "new.kdl") else {
                 down += 1;
                 continue;
             };
-            let mut r = Rig::new(&old, 0, START);
-            let c = r.client();
-            r.submit(c, 1, "read");
-            let new = Arc::new(d);
+            let mut rig = Rig::new(&old, 0, START);
+            let client = rig.client();
+            rig.submit(client, 1, "read");
+            let new = Arc::new(deployment);
             let changes = diff(&old, &new);
-            match propose(&mut r, &old, &new, false) {
+            match propose(&mut rig, &old, &new, false) {
                 ProposalOutcome::Taken { revision } => {
                     assert_eq!(revision.0, 2);
-                    assert!(Arc::ptr_eq(r.core.deployment(), &new), "whole");
+                    assert!(Arc::ptr_eq(rig.core.deployment(), &new), "whole");
                     assert!(
-                        changes.iter().all(|c| c.class == Class::Safe),
+                        changes.iter().all(|client| client.class == Class::Safe),
                         "cut {cut}: {changes:?}"
                     );
                     *(if cuts_main {
@@ -106,12 +106,15 @@
                 }
                 ProposalOutcome::TurnedDown(why) => {
                     assert!(!why.is_empty());
-                    assert!(Arc::ptr_eq(r.core.deployment(), &old), "the old one, whole");
+                    assert!(
+                        Arc::ptr_eq(rig.core.deployment(), &old),
+                        "the old one, whole"
+                    );
                     down += 1;
                 }
             }
-            r.pass(ms(1600.0));
-            assert_eq!(r.outcomes(c, 1).len(), 1);
+            rig.pass(ms(1600.0));
+            assert_eq!(rig.outcomes(client, 1).len(), 1);
         }
     }
     // Only the line end of its last line may lack: nothing is lost with that.
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -1,15 +1,18 @@
 //! What may happen to a request at each stage of its path: its one answer, and that all it held is released.
 
-use crate::rig::*;
+use crate::rig::{Rig, document, ms};
 use bytes::Bytes;
 use gullsail_host::core::{HeldLoad, Input, LinkId};
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{
+    AttemptResult, Cancel, EndpointListUpdate, Frame, Handle, Hello, ListedEndpoint, ListedState,
+    Message, Outcome, Role, Submit, Withdraw,
+};
+use gullsail_scheduler_api::Instant;
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
-pub fn write(r: &mut Rig, c: LinkId, id: u64, volume: &str, bytes: usize) {
-    let s = Submit {
+pub fn write(rig: &mut Rig, client: LinkId, id: u64, volume: &str, bytes: usize) {
+    let sent = Submit {
         id,
         request_class: "trip".into(),
         volume: volume.into(),
@@ -27,11 +30,14 @@
         timeout_us: 1_500_000,
         ..Submit::default()
     };
-    r.frame(c, Frame::from(s).with_body(Bytes::from(vec![1; bytes])));
+    rig.frame(
+        client,
+        Frame::from(sent).with_body(Bytes::from(vec![1; bytes])),
+    );
 }
 
 /// What a request may hold anywhere: nothing of it is left.
-pub fn nothing_is_held(r: &Rig, what: &str) {
+pub fn nothing_is_held(rig: &Rig, what: &str) {
     for name in [
         "core.open",
         "core.named",
@@ -42,16 +48,16 @@
         "desk.turns",
         "nodes.out",
     ] {
-        assert_eq!(held(r, name), 0, "{what}: {name}");
+        assert_eq!(held(rig, name), 0, "{what}: {name}");
     }
-    assert_eq!(r.core.load(), HeldLoad::default(), "{what}");
+    assert_eq!(rig.core.load(), HeldLoad::default(), "{what}");
 }
 
 /// The list is reached, and says how the first node stands.
-pub fn list_says(r: &mut Rig, state: ListedState) {
-    let list = r.connection_to("list").unwrap();
-    r.handle(Input::Connected(list));
-    r.frame(
+pub fn list_says(rig: &mut Rig, state: ListedState) {
+    let list = rig.connection_to("list").unwrap();
+    rig.handle(Input::Connected(list));
+    rig.frame(
         list,
         Hello {
             role: Role::List as i32,
@@ -68,7 +74,7 @@
         age_us: 10_000_000_000,
         ..ListedEndpoint::default()
     };
-    r.frame(
+    rig.frame(
         list,
         EndpointListUpdate {
             version: 1,
@@ -78,11 +84,11 @@
     );
 }
 
-fn held(r: &Rig, name: &str) -> usize {
-    r.core
+fn held(rig: &Rig, name: &str) -> usize {
+    rig.core
         .size_metrics()
         .into_iter()
-        .find(|l| l.0 == name)
+        .find(|metric| metric.0 == name)
         .unwrap()
         .1
 }
@@ -120,7 +126,7 @@
 }
 
 struct Played {
-    r: Rig,
+    rig: Rig,
     client: LinkId,
     node: LinkId,
     /// Other requests that are open.
@@ -133,84 +139,84 @@
         "effect=\"unrepeatable\"",
         "effect=\"unrepeatable\" in-order=#true",
     );
-    let d = document(&[ordered, ("limit=\"40units/s\"", "limit=\"1units/s\"")]);
-    let mut r = Rig::new(&d, 0, START);
-    let (c, other) = (r.client(), r.client());
+    let deployment = document(&[ordered, ("limit=\"40units/s\"", "limit=\"1units/s\"")]);
+    let mut rig = Rig::new(&deployment, 0, START);
+    let (client, other) = (rig.client(), rig.client());
     let mut n = LinkId(0);
     if !matches!(stage, Stage::Queued | Stage::ForTheConnection) {
-        n = r.node_up("n1", 11, ms(1e7));
+        n = rig.node_up("n1", 11, ms(1e7));
     }
     let mut others = 0;
     match stage {
         Stage::Queued => {
             // The list says that its node drains: it waits for a successor.
-            list_says(&mut r, ListedState::Draining);
-            write(&mut r, c, 5, "v", 100);
+            list_says(&mut rig, ListedState::Draining);
+            write(&mut rig, client, 5, "v", 100);
         }
         // A newborn's bucket is empty.
-        Stage::ForTokens => write(&mut r, c, 5, "w", 100),
+        Stage::ForTokens => write(&mut rig, client, 5, "w", 100),
         Stage::ForItsTurn => {
-            r.pass(ms(2000.0));
-            write(&mut r, other, 4, "w", 100);
-            write(&mut r, c, 5, "w", 100);
+            rig.pass(ms(2000.0));
+            write(&mut rig, other, 4, "w", 100);
+            write(&mut rig, client, 5, "w", 100);
             others = 1;
         }
-        Stage::ForTheConnection => write(&mut r, c, 5, "v", 100),
+        Stage::ForTheConnection => write(&mut rig, client, 5, "v", 100),
         Stage::InTheLink | Stage::AtTheNode => {
             if stage == Stage::InTheLink {
-                r.stuck.insert(n);
+                rig.stuck.insert(n);
             }
-            write(&mut r, c, 5, "v", 100);
+            write(&mut rig, client, 5, "v", 100);
         }
         Stage::BetweenAttempts => {
-            write(&mut r, c, 5, "v", 100);
-            let attempt = r.attempts(n)[0].attempt;
+            write(&mut rig, client, 5, "v", 100);
+            let attempt = rig.attempts(n)[0].attempt;
             // The node takes no more, so the further attempt waits in its line.
-            list_says(&mut r, ListedState::Draining);
-            r.answer(n, attempt, AttemptResult::Rejected);
+            list_says(&mut rig, ListedState::Draining);
+            rig.answer(n, attempt, AttemptResult::Rejected);
         }
         Stage::Answered => {
-            r.stuck.insert(c);
-            write(&mut r, c, 5, "v", 100);
-            let attempt = r.attempts(n)[0].attempt;
-            r.answer(n, attempt, AttemptResult::Succeeded);
+            rig.stuck.insert(client);
+            write(&mut rig, client, 5, "v", 100);
+            let attempt = rig.attempts(n)[0].attempt;
+            rig.answer(n, attempt, AttemptResult::Succeeded);
         }
     }
     Played {
-        r,
-        client: c,
+        rig,
+        client,
         node: n,
         others,
     }
 }
 
 /// What happens to it there.
-fn apply(p: &mut Played, stage: Stage, end: End) {
+fn apply(played: &mut Played, stage: Stage, end: End) {
     let Played {
-        r,
-        client: c,
+        rig,
+        client,
         node: n,
         ..
-    } = p;
-    let (c, n) = (*c, *n);
+    } = played;
+    let (client, n) = (*client, *n);
     match end {
-        End::Withdrawn => r.frame(c, Withdraw { id: 5 }),
-        End::ClientGone => r.handle(Input::Closed(c, "gone".into())),
+        End::Withdrawn => rig.frame(client, Withdraw { id: 5 }),
+        End::ClientGone => rig.handle(Input::Closed(client, "gone".into())),
         End::Deadline => {}
         End::NodeBreaks => {
-            let link = r.connection_to("n1").unwrap();
-            r.handle(Input::Closed(link, "reset".into()));
+            let link = rig.connection_to("n1").unwrap();
+            rig.handle(Input::Closed(link, "reset".into()));
         }
-        End::Stop => r.handle(Input::Stop),
+        End::Stop => rig.handle(Input::Stop),
     }
     if stage == Stage::InTheLink && end != End::NodeBreaks {
         // Its bytes go out at last.
-        r.stuck.clear();
-        r.handle(Input::Written(n, 10_000));
+        rig.stuck.clear();
+        rig.handle(Input::Written(n, 10_000));
     }
     if stage == Stage::Answered && end != End::ClientGone {
-        r.stuck.clear();
-        r.handle(Input::Written(c, 10_000));
+        rig.stuck.clear();
+        rig.handle(Input::Written(client, 10_000));
     }
 }
 
@@ -274,46 +280,46 @@
     for case in &cases {
         let Case { stage, end, .. } = *case;
         let what = format!("{stage:?} {end:?}");
-        let mut p = bring_to(stage);
-        let open = p.others + usize::from(stage != Answered);
+        let mut played = bring_to(stage);
+        let open = played.others + usize::from(stage != Answered);
         assert_eq!(
-            p.r.core.load().open_requests,
+            played.rig.core.load().open_requests,
             open,
             "{what}: it stands there"
         );
-        apply(&mut p, stage, end);
-        check(p, case, &what);
+        apply(&mut played, stage, end);
+        check(played, case, &what);
     }
 }
 
-fn check(p: Played, case: &Case, what: &str) {
+fn check(played: Played, case: &Case, what: &str) {
     let Played {
-        mut r, client: c, ..
-    } = p;
-    r.pass(ms(1600.0));
-    assert_eq!(r.outcomes(c, 5), case.answers, "{what}");
-    let seen: Vec<_> = r
+        mut rig, client, ..
+    } = played;
+    rig.pass(ms(1600.0));
+    assert_eq!(rig.outcomes(client, 5), case.answers, "{what}");
+    let seen: Vec<_> = rig
         .new_attempts()
         .into_iter()
-        .filter(|s| s.attempt.mark == "m5")
+        .filter(|sent| sent.attempt.mark == "m5")
         .collect();
     assert_eq!(seen.len(), case.attempts, "{what}");
-    let cancelled = seen.iter().any(|s| {
-        r.on(s.link).any(|f| {
-            f.message
+    let cancelled = seen.iter().any(|sent| {
+        rig.on(sent.link).any(|frame| {
+            frame.message
                 == Message::Cancel(Cancel {
-                    attempt: s.attempt.attempt,
+                    attempt: sent.attempt.attempt,
                 })
         })
     });
     assert_eq!(cancelled, case.cancelled, "{what}");
-    nothing_is_held(&r, what);
-    let counts = r.core.counts();
+    nothing_is_held(&rig, what);
+    let counts = rig.core.counts();
     let ended = counts.done + counts.rejected + counts.failed + counts.clients_left;
     assert_eq!(counts.taken, ended, "{what}: {counts:?}");
     // Nothing comes of it later, and a host that was not stopped still serves.
-    let before = r.outcomes(c, 5).len();
-    r.pass(ms(1000.0));
-    assert_eq!(r.outcomes(c, 5).len(), before, "{what}");
-    assert_eq!(r.finished, case.end == End::Stop, "{what}");
+    let before = rig.outcomes(client, 5).len();
+    rig.pass(ms(1000.0));
+    assert_eq!(rig.outcomes(client, 5).len(), before, "{what}");
+    assert_eq!(rig.finished, case.end == End::Stop, "{what}");
 }
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -5,8 +5,10 @@
 use gullsail_host::core::config_change::ProposalOutcome;
 use gullsail_host::core::maintenance::CommandOutcome;
 use gullsail_host::core::{Core, Input, LinkId, Output};
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{
+    Attempt, AttemptAnswer, AttemptResult, Frame, Handle, Hello, Message, Outcome, Role, Submit,
+};
+use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -31,10 +33,12 @@
 "#;
 
 pub fn text_of(change: &[(&str, &str)]) -> String {
-    change.iter().fold(DOCUMENT.to_string(), |t, (from, to)| {
-        assert!(t.contains(from), "{from}");
-        t.replace(from, to)
-    })
+    change
+        .iter()
+        .fold(DOCUMENT.to_string(), |text, (from, to)| {
+            assert!(text.contains(from), "{from}");
+            text.replace(from, to)
+        })
 }
 
 pub fn document(change: &[(&str, &str)]) -> Arc<Deployment> {
@@ -89,8 +93,14 @@
 }
 
 impl Rig {
-    pub fn new(d: &Arc<Deployment>, host: u32, now: Instant) -> Rig {
-        let core = Core::new(d.clone(), HostId(host), 1, 100 + u64::from(host), now);
+    pub fn new(deployment: &Arc<Deployment>, host: u32, now: Instant) -> Rig {
+        let core = Core::new(
+            deployment.clone(),
+            HostId(host),
+            1,
+            100 + u64::from(host),
+            now,
+        );
         let mut rig = Rig {
             core,
             now,
@@ -141,13 +151,13 @@
                     Output::Finished => self.finished = true,
                 }
             }
-            written.retain(|w| !self.stuck.contains(&w.0));
+            written.retain(|written_link| !self.stuck.contains(&written_link.0));
             if written.is_empty() {
                 return;
             }
-            written
-                .into_iter()
-                .for_each(|(l, bytes)| self.core.handle(self.now, Input::Written(l, bytes)));
+            written.into_iter().for_each(|(attempt, bytes)| {
+                self.core.handle(self.now, Input::Written(attempt, bytes))
+            });
         }
     }
 
@@ -162,7 +172,7 @@
 
     pub fn pass(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(next) = self.core.next_wake_up().filter(|n| *n <= end) {
+        while let Some(next) = self.core.next_wake_up().filter(|refusal| *refusal <= end) {
             self.now = self.now.max(next);
             self.settle();
         }
@@ -188,8 +198,8 @@
         self.connects
             .iter()
             .rev()
-            .find(|c| c.address == address)
-            .map(|c| c.link)
+            .find(|request| request.address == address)
+            .map(|request| request.link)
     }
 
     pub fn node_up(&mut self, name: &str, incarnation: u64, age: Span) -> LinkId {
@@ -231,13 +241,13 @@
         shard: i64,
     ) {
         let handle = Some(Handle { shard, object: id });
-        let s = Submit {
+        let sent = Submit {
             id,
             handle,
             mark: format!("m{id}"),
             ..self.submitted(request_class, volume, shard)
         };
-        self.frame(link, s);
+        self.frame(link, sent);
     }
 
     /// What a client may hand over.
@@ -255,14 +265,14 @@
     pub fn on(&self, link: LinkId) -> impl Iterator<Item = &Frame> {
         self.sent
             .iter()
-            .filter(move |s| s.link == link)
-            .map(|s| &s.frame)
+            .filter(move |sent| sent.link == link)
+            .map(|sent| &sent.frame)
     }
 
     pub fn attempts(&self, link: LinkId) -> Vec<Attempt> {
-        let attempt = |f: &Frame| {
-            if let Message::Attempt(l) = &f.message {
-                Some(l.clone())
+        let attempt = |frame: &Frame| {
+            if let Message::Attempt(attempt) = &frame.message {
+                Some(attempt.clone())
             } else {
                 None
             }
@@ -274,10 +284,10 @@
     pub fn new_attempts(&mut self) -> Vec<SentAttempt> {
         let new = self.sent[self.taken..]
             .iter()
-            .filter_map(|s| match &s.frame.message {
+            .filter_map(|sent| match &sent.frame.message {
                 Message::Attempt(attempt) => Some(SentAttempt {
-                    at: s.at,
-                    link: s.link,
+                    at: sent.at,
+                    link: sent.link,
                     attempt: attempt.clone(),
                 }),
                 _ => None,
@@ -288,16 +298,16 @@
     }
 
     pub fn outcomes(&self, link: LinkId, id: u64) -> Vec<Outcome> {
-        let outcome = |f: &Frame| match &f.message {
-            Message::Answer(a) if a.id == id => Outcome::try_from(a.outcome).ok(),
+        let outcome = |frame: &Frame| match &frame.message {
+            Message::Answer(answer) if answer.id == id => Outcome::try_from(answer.outcome).ok(),
             _ => None,
         };
         self.on(link).filter_map(outcome).collect()
     }
 
     pub fn not_taken(&self, link: LinkId) -> Vec<String> {
-        let reason = |f: &Frame| match &f.message {
-            Message::NotTaken(n) => Some(n.reason.clone()),
+        let reason = |frame: &Frame| match &frame.message {
+            Message::NotTaken(refusal) => Some(refusal.reason.clone()),
             _ => None,
         };
         self.on(link).filter_map(reason).collect()
@@ -308,12 +318,12 @@
     }
 
     pub fn answer_with(&mut self, link: LinkId, attempt: u64, result: AttemptResult, body: Bytes) {
-        let a = AttemptAnswer {
+        let answer = AttemptAnswer {
             attempt,
             result: result as i32,
             ran: true,
             ..AttemptAnswer::default()
         };
-        self.frame(link, Frame::from(a).with_body(body));
+        self.frame(link, Frame::from(answer).with_body(body));
     }
 }
--- a/crates/host/tests/host/waiting_attempts.rs
+++ b/crates/host/tests/host/waiting_attempts.rs
@@ -2,10 +2,10 @@
 //! not sent.
 
 use crate::request_stages::{list_says, nothing_is_held};
-use crate::rig::*;
+use crate::rig::{Rig, SentAttempt, document, ms};
 use gullsail_host::core::Input;
-use gullsail_protocol::*;
-use gullsail_scheduler_api::*;
+use gullsail_protocol::{AttemptResult, Hello, ListedState, Outcome, Role};
+use gullsail_scheduler_api::Instant;
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
@@ -14,23 +14,23 @@
 #[test]
 fn what_waits_for_a_connection_does_not_go_to_a_node_that_drains() {
     for state in [ListedState::Draining, ListedState::Gone] {
-        let mut r = Rig::new(&document(&[]), 0, START);
-        let c = r.client();
-        let n = r.node_up("n1", 11, ms(1e7));
-        r.handle(Input::Closed(n, "reset".into()));
-        r.submit(c, 5, "trip");
-        r.submit(c, 6, "read");
-        r.pass(ms(25.0));
-        let n = r.connection_to("n1").unwrap();
-        r.handle(Input::Connected(n));
-        list_says(&mut r, state);
+        let mut rig = Rig::new(&document(&[]), 0, START);
+        let client = rig.client();
+        let n = rig.node_up("n1", 11, ms(1e7));
+        rig.handle(Input::Closed(n, "reset".into()));
+        rig.submit(client, 5, "trip");
+        rig.submit(client, 6, "read");
+        rig.pass(ms(25.0));
+        let n = rig.connection_to("n1").unwrap();
+        rig.handle(Input::Connected(n));
+        list_says(&mut rig, state);
         let hello = Hello {
             name: "n1".into(),
             incarnation: 11,
             age_us: 10_000_025_000,
             ..Hello::default()
         };
-        r.frame(
+        rig.frame(
             n,
             Hello {
                 role: Role::Node as i32,
@@ -38,13 +38,13 @@
                 ..hello
             },
         );
-        r.pass(ms(1600.0));
-        assert_eq!(r.new_attempts().len(), 0, "{state:?}");
+        rig.pass(ms(1600.0));
+        assert_eq!(rig.new_attempts().len(), 0, "{state:?}");
         assert_eq!(
-            (r.outcomes(c, 5), r.outcomes(c, 6)),
+            (rig.outcomes(client, 5), rig.outcomes(client, 6)),
             (vec![Outcome::Rejected], vec![Outcome::Rejected])
         );
-        nothing_is_held(&r, "drained");
+        nothing_is_held(&rig, "drained");
     }
 }
 
@@ -53,22 +53,26 @@
 #[test]
 fn attempts_that_waited_for_a_connection_count_when_they_go_out() {
     let budget = ("legs most=3", "legs most=3 free=1 share=0 window=\"1s\"");
-    let mut r = Rig::new(&document(&[budget]), 0, START);
-    let c = r.client();
-    let (n1, n2) = r.nodes_up();
-    r.submit(c, 1, "read");
-    r.handle(Input::Closed(n1, "reset".into()));
-    r.pass(ms(150.0));
-    r.node_up("n1", 11, ms(1e7 + 150.0));
+    let mut rig = Rig::new(&document(&[budget]), 0, START);
+    let client = rig.client();
+    let (n1, n2) = rig.nodes_up();
+    rig.submit(client, 1, "read");
+    rig.handle(Input::Closed(n1, "reset".into()));
+    rig.pass(ms(150.0));
+    rig.node_up("n1", 11, ms(1e7 + 150.0));
     // At the other node two fail, each of which would have a further attempt: a second after the first was
     // decided, and later.
     for id in 10..200 {
-        r.submit_to(c, id, "read", "v", 2);
-        if let Some(l) = r.attempts(n2).last().filter(|l| l.mark == format!("m{id}")) {
-            let failed = [101, 160].contains(&id) && l.number == 0;
-            r.answer(
+        rig.submit_to(client, id, "read", "v", 2);
+        if let Some(attempt) = rig
+            .attempts(n2)
+            .last()
+            .filter(|attempt| attempt.mark == format!("m{id}"))
+        {
+            let failed = [101, 160].contains(&id) && attempt.number == 0;
+            rig.answer(
                 n2,
-                l.attempt,
+                attempt.attempt,
                 if failed {
                     AttemptResult::Failed
                 } else {
@@ -76,23 +80,25 @@
                 },
             );
         }
-        if let Some(l) = r
+        if let Some(attempt) = rig
             .attempts(n2)
             .last()
-            .filter(|l| l.number > 0 && l.mark == format!("m{id}"))
+            .filter(|attempt| attempt.number > 0 && attempt.mark == format!("m{id}"))
         {
-            r.answer(n2, l.attempt, AttemptResult::Succeeded);
+            rig.answer(n2, attempt.attempt, AttemptResult::Succeeded);
         }
-        r.pass(ms(10.0));
+        rig.pass(ms(10.0));
     }
-    let further: Vec<Instant> = r
+    let further: Vec<Instant> = rig
         .new_attempts()
         .into_iter()
-        .filter(|s| s.attempt.number > 0)
-        .map(|s| s.at)
+        .filter(|sent| sent.attempt.number > 0)
+        .map(|sent| sent.at)
         .collect();
     assert!(further.len() >= 2, "{further:?}");
-    let near = further.windows(2).find(|w| w[1] - w[0] < ms(1000.0));
+    let near = further
+        .windows(2)
+        .find(|pair| pair[1] - pair[0] < ms(1000.0));
     assert_eq!(near, None, "one in any second: {further:?}");
 }
 
@@ -101,7 +107,7 @@
 #[test]
 fn tokens_of_attempts_that_wait_are_not_filled_up_behind_them() {
     let (rate, burst) = (40.0, 64.0);
-    let mut r = Rig::new(
+    let mut rig = Rig::new(
         &document(&[(
             "volume \"w\" plan=\"held\"",
             "volume \"w\" plan=\"held\" { hosts \"h1\"; }",
@@ -109,47 +115,47 @@
         0,
         START,
     );
-    let c = r.client();
-    let (n1, n2) = r.nodes_up();
+    let client = rig.client();
+    let (n1, n2) = rig.nodes_up();
     // A newborn's bucket is empty, and fills from the first request on.
-    r.submit_to(c, 900, "read", "w", 2);
-    r.pass(ms(100.0));
-    let attempt = r.attempts(n2).last().unwrap().attempt;
-    r.answer(n2, attempt, AttemptResult::Succeeded);
+    rig.submit_to(client, 900, "read", "w", 2);
+    rig.pass(ms(100.0));
+    let attempt = rig.attempts(n2).last().unwrap().attempt;
+    rig.answer(n2, attempt, AttemptResult::Succeeded);
     // The bucket is full, and the window of the other node wide.
     for id in 1000..1200 {
-        r.submit_to(c, id, "read", "v", 2);
-        let attempt = r.attempts(n2).last().unwrap().attempt;
-        r.pass(ms(1.0));
-        r.answer(n2, attempt, AttemptResult::Succeeded);
+        rig.submit_to(client, id, "read", "v", 2);
+        let attempt = rig.attempts(n2).last().unwrap().attempt;
+        rig.pass(ms(1.0));
+        rig.answer(n2, attempt, AttemptResult::Succeeded);
     }
-    r.pass(ms(4000.0));
-    r.new_attempts();
-    r.handle(Input::Closed(n1, "reset".into()));
-    (1..=5).for_each(|id| r.submit_to(c, id, "read", "w", 1));
-    r.pass(ms(180.0));
-    r.node_up("n1", 11, ms(1e7 + 5000.0));
+    rig.pass(ms(4000.0));
+    rig.new_attempts();
+    rig.handle(Input::Closed(n1, "reset".into()));
+    (1..=5).for_each(|id| rig.submit_to(client, id, "read", "w", 1));
+    rig.pass(ms(180.0));
+    rig.node_up("n1", 11, ms(1e7 + 5000.0));
     for id in 10..90 {
-        r.submit_to(c, id, "read", "w", 2);
-        for l in r
+        rig.submit_to(client, id, "read", "w", 2);
+        for attempt in rig
             .attempts(n2)
             .into_iter()
-            .filter(|l| l.mark == format!("m{id}"))
+            .filter(|attempt| attempt.mark == format!("m{id}"))
         {
-            r.answer(n2, l.attempt, AttemptResult::Succeeded);
+            rig.answer(n2, attempt.attempt, AttemptResult::Succeeded);
         }
     }
     // The store for all hosts, by what went out and when.
     let mut level = burst;
     let mut level_at = START;
     let mut lowest = burst;
-    let sent: Vec<_> = r
+    let sent: Vec<_> = rig
         .new_attempts()
         .into_iter()
-        .filter(|s| s.attempt.volume == "w")
+        .filter(|sent| sent.attempt.volume == "w")
         .collect();
     assert!(
-        sent.len() > 60 && sent.iter().any(|s| s.link != n2),
+        sent.len() > 60 && sent.iter().any(|sent| sent.link != n2),
         "{}",
         sent.len()
     );
@@ -166,33 +172,37 @@
 #[test]
 fn attempts_that_waited_are_not_poured_on_a_cold_node() {
     for (incarnation, age, cold) in [(99, 0.0, true), (11, 1e7, false)] {
-        let mut r = Rig::new(&document(&[("open=50", "open=500")]), 0, START);
-        let (c, n) = (r.client(), r.node_up("n1", 11, ms(1e7)));
+        let mut rig = Rig::new(&document(&[("open=50", "open=500")]), 0, START);
+        let (client, n) = (rig.client(), rig.node_up("n1", 11, ms(1e7)));
         // Its window grows while it is full and answers soon.
         for id in 1000..1400 {
-            r.submit(c, id, "read");
+            rig.submit(client, id, "read");
         }
         for _ in 0..400 {
-            let attempts = r.new_attempts();
+            let attempts = rig.new_attempts();
             attempts
                 .into_iter()
-                .for_each(|s| r.answer(n, s.attempt.attempt, AttemptResult::Succeeded));
+                .for_each(|sent| rig.answer(n, sent.attempt.attempt, AttemptResult::Succeeded));
         }
         // It breaks with no attempt out: the decisions hear nothing of it.
-        r.new_attempts();
-        r.handle(Input::Closed(n, "reset".into()));
-        (1..=30).for_each(|id| r.submit(c, id, ["read", "trip"][id as usize % 2]));
-        r.pass(ms(50.0));
-        r.node_up("n1", incarnation, ms(age));
-        let sent: f64 = r.new_attempts().iter().map(|s| s.attempt.units).sum();
+        rig.new_attempts();
+        rig.handle(Input::Closed(n, "reset".into()));
+        (1..=30).for_each(|id| rig.submit(client, id, ["read", "trip"][id as usize % 2]));
+        rig.pass(ms(50.0));
+        rig.node_up("n1", incarnation, ms(age));
+        let sent: f64 = rig
+            .new_attempts()
+            .iter()
+            .map(|sent| sent.attempt.units)
+            .sum();
         // Six units are borne, for two hosts.
         assert_eq!(
             sent <= 6.0,
             cold,
             "{sent} units to incarnation {incarnation}"
         );
-        r.pass(ms(1600.0));
-        assert!((1..=30).all(|id| r.outcomes(c, id).len() == 1));
-        nothing_is_held(&r, "cold");
+        rig.pass(ms(1600.0));
+        assert!((1..=30).all(|id| rig.outcomes(client, id).len() == 1));
+        nothing_is_held(&rig, "cold");
     }
 }
