--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,142 +1,148 @@
-//! The body of one message, by its length or in chunks.
+//! The body of one message, delimited by its length or in chunks.
 
 use crate::Fault;
 use crate::framing::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest line of a chunk's size, or of a trailer.
+/// Longest accepted line of a chunk size or a trailer, in bytes. Bounds what a peer can make the decoder
+/// buffer without sending any data of the body.
 const MAX_LINE_BYTES: usize = 256;
-/// The most trailers, which are ignored.
+/// Most trailer lines, the empty last one included. Trailers are ignored; without a bound a peer could send
+/// them for ever.
 const MAX_TRAILERS: u32 = 16;
 
 #[derive(Debug)]
 enum State {
-    /// By length: how much is still to come.
-    Plain(usize),
-    /// The line with the next chunk's size.
-    Size,
-    /// How much of the chunk is still to come.
-    Data(usize),
-    /// The line end behind a chunk's data.
-    End,
-    /// How many trailers came.
-    Trailer(u32),
+    /// A body with a stated length: this many bytes are missing.
+    FixedLength(usize),
+    /// The line with the size of the next chunk comes next.
+    ChunkSize,
+    /// This many bytes of the chunk are missing.
+    ChunkData(usize),
+    /// The line end after the data of a chunk comes next.
+    ChunkEnd,
+    /// This many trailers were read.
+    Trailers(u32),
     Complete,
 }
 
-/// A body as far as it came.
+/// A body of which a part may have been received.
 #[derive(Debug)]
 pub(crate) struct Body {
     state: State,
-    read: BytesMut,
+    received: BytesMut,
 }
 
 impl Body {
-    pub(crate) fn new(framing: Framing, most: usize) -> Result<Body, Fault> {
+    pub(crate) fn new(framing: Framing, max_bytes: usize) -> Result<Body, Fault> {
         let state = match framing {
-            Framing::Length(n) if n > most as u64 => return Err(Fault::BodyTooLong),
-            Framing::Length(n) => State::Plain(n as usize),
-            Framing::Chunked => State::Size,
+            Framing::Length(length) if length > max_bytes as u64 => return Err(Fault::BodyTooLong),
+            Framing::Length(length) => State::FixedLength(length as usize),
+            Framing::Chunked => State::ChunkSize,
         };
         Ok(Body {
             state,
-            read: BytesMut::new(),
+            received: BytesMut::new(),
         })
     }
 
-    pub(crate) fn read(&self) -> usize {
-        self.read.len()
+    /// How many bytes of the body were received.
+    pub(crate) fn received_bytes(&self) -> usize {
+        self.received.len()
     }
 
-    pub(crate) fn whole(self) -> Bytes {
-        self.read.freeze()
+    pub(crate) fn into_bytes(self) -> Bytes {
+        self.received.freeze()
     }
 
-    /// Takes the bytes that belong to it; `true`: it is whole.
-    pub(crate) fn take(&mut self, held: &mut BytesMut, most: usize) -> Result<bool, Fault> {
+    /// Takes the bytes that belong to the body from `unread`. Returns whether the body is complete.
+    pub(crate) fn consume(
+        &mut self,
+        unread: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<bool, Fault> {
         loop {
             match &mut self.state {
-                State::Plain(left) | State::Data(left) if *left > 0 => {
-                    let some = held.len().min(*left);
-                    if some == 0 {
-                        return Ok(false);
-                    }
-                    self.read.extend_from_slice(&held[..some]);
-                    held.advance(some);
-                    *left -= some;
-                }
-                State::Plain(_) => self.state = State::Complete,
-                State::Data(_) => self.state = State::End,
-                State::Size => {
-                    let Some(line) = line(held)? else {
+                State::Complete => return Ok(true),
+                State::FixedLength(missing) | State::ChunkData(missing) if *missing > 0 => {
+                    let available = unread.len().min(*missing);
+                    if available == 0 {
                         return Ok(false);
-                    };
-                    let size = size(&line)?;
-                    if size > (most - self.read.len().min(most)) as u64 {
-                        return Err(Fault::BodyTooLong);
                     }
-                    self.state = if size == 0 {
-                        State::Trailer(0)
-                    } else {
-                        State::Data(size as usize)
-                    };
+                    self.received.extend_from_slice(&unread[..available]);
+                    unread.advance(available);
+                    *missing -= available;
                 }
-                State::End => {
-                    let Some(line) = line(held)? else {
+                State::FixedLength(_) => self.state = State::Complete,
+                State::ChunkData(_) => self.state = State::ChunkEnd,
+                State::ChunkSize | State::ChunkEnd | State::Trailers(_) => {
+                    let Some(line) = take_line(unread)? else {
                         return Ok(false);
                     };
-                    if !line.is_empty() {
-                        return Err(Fault::Chunk);
-                    }
-                    self.state = State::Size;
+                    self.state = self.after_line(&line, max_bytes)?;
                 }
-                State::Trailer(n) => {
-                    let Some(line) = line(held)? else {
-                        return Ok(false);
-                    };
-                    *n += 1;
-                    if *n > MAX_TRAILERS {
-                        return Err(Fault::Chunk);
-                    }
-                    if line.is_empty() {
-                        self.state = State::Complete;
-                    }
+            }
+        }
+    }
+
+    /// The state after a line of the chunked coding.
+    fn after_line(&self, line: &[u8], max_bytes: usize) -> Result<State, Fault> {
+        match self.state {
+            State::ChunkSize => {
+                let size = parse_chunk_size(line)?;
+                if size > max_bytes.saturating_sub(self.received.len()) as u64 {
+                    Err(Fault::BodyTooLong)
+                } else if size == 0 {
+                    Ok(State::Trailers(0))
+                } else {
+                    Ok(State::ChunkData(size as usize))
                 }
-                State::Complete => return Ok(true),
+            }
+            State::Trailers(count) if count >= MAX_TRAILERS => Err(Fault::Chunk),
+            State::Trailers(_) if line.is_empty() => Ok(State::Complete),
+            State::Trailers(count) => Ok(State::Trailers(count + 1)),
+            State::ChunkEnd if line.is_empty() => Ok(State::ChunkSize),
+            State::ChunkEnd | State::FixedLength(_) | State::ChunkData(_) | State::Complete => {
+                Err(Fault::Chunk)
             }
         }
     }
 }
 
-/// A line without its end, which is CR LF and nothing else.
-fn line(held: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
-    let Some(end) = held.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
-        return if held.len() >= MAX_LINE_BYTES {
+/// Takes one line without its end, which is CR LF and nothing else. Returns `None` while the line is
+/// incomplete.
+fn take_line(unread: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
+    let line_feed = unread
+        .iter()
+        .take(MAX_LINE_BYTES)
+        .position(|byte| *byte == b'\n');
+    let Some(end) = line_feed else {
+        return if unread.len() >= MAX_LINE_BYTES {
             Err(Fault::Chunk)
         } else {
             Ok(None)
         };
     };
-    let mut line = held.split_to(end + 1);
+    let mut line = unread.split_to(end + 1);
     if !line.ends_with(b"\r\n") {
         return Err(Fault::Chunk);
     }
     line.truncate(end - 1);
-    if line.iter().any(|b| matches!(b, b'\r' | 0)) {
+    if line.iter().any(|byte| matches!(byte, b'\r' | 0)) {
         Err(Fault::Chunk)
     } else {
         Ok(Some(line))
     }
 }
 
-/// Hexadecimal digits, perhaps followed by an extension, which is ignored.
-fn size(line: &[u8]) -> Result<u64, Fault> {
-    let digits = line.split(|b| *b == b';').next().unwrap_or_default();
+/// Parses hexadecimal digits; an extension after them is ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<u64, Fault> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let well_formed =
         !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits)
-        .ok()
-        .filter(|_| well_formed)
-        .ok_or(Fault::Chunk)?;
+    if !well_formed {
+        return Err(Fault::Chunk);
+    }
+    let text = std::str::from_utf8(digits).map_err(|_| Fault::Chunk)?;
     u64::from_str_radix(text, 16).map_err(|_| Fault::Chunk)
 }
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -1,4 +1,4 @@
-//! Reads messages from the bytes of one direction of a connection.
+//! Decodes messages from the bytes of one direction of a connection.
 
 use crate::body::Body;
 use crate::framing::{Framing, framing};
@@ -6,12 +6,15 @@
 use crate::{Bounds, Fault};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The most lines of a head.
-const MAX_HEAD_LINES: usize = 64;
-/// Up to this length a head is parsed whenever bytes arrive, beyond it only when a line has ended.
+/// Most header fields of a head. Bounds the array on the stack that `httparse` fills.
+const MAX_HEADERS: usize = 64;
+/// Up to this many bytes a head is parsed whenever bytes arrive, so that input that is no HTTP is reported at
+/// once. Beyond it a head is parsed only when a line has ended: a peer that sends a long head byte by byte
+/// would cost a parse of all of it for each byte.
 const EAGER_PARSE_BYTES: usize = 256;
-/// The most 1xx responses before the final one.
-const MAX_INTERIM: u32 = 8;
+/// Most 1xx responses before the final one. Without a bound a server could keep a request waiting with them
+/// for ever.
+const MAX_INTERIM_RESPONSES: u32 = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
@@ -19,14 +22,14 @@
     Responses,
 }
 
-/// A message whose head is read, with the body as far as it came.
+/// A message whose head is decoded, with the part of the body that was received.
 #[derive(Debug)]
 struct PartialMessage {
     message: Message,
     body: Body,
 }
 
-/// A head as `httparse` reads it.
+/// A head as `httparse` parses it.
 struct ParsedHead {
     length: usize,
     start: Start,
@@ -35,26 +38,26 @@
     fields: Vec<Field>,
 }
 
-/// Reads what comes on one connection, in one direction.
+/// Decodes what is received on one connection, in one direction. After a [`Fault`] it is of no further use.
 #[derive(Debug)]
 pub struct Decoder {
     direction: Direction,
     bounds: Bounds,
     unread: BytesMut,
     partial: Option<PartialMessage>,
-    /// No line has ended since the last attempt to parse, so there is no whole head.
-    no_head: bool,
+    /// No line has ended since the head was last parsed, so it is still incomplete.
+    head_incomplete: bool,
     interim_responses: u32,
 }
 
 impl Decoder {
-    /// For messages that clients send.
+    /// Decodes requests, which clients send.
     pub fn requests(bounds: Bounds) -> Decoder {
         Decoder::new(Direction::Requests, bounds)
     }
 
-    /// For what servers send back.
-    pub fn answers(bounds: Bounds) -> Decoder {
+    /// Decodes responses, which servers send.
+    pub fn responses(bounds: Bounds) -> Decoder {
         Decoder::new(Direction::Responses, bounds)
     }
 
@@ -64,65 +67,66 @@
             bounds,
             unread: BytesMut::new(),
             partial: None,
-            no_head: true,
+            head_incomplete: true,
             interim_responses: 0,
         }
     }
 
-    /// Adds bytes as they came.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        // Noise shows in its first bytes: nobody should wait for a line's end that never comes.
-        self.no_head &= !bytes.contains(&b'\n') && self.unread.len() > EAGER_PARSE_BYTES;
+        // Input that is no HTTP is recognised by its first bytes. Waiting for the end of its first line could
+        // last until a timeout.
+        self.head_incomplete &= !bytes.contains(&b'\n') && self.unread.len() > EAGER_PARSE_BYTES;
         self.unread.extend_from_slice(bytes);
     }
 
-    /// Bytes that are held: unread ones, and those of a body that is not whole.
-    pub fn holds(&self) -> usize {
+    /// How many bytes are buffered: unread ones and those of an incomplete body.
+    pub fn buffered_bytes(&self) -> usize {
         self.unread.len()
             + self
                 .partial
                 .as_ref()
-                .map_or(0, |partial| partial.body.read())
+                .map_or(0, |partial| partial.body.received_bytes())
     }
 
-    /// Nothing is held: between two messages.
+    /// Whether nothing is buffered: the connection is between two messages.
     pub fn is_empty(&self) -> bool {
         self.unread.is_empty() && self.partial.is_none()
     }
 
-    /// Is a head there whose body is still coming?
+    /// Whether a head was decoded whose body is incomplete.
     pub fn in_body(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// The next whole message, if it is there.
+    /// Takes the next complete message, if there is one.
     ///
     /// # Errors
-    /// What comes is no message within the bounds. The connection is of no further use.
+    /// The input is no message within the bounds. The connection is of no further use.
     pub fn take(&mut self) -> Result<Option<Message>, Fault> {
         loop {
-            if self.partial.is_none() && !self.read_head()? {
+            if self.partial.is_none() && !self.decode_head()? {
                 return Ok(None);
             }
             let Some(partial) = &mut self.partial else {
                 return Ok(None);
             };
-            if !partial.body.take(&mut self.unread, self.bounds.body)? {
+            if !partial.body.consume(&mut self.unread, self.bounds.body)? {
                 return Ok(None);
             }
             let Some(PartialMessage { mut message, body }) = self.partial.take() else {
                 return Ok(None);
             };
-            message.body = body.whole();
-            self.no_head = !self.unread.contains(&b'\n');
+            message.body = body.into_bytes();
+            self.head_incomplete = !self.unread.contains(&b'\n');
             if self.unread.is_empty() {
-                // Between messages a connection holds no memory.
+                // A connection between two messages keeps no memory.
                 self.unread = BytesMut::new();
             }
-            if let Start::Answer { status: 100..=199 } = message.start {
+            if let Start::Response { status: 100..=199 } = message.start {
                 self.interim_responses += 1;
-                if self.interim_responses > MAX_INTERIM {
-                    return Err(Fault::Interim);
+                if self.interim_responses > MAX_INTERIM_RESPONSES {
+                    return Err(Fault::TooManyInterimResponses);
                 }
                 continue;
             }
@@ -131,18 +135,18 @@
         }
     }
 
-    /// `false`: the head is not whole.
-    fn read_head(&mut self) -> Result<bool, Fault> {
-        if self.no_head {
-            return self.incomplete_head();
+    /// Decodes the head of the next message. Returns whether it is complete.
+    fn decode_head(&mut self) -> Result<bool, Fault> {
+        if self.head_incomplete {
+            return self.check_head_length();
         }
-        self.no_head = true;
+        self.head_incomplete = true;
         let parsed = match self.direction {
             Direction::Requests => parse_request(&self.unread)?,
             Direction::Responses => parse_response(&self.unread)?,
         };
         let Some(head) = parsed else {
-            return self.incomplete_head();
+            return self.check_head_length();
         };
         if head.length > self.bounds.head {
             return Err(Fault::HeadTooLong);
@@ -152,10 +156,10 @@
         }
         let framing = framing(&head.fields, &head.start)?;
         let body = Body::new(framing.unwrap_or(Framing::Length(0)), self.bounds.body)?;
-        let stays = match find(&head.fields, "connection") {
+        let keep_alive = match find(&head.fields, "connection") {
             Found::None => true,
             Found::One(options) => !lists_option(options, b"close"),
-            Found::Several => false,
+            Found::Multiple => false,
         };
         self.unread.advance(head.length);
         let message = Message {
@@ -163,13 +167,14 @@
             fields: head.fields,
             body: Bytes::new(),
             framed: framing.is_some(),
-            stays,
+            keep_alive,
         };
         self.partial = Some(PartialMessage { message, body });
         Ok(true)
     }
 
-    fn incomplete_head(&self) -> Result<bool, Fault> {
+    /// Checks that the incomplete head is still within its bound.
+    fn check_head_length(&self) -> Result<bool, Fault> {
         if self.unread.len() > self.bounds.head {
             Err(Fault::HeadTooLong)
         } else {
@@ -179,15 +184,15 @@
 }
 
 fn parse_request(bytes: &[u8]) -> Result<Option<ParsedHead>, Fault> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_HEAD_LINES];
-    let mut request = httparse::Request::new(&mut lines);
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
     let Some(length) = parsed_length(request.parse(bytes))? else {
         return Ok(None);
     };
     let (Some(method), Some(target), Some(version)) =
         (request.method, request.path, request.version)
     else {
-        return Err(Fault::Unreadable);
+        return Err(Fault::Malformed);
     };
     let start = Start::Request {
         method: Bytes::copy_from_slice(method.as_bytes()),
@@ -202,44 +207,44 @@
 }
 
 fn parse_response(bytes: &[u8]) -> Result<Option<ParsedHead>, Fault> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_HEAD_LINES];
-    let mut response = httparse::Response::new(&mut lines);
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
     let Some(length) = parsed_length(response.parse(bytes))? else {
         return Ok(None);
     };
     let (Some(status), Some(version)) = (response.code, response.version) else {
-        return Err(Fault::Unreadable);
+        return Err(Fault::Malformed);
     };
     let fields = copy_fields(response.headers);
     Ok(Some(ParsedHead {
         length,
-        start: Start::Answer { status },
+        start: Start::Response { status },
         version,
         fields,
     }))
 }
 
-fn copy_fields(lines: &[httparse::Header]) -> Vec<Field> {
-    let copy = |line: &httparse::Header| Field {
-        name: Bytes::copy_from_slice(line.name.as_bytes()),
-        value: Bytes::copy_from_slice(line.value),
+fn copy_fields(headers: &[httparse::Header]) -> Vec<Field> {
+    let copy = |header: &httparse::Header| Field {
+        name: Bytes::copy_from_slice(header.name.as_bytes()),
+        value: Bytes::copy_from_slice(header.value),
     };
-    lines.iter().map(copy).collect()
+    headers.iter().map(copy).collect()
 }
 
-/// The length of a whole head.
+/// The length of a complete head, `None` for an incomplete one.
 fn parsed_length(parsed: httparse::Result<usize>) -> Result<Option<usize>, Fault> {
     match parsed {
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(httparse::Error::TooManyHeaders) => Err(Fault::TooManyLines),
+        Err(httparse::Error::TooManyHeaders) => Err(Fault::TooManyHeaders),
         Err(httparse::Error::Version) => Err(Fault::Version),
-        Err(_) => Err(Fault::Unreadable),
+        Err(_) => Err(Fault::Malformed),
     }
 }
 
-/// Does a comma-separated list, as `Connection` holds it, contain this option?
+/// Whether a comma-separated list, the form of `Connection`, contains this option.
 fn lists_option(list: &[u8], option: &[u8]) -> bool {
-    list.split(|b| *b == b',')
+    list.split(|byte| *byte == b',')
         .any(|item| item.trim_ascii().eq_ignore_ascii_case(option))
 }
--- a/crates/http/src/encoder.rs
+++ b/crates/http/src/encoder.rs
@@ -1,10 +1,10 @@
-//! Writes a message: head and body in one piece.
+//! Encodes a message: head and body in one buffer.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt::Display;
 
-/// A message that is being written. Names and values are the caller's: what came from outside passes only if
-/// it was read by [`crate::Decoder`], which lets no line end through.
+/// A message that is being encoded. Names and values are not checked: a value from outside may be used only if
+/// [`crate::Decoder`] decoded it, since that accepts no line end in a value.
 #[derive(Debug)]
 pub struct Encoder(BytesMut);
 
@@ -19,7 +19,7 @@
     }
 
     /// Begins a response.
-    pub fn answer(status: u16, reason: &str) -> Encoder {
+    pub fn response(status: u16, reason: &str) -> Encoder {
         let mut bytes = BytesMut::with_capacity(256);
         bytes.put_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
         Encoder(bytes)
@@ -33,13 +33,13 @@
         self
     }
 
-    /// Adds a header field whose value is printed.
+    /// Adds a header field with a value that is formatted by its `Display`.
     pub fn number(self, name: &str, value: impl Display) -> Encoder {
         let value = value.to_string();
         self.field(name, value.as_bytes())
     }
 
-    /// Ends the message with a body, whose length it states.
+    /// Ends the message with a body and states its length.
     pub fn body(self, body: &[u8]) -> Bytes {
         let mut bytes = self.number("Content-Length", body.len()).0;
         bytes.put_slice(b"\r\n");
@@ -48,7 +48,7 @@
     }
 
     /// Ends the message without a body and without a length.
-    pub fn bare(mut self) -> Bytes {
+    pub fn without_body(mut self) -> Bytes {
         self.0.put_slice(b"\r\n");
         self.0.freeze()
     }
--- a/crates/http/src/fault.rs
+++ b/crates/http/src/fault.rs
@@ -1,39 +1,40 @@
-//! What can be wrong with a message.
+//! Why a message cannot be decoded.
 
-/// Why a message cannot be read. Nothing behind it on the connection can be read either.
+/// Why a message cannot be decoded. The decoder cannot tell where the next message on the connection begins,
+/// so the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The head is no HTTP.
-    #[error("the head cannot be read")]
-    Unreadable,
-    /// The head exceeds its bound.
-    #[error("the head is too long")]
+    /// The head does not follow the syntax of HTTP/1.1.
+    #[error("malformed head")]
+    Malformed,
+    /// The head exceeds [`crate::Bounds::head`].
+    #[error("head too long")]
     HeadTooLong,
-    /// The head exceeds the bound on lines.
-    #[error("the head has too many lines")]
-    TooManyLines,
-    /// Another version of HTTP.
-    #[error("a version other than HTTP/1.1")]
+    /// The head has more header fields than the decoder reads.
+    #[error("too many header fields")]
+    TooManyHeaders,
+    /// Another version than HTTP/1.1.
+    #[error("unsupported HTTP version, expected HTTP/1.1")]
     Version,
-    /// More than one header frames the body.
-    #[error("lengths that contradict each other")]
+    /// More than one header field states how long the body is.
+    #[error("conflicting Content-Length and Transfer-Encoding")]
     ConflictingFraming,
     /// The length is not a plain decimal number.
-    #[error("a length that is no number")]
-    BadLength,
+    #[error("invalid Content-Length, expected decimal digits")]
+    InvalidLength,
     /// The transfer coding is not supported.
-    #[error("a transfer coding other than one final chunked")]
-    Coding,
-    /// The body exceeds its bound.
-    #[error("the body is too long")]
+    #[error("unsupported Transfer-Encoding, expected chunked alone")]
+    TransferCoding,
+    /// The body exceeds [`crate::Bounds::body`].
+    #[error("body too long")]
     BodyTooLong,
     /// A chunk or a trailer is malformed.
-    #[error("a chunk that cannot be read")]
+    #[error("malformed chunk or trailer")]
     Chunk,
-    /// Without a length a truncated response would look complete.
-    #[error("an answer without a length: a cut one would look the same")]
-    NoLength,
+    /// The response states no length. A truncated response could not be told from a complete one.
+    #[error("response without Content-Length or Transfer-Encoding")]
+    MissingLength,
     /// Too many 1xx responses before the final one.
-    #[error("too many interim answers")]
-    Interim,
+    #[error("too many interim responses")]
+    TooManyInterimResponses,
 }
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,5 +1,5 @@
-//! How long the body of a message is, strictly: two statements that disagree are a fault, since whoever
-//! passes messages on must not read a length otherwise than its neighbours do.
+//! Determines how the body of a message is delimited. Anything ambiguous is a fault: a proxy that reads a length
+//! differently from its neighbours allows request smuggling.
 
 use crate::Fault;
 use crate::message::{Field, Found, Start, find};
@@ -11,39 +11,39 @@
     Chunked,
 }
 
-/// The framing, `None` if the head states none: then there is no body.
+/// The framing, or `None` if a request states none and so has no body.
 pub(crate) fn framing(fields: &[Field], start: &Start) -> Result<Option<Framing>, Fault> {
     let length = find(fields, "content-length");
     let coding = find(fields, "transfer-encoding");
-    let is_response = matches!(start, Start::Answer { .. });
+    let is_response = matches!(start, Start::Response { .. });
     let never_has_body = matches!(
         start,
-        Start::Answer {
+        Start::Response {
             status: 100..=199 | 204 | 304
         }
     );
     match (length, coding) {
-        (Found::Several, _) | (Found::One(_), Found::One(_) | Found::Several) => {
+        (Found::Multiple, _) | (Found::One(_), Found::One(_) | Found::Multiple) => {
             Err(Fault::ConflictingFraming)
         }
-        (_, Found::Several) => Err(Fault::Coding),
+        (_, Found::Multiple) => Err(Fault::TransferCoding),
         _ if never_has_body => Ok(Some(Framing::Length(0))),
         (Found::One(digits), Found::None) => Ok(Some(Framing::Length(parse_length(digits)?))),
         (Found::None, Found::One(coding)) if coding.eq_ignore_ascii_case(b"chunked") => {
             Ok(Some(Framing::Chunked))
         }
-        (Found::None, Found::One(_)) => Err(Fault::Coding),
-        (Found::None, Found::None) if is_response => Err(Fault::NoLength),
+        (Found::None, Found::One(_)) => Err(Fault::TransferCoding),
+        (Found::None, Found::None) if is_response => Err(Fault::MissingLength),
         (Found::None, Found::None) => Ok(None),
     }
 }
 
-/// Digits alone: neither sign nor blank nor list.
+/// Parses decimal digits. A sign, a blank or a list is a fault.
 fn parse_length(digits: &[u8]) -> Result<u64, Fault> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(Fault::BadLength);
+        return Err(Fault::InvalidLength);
     }
-    // More than fits is too long in any case.
-    let digits = std::str::from_utf8(digits).map_err(|_| Fault::BadLength)?;
+    // A number that overflows exceeds every bound.
+    let digits = std::str::from_utf8(digits).map_err(|_| Fault::InvalidLength)?;
     Ok(digits.parse().unwrap_or(u64::MAX))
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,9 @@
-//! HTTP/1.1 messages without I/O. [`Decoder`] takes bytes as they come and hands out whole messages or names
-//! what is wrong with them; [`Encoder`] writes messages. Heads are parsed by the library `httparse`; framing
-//! and bounds are kept here. The terms are HTTP's own. The users' platform reads and writes with it; it never
-//! opens a socket.
+//! A codec for HTTP/1.1 messages that does no I/O.
+//!
+//! [`Decoder`] takes received bytes and returns complete messages or the [`Fault`] that makes them unusable;
+//! [`Encoder`] encodes messages. The library `httparse` parses heads; this crate decides how a body is
+//! delimited and enforces the [`Bounds`]. The host on the users' platform uses it for clients, nodes and
+//! discovery.
 //!
 //! Read `decoder` first, then `framing` and `body`.
 
@@ -17,11 +19,11 @@
 pub use fault::Fault;
 pub use message::{Found, Message, Start};
 
-/// How large a message may be.
+/// How large a message may be. A larger one is a [`Fault`].
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The head, in bytes.
+    /// Most bytes of the head.
     pub head: usize,
-    /// The body, in bytes.
+    /// Most bytes of the body.
     pub body: usize,
 }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,19 +1,19 @@
-//! A whole message, as the decoder hands it out.
+//! A complete message, as the decoder returns it.
 
 use bytes::Bytes;
 
 /// The first line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Of a request.
+    /// The request line.
     Request {
         /// The method, such as `GET`.
         method: Bytes,
         /// The path with its query.
         target: Bytes,
     },
-    /// Of a response.
-    Answer {
+    /// The status line of a response.
+    Response {
         /// The status code.
         status: u16,
     },
@@ -26,7 +26,7 @@
     pub(crate) value: Bytes,
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
@@ -34,30 +34,31 @@
     pub(crate) fields: Vec<Field>,
     /// The body; empty if there is none.
     pub body: Bytes,
-    /// The head states a length or a coding, if only of nothing.
+    /// Whether the head states a length or a transfer coding, even for an empty body.
     pub framed: bool,
-    /// The connection carries further messages (keep-alive).
-    pub stays: bool,
+    /// Whether the connection carries further messages: the sender did not announce a close.
+    pub keep_alive: bool,
 }
 
-/// How often a field stands in a head.
+/// How often a header field occurs in a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found<'a> {
     /// Not at all.
     None,
-    /// Once, with its value.
+    /// Once, with this value.
     One(&'a [u8]),
     /// More than once.
-    Several,
+    Multiple,
 }
 
 impl Message {
-    /// A field by its name, whatever the case.
+    /// Looks a header field up by its name, ignoring case.
     pub fn field(&self, name: &str) -> Found<'_> {
         find(&self.fields, name)
     }
 }
 
+/// Looks a header field up by its name, ignoring case.
 pub(crate) fn find<'a>(fields: &'a [Field], name: &str) -> Found<'a> {
     let mut matching = fields
         .iter()
@@ -65,6 +66,6 @@
     match (matching.next(), matching.next()) {
         (None, _) => Found::None,
         (Some(field), None) => Found::One(&field.value),
-        _ => Found::Several,
+        _ => Found::Multiple,
     }
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What the codec makes of sound, cut and malformed messages.
+//! Decoding of valid, fragmented and malformed messages, and encoding.
 
 use bytes::Bytes;
 use gullsail_http::{Bounds, Decoder, Encoder, Fault, Found, Message, Start};
@@ -10,212 +10,254 @@
     body: 100,
 };
 
-fn decoder(answers: bool) -> Decoder {
-    if answers {
-        Decoder::answers(BOUNDS)
-    } else {
-        Decoder::requests(BOUNDS)
+#[derive(Clone, Copy, Debug)]
+enum Direction {
+    Request,
+    Response,
+}
+use Direction::{Request, Response};
+
+fn decoder(direction: Direction) -> Decoder {
+    match direction {
+        Request => Decoder::requests(BOUNDS),
+        Response => Decoder::responses(BOUNDS),
     }
 }
 
-/// All that comes of these pieces, and what ended it.
-fn decode(answers: bool, pieces: &[&[u8]]) -> (Vec<Message>, Option<Fault>) {
-    let (mut input, mut messages) = (decoder(answers), Vec::new());
+/// The messages that were decoded, and the fault after them.
+#[derive(Debug, PartialEq)]
+struct Decoded {
+    messages: Vec<Message>,
+    fault: Option<Fault>,
+}
+
+fn decode(direction: Direction, pieces: &[&[u8]]) -> Decoded {
+    let mut decoder = decoder(direction);
+    let mut messages = Vec::new();
     for piece in pieces {
-        input.feed(piece);
+        decoder.feed(piece);
         loop {
-            match input.take() {
+            match decoder.take() {
                 Ok(Some(message)) => messages.push(message),
                 Ok(None) => break,
-                Err(fault) => return (messages, Some(fault)),
+                Err(fault) => {
+                    return Decoded {
+                        messages,
+                        fault: Some(fault),
+                    };
+                }
             }
         }
     }
-    (messages, None)
+    Decoded {
+        messages,
+        fault: None,
+    }
+}
+
+/// Valid input and the bodies of the messages in it.
+struct ValidInput {
+    direction: Direction,
+    text: &'static str,
+    bodies: &'static [&'static str],
 }
 
-const VALID: [(bool, &str, &[&str]); 9] = [
-    (false, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", &[""]),
-    (
-        false,
+const fn valid(
+    direction: Direction,
+    text: &'static str,
+    bodies: &'static [&'static str],
+) -> ValidInput {
+    ValidInput {
+        direction,
+        text,
+        bodies,
+    }
+}
+
+const VALID: [ValidInput; 9] = [
+    valid(Request, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", &[""]),
+    valid(
+        Request,
         "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n",
         &["", ""],
     ),
-    (
-        false,
+    valid(
+        Request,
         "PUT /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello",
         &["hello"],
     ),
-    (false, "PUT /a HTTP/1.1\r\ncontent-length: 0\r\n\r\n", &[""]),
-    (
-        false,
+    valid(
+        Request,
+        "PUT /a HTTP/1.1\r\ncontent-length: 0\r\n\r\n",
+        &[""],
+    ),
+    valid(
+        Request,
         "PUT / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\nT: 1\r\n\r\n",
         &["abc0123456789"],
     ),
-    (
-        true,
+    valid(
+        Response,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         &["ok"],
     ),
-    (
-        true,
+    valid(
+        Response,
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         &["ok"],
     ),
-    (true, "HTTP/1.1 204 No Content\r\n\r\n", &[""]),
-    (
-        true,
+    valid(Response, "HTTP/1.1 204 No Content\r\n\r\n", &[""]),
+    valid(
+        Response,
         "HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
         &["x"],
     ),
 ];
 
 #[test]
-fn every_message_is_the_same_however_it_is_cut() {
-    for (answers, text, bodies) in VALID {
+fn fragmentation_does_not_change_what_is_decoded() {
+    for ValidInput {
+        direction,
+        text,
+        bodies,
+    } in VALID
+    {
         let bytes = text.as_bytes();
-        let whole = decode(answers, &[bytes]);
-        let found: Vec<_> = whole
-            .0
+        let complete = decode(direction, &[bytes]);
+        let found: Vec<_> = complete
+            .messages
             .iter()
             .map(|message| message.body.as_ref())
             .collect();
-        assert_eq!(
-            (found, whole.1),
-            (bodies.iter().map(|b| b.as_bytes()).collect(), None),
-            "{text}"
-        );
+        let expected: Vec<_> = bodies.iter().map(|body| body.as_bytes()).collect();
+        assert_eq!(found, expected, "{text}");
+        assert_eq!(complete.fault, None, "{text}");
         for cut in 0..=bytes.len() {
             assert_eq!(
-                decode(answers, &[&bytes[..cut], &bytes[cut..]]),
-                whole,
+                decode(direction, &[&bytes[..cut], &bytes[cut..]]),
+                complete,
                 "{text} cut at {cut}"
             );
         }
         let single: Vec<_> = bytes.chunks(1).collect();
-        assert_eq!(decode(answers, &single), whole, "{text} by bytes");
-        let mut input = decoder(answers);
-        input.feed(bytes);
-        bodies.iter().for_each(|_| _ = input.take());
+        assert_eq!(decode(direction, &single), complete, "{text} by bytes");
+        let mut decoder = decoder(direction);
+        decoder.feed(bytes);
+        bodies.iter().for_each(|_| _ = decoder.take());
         assert!(
-            input.is_empty() && input.holds() == 0,
+            decoder.is_empty() && decoder.buffered_bytes() == 0,
             "{text}: nothing is left"
         );
     }
 }
 
+fn assert_fault(direction: Direction, text: &str, fault: Fault) {
+    let expected = Decoded {
+        messages: Vec::new(),
+        fault: Some(fault),
+    };
+    assert_eq!(decode(direction, &[text.as_bytes()]), expected, "{text}");
+}
+
 #[test]
-fn malformed_messages_have_a_named_fault() {
+fn malformed_heads_are_faults() {
     let long = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(700));
     let endless = "x".repeat(700);
     let lines = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(70));
-    let interim = "HTTP/1.1 100 C\r\n\r\n".repeat(9);
-    let put = |fields: &str| format!("PUT / HTTP/1.1\r\n{fields}\r\n\r\n");
-    let chunks =
-        |chunks: &str| format!("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
     let cases = [
+        ("\u{1}\u{2}\u{3} rubbish\r\n\r\n", Fault::Malformed),
+        ("GET / HTTP/1.0\r\n\r\n", Fault::Version),
+        ("GET / HTTP/2.0\r\n\r\n", Fault::Version),
+        ("GET / HTTP/1.1\r\nA : b\r\n\r\n", Fault::Malformed),
         (
-            false,
-            "\u{1}\u{2}\u{3} rubbish\r\n\r\n".into(),
-            Fault::Unreadable,
-        ),
-        (false, "GET / HTTP/1.0\r\n\r\n".into(), Fault::Version),
-        (false, "GET / HTTP/2.0\r\n\r\n".into(), Fault::Version),
-        (
-            false,
-            "GET / HTTP/1.1\r\nA : b\r\n\r\n".into(),
-            Fault::Unreadable,
-        ),
-        (
-            false,
-            "GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n".into(),
-            Fault::Unreadable,
-        ),
-        (
-            false,
-            "GET / HTTP/1.1\r\nA: b\rc\r\n\r\n".into(),
-            Fault::Unreadable,
-        ),
-        (
-            false,
-            "GET / HTTP/1.1\r\nA: \0\r\n\r\n".into(),
-            Fault::Unreadable,
-        ),
-        (
-            false,
-            "GET / HTTP/1.1\r\nno colon\r\n\r\n".into(),
-            Fault::Unreadable,
+            "GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n",
+            Fault::Malformed,
         ),
-        (false, long, Fault::HeadTooLong),
-        (false, endless, Fault::HeadTooLong),
-        (false, lines, Fault::TooManyLines),
+        ("GET / HTTP/1.1\r\nA: b\rc\r\n\r\n", Fault::Malformed),
+        ("GET / HTTP/1.1\r\nA: \0\r\n\r\n", Fault::Malformed),
+        ("GET / HTTP/1.1\r\nno colon\r\n\r\n", Fault::Malformed),
+        (&long, Fault::HeadTooLong),
+        (&endless, Fault::HeadTooLong),
+        (&lines, Fault::TooManyHeaders),
+    ];
+    for (text, fault) in cases {
+        assert_fault(Request, text, fault);
+    }
+}
+
+#[test]
+fn ambiguous_framing_is_a_fault() {
+    let cases = [
         (
-            false,
-            put("Content-Length: 3\r\nTransfer-Encoding: chunked"),
+            "Content-Length: 3\r\nTransfer-Encoding: chunked",
             Fault::ConflictingFraming,
         ),
         (
-            false,
-            put("Content-Length: 3\r\nContent-Length: 3"),
+            "Content-Length: 3\r\nContent-Length: 3",
             Fault::ConflictingFraming,
         ),
-        (false, put("Content-Length: -1"), Fault::BadLength),
-        (false, put("Content-Length: +1"), Fault::BadLength),
-        (false, put("Content-Length: 1, 1"), Fault::BadLength),
-        (false, put("Content-Length: 0x10"), Fault::BadLength),
-        (false, put("Content-Length:"), Fault::BadLength),
-        (false, put("Content-Length: 101"), Fault::BodyTooLong),
+        ("Content-Length: -1", Fault::InvalidLength),
+        ("Content-Length: +1", Fault::InvalidLength),
+        ("Content-Length: 1, 1", Fault::InvalidLength),
+        ("Content-Length: 0x10", Fault::InvalidLength),
+        ("Content-Length:", Fault::InvalidLength),
+        ("Content-Length: 101", Fault::BodyTooLong),
         (
-            false,
-            put("Content-Length: 99999999999999999999999"),
+            "Content-Length: 99999999999999999999999",
             Fault::BodyTooLong,
         ),
-        (false, put("Transfer-Encoding: gzip"), Fault::Coding),
+        ("Transfer-Encoding: gzip", Fault::TransferCoding),
+        ("Transfer-Encoding: gzip, chunked", Fault::TransferCoding),
         (
-            false,
-            put("Transfer-Encoding: gzip, chunked"),
-            Fault::Coding,
-        ),
-        (
-            false,
-            put("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"),
-            Fault::Coding,
-        ),
-        (false, chunks("zz\r\n"), Fault::Chunk),
-        (false, chunks("-1\r\n"), Fault::Chunk),
-        (false, chunks("\r\n"), Fault::Chunk),
-        (false, chunks("3\nabc\r\n"), Fault::Chunk),
-        (false, chunks("3\r\nabcd\r\n"), Fault::Chunk),
-        (false, chunks("65\r\n"), Fault::BodyTooLong),
-        (false, chunks("ffffffffffffffff\r\n"), Fault::Chunk),
-        (
-            false,
-            chunks(&format!("0\r\n{}", "T: 1\r\n".repeat(17))),
-            Fault::Chunk,
-        ),
-        (false, chunks(&"1".repeat(300)), Fault::Chunk),
-        (true, "noise".into(), Fault::Version),
-        (
-            true,
-            "HTTP/1.1 200 OK\r\n\r\nno length".into(),
-            Fault::NoLength,
+            "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+            Fault::TransferCoding,
         ),
+    ];
+    for (fields, fault) in cases {
+        let text = format!("PUT / HTTP/1.1\r\n{fields}\r\n\r\n");
+        assert_fault(Request, &text, fault);
+    }
+}
+
+#[test]
+fn malformed_chunks_are_faults() {
+    let cases = [
+        ("zz\r\n", Fault::Chunk),
+        ("-1\r\n", Fault::Chunk),
+        ("\r\n", Fault::Chunk),
+        ("3\nabc\r\n", Fault::Chunk),
+        ("3\r\nabcd\r\n", Fault::Chunk),
+        ("65\r\n", Fault::BodyTooLong),
+        ("ffffffffffffffff\r\n", Fault::Chunk),
+        (&format!("0\r\n{}", "T: 1\r\n".repeat(17)), Fault::Chunk),
+        (&"1".repeat(300), Fault::Chunk),
+    ];
+    for (chunks, fault) in cases {
+        let text = format!("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
+        assert_fault(Request, &text, fault);
+    }
+}
+
+#[test]
+fn malformed_responses_are_faults() {
+    let interim = "HTTP/1.1 100 C\r\n\r\n".repeat(9);
+    let cases = [
+        ("noise", Fault::Version),
+        ("HTTP/1.1 200 OK\r\n\r\nno length", Fault::MissingLength),
         (
-            true,
-            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n".into(),
+            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
             Fault::BodyTooLong,
         ),
-        (true, interim, Fault::Interim),
+        (&interim, Fault::TooManyInterimResponses),
     ];
-    for (answers, text, fault) in cases {
-        let (messages, found) = decode(answers, &[text.as_bytes()]);
-        assert_eq!((messages.len(), found), (0, Some(fault)), "{text}");
+    for (text, fault) in cases {
+        assert_fault(Response, text, fault);
     }
 }
 
 #[test]
 fn an_endless_head_is_a_fault_at_its_bound_and_not_before() {
-    let mut input = decoder(false);
+    let mut input = decoder(Request);
     input.feed(&[b'x'; 600]);
     assert_eq!(input.take(), Ok(None));
     input.feed(b"x");
@@ -223,17 +265,17 @@
 }
 
 #[test]
-fn fields_are_found_whatever_their_case_and_doubles_are_seen() {
-    let (messages, _) = decode(
-        false,
+fn header_fields_are_found_in_any_case_and_repeated_ones_reported() {
+    let Decoded { messages, .. } = decode(
+        Request,
         &[b"GET /x?q HTTP/1.1\r\nAb: 1\r\nc: 2\r\nC: 3\r\nConnection: x, Close\r\n\r\n"],
     );
     let message = &messages[0];
     assert_eq!(
         (message.field("aB"), message.field("C"), message.field("d")),
-        (Found::One(b"1"), Found::Several, Found::None)
+        (Found::One(b"1"), Found::Multiple, Found::None)
     );
-    assert!(!message.stays && !message.framed);
+    assert!(!message.keep_alive && !message.framed);
     let start = Start::Request {
         method: Bytes::from("GET"),
         target: Bytes::from("/x?q"),
@@ -242,12 +284,12 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn encoded_messages_are_decoded_unchanged() {
     let text = Encoder::request(b"PUT", b"/a?b")
         .field("A", b"b")
         .number("N", 7)
         .body(b"hello");
-    let (messages, fault) = decode(false, &[&text]);
+    let Decoded { messages, fault } = decode(Request, &[&text]);
     assert_eq!(
         (messages.len(), fault, messages[0].body.as_ref()),
         (1, None, &b"hello"[..])
@@ -256,14 +298,15 @@
         (messages[0].field("n"), messages[0].framed),
         (Found::One(b"7"), true)
     );
-    let (messages, _) = decode(false, &[&Encoder::request(b"GET", b"/").bare()]);
+    let Decoded { messages, .. } =
+        decode(Request, &[&Encoder::request(b"GET", b"/").without_body()]);
     assert!(!messages[0].framed);
-    let (messages, _) = decode(true, &[&Encoder::answer(503, "No").body(b"")]);
-    assert_eq!(messages[0].start, Start::Answer { status: 503 });
+    let Decoded { messages, .. } = decode(Response, &[&Encoder::response(503, "No").body(b"")]);
+    assert_eq!(messages[0].start, Start::Response { status: 503 });
 }
 
 #[test]
-fn noise_neither_panics_nor_piles_up() {
+fn random_input_neither_panics_nor_exceeds_the_bounds() {
     let config = Config {
         cases: 2000,
         failure_persistence: None,
@@ -285,16 +328,18 @@
         ": ",
         "99999999\r\n",
     ]);
-    let noise = (any::<bool>(), prop::collection::vec(fragment, 0..40));
-    let run = runner.run(&noise, |(answers, fragments)| {
-        let mut input = decoder(answers);
+    let direction =
+        any::<bool>().prop_map(|is_response| if is_response { Response } else { Request });
+    let noise = (direction, prop::collection::vec(fragment, 0..40));
+    let run = runner.run(&noise, |(direction, fragments)| {
+        let mut input = decoder(direction);
         for fragment in fragments {
             input.feed(fragment.as_bytes());
             while let Ok(Some(_)) = input.take() {}
             if input.take().is_err() {
                 break;
             }
-            prop_assert!(input.holds() <= BOUNDS.head + BOUNDS.body);
+            prop_assert!(input.buffered_bytes() <= BOUNDS.head + BOUNDS.body);
         }
         Ok(())
     });
--- a/crates/platform/src/core/clients/input.rs
+++ b/crates/platform/src/core/clients/input.rs
@@ -23,7 +23,7 @@
         match client.state {
             ClientState::Finishing | ClientState::WriteClosed => return,
             ClientState::Busy { .. } | ClientState::Responding
-                if client.decoder.holds() + bytes.len() > MAX_READ_AHEAD_BYTES =>
+                if client.decoder.buffered_bytes() + bytes.len() > MAX_READ_AHEAD_BYTES =>
             {
                 if !client.input_overflow {
                     client.input_overflow = true;
@@ -38,9 +38,9 @@
             _ => {}
         }
         client.closing = false;
-        let held_before = client.decoder.holds();
+        let held_before = client.decoder.buffered_bytes();
         client.decoder.feed(bytes);
-        self.clients.buffered_bytes += client.decoder.holds() - held_before;
+        self.clients.buffered_bytes += client.decoder.buffered_bytes() - held_before;
         self.read_messages(conn);
         // The connection whose message has taken longest is refused: complete messages of usual clients
         // arrive at once.
@@ -71,7 +71,7 @@
         let Some(client) = self.clients.entries.get_mut(&conn) else {
             return;
         };
-        self.clients.buffered_bytes -= client.decoder.holds();
+        self.clients.buffered_bytes -= client.decoder.buffered_bytes();
         client.state = ClientState::WriteClosed;
         client.closing = false;
         client.decoder = Decoder::requests(BOUNDS);
@@ -92,15 +92,16 @@
         while let Some(client) = self.clients.entries.get_mut(&conn)
             && client.state == ClientState::Reading
         {
-            let held_before = client.decoder.holds();
+            let held_before = client.decoder.buffered_bytes();
             let next = client.decoder.take();
-            self.clients.buffered_bytes -= held_before - client.decoder.holds().min(held_before);
+            self.clients.buffered_bytes -=
+                held_before - client.decoder.buffered_bytes().min(held_before);
             match next {
                 Ok(None) => return,
                 Ok(Some(message)) => self.handle_message(conn, &message),
                 Err(fault) => {
                     let why = match fault {
-                        Fault::HeadTooLong | Fault::TooManyLines => RequestError::HeadTooLong,
+                        Fault::HeadTooLong | Fault::TooManyHeaders => RequestError::HeadTooLong,
                         Fault::BodyTooLong => RequestError::BodyTooLong,
                         _ => RequestError::Malformed,
                     };
@@ -111,7 +112,7 @@
     }
 
     fn handle_message(&mut self, conn: ConnectionId, message: &Message) {
-        let keep_alive = message.stays;
+        let keep_alive = message.keep_alive;
         if is_health_check(message) {
             let status = if self.ready {
                 HttpStatus::OK
@@ -149,6 +150,6 @@
         Start::Request { method, target } => {
             method.as_ref() == b"GET" && target.as_ref() == b"/_health"
         }
-        Start::Answer { .. } => false,
+        Start::Response { .. } => false,
     }
 }
--- a/crates/platform/src/core/clients/mod.rs
+++ b/crates/platform/src/core/clients/mod.rs
@@ -183,7 +183,7 @@
     /// Takes it out of the table, with what was buffered for it.
     fn remove(&mut self, conn: ConnectionId) -> Option<Client> {
         let client = self.entries.remove(&conn)?;
-        self.buffered_bytes -= client.decoder.holds();
+        self.buffered_bytes -= client.decoder.buffered_bytes();
         Some(client)
     }
 }
--- a/crates/platform/src/core/clients/responses.rs
+++ b/crates/platform/src/core/clients/responses.rs
@@ -31,7 +31,7 @@
         }
         let keep_alive =
             keep_alive && !over_limit && !client.input_overflow && self.shutdown.accepts_requests();
-        let mut encoder = Encoder::answer(status.code, status.reason);
+        let mut encoder = Encoder::response(status.code, status.reason);
         if !keep_alive {
             encoder = encoder.field("Connection", b"close");
         }
@@ -62,7 +62,7 @@
         let Some(client) = self.clients.entries.get_mut(&conn) else {
             return;
         };
-        self.clients.buffered_bytes -= client.decoder.holds();
+        self.clients.buffered_bytes -= client.decoder.buffered_bytes();
         client.state = ClientState::Finishing;
         client.decoder = Decoder::requests(BOUNDS);
         self.outputs.push(Output::FinishAndClose { conn });
--- a/crates/platform/src/core/discovery/mod.rs
+++ b/crates/platform/src/core/discovery/mod.rs
@@ -142,7 +142,7 @@
         let conn = self.next_connection_id();
         self.discovery.current = Some(DiscoveryConnection {
             conn,
-            decoder: Decoder::answers(LIST_BOUNDS),
+            decoder: Decoder::responses(LIST_BOUNDS),
             bytes_received: 0,
             version: None,
             poll: 0,
@@ -182,7 +182,7 @@
         };
         let bytes = Encoder::request(b"GET", target.as_bytes())
             .field("Host", host.as_bytes())
-            .bare();
+            .without_body();
         let seen = connection.bytes_received;
         self.outputs.push(Output::Send { conn, bytes, seen });
         self.expect_answer(conn, within);
@@ -252,7 +252,7 @@
         match answer {
             Ok(None) => {}
             Ok(Some(message)) => match self.handle_answer(conn, &message) {
-                Ok(()) if message.stays && keep_alive => self.poll_discovery(conn),
+                Ok(()) if message.keep_alive && keep_alive => self.poll_discovery(conn),
                 Ok(()) => self.discovery_connection_lost(conn, "it ends the connection"),
                 Err(why) => self.discovery_connection_lost(conn, &why.to_string()),
             },
@@ -261,7 +261,7 @@
     }
 
     fn handle_answer(&mut self, conn: ConnectionId, message: &Message) -> Result<(), PageError> {
-        if message.start != (Start::Answer { status: 200 }) {
+        if message.start != (Start::Response { status: 200 }) {
             return Err(PageError::Status);
         }
         let page: Page = serde_json::from_slice(&message.body)?;
--- a/crates/platform/src/core/node_connections/connecting.rs
+++ b/crates/platform/src/core/node_connections/connecting.rs
@@ -138,7 +138,7 @@
             bytes_received: 0,
             early_input: false,
             stale: false,
-            decoder: Decoder::answers(BOUNDS),
+            decoder: Decoder::responses(BOUNDS),
         };
         self.nodes.connections.insert(conn, connection);
         self.metrics.node_connections_opened += 1;
--- a/crates/platform/src/core/node_connections/responses.rs
+++ b/crates/platform/src/core/node_connections/responses.rs
@@ -72,7 +72,7 @@
     }
 
     fn handle_response(&mut self, conn: ConnectionId, key: AttemptKey, message: &Message) {
-        let Start::Answer { status } = message.start else {
+        let Start::Response { status } = message.start else {
             return;
         };
         let Some(connection) = self.nodes.connections.get(&conn) else {
@@ -81,7 +81,7 @@
         let node = connection.node;
         let established_at = connection.established_at;
         let has_more_input = !connection.decoder.is_empty();
-        let reusable = !has_more_input && !connection.stale && message.stays;
+        let reusable = !has_more_input && !connection.stale && message.keep_alive;
         let progress = self.attempts.get(&key).map(|attempt| attempt.progress);
         let Some(AttemptProgress::Written { at: written_at, .. }) = progress else {
             return;
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -72,7 +72,7 @@
         if self.has_length {
             encoder.body(body)
         } else {
-            encoder.bare()
+            encoder.without_body()
         }
     }
 
@@ -313,7 +313,7 @@
     idempotency: Idempotency,
 ) -> Result<Option<&[u8]>, RequestError> {
     match (idempotency, message.field(IDEMPOTENCY_KEY)) {
-        (_, Found::Several) | (Idempotency::WithKey { .. }, Found::None) => {
+        (_, Found::Multiple) | (Idempotency::WithKey { .. }, Found::None) => {
             Err(RequestError::IdempotencyKey)
         }
         (_, Found::One(key)) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
--- a/crates/platform/tests/platform/attempts.rs
+++ b/crates/platform/tests/platform/attempts.rs
@@ -13,7 +13,7 @@
 #[test]
 fn every_outcome_is_what_the_socket_proves() {
     let never = "X-Never-Ran: 1\r\n";
-    let says = |status, fields, body| NodeBehaviour::Responds(answer(status, fields, body));
+    let says = |status, fields, body| NodeBehaviour::Responds(response(status, fields, body));
     let long = format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(20_000));
     // What happens, the ending, the client's answer to a request that must not run twice, and whether the
     // connection is of further use.
@@ -37,13 +37,13 @@
             false,
         ),
         (
-            NodeBehaviour::Responds("HTTP/1.1 100 C\r\n\r\n".to_string() + &answer(200, "", "b")),
+            NodeBehaviour::Responds("HTTP/1.1 100 C\r\n\r\n".to_string() + &response(200, "", "b")),
             "done",
             "200",
             true,
         ),
         (
-            NodeBehaviour::Responds(answer(200, "", "b") + "HTTP/1.1 200 OK"),
+            NodeBehaviour::Responds(response(200, "", "b") + "HTTP/1.1 200 OK"),
             "done",
             "200",
             false,
@@ -129,7 +129,7 @@
         let outcome = match how {
             0 => {
                 rig.establish(0);
-                rig.receive(conn, &answer(503, "X-Never-Ran: 1\r\n", ""));
+                rig.receive(conn, &response(503, "X-Never-Ran: 1\r\n", ""));
                 "turned_away"
             }
             1 => {
@@ -160,7 +160,7 @@
         }
         let conn = *rig.connections_to(NODES[0].1).last().unwrap();
         rig.input(Input::Written(conn));
-        rig.receive(conn, &answer(200, "", "b"));
+        rig.receive(conn, &response(200, "", "b"));
         assert_eq!(rig.statuses(client), ["200"], "{how}");
     }
 }
@@ -188,14 +188,14 @@
     let mut rig = Rig::new();
     rig.client_sending(&request_text("once", 1, 0));
     let old = rig.establish(0);
-    rig.receive(old, &answer(200, "", "b"));
+    rig.receive(old, &response(200, "", "b"));
     let client = rig.client_sending(&request_text("once", 2, 0));
     assert_eq!(rig.sent(old).len(), 2);
     rig.input(Input::NotWritten(old));
     rig.input(Input::Closed(old));
     let new = rig.establish(0);
     assert!(new != old && rig.closed(old));
-    rig.receive(new, &answer(200, "", "b"));
+    rig.receive(new, &response(200, "", "b"));
     assert_eq!(
         (rig.statuses(client), rig.metrics().idle_connections_closed),
         (vec!["200".to_string()], 1)
@@ -207,8 +207,8 @@
     let mut rig = Rig::new();
     rig.client_sending(&request_text("read", 1, 0));
     let conn = rig.establish(0);
-    rig.receive(conn, &answer(200, "", "b"));
-    rig.receive(conn, &answer(200, "", "another's"));
+    rig.receive(conn, &response(200, "", "b"));
+    rig.receive(conn, &response(200, "", "another's"));
     assert!(rig.closed(conn));
     let client = rig.client_sending(&request_text("read", 2, 0));
     assert_eq!((rig.sent(conn).len(), rig.statuses(client).len()), (1, 0));
@@ -219,7 +219,7 @@
     let mut rig = Rig::new();
     rig.client_sending(&request_text("read", 1, 0));
     let conn = rig.establish(0);
-    rig.receive(conn, &answer(200, "", "b"));
+    rig.receive(conn, &response(200, "", "b"));
     rig.advance_time(23_000.0);
     assert!(!rig.closed(conn));
     rig.advance_time(2_000.0);
@@ -292,7 +292,7 @@
         }
         conns
             .iter()
-            .for_each(|l| rig.receive(*l, &answer(200, "", "b")));
+            .for_each(|l| rig.receive(*l, &response(200, "", "b")));
         rig.advance_time(before);
         let connections_lost = conns[conns.len() - 1];
         rig.client_sending(&request_text("once", 4, 0));
@@ -313,7 +313,7 @@
             rig.input(Input::Closed(again));
             rig.client_sending(&request_text("read", 3, 0));
             rig.input(Input::Written(conns[0]));
-            rig.receive(conns[0], &answer(200, "", "b"));
+            rig.receive(conns[0], &response(200, "", "b"));
         } else {
             rig.input(Input::Connected(again));
         }
@@ -353,8 +353,8 @@
         rig.input(Input::Written(*conn));
         assert_eq!(rig.sent(*conn).len(), 1);
     }
-    rig.receive(connections_to[1], &answer(200, "", "b"));
-    rig.receive(connections_to[0], &answer(200, "", "b"));
+    rig.receive(connections_to[1], &response(200, "", "b"));
+    rig.receive(connections_to[0], &response(200, "", "b"));
     assert_eq!(
         (rig.statuses(first), rig.statuses(second)),
         (vec!["200".to_string()], vec!["200".to_string()])
--- a/crates/platform/tests/platform/clients.rs
+++ b/crates/platform/tests/platform/clients.rs
@@ -112,7 +112,7 @@
         (rig.statuses(second), rig.statuses(first).len()),
         (vec!["409".to_string()], 0)
     );
-    rig.receive(conn, &answer(200, "", "b"));
+    rig.receive(conn, &response(200, "", "b"));
     assert_eq!(rig.statuses(first), ["200"]);
     // Once it is over, the id may come again.
     rig.receive(first, &request_text("read", 7, 0));
@@ -140,7 +140,7 @@
             None
         };
         if let (5, Some(conn)) = (stage, conn) {
-            rig.receive(conn, &answer(200, "", "b"));
+            rig.receive(conn, &response(200, "", "b"));
         }
         rig.input(Input::Closed(client));
         assert_eq!(
@@ -151,11 +151,11 @@
         if let (4, Some(conn)) = (stage, conn) {
             // Its attempt runs to its end, and the connection goes on.
             assert!(!rig.closed(conn) && rig.size("legs") == 1);
-            rig.receive(conn, &answer(200, "", "b"));
+            rig.receive(conn, &response(200, "", "b"));
             rig.client_sending(&request_text("read", 8, 0));
             assert_eq!(rig.sent(conn).len(), 2);
             rig.input(Input::Written(conn));
-            rig.receive(conn, &answer(200, "", "b"));
+            rig.receive(conn, &response(200, "", "b"));
         }
         rig.advance_time(2000.0);
         assert_eq!(
@@ -186,7 +186,7 @@
                 .unwrap()
                 .contains(&format!("X-Trace-Id: {trace:016x}"))
         );
-        rig.receive(conn, &answer(200, "", "b"));
+        rig.receive(conn, &response(200, "", "b"));
     }
     assert_eq!(rig.statuses(client), ["200", "200", "200"]);
 }
@@ -216,7 +216,7 @@
         ),
         (1, held, 1)
     );
-    rig.receive(conn, &answer(200, "", "b"));
+    rig.receive(conn, &response(200, "", "b"));
     assert_eq!(
         (rig.statuses(client), rig.finished(client)),
         (vec!["200".to_string()], true)
@@ -246,7 +246,7 @@
     rig.stuck = true;
     let client = rig.client_sending(&(request_text("read", 1, 0) + &request_text("read", 2, 0)));
     let conn = rig.establish(0);
-    rig.receive(conn, &answer(200, "", "b"));
+    rig.receive(conn, &response(200, "", "b"));
     assert_eq!((rig.statuses(client).len(), rig.metrics().requests), (1, 1));
     rig.advance_time(1000.0);
     assert_eq!(rig.metrics().requests, 1);
--- a/crates/platform/tests/platform/discovery.rs
+++ b/crates/platform/tests/platform/discovery.rs
@@ -29,8 +29,8 @@
 fn a_malformed_page_changes_nothing_and_the_whole_list_is_requested() {
     let drains = page(2, false, &[(0, "DRAINING", 0.0)]);
     let cases = [
-        answer(200, "", "{\"seq\":2"),
-        answer(500, "", &drains),
+        response(200, "", "{\"seq\":2"),
+        response(500, "", &drains),
         "HTTP/1.1 200 OK\r\n\r\n".to_string() + &drains,
         "noise\r\n\r\n".to_string(),
     ];
@@ -192,7 +192,7 @@
     let busy = |rig: &mut Rig, c| {
         (
             rig.input(Input::Connected(c)),
-            rig.receive(c, &answer(503, "", "")),
+            rig.receive(c, &response(503, "", "")),
         )
             .1
     };
@@ -247,7 +247,7 @@
                 rig.input(Input::Connected(conn));
                 rig.receive(
                     conn,
-                    &answer(
+                    &response(
                         200,
                         "",
                         &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]),
@@ -268,12 +268,12 @@
 /// still sends is ignored.
 #[test]
 fn of_two_open_polls_the_first_answer_counts() {
-    let drains = answer(
+    let drains = response(
         200,
         "",
         &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]),
     );
-    let serves = answer(
+    let serves = response(
         200,
         "",
         &page(8, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]),
@@ -320,7 +320,7 @@
             rig.input(Input::Connected(conn));
         }
         if !rig.closed(conn) {
-            rig.receive(conn, &answer(200, "", &older));
+            rig.receive(conn, &response(200, "", &older));
         }
         requests.push((rig.now, rig.metrics().discovery_snapshots));
         rig.advance_time(100.0);
@@ -381,7 +381,7 @@
         let idle = rig.establish(0);
         rig.client_sending(&request_text("read", 2, 0));
         let busy = rig.establish(0);
-        rig.receive(idle, &answer(200, "", "b"));
+        rig.receive(idle, &response(200, "", "b"));
         rig.discovery_answers(&change);
         assert!(
             rig.closed(idle) && !rig.closed(busy),
@@ -397,7 +397,7 @@
             ),
             (2, 1, 0)
         );
-        rig.receive(busy, &answer(200, "", "b"));
+        rig.receive(busy, &response(200, "", "b"));
         assert!(rig.closed(busy));
     }
 }
@@ -447,7 +447,7 @@
         );
         rig.receive(
             new,
-            &answer(
+            &response(
                 200,
                 "",
                 &page(3, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]),
@@ -460,7 +460,7 @@
             rig.establish(0);
         }
         let conn = rig.connections_to(NODES[0].1)[0];
-        rig.receive(conn, &answer(200, "", "b"));
+        rig.receive(conn, &response(200, "", "b"));
         assert_eq!(
             (rig.statuses(client), rig.metrics().discovery_lost),
             (vec!["200".to_string()], 0),
--- a/crates/platform/tests/platform/limits_and_shutdown.rs
+++ b/crates/platform/tests/platform/limits_and_shutdown.rs
@@ -21,7 +21,7 @@
     );
     rig.input(Input::WriteClosed(silent[0]));
     let conn = rig.establish(0);
-    rig.receive(conn, &answer(200, "", "b"));
+    rig.receive(conn, &response(200, "", "b"));
     assert_eq!(rig.statuses(usual), ["200"]);
     let slow = rig.client_sending("GET /re");
     for _ in 0..1000 {
@@ -146,7 +146,7 @@
     );
     let usual = rig.client_sending(&request_text("read", 1, 0));
     let conn = rig.establish(0);
-    rig.receive(conn, &answer(200, "", "b"));
+    rig.receive(conn, &response(200, "", "b"));
     assert_eq!(rig.statuses(usual), ["200"]);
 }
 
@@ -164,7 +164,7 @@
         rig.input(Input::Written(*l));
     }
     for l in &conns {
-        rig.receive(*l, &answer(200, "", "b"));
+        rig.receive(*l, &response(200, "", "b"));
         rig.advance_time(1.0);
     }
     rig.receive(clients[0], &request_text("read", 9, 1));
@@ -195,7 +195,7 @@
         let mut rig = Rig::new();
         let busy = rig.client_sending(&request_text("read", 1, 0));
         let conn = rig.establish(0);
-        rig.receive(conn, &answer(200, "", "b"));
+        rig.receive(conn, &response(200, "", "b"));
         let early = rig.client();
         rig.input(Input::Shutdown);
         rig.advance_time(after);
@@ -203,7 +203,7 @@
         rig.receive(client, &request_text("read", 2, 0));
         rig.input(Input::Shutdown);
         rig.input(Input::Written(conn));
-        rig.receive(conn, &answer(200, "", "b"));
+        rig.receive(conn, &response(200, "", "b"));
         assert_eq!(rig.statuses(client), ["200"], "{after} {before}");
         assert_eq!(
             rig.responses(client)[0].contains("Connection: close"),
@@ -321,7 +321,7 @@
             rig.input(Input::Written(conn));
             rig.receive(
                 conn,
-                &answer(
+                &response(
                     200,
                     if trace % 7 == 0 {
                         "Connection: close\r\n"
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -81,14 +81,14 @@
 /// one.
 #[test]
 fn a_second_response_does_not_become_part_of_the_next() {
-    let copy = answer(200, "", "another's");
+    let copy = response(200, "", "another's");
     // What comes behind the first answer, and at which of its bytes it is cut off.
     for cut in [copy.len(), copy.len() - 1, 40, 17, 5, 1] {
         for (written, status, outcome) in [(true, "500", "failed"), (false, "200", "done")] {
             let mut rig = Rig::new();
             rig.client_sending(&request_text("once", 1, 0));
             let conn = rig.establish(0);
-            rig.receive(conn, &answer(200, "", "first"));
+            rig.receive(conn, &response(200, "", "first"));
             let seen = |rig: &Rig| {
                 let last = rig.out.iter().rev().find_map(|o| match o {
                     Output::Send { conn: to, seen, .. } if *to == conn => Some(*seen),
@@ -99,7 +99,7 @@
             let client = rig.client_sending(&request_text("once", 2, 0));
             assert_eq!(
                 seen(&rig),
-                answer(200, "", "first").len() as u64,
+                response(200, "", "first").len() as u64,
                 "what was handled before"
             );
             // It was read before the order to write reached the connection's task.
@@ -107,11 +107,11 @@
             assert!(rig.statuses(client).is_empty(), "{cut}");
             if written {
                 rig.input(Input::Written(conn));
-                rig.receive(conn, &answer(200, "", "made for it"));
+                rig.receive(conn, &response(200, "", "made for it"));
             } else {
                 rig.input(Input::NotWritten(conn));
                 let new = rig.establish(0);
-                rig.receive(new, &answer(200, "", "made for it"));
+                rig.receive(new, &response(200, "", "made for it"));
             }
             assert!(rig.closed(conn), "{cut} {written}: it carries nothing more");
             assert_eq!(rig.statuses(client), [status], "{cut} {written}");
@@ -142,7 +142,7 @@
             let conn = *rig.connections_to(NODES[0].1).last().unwrap();
             let discovery = *rig.connections_to(DISCOVERY).last().unwrap();
             let mut both = vec![
-                received(discovery, &answer(200, "", change)),
+                received(discovery, &response(200, "", change)),
                 Input::Connected(conn),
             ];
             if !list_first {
@@ -169,7 +169,7 @@
                 // It had gone out: it runs to its end there, and the connection is not used again.
                 assert_eq!(rig.sent(conn).len(), 1, "{case}");
                 rig.input(Input::Written(conn));
-                rig.receive(conn, &answer(200, "", "b"));
+                rig.receive(conn, &response(200, "", "b"));
                 assert!(rig.closed(conn) || *what == "started anew", "{case}");
             }
             rig.advance_time(300.0);
@@ -225,13 +225,13 @@
                     rig.client_sending(&request_text("read", 8, 0));
                     reused = Some(rig.establish(0));
                     rig.receive(client, &request_text("read", 1, 0));
-                    racing.extend(reused.map(|conn| received(conn, &answer(200, "", "b"))));
+                    racing.extend(reused.map(|conn| received(conn, &response(200, "", "b"))));
                 }
                 _ => {
                     rig.receive(client, &request_text("read", 1, 0));
                     let first = rig.establish(0);
                     racing.push(match what {
-                        "turned away" => received(first, &answer(503, "X-Never-Ran: 1\r\n", "")),
+                        "turned away" => received(first, &response(503, "X-Never-Ran: 1\r\n", "")),
                         _ => Input::Closed(first),
                     });
                 }
@@ -291,8 +291,8 @@
 /// outcome of an attempt decided for a client that is gone is reported all the same.
 #[test]
 fn a_batch_is_decided_with_all_its_events() {
-    let drains = answer(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
-    let other = answer(200, "", &page(2, false, &[(1, "DRAINING", 0.0)]));
+    let drains = response(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
+    let other = response(200, "", &page(2, false, &[(1, "DRAINING", 0.0)]));
     for (change, to_node) in [(&drains, false), (&other, true)] {
         for order in [[0, 1, 2], [1, 0, 2], [0, 2, 1]] {
             for leaves in [false, true] {
@@ -352,7 +352,7 @@
         rig.receive(client, &text[..100]);
         rig.receive(client, &text[100..]);
         let conn = rig.establish(0);
-        rig.receive(conn, &answer(200, "", "b"));
+        rig.receive(conn, &response(200, "", "b"));
         assert_eq!(rig.statuses(client), ["200", "200"], "{leaving}");
         assert_eq!(
             (rig.finished(client), rig.closed(client)),
@@ -394,7 +394,7 @@
     for half in [0, 60] {
         let mut rig = Rig::new();
         let old = rig.connections_to(DISCOVERY)[0];
-        let drains = answer(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
+        let drains = response(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
         rig.receive(old, &drains[..half]);
         let document =
             gullsail_platform::settings_document::SettingsDocument::parse("d", &moved).unwrap();
@@ -420,7 +420,7 @@
         rig.input(Input::Connected(new));
         rig.receive(
             new,
-            &answer(200, "", &page(0, true, &[(1, "SERVING", 0.0)])),
+            &response(200, "", &page(0, true, &[(1, "SERVING", 0.0)])),
         );
         rig.advance_time(300.0);
         rig.client_sending(&request_text("read", 2, 0));
--- a/crates/platform/tests/platform/rig.rs
+++ b/crates/platform/tests/platform/rig.rs
@@ -75,7 +75,7 @@
     )
 }
 
-pub fn answer(status: u16, fields: &str, body: &str) -> String {
+pub fn response(status: u16, fields: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} X\r\n{fields}Content-Length: {}\r\n\r\n{body}",
         body.len()
@@ -226,7 +226,7 @@
         if self.sent(conn).is_empty() {
             self.input(Input::Connected(conn));
         }
-        self.receive(conn, &answer(200, "", page));
+        self.receive(conn, &response(200, "", page));
     }
 
     /// The newest connection to a node comes up, and what is sent on it is written.
