--- a/crates/platform/src/core/io.rs
+++ b/crates/platform/src/core/io.rs
@@ -1,5 +1,4 @@
-//! What goes into and out of [`super::Core`]: events of sockets and signals, and the orders that the runtime
-//! carries out.
+//! What goes into and out of [`super::Core`]: events of sockets and signals, and orders to the runtime.
 
 use crate::settings_document::SettingsDocument;
 use bytes::Bytes;
@@ -16,11 +15,11 @@
     Connected(ConnectionId),
     /// Bytes were read.
     Received(ConnectionId, Bytes),
-    /// All that was to be written is with the operating system.
+    /// The operating system has taken the whole message.
     Written(ConnectionId),
     /// The connection was found closed before a byte of the message was written.
     NotWritten(ConnectionId),
-    /// Everything is written and this side's direction is closed.
+    /// Everything is written, and this side's direction is closed.
     WriteClosed(ConnectionId),
     /// The connection has ended, or could not be established.
     Closed(ConnectionId),
@@ -30,7 +29,7 @@
     Reload(Box<SettingsDocument>),
     /// The first request to shut down.
     Shutdown,
-    /// The second one: every open request is answered at once.
+    /// The second request: every open request is answered at once.
     ShutdownNow,
 }
 
@@ -44,7 +43,7 @@
         /// An IP address and a port.
         address: String,
     },
-    /// Write to a node or to discovery, unless there is unread input or more than `seen` bytes were read
+    /// Write to a node or to discovery, unless there is unread input or more than `bytes_handled` bytes were read
     /// before: either means that the other side has closed the connection.
     Send {
         /// The connection.
@@ -52,7 +51,7 @@
         /// The whole message.
         bytes: Bytes,
         /// How many received bytes the core has handled.
-        seen: u64,
+        bytes_handled: u64,
     },
     /// Write a response to a client.
     Respond {
@@ -71,12 +70,12 @@
         /// The connection.
         conn: ConnectionId,
     },
-    /// The same, unless there is unread input or more than `seen` bytes were read before.
+    /// The same, unless there is unread input or more than `bytes_handled` bytes were read before.
     CloseIdle {
         /// The connection.
         conn: ConnectionId,
         /// How many received bytes the core has handled.
-        seen: u64,
+        bytes_handled: u64,
     },
     /// Close at once.
     Close {
@@ -92,6 +91,6 @@
     },
     /// Accept the connections that already wait in the backlog, then no more.
     StopAccepting,
-    /// Leave: all is written and every client connection has ended, or there is no time left for it.
+    /// Exit the process: everything is written and every client connection has ended, or no time is left for it.
     Exit,
 }
--- /dev/null
+++ b/crates/platform/src/core/node_connections/assignment.rs
@@ -0,0 +1,136 @@
+//! Matches connections to nodes with the attempts that wait for one, and ends attempts whose connection or node is
+//! lost.
+
+use super::super::Core;
+use super::super::attempt_key::AttemptKey;
+use super::super::attempts::AttemptProgress;
+use super::super::io::ConnectionId;
+use super::connection::ConnectionState;
+use super::node::{ListedNode, Node};
+use gullsail_scheduler_api::{AttemptOutcome, Endpoint, EndpointState, NodeId};
+
+impl Core {
+    /// Discovery lists a node, for the first time or with changes.
+    pub(in super::super) fn node_listed(&mut self, listed: &ListedNode) {
+        let node = listed.endpoint.node;
+        let known = self
+            .nodes
+            .nodes
+            .entry(node)
+            .or_insert_with(|| Node::new(listed.clone()));
+        if known.listed.endpoint.started != listed.endpoint.started {
+            known.unexplained_loss = None;
+        }
+        let moved = known.listed.address != listed.address;
+        known.listed = listed.clone();
+        if !known.is_ready() {
+            // Attempts that wait for a node which is not ready end at once.
+            let waiting = std::mem::take(&mut known.waiting);
+            for key in waiting {
+                self.end_attempt(key, AttemptOutcome::NotSent, None);
+            }
+            self.nodes.retire(node, &mut self.context);
+        } else if moved {
+            // Attempts that wait connect to the new address.
+            self.nodes.retire(node, &mut self.context);
+        }
+        self.nodes.forget_if_gone(node);
+    }
+
+    /// Discovery does not list the node any more.
+    pub(in super::super) fn node_unlisted(&mut self, node: NodeId) {
+        let Some(listed) = self.nodes.listed(node).cloned() else {
+            return;
+        };
+        let endpoint = Endpoint {
+            state: EndpointState::Gone,
+            ..listed.endpoint
+        };
+        self.node_listed(&ListedNode { endpoint, ..listed });
+    }
+
+    pub(in super::super) fn node_connected(&mut self, conn: ConnectionId) {
+        if let Some(node) = self.nodes.established(conn, &mut self.context) {
+            self.assign_connection(conn, node);
+        }
+    }
+
+    /// A connection is free: it goes to the attempt that has waited longest and may still be sent, else it becomes
+    /// idle.
+    pub(super) fn assign_connection(&mut self, conn: ConnectionId, node: NodeId) {
+        while let Some(key) = self.nodes.next_waiting(node) {
+            if self.may_still_send(key) {
+                return self.send_attempt(key, conn);
+            }
+            self.end_attempt(key, AttemptOutcome::NotSent, None);
+        }
+        self.nodes.keep_or_close(conn, node, &mut self.context);
+    }
+
+    /// The node had closed the connection before: nothing was written, so the attempt takes another one.
+    pub(in super::super) fn node_not_written(&mut self, conn: ConnectionId) {
+        let Some(connection) = self.nodes.connections.get(&conn) else {
+            return;
+        };
+        let ConnectionState::Busy(key) = connection.state else {
+            return;
+        };
+        let node = connection.node;
+        self.context.metrics.idle_connections_closed += 1;
+        self.nodes.close(conn, &mut self.context);
+        if !self.may_still_send(key) {
+            return self.end_attempt(key, AttemptOutcome::NotSent, None);
+        }
+        if let Some(attempt) = self.attempts.get_mut(&key) {
+            attempt.progress = AttemptProgress::WaitingForConnection;
+        }
+        self.send_or_wait(key, node);
+    }
+
+    /// The node closed the connection, or it could not be established.
+    pub(in super::super) fn node_connection_closed(&mut self, conn: ConnectionId) {
+        let Some(connection) = self.nodes.remove(conn) else {
+            return;
+        };
+        let node = connection.node;
+        match connection.state {
+            ConnectionState::Connecting => {
+                self.context.metrics.connect_failures += 1;
+                self.fail_first_waiting(node);
+            }
+            ConnectionState::Idle => {}
+            ConnectionState::Busy(key) => self.connection_lost(key, node),
+        }
+        self.nodes.descriptor_freed(node, &mut self.context);
+    }
+
+    fn connection_lost(&mut self, key: AttemptKey, node: NodeId) {
+        let progress = self.attempts.get(&key).map(|attempt| attempt.progress);
+        let was_written = matches!(progress, Some(AttemptProgress::Written { .. }));
+        if !was_written {
+            return self.end_attempt(key, AttemptOutcome::Unreachable, None);
+        }
+        self.context.metrics.connections_lost += 1;
+        self.nodes.record_loss(node, self.context.now);
+        self.end_attempt(key, AttemptOutcome::ConnectionLost, None);
+        self.nodes.reconnect(node, &mut self.context);
+    }
+
+    fn fail_first_waiting(&mut self, node: NodeId) {
+        if let Some(key) = self.nodes.next_waiting(node) {
+            self.end_attempt(key, AttemptOutcome::Unreachable, None);
+        }
+    }
+
+    pub(in super::super) fn connect_timed_out(&mut self, conn: ConnectionId) {
+        let Some(connection) = self.nodes.connections.get(&conn) else {
+            return;
+        };
+        if connection.state == ConnectionState::Connecting {
+            let node = connection.node;
+            self.context.metrics.connect_failures += 1;
+            self.nodes.close(conn, &mut self.context);
+            self.fail_first_waiting(node);
+        }
+    }
+}
--- a/crates/platform/src/core/node_connections/liveness.rs
+++ b/crates/platform/src/core/node_connections/liveness.rs
@@ -1,24 +1,26 @@
-//! Signs that a node's process was not restarted when a connection to it was lost. The scheduler learns of it
-//! by an endpoint list that the node reports of itself.
+//! Evidence that a node's process was not restarted when a connection to it was lost. The scheduler takes a lost
+//! connection for a restart; it learns otherwise by an endpoint list that counts as reported by the node itself.
 
-use super::super::Core;
-use super::{Node, UnexplainedLoss};
+use super::super::context::Context;
+use super::node::UnexplainedLoss;
+use super::pool::NodeConnections;
 use gullsail_scheduler_api::{Event, Instant, NodeId, Span, UpdateKind};
 
-/// A response that comes so long after a loss, on a connection that was established before it, was not in
-/// flight then.
+/// Longest time for which a response may be in flight. A response that is received later than this after a loss,
+/// on a connection established before it, was sent after the loss. Smaller: a response of the old process may
+/// be taken for one of a process that survived. Larger: fewer restarts are ruled out.
 const MAX_IN_FLIGHT: Span = Span::from_micros(100_000);
-/// No process ends and another takes its place in less time;
+/// Shortest time in which a process ends and another takes its place. Larger: a restart may be taken for none.
 const MIN_RESTART: Span = Span::from_micros(250_000);
-/// and no server goes away, comes back and serves in less than this. So a loss between two signs of life that
-/// are that close was no restart.
+/// Shortest time in which a server goes away, comes back and serves. A loss between two signs of life that are
+/// closer than this and [`MIN_RESTART`] was no restart. Larger: a restart may be taken for none.
 const MIN_RETURN: Span = Span::from_micros(2_000_000);
-/// Discovery reports a restart within this time.
+/// Discovery reports a restart within this time; the platform states it. Smaller: a restart may be taken for
+/// none before it is reported.
 const DISCOVERY_DELAY: Span = Span::from_micros(6_000_000);
 
 impl UnexplainedLoss {
-    /// The sign comes on a connection that was established before the loss, and was not in flight at that
-    /// time.
+    /// The sign of life came on a connection that was established before the loss, and was not in flight then.
     fn survived_by(
         &self,
         established_at: Instant,
@@ -29,7 +31,7 @@
             && written_at.is_some_and(|written| written > self.at || now - self.at >= MAX_IN_FLIGHT)
     }
 
-    /// The sign comes so soon after the loss, and the loss so soon after the sign before, that no restart
+    /// The sign of life comes so soon after the loss, and the loss so soon after the sign before, that no restart
     /// fits between.
     fn too_short_for_restart(&self, now: Instant) -> bool {
         now - self.at < MIN_RESTART
@@ -39,76 +41,76 @@
     }
 }
 
-impl Core {
-    /// A connection to the node was established, or a response to a message came that was written at
-    /// `written_at`.
+impl NodeConnections {
+    /// A sign of life: a connection to the node was established, or a response was received to a message that was
+    /// written at `written_at`.
     pub(super) fn node_alive(
         &mut self,
         node: NodeId,
         established_at: Instant,
         written_at: Option<Instant>,
+        context: &mut Context,
     ) {
-        let now = self.now;
-        let Some(n) = self.nodes.nodes.get_mut(&node) else {
+        let now = context.now;
+        let Some(known) = self.nodes.get_mut(&node) else {
             return;
         };
-        n.last_alive = Some(now);
-        let Some(loss) = n.unexplained_loss else {
+        known.last_alive = Some(now);
+        let Some(loss) = known.unexplained_loss else {
             return;
         };
         if loss.survived_by(established_at, written_at, now) || loss.too_short_for_restart(now) {
-            self.rule_out_restart(node);
+            self.rule_out_restart(node, context);
         }
     }
 
-    /// An earlier loss that is unexplained stays in place of this one, for as long as it matters to slow
-    /// start.
-    pub(super) fn record_loss(&mut self, node: NodeId) {
-        let now = self.now;
-        let ramp = self.config.slow_start.ramp;
-        let Some(n) = self.nodes.nodes.get_mut(&node) else {
+    /// An earlier unexplained loss is kept in place of this one for as long as it matters to slow start.
+    pub(super) fn record_loss(&mut self, node: NodeId, now: Instant) {
+        let Some(known) = self.nodes.get_mut(&node) else {
             return;
         };
-        if n.unexplained_loss
-            .is_none_or(|earlier| now - earlier.at >= ramp)
+        if known
+            .unexplained_loss
+            .is_none_or(|earlier| now - earlier.at >= self.slow_start)
         {
-            n.unexplained_loss = Some(UnexplainedLoss {
+            known.unexplained_loss = Some(UnexplainedLoss {
                 at: now,
-                last_alive: n.last_alive,
+                last_alive: known.last_alive,
             });
         }
     }
 
-    /// The scheduler learns that the node's process is as old as discovery says.
-    fn rule_out_restart(&mut self, node: NodeId) {
-        let Some(n) = self.nodes.nodes.get_mut(&node).filter(|n| n.is_ready()) else {
+    /// Tells the scheduler that the node's process is as old as discovery says.
+    fn rule_out_restart(&mut self, node: NodeId, context: &mut Context) {
+        let Some(known) = self.nodes.get_mut(&node) else {
             return;
         };
-        n.unexplained_loss = None;
-        self.metrics.restarts_ruled_out += 1;
-        self.events.push(Event::EndpointList {
+        if !known.is_ready() {
+            return;
+        }
+        known.unexplained_loss = None;
+        context.metrics.restarts_ruled_out += 1;
+        context.scheduler_events.push(Event::EndpointList {
             update_kind: UpdateKind::SelfReported,
-            entries: vec![n.listed.endpoint.clone()],
+            entries: vec![known.listed.endpoint.clone()],
         });
     }
 
-    /// Discovery has answered: by now it would have reported a restart at any loss that is older than its
-    /// delay.
-    pub(in super::super) fn rule_out_old_restarts(&mut self) {
-        let now = self.now;
-        let old = |n: &Node| {
-            n.unexplained_loss
-                .is_some_and(|loss| now - loss.at >= DISCOVERY_DELAY)
-        };
+    /// Discovery has answered: by now it would have reported a restart at any loss that is older than its delay.
+    pub(in super::super) fn rule_out_old_restarts(&mut self, context: &mut Context) {
+        let now = context.now;
         let old: Vec<_> = self
-            .nodes
             .nodes
             .iter()
-            .filter(|(_, n)| old(n))
-            .map(|(id, _)| *id)
+            .filter(|(_, known)| {
+                known
+                    .unexplained_loss
+                    .is_some_and(|loss| now - loss.at >= DISCOVERY_DELAY)
+            })
+            .map(|(node, _)| *node)
             .collect();
         for node in old {
-            self.rule_out_restart(node);
+            self.rule_out_restart(node, context);
         }
     }
 }
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -1,5 +1,5 @@
-//! The table of open requests: an entry lives from the moment its request is handed to the scheduler until
-//! its one response is given and none of its attempts is in flight. It decides nothing.
+//! The table of open requests. An entry exists from the moment its request is handed to the scheduler until its one
+//! response is given and none of its attempts is in flight. The table decides nothing.
 
 use super::attempt_key::AttemptKey;
 use super::io::ConnectionId;
@@ -8,12 +8,13 @@
 use gullsail_scheduler_api::{AttemptOutcome, Instant, Request, RequestClassId, RequestId};
 use std::collections::BTreeMap;
 
-/// Memory of one entry beside its bytes.
+/// Estimated memory of one entry beside its head and body. Too small: the host holds more memory than its bound.
+/// Too large: requests are refused earlier than necessary.
 const ENTRY_OVERHEAD_BYTES: usize = 600;
 
-/// The first attempt that may have run at a node.
+/// The first attempt that is not known to have been skipped by its node: it may have run.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FirstExecution {
+pub(super) struct UnprovenExecution {
     /// Its number within the request.
     pub(super) attempt: u32,
     pub(super) decided_at: Instant,
@@ -21,30 +22,29 @@
 
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// The connection that waits for the response; `None`: it has been given, or nobody waits for it any
-    /// more.
+    /// The connection that waits for the response. `None` if the response was given or the client disconnected.
     pub(super) client: Option<ConnectionId>,
     pub(super) trace_id: u64,
     pub(super) request_class: RequestClassId,
     pub(super) head: ForwardedHead,
     pub(super) body: Bytes,
-    /// When its client stops waiting.
+    /// When its client stops waiting for the response.
     pub(super) deadline: Instant,
     pub(super) attempts_started: u32,
     pub(super) attempts_in_flight: u32,
-    pub(super) first_execution: Option<FirstExecution>,
+    pub(super) unproven_execution: Option<UnprovenExecution>,
     held_bytes: usize,
 }
 
 #[derive(Debug)]
 pub(super) struct RequestTable {
     entries: BTreeMap<RequestId, OpenRequest>,
-    /// By the clients' ids: requests that are open, and those with an attempt in flight.
+    /// The entries by the trace ids that clients chose.
     by_trace_id: BTreeMap<u64, RequestId>,
     last_id: u64,
     held_bytes: usize,
     max_held_bytes: usize,
-    waiting: usize,
+    awaiting_response: usize,
 }
 
 impl RequestTable {
@@ -55,7 +55,7 @@
             last_id: 0,
             held_bytes: 0,
             max_held_bytes,
-            waiting: 0,
+            awaiting_response: 0,
         }
     }
 
@@ -63,12 +63,12 @@
         self.entries.len()
     }
 
-    /// How many wait for their response.
-    pub(super) fn waiting(&self) -> usize {
-        self.waiting
+    /// How many have not been answered yet.
+    pub(super) fn awaiting_response(&self) -> usize {
+        self.awaiting_response
     }
 
-    pub(super) fn all_waiting(&self) -> Vec<RequestId> {
+    pub(super) fn all_awaiting_response(&self) -> Vec<RequestId> {
         self.entries
             .iter()
             .filter(|(_, open)| open.client.is_some())
@@ -88,7 +88,7 @@
         self.entries.get_mut(&id)
     }
 
-    /// Adds an entry and numbers the request; `None`: that would exceed the memory bound.
+    /// Adds an entry and numbers the request. Returns `None` if that would exceed the memory bound.
     pub(super) fn insert(
         &mut self,
         client: ConnectionId,
@@ -116,36 +116,36 @@
             deadline: now + request.timeout,
             attempts_started: 0,
             attempts_in_flight: 0,
-            first_execution: None,
+            unproven_execution: None,
             held_bytes,
         };
         self.held_bytes += held_bytes;
-        self.waiting += 1;
+        self.awaiting_response += 1;
         self.by_trace_id.insert(trace_id, id);
         self.entries.insert(id, open);
         Some(Request { id, ..request })
     }
 
-    /// The request gets its response, or its client is gone: the connection that waited, at most once for
-    /// each request.
+    /// Detaches the client connection, at most once per request: for the response, or because the client has
+    /// disconnected.
     pub(super) fn take_client(&mut self, id: RequestId) -> Option<ConnectionId> {
         let client = self.entries.get_mut(&id)?.client.take()?;
-        self.waiting -= 1;
+        self.awaiting_response -= 1;
         self.remove_if_finished(id);
         Some(client)
     }
 
-    /// One of the attempts has ended. Says whether the request had its response before.
+    /// One of the attempts has ended. Returns whether the request was answered before.
     pub(super) fn attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) -> bool {
         let Some(open) = self.entries.get_mut(&key.request) else {
             return true;
         };
         if outcome.never_ran()
             && open
-                .first_execution
+                .unproven_execution
                 .is_some_and(|first| first.attempt == key.number)
         {
-            open.first_execution = None;
+            open.unproven_execution = None;
         }
         open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
         let was_answered = open.client.is_none();
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -1,38 +1,49 @@
-//! Shutdown in stages: at first everything goes on, since clients use the connections they have for as long
-//! as these are open and nobody else serves them; then nothing new is accepted and open requests are
-//! finished; the process is gone before the platform kills it. A response that is given is not yet written:
-//! the host leaves when each connection has ended in order, or when the platform would kill it the next
-//! moment.
+//! Shutdown in three stages.
+//!
+//! 1. Accepting: everything goes on, new connections included. Clients use the connections they have while these
+//!    are open, and nobody else serves them.
+//! 2. Finishing: no new connections; open requests are finished and idle connections closed.
+//! 3. Flushing: every open request has its response; the responses are being written.
+//!
+//! A response that was decided is not yet written. So the process exits when every client connection has ended, or
+//! [`EXIT_MARGIN`] before the platform kills it.
 
+use super::Core;
+use super::context::IDLE_CHECK_INTERVAL;
 use super::io::Output;
 use super::timer_event::TimerEvent;
-use super::{Core, IDLE_CHECK_INTERVAL};
 use gullsail_scheduler_api::{Instant, Span};
 use tracing::info;
 
-/// After the first signal the platform waits for the longest deadline, which it counts as no more than this,
+/// After SIGTERM the platform waits for the longest deadline of the settings, counted as at most this, and for
+/// [`PLATFORM_EXTRA_GRACE`]; then it kills the process. The platform states both.
 const MAX_GRACE_DEADLINE: Span = Span::from_micros(3_000_000);
-/// and for this; then it kills the process.
-const EXTRA_GRACE: Span = Span::from_micros(700_000);
-/// New connections are accepted for this long at least.
+/// What the platform adds to the longest deadline.
+const PLATFORM_EXTRA_GRACE: Span = Span::from_micros(700_000);
+/// Shortest time for which new connections are accepted after SIGTERM, however long the latency objective is.
+/// Smaller: clients that connect before they learn of another host are refused.
 const MIN_ACCEPTING: Span = Span::from_micros(500_000);
-/// Kept for delays, and for the writing at the end.
-const RESERVE: Span = Span::from_micros(500_000);
-/// The process leaves this long before the platform kills it, whatever is unwritten then.
+/// Kept between the latency objective of the request accepted last and the end of the grace, for delays of the
+/// process and the writing of responses. Smaller: the last responses may be cut off. Larger: new connections
+/// are refused earlier.
+const SCHEDULING_MARGIN: Span = Span::from_micros(500_000);
+/// The process exits this long before the platform kills it, whatever is unwritten then. Smaller: it may be
+/// killed instead of exiting with code 0.
 const EXIT_MARGIN: Span = Span::from_micros(50_000);
-/// A request that is open this long before the exit gets its final response: unanswered it would be lost, and
-/// the response has to be written and the connection closed too, by a process that shares its core.
+/// A request that is still open this long before the exit fails: without a response it would be lost. The response
+/// has to be written and the connection closed within this time, by a process that shares its core. Larger:
+/// requests fail that would have been served.
 const WRITING_TIME: Span = Span::from_micros(300_000);
-/// After a second signal everything is answered at once; this long is left to clients that read slowly.
+/// After a second signal all requests are answered at once; clients that read slowly have this long to read.
 const IMMEDIATE_EXIT: Span = Span::from_micros(1_000_000);
 
+/// The stage of the shutdown. The time is when the process has to exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Shutdown {
     Serving,
-    /// The process has to be gone at the time given.
     Accepting(Instant),
     Finishing(Instant),
-    /// All open requests have their final response; new ones are refused.
+    /// Every open request has its final response; new ones are refused.
     Flushing,
     Done,
 }
@@ -48,19 +59,18 @@
         if self.shutdown != Shutdown::Serving {
             return;
         }
-        let (deadline, latency_objective) = self.reach.longest;
-        let grace = deadline.min(MAX_GRACE_DEADLINE) + EXTRA_GRACE;
+        let (deadline, latency_objective) = self.settings.reach.longest;
+        let grace = deadline.min(MAX_GRACE_DEADLINE) + PLATFORM_EXTRA_GRACE;
         // A request accepted at the last moment still has its latency objective: the scheduler answers by
         // then.
-        let accepting = (grace - latency_objective - RESERVE).max(MIN_ACCEPTING);
+        let accepting = (grace - latency_objective - SCHEDULING_MARGIN).max(MIN_ACCEPTING);
         info!(
-            open = self.requests.waiting(),
-            takes_ms = accepting.millis(),
-            "leaving"
+            open_requests = self.requests.awaiting_response(),
+            accepting_ms = accepting.millis(),
+            "shutdown started"
         );
-        self.shutdown = Shutdown::Accepting(self.now + grace - EXIT_MARGIN);
-        self.timers
-            .set(self.now + accepting, TimerEvent::ShutdownStage);
+        self.shutdown = Shutdown::Accepting(self.context.now + grace - EXIT_MARGIN);
+        self.context.set_timer(accepting, TimerEvent::ShutdownStage);
     }
 
     /// A second signal: every open request is answered now.
@@ -69,30 +79,33 @@
             return;
         }
         if self.shutdown.accepts_requests() {
-            self.outputs.push(Output::StopAccepting);
+            self.context.outputs.push(Output::StopAccepting);
         }
+        let immediate_exit = self.context.now + IMMEDIATE_EXIT;
         let exit_at = match self.shutdown {
             Shutdown::Accepting(exit_at) | Shutdown::Finishing(exit_at) => {
-                exit_at.min(self.now + IMMEDIATE_EXIT)
+                exit_at.min(immediate_exit)
             }
-            _ => self.now + IMMEDIATE_EXIT,
+            Shutdown::Serving | Shutdown::Flushing | Shutdown::Done => immediate_exit,
         };
         self.answer_all(exit_at);
     }
 
-    /// A timer for a stage that is over already has no effect.
+    /// The timer of a stage that is over already has no effect.
     pub(super) fn advance_shutdown(&mut self) {
         match self.shutdown {
             Shutdown::Accepting(exit_at) => {
                 self.shutdown = Shutdown::Finishing(exit_at);
-                // The listener goes first: a client that finds its connection closed and connects again is
+                // The listener is closed first: a client that finds its connection closed and connects again is
                 // refused at once.
-                self.outputs.push(Output::StopAccepting);
-                self.close_idle_clients(IDLE_CHECK_INTERVAL);
-                self.timers
+                self.context.outputs.push(Output::StopAccepting);
+                self.clients
+                    .close_idle_older_than(IDLE_CHECK_INTERVAL, &mut self.context);
+                self.context
+                    .timers
                     .set(exit_at - WRITING_TIME, TimerEvent::ShutdownStage);
             }
-            Shutdown::Finishing(exit_at) if self.now >= exit_at - WRITING_TIME => {
+            Shutdown::Finishing(exit_at) if self.context.now >= exit_at - WRITING_TIME => {
                 self.answer_all(exit_at)
             }
             Shutdown::Serving | Shutdown::Finishing(_) | Shutdown::Flushing | Shutdown::Done => {}
@@ -101,16 +114,16 @@
 
     fn answer_all(&mut self, exit_at: Instant) {
         self.shutdown = Shutdown::Flushing;
-        for id in self.requests.all_waiting() {
+        for id in self.requests.all_awaiting_response() {
             self.fail(id);
         }
         self.end_clients();
-        self.timers.set(exit_at, TimerEvent::Exit);
+        self.context.timers.set(exit_at, TimerEvent::Exit);
     }
 
     pub(super) fn exit_if_done(&mut self) {
         let finishing = matches!(self.shutdown, Shutdown::Finishing(_) | Shutdown::Flushing);
-        if finishing && self.requests.waiting() == 0 && self.clients.len() == 0 {
+        if finishing && self.requests.awaiting_response() == 0 && self.clients.len() == 0 {
             self.exit();
         }
     }
@@ -118,8 +131,8 @@
     pub(super) fn exit(&mut self) {
         if self.shutdown != Shutdown::Done {
             self.shutdown = Shutdown::Done;
-            self.log_metrics("left");
-            self.outputs.push(Output::Exit);
+            self.log_metrics("shutdown complete");
+            self.context.outputs.push(Output::Exit);
         }
     }
 }
--- a/crates/platform/src/runtime.rs
+++ b/crates/platform/src/runtime.rs
@@ -118,7 +118,7 @@
                 Ok(document) => sockets.core.handle(clock.now(), Input::Reload(Box::new(document))),
                 Err(why) => warn!("the new document is not taken, the old one stays: {why:?}"),
             },
-            accepted = accept(sockets.listener.as_ref(), accept_from), if sockets.core.has_place() => {
+            accepted = accept(sockets.listener.as_ref(), accept_from), if sockets.core.can_accept() => {
                 match accepted {
                     Ok(stream) => sockets.add_client(stream),
                     Err(e) => {
--- a/crates/platform/src/runtime/connection.rs
+++ b/crates/platform/src/runtime/connection.rs
@@ -56,7 +56,7 @@
         /// The whole message.
         bytes: Bytes,
         /// How many received bytes the owner has handled.
-        seen: u64,
+        bytes_handled: u64,
     },
     /// Write a response.
     Respond(Bytes),
@@ -67,7 +67,7 @@
     /// The same, under the condition of [`Order::Send`].
     CloseIdle {
         /// How many received bytes the owner has handled.
-        seen: u64,
+        bytes_handled: u64,
     },
 }
 
@@ -179,8 +179,11 @@
     async fn carry_out(&mut self, order: Order) -> Result<Next, OwnerGone> {
         match order {
             Order::DiscardInput => self.discard_left = Some(MAX_DISCARDED_BYTES),
-            Order::Send { bytes, seen } => {
-                if !self.no_unseen_input(seen) {
+            Order::Send {
+                bytes,
+                bytes_handled,
+            } => {
+                if !self.no_unseen_input(bytes_handled) {
                     self.report(SocketEvent::NotWritten).await?;
                     return Ok(Next::Close);
                 }
@@ -198,7 +201,7 @@
                 }
                 self.report(SocketEvent::Written).await?;
             }
-            Order::CloseIdle { seen } if !self.no_unseen_input(seen) => {}
+            Order::CloseIdle { bytes_handled } if !self.no_unseen_input(bytes_handled) => {}
             Order::CloseIdle { .. } | Order::FinishAndClose => {
                 self.linger().await?;
                 return Ok(Next::Close);
@@ -226,10 +229,10 @@
 
     /// Does the owner know of all input? What was reported and is not handled yet counts, and what is still
     /// to be read: for that the socket itself is asked, since the runtime's view may be a moment old.
-    fn no_unseen_input(&self, seen: u64) -> bool {
+    fn no_unseen_input(&self, bytes_handled: u64) -> bool {
         let mut one_byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut one_byte);
-        self.bytes_reported == seen
+        self.bytes_reported == bytes_handled
             && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
--- a/crates/platform/src/runtime/sockets.rs
+++ b/crates/platform/src/runtime/sockets.rs
@@ -139,11 +139,24 @@
     /// Returns the connection if its queue is full.
     fn carry_out(&mut self, output: Output) -> Option<ConnectionId> {
         let (conn, order) = match output {
-            Output::Send { conn, bytes, seen } => (conn, Order::Send { bytes, seen }),
+            Output::Send {
+                conn,
+                bytes,
+                bytes_handled,
+            } => (
+                conn,
+                Order::Send {
+                    bytes,
+                    bytes_handled,
+                },
+            ),
             Output::Respond { conn, bytes } => (conn, Order::Respond(bytes)),
             Output::DiscardInput { conn } => (conn, Order::DiscardInput),
             Output::FinishAndClose { conn } => (conn, Order::FinishAndClose),
-            Output::CloseIdle { conn, seen } => (conn, Order::CloseIdle { seen }),
+            Output::CloseIdle {
+                conn,
+                bytes_handled,
+            } => (conn, Order::CloseIdle { bytes_handled }),
             Output::Connect { conn, address } => {
                 self.connect(conn, address);
                 return None;
--- a/crates/platform/tests/platform/connection_task.rs
+++ b/crates/platform/tests/platform/connection_task.rs
@@ -90,13 +90,13 @@
         while task.events.is_empty() {
             tokio::task::yield_now().await;
         }
-        task.order(Order::CloseIdle { seen: 5 }).await;
+        task.order(Order::CloseIdle { bytes_handled: 5 }).await;
         assert_eq!(task.next_event().await, "second");
         task.order(Order::Respond(Bytes::from_static(b"answer")))
             .await;
         assert_eq!(task.next_event().await, "Written");
         // With all of it handled the order holds.
-        task.order(Order::CloseIdle { seen: 11 }).await;
+        task.order(Order::CloseIdle { bytes_handled: 11 }).await;
         assert_eq!(task.next_event().await, "WriteClosed");
         assert_eq!(task.read_to_end().await, ("answer".into(), true));
         // What crossed the end is read over, and nobody answers it with a reset.
@@ -124,7 +124,7 @@
         }
         // The inbox is full: this one is read and waits in the task, or lies in the socket.
         task.peer_sends(b"second").await;
-        task.order(Order::CloseIdle { seen: 5 }).await;
+        task.order(Order::CloseIdle { bytes_handled: 5 }).await;
         assert_eq!(task.next_event().await, "first");
         assert_eq!(task.next_event().await, "second");
         task.order(Order::Respond(Bytes::from_static(b"answer")))
@@ -253,9 +253,9 @@
 #[test]
 fn nothing_is_written_after_unsolicited_input() {
     runs(async {
-        let send = |seen| Order::Send {
+        let send = |bytes_handled| Order::Send {
             bytes: Bytes::from_static(b"message"),
-            seen,
+            bytes_handled,
         };
         // Read, and its owner did not know yet.
         let mut task = TaskUnderTest::new(8).await;
@@ -311,7 +311,7 @@
         task.peer.shutdown().await.unwrap();
         task.order(Order::Send {
             bytes: Bytes::from_static(b"message"),
-            seen: 6,
+            bytes_handled: 6,
         })
         .await;
         assert_eq!(task.next_event().await, "one");
--- a/crates/platform/tests/platform/limits_and_shutdown.rs
+++ b/crates/platform/tests/platform/limits_and_shutdown.rs
@@ -65,7 +65,7 @@
     rig.advance_time(1900.0);
     let guests: Vec<_> = (0..8).map(|_| rig.client_sending(health)).collect();
     assert!(
-        !rig.core.has_place()
+        !rig.core.can_accept()
             && all
                 .iter()
                 .all(|c| !rig.closed(*c) && rig.close_idle_orders(*c) == 0)
@@ -76,12 +76,12 @@
     assert_eq!(rig.metrics().eviction_failures, 8);
     // A connection that is over but for the client's own close is dropped for a new client at once.
     rig.input(Input::WriteClosed(guests[0]));
-    assert!(rig.core.has_place());
+    assert!(rig.core.can_accept());
     let newcomer = rig.client();
     rig.advance();
-    assert!(rig.closed(guests[0]) && !rig.core.has_place());
+    assert!(rig.closed(guests[0]) && !rig.core.can_accept());
     rig.input(Input::Closed(newcomer));
-    assert!(rig.core.has_place());
+    assert!(rig.core.can_accept());
     rig.advance_time(300.0);
     assert!(
         all.iter().all(|c| rig.close_idle_orders(*c) == 1),
@@ -117,7 +117,7 @@
         .map(|i| rig.client_sending(&request_text("read", 100 + i as u64, 0)))
         .collect();
     rig.advance_time(400.0);
-    assert!(!rig.core.has_place());
+    assert!(!rig.core.can_accept());
     assert!(
         all.iter()
             .all(|c| !rig.closed(*c) && rig.close_idle_orders(*c) == 0)
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -89,16 +89,20 @@
             rig.client_sending(&request_text("once", 1, 0));
             let conn = rig.establish(0);
             rig.receive(conn, &response(200, "", "first"));
-            let seen = |rig: &Rig| {
+            let bytes_handled = |rig: &Rig| {
                 let last = rig.out.iter().rev().find_map(|o| match o {
-                    Output::Send { conn: to, seen, .. } if *to == conn => Some(*seen),
+                    Output::Send {
+                        conn: to,
+                        bytes_handled,
+                        ..
+                    } if *to == conn => Some(*bytes_handled),
                     _ => None,
                 });
                 last.unwrap()
             };
             let client = rig.client_sending(&request_text("once", 2, 0));
             assert_eq!(
-                seen(&rig),
+                bytes_handled(&rig),
                 response(200, "", "first").len() as u64,
                 "what was handled before"
             );
@@ -340,11 +344,14 @@
             rig.advance_time(2200.0);
         }
         let orders = |rig: &Rig| {
-            let seen = |o: &Output| match o {
-                Output::CloseIdle { conn, seen } if *conn == client => Some(*seen as usize),
+            let bytes_handled = |o: &Output| match o {
+                Output::CloseIdle {
+                    conn,
+                    bytes_handled,
+                } if *conn == client => Some(*bytes_handled as usize),
                 _ => None,
             };
-            rig.out.iter().filter_map(seen).collect::<Vec<_>>()
+            rig.out.iter().filter_map(bytes_handled).collect::<Vec<_>>()
         };
         assert_eq!(orders(&rig), [health.len()], "{leaving}");
         // It was read before the order reached the connection's task, which does nothing then.
--- a/crates/platform/tests/platform/rig.rs
+++ b/crates/platform/tests/platform/rig.rs
@@ -147,7 +147,7 @@
     }
 
     pub fn client(&mut self) -> ConnectionId {
-        assert!(self.core.has_place());
+        assert!(self.core.can_accept());
         self.core.accept(self.now)
     }
 
