--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -51,7 +51,7 @@
     // A half-written document keeps what is; a whole one moves discovery.
     std::fs::write(&host.file, &document(old_discovery)[..100]).unwrap();
     host.signal(Signal::SIGHUP);
-    host.line("the old one stays");
+    host.line("reload rejected, keeping the previous configuration");
     let (new_discovery, polls_after_reload) = discovery(node);
     std::fs::write(&host.file, document(new_discovery)).unwrap();
     host.signal(Signal::SIGHUP);
@@ -67,7 +67,7 @@
     let mut open = host.client();
     send_request(&mut open, 0xff);
     host.signal(Signal::SIGTERM);
-    host.line("accepts no more");
+    host.line("listener closed");
     assert!(host.child.try_wait().unwrap().is_none());
     release.send(()).unwrap();
     assert_eq!(read_status(&mut open).as_deref(), Some("200"));
--- a/crates/cli/tests/platform/races.rs
+++ b/crates/cli/tests/platform/races.rs
@@ -52,7 +52,7 @@
         send_request(&mut open, 1);
         requests.recv_timeout(SOON).unwrap();
         host.signal(Signal::SIGTERM);
-        host.line("leaving");
+        host.line("shutdown started");
         if signals == 2 {
             host.signal(Signal::SIGTERM);
         }
@@ -84,7 +84,7 @@
     send_request(&mut slow, 1);
     requests.recv_timeout(SOON).unwrap();
     host.signal(Signal::SIGTERM);
-    host.line("accepts no more");
+    host.line("listener closed");
     let text = read_message(&mut slow).expect("a whole answer");
     assert!(text.starts_with("HTTP/1.1 200") && text.ends_with(&body));
     assert_eq!(read_responses(&mut slow), (vec![], true));
@@ -110,7 +110,7 @@
         }
         if leaving {
             host.signal(Signal::SIGTERM);
-            host.line("leaving");
+            host.line("shutdown started");
         }
         // Longer than connections may rest, and than the host takes more while it leaves.
         host.signal(Signal::SIGSTOP);
--- a/crates/cli/tests/platform/rig.rs
+++ b/crates/cli/tests/platform/rig.rs
@@ -126,7 +126,7 @@
             file,
             _dir: dir,
         };
-        let line = host.line("serves clients at=");
+        let line = host.line("listening for clients address=");
         host.address = line.rsplit('=').next().unwrap().parse().unwrap();
         host
     }
--- a/crates/platform/src/core/clients/capacity.rs
+++ b/crates/platform/src/core/clients/capacity.rs
@@ -40,7 +40,7 @@
         }
         while self.clients.must_evict(new_connections) {
             let Some(evicted) = self.clients.next_to_evict(self.context.now) else {
-                self.context.metrics.eviction_failures += new_connections as u64;
+                self.context.metrics.connection_limit_reached += new_connections as u64;
                 return;
             };
             self.context.metrics.clients_evicted += 1;
--- a/crates/platform/src/core/clients/input.rs
+++ b/crates/platform/src/core/clients/input.rs
@@ -85,7 +85,7 @@
             .requests
             .insert(conn, parsed, self.context.now)
             .ok_or(RequestError::OutOfMemory)?;
-        self.context.metrics.requests += 1;
+        self.context.metrics.requests_accepted += 1;
         self.clients
             .request_opened(conn, request.id, message.keep_alive);
         self.context
--- a/crates/platform/src/core/clients/responses.rs
+++ b/crates/platform/src/core/clients/responses.rs
@@ -89,7 +89,7 @@
     /// 200 with the body of the node's response.
     pub(in super::super) fn succeed(&mut self, id: RequestId, body: &[u8]) {
         let answered = self.respond_to_request(id, HttpStatus::OK, |encoder| encoder.body(body));
-        self.context.metrics.succeeded += u64::from(answered);
+        self.context.metrics.requests_succeeded += u64::from(answered);
     }
 
     /// 503, with `Retry-After` where the scheduler states a time.
@@ -101,13 +101,13 @@
                     .body(b""),
                 None => encoder.body(b""),
             });
-        self.context.metrics.rejected += u64::from(answered);
+        self.context.metrics.requests_rejected += u64::from(answered);
     }
 
     /// 500.
     pub(in super::super) fn fail(&mut self, id: RequestId) {
         let answered =
             self.respond_to_request(id, HttpStatus::INTERNAL_ERROR, |encoder| encoder.body(b""));
-        self.context.metrics.failed += u64::from(answered);
+        self.context.metrics.requests_failed += u64::from(answered);
     }
 }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -209,12 +209,12 @@
         let mut sizes = self.scheduler.size_metrics();
         sizes.extend([
             ("clients", self.clients.len()),
-            ("transfers", self.requests.len()),
-            ("legs", self.attempts.len()),
-            ("links", self.nodes.connection_count()),
-            ("links.nodes", self.nodes.node_count()),
-            ("due", self.context.timers.pending()),
-            ("bytes", self.held_bytes()),
+            ("requests", self.requests.len()),
+            ("attempts", self.attempts.len()),
+            ("node_connections", self.nodes.connection_count()),
+            ("nodes", self.nodes.node_count()),
+            ("timers", self.context.timers.pending()),
+            ("held_bytes", self.held_bytes()),
         ]);
         sizes
     }
--- a/crates/platform/src/core/node_connections/assignment.rs
+++ b/crates/platform/src/core/node_connections/assignment.rs
@@ -76,7 +76,7 @@
             return;
         };
         let node = connection.node;
-        self.context.metrics.idle_connections_closed += 1;
+        self.context.metrics.idle_connections_found_closed += 1;
         self.nodes.close(conn, &mut self.context);
         if !self.may_still_send(key) {
             return self.end_attempt(key, AttemptOutcome::NotSent, None);
--- a/crates/platform/src/core/node_connections/liveness.rs
+++ b/crates/platform/src/core/node_connections/liveness.rs
@@ -89,7 +89,7 @@
             return;
         }
         known.unexplained_loss = None;
-        context.metrics.restarts_ruled_out += 1;
+        context.metrics.same_process_after_break += 1;
         context.scheduler_events.push(Event::EndpointList {
             update_kind: UpdateKind::SelfReported,
             entries: vec![known.listed.endpoint.clone()],
--- a/crates/platform/src/core/peers.rs
+++ b/crates/platform/src/core/peers.rs
@@ -25,7 +25,7 @@
     /// Sends a message of the scheduler. A host without an address is skipped: the scheduler repeats its reports.
     pub(super) fn send(&self, to: HostId, bytes: Vec<u8>, context: &mut Context) {
         if let Some(address) = self.addresses.get(to.0 as usize) {
-            context.metrics.peer_messages_sent += 1;
+            context.metrics.reports_sent += 1;
             context.outputs.push(Output::Datagram {
                 to: *address,
                 bytes: bytes.into(),
@@ -36,7 +36,7 @@
     pub(super) fn receive(&self, from: SocketAddr, bytes: &[u8], context: &mut Context) {
         match self.addresses.iter().position(|peer| *peer == from) {
             Some(host) if bytes.len() <= MAX_PEER_MESSAGE_BYTES => {
-                context.metrics.peer_messages_received += 1;
+                context.metrics.reports_received += 1;
                 context.scheduler_events.push(Event::PeerMessage {
                     from: HostId(host as u32),
                     bytes: bytes.to_vec(),
--- a/crates/platform/src/core/request_error.rs
+++ b/crates/platform/src/core/request_error.rs
@@ -1,11 +1,10 @@
-//! Why a client's message is not accepted as a request, with the HTTP status and text of the response.
+//! Why a client's message is not accepted as a request, with the HTTP status and body of the response.
 
-/// The reason; its serialized name is the key under which it is counted.
+/// The reason; its serialized name is the key under which it is counted in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestError {
-    /// No HTTP/1.1 message.
-    #[serde(rename = "unreadable")]
+    /// The message does not follow HTTP/1.1, or its length is ambiguous.
     Malformed,
     /// The head exceeds its bound.
     HeadTooLong,
@@ -18,33 +17,27 @@
     /// The method does not fit the request class.
     Method,
     /// The header of the request class is missing or differs from the path.
-    #[serde(rename = "stream_type")]
     RequestClass,
     /// The plan is missing or unknown.
     Plan,
     /// The trace id is missing or malformed.
-    #[serde(rename = "trace")]
     TraceId,
     /// The deadline is missing or out of range.
-    #[serde(rename = "expiry")]
     Deadline,
     /// Units, shard or host count are missing or out of range.
-    Extent,
+    UnitsShardOrHosts,
     /// The idempotency key is missing or malformed.
-    #[serde(rename = "key")]
     IdempotencyKey,
     /// A write without a length.
-    #[serde(rename = "length")]
     LengthRequired,
     /// A read with a body.
     ReadWithBody,
     /// A request with the same trace id is open.
-    #[serde(rename = "id_is_open")]
     DuplicateTraceId,
-    /// The memory bound for requests is reached.
-    #[serde(rename = "no_room")]
+    /// The bound on memory for requests is reached. Answered with 413, not 503: a 503 would tell the client when to
+    /// retry, which only the scheduler decides.
     OutOfMemory,
-    /// The host is leaving.
+    /// The host is shutting down and serves no more requests.
     ShuttingDown,
 }
 
@@ -58,38 +51,42 @@
 }
 
 impl HttpStatus {
-    pub(super) const OK: HttpStatus = HttpStatus {
-        code: 200,
-        reason: "OK",
-    };
-    pub(super) const INTERNAL_ERROR: HttpStatus = HttpStatus {
-        code: 500,
-        reason: "Internal Server Error",
-    };
-    pub(super) const UNAVAILABLE: HttpStatus = HttpStatus {
-        code: 503,
-        reason: "Service Unavailable",
-    };
+    const fn new(code: u16, reason: &'static str) -> HttpStatus {
+        HttpStatus { code, reason }
+    }
+
+    pub(super) const OK: HttpStatus = HttpStatus::new(200, "OK");
+    pub(super) const INTERNAL_ERROR: HttpStatus = HttpStatus::new(500, "Internal Server Error");
+    pub(super) const UNAVAILABLE: HttpStatus = HttpStatus::new(503, "Service Unavailable");
 }
 
 impl RequestError {
     /// The status of the response.
     pub fn status(self) -> HttpStatus {
-        let (code, reason) = match self {
-            RequestError::Path => (404, "Not Found"),
-            RequestError::Method => (405, "Method Not Allowed"),
-            RequestError::TooSlow => (408, "Request Timeout"),
-            RequestError::DuplicateTraceId => (409, "Conflict"),
-            RequestError::LengthRequired => (411, "Length Required"),
-            RequestError::BodyTooLong | RequestError::OutOfMemory => (413, "Content Too Large"),
-            RequestError::ShuttingDown => return HttpStatus::UNAVAILABLE,
-            RequestError::HeadTooLong => (431, "Request Header Fields Too Large"),
-            _ => (400, "Bad Request"),
-        };
-        HttpStatus { code, reason }
+        match self {
+            RequestError::Path => HttpStatus::new(404, "Not Found"),
+            RequestError::Method => HttpStatus::new(405, "Method Not Allowed"),
+            RequestError::TooSlow => HttpStatus::new(408, "Request Timeout"),
+            RequestError::DuplicateTraceId => HttpStatus::new(409, "Conflict"),
+            RequestError::LengthRequired => HttpStatus::new(411, "Length Required"),
+            RequestError::BodyTooLong | RequestError::OutOfMemory => {
+                HttpStatus::new(413, "Content Too Large")
+            }
+            RequestError::HeadTooLong => HttpStatus::new(431, "Request Header Fields Too Large"),
+            RequestError::ShuttingDown => HttpStatus::UNAVAILABLE,
+            RequestError::Malformed
+            | RequestError::RequestClass
+            | RequestError::Plan
+            | RequestError::TraceId
+            | RequestError::Deadline
+            | RequestError::UnitsShardOrHosts
+            | RequestError::IdempotencyKey
+            | RequestError::ReadWithBody => HttpStatus::new(400, "Bad Request"),
+        }
     }
 
-    /// The body of the response: what would have been accepted.
+    /// The body of the response: what would have been accepted. Clients receive these texts, so they do not change
+    /// with the names in this program.
     pub fn expected(self) -> &'static str {
         match self {
             RequestError::Malformed => "an HTTP/1.1 message with one sound length was meant",
@@ -102,7 +99,9 @@
             RequestError::Plan => "X-Storage-Class with a plan of the settings was meant",
             RequestError::TraceId => "X-Trace-Id with 16 hexadecimal digits was meant",
             RequestError::Deadline => "X-Expires-In-Ms with whole milliseconds was meant",
-            RequestError::Extent => "X-Extent with units, shard and hosts in range was meant",
+            RequestError::UnitsShardOrHosts => {
+                "X-Extent with units, shard and hosts in range was meant"
+            }
             RequestError::IdempotencyKey => "an Idempotency-Key was meant",
             RequestError::LengthRequired => "a length of the body was meant",
             RequestError::ReadWithBody => "a read without a body was meant",
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -263,7 +263,7 @@
     ) -> Result<Extent, RequestError> {
         let extent = single(message, EXTENT)
             .and_then(Extent::from_text)
-            .ok_or(RequestError::Extent)?;
+            .ok_or(RequestError::UnitsShardOrHosts)?;
         let max_units = if config.max_units > 0.0 {
             config.max_units
         } else {
@@ -281,7 +281,7 @@
         if in_range {
             Ok(extent)
         } else {
-            Err(RequestError::Extent)
+            Err(RequestError::UnitsShardOrHosts)
         }
     }
 
--- a/crates/platform/src/runtime.rs
+++ b/crates/platform/src/runtime.rs
@@ -1,7 +1,8 @@
-//! The thin part of the platform's host: sockets, one timer, signals, the clock. Whatever happens is handed
-//! to [`Core`], whatever it orders is done; nothing is decided here. Each connection is a
-//! task of its own ([`connection`]), which `sockets` owns and ends; `reload` reads the settings document
-//! anew.
+//! The part of the platform's host that does I/O: sockets, one timer, signals, the clock. It passes every event to
+//! [`Core`] and carries out the outputs; it decides nothing.
+//!
+//! [`run`] is the event loop. Each connection is a task of its own ([`connection`]), which `sockets` owns and
+//! ends; `reload` reads the settings document while the loop goes on.
 
 pub mod connection;
 mod reload;
@@ -23,18 +24,21 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Events of all connections that wait to be handled; beyond this sockets are not read.
+/// Most events of all connections that wait to be handled; when the queue is full, sockets are not read. Larger:
+/// more memory under load. Smaller: connections wait for the event loop more often.
 const EVENT_QUEUE: usize = 64;
-/// Events handled together before anything is sent.
+/// Most events handled before the scheduler runs and outputs are carried out. Larger: the first event of a batch
+/// waits longer. Smaller: the scheduler runs more often.
 const EVENT_BATCH: usize = 64;
-/// After a failure to accept.
+/// Pause after a failure to accept, mostly for want of descriptors. Without it the loop would spin until one is
+/// free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longer datagrams are foreign, and one byte more than a peer message shows that.
+/// Bytes read of a datagram: one more than the longest peer message, so that a longer one is recognised.
 const DATAGRAM_BYTES: usize = 257;
-/// The largest document that is read.
+/// Largest settings document that is read, in bytes: bounds the memory that a wrong file can take.
 const MAX_DOCUMENT_BYTES: u64 = 4 << 20;
 
-/// The signals of the process. Registered before anything else: by default SIGHUP ends the process.
+/// The signals of the process. They are registered before anything else: by default SIGHUP ends the process.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -42,15 +46,15 @@
 }
 
 impl Signals {
-    /// Registers for them.
+    /// Registers handlers for SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// The system refuses; or there is no runtime around it.
+    /// The operating system refuses, or no tokio runtime is running.
     pub fn register() -> Result<Signals> {
         let register = |kind| {
             signal(kind)
                 .into_diagnostic()
-                .wrap_err("can't take signals")
+                .wrap_err("cannot register signal handlers")
         };
         Ok(Signals {
             terminate: register(SignalKind::terminate())?,
@@ -63,28 +67,28 @@
 /// Reads a settings document from a file.
 ///
 /// # Errors
-/// The file can't be read, or what it says is not valid: with the place and what was expected.
+/// The file cannot be read, or its content is invalid: the error names the place and what was expected.
 pub fn read_settings(file: &Path) -> Result<SettingsDocument> {
     let name = file.display().to_string();
     let size = std::fs::metadata(file)
         .into_diagnostic()
-        .wrap_err_with(|| format!("can't read {name}"))?;
+        .wrap_err_with(|| format!("cannot read settings document {name}"))?;
     if !size.is_file() || size.len() > MAX_DOCUMENT_BYTES {
         return Err(miette!(
-            help = "a file of at most 4 MiB was meant",
-            "{name} is no document"
+            help = "expected a regular file of at most 4 MiB",
+            "cannot read settings document {name}"
         ));
     }
     let text = std::fs::read_to_string(file)
         .into_diagnostic()
-        .wrap_err_with(|| format!("can't read {name}"))?;
-    SettingsDocument::parse(&name, &text).map_err(|e: Box<DocumentError>| Report::new(*e))
+        .wrap_err_with(|| format!("cannot read settings document {name}"))?;
+    SettingsDocument::parse(&name, &text).map_err(|error: Box<DocumentError>| Report::new(*error))
 }
 
 /// Serves until a signal ends it and all open requests are answered.
 ///
 /// # Errors
-/// It can't listen where the document says.
+/// An address of the document cannot be listened on.
 pub async fn run(
     file: PathBuf,
     document: SettingsDocument,
@@ -98,7 +102,7 @@
     let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE);
     let core = Core::new(document, descriptors, clock.now());
     let address = listener.local_addr().into_diagnostic()?;
-    info!("serves clients at={address}");
+    info!(%address, "listening for clients");
     let mut sockets = Sockets::new(core, clock, event_sender, listener, peers);
     let mut batch = Vec::with_capacity(EVENT_BATCH);
     let mut accept_from = tokio::time::Instant::now();
@@ -108,7 +112,7 @@
         if sockets.carry_out_orders() {
             return Ok(sockets.close().await);
         }
-        let wake_at = sockets.core.next_timer().map(|at| clock.at(at));
+        let next_timer = sockets.core.next_timer().map(|at| clock.at(at));
         let mut datagram = [0; DATAGRAM_BYTES];
         tokio::select! {
             _ = signals.terminate.recv() => sockets.shut_down(),
@@ -116,14 +120,17 @@
             _ = signals.hang_up.recv() => reload.request(),
             read = reload.finished() => match read {
                 Ok(document) => sockets.core.handle(clock.now(), Input::Reload(Box::new(document))),
-                Err(why) => warn!("the new document is not taken, the old one stays: {why:?}"),
+                Err(error) => warn!("reload rejected, keeping the previous configuration: {error:?}"),
             },
             accepted = accept(sockets.listener.as_ref(), accept_from), if sockets.core.can_accept() => {
                 match accepted {
                     Ok(stream) => sockets.add_client(stream),
-                    Err(e) => {
-                        // Out of descriptors, mostly: a moment later there may be some.
-                        warn!(error = %e, "cannot accept a connection");
+                    Err(error) => {
+                        warn!(
+                            %error,
+                            retry_ms = ACCEPT_RETRY_DELAY.as_millis(),
+                            "accepting a connection failed, clients wait in the backlog"
+                        );
                         accept_from = tokio::time::Instant::now() + ACCEPT_RETRY_DELAY;
                     }
                 }
@@ -135,7 +142,7 @@
                     sockets.core.handle(clock.now(), Input::Datagram(from, bytes));
                 }
             }
-            () = sleep_until(wake_at) => {}
+            () = sleep_until(next_timer) => {}
             _ = sockets.tasks.join_next(), if !sockets.tasks.is_empty() => {}
         }
     }
@@ -143,7 +150,7 @@
 
 async fn listen_for_clients(address: SocketAddr) -> Result<TcpListener> {
     let bound = TcpListener::bind(address).await.into_diagnostic();
-    bound.wrap_err_with(|| format!("can't listen for clients at {address}"))
+    bound.wrap_err_with(|| format!("cannot listen for clients at {address}"))
 }
 
 async fn listen_for_peers(address: Option<SocketAddr>) -> Result<Option<UdpSocket>> {
@@ -152,7 +159,7 @@
     };
     let bound = UdpSocket::bind(address).await.into_diagnostic();
     bound
-        .wrap_err_with(|| format!("can't listen for peers at {address}"))
+        .wrap_err_with(|| format!("cannot listen for peers at {address}"))
         .map(Some)
 }
 
--- a/crates/platform/src/runtime/connection.rs
+++ b/crates/platform/src/runtime/connection.rs
@@ -1,5 +1,5 @@
-//! One connection, as a task: it reads as long as it may and carries out orders, one at a time. Its owner
-//! ends it by aborting the task; any other end is reported as the last event.
+//! One connection as a task: it reads, and carries out one order at a time. Its owner ends it by aborting the task;
+//! any other end is reported as the last event.
 
 use crate::core::ConnectionId;
 use bytes::Bytes;
@@ -13,29 +13,31 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Bytes read at once.
+/// Most bytes read at once, and so in one event.
 const READ_BYTES: usize = 8 << 10;
-/// A client that reads nothing of its response for so long is given up.
+/// A connection is closed if its client has not read its response within this time. Larger: clients that stopped
+/// reading hold descriptors for longer. Smaller: slow clients lose their responses.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes discarded behind a last response: a close with bytes unread would destroy the response on its way.
+/// Most bytes discarded after the last response. A close with unread bytes resets the connection, which destroys the
+/// response on its way; the bound keeps a client from sending for ever.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// How long they are discarded.
+/// How long input is discarded after the last response, for the same reason.
 const DISCARD_TIME: Duration = Duration::from_millis(700);
 
 /// An event of a connection.
 #[derive(Debug)]
 pub enum SocketEvent {
-    /// It is established.
+    /// The connection is established.
     Connected,
     /// Bytes were read.
     Received(Bytes),
-    /// The message is with the operating system.
+    /// The operating system has taken the whole message.
     Written,
     /// The connection was found closed before a byte of the message was written.
     NotWritten,
     /// This side's direction is closed.
     WriteClosed,
-    /// It has ended; the last event.
+    /// The connection has ended; this is its last event.
     Closed,
 }
 
@@ -81,7 +83,7 @@
     orders: mpsc::Receiver<Order>,
     events: EventSender,
 ) {
-    // Names are not looked up: the platform has no service for it.
+    // Names are not resolved: the platform has no name service.
     if let Ok(address) = address.parse::<SocketAddr>()
         && let Ok(stream) = TcpStream::connect(address).await
         && events
@@ -94,6 +96,12 @@
     {
         return serve(conn, stream, orders, events).await;
     }
+    report_closed(conn, &events).await;
+}
+
+/// Reports the last event of a connection.
+async fn report_closed(conn: ConnectionId, events: &EventSender) {
+    // An owner that is gone needs no report.
     let _ = events
         .send(ConnectionEvent {
             conn,
@@ -109,7 +117,8 @@
     mut orders: mpsc::Receiver<Order>,
     events: EventSender,
 ) {
-    // Without it small messages wait for one another; a socket that refuses it is over anyway.
+    // Without TCP_NODELAY a small message may wait for an acknowledgement. A socket that refuses the option has
+    // failed, which the next read reports.
     let _ = stream.set_nodelay(true);
     let mut connection = Connection {
         conn,
@@ -118,16 +127,11 @@
         bytes_reported: 0,
         discard_left: None,
     };
-    // If the owner is gone, nobody needs the result.
+    // An owner that is gone needs no result.
     let _ = connection.run(&mut orders).await;
     let Connection { stream, events, .. } = connection;
     drop(stream);
-    let _ = events
-        .send(ConnectionEvent {
-            conn,
-            event: SocketEvent::Closed,
-        })
-        .await;
+    report_closed(conn, &events).await;
 }
 
 /// The owner does not read events any more.
@@ -145,7 +149,7 @@
     stream: TcpStream,
     events: EventSender,
     bytes_reported: u64,
-    /// Where input is discarded: how many more bytes of it.
+    /// How many more bytes are discarded; `None` while input is reported.
     discard_left: Option<usize>,
 }
 
@@ -160,7 +164,7 @@
             .map_err(|_| OwnerGone)
     }
 
-    /// Until the connection is over.
+    /// Runs until the connection has ended.
     async fn run(&mut self, orders: &mut mpsc::Receiver<Order>) -> Result<(), OwnerGone> {
         loop {
             let next = tokio::select! {
@@ -227,17 +231,17 @@
         Ok(Next::Continue)
     }
 
-    /// Does the owner know of all input? What was reported and is not handled yet counts, and what is still
-    /// to be read: for that the socket itself is asked, since the runtime's view may be a moment old.
+    /// Whether the owner has handled all input. Input that was reported but not handled counts, and so does input
+    /// that is still unread: the socket itself is peeked for that, since the runtime's readiness may be out of date.
     fn no_unseen_input(&self, bytes_handled: u64) -> bool {
         let mut one_byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut one_byte);
         self.bytes_reported == bytes_handled
-            && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+            && matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Closes this side's direction and discards further input, for a bounded time and size. An immediate
-    /// close would answer such input with a reset, which destroys what the other side has not read yet.
+    /// Closes this side's direction and discards further input, for a bounded time and size. An immediate close would
+    /// answer such input with a reset, which destroys what the other side has not read yet.
     async fn linger(&mut self) -> Result<(), OwnerGone> {
         if self.stream.shutdown().await.is_err() {
             return Ok(());
@@ -256,12 +260,12 @@
     }
 }
 
-/// `None`: nothing is there yet; empty: the other side has closed its direction.
+/// Reads what is there: `None` if nothing is, empty if the other side has closed its direction.
 fn read_available(stream: &TcpStream) -> io::Result<Option<Bytes>> {
     let mut buffer = [0; READ_BYTES];
     match stream.try_read(&mut buffer) {
         Ok(length) => Ok(Some(Bytes::copy_from_slice(&buffer[..length]))),
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
-        Err(e) => Err(e),
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(None),
+        Err(error) => Err(error),
     }
 }
--- a/crates/platform/src/runtime/reload.rs
+++ b/crates/platform/src/runtime/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings document anew, beside the loop that serves.
+//! Reads the settings document again, on a thread of its own while the event loop goes on.
 
 use super::read_settings;
 use crate::settings_document::SettingsDocument;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use tokio::task::JoinHandle;
 
-/// The reading of a settings document, one at a time.
+/// Reads the settings document on request, one read at a time.
 pub(super) struct Reload {
     file: PathBuf,
     reading: Option<JoinHandle<Result<SettingsDocument>>>,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Begins to read the file, or will do so again when the present reading is finished.
+    /// Starts to read the file, or remembers to read it again when the present read is finished.
     pub(super) fn request(&mut self) {
         if self.reading.is_some() {
             self.requested_again = true;
@@ -37,8 +37,7 @@
         self.reading = Some(tokio::task::spawn_blocking(move || read_settings(&file)));
     }
 
-    /// The document, when it is read; pending while none is being read. Dropped before that, it loses
-    /// nothing.
+    /// Waits for the document; never completes while none is being read. Cancelling the wait loses nothing.
     pub(super) async fn finished(&mut self) -> Result<SettingsDocument> {
         let Some(reading) = &mut self.reading else {
             return std::future::pending().await;
--- a/crates/platform/src/runtime/sockets.rs
+++ b/crates/platform/src/runtime/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a host: its connections' tasks, the listener and the socket to its peers.
+//! The sockets of a host: the tasks of its connections, the listener and the UDP socket to its peers.
 
 use super::connection::{self, ConnectionEvent, EventSender, Order, SocketEvent};
 use crate::core::{ConnectionId, Core, Input, Metrics, Output};
@@ -12,10 +12,11 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tracing::info;
 
-/// Orders that wait at one connection: a response, its end, and what belongs to them.
+/// Most orders that wait at one connection. A connection has one message in flight, so a few suffice: a response, its
+/// end, and what belongs to them. A task whose queue is full does not follow its orders and is ended.
 const ORDER_QUEUE: usize = 8;
 
-/// The owner's ends of one connection.
+/// How the owner reaches the task of one connection.
 struct ConnectionHandle {
     orders: mpsc::Sender<Order>,
     task: AbortHandle,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A signal: the first one lets open requests finish, the second one does not.
+    /// SIGTERM or SIGINT: after the first one open requests are finished, after the second they fail.
     pub(super) fn shut_down(&mut self) {
         let input = if self.shutting_down {
             Input::ShutdownNow
@@ -94,7 +95,7 @@
             .insert(conn, ConnectionHandle { orders, task });
     }
 
-    /// Hands the events of connections to the core.
+    /// Passes the events of connections to the core.
     pub(super) fn handle_events(&mut self, batch: &mut Vec<ConnectionEvent>) {
         let now = self.clock.now();
         for ConnectionEvent { conn, event } in batch.drain(..) {
@@ -113,20 +114,20 @@
         }
     }
 
-    /// Carries out the core's orders. `true`: the host has left.
+    /// Carries out the core's outputs. Returns whether the process has to exit.
     pub(super) fn carry_out_orders(&mut self) -> bool {
-        let mut left = false;
+        let mut exiting = false;
         loop {
             let outputs = self.core.outputs();
             if outputs.is_empty() {
-                return left;
+                return exiting;
             }
             let mut stuck = Vec::new();
             for output in outputs {
-                left |= output == Output::Exit;
+                exiting |= output == Output::Exit;
                 stuck.extend(self.carry_out(output));
             }
-            // Their tasks do not follow: they are ended.
+            // Their tasks do not follow their orders, so they are ended.
             for conn in stuck {
                 if let Some(handle) = self.connections.remove(&conn) {
                     handle.task.abort();
@@ -184,14 +185,17 @@
         }
     }
 
-    /// A full socket loses it; nothing waits.
+    /// Sends without waiting.
     fn send_datagram(&self, to: SocketAddr, bytes: &Bytes) {
         if let Some(peers) = &self.peers {
+            // A datagram that the socket does not take is lost, like one that the network loses: the next report
+            // replaces it.
             let _ = SockRef::from(peers).send_to(bytes, &to.into());
         }
     }
 
-    /// Clients in the backlog are connected in their own view, and may have sent something.
+    /// Accepts the connections in the backlog, then closes the listener. Their clients take them for established and
+    /// may have sent a request.
     fn stop_accepting(&mut self) {
         let Some(Ok(listener)) = self.listener.take().map(TcpListener::into_std) else {
             return;
@@ -204,6 +208,6 @@
                 self.add_client(stream);
             }
         }
-        info!("accepts no more");
+        info!("listener closed");
     }
 }
--- a/crates/platform/tests/platform/attempts.rs
+++ b/crates/platform/tests/platform/attempts.rs
@@ -18,40 +18,45 @@
     // What happens, the ending, the client's answer to a request that must not run twice, and whether the
     // connection is of further use.
     let cases = [
-        (says(200, "", "made for it"), "done", "200", true),
+        (says(200, "", "made for it"), "succeeded", "200", true),
         (
             says(
                 200,
                 "X-Meter: 86\r\nEndpoint-Load-Metrics: TEXT inflight=;;=, util\r\n",
                 "b",
             ),
-            "done",
+            "succeeded",
+            "200",
+            true,
+        ),
+        (
+            says(200, "X-Meter: many\r\n", "b"),
+            "succeeded",
             "200",
             true,
         ),
-        (says(200, "X-Meter: many\r\n", "b"), "done", "200", true),
         (
             says(200, "Connection: close\r\n", "b"),
-            "done",
+            "succeeded",
             "200",
             false,
         ),
         (
             NodeBehaviour::Responds("HTTP/1.1 100 C\r\n\r\n".to_string() + &response(200, "", "b")),
-            "done",
+            "succeeded",
             "200",
             true,
         ),
         (
             NodeBehaviour::Responds(response(200, "", "b") + "HTTP/1.1 200 OK"),
-            "done",
+            "succeeded",
             "200",
             false,
         ),
         (says(500, "", ""), "failed", "500", true),
         (says(404, "", ""), "failed", "500", true),
         (says(503, "", ""), "failed", "500", true),
-        (says(200, never, "b"), "done", "200", true),
+        (says(200, never, "b"), "succeeded", "200", true),
         (says(500, never, ""), "failed", "500", true),
         (
             NodeBehaviour::Responds("noise without an end\r\n\r\n".into()),
@@ -74,7 +79,7 @@
             "500",
             false,
         ),
-        (NodeBehaviour::Closes, "broken", "500", false),
+        (NodeBehaviour::Closes, "connection_lost", "500", false),
         (NodeBehaviour::Nothing, "timed_out", "500", false),
     ];
     for (behaviour, outcome, status, of_use) in cases {
@@ -112,8 +117,8 @@
             assert_eq!(rig.sent(conn).len(), 1, "{what}: it carries nothing more");
         }
         assert_eq!(
-            rig.size("transfers"),
-            rig.size("legs"),
+            rig.size("requests"),
+            rig.size("attempts"),
             "{what}: what ended is forgotten"
         );
     }
@@ -130,21 +135,21 @@
             0 => {
                 rig.establish(0);
                 rig.receive(conn, &response(503, "X-Never-Ran: 1\r\n", ""));
-                "turned_away"
+                "rejected"
             }
             1 => {
                 rig.input(Input::Closed(conn));
-                "unreached"
+                "unreachable"
             }
             2 => {
                 rig.advance_time(260.0);
                 assert!(rig.closed(conn));
-                "unreached"
+                "unreachable"
             }
             _ => {
                 rig.input(Input::Connected(conn));
                 rig.input(Input::Closed(conn));
-                "unreached"
+                "unreachable"
             }
         };
         assert_eq!(
@@ -197,7 +202,10 @@
     assert!(new != old && rig.closed(old));
     rig.receive(new, &response(200, "", "b"));
     assert_eq!(
-        (rig.statuses(client), rig.metrics().idle_connections_closed),
+        (
+            rig.statuses(client),
+            rig.metrics().idle_connections_found_closed
+        ),
         (vec!["200".to_string()], 1)
     );
 }
@@ -224,7 +232,7 @@
     assert!(!rig.closed(conn));
     rig.advance_time(2_000.0);
     assert!(rig.closed(conn));
-    assert_eq!(rig.size("links"), 0);
+    assert_eq!(rig.size("node_connections"), 0);
 }
 
 #[test]
@@ -242,7 +250,7 @@
         rig.input(Input::Connected(conn));
         let first = usize::from(!rig.sent(conn).is_empty());
         assert_eq!(
-            (first == 1, rig.outcome_count("unsent")),
+            (first == 1, rig.outcome_count("not_sent")),
             (goes, u64::from(!goes)),
             "{change:?}"
         );
@@ -253,7 +261,7 @@
     rig.advance_time(60.0);
     rig.discovery_answers(&anew);
     rig.establish(0);
-    assert_eq!(rig.outcome_count("unsent"), 1);
+    assert_eq!(rig.outcome_count("not_sent"), 1);
     // Its client has left.
     let mut rig = Rig::new();
     let client = rig.client_sending(&request_text("read", 1, 0));
@@ -263,8 +271,8 @@
     assert_eq!(
         (
             rig.sent(conn).len(),
-            rig.outcome_count("unsent"),
-            rig.size("transfers")
+            rig.outcome_count("not_sent"),
+            rig.size("requests")
         ),
         (0, 1, 0)
     );
@@ -301,7 +309,7 @@
         assert_eq!(
             (
                 rig.metrics().connections_lost,
-                rig.metrics().restarts_ruled_out
+                rig.metrics().same_process_after_break
             ),
             (1, 0)
         );
@@ -318,7 +326,7 @@
             rig.input(Input::Connected(again));
         }
         assert_eq!(
-            rig.metrics().restarts_ruled_out,
+            rig.metrics().same_process_after_break,
             u64::from(proven),
             "{before} {after} {older}"
         );
@@ -335,7 +343,7 @@
     for (wait, proven) in [(1000.0, 0), (2500.0, 0), (2400.0, 0), (200.0, 1)] {
         rig.advance_time(wait);
         rig.discovery_answers(&page(2, false, &[]));
-        assert_eq!(rig.metrics().restarts_ruled_out, proven, "{wait}");
+        assert_eq!(rig.metrics().same_process_after_break, proven, "{wait}");
     }
 }
 
@@ -378,7 +386,7 @@
     assert_eq!(
         (
             rig.metrics().foreign_datagrams,
-            rig.metrics().peer_messages_received
+            rig.metrics().reports_received
         ),
         (2, 1)
     );
--- a/crates/platform/tests/platform/clients.rs
+++ b/crates/platform/tests/platform/clients.rs
@@ -84,7 +84,10 @@
         let client = rig.client_sending(text);
         assert_eq!(rig.statuses(client), [*status], "{text}");
         assert_eq!(
-            (rig.metrics().requests, rig.connections_to(NODES[0].1).len()),
+            (
+                rig.metrics().requests_accepted,
+                rig.connections_to(NODES[0].1).len()
+            ),
             (0, 0),
             "{text}"
         );
@@ -97,7 +100,10 @@
     let mut rig = Rig::new();
     rig.client_sending(&sound);
     assert_eq!(
-        (rig.metrics().requests, rig.metrics().invalid_requests.len()),
+        (
+            rig.metrics().requests_accepted,
+            rig.metrics().invalid_requests.len()
+        ),
         (1, 0)
     );
 }
@@ -116,7 +122,7 @@
     assert_eq!(rig.statuses(first), ["200"]);
     // Once it is over, the id may come again.
     rig.receive(first, &request_text("read", 7, 0));
-    assert_eq!(rig.metrics().requests, 2);
+    assert_eq!(rig.metrics().requests_accepted, 2);
 }
 
 #[test]
@@ -150,7 +156,7 @@
         );
         if let (4, Some(conn)) = (stage, conn) {
             // Its attempt runs to its end, and the connection goes on.
-            assert!(!rig.closed(conn) && rig.size("legs") == 1);
+            assert!(!rig.closed(conn) && rig.size("attempts") == 1);
             rig.receive(conn, &response(200, "", "b"));
             rig.client_sending(&request_text("read", 8, 0));
             assert_eq!(rig.sent(conn).len(), 2);
@@ -159,7 +165,11 @@
         }
         rig.advance_time(2000.0);
         assert_eq!(
-            (rig.size("transfers"), rig.size("legs"), rig.size("bytes")),
+            (
+                rig.size("requests"),
+                rig.size("attempts"),
+                rig.size("held_bytes")
+            ),
             (0, 0, 0),
             "{stage}"
         );
@@ -172,7 +182,7 @@
     let client = rig.client_sending(
         &(request_text("read", 1, 0) + &request_text("read", 2, 0) + &request_text("read", 3, 0)),
     );
-    assert_eq!(rig.metrics().requests, 1, "one at a time");
+    assert_eq!(rig.metrics().requests_accepted, 1, "one at a time");
     for trace in 1..=3 {
         let conn = if trace == 1 {
             rig.establish(0)
@@ -206,12 +216,12 @@
     };
     rig.receive(client, &request_text("read", 2, 0).repeat(20));
     assert_eq!(ignored(&rig), 0);
-    let held = rig.size("bytes");
+    let held = rig.size("held_bytes");
     (0..3).for_each(|_| rig.receive(client, &request_text("read", 2, 0).repeat(40)));
     assert_eq!(
         (
             ignored(&rig),
-            rig.size("bytes"),
+            rig.size("held_bytes"),
             rig.metrics().input_overflows
         ),
         (1, held, 1)
@@ -221,7 +231,11 @@
         (rig.statuses(client), rig.finished(client)),
         (vec!["200".to_string()], true)
     );
-    assert_eq!(rig.metrics().requests, 1, "what waited is not sent on");
+    assert_eq!(
+        rig.metrics().requests_accepted,
+        1,
+        "what waited is not sent on"
+    );
     // It ends meanwhile: no attempt goes out for it.
     let mut rig = Rig::new();
     let client = rig.client_sending(&request_text("read", 1, 0));
@@ -232,7 +246,7 @@
         (
             rig.sent(conn).len(),
             rig.metrics().clients_disconnected,
-            rig.size("transfers")
+            rig.size("requests")
         ),
         (0, 1, 0)
     );
@@ -247,11 +261,14 @@
     let client = rig.client_sending(&(request_text("read", 1, 0) + &request_text("read", 2, 0)));
     let conn = rig.establish(0);
     rig.receive(conn, &response(200, "", "b"));
-    assert_eq!((rig.statuses(client).len(), rig.metrics().requests), (1, 1));
+    assert_eq!(
+        (rig.statuses(client).len(), rig.metrics().requests_accepted),
+        (1, 1)
+    );
     rig.advance_time(1000.0);
-    assert_eq!(rig.metrics().requests, 1);
+    assert_eq!(rig.metrics().requests_accepted, 1);
     rig.input(Input::Written(client));
-    assert_eq!(rig.metrics().requests, 2);
+    assert_eq!(rig.metrics().requests_accepted, 2);
 }
 
 #[test]
--- a/crates/platform/tests/platform/limits_and_shutdown.rs
+++ b/crates/platform/tests/platform/limits_and_shutdown.rs
@@ -47,7 +47,7 @@
     };
     assert!(kept(&rig, usual), "who was served before keeps its place");
     assert!(kept(&rig, slow), "and so does who is saying something");
-    assert_eq!(rig.metrics().eviction_failures, 0);
+    assert_eq!(rig.metrics().connection_limit_reached, 0);
     // Of those that end, none is counted twice: one for each new client beyond the places.
     assert!(
         (1002..=2 * 1002).contains(&rig.metrics().clients_evicted),
@@ -73,7 +73,7 @@
     assert!(
         guests.iter().all(|c| rig.statuses(*c) == ["500"] || rig.statuses(*c) == ["200"] && rig.finished(*c))
     );
-    assert_eq!(rig.metrics().eviction_failures, 8);
+    assert_eq!(rig.metrics().connection_limit_reached, 8);
     // A connection that is over but for the client's own close is dropped for a new client at once.
     rig.input(Input::WriteClosed(guests[0]));
     assert!(rig.core.can_accept());
@@ -139,7 +139,11 @@
             rig.client_sending(&half)
         })
         .collect();
-    assert!(rig.size("bytes") <= 3_200_000, "{}", rig.size("bytes"));
+    assert!(
+        rig.size("held_bytes") <= 3_200_000,
+        "{}",
+        rig.size("held_bytes")
+    );
     assert_eq!(
         (rig.statuses(all[0]), rig.statuses(all[99]).len()),
         (vec!["413".to_string()], 0)
@@ -172,7 +176,7 @@
         (
             rig.closed(conns[0]),
             rig.connections_to(NODES[1].1).len(),
-            rig.size("links")
+            rig.size("node_connections")
         ),
         (true, 1, 4)
     );
@@ -295,7 +299,7 @@
         assert_eq!(
             (
                 rig.statuses(resting).last().unwrap().as_str(),
-                rig.metrics().requests
+                rig.metrics().requests_accepted
             ),
             ("503", 2),
             "{after}"
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -34,7 +34,7 @@
         assert_eq!(
             (
                 rig.outcome_count("timed_out"),
-                rig.outcome_count("unreached")
+                rig.outcome_count("unreachable")
             ),
             (1, 0),
             "{written_first}"
@@ -58,7 +58,10 @@
 /// attempt may have run, without it it never did.
 #[test]
 fn a_close_before_the_last_byte_proves_that_it_never_ran() {
-    for (written, outcome, goes_on) in [(false, "unreached", true), (true, "broken", false)] {
+    for (written, outcome, goes_on) in [
+        (false, "unreachable", true),
+        (true, "connection_lost", false),
+    ] {
         let mut rig = Rig::new();
         let client = rig.client_sending(&request_text("once", 7, 0));
         let conn = *rig.connections_to(NODES[0].1).last().unwrap();
@@ -84,7 +87,7 @@
     let copy = response(200, "", "another's");
     // What comes behind the first answer, and at which of its bytes it is cut off.
     for cut in [copy.len(), copy.len() - 1, 40, 17, 5, 1] {
-        for (written, status, outcome) in [(true, "500", "failed"), (false, "200", "done")] {
+        for (written, status, outcome) in [(true, "500", "failed"), (false, "200", "succeeded")] {
             let mut rig = Rig::new();
             rig.client_sending(&request_text("once", 1, 0));
             let conn = rig.establish(0);
@@ -166,7 +169,7 @@
                 );
                 assert_ne!(
                     *what == "is elsewhere",
-                    rig.outcome_count("unsent") == 1,
+                    rig.outcome_count("not_sent") == 1,
                     "{case}"
                 );
             } else {
@@ -197,9 +200,9 @@
     rig.discovery_answers(&page(2, false, &[(0, "DRAINING", 0.0)]));
     assert_eq!(
         (
-            rig.outcome_count("unsent"),
+            rig.outcome_count("not_sent"),
             rig.closed(connecting),
-            rig.size("legs")
+            rig.size("attempts")
         ),
         (1, true, 0)
     );
@@ -279,8 +282,8 @@
             rig.advance_time(3000.0);
             assert_eq!(
                 (
-                    rig.size("transfers"),
-                    rig.size("legs"),
+                    rig.size("requests"),
+                    rig.size("attempts"),
                     rig.size("nodes.out")
                 ),
                 (0, 0, 0),
@@ -321,7 +324,7 @@
                 );
                 rig.advance_time(3000.0);
                 let size_metrics =
-                    ["transfers", "legs", "nodes.out", "desk.xfers"].map(|l| rig.size(l));
+                    ["requests", "attempts", "nodes.out", "desk.xfers"].map(|l| rig.size(l));
                 assert_eq!(size_metrics, [0; 4], "{order:?} {leaves}");
             }
         }
@@ -385,7 +388,7 @@
         let first = rig.establish(0);
         rig.input(Input::Closed(first));
         let second = *rig.connections_to(NODES[0].1).last().unwrap();
-        assert!(second != first && rig.outcome_count("broken") == 1);
+        assert!(second != first && rig.outcome_count("connection_lost") == 1);
         rig.advance_time(wait);
         rig.input(Input::Connected(second));
         assert_eq!(rig.sent(second).len(), usize::from(goes), "{wait}");
--- a/crates/platform/tests/platform/serialized_names.rs
+++ b/crates/platform/tests/platform/serialized_names.rs
@@ -1,16 +1,21 @@
-//! Names that leave the process: the metrics' keys and the texts of errors in settings documents.
+//! Names that operators read: the keys of the metrics in the log and the texts of errors in settings documents.
 
 use crate::rig::*;
 use gullsail_platform::core::{Metrics, RequestError};
 use gullsail_platform::settings_document::SettingsDocument;
+use gullsail_scheduler_api::AttemptOutcome;
 
 #[test]
 fn metrics_keep_their_keys_and_order() {
     let expected = concat!(
-        r#"{"accepted":0,"no_place":0,"made_room":0,"crowded":0,"taken":0,"done":0,"deferred":0,"abandoned":0,"#,
-        r#""client_left":0,"refused":{},"sent":0,"endings":{},"spoilt":{},"surplus":0,"opened":0,"#,
-        r#""used_again":0,"found_dead":0,"not_reached":0,"breaks":0,"lives_on":0,"lists":0,"changes":0,"#,
-        r#""list_lost":0,"entries_skipped":0,"told":0,"heard":0,"foreign_datagrams":0,"reloads":0}"#
+        r#"{"connections_accepted":0,"connection_limit_reached":0,"clients_evicted":0,"input_overflows":0,"#,
+        r#""requests_accepted":0,"requests_succeeded":0,"requests_rejected":0,"requests_failed":0,"#,
+        r#""clients_disconnected":0,"invalid_requests":{},"attempts_sent":0,"attempt_outcomes":{},"#,
+        r#""malformed_responses":{},"unsolicited_input":0,"node_connections_opened":0,"#,
+        r#""node_connections_reused":0,"idle_connections_found_closed":0,"connect_failures":0,"#,
+        r#""connections_lost":0,"same_process_after_break":0,"discovery_snapshots":0,"discovery_entries":0,"#,
+        r#""discovery_lost":0,"discovery_entries_skipped":0,"reports_sent":0,"reports_received":0,"#,
+        r#""foreign_datagrams":0,"reloads":0}"#
     );
     assert_eq!(
         serde_json::to_string(&Metrics::default()).unwrap(),
@@ -21,22 +26,22 @@
 #[test]
 fn invalid_requests_keep_their_keys_and_order() {
     let names = [
-        (RequestError::Malformed, "unreadable"),
+        (RequestError::Malformed, "malformed"),
         (RequestError::HeadTooLong, "head_too_long"),
         (RequestError::BodyTooLong, "body_too_long"),
         (RequestError::TooSlow, "too_slow"),
         (RequestError::Path, "path"),
         (RequestError::Method, "method"),
-        (RequestError::RequestClass, "stream_type"),
+        (RequestError::RequestClass, "request_class"),
         (RequestError::Plan, "plan"),
-        (RequestError::TraceId, "trace"),
-        (RequestError::Deadline, "expiry"),
-        (RequestError::Extent, "extent"),
-        (RequestError::IdempotencyKey, "key"),
-        (RequestError::LengthRequired, "length"),
+        (RequestError::TraceId, "trace_id"),
+        (RequestError::Deadline, "deadline"),
+        (RequestError::UnitsShardOrHosts, "units_shard_or_hosts"),
+        (RequestError::IdempotencyKey, "idempotency_key"),
+        (RequestError::LengthRequired, "length_required"),
         (RequestError::ReadWithBody, "read_with_body"),
-        (RequestError::DuplicateTraceId, "id_is_open"),
-        (RequestError::OutOfMemory, "no_room"),
+        (RequestError::DuplicateTraceId, "duplicate_trace_id"),
+        (RequestError::OutOfMemory, "out_of_memory"),
         (RequestError::ShuttingDown, "shutting_down"),
     ];
     for (error, name) in names {
@@ -78,3 +83,122 @@
         assert!(error.contains(expected), "{error}");
     }
 }
+
+/// The keys under which the log counts how attempts ended.
+#[test]
+fn attempt_outcomes_keep_their_keys() {
+    let names = [
+        (AttemptOutcome::Succeeded, "succeeded"),
+        (AttemptOutcome::Failed, "failed"),
+        (AttemptOutcome::Rejected, "rejected"),
+        (AttemptOutcome::Unreachable, "unreachable"),
+        (AttemptOutcome::NotSent, "not_sent"),
+        (AttemptOutcome::TimedOut, "timed_out"),
+        (AttemptOutcome::ConnectionLost, "connection_lost"),
+        (AttemptOutcome::Cancelled, "cancelled"),
+    ];
+    for (outcome, name) in names {
+        let mut metrics = Metrics::default();
+        metrics.count_outcome(outcome);
+        assert_eq!(
+            metrics.attempt_outcomes.into_iter().collect::<Vec<_>>(),
+            [(name, 1)]
+        );
+    }
+}
+
+/// The status line and the body that a client receives: they are the platform's, whatever the names in this program.
+#[test]
+fn responses_to_invalid_requests_keep_their_status_and_body() {
+    let responses = [
+        (
+            RequestError::Malformed,
+            400,
+            "an HTTP/1.1 message with one sound length was meant",
+        ),
+        (
+            RequestError::HeadTooLong,
+            431,
+            "a head of at most 16 KiB was meant",
+        ),
+        (
+            RequestError::BodyTooLong,
+            413,
+            "a body of at most 64 KiB was meant",
+        ),
+        (
+            RequestError::TooSlow,
+            408,
+            "a whole message within two seconds was meant",
+        ),
+        (
+            RequestError::Path,
+            404,
+            "a path of stream type, volume and object was meant",
+        ),
+        (
+            RequestError::Method,
+            405,
+            "GET for a read and PUT for a write were meant",
+        ),
+        (
+            RequestError::RequestClass,
+            400,
+            "X-Qos with the stream type of the path was meant",
+        ),
+        (
+            RequestError::Plan,
+            400,
+            "X-Storage-Class with a plan of the settings was meant",
+        ),
+        (
+            RequestError::TraceId,
+            400,
+            "X-Trace-Id with 16 hexadecimal digits was meant",
+        ),
+        (
+            RequestError::Deadline,
+            400,
+            "X-Expires-In-Ms with whole milliseconds was meant",
+        ),
+        (
+            RequestError::UnitsShardOrHosts,
+            400,
+            "X-Extent with units, shard and hosts in range was meant",
+        ),
+        (
+            RequestError::IdempotencyKey,
+            400,
+            "an Idempotency-Key was meant",
+        ),
+        (
+            RequestError::LengthRequired,
+            411,
+            "a length of the body was meant",
+        ),
+        (
+            RequestError::ReadWithBody,
+            400,
+            "a read without a body was meant",
+        ),
+        (
+            RequestError::DuplicateTraceId,
+            409,
+            "an id that is not open was meant",
+        ),
+        (
+            RequestError::OutOfMemory,
+            413,
+            "the host holds all that it has room for",
+        ),
+        (
+            RequestError::ShuttingDown,
+            503,
+            "another host was meant: this one leaves",
+        ),
+    ];
+    for (error, code, body) in responses {
+        assert_eq!(error.status().code, code, "{error:?}");
+        assert_eq!(error.expected(), body, "{error:?}");
+    }
+}
