--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -1,8 +1,9 @@
-//! Turns a client's message into a request, or says why it is none. Every header that matters must be present
-//! once and well-formed; other headers are ignored. A message that is refused here never reaches the
-//! scheduler. The response to it is never a 429 or 503, which would tell the client that the request did not
-//! run and when to retry; the one exception is a host that shuts down, where that is true. Called by
-//! `clients`; it keeps no state.
+//! Parses a client's message as a request, or says why it is none. Every header that matters must be present once
+//! and well-formed; other headers are ignored. `clients` calls it; it keeps no state.
+//!
+//! A message that is rejected here never reaches the scheduler. The response to it is never 429 or 503, which would
+//! tell the client that the request did not run and when to retry. The one exception is a host that shuts down,
+//! where that is true.
 
 use super::request_error::RequestError;
 use bytes::Bytes;
@@ -19,19 +20,20 @@
 const DEADLINE: &str = "X-Expires-In-Ms";
 const EXTENT: &str = "X-Extent";
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-const SECOND_TRY: &str = "X-Second-Try";
-/// An hour: no client waits longer, and sums with it stay far from the ends of a number.
+const RETRY_MARKER: &str = "X-Second-Try";
+/// Longest deadline, an hour: no client waits longer, and sums with it do not overflow.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
+/// Longest idempotency key. Bounds the memory of an open request.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A request as it was received, before it has a [`RequestId`].
+/// A valid request, before it has a [`RequestId`].
 #[derive(Clone, Debug)]
 pub struct ParsedRequest {
-    /// The client's own id of it.
+    /// The id that the client gave it.
     pub trace_id: u64,
-    /// What the scheduler decides on; its id is not yet set.
+    /// What the scheduler is told; its id is not yet set.
     pub request: Request,
-    /// What every attempt's head begins with; the time left and the body are added.
+    /// The head of every attempt, without the deadline header.
     pub head: ForwardedHead,
     /// The body, which nodes receive unchanged.
     pub body: Bytes,
@@ -62,7 +64,7 @@
 }
 
 impl ForwardedHead {
-    /// The message to a node; its deadline header says how long this host waits for the response.
+    /// Encodes the message to a node. Its deadline header says how long this host waits for the response.
     pub fn message(&self, time_left: Span, body: &[u8]) -> Bytes {
         let mut encoder = Encoder::request(&self.method, &self.target);
         for field in &self.fields {
@@ -76,17 +78,21 @@
         }
     }
 
-    /// Memory that it holds, in bytes.
+    /// How many bytes it holds.
     pub fn held_bytes(&self) -> usize {
-        let fields = self.fields.iter().map(|f| f.value.len()).sum::<usize>();
+        let fields = self
+            .fields
+            .iter()
+            .map(|field| field.value.len())
+            .sum::<usize>();
         self.method.len() + self.target.len() + fields
     }
 }
 
-/// Reads one message.
+/// Parses one message.
 ///
 /// # Errors
-/// It is no request, and why.
+/// Why the message is not accepted as a request.
 pub fn parse(
     message: &Message,
     names: &Names,
@@ -101,33 +107,21 @@
         .request_class(path.class_name)
         .map_err(|_| RequestError::Path)?;
     check_method(message, method, &path, request_class, reach)?;
-    let trace_text = single(message, TRACE_ID).ok_or(RequestError::TraceId)?;
-    let trace_id = hex(trace_text).ok_or(RequestError::TraceId)?;
+    let trace_id = single(message, TRACE_ID)
+        .and_then(hex)
+        .ok_or(RequestError::TraceId)?;
     let plan = Plan::parse(message, names)?;
-    let timeout_ms = single(message, DEADLINE)
-        .and_then(whole_number)
-        .filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms))
-        .ok_or(RequestError::Deadline)?;
+    let timeout = timeout(message)?;
     let extent = Extent::parse(message, config, reach)?;
-    let key = idempotency_key(message, config.request_classes[request_class.0].idempotency)?;
+    let idempotency = config.request_classes[request_class.0].idempotency;
+    let key = idempotency_key(message, idempotency)?;
     let host = single(message, "Host").ok_or(RequestError::Malformed)?;
-
-    let mut fields = vec![
-        ForwardedField::new("Host", host),
-        ForwardedField::new(TRACE_ID, trace_text),
-        ForwardedField::new(REQUEST_CLASS, path.class_name.as_bytes()),
-    ];
-    if let Some(name) = plan.name {
-        fields.push(ForwardedField::new(PLAN, name.as_bytes()));
-    }
-    for name in [EXTENT, SECOND_TRY] {
-        if let Some(value) = single(message, name) {
-            fields.push(ForwardedField::new(name, value));
-        }
-    }
-    if let Some(key) = key {
-        fields.push(ForwardedField::new(IDEMPOTENCY_KEY, key));
-    }
+    let head = ForwardedHead {
+        method: method.clone(),
+        target: target.clone(),
+        fields: forwarded_fields(message, host, &path, &plan, key),
+        has_length: message.framed,
+    };
     let request = Request {
         id: RequestId(0),
         request_class,
@@ -135,18 +129,12 @@
         volume: VolumeId(hash(path.volume)),
         units: extent.units,
         bytes: 0.0,
-        shard: (extent.shard >= 0).then_some(ShardId(extent.shard)),
+        shard: extent.shard,
         object: Some(ObjectId(hash(path.object))),
         pool: PoolId::ALL,
-        timeout: Span::from_millis(timeout_ms as f64),
+        timeout,
         volume_hosts: extent.hosts,
     };
-    let head = ForwardedHead {
-        method: method.clone(),
-        target: target.clone(),
-        fields,
-        has_length: message.framed,
-    };
     Ok(ParsedRequest {
         trace_id,
         request,
@@ -155,7 +143,42 @@
     })
 }
 
-/// `/class/volume/object`; a query behind it is passed on unread.
+/// How long the client waits for the response.
+fn timeout(message: &Message) -> Result<Span, RequestError> {
+    let timeout_ms = single(message, DEADLINE)
+        .and_then(whole_number)
+        .ok_or(RequestError::Deadline)?;
+    if (1..=MAX_DEADLINE_MS).contains(&timeout_ms) {
+        Ok(Span::from_millis(timeout_ms as f64))
+    } else {
+        Err(RequestError::Deadline)
+    }
+}
+
+/// The header fields that nodes receive, in the order in which they are written.
+fn forwarded_fields(
+    message: &Message,
+    host: &[u8],
+    path: &Path<'_>,
+    plan: &Plan<'_>,
+    idempotency_key: Option<&[u8]>,
+) -> Vec<ForwardedField> {
+    let values = [
+        ("Host", Some(host)),
+        (TRACE_ID, single(message, TRACE_ID)),
+        (REQUEST_CLASS, Some(path.class_name.as_bytes())),
+        (PLAN, plan.name.map(str::as_bytes)),
+        (EXTENT, single(message, EXTENT)),
+        (RETRY_MARKER, single(message, RETRY_MARKER)),
+        (IDEMPOTENCY_KEY, idempotency_key),
+    ];
+    values
+        .into_iter()
+        .filter_map(|(name, value)| Some(ForwardedField::new(name, value?)))
+        .collect()
+}
+
+/// `/class/volume/object`; a query after it is forwarded without being parsed.
 struct Path<'a> {
     class_name: &'a str,
     volume: &'a str,
@@ -164,8 +187,11 @@
 
 impl Path<'_> {
     fn parse(target: &[u8]) -> Result<Path<'_>, RequestError> {
-        let path = target.split(|b| *b == b'?').next().unwrap_or_default();
-        let mut segments = path.split(|b| *b == b'/');
+        let path = target
+            .split(|byte| *byte == b'?')
+            .next()
+            .unwrap_or_default();
+        let mut segments = path.split(|byte| *byte == b'/');
         let (Some(b""), Some(class), Some(volume), Some(object), None) = (
             segments.next(),
             segments.next(),
@@ -191,7 +217,7 @@
     }
 }
 
-/// The class header, the method and the body fit the class that the path names.
+/// Checks that the class header, the method and the body fit the class that the path names.
 fn check_method(
     message: &Message,
     method: &[u8],
@@ -248,13 +274,16 @@
     }
 }
 
-/// The size of a request, its shard (-1: none) and the number of hosts that serve its volume.
+/// What the extent header states: the size of a request, its shard and the number of hosts that serve its volume.
 struct Extent {
     units: f64,
-    shard: i64,
+    shard: Option<ShardId>,
     hosts: u32,
 }
 
+/// The value of the header for a request that concerns no shard.
+const NO_SHARD: i64 = -1;
+
 impl Extent {
     fn parse(
         message: &Message,
@@ -276,7 +305,9 @@
         };
         let in_range = extent.units > 0.0
             && extent.units <= max_units
-            && (-1..shards).contains(&extent.shard)
+            && extent
+                .shard
+                .is_none_or(|shard| (0..shards).contains(&shard.0))
             && (1..=config.hosts.max(1)).contains(&extent.hosts);
         if in_range {
             Ok(extent)
@@ -300,14 +331,16 @@
                 _ => {}
             }
         }
+        let shard = shard?;
         Some(Extent {
             units: units?,
-            shard: shard?,
+            shard: (shard != NO_SHARD).then_some(ShardId(shard)),
             hosts: hosts?,
         })
     }
 }
 
+/// The key, which must be present if nodes recognise retries by it.
 fn idempotency_key(
     message: &Message,
     idempotency: Idempotency,
@@ -337,15 +370,20 @@
     std::str::from_utf8(bytes).ok()
 }
 
-/// 16 hexadecimal digits.
+/// Parses 16 hexadecimal digits.
 fn hex(digits: &[u8]) -> Option<u64> {
-    let well_formed = digits.len() == 16 && digits.iter().all(u8::is_ascii_hexdigit);
-    u64::from_str_radix(text(digits).filter(|_| well_formed)?, 16).ok()
+    if digits.len() != 16 || !digits.iter().all(u8::is_ascii_hexdigit) {
+        return None;
+    }
+    u64::from_str_radix(text(digits)?, 16).ok()
 }
 
-/// At most 12 decimal digits.
+/// Parses at most 12 decimal digits.
 fn whole_number(digits: &[u8]) -> Option<u64> {
     let well_formed =
         !digits.is_empty() && digits.len() <= 12 && digits.iter().all(u8::is_ascii_digit);
-    text(digits).filter(|_| well_formed)?.parse().ok()
+    if !well_formed {
+        return None;
+    }
+    text(digits)?.parse().ok()
 }
--- a/crates/platform/src/settings_document.rs
+++ b/crates/platform/src/settings_document.rs
@@ -1,5 +1,6 @@
-//! The settings of a host, as one JSON document that is read at the start and again at each reload.
-//! [`SettingsDocument::parse`] takes it whole or says what is wrong, where, and what was expected.
+//! The settings of a host: one JSON document that is read at the start and at each reload.
+//! [`SettingsDocument::parse`] returns a complete, valid document or an error that says what is wrong, where, and what
+//! was expected.
 
 use gullsail_scheduler_api::SchedulerConfig;
 use gullsail_scheduler_settings::{Names, RawSettings, Reach, config, hash};
@@ -7,6 +8,9 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
+/// Fewest descriptors with which a host can serve: those that it keeps for itself, and a few for clients and nodes.
+const MIN_DESCRIPTORS: usize = 32;
+
 /// An invalid document, with the place of the error in its text.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{what}")]
@@ -20,12 +24,12 @@
     place: Option<SourceSpan>,
 }
 
-/// What the process may use of the server.
+/// What the process may use of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
     /// CPU cores.
     pub cores: f64,
-    /// The platform kills a process that uses more.
+    /// Megabytes of memory. The platform kills a process that uses more.
     pub memory_mb: f64,
     /// File descriptors of the process.
     pub sockets: usize,
@@ -46,12 +50,12 @@
     pub block: i64,
     /// Its state, as a word of the platform.
     pub health: String,
-    /// Unix time in milliseconds; 0: long ago.
+    /// When its process started, in Unix time in milliseconds. 0 stands for an unknown time long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: f64,
 }
 
-/// An entry that can be parsed, or anything else: that is skipped, and the rest of the page counts.
+/// An entry that can be parsed, or anything else, which is skipped: one malformed entry must not invalidate the page.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum PageItem {
@@ -64,18 +68,18 @@
 /// The endpoint list, or what changed in it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Page {
-    /// Newer lists have greater numbers.
+    /// The version; newer lists have greater numbers.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// It holds all endpoints, else only changes.
+    /// Whether it holds all endpoints, or only changes.
     pub whole: bool,
     /// Its entries.
     #[serde(rename = "hosts", default)]
     pub entries: Vec<PageItem>,
 }
 
-/// The document as it is written. The names of this type, of [`Limits`] and of [`Page`] stand in error texts,
-/// so they stay.
+/// The document as it is written, before its values are checked. Error texts contain the names of this type, of
+/// [`Limits`] and of [`Page`], so these names do not change.
 #[derive(Deserialize)]
 struct Written {
     #[serde(default)]
@@ -102,7 +106,7 @@
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: String,
-    /// For the host's random generator; new with each start.
+    /// Seed of the host's random generator, another one for each start.
     pub seed: u64,
     /// What the process may use.
     pub limits: Limits,
@@ -116,7 +120,7 @@
     pub config: SchedulerConfig,
     /// Names of zones, plans and request classes.
     pub names: Names,
-    /// What of the settings concerns connections and messages.
+    /// The settings that concern connections and messages.
     pub reach: Reach,
 }
 
@@ -124,13 +128,14 @@
     /// Reads a document; `file` names it in errors.
     ///
     /// # Errors
-    /// It is no JSON, misses a value or holds an unknown one: the place and what was expected.
+    /// The text is no JSON, a value is missing or invalid, or settings contradict each other. The error names the
+    /// place and what was expected.
     pub fn parse(file: &str, text: &str) -> Result<SettingsDocument, Box<DocumentError>> {
         let source = Source { file, text };
         let raw = source.deserialize()?;
-        let (mut config, names) = config(&raw.settings).map_err(|e| {
-            let help = "one of the words of the settings' page was meant";
-            source.error(format!("{file}, settings: {e}"), help, None)
+        let (mut config, names) = config(&raw.settings).map_err(|error| {
+            let help = "expected one of the words of the settings' page";
+            source.error(format!("{file}, settings: {error}"), help, None)
         })?;
         let reach = raw.settings.reach();
         config.connect_wait = reach.connect_time_out;
@@ -139,7 +144,7 @@
             name: raw.name,
             listen: raw.listen,
             discovery: raw.discovery,
-            // Whatever its form, it only has to differ from start to start.
+            // A seed of another form is hashed: it only has to differ from start to start.
             seed: u64::from_str_radix(&raw.seed, 16).unwrap_or_else(|_| hash(&raw.seed)),
             limits: raw.limits,
             peer_listen: raw.peer_listen,
@@ -152,10 +157,38 @@
     }
 }
 
-/// A value that the document may not have.
+/// A condition on a value of the document.
 struct Rule {
     is_broken: bool,
-    help: &'static str,
+    /// The place and what was expected there.
+    expected: &'static str,
+}
+
+/// The conditions that the types of the document do not express.
+fn rules(raw: &Written, config: &SchedulerConfig, reach: &Reach) -> [Rule; 5] {
+    let memory_mb = raw.limits.memory_mb;
+    [
+        Rule {
+            is_broken: !(memory_mb.is_finite() && memory_mb > 0.0),
+            expected: "limits.memory_mb: expected a positive number of megabytes",
+        },
+        Rule {
+            is_broken: raw.limits.sockets < MIN_DESCRIPTORS,
+            expected: "limits.sockets: expected at least 32 descriptors",
+        },
+        Rule {
+            is_broken: raw.discovery.is_empty(),
+            expected: "discovery: expected an address such as 10.2.0.1:8500",
+        },
+        Rule {
+            is_broken: config.request_classes.is_empty(),
+            expected: "settings.profiles: expected at least one request class",
+        },
+        Rule {
+            is_broken: reach.connect_time_out.micros() <= 0,
+            expected: "settings.limits.connect-timeout: expected a positive time in milliseconds",
+        },
+    ]
 }
 
 /// The text of a document, for errors that point into it.
@@ -178,23 +211,22 @@
     fn deserialize(&self) -> Result<Written, Box<DocumentError>> {
         let file = self.file;
         let mut json = serde_json::Deserializer::from_str(self.text);
-        let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
-            let path = e.path().to_string();
-            let e = e.into_inner();
-            let what = format!(
-                "{file}, line {}, column {}, at {path}: {e}",
-                e.line(),
-                e.column()
-            );
-            let help = "a JSON object with listen, discovery, limits and settings was meant";
-            self.error(what, help, Some(self.place_of(&e)))
+        let raw = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+            let path = error.path().to_string();
+            let error = error.into_inner();
+            let place = format!("line {}, column {}", error.line(), error.column());
+            self.error(
+                format!("{file}, {place}, at {path}: {error}"),
+                "expected a JSON object with listen, discovery, limits and settings",
+                Some(self.place_of(&error)),
+            )
         })?;
-        json.end().map_err(|e| {
-            let what = format!("{file}, line {}, column {}: {e}", e.line(), e.column());
+        json.end().map_err(|error| {
+            let place = format!("line {}, column {}", error.line(), error.column());
             self.error(
-                what,
-                "one JSON object and nothing behind it was meant",
-                Some(self.place_of(&e)),
+                format!("{file}, {place}: {error}"),
+                "expected one JSON object and nothing after it",
+                Some(self.place_of(&error)),
             )
         })?;
         Ok(raw)
@@ -207,50 +239,32 @@
         reach: &Reach,
     ) -> Result<(), Box<DocumentError>> {
         let file = self.file;
-        let memory_mb = raw.limits.memory_mb;
-        let rules = [
-            Rule {
-                is_broken: !(memory_mb.is_finite() && memory_mb > 0.0),
-                help: "limits.memory_mb: a positive number of megabytes was meant",
-            },
-            Rule {
-                is_broken: raw.limits.sockets < 32,
-                help: "limits.sockets: at least 32 descriptors were meant",
-            },
-            Rule {
-                is_broken: raw.discovery.is_empty(),
-                help: "discovery: an address such as 10.2.0.1:8500 was meant",
-            },
-            Rule {
-                is_broken: config.request_classes.is_empty(),
-                help: "settings.profiles: at least one stream type was meant",
-            },
-            Rule {
-                is_broken: reach.connect_time_out.micros() <= 0,
-                help: "settings.limits.connect-timeout: a positive time was meant",
-            },
-        ];
-        if let Some(Rule { help, .. }) = rules.iter().find(|rule| rule.is_broken) {
-            return Err(self.error(format!("{file}: {help}"), help, None));
+        let rules = rules(raw, config, reach);
+        if let Some(Rule { expected, .. }) = rules.iter().find(|rule| rule.is_broken) {
+            return Err(self.error(format!("{file}: {expected}"), expected, None));
         }
-        if let Some(c) = raw.settings.contradictions().first() {
-            let what = format!("{file}, settings.{}: {}", c.place, c.meant);
-            let help = "settings that agree with each other were meant";
-            return Err(self.error(what, help, self.place_of_key(&c.place)));
+        if let Some(contradiction) = raw.settings.contradictions().first() {
+            let place = &contradiction.place;
+            return Err(self.error(
+                format!("{file}, settings.{place}: {}", contradiction.meant),
+                "expected settings that agree with each other",
+                self.place_of_key(place),
+            ));
         }
         Ok(())
     }
 
-    fn place_of(&self, e: &serde_json::Error) -> SourceSpan {
+    /// The place at which the JSON parser stopped.
+    fn place_of(&self, error: &serde_json::Error) -> SourceSpan {
         let lines_before = self
             .text
             .split_inclusive('\n')
-            .take(e.line().saturating_sub(1));
-        let offset = lines_before.map(str::len).sum::<usize>() + e.column().saturating_sub(1);
+            .take(error.line().saturating_sub(1));
+        let offset = lines_before.map(str::len).sum::<usize>() + error.column().saturating_sub(1);
         SourceSpan::from((offset.min(self.text.len().saturating_sub(1)), 0))
     }
 
-    /// Where the last key of a path such as `policies[1].limit` stands in the text, looked for step by step.
+    /// Finds the last key of a path such as `policies[1].limit` in the text, step by step.
     fn place_of_key(&self, path: &str) -> Option<SourceSpan> {
         let mut offset = self.text.find("\"settings\"")?;
         let mut length = 0;
@@ -259,7 +273,7 @@
             let quoted = format!("\"{name}\"");
             offset += self.text[offset..].find(&quoted)?;
             length = quoted.len();
-            // An element of a list: so many opening braces further.
+            // The element of a list begins with the opening brace of this number.
             if let Ok(index) = index.trim_end_matches(']').parse::<usize>() {
                 offset += self.text[offset..].match_indices('{').nth(index)?.0;
             }
