--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -122,7 +122,23 @@
         fields: forwarded_fields(message, host, &path, &plan, key),
         has_length: message.framed,
     };
-    let request = Request {
+    Ok(ParsedRequest {
+        trace_id,
+        request: scheduler_request(&path, request_class, &plan, &extent, timeout),
+        head,
+        body: message.body.clone(),
+    })
+}
+
+/// What the scheduler is told of the request; the table of open requests numbers it.
+fn scheduler_request(
+    path: &Path<'_>,
+    request_class: RequestClassId,
+    plan: &Plan<'_>,
+    extent: &Extent,
+    timeout: Span,
+) -> Request {
+    Request {
         id: RequestId(0),
         request_class,
         plan: plan.id,
@@ -134,13 +150,7 @@
         pool: PoolId::ALL,
         timeout,
         volume_hosts: extent.hosts,
-    };
-    Ok(ParsedRequest {
-        trace_id,
-        request,
-        head,
-        body: message.body.clone(),
-    })
+    }
 }
 
 /// How long the client waits for the response.
--- a/crates/platform/src/runtime.rs
+++ b/crates/platform/src/runtime.rs
@@ -8,8 +8,9 @@
 mod reload;
 mod sockets;
 
-use crate::core::{Core, Input, Metrics};
+use crate::core::{Core, Metrics};
 use crate::settings_document::{DocumentError, SettingsDocument};
+use connection::EventSender;
 use gullsail_scheduler_api::Span;
 use gullsail_timers::HostClock;
 use miette::{Context, IntoDiagnostic, Report, Result, miette};
@@ -18,11 +19,10 @@
 use sockets::Sockets;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
-use tracing::{info, warn};
+use tracing::info;
 
 /// Most events of all connections that wait to be handled; when the queue is full, sockets are not read. Larger:
 /// more memory under load. Smaller: connections wait for the event loop more often.
@@ -30,9 +30,6 @@
 /// Most events handled before the scheduler runs and outputs are carried out. Larger: the first event of a batch
 /// waits longer. Smaller: the scheduler runs more often.
 const EVENT_BATCH: usize = 64;
-/// Pause after a failure to accept, mostly for want of descriptors. Without it the loop would spin until one is
-/// free.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Bytes read of a datagram: one more than the longest peer message, so that a longer one is recognised.
 const DATAGRAM_BYTES: usize = 257;
 /// Largest settings document that is read, in bytes: bounds the memory that a wrong file can take.
@@ -94,18 +91,10 @@
     document: SettingsDocument,
     mut signals: Signals,
 ) -> Result<Metrics> {
-    let listener = listen_for_clients(document.listen).await?;
-    let peers = listen_for_peers(document.peer_listen).await?;
-    let descriptors =
-        getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
     let clock = HostClock::start(Span::ZERO);
     let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE);
-    let core = Core::new(document, descriptors, clock.now());
-    let address = listener.local_addr().into_diagnostic()?;
-    info!(%address, "listening for clients");
-    let mut sockets = Sockets::new(core, clock, event_sender, listener, peers);
+    let mut sockets = open_sockets(document, clock, event_sender).await?;
     let mut batch = Vec::with_capacity(EVENT_BATCH);
-    let mut accept_from = tokio::time::Instant::now();
     let mut reload = Reload::new(file);
     loop {
         sockets.core.advance(clock.now());
@@ -118,28 +107,14 @@
             _ = signals.terminate.recv() => sockets.shut_down(),
             _ = signals.interrupt.recv() => sockets.shut_down(),
             _ = signals.hang_up.recv() => reload.request(),
-            read = reload.finished() => match read {
-                Ok(document) => sockets.core.handle(clock.now(), Input::Reload(Box::new(document))),
-                Err(error) => warn!("reload rejected, keeping the previous configuration: {error:?}"),
-            },
-            accepted = accept(sockets.listener.as_ref(), accept_from), if sockets.core.can_accept() => {
-                match accepted {
-                    Ok(stream) => sockets.add_client(stream),
-                    Err(error) => {
-                        warn!(
-                            %error,
-                            retry_ms = ACCEPT_RETRY_DELAY.as_millis(),
-                            "accepting a connection failed, clients wait in the backlog"
-                        );
-                        accept_from = tokio::time::Instant::now() + ACCEPT_RETRY_DELAY;
-                    }
-                }
-            }
+            read = reload.finished() => sockets.handle_document(read),
+            accepted = accept(sockets.listener.as_ref(), sockets.accept_from),
+                if sockets.core.can_accept() => sockets.handle_accepted(accepted),
             _ = events.recv_many(&mut batch, EVENT_BATCH) => sockets.handle_events(&mut batch),
             received = receive_datagram(sockets.peers.as_ref(), &mut datagram) => {
-                if let Ok((length, from)) = received {
-                    let bytes = bytes::Bytes::copy_from_slice(&datagram[..length]);
-                    sockets.core.handle(clock.now(), Input::Datagram(from, bytes));
+                // A failed read concerns one datagram, which counts as lost.
+                if let Ok(Datagram { length, from }) = received {
+                    sockets.handle_datagram(from, &datagram[..length]);
                 }
             }
             () = sleep_until(next_timer) => {}
@@ -148,6 +123,22 @@
     }
 }
 
+/// Listens for clients and peers, and begins to connect to discovery.
+async fn open_sockets(
+    document: SettingsDocument,
+    clock: HostClock,
+    event_sender: EventSender,
+) -> Result<Sockets> {
+    let listener = listen_for_clients(document.listen).await?;
+    let peers = listen_for_peers(document.peer_listen).await?;
+    let descriptors =
+        getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
+    let core = Core::new(document, descriptors, clock.now());
+    let address = listener.local_addr().into_diagnostic()?;
+    info!(%address, "listening for clients");
+    Ok(Sockets::new(core, clock, event_sender, listener, peers))
+}
+
 async fn listen_for_clients(address: SocketAddr) -> Result<TcpListener> {
     let bound = TcpListener::bind(address).await.into_diagnostic();
     bound.wrap_err_with(|| format!("cannot listen for clients at {address}"))
@@ -163,6 +154,7 @@
         .map(Some)
 }
 
+/// Accepts one connection, not before `from`; never completes once the listener is closed.
 async fn accept(
     listener: Option<&TcpListener>,
     from: tokio::time::Instant,
@@ -176,16 +168,25 @@
     listener.accept().await.map(|(stream, _)| stream)
 }
 
+/// A datagram that was read into a buffer.
+struct Datagram {
+    length: usize,
+    from: SocketAddr,
+}
+
+/// Reads one datagram; never completes if the host has no peers.
 async fn receive_datagram(
     peers: Option<&UdpSocket>,
-    datagram: &mut [u8],
-) -> std::io::Result<(usize, SocketAddr)> {
-    match peers {
-        Some(peers) => peers.recv_from(datagram).await,
-        None => std::future::pending().await,
-    }
+    buffer: &mut [u8],
+) -> std::io::Result<Datagram> {
+    let Some(peers) = peers else {
+        return std::future::pending().await;
+    };
+    let (length, from) = peers.recv_from(buffer).await?;
+    Ok(Datagram { length, from })
 }
 
+/// Never completes without a time.
 async fn sleep_until(time: Option<tokio::time::Instant>) {
     match time {
         Some(time) => tokio::time::sleep_until(time).await,
--- a/crates/platform/src/runtime/sockets.rs
+++ b/crates/platform/src/runtime/sockets.rs
@@ -2,20 +2,29 @@
 
 use super::connection::{self, ConnectionEvent, EventSender, Order, SocketEvent};
 use crate::core::{ConnectionId, Core, Input, Metrics, Output};
+use crate::settings_document::SettingsDocument;
 use bytes::Bytes;
 use gullsail_timers::HostClock;
 use socket2::SockRef;
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
+use tokio::sync::mpsc::error::TrySendError;
 use tokio::task::{AbortHandle, JoinSet};
-use tracing::info;
+use tokio::time::Instant;
+use tracing::{info, warn};
 
 /// Most orders that wait at one connection. A connection has one message in flight, so a few suffice: a response, its
 /// end, and what belongs to them. A task whose queue is full does not follow its orders and is ended.
 const ORDER_QUEUE: usize = 8;
 
+/// Pause after a failure to accept, mostly for want of descriptors. Without it the loop would spin until one is
+/// free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
 /// How the owner reaches the task of one connection.
 struct ConnectionHandle {
     orders: mpsc::Sender<Order>,
@@ -30,6 +39,8 @@
     event_sender: EventSender,
     pub(super) listener: Option<TcpListener>,
     pub(super) peers: Option<UdpSocket>,
+    /// No connection is accepted before this time.
+    pub(super) accept_from: Instant,
     shutting_down: bool,
 }
 
@@ -49,6 +60,7 @@
             event_sender,
             listener: Some(listener),
             peers,
+            accept_from: Instant::now(),
             shutting_down: false,
         }
     }
@@ -70,7 +82,8 @@
         self.core.metrics().clone()
     }
 
-    pub(super) fn add_client(&mut self, stream: TcpStream) {
+    /// Starts the task of a client connection.
+    fn add_client(&mut self, stream: TcpStream) {
         let conn = self.core.accept(self.clock.now());
         let (orders, queue) = mpsc::channel(ORDER_QUEUE);
         let task = self.tasks.spawn(connection::serve(
@@ -95,6 +108,37 @@
             .insert(conn, ConnectionHandle { orders, task });
     }
 
+    /// A settings document was read again.
+    pub(super) fn handle_document(&mut self, read: miette::Result<SettingsDocument>) {
+        match read {
+            Ok(document) => {
+                let input = Input::Reload(Box::new(document));
+                self.core.handle(self.clock.now(), input);
+            }
+            Err(error) => warn!("reload rejected, keeping the previous configuration: {error:?}"),
+        }
+    }
+
+    /// A connection was accepted, or accepting failed.
+    pub(super) fn handle_accepted(&mut self, accepted: io::Result<TcpStream>) {
+        match accepted {
+            Ok(stream) => self.add_client(stream),
+            Err(error) => {
+                warn!(
+                    %error,
+                    retry_ms = ACCEPT_RETRY_DELAY.as_millis(),
+                    "accepting a connection failed, clients wait in the backlog"
+                );
+                self.accept_from = Instant::now() + ACCEPT_RETRY_DELAY;
+            }
+        }
+    }
+
+    pub(super) fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
+        let input = Input::Datagram(from, Bytes::copy_from_slice(bytes));
+        self.core.handle(self.clock.now(), input);
+    }
+
     /// Passes the events of connections to the core.
     pub(super) fn handle_events(&mut self, batch: &mut Vec<ConnectionEvent>) {
         let now = self.clock.now();
@@ -139,49 +183,48 @@
 
     /// Returns the connection if its queue is full.
     fn carry_out(&mut self, output: Output) -> Option<ConnectionId> {
-        let (conn, order) = match output {
+        match output {
             Output::Send {
                 conn,
                 bytes,
                 bytes_handled,
-            } => (
-                conn,
-                Order::Send {
+            } => {
+                let order = Order::Send {
                     bytes,
                     bytes_handled,
-                },
-            ),
-            Output::Respond { conn, bytes } => (conn, Order::Respond(bytes)),
-            Output::DiscardInput { conn } => (conn, Order::DiscardInput),
-            Output::FinishAndClose { conn } => (conn, Order::FinishAndClose),
+                };
+                return self.give_order(conn, order);
+            }
+            Output::Respond { conn, bytes } => return self.give_order(conn, Order::Respond(bytes)),
+            Output::DiscardInput { conn } => return self.give_order(conn, Order::DiscardInput),
+            Output::FinishAndClose { conn } => return self.give_order(conn, Order::FinishAndClose),
             Output::CloseIdle {
                 conn,
                 bytes_handled,
-            } => (conn, Order::CloseIdle { bytes_handled }),
-            Output::Connect { conn, address } => {
-                self.connect(conn, address);
-                return None;
-            }
-            Output::Close { conn } => {
-                if let Some(handle) = self.connections.remove(&conn) {
-                    handle.task.abort();
-                }
-                return None;
-            }
-            Output::Datagram { to, bytes } => {
-                self.send_datagram(to, &bytes);
-                return None;
-            }
-            Output::StopAccepting => {
-                self.stop_accepting();
-                return None;
-            }
-            Output::Exit => return None,
-        };
+            } => return self.give_order(conn, Order::CloseIdle { bytes_handled }),
+            Output::Connect { conn, address } => self.connect(conn, address),
+            Output::Close { conn } => self.abort(conn),
+            Output::Datagram { to, bytes } => self.send_datagram(to, &bytes),
+            Output::StopAccepting => self.stop_accepting(),
+            Output::Exit => {}
+        }
+        None
+    }
+
+    /// Queues an order for the task of a connection. Returns the connection if its queue is full.
+    fn give_order(&self, conn: ConnectionId, order: Order) -> Option<ConnectionId> {
         let handle = self.connections.get(&conn)?;
         match handle.orders.try_send(order) {
-            Err(mpsc::error::TrySendError::Full(_)) => Some(conn),
-            Ok(()) | Err(mpsc::error::TrySendError::Closed(_)) => None,
+            Err(TrySendError::Full(_)) => Some(conn),
+            // A task that has ended reports so.
+            Ok(()) | Err(TrySendError::Closed(_)) => None,
+        }
+    }
+
+    /// Ends the task of a connection, and with it the connection.
+    fn abort(&mut self, conn: ConnectionId) {
+        if let Some(handle) = self.connections.remove(&conn) {
+            handle.task.abort();
         }
     }
 
