--- a/crates/platform/src/core/discovery/endpoint_list.rs
+++ b/crates/platform/src/core/discovery/endpoint_list.rs
@@ -21,7 +21,7 @@
 /// Why a response of discovery is not applied.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PageError {
-    #[error("unexpected status or no response, expected status 200")]
+    #[error("unexpected response, expected status 200")]
     Status,
     #[error("malformed endpoint list: {0}")]
     Json(#[from] serde_json::Error),
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -97,14 +97,18 @@
             config: document.config,
             reach: document.reach,
         };
+        let scheduler = Scheduler::new(settings.config.clone(), document.seed, now);
+        let clients = ClientTable::new(bounds.client_connections, bounds.input_bytes);
+        let nodes = NodeConnections::new(bounds.node_connections, &settings);
+        let discovery = Discovery::new(document.discovery, settings.config.poll_endpoints);
         let mut core = Core {
             context: Context::new(now),
-            scheduler: Scheduler::new(settings.config.clone(), document.seed, now),
-            clients: ClientTable::new(bounds.client_connections, bounds.input_bytes),
+            scheduler,
+            clients,
             requests: RequestTable::new(bounds.request_bytes),
             attempts: BTreeMap::new(),
-            nodes: NodeConnections::new(bounds.node_connections, &settings),
-            discovery: Discovery::new(document.discovery, settings.config.poll_endpoints),
+            nodes,
+            discovery,
             peers: Peers::new(document.peers),
             shutdown: Shutdown::Serving,
             ready: false,
@@ -113,12 +117,16 @@
         if let Some(page) = document.stored_endpoints {
             core.restore_endpoints(&page);
         }
-        core.discovery.connect(&mut core.context);
-        core.context
+        core.start();
+        core
+    }
+
+    fn start(&mut self) {
+        self.discovery.connect(&mut self.context);
+        self.context
             .set_timer(READY_TIMEOUT, TimerEvent::ReadyTimeout);
-        core.context
+        self.context
             .set_timer(METRICS_INTERVAL, TimerEvent::LogMetrics);
-        core
     }
 
     /// Takes one event; what follows from it is decided in [`Core::advance`].
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -116,15 +116,17 @@
     let idempotency = config.request_classes[request_class.0].idempotency;
     let key = idempotency_key(message, idempotency)?;
     let host = single(message, "Host").ok_or(RequestError::Malformed)?;
+    let fields = forwarded_fields(message, host, &path, &plan, key);
+    let request = scheduler_request(&path, request_class, &plan, &extent, timeout);
     let head = ForwardedHead {
         method: method.clone(),
         target: target.clone(),
-        fields: forwarded_fields(message, host, &path, &plan, key),
+        fields,
         has_length: message.framed,
     };
     Ok(ParsedRequest {
         trace_id,
-        request: scheduler_request(&path, request_class, &plan, &extent, timeout),
+        request,
         head,
         body: message.body.clone(),
     })
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,9 @@
-//! The users' platform: clients, nodes, discovery and peers over HTTP/1.1 and UDP, as a further way in and
-//! out of the scheduler ([`gullsail::Scheduler`]).
+//! A host on the users' platform: clients, nodes and discovery over HTTP/1.1, other hosts over UDP, and the scheduler
+//! ([`gullsail::Scheduler`]) behind them.
 //!
-//! [`settings_document`] reads what a host is configured with, [`core`] is a state machine without I/O,
-//! [`runtime`] the sockets around it. No decision on a request is made here: the core tells the scheduler
-//! what happened and carries out its actions. The command `gullsail platform` calls [`runtime`]; a reader
-//! begins with [`core`].
+//! [`settings_document`] reads the configuration of a host, [`core`] is a state machine without I/O, [`runtime`] holds
+//! the sockets around it. This crate decides nothing on a request: the core tells the scheduler what happened and
+//! carries out its actions. The command `gullsail platform` calls [`runtime`]. Begin to read with [`core`].
 
 pub mod core;
 pub mod runtime;
