--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -24,6 +24,7 @@
 mod clients;
 mod context;
 mod discovery;
+mod header_values;
 mod io;
 mod metrics;
 mod node_connections;
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -5,6 +5,7 @@
 //! tell the client that the request did not run and when to retry. The one exception is a host that shuts down,
 //! where that is true.
 
+use super::header_values::{hex, single, text, whole_number};
 use super::request_error::RequestError;
 use bytes::Bytes;
 use gullsail_http::{Encoder, Found, Message, Start};
@@ -368,34 +369,3 @@
         (_, Found::None) => Ok(None),
     }
 }
-
-/// The value of a header that is present exactly once.
-fn single<'a>(message: &'a Message, name: &str) -> Option<&'a [u8]> {
-    if let Found::One(value) = message.field(name) {
-        Some(value)
-    } else {
-        None
-    }
-}
-
-fn text(bytes: &[u8]) -> Option<&str> {
-    std::str::from_utf8(bytes).ok()
-}
-
-/// Parses 16 hexadecimal digits.
-fn hex(digits: &[u8]) -> Option<u64> {
-    if digits.len() != 16 || !digits.iter().all(u8::is_ascii_hexdigit) {
-        return None;
-    }
-    u64::from_str_radix(text(digits)?, 16).ok()
-}
-
-/// Parses at most 12 decimal digits.
-fn whole_number(digits: &[u8]) -> Option<u64> {
-    let well_formed =
-        !digits.is_empty() && digits.len() <= 12 && digits.iter().all(u8::is_ascii_digit);
-    if !well_formed {
-        return None;
-    }
-    text(digits)?.parse().ok()
-}
--- a/crates/platform/tests/platform/discovery.rs
+++ b/crates/platform/tests/platform/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: polls, pages that count, pages that change nothing, and reloads at every stage.
 
 use crate::rig::*;
-use gullsail_platform::core::Input;
+use gullsail_platform::core::{ConnectionId, Input};
 use gullsail_platform::settings_document::SettingsDocument;
 
 #[test]
@@ -59,72 +59,82 @@
     }
 }
 
-/// An entry that cannot be read is skipped: its node stays as it was, and what the others say counts. Nodes
-/// of zones, shards and kinds that no settings name, or none at all, end nothing; what no node takes is
-/// answered at once.
+/// A change of the first entry of a page.
+struct EntryChange {
+    from: &'static str,
+    to: &'static str,
+    /// How many entries are skipped.
+    skipped: u64,
+    /// What a read for the first shard is answered at once, if anything.
+    answer: Option<&'static str>,
+}
+
+const fn skipped(from: &'static str, to: &'static str) -> EntryChange {
+    EntryChange {
+        from,
+        to,
+        skipped: 1,
+        answer: None,
+    }
+}
+
+const fn applied(
+    from: &'static str,
+    to: &'static str,
+    answer: Option<&'static str>,
+) -> EntryChange {
+    EntryChange {
+        from,
+        to,
+        skipped: 0,
+        answer,
+    }
+}
+
+const ENTRY_CHANGES: [EntryChange; 7] = [
+    skipped("SERVING", "SLEEPING"),
+    skipped("\"block\":0", "\"block\":\"x\""),
+    skipped("\"block\":0,", ""),
+    skipped("\"hosts\":[", "\"hosts\":[7,"),
+    applied("\"site\":\"a\"", "\"site\":\"z\"", None),
+    applied("\"class\":\"m\"", "\"class\":\"new\"", None),
+    applied("\"block\":0", "\"block\":99", Some("503")),
+];
+
+/// Applies a page and sends a read for each shard; `first_answer` is what the one for the first is answered at once.
+fn check_page(text: &str, skipped: u64, first_answer: Option<&str>) {
+    let mut rig = Rig::new();
+    rig.discovery_answers(text);
+    assert_eq!(rig.metrics().discovery_entries_skipped, skipped, "{text}");
+    assert_eq!(rig.metrics().discovery_lost, 0, "{text}");
+    for (shard, expected) in [first_answer, None].into_iter().enumerate() {
+        let client = rig.client_sending(&request_text("read", shard as u64 + 1, shard as i64));
+        let statuses = rig.statuses(client);
+        let answer = statuses.first().map(String::as_str);
+        assert_eq!(answer, expected, "{text}: shard {shard}");
+    }
+    // The second node drains in every page, so nothing is sent to it.
+    assert_eq!(rig.connections_to(NODES[1].1).len(), 0, "{text}");
+    let is_sent = first_answer.is_none() && !text.contains("[]");
+    let connections = rig.connections_to(NODES[0].1).len();
+    assert_eq!(connections, usize::from(is_sent), "{text}");
+}
+
+/// An entry that cannot be parsed is skipped: its node stays as it was, and the other entries are applied. Zones, shards
+/// and kinds of nodes that no settings name, or an empty list, end nothing; what no node serves is answered at
+/// once.
 #[test]
 fn a_malformed_entry_does_not_hide_the_others() {
     let both = page(2, true, &[(0, "SERVING", 0.0), (1, "DRAINING", 0.0)]);
-    // the page, entries skipped, what a read for each shard is answered at once, if anything
-    let cases = [
-        (both.replacen("SERVING", "SLEEPING", 1), 1, [None, None]),
-        (
-            both.replacen("\"block\":0", "\"block\":\"x\"", 1),
-            1,
-            [None, None],
-        ),
-        (both.replacen("\"block\":0,", "", 1), 1, [None, None]),
-        (
-            both.replacen("\"hosts\":[", "\"hosts\":[7,", 1),
-            1,
-            [None, None],
-        ),
-        (
-            both.replacen("\"site\":\"a\"", "\"site\":\"z\"", 1),
-            0,
-            [None, None],
-        ),
-        (
-            both.replacen("\"class\":\"m\"", "\"class\":\"new\"", 1),
-            0,
-            [None, None],
-        ),
-        (
-            both.replacen("\"block\":0", "\"block\":99", 1),
-            0,
-            [Some("503"), None],
-        ),
-        (page(2, true, &[]), 0, [None, None]),
-    ];
-    for (text, skipped, answers) in cases {
-        let mut rig = Rig::new();
-        rig.discovery_answers(&text);
-        assert_eq!(
-            (
-                rig.metrics().discovery_entries_skipped,
-                rig.metrics().discovery_lost
-            ),
-            (skipped, 0),
-            "{text}"
-        );
-        for (shard, wanted) in answers.into_iter().enumerate() {
-            let client = rig.client_sending(&request_text("read", shard as u64 + 1, shard as i64));
-            assert_eq!(
-                rig.statuses(client).first().map(String::as_str),
-                wanted,
-                "{text}: cell {shard}"
-            );
-        }
-        // The one that drains is sent nothing in any case.
-        assert_eq!(rig.connections_to(NODES[1].1).len(), 0, "{text}");
-        let goes = answers[0].is_none() && !text.contains("[]");
-        assert_eq!(
-            rig.connections_to(NODES[0].1).len(),
-            usize::from(goes),
-            "{text}"
-        );
+    for change in ENTRY_CHANGES {
+        let text = both.replacen(change.from, change.to, 1);
+        check_page(&text, change.skipped, change.answer);
     }
-    // A host that knows of no node at all.
+    check_page(&page(2, true, &[]), 0, None);
+}
+
+#[test]
+fn a_host_that_knows_no_node_rejects_requests() {
     let none = settings_document(1024, 192, DISCOVERY).replace("\"known\":{", "\"old\":{");
     let mut rig = Rig::with(&none);
     rig.discovery_answers(&page(2, true, &[]));
@@ -167,98 +177,95 @@
     }
 }
 
-/// The longest that failed polls in a row make the time until a change is known, from the moment that
-/// discovery had it and could be reached: always under the 6 s after which it counts as reported.
+/// How a poll of discovery fails.
+#[derive(Clone, Copy, Debug)]
+enum PollFailure {
+    Refused,
+    NeverConnected,
+    SilentWhenAsked,
+    SilentInHead,
+    SilentInBody,
+    Busy,
+    ClosedInBody,
+}
+
+const POLL_FAILURES: [PollFailure; 7] = [
+    PollFailure::Refused,
+    PollFailure::NeverConnected,
+    PollFailure::SilentWhenAsked,
+    PollFailure::SilentInHead,
+    PollFailure::SilentInBody,
+    PollFailure::Busy,
+    PollFailure::ClosedInBody,
+];
+
+impl PollFailure {
+    fn play(self, rig: &mut Rig, conn: ConnectionId) {
+        let half_body = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,";
+        match self {
+            PollFailure::NeverConnected => return,
+            PollFailure::Refused => return rig.input(Input::Closed(conn)),
+            _ => rig.input(Input::Connected(conn)),
+        }
+        match self {
+            PollFailure::Refused | PollFailure::NeverConnected | PollFailure::SilentWhenAsked => {}
+            PollFailure::SilentInHead => rig.receive(conn, "HTTP/1.1 200 OK\r\nContent-"),
+            PollFailure::SilentInBody => rig.receive(conn, half_body),
+            PollFailure::Busy => rig.receive(conn, &response(503, "", "")),
+            PollFailure::ClosedInBody => {
+                rig.receive(conn, half_body);
+                rig.input(Input::Closed(conn));
+            }
+        }
+    }
+}
+
+/// Waits until there are more than `known` connections to discovery. Returns the newest.
+fn next_poll(rig: &mut Rig, known: usize, case: &str) -> ConnectionId {
+    let from = rig.now;
+    while rig.connections_to(DISCOVERY).len() == known {
+        rig.advance_time(10.0);
+        assert!((rig.now - from).millis() < 6_000.0, "{case}");
+    }
+    *rig.connections_to(DISCOVERY).last().unwrap()
+}
+
+/// Polls fail in these two ways in turn; then discovery can be reached, and the next poll reports a change.
+fn check_change_is_known(mode: &str, failures: [PollFailure; 2], max_delay_ms: f64) {
+    let case = format!("{mode}: {failures:?}");
+    let text = settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
+    let mut rig = Rig::with(&text);
+    let start = rig.now;
+    let mut known = rig.connections_to(DISCOVERY).len();
+    // Long enough for the backoff to reach its bound.
+    for failure in failures.into_iter().cycle() {
+        if (rig.now - start).millis() >= 20_000.0 {
+            break;
+        }
+        let conn = next_poll(&mut rig, known, &case);
+        known = rig.connections_to(DISCOVERY).len();
+        failure.play(&mut rig, conn);
+    }
+    let reachable_at = rig.now;
+    let conn = next_poll(&mut rig, known, &case);
+    let delay_ms = (rig.now - reachable_at).millis();
+    assert!(delay_ms <= max_delay_ms, "{case}: {delay_ms} ms");
+    rig.input(Input::Connected(conn));
+    let drains = page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]);
+    rig.receive(conn, &response(200, "", &drains));
+    rig.client_sending(&request_text("read", 1, 0));
+    let connections = rig.connections_to(NODES[0].1).len();
+    assert_eq!(connections, 0, "{case}: the change is known");
+}
+
+/// From the moment at which discovery can be reached, a change is known well within the 6 s after which it counts as
+/// reported, whatever failed before.
 #[test]
 fn a_change_is_known_in_time_whatever_failed_before() {
-    // How a try fails.
-    let invalid_requests = |rig: &mut Rig, conn| rig.input(Input::Closed(conn));
-    let silent = |_: &mut Rig, _| {};
-    let silent_after_asking = |rig: &mut Rig, conn| rig.input(Input::Connected(conn));
-    let silent_in_head = |rig: &mut Rig, conn| {
-        (
-            rig.input(Input::Connected(conn)),
-            rig.receive(conn, "HTTP/1.1 200 OK\r\nContent-"),
-        )
-            .1
-    };
-    let silent_in_body = |rig: &mut Rig, conn| {
-        rig.input(Input::Connected(conn));
-        rig.receive(
-            conn,
-            "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,",
-        );
-    };
-    let busy = |rig: &mut Rig, conn| {
-        (
-            rig.input(Input::Connected(conn)),
-            rig.receive(conn, &response(503, "", "")),
-        )
-            .1
-    };
-    let ends_in_body = |rig: &mut Rig, conn| {
-        rig.input(Input::Connected(conn));
-        rig.receive(
-            conn,
-            "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,",
-        );
-        rig.input(Input::Closed(conn));
-    };
-    type Fails = fn(&mut Rig, gullsail_platform::core::ConnectionId);
-    let all: [(&str, Fails); 7] = [
-        ("refused", invalid_requests),
-        ("never up", silent),
-        ("silent when asked", silent_after_asking),
-        ("silent in the head", silent_in_head),
-        ("silent in the body", silent_in_body),
-        ("busy", busy),
-        ("ends in the body", ends_in_body),
-    ];
-    for (mode, longest_ms) in [("push", 160.0), ("ask", 2_400.0)] {
-        for (one, first) in &all {
-            for (two, second) in &all {
-                let what = format!("{mode}: {one}, then {two}");
-                let text = settings_document(1024, 192, DISCOVERY)
-                    .replace("\"push\"", &format!("\"{mode}\""));
-                let mut rig = Rig::with(&text);
-                // The watch falls silent; long enough after it for tries to be as far apart as they get.
-                let mut tried = rig.connections_to(DISCOVERY).len();
-                let mut at = 0;
-                let began = rig.now;
-                let next = |rig: &mut Rig, tried: &mut usize| {
-                    let from = rig.now;
-                    while rig.connections_to(DISCOVERY).len() == *tried {
-                        rig.advance_time(10.0);
-                        assert!((rig.now - from).millis() < 6_000.0, "{what}");
-                    }
-                    *tried = rig.connections_to(DISCOVERY).len();
-                    *rig.connections_to(DISCOVERY).last().unwrap()
-                };
-                while (rig.now - began).millis() < 20_000.0 {
-                    let conn = next(&mut rig, &mut tried);
-                    [first, second][at % 2](&mut rig, conn);
-                    at += 1;
-                }
-                // From here it could be reached: by the next poll at the latest.
-                let back = rig.now;
-                let conn = next(&mut rig, &mut tried);
-                let elapsed_ms = (rig.now - back).millis();
-                assert!(elapsed_ms <= longest_ms, "{what}: {elapsed_ms} ms");
-                rig.input(Input::Connected(conn));
-                rig.receive(
-                    conn,
-                    &response(
-                        200,
-                        "",
-                        &page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]),
-                    ),
-                );
-                rig.client_sending(&request_text("read", 1, 0));
-                assert_eq!(
-                    rig.connections_to(NODES[0].1).len(),
-                    0,
-                    "{what}: it is told"
-                );
+    for (mode, max_delay_ms) in [("push", 160.0), ("ask", 2_400.0)] {
+        for first in POLL_FAILURES {
+            for second in POLL_FAILURES {
+                check_change_is_known(mode, [first, second], max_delay_ms);
             }
         }
     }
@@ -418,153 +425,188 @@
     );
 }
 
+/// What a host is doing when its document is reloaded, in the order of a request's life.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+enum ReloadStage {
+    WithinHead,
+    AttemptWaits,
+    AttemptInFlight,
+    ShuttingDown,
+}
+
+fn check_reload(stage: ReloadStage, moved: &SettingsDocument) {
+    let mut rig = Rig::new();
+    let text = request_text("read", 1, 0);
+    let client = rig.client();
+    let sent_bytes = if stage == ReloadStage::WithinHead {
+        30
+    } else {
+        text.len()
+    };
+    rig.receive(client, &text[..sent_bytes]);
+    if stage >= ReloadStage::AttemptInFlight {
+        rig.establish(0);
+    }
+    if stage == ReloadStage::ShuttingDown {
+        rig.input(Input::Shutdown);
+    }
+    let old = rig.connections_to(DISCOVERY)[0];
+    for _ in 0..2 {
+        rig.input(Input::Reload(Box::new(moved.clone())));
+    }
+    let new = *rig.connections_to("10.2.0.9:8500").last().unwrap();
+    assert!(rig.closed(old), "{stage:?}");
+    rig.input(Input::Connected(new));
+    let poll = &rig.sent(new)[0];
+    assert!(
+        poll.starts_with("GET /catalog/members HTTP"),
+        "{stage:?}: {poll}"
+    );
+    let list = page(3, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]);
+    rig.receive(new, &response(200, "", &list));
+    if stage == ReloadStage::WithinHead {
+        rig.receive(client, &text[sent_bytes..]);
+    }
+    if stage < ReloadStage::AttemptInFlight {
+        rig.establish(0);
+    }
+    let conn = rig.connections_to(NODES[0].1)[0];
+    rig.receive(conn, &response(200, "", "b"));
+    assert_eq!(rig.statuses(client), ["200"], "{stage:?}");
+    assert_eq!(rig.metrics().discovery_lost, 0, "{stage:?}");
+}
+
 #[test]
 fn a_reload_moves_discovery_and_nothing_else() {
-    // While a client is within its head, its attempt waits, its attempt is out, and while the host leaves;
-    // always twice.
-    let moved =
-        SettingsDocument::parse("d", &settings_document(1024, 192, "10.2.0.9:8500")).unwrap();
-    for stage in 0..4 {
-        let mut rig = Rig::new();
-        let text = request_text("read", 1, 0);
-        let client = rig.client();
-        rig.receive(client, &text[..if stage == 0 { 30 } else { text.len() }]);
-        if stage >= 2 {
-            rig.establish(0);
-        }
-        if stage == 3 {
-            rig.input(Input::Shutdown);
-        }
-        let old = rig.connections_to(DISCOVERY)[0];
-        rig.input(Input::Reload(Box::new(moved.clone())));
-        rig.input(Input::Reload(Box::new(moved.clone())));
-        let new = *rig.connections_to("10.2.0.9:8500").last().unwrap();
-        assert!(rig.closed(old), "{stage}");
-        rig.input(Input::Connected(new));
-        assert!(
-            rig.sent(new)[0].starts_with("GET /catalog/members HTTP"),
-            "{stage}: whole"
-        );
-        rig.receive(
-            new,
-            &response(
-                200,
-                "",
-                &page(3, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]),
-            ),
-        );
-        if stage == 0 {
-            rig.receive(client, &text[30..]);
-        }
-        if stage < 2 {
-            rig.establish(0);
-        }
-        let conn = rig.connections_to(NODES[0].1)[0];
-        rig.receive(conn, &response(200, "", "b"));
-        assert_eq!(
-            (rig.statuses(client), rig.metrics().discovery_lost),
-            (vec!["200".to_string()], 0),
-            "{stage}"
-        );
+    let moved = settings_document(1024, 192, "10.2.0.9:8500");
+    let moved = SettingsDocument::parse("d", &moved).unwrap();
+    for stage in [
+        ReloadStage::WithinHead,
+        ReloadStage::AttemptWaits,
+        ReloadStage::AttemptInFlight,
+        ReloadStage::ShuttingDown,
+    ] {
+        check_reload(stage, &moved);
     }
 }
 
+/// A change that makes a valid document invalid, and what the error says.
+struct DocumentChange {
+    from: &'static str,
+    to: &'static str,
+    error: &'static str,
+}
+
+const fn invalid(from: &'static str, to: &'static str, error: &'static str) -> DocumentChange {
+    DocumentChange { from, to, error }
+}
+
+const DOCUMENT_CHANGES: [DocumentChange; 19] = [
+    invalid("\"discovery\"", "\"dscovery\"", "discovery"),
+    invalid("\"sockets\":256", "\"sockets\":\"many\"", "many"),
+    invalid("\"sockets\":256", "\"sockets\":8", "at least 32"),
+    invalid("127.0.0.1:0", "here", "line 1"),
+    invalid(
+        "\"effect\":\"pure\"",
+        "\"effect\":\"odd\"",
+        "unknown effect 'odd'",
+    ),
+    invalid(
+        "\"peers-total\":2",
+        "\"peers-total\":\"two\"",
+        "settings.peers-total",
+    ),
+    invalid(
+        "\"nominal\":10.0",
+        "\"nominal\":\"x\"",
+        "settings.policies[0].nominal",
+    ),
+    invalid(
+        "\"nominal\":10.0",
+        "\"limit\":-1.0",
+        "settings.policies[0].limit: a figure of 0 or more",
+    ),
+    invalid(
+        "\"nominal\":10.0",
+        "\"limit\":9.0,\"limit-burst\":5.0",
+        "settings.policies[0].limit-burst: room for one largest transfer, 6 units",
+    ),
+    invalid(
+        "\"tick\"",
+        "\"zone\":\"x\",\"tick\"",
+        "settings.zone: one of the failure-domains [\"a\"]",
+    ),
+    invalid(
+        "\"tick\"",
+        "\"stages\":[\"s\"],\"tier\":1,\"tick\"",
+        "settings.tier: one of the 1 stages was meant, not 1",
+    ),
+    invalid(
+        "\"rank\":0",
+        "\"rank\":2",
+        "settings.rank: a number below peers-total, 2",
+    ),
+    invalid(
+        "\"push\"",
+        "\"pull\"",
+        "settings.membership-mode: 'push' or 'ask'",
+    ),
+    invalid(
+        "\"name\":\"write\"",
+        "\"name\":\"read\"",
+        "settings.profiles[1].name: another name",
+    ),
+    invalid(
+        "[false,true,true]",
+        "[false]",
+        "settings.family-info.writes: one word for each of 3",
+    ),
+    invalid(
+        "\"slots-total\":2",
+        "\"slots-total\":-2",
+        "settings.family-info.slots-total",
+    ),
+    invalid(
+        "\"objective\":600.0",
+        "\"objective\":0.0",
+        "settings.profiles[0].objective: a time above",
+    ),
+    invalid(
+        "\"max-attempts\":3",
+        "\"max-attempts\":0",
+        "settings.limits.max-attempts: at least one",
+    ),
+    invalid(
+        "\"overload-for\"",
+        "\"free-resends\":3.0,\"overload-for\"",
+        "settings.rules.look-back",
+    ),
+];
+
+fn assert_invalid(text: &str, expected: &str) {
+    let error = SettingsDocument::parse("config.json", text)
+        .unwrap_err()
+        .to_string();
+    assert!(error.contains(expected), "{error}");
+    assert!(error.contains("config.json"), "{error}");
+}
+
 #[test]
 fn invalid_documents_say_where_and_what_was_expected() {
-    let sound = settings_document(256, 32, DISCOVERY);
-    let cases = [
-        (sound[..sound.len() / 2].to_string(), "line "),
-        (String::new(), "EOF"),
-        (
-            sound.replacen("\"discovery\"", "\"dscovery\"", 1),
-            "discovery",
-        ),
-        (
-            sound.replacen("\"sockets\":256", "\"sockets\":\"many\"", 1),
-            "many",
-        ),
-        (
-            sound.replacen("\"sockets\":256", "\"sockets\":8", 1),
-            "at least 32",
-        ),
-        (sound.replacen("127.0.0.1:0", "here", 1), "line 1"),
-        (
-            sound.replacen("\"effect\":\"pure\"", "\"effect\":\"odd\"", 1),
-            "unknown effect 'odd'",
-        ),
-        // Where it is, and what was meant.
-        (
-            sound.replacen("\"peers-total\":2", "\"peers-total\":\"two\"", 1),
-            "settings.peers-total",
-        ),
-        (
-            sound.replacen("\"nominal\":10.0", "\"nominal\":\"x\"", 1),
-            "settings.policies[0].nominal",
-        ),
-        (
-            sound.replacen("\"nominal\":10.0", "\"limit\":-1.0", 1),
-            "settings.policies[0].limit: a figure of 0 or more",
-        ),
-        (
-            sound.replacen("\"nominal\":10.0", "\"limit\":9.0,\"limit-burst\":5.0", 1),
-            "settings.policies[0].limit-burst: room for one largest transfer, 6 units",
-        ),
-        (
-            sound.replacen("\"tick\"", "\"zone\":\"x\",\"tick\"", 1),
-            "settings.zone: one of the failure-domains [\"a\"]",
-        ),
-        (
-            sound.replacen("\"tick\"", "\"stages\":[\"s\"],\"tier\":1,\"tick\"", 1),
-            "settings.tier: one of the 1 stages was meant, not 1",
-        ),
-        (
-            sound.replacen("\"rank\":0", "\"rank\":2", 1),
-            "settings.rank: a number below peers-total, 2",
-        ),
-        (
-            sound.replacen("\"push\"", "\"pull\"", 1),
-            "settings.membership-mode: 'push' or 'ask'",
-        ),
-        (
-            sound.replacen("\"name\":\"write\"", "\"name\":\"read\"", 1),
-            "settings.profiles[1].name: another name",
-        ),
-        (
-            sound.replacen("[false,true,true]", "[false]", 1),
-            "settings.family-info.writes: one word for each of 3",
-        ),
-        (
-            sound.replacen("\"slots-total\":2", "\"slots-total\":-2", 1),
-            "settings.family-info.slots-total",
-        ),
-        (
-            sound.replacen("\"objective\":600.0", "\"objective\":0.0", 1),
-            "settings.profiles[0].objective: a time above",
-        ),
-        (
-            sound.replacen("\"max-attempts\":3", "\"max-attempts\":0", 1),
-            "settings.limits.max-attempts: at least one",
-        ),
-        (
-            sound.replacen(
-                "\"overload-for\"",
-                "\"free-resends\":3.0,\"overload-for\"",
-                1,
-            ),
-            "settings.rules.look-back",
-        ),
-    ];
-    for (text, names) in cases {
-        let why = SettingsDocument::parse("config.json", &text)
-            .unwrap_err()
-            .to_string();
-        assert!(why.contains(names) && why.contains("config.json"), "{why}");
+    let valid = settings_document(256, 32, DISCOVERY);
+    assert_invalid(&valid[..valid.len() / 2], "line ");
+    assert_invalid("", "EOF");
+    for DocumentChange { from, to, error } in DOCUMENT_CHANGES {
+        assert!(valid.contains(from), "{from}");
+        assert_invalid(&valid.replacen(from, to, 1), error);
     }
-    // Keys that are not known are skipped, wherever they stand.
-    let more = sound.replacen("\"tick\"", "\"novelty\":{\"a\":[1]},\"tick\"", 1);
-    let more = more.replacen("\"listen\"", "\"weather\":null,\"listen\"", 1);
-    assert!(
-        SettingsDocument::parse("config.json", &sound).is_ok()
-            && SettingsDocument::parse("config.json", &more).is_ok()
-    );
+    assert!(SettingsDocument::parse("config.json", &valid).is_ok());
+}
+
+#[test]
+fn unknown_keys_of_a_document_are_ignored_at_any_level() {
+    let valid = settings_document(256, 32, DISCOVERY);
+    let text = valid.replacen("\"tick\"", "\"novelty\":{\"a\":[1]},\"tick\"", 1);
+    let text = text.replacen("\"listen\"", "\"weather\":null,\"listen\"", 1);
+    assert!(SettingsDocument::parse("config.json", &text).is_ok());
 }
--- a/crates/platform/tests/platform/serialized_names.rs
+++ b/crates/platform/tests/platform/serialized_names.rs
@@ -107,98 +107,119 @@
     }
 }
 
-/// The status line and the body that a client receives: they are the platform's, whatever the names in this program.
+/// The response to an invalid request.
+struct Response {
+    error: RequestError,
+    status: u16,
+    body: &'static str,
+}
+
+const fn response_to(error: RequestError, status: u16, body: &'static str) -> Response {
+    Response {
+        error,
+        status,
+        body,
+    }
+}
+
+const RESPONSES: [Response; 17] = [
+    response_to(
+        RequestError::Malformed,
+        400,
+        "an HTTP/1.1 message with one sound length was meant",
+    ),
+    response_to(
+        RequestError::HeadTooLong,
+        431,
+        "a head of at most 16 KiB was meant",
+    ),
+    response_to(
+        RequestError::BodyTooLong,
+        413,
+        "a body of at most 64 KiB was meant",
+    ),
+    response_to(
+        RequestError::TooSlow,
+        408,
+        "a whole message within two seconds was meant",
+    ),
+    response_to(
+        RequestError::Path,
+        404,
+        "a path of stream type, volume and object was meant",
+    ),
+    response_to(
+        RequestError::Method,
+        405,
+        "GET for a read and PUT for a write were meant",
+    ),
+    response_to(
+        RequestError::RequestClass,
+        400,
+        "X-Qos with the stream type of the path was meant",
+    ),
+    response_to(
+        RequestError::Plan,
+        400,
+        "X-Storage-Class with a plan of the settings was meant",
+    ),
+    response_to(
+        RequestError::TraceId,
+        400,
+        "X-Trace-Id with 16 hexadecimal digits was meant",
+    ),
+    response_to(
+        RequestError::Deadline,
+        400,
+        "X-Expires-In-Ms with whole milliseconds was meant",
+    ),
+    response_to(
+        RequestError::UnitsShardOrHosts,
+        400,
+        "X-Extent with units, shard and hosts in range was meant",
+    ),
+    response_to(
+        RequestError::IdempotencyKey,
+        400,
+        "an Idempotency-Key was meant",
+    ),
+    response_to(
+        RequestError::LengthRequired,
+        411,
+        "a length of the body was meant",
+    ),
+    response_to(
+        RequestError::ReadWithBody,
+        400,
+        "a read without a body was meant",
+    ),
+    response_to(
+        RequestError::DuplicateTraceId,
+        409,
+        "an id that is not open was meant",
+    ),
+    response_to(
+        RequestError::OutOfMemory,
+        413,
+        "the host holds all that it has room for",
+    ),
+    response_to(
+        RequestError::ShuttingDown,
+        503,
+        "another host was meant: this one leaves",
+    ),
+];
+
+/// The status and the body that a client receives: they are the platform's, whatever the names in this program.
 #[test]
 fn responses_to_invalid_requests_keep_their_status_and_body() {
-    let responses = [
-        (
-            RequestError::Malformed,
-            400,
-            "an HTTP/1.1 message with one sound length was meant",
-        ),
-        (
-            RequestError::HeadTooLong,
-            431,
-            "a head of at most 16 KiB was meant",
-        ),
-        (
-            RequestError::BodyTooLong,
-            413,
-            "a body of at most 64 KiB was meant",
-        ),
-        (
-            RequestError::TooSlow,
-            408,
-            "a whole message within two seconds was meant",
-        ),
-        (
-            RequestError::Path,
-            404,
-            "a path of stream type, volume and object was meant",
-        ),
-        (
-            RequestError::Method,
-            405,
-            "GET for a read and PUT for a write were meant",
-        ),
-        (
-            RequestError::RequestClass,
-            400,
-            "X-Qos with the stream type of the path was meant",
-        ),
-        (
-            RequestError::Plan,
-            400,
-            "X-Storage-Class with a plan of the settings was meant",
-        ),
-        (
-            RequestError::TraceId,
-            400,
-            "X-Trace-Id with 16 hexadecimal digits was meant",
-        ),
-        (
-            RequestError::Deadline,
-            400,
-            "X-Expires-In-Ms with whole milliseconds was meant",
-        ),
-        (
-            RequestError::UnitsShardOrHosts,
-            400,
-            "X-Extent with units, shard and hosts in range was meant",
-        ),
-        (
-            RequestError::IdempotencyKey,
-            400,
-            "an Idempotency-Key was meant",
-        ),
-        (
-            RequestError::LengthRequired,
-            411,
-            "a length of the body was meant",
-        ),
-        (
-            RequestError::ReadWithBody,
-            400,
-            "a read without a body was meant",
-        ),
-        (
-            RequestError::DuplicateTraceId,
-            409,
-            "an id that is not open was meant",
-        ),
-        (
-            RequestError::OutOfMemory,
-            413,
-            "the host holds all that it has room for",
-        ),
-        (
-            RequestError::ShuttingDown,
-            503,
-            "another host was meant: this one leaves",
-        ),
-    ];
-    for (error, code, body) in responses {
-        assert_eq!(error.status().code, code, "{error:?}");
+    for Response {
+        error,
+        status,
+        body,
+    } in RESPONSES
+    {
+        assert_eq!(error.status().code, status, "{error:?}");
         assert_eq!(error.expected(), body, "{error:?}");
     }
 }
