--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The real program on the platform's protocol: loopback, scripted peers, limits of its own.
+//! The real program on the platform's protocol, over loopback, with scripted peers and limits of its own.
 
 mod races;
 mod rig;
@@ -6,66 +6,75 @@
 use nix::sys::signal::Signal;
 use rig::*;
 use std::io::Write;
+use std::net::SocketAddr;
 use std::process::Command;
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-#[test]
-fn it_serves_under_load_reloads_and_shuts_down_with_everything_answered() {
+/// The trace id of the request that its node answers only when the test says so.
+const HELD_TRACE_ID: u64 = 0xff;
+
+/// A node that answers at once, except for [`HELD_TRACE_ID`]. Sending on the channel releases that response.
+fn node_with_held_response() -> (SocketAddr, Sender<()>) {
     let (release, released) = channel::<()>();
-    let released = std::sync::Arc::new(std::sync::Mutex::new(released));
+    let released = Arc::new(Mutex::new(released));
     let node = serve(move |text| {
-        // One of them is answered only when the test says so.
-        if text.contains("00000000000000ff") {
+        if text.contains(&format!("{HELD_TRACE_ID:016x}")) {
             released.lock().unwrap().recv_timeout(SOON).ok()?;
         }
         Some(reply("made by the node"))
     });
-    let (old_discovery, polls) = discovery(node);
-    let mut host = Host::start(old_discovery);
-    host.ready();
-    let mut usual_client = host.client();
-    send_request(&mut usual_client, 1);
-    assert!(
-        read_message(&mut usual_client)
-            .unwrap()
-            .ends_with("made by the node")
-    );
-    // More connections than it has descriptors, all of them silent.
+    (node, release)
+}
+
+/// More silent connections than the host has descriptors: a usual client is served all the same.
+fn check_flood_of_silent_clients(host: &Host) {
     let silent_clients: Vec<_> = (0..90).map(|_| host.client()).collect();
     std::thread::sleep(Duration::from_millis(400));
-    let new_client_status = (0..50).find_map(|_| {
+    let status = (0..50).find_map(|_| {
         let mut client = host.client();
         send_request(&mut client, 2);
         read_status(&mut client)
     });
-    assert_eq!(new_client_status.as_deref(), Some("200"));
+    assert_eq!(status.as_deref(), Some("200"));
     drop(silent_clients);
-    // Noise is answered with an error.
-    let mut noisy_client = host.client();
-    noisy_client
-        .get_mut()
-        .write_all(b"\x01\x02 noise\r\n\r\n")
-        .unwrap();
-    assert_eq!(read_status(&mut noisy_client).as_deref(), Some("400"));
-    // A half-written document keeps what is; a whole one moves discovery.
+}
+
+/// A truncated document changes nothing; a complete one moves discovery, whose polls are returned.
+fn check_reload(host: &Host, old_discovery: SocketAddr, node: SocketAddr) -> Receiver<String> {
     std::fs::write(&host.file, &document(old_discovery)[..100]).unwrap();
     host.signal(Signal::SIGHUP);
     host.line("reload rejected, keeping the previous configuration");
-    let (new_discovery, polls_after_reload) = discovery(node);
+    let (new_discovery, polls) = discovery(node);
     std::fs::write(&host.file, document(new_discovery)).unwrap();
     host.signal(Signal::SIGHUP);
-    assert_eq!(
-        polls_after_reload.recv_timeout(SOON).unwrap(),
-        "GET /catalog/members HTTP/1.1"
-    );
-    assert_eq!(
-        polls.recv_timeout(SOON).unwrap(),
-        "GET /catalog/members HTTP/1.1"
-    );
-    // It leaves: what is open is answered first.
+    polls
+}
+
+#[test]
+fn it_serves_under_load_reloads_and_shuts_down_with_everything_answered() {
+    let (node, release) = node_with_held_response();
+    let (old_discovery, polls) = discovery(node);
+    let mut host = Host::start(old_discovery);
+    host.ready();
+    let mut usual_client = host.client();
+    send_request(&mut usual_client, 1);
+    let response = read_message(&mut usual_client).unwrap();
+    assert!(response.ends_with("made by the node"));
+    check_flood_of_silent_clients(&host);
+    let mut noisy_client = host.client();
+    let noise = b"\x01\x02 noise\r\n\r\n";
+    noisy_client.get_mut().write_all(noise).unwrap();
+    assert_eq!(read_status(&mut noisy_client).as_deref(), Some("400"));
+    let polls_after_reload = check_reload(&host, old_discovery, node);
+    for polls in [polls_after_reload, polls] {
+        let first = polls.recv_timeout(SOON).unwrap();
+        assert_eq!(first, "GET /catalog/members HTTP/1.1");
+    }
+    // Open requests are answered before the exit.
     let mut open = host.client();
-    send_request(&mut open, 0xff);
+    send_request(&mut open, HELD_TRACE_ID);
     host.signal(Signal::SIGTERM);
     host.line("listener closed");
     assert!(host.child.try_wait().unwrap().is_none());
--- a/crates/cli/tests/platform/races.rs
+++ b/crates/cli/tests/platform/races.rs
@@ -1,6 +1,5 @@
-//! Events that cross on real sockets, forced: a peer that holds back, a window that is full, a process that
-//! stands still while both happen. Each test asks what must hold in whichever order the process then finds
-//! them.
+//! Races on real sockets, forced by a peer that delays, a full window, or a process that is stopped while both events
+//! happen. Each test checks what must hold in whichever order the process then finds them.
 
 use crate::rig::*;
 use nix::sys::signal::Signal;
@@ -17,7 +16,7 @@
     document(discovery).replace("\"give-up\":9000.0,\"objective\":9000.0", &times)
 }
 
-/// A node that reports its requests and gives this answer; without one it hangs.
+/// A node that reports its requests and gives this response; without one it never responds.
 fn node(answer: Option<String>) -> (SocketAddr, Receiver<String>) {
     let (sender, requests) = channel();
     let address = serve(move |text| {
@@ -27,20 +26,39 @@
     (address, requests)
 }
 
-/// Whole answers on a connection until its end, and whether that was in order.
-fn read_responses(client: &mut std::io::BufReader<TcpStream>) -> (Vec<String>, bool) {
-    let mut all = Vec::new();
+/// What a client received on a connection until it ended.
+#[derive(Debug, PartialEq)]
+struct Received {
+    /// The status of each complete response.
+    statuses: Vec<String>,
+    /// The connection ended without a reset.
+    closed_in_order: bool,
+}
+
+impl Received {
+    /// These responses, and an end in order.
+    fn in_order(statuses: &[&str]) -> Received {
+        Received {
+            statuses: statuses.iter().map(|status| status.to_string()).collect(),
+            closed_in_order: true,
+        }
+    }
+}
+
+fn read_responses(client: &mut std::io::BufReader<TcpStream>) -> Received {
+    let mut statuses = Vec::new();
     while let Some(text) = read_message(client) {
-        all.push(text[9..12].to_string());
+        statuses.push(text[9..12].to_string());
+    }
+    let end = client.get_mut().read(&mut [0; 1]);
+    Received {
+        statuses,
+        closed_in_order: end.is_ok_and(|length| length == 0),
     }
-    (
-        all,
-        client.get_mut().read(&mut [0; 1]).is_ok_and(|n| n == 0),
-    )
 }
 
-/// SIGTERM, with a request whose node hangs until the last moment: its answer is written before the process
-/// ends, once and whole, also by a second signal.
+/// SIGTERM, with a request whose node never responds: the client's response is written before the process exits, once and
+/// completely, also after a second signal.
 #[test]
 fn open_requests_are_answered_before_the_exit() {
     for signals in [1, 2] {
@@ -58,7 +76,7 @@
         }
         assert_eq!(
             read_responses(&mut open),
-            (vec!["500".to_string()], true),
+            Received::in_order(&["500"]),
             "{signals}"
         );
         drop(open);
@@ -67,7 +85,7 @@
     }
 }
 
-/// A reader that takes its answer slowly, through a small window, while the host leaves: it gets all of it.
+/// A client that reads slowly through a small window while the host shuts down gets the whole response.
 #[test]
 fn a_slow_reader_gets_its_whole_response_during_shutdown() {
     let body = "b".repeat(60 << 10);
@@ -87,63 +105,73 @@
     host.line("listener closed");
     let text = read_message(&mut slow).expect("a whole answer");
     assert!(text.starts_with("HTTP/1.1 200") && text.ends_with(&body));
-    assert_eq!(read_responses(&mut slow), (vec![], true));
+    assert_eq!(read_responses(&mut slow), Received::in_order(&[]));
     drop(slow);
     assert_eq!(host.child.wait().unwrap().code(), Some(0));
 }
 
-/// A message on a connection that rests, and the host's closing it, while the process stands still: when it
-/// goes on, both are there. Either it is served, or the connection ends in order and no node hears of it:
-/// then the client sends it again.
+/// Idle connections on which one request each was served.
+fn idle_clients(host: &Host, requests: &Receiver<String>) -> Vec<std::io::BufReader<TcpStream>> {
+    let mut clients: Vec<_> = (0..8).map(|_| host.client()).collect();
+    for (i, client) in clients.iter_mut().enumerate() {
+        send_request(client, 1 + i as u64);
+        assert_eq!(read_status(client).as_deref(), Some("200"));
+        requests.recv_timeout(SOON).unwrap();
+    }
+    clients
+}
+
+/// A message on an idle connection races the host's close of it, while the process is stopped: when it goes on, both are
+/// there. Either the message is served, or the connection ends in order and no node receives the request, so the
+/// client may send it again.
 #[test]
 fn a_message_racing_an_idle_close_is_served_or_never_forwarded() {
-    for leaving in [false, true] {
+    for shutting_down in [false, true] {
         let (node_address, requests) = node(Some(reply("made by the node")));
         let (address, _polls) = discovery(node_address);
         let host = Host::with(&document_with_times(address, 1000, 1500));
         host.ready();
-        let mut resting: Vec<_> = (0..8).map(|_| host.client()).collect();
-        for (i, client) in resting.iter_mut().enumerate() {
-            send_request(client, 1 + i as u64);
-            assert_eq!(read_status(client).as_deref(), Some("200"));
-            requests.recv_timeout(SOON).unwrap();
-        }
-        if leaving {
+        let mut clients = idle_clients(&host, &requests);
+        if shutting_down {
             host.signal(Signal::SIGTERM);
             host.line("shutdown started");
         }
-        // Longer than connections may rest, and than the host takes more while it leaves.
+        // Longer than connections may be idle, and than the host accepts requests during the shutdown.
         host.signal(Signal::SIGSTOP);
         std::thread::sleep(Duration::from_millis(2_300));
-        resting
-            .iter_mut()
-            .enumerate()
-            .for_each(|(i, client)| send_request(client, 101 + i as u64));
+        for (i, client) in clients.iter_mut().enumerate() {
+            send_request(client, 101 + i as u64);
+        }
         host.signal(Signal::SIGCONT);
-        for (i, client) in resting.iter_mut().enumerate() {
-            let (statuses, in_order) = if leaving {
+        for (i, client) in clients.iter_mut().enumerate() {
+            let received = if shutting_down {
                 read_responses(client)
             } else {
-                (read_status(client).into_iter().collect::<Vec<_>>(), true)
+                Received {
+                    statuses: read_status(client).into_iter().collect(),
+                    closed_in_order: true,
+                }
             };
             let trace = format!("X-Trace-Id: {:016x}", 101 + i as u64);
-            let forwarded = requests
-                .try_iter()
-                .filter(|text| text.contains(&trace))
-                .count();
-            assert!(in_order, "{leaving} {i}: a reset");
-            match statuses.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-                ["200"] => {}
-                [] => assert_eq!(forwarded, 0, "{leaving} {i}: sent on, and never answered"),
-                // Given up on at the last moment.
-                ["500" | "503"] => assert!(leaving, "{i}"),
-                _ => panic!("{leaving} {i}: {statuses:?}"),
-            }
+            let forwarded = requests.try_iter().filter(|text| text.contains(&trace));
+            check_race(&received, forwarded.count(), shutting_down);
         }
     }
 }
 
-/// A node whose connections do not come up until there is room for them.
+fn check_race(received: &Received, forwarded: usize, shutting_down: bool) {
+    assert!(received.closed_in_order, "{received:?}: a reset");
+    let statuses: Vec<_> = received.statuses.iter().map(String::as_str).collect();
+    match statuses[..] {
+        ["200"] => {}
+        [] => assert_eq!(forwarded, 0, "forwarded, but never answered"),
+        // The host fails what is open shortly before the platform kills it.
+        ["500" | "503"] => assert!(shutting_down, "{received:?}"),
+        _ => panic!("{received:?}"),
+    }
+}
+
+/// A node to which no connection is established until it starts to accept.
 struct LateNode {
     listener: Socket,
     address: SocketAddr,
@@ -158,7 +186,7 @@
             .unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
-        // One more than it says may wait; further ones hang.
+        // The backlog of 0 takes one connection; further ones are not established.
         let fill = vec![TcpStream::connect(address).unwrap()];
         LateNode {
             listener,
@@ -167,7 +195,7 @@
         }
     }
 
-    /// From here connections come up, the next time that the system tries. Says what comes on any of them.
+    /// From now on connections are established when the operating system tries again. Returns what is received on them.
     fn start_accepting(mut self) -> Receiver<String> {
         let (sender, received) = channel();
         self.fill.clear();
@@ -188,16 +216,59 @@
     }
 }
 
-/// A client that leaves while its attempt waits for a connection: in order, by a reset, behind more bytes
-/// than may wait, and many at once. Nothing is sent for it when the connection comes up; who stays is served.
+/// How a client leaves while its attempt waits for a connection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Departure {
+    InOrder,
+    Reset,
+    /// Behind more input than is buffered.
+    BehindInput,
+    /// Many clients at once.
+    Burst,
+    /// It stays.
+    None,
+}
+
+impl Departure {
+    /// Clients with an open request each leave in this way. Returns those that stay.
+    fn play(self, host: &Host) -> Vec<std::io::BufReader<TcpStream>> {
+        let count = if self == Departure::Burst { 12 } else { 1 };
+        let mut clients: Vec<_> = (0..count).map(|_| host.client()).collect();
+        for (i, client) in clients.iter_mut().enumerate() {
+            send_request(client, 1 + i as u64);
+        }
+        // The requests have been read once a request sent after them is answered.
+        host.ready();
+        if self == Departure::BehindInput {
+            (0..120).for_each(|i| send_request(&mut clients[0], 1000 + i));
+        }
+        if self == Departure::Reset {
+            let stream = socket2::SockRef::from(clients[0].get_ref());
+            stream.set_linger(Some(Duration::ZERO)).unwrap();
+        }
+        if self != Departure::None {
+            clients.clear();
+            host.ready();
+        }
+        clients
+    }
+}
+
+/// The last four digits of the trace id.
+fn short_trace_id(text: &str) -> String {
+    let (_, id) = text.split_once("X-Trace-Id: ").unwrap();
+    id[12..16].to_string()
+}
+
+/// Nothing is sent for a client that left when the connection is established; a client that stays is served.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_a_late_connect() {
-    for (how, leaves) in [
-        ("in order", true),
-        ("reset", true),
-        ("behind bytes", true),
-        ("burst", true),
-        ("stays", false),
+    for departure in [
+        Departure::InOrder,
+        Departure::Reset,
+        Departure::BehindInput,
+        Departure::Burst,
+        Departure::None,
     ] {
         let late = LateNode::new();
         let (address, _polls) = discovery(late.address);
@@ -205,105 +276,148 @@
             .replace("\"connect-timeout\":250.0", "\"connect-timeout\":5000.0");
         let host = Host::with(&text);
         host.ready();
-        let clients = if how == "burst" { 12 } else { 1 };
-        let mut all: Vec<_> = (0..clients).map(|_| host.client()).collect();
-        all.iter_mut()
-            .enumerate()
-            .for_each(|(i, client)| send_request(client, 1 + i as u64));
-        // They have been read once a request sent after them is answered.
-        host.ready();
-        if how == "behind bytes" {
-            (0..120).for_each(|i| send_request(&mut all[0], 1000 + i));
-        }
-        if how == "reset" {
-            let stream = socket2::SockRef::from(all[0].get_ref());
-            stream.set_linger(Some(Duration::ZERO)).unwrap();
-        }
-        if leaves {
-            all.clear();
-            host.ready();
-        }
+        let mut staying = departure.play(&host);
         let received = late.start_accepting();
         // A request sent now is served when the connection is established, behind those that waited before.
         let mut next = host.client();
         send_request(&mut next, 0x77);
-        assert_eq!(read_status(&mut next).as_deref(), Some("200"), "{how}");
-        if !leaves {
-            assert_eq!(read_status(&mut all[0]).as_deref(), Some("200"), "{how}");
+        assert_eq!(
+            read_status(&mut next).as_deref(),
+            Some("200"),
+            "{departure:?}"
+        );
+        for client in &mut staying {
+            assert_eq!(read_status(client).as_deref(), Some("200"), "{departure:?}");
         }
-        let trace = |text: &String| {
-            text.split_once("X-Trace-Id: ")
-                .map(|(_, id)| id[12..16].to_string())
-                .unwrap()
-        };
-        let mut sent: Vec<_> = received.try_iter().map(|text| trace(&text)).collect();
+        let mut sent: Vec<_> = received
+            .try_iter()
+            .map(|text| short_trace_id(&text))
+            .collect();
         sent.sort();
-        let wanted: &[&str] = if leaves { &["0077"] } else { &["0001", "0077"] };
-        assert_eq!(sent, wanted, "{how}");
+        let expected: &[&str] = match departure {
+            Departure::None => &["0001", "0077"],
+            _ => &["0077"],
+        };
+        assert_eq!(sent, expected, "{departure:?}");
     }
 }
 
-/// Clients that ask once and stay hold every descriptor they may, while discovery is down: when it is back,
-/// what it says reaches the host all the same.
+/// What a scripted discovery was asked, and whether it answered.
+#[derive(Debug, PartialEq)]
+struct Poll {
+    /// A poll for changes, which waits; else for the complete list.
+    waits: bool,
+    answered: bool,
+}
+
+impl Poll {
+    const LIST: Poll = Poll {
+        waits: false,
+        answered: true,
+    };
+    const UNANSWERED_LIST: Poll = Poll {
+        waits: false,
+        answered: false,
+    };
+    const CHANGES: Poll = Poll {
+        waits: true,
+        answered: false,
+    };
+}
+
+/// A discovery service that answers with a page, or is silent without one. Polls for changes wait for ever.
+struct ScriptedDiscovery {
+    address: SocketAddr,
+    page: Arc<Mutex<Option<String>>>,
+    polls: Receiver<Poll>,
+}
+
+impl ScriptedDiscovery {
+    fn start(page: String) -> ScriptedDiscovery {
+        let page = Arc::new(Mutex::new(Some(page)));
+        let (sender, polls) = channel();
+        let current_page = page.clone();
+        let address = serve(move |text| {
+            let waits = text.contains("after=");
+            let page = current_page.lock().unwrap().clone();
+            let answer = page.filter(|_| !waits);
+            let answered = answer.is_some();
+            let _ = sender.send(Poll { waits, answered });
+            answer.map(|page| reply(&page))
+        });
+        ScriptedDiscovery {
+            address,
+            page,
+            polls,
+        }
+    }
+
+    fn set_page(&self, page: Option<String>) {
+        *self.page.lock().unwrap() = page;
+    }
+
+    fn next_poll(&self) -> Poll {
+        self.polls.recv_timeout(SOON).unwrap()
+    }
+
+    fn wait_for(&self, poll: &Poll) {
+        while self.next_poll() != *poll {}
+    }
+}
+
+/// A page with two nodes of one shard, the second of which serves.
+fn two_nodes(first: SocketAddr, first_health: &str, second: SocketAddr, seq: u32) -> String {
+    format!(
+        r#"{{"seq":{seq},"whole":true,"hosts":[
+        {{"host":"s-1","dial":"{first}","site":"a","class":"m","block":0,"health":"{first_health}","share":1.0,"born_ms":0}},
+        {{"host":"s-2","dial":"{second}","site":"a","class":"m","block":0,"health":"SERVING","share":1.0,"born_ms":0}}]}}"#
+    )
+}
+
+/// Sends a health check and keeps the connection open, whether there is a response in time or not.
+fn lingering_client(host: &Host) -> std::io::BufReader<TcpStream> {
+    let mut client = host.client();
+    let stream = client.get_mut();
+    stream
+        .set_read_timeout(Some(Duration::from_millis(50)))
+        .unwrap();
+    let _ = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
+    let _ = read_message(&mut client);
+    client
+}
+
+/// Clients that send one request and stay hold every descriptor that clients may hold, while discovery is down. When
+/// discovery is back, its list reaches the host all the same.
 #[test]
 fn idle_clients_do_not_block_discovery() {
-    let (old, asked_old) = node(Some(reply("old")));
-    let (new, _asked_new) = node(Some(reply("new")));
-    let page = |old_is: &str, seq: u32| {
-        format!(
-            r#"{{"seq":{seq},"whole":true,"hosts":[
-            {{"host":"s-1","dial":"{old}","site":"a","class":"m","block":0,"health":"{old_is}","share":1.0,"born_ms":0}},
-            {{"host":"s-2","dial":"{new}","site":"a","class":"m","block":0,"health":"SERVING","share":1.0,"born_ms":0}}]}}"#
-        )
-    };
-    let answered_page = Arc::new(Mutex::new(Some(page("SERVING", 4))));
-    let (sender, polls) = channel();
-    let current_page = answered_page.clone();
-    let address = serve(move |text| {
-        let watch = text.contains("after=");
-        let page = current_page.lock().unwrap().clone();
-        // Down, it is silent; a watch waits for ever.
-        let answer = page.filter(|_| !watch);
-        let _ = sender.send((watch, answer.is_some()));
-        answer.map(|page| reply(&page))
-    });
-    let host = Host::start(address);
+    let (old, old_requests) = node(Some(reply("old")));
+    let (new, _new_requests) = node(Some(reply("new")));
+    let discovery = ScriptedDiscovery::start(two_nodes(old, "SERVING", new, 4));
+    let host = Host::start(discovery.address);
     host.ready();
-    assert_eq!(polls.recv_timeout(SOON).unwrap(), (false, true));
-    assert_eq!(polls.recv_timeout(SOON).unwrap(), (true, false));
-    *answered_page.lock().unwrap() = None;
-    // The next question is not answered: the watch was given up.
-    while polls.recv_timeout(SOON).unwrap() != (false, false) {}
-    let mut silent_clients = Vec::new();
-    for _ in 0..90 {
-        let mut client = host.client();
-        client
-            .get_mut()
-            .set_read_timeout(Some(Duration::from_millis(50)))
-            .unwrap();
-        let _ = client
-            .get_mut()
-            .write_all(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
-        let _ = read_message(&mut client);
-        silent_clients.push(client);
-    }
-    *answered_page.lock().unwrap() = Some(page("DRAINING", 5));
-    while polls.recv_timeout(SOON).unwrap() != (false, true) {}
-    // The next poll comes once the list has been handled.
-    while polls.recv_timeout(SOON).unwrap() != (true, false) {}
-    drop(silent_clients);
+    assert_eq!(discovery.next_poll(), Poll::LIST);
+    assert_eq!(discovery.next_poll(), Poll::CHANGES);
+    discovery.set_page(None);
+    // The next poll for the list is not answered: the one for changes has timed out.
+    discovery.wait_for(&Poll::UNANSWERED_LIST);
+    let idle_clients: Vec<_> = (0..90).map(|_| lingering_client(&host)).collect();
+    discovery.set_page(Some(two_nodes(old, "DRAINING", new, 5)));
+    discovery.wait_for(&Poll::LIST);
+    // The next poll is sent once the list has been applied.
+    discovery.wait_for(&Poll::CHANGES);
+    drop(idle_clients);
     for trace in 1..=8 {
         let mut client = host.client();
         send_request(&mut client, trace);
         assert!(read_message(&mut client).unwrap().ends_with("new"));
     }
-    assert!(asked_old.try_recv().is_err());
+    assert!(old_requests.try_recv().is_err());
 }
 
-/// What a process holds.
+/// Resources of a process.
 struct Resources {
     descriptors: usize,
-    /// The most memory that it ever had.
+    /// The most memory that it ever had, in MB.
     peak_memory_mb: usize,
 }
 
@@ -322,31 +436,30 @@
     }
 }
 
-/// Floods, many silent clients, endless pipelined messages, and nodes whose answers never end or cannot be
-/// read: a usual client is served meanwhile, memory and descriptors stay within their bounds, and what was
-/// held is given back.
-#[test]
-fn floods_and_endless_responses_are_bounded_and_released() {
-    // Two nodes: one is well, the other's answers are spoilt, each in a way of its own.
-    let (good_node, _asked) = node(Some(reply("made for it")));
-    let malformed_node = serve(|text| {
-        let trace = text
-            .split_once("X-Trace-Id: ")
-            .map_or("", |(_, id)| &id[..16]);
-        Some(match &trace[14..] {
-            "aa" => {
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string()
-                    + &"40\r\n".repeat(9000)
-            }
-            "bb" => "HTTP/1.1 100 Continue\r\n\r\n".repeat(4000),
-            "cc" => format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
-                "x".repeat(400_000)
-            ),
-            "dd" => "\u{1}\u{2} noise".repeat(5000),
-            _ => reply("made for it") + &reply("another's"),
-        })
-    });
+/// What a malformed node sends, by the last two digits of the request's trace id.
+fn malformed_response(text: &str) -> String {
+    let trace = text
+        .split_once("X-Trace-Id: ")
+        .map_or("", |(_, id)| &id[..16]);
+    match &trace[14..] {
+        "aa" => {
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string()
+                + &"40\r\n".repeat(9000)
+        }
+        "bb" => "HTTP/1.1 100 Continue\r\n\r\n".repeat(4000),
+        "cc" => format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
+            "x".repeat(400_000)
+        ),
+        "dd" => "\u{1}\u{2} noise".repeat(5000),
+        _ => reply("made for it") + &reply("another's"),
+    }
+}
+
+/// A host with a node for each of two shards: the first one works, the second one is malformed.
+fn host_with_malformed_node() -> Host {
+    let (good_node, _requests) = node(Some(reply("made for it")));
+    let malformed_node = serve(|text| Some(malformed_response(text)));
     let entry = |host, dial, block| {
         format!(
             r#"{{"host":"{host}","dial":"{dial}","site":"a","class":"m","block":{block},"health":"SERVING","share":1.0,
@@ -359,69 +472,92 @@
         entry("s-2", malformed_node, 1)
     );
     let address = serve(move |text| (!text.contains("after=")).then(|| reply(&page)));
-    let host = Host::with(
-        &document_with_times(address, 1000, 2000).replace("\"slots-total\":1", "\"slots-total\":2"),
+    let text = document_with_times(address, 1000, 2000);
+    Host::with(&text.replace("\"slots-total\":1", "\"slots-total\":2"))
+}
+
+/// Clients that hold connections without a complete request; they are closed when this is dropped.
+struct Flood {
+    _silent: Vec<TcpStream>,
+    _half_sent: Vec<TcpStream>,
+    _endless: TcpStream,
+}
+
+impl Flood {
+    /// Silent clients, half messages, many messages of a client that leaves, and a body without end.
+    fn start(host: &Host, round: u64) -> Flood {
+        let connect = || TcpStream::connect(host.address).unwrap();
+        let silent: Vec<_> = (0..60).map(|_| connect()).collect();
+        let mut half_sent: Vec<_> = (0..20).map(|_| connect()).collect();
+        for client in &mut half_sent {
+            let _ = client.write_all(b"PUT /read/0000");
+        }
+        let mut gone = host.client();
+        for i in 0..300 {
+            let text = request_text(0x1000 + round * 400 + i);
+            let _ = gone.get_mut().write_all(text.as_bytes());
+        }
+        drop(gone);
+        let mut endless = connect();
+        let _ = endless.write_all(b"PUT /read/00 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
+        for _ in 0..200 {
+            let _ = endless.write_all(&[b'x'; 8 << 10]);
+        }
+        Flood {
+            _silent: silent,
+            _half_sent: half_sent,
+            _endless: endless,
+        }
+    }
+}
+
+/// A request that the malformed node receives, and usual ones behind it on the same connection.
+fn check_malformed_response(host: &Host, trace: u64, case: &str) {
+    let mut client = host.client();
+    let text = request_text(trace).replace("shard=0", "shard=1");
+    client.get_mut().write_all(text.as_bytes()).unwrap();
+    // A malformed response is never passed on; a complete one before unsolicited input is, if the node is still
+    // tried at all.
+    let answer = read_message(&mut client).unwrap();
+    let served = answer.starts_with("HTTP/1.1 200") && answer.ends_with("made for it");
+    let complete = trace & 0xff == 0xee;
+    assert!(
+        served && complete || answer.starts_with("HTTP/1.1 50"),
+        "{case}: {answer}"
     );
+    // Usual clients are served meanwhile. More than half of all attempts succeed, else the scheduler would send
+    // fewer.
+    for usual_client in 1..=8 {
+        send_request(&mut client, trace + (usual_client << 32));
+        let answer = read_message(&mut client).unwrap_or_default();
+        assert!(answer.ends_with("made for it"), "{case}: {answer}");
+    }
+}
+
+/// Floods, silent clients, endless pipelined messages, and nodes whose responses never end or are malformed: a usual
+/// client is served meanwhile, memory and descriptors stay within their bounds, and descriptors are released.
+#[test]
+fn floods_and_endless_responses_are_bounded_and_released() {
+    let host = host_with_malformed_node();
     host.ready();
     let mut usual_client = host.client();
     send_request(&mut usual_client, 1);
-    assert!(
-        read_message(&mut usual_client)
-            .unwrap()
-            .ends_with("made for it")
-    );
+    let answer = read_message(&mut usual_client).unwrap();
+    assert!(answer.ends_with("made for it"));
     drop(usual_client);
     let before = resources(&host).descriptors;
     for round in 0..6u64 {
-        // Silent; half a message; many at once and gone; without end; noise.
-        let silent: Vec<_> = (0..60)
-            .map(|_| TcpStream::connect(host.address).unwrap())
-            .collect();
-        let mut half: Vec<_> = (0..20)
-            .map(|_| TcpStream::connect(host.address).unwrap())
-            .collect();
-        half.iter_mut()
-            .for_each(|client| _ = client.write_all(b"PUT /read/0000"));
-        let mut gone = host.client();
-        (0..300).for_each(|i| {
-            _ = gone
-                .get_mut()
-                .write_all(request_text(0x1000 + round * 400 + i).as_bytes())
-        });
-        drop(gone);
-        let mut endless = TcpStream::connect(host.address).unwrap();
-        let _ = endless.write_all(b"PUT /read/00 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-        (0..200).for_each(|_| _ = endless.write_all(&[b'x'; 8 << 10]));
+        let flood = Flood::start(&host, round);
         for (i, malformed) in [0xaa, 0xbb, 0xcc, 0xdd, 0xee].into_iter().enumerate() {
             let trace = ((round * 8 + i as u64) << 16) + malformed;
-            let mut client = host.client();
-            let text = request_text(trace).replace("shard=0", "shard=1");
-            client.get_mut().write_all(text.as_bytes()).unwrap();
-            // Never what could not be read; a whole answer before surplus counts, if the node is still tried
-            // at all.
-            let answer = read_message(&mut client).unwrap();
-            let served = answer.starts_with("HTTP/1.1 200") && answer.ends_with("made for it");
-            assert!(
-                served && malformed == 0xee || answer.starts_with("HTTP/1.1 50"),
-                "{round} {malformed:x}: {answer}"
-            );
-            // Usual clients are served meanwhile; more than half of all attempts come back, else the host
-            // would hold back.
-            for usual_client in 1..=8 {
-                send_request(&mut client, trace + (usual_client << 32));
-                let answer = read_message(&mut client).unwrap_or_default();
-                assert!(
-                    answer.ends_with("made for it"),
-                    "{round} {malformed:x}: {answer}"
-                );
-            }
+            check_malformed_response(&host, trace, &format!("{round} {malformed:x}"));
         }
         assert!(resources(&host).descriptors <= 64, "{round}");
-        drop((silent, half, endless));
+        drop(flood);
     }
     let peak = resources(&host).peak_memory_mb;
     assert!(peak <= 32, "{peak} MB");
-    // Of clients nothing is left; of nodes what may idle.
+    // No client connection is left; connections to nodes may be idle.
     for _ in 0..400 {
         if resources(&host).descriptors <= before + 2 {
             return;
@@ -434,8 +570,8 @@
     );
 }
 
-/// A process that starts again while discovery is refused, silent, or silent in the middle of its answer is
-/// ready by what it remembers, and serves.
+/// A process that starts while discovery refuses connections, is silent, or is silent within its response becomes ready
+/// with the stored endpoints, and serves.
 #[test]
 fn a_restarted_host_is_ready_without_discovery() {
     let (node_address, _asked) = node(Some(reply("made by the node")));
