--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -135,76 +135,99 @@
 const SECOND: &str = "revision 2 after=\"first.kdl\"\nroute to=\"all\"\n";
 const LIMIT: (&str, &str) = ("limit=\"40units/s\"", "limit=\"30units/s\"");
 
-#[test]
-fn documents_are_taken_whole_or_not_at_all() {
-    type Case<'a> = (&'a [(&'a str, &'a str)], &'a str, bool, Option<&'a str>);
-    let host_leaves = (
-        "volume \"w\" plan=\"held\"",
-        "volume \"w\" plan=\"held\" { hosts \"h2\"; }",
-    );
-    // what is changed, the revision, insisted on, why it is turned down
-    let cases: [Case; 14] = [
-        (&[], FIRST, false, None),
-        (&[LIMIT], SECOND, false, None),
-        (
-            &[("slack=0", "slack=0 weight=3 price=2")],
-            FIRST,
-            false,
-            None,
-        ),
-        (
-            &[("plan \"held\"", "plan \"new\"\nplan \"held\"")],
-            FIRST,
-            false,
-            None,
-        ),
-        (
-            &[("volume \"w\"", "volume \"x\" plan=\"free\"\nvolume \"w\"")],
-            SECOND,
-            false,
-            None,
-        ),
-        (
-            &[LIMIT],
-            FIRST,
-            false,
-            Some("revision 1 is the one that this host holds to"),
-        ),
-        (
-            &[LIMIT],
-            "route to=\"all\"\n",
-            false,
-            Some("not later than 1"),
-        ),
-        (
-            &[LIMIT],
-            "revision 2\nroute to=\"all\"\n",
-            false,
-            Some("this host holds to 1"),
-        ),
-        (
-            &[("tick=\"20ms\"", "tick=\"9ms\"")],
-            FIRST,
-            true,
-            Some("rules tick: us(20000) -> us(9000): needs a restart"),
-        ),
-        (&[("units=6", "units=7")], FIRST, true, Some("cold figures")),
-        (
-            &[("effect=\"repeatable\"", "effect=\"unrepeatable\"")],
-            FIRST,
-            true,
-            Some("not possible while serving"),
-        ),
-        (
-            &[("host \"h2\" address=\"h2\"", "host \"h2\" address=\"h9\"")],
+/// A change of the first document, and why it is turned down, if it is.
+struct Case {
+    change: (&'static str, &'static str),
+    revision: &'static str,
+    insist: bool,
+    refusal: Option<&'static str>,
+}
+
+impl Case {
+    fn taken(change: (&'static str, &'static str), revision: &'static str) -> Case {
+        Case {
+            change,
+            revision,
+            insist: false,
+            refusal: None,
+        }
+    }
+
+    fn refused(
+        change: (&'static str, &'static str),
+        revision: &'static str,
+        refusal: &'static str,
+    ) -> Case {
+        Case {
+            refusal: Some(refusal),
+            ..Case::taken(change, revision)
+        }
+    }
+
+    fn insisted(self) -> Case {
+        Case {
+            insist: true,
+            ..self
+        }
+    }
+}
+
+/// Nothing is changed.
+const NOTHING: (&str, &str) = ("", "");
+const HOST_LEAVES: (&str, &str) = (
+    "volume \"w\" plan=\"held\"",
+    "volume \"w\" plan=\"held\" { hosts \"h2\"; }",
+);
+const UNNUMBERED: &str = "route to=\"all\"\n";
+const UNLINKED: &str = "revision 2\nroute to=\"all\"\n";
+
+fn taken_changes() -> Vec<Case> {
+    let weight = ("slack=0", "slack=0 weight=3 price=2");
+    let new_plan = ("plan \"held\"", "plan \"new\"\nplan \"held\"");
+    let new_volume = ("volume \"w\"", "volume \"x\" plan=\"free\"\nvolume \"w\"");
+    vec![
+        Case::taken(NOTHING, FIRST),
+        Case::taken(LIMIT, SECOND),
+        Case::taken(weight, FIRST),
+        Case::taken(new_plan, FIRST),
+        Case::taken(new_volume, SECOND),
+        Case::taken(HOST_LEAVES, SECOND).insisted(),
+    ]
+}
+
+fn refused_changes() -> Vec<Case> {
+    let tick = ("tick=\"20ms\"", "tick=\"9ms\"");
+    let tick_refusal = "rules tick: us(20000) -> us(9000): needs a restart";
+    let slow_start = ("units=6", "units=7");
+    let effect = ("effect=\"repeatable\"", "effect=\"unrepeatable\"");
+    let address = ("host \"h2\" address=\"h2\"", "host \"h2\" address=\"h9\"");
+    vec![
+        Case::refused(
+            LIMIT,
             FIRST,
-            true,
-            Some("host \"h2\" place"),
+            "revision 1 is the one that this host holds to",
         ),
-        (&[host_leaves], SECOND, false, Some("a host leaves its set")),
-        (&[host_leaves], SECOND, true, None),
-    ];
-    for (change, revision, insist, why) in cases {
+        Case::refused(LIMIT, UNNUMBERED, "not later than 1"),
+        Case::refused(LIMIT, UNLINKED, "this host holds to 1"),
+        Case::refused(tick, FIRST, tick_refusal).insisted(),
+        Case::refused(slow_start, FIRST, "cold figures").insisted(),
+        Case::refused(effect, FIRST, "not possible while serving").insisted(),
+        Case::refused(address, FIRST, "host \"h2\" place").insisted(),
+        Case::refused(HOST_LEAVES, SECOND, "a host leaves its set"),
+    ]
+}
+
+#[test]
+fn documents_are_taken_whole_or_not_at_all() {
+    let cases = taken_changes().into_iter().chain(refused_changes());
+    for case in cases {
+        let Case {
+            change,
+            revision,
+            insist,
+            refusal: why,
+        } = case;
+        let change: &[_] = if change == NOTHING { &[] } else { &[change] };
         let old = first();
         let mut rig = Rig::new(&old, 0, START);
         let (client, (n1, _)) = (rig.client(), rig.nodes_up());
--- a/crates/host/tests/host/clocks.rs
+++ b/crates/host/tests/host/clocks.rs
@@ -4,7 +4,7 @@
 use crate::rig::{ConnectRequest, Rig, SentFrame, document, ms};
 use gullsail_host::core::clock::{ClockOffset, Learned, PeerClock};
 use gullsail_host::core::{Input, LinkId};
-use gullsail_protocol::{AttemptAnswer, AttemptResult, Message};
+use gullsail_protocol::{Attempt, AttemptAnswer, AttemptResult, Frame, Message};
 use gullsail_scheduler_api::{Instant, Span};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -149,87 +149,94 @@
     /// Carries on what each host sent since the last look.
     fn carry(&mut self) {
         for from in 0..2 {
-            let to = 1 - from;
             let Seen { connects, sent } = self.seen[from];
-            let (new_connects, new_sent) = {
-                let host = &self.hosts[from];
-                (
-                    host.connects[connects..].to_vec(),
-                    host.sent[sent..].to_vec(),
-                )
-            };
             let host = &self.hosts[from];
+            let new_connects = host.connects[connects..].to_vec();
+            let new_sent = host.sent[sent..].to_vec();
             self.seen[from] = Seen {
                 connects: host.connects.len(),
                 sent: host.sent.len(),
             };
-            for ConnectRequest { link, address, .. } in new_connects {
-                let now = self.hosts[to].now;
-                if address == format!("h{}", to + 1)
-                    && let Some(there) = self.hosts[to].core.accept(now)
-                {
-                    let here = HostEnd { host: from, link };
-                    let there = HostEnd {
-                        host: to,
-                        link: there,
-                    };
-                    self.other_ends.insert(here, there);
-                    self.other_ends.insert(there, here);
-                    self.hosts[to].settle();
-                    self.hosts[from].handle(Input::Connected(link));
-                }
+            for request in new_connects {
+                self.carry_connect(from, &request);
             }
-            for SentFrame { link, frame, .. } in new_sent {
-                if let Message::Attempt(attempt) = &frame.message {
-                    if attempt.number == 0 {
-                        self.first.push(FirstAttempt {
-                            at: self.now,
-                            units: attempt.units,
-                        });
-                    }
-                    let done = AttemptAnswer {
-                        attempt: attempt.attempt,
-                        result: AttemptResult::Succeeded as i32,
-                        ..AttemptAnswer::default()
-                    };
-                    let input = Input::Frame(link, done.into());
-                    self.carried.push(Carried {
-                        at: self.now + ms(5.0),
-                        host: from,
-                        input,
-                    });
-                } else if let Some(there) =
-                    self.other_ends.get(&HostEnd { host: from, link }).copied()
-                {
-                    let is_report = matches!(frame.message, Message::DemandReport(_));
-                    if is_report && self.rng.random_bool(self.lose) {
-                        continue;
-                    }
-                    let times = if is_report && self.rng.random_bool(0.1) {
-                        2
-                    } else {
-                        1
-                    };
-                    for _ in 0..times {
-                        // Mostly a few milliseconds, now and then long enough to be stale.
-                        let late = if self.rng.random_bool(0.1) {
-                            1500.0
-                        } else {
-                            20.0
-                        };
-                        let delay = ms(1.0 + self.rng.random_range(0.0..late));
-                        let input = Input::Frame(there.link, frame.clone());
-                        self.carried.push(Carried {
-                            at: self.now + delay,
-                            host: there.host,
-                            input,
-                        });
-                    }
-                }
+            for sent in new_sent {
+                self.carry_frame(from, sent);
             }
         }
     }
 
+    fn carry_connect(&mut self, from: usize, request: &ConnectRequest) {
+        let to = 1 - from;
+        let now = self.hosts[to].now;
+        if request.address == format!("h{}", to + 1)
+            && let Some(there) = self.hosts[to].core.accept(now)
+        {
+            let here = HostEnd {
+                host: from,
+                link: request.link,
+            };
+            let there = HostEnd {
+                host: to,
+                link: there,
+            };
+            self.other_ends.insert(here, there);
+            self.other_ends.insert(there, here);
+            self.hosts[to].settle();
+            self.hosts[from].handle(Input::Connected(request.link));
+        }
+    }
+
+    fn carry_frame(&mut self, from: usize, sent: SentFrame) {
+        let SentFrame { link, frame, .. } = sent;
+        let here = HostEnd { host: from, link };
+        if let Message::Attempt(attempt) = &frame.message {
+            self.node_answers(here, attempt);
+        } else if let Some(there) = self.other_ends.get(&here).copied() {
+            self.carry_between(there, &frame);
+        }
+    }
+
+    /// A node answers each attempt five milliseconds later.
+    fn node_answers(&mut self, here: HostEnd, attempt: &Attempt) {
+        if attempt.number == 0 {
+            self.first.push(FirstAttempt {
+                at: self.now,
+                units: attempt.units,
+            });
+        }
+        let done = AttemptAnswer {
+            attempt: attempt.attempt,
+            result: AttemptResult::Succeeded as i32,
+            ..AttemptAnswer::default()
+        };
+        self.carried.push(Carried {
+            at: self.now + ms(5.0),
+            host: here.host,
+            input: Input::Frame(here.link, done.into()),
+        });
+    }
+
+    /// Demand reports are lost, repeated and late.
+    fn carry_between(&mut self, there: HostEnd, frame: &Frame) {
+        let is_report = matches!(frame.message, Message::DemandReport(_));
+        if is_report && self.rng.random_bool(self.lose) {
+            return;
+        }
+        let repeated = is_report && self.rng.random_bool(0.1);
+        for _ in 0..if repeated { 2 } else { 1 } {
+            // Mostly a few milliseconds, now and then long enough to be stale.
+            let is_stale = self.rng.random_bool(0.1);
+            let late = if is_stale { 1500.0 } else { 20.0 };
+            let delay = ms(1.0 + self.rng.random_range(0.0..late));
+            self.carried.push(Carried {
+                at: self.now + delay,
+                host: there.host,
+                input: Input::Frame(there.link, frame.clone()),
+            });
+        }
+    }
+
     fn pass(&mut self) {
         self.now = self.now + ms(1.0);
         for host in 0..2 {
--- a/crates/host/tests/host/control_compatibility.rs
+++ b/crates/host/tests/host/control_compatibility.rs
@@ -2,7 +2,8 @@
 //! types of an earlier version, before their fields and variants were renamed; every field has a value of its
 //! own, so that one that is read into the wrong place shows.
 
-use gullsail_host::control::{ControlReply, ControlRequest};
+use gullsail_host::control::{ControlReply, ControlRequest, State};
+use gullsail_host::core::Counts;
 use gullsail_host::core::maintenance::OperatorCommand;
 use gullsail_zone_traffic::Reason;
 use serde_json::{Value, json};
@@ -59,47 +60,68 @@
         (state.open, state.attempts_out, state.held_bytes),
         (11, 12, 13)
     );
-    let c = &state.counts;
+    check_counts(&state.counts);
+    check_traffic(&state);
+    check_fleet_and_maintenance(&state);
+}
+
+fn check_counts(counts: &Counts) {
     assert_eq!(
-        (c.taken, c.not_taken, c.done, c.rejected, c.failed),
+        (
+            counts.taken,
+            counts.not_taken,
+            counts.done,
+            counts.rejected,
+            counts.failed
+        ),
         (101, 102, 103, 104, 105)
     );
     assert_eq!(
         (
-            c.clients_left,
-            c.attempts,
-            c.late_node_answers,
-            c.connections_closed
+            counts.clients_left,
+            counts.attempts,
+            counts.late_node_answers,
+            counts.connections_closed
         ),
         (106, 107, 108, 109)
     );
-    assert_eq!(c.demand_reports_sent, 110);
-    assert_eq!(c.demand_reports_received, 111);
-    assert_eq!(c.demand_reports_dropped, 112);
+    assert_eq!(counts.demand_reports_sent, 110);
+    assert_eq!(counts.demand_reports_received, 111);
+    assert_eq!(counts.demand_reports_dropped, 112);
     assert_eq!(
-        (c.nodes_restarted, c.nodes_met_again, c.endpoint_list_losses),
+        (
+            counts.nodes_restarted,
+            counts.nodes_met_again,
+            counts.endpoint_list_losses
+        ),
         (113, 114, 115)
     );
     assert_eq!(
         (
-            c.connections_refused,
-            c.back_pressure_events,
-            c.longest_step_us,
-            c.long_steps
+            counts.connections_refused,
+            counts.back_pressure_events,
+            counts.longest_step_us,
+            counts.long_steps
         ),
         (116, 117, 118, 119)
     );
     assert_eq!(
         (
-            c.stalls,
-            c.longest_stall_us,
-            c.timeouts_shortened,
-            c.late_answers_dropped
+            counts.stalls,
+            counts.longest_stall_us,
+            counts.timeouts_shortened,
+            counts.late_answers_dropped
         ),
         (120, 121, 122, 123)
     );
-    assert_eq!((c.documents_taken, c.documents_turned_down), (124, 125));
-    assert_eq!((c.most_open, c.most_held), (126, 127));
+    assert_eq!(
+        (counts.documents_taken, counts.documents_turned_down),
+        (124, 125)
+    );
+    assert_eq!((counts.most_open, counts.most_held), (126, 127));
+}
+
+fn check_traffic(state: &State) {
     let flow = &state.crossed[0];
     assert_eq!(
         (flow.from.as_str(), flow.to.as_str(), flow.reason),
@@ -120,6 +142,9 @@
         (overrun.from_us, overrun.to_us, overrun.bytes),
         (301, 302, 303)
     );
+}
+
+fn check_fleet_and_maintenance(state: &State) {
     let fleet = state.fleet.as_ref().unwrap();
     assert_eq!((fleet.name.as_str(), fleet.lease_ms), ("f", 401.5));
     assert_eq!(fleet.budgets, [(402, "v".to_string())]);
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -15,16 +15,40 @@
     Rig::new(&document(&[]), 0, START)
 }
 
+/// How the first attempt of a request ends.
+enum End {
+    Answer(AttemptResult),
+    Break,
+    Silence,
+    NeverSent,
+}
+
+/// Submits request 5, whose first attempt ends so.
+fn submit_and_end(rig: &mut Rig, client: LinkId, request_class: &str, end: &End, place: usize) {
+    let up = !matches!(end, End::NeverSent);
+    let n = if up {
+        rig.node_up("n1", 11, ms(1e7))
+    } else {
+        LinkId(0)
+    };
+    rig.submit(client, 5, request_class);
+    assert_eq!(rig.attempts(n).len(), usize::from(up), "case {place}");
+    rig.pass(ms(10.0));
+    match end {
+        End::Answer(result) => rig.answer(n, rig.attempts(n)[0].attempt, *result),
+        End::Break => {
+            rig.handle(Input::Closed(n, "reset".into()));
+            rig.pass(ms(30.0));
+            rig.node_up("n1", 11, ms(1e7));
+        }
+        End::Silence | End::NeverSent => {}
+    }
+}
+
 /// How a sent attempt ends, by request class: what the client is told, and how many attempts there are.
 #[test]
 fn what_may_have_run_is_repeated_only_as_its_effect_allows() {
-    use Outcome::*;
-    enum End {
-        Answer(AttemptResult),
-        Break,
-        Silence,
-        NeverSent,
-    }
+    use Outcome::{Failed, Rejected, Succeeded};
     // request class, how the first attempt ends, attempts in all, outcome
     let cases = [
         ("read", End::Answer(AttemptResult::Succeeded), 1, Succeeded),
@@ -42,24 +66,7 @@
     for (place, (request_class, end, attempts, outcome)) in cases.into_iter().enumerate() {
         let mut rig = new_rig();
         let client = rig.client();
-        let up = !matches!(end, End::NeverSent);
-        let n = if up {
-            rig.node_up("n1", 11, ms(1e7))
-        } else {
-            LinkId(0)
-        };
-        rig.submit(client, 5, request_class);
-        assert_eq!(rig.attempts(n).len(), usize::from(up), "case {place}");
-        rig.pass(ms(10.0));
-        match end {
-            End::Answer(result) => rig.answer(n, rig.attempts(n)[0].attempt, result),
-            End::Break => {
-                rig.handle(Input::Closed(n, "reset".into()));
-                rig.pass(ms(30.0));
-                rig.node_up("n1", 11, ms(1e7));
-            }
-            End::Silence | End::NeverSent => {}
-        }
+        submit_and_end(&mut rig, client, request_class, &end, place);
         rig.pass(ms(3000.0));
         let sent = rig.new_attempts();
         assert_eq!(
@@ -202,6 +209,9 @@
     assert_eq!(done, 160, "the node has room throughout");
 }
 
+/// Makes a valid request invalid.
+type Spoil = fn(&mut Submit);
+
 #[test]
 fn what_is_not_taken_has_its_reason() {
     let mut rig = new_rig();
@@ -214,37 +224,38 @@
         timeout_us: 1_000_000,
         ..rig.submitted("read", "v", 1)
     };
-    let changed = |change: fn(&mut Submit)| {
-        let mut submit = good.clone();
-        change(&mut submit);
-        submit
-    };
-    let unknown_class = changed(|submit| submit.request_class = "raed".into());
-    let unknown_volume = changed(|submit| submit.volume = "x".into());
-    let other_hosts = changed(|submit| submit.volume = "far".into());
-    let too_many = changed(|submit| submit.units = 9.0);
-    let not_a_number = changed(|submit| submit.units = f64::NAN);
-    let no_time = changed(|submit| submit.timeout_us = 0);
-    let two_ticks = changed(|submit| submit.timeout_us = 40_000);
-    let no_handle = changed(|submit| submit.handle = None);
-    let cases = [
-        (unknown_class, "unknown request class \"raed\""),
-        (unknown_volume, "unknown volume \"x\""),
-        (other_hosts, "is not served through this host"),
+    let units = "units out of range: got";
+    let deadline = "deadline passed or closer than 2 ticks";
+    // what is wrong with a request, and the reason that its client reads
+    let cases: [(Spoil, String); 8] = [
         (
-            too_many,
-            "units out of range: got 9, allowed 0 < units <= 8",
+            |submit| submit.request_class = "raed".into(),
+            "unknown request class \"raed\"".into(),
         ),
-        (not_a_number, "units out of range: got NaN"),
-        (no_time, "deadline passed or closer than 2 ticks"),
-        (two_ticks, "deadline passed or closer than 2 ticks"),
-        (no_handle, "needs the handle"),
+        (
+            |submit| submit.volume = "x".into(),
+            "unknown volume \"x\"".into(),
+        ),
+        (
+            |submit| submit.volume = "far".into(),
+            "is not served through this host".into(),
+        ),
+        (
+            |submit| submit.units = 9.0,
+            format!("{units} 9, allowed 0 < units <= 8"),
+        ),
+        (|submit| submit.units = f64::NAN, format!("{units} NaN")),
+        (|submit| submit.timeout_us = 0, deadline.into()),
+        (|submit| submit.timeout_us = 40_000, deadline.into()),
+        (|submit| submit.handle = None, "needs the handle".into()),
     ];
     let client = rig.client();
-    for (submit, reason) in cases {
+    for (spoil, reason) in cases {
+        let mut submit = good.clone();
+        spoil(&mut submit);
         rig.frame(client, submit);
         let refusal = rig.not_taken(client).pop().unwrap();
-        assert!(refusal.contains(reason), "{refusal}");
+        assert!(refusal.contains(&reason), "{refusal}");
     }
     rig.frame(client, good);
     let counts = rig.core.counts();
@@ -271,12 +282,20 @@
         rig.answer(n, rig.attempts(n)[0].attempt, AttemptResult::Succeeded);
         assert_eq!(rig.outcomes(other, 5), [Outcome::Succeeded]);
     }
-    // One id for two open requests can't be answered: that link ends too.
+    one_id_for_two_requests_ends_the_link();
+    a_newer_kind_is_skipped_and_strangers_are_closed();
+}
+
+/// One id for two open requests can't be answered: that link ends too.
+fn one_id_for_two_requests_ends_the_link() {
     let mut rig = new_rig();
     let client = rig.client();
     rig.submit(client, 5, "read");
     rig.submit(client, 5, "read");
     assert_eq!(rig.closed, [client]);
+}
+
+fn a_newer_kind_is_skipped_and_strangers_are_closed() {
     // A newer kind is skipped.
     let mut rig = new_rig();
     let client = rig.client();
@@ -321,7 +340,11 @@
     rig.pass(ms(3000.0));
     assert_eq!(rig.reading.get(&client), Some(&true), "they are answered");
     assert_eq!(rig.core.counts().back_pressure_events, 1);
-    // One that takes none of its answers waits, alone, and is let go.
+}
+
+/// One that takes none of its answers waits, alone, and is let go.
+#[test]
+fn a_client_that_reads_nothing_waits_alone() {
     let mut rig = new_rig();
     let (client, slow, n) = (rig.client(), rig.client(), rig.node_up("n1", 11, ms(1e7)));
     rig.stuck.insert(slow);
--- a/crates/host/tests/host/model/surroundings.rs
+++ b/crates/host/tests/host/model/surroundings.rs
@@ -50,54 +50,53 @@
     /// New connections: nodes and the list answer, peers do not.
     pub(super) fn connects(&mut self, host_index: usize) {
         while self.hosts[host_index].connects < self.hosts[host_index].rig.connects.len() {
+            let place = self.hosts[host_index].connects;
             let ConnectRequest { link, address, .. } =
-                self.hosts[host_index].rig.connects[self.hosts[host_index].connects].clone();
+                self.hosts[host_index].rig.connects[place].clone();
             self.hosts[host_index].connects += 1;
             self.model.step();
             if address == "list" {
-                self.hosts[host_index].list = Some(link);
-                self.handle(host_index, Input::Connected(link));
-                let hello = Hello {
-                    role: Role::List as i32,
-                    name: "list".into(),
-                    ..Hello::default()
-                };
-                self.handle(host_index, Input::Frame(link, hello.into()));
-                (0..2).for_each(|n| self.list(host_index, n));
+                self.list_answers(host_index, link);
             } else if let Some(n) = NAMES.iter().position(|name| *name == address) {
-                self.hosts[host_index].links[n] = Some(link);
-                self.handle(host_index, Input::Connected(link));
-                let NodeState {
-                    incarnation,
-                    started_at,
-                    ..
-                } = self.nodes[n];
-                let hello = Hello {
-                    role: Role::Node as i32,
-                    name: address,
-                    incarnation,
-                    age_us: (self.now - started_at).micros(),
-                    shard_plus_one: n as i64 + 2,
-                };
-                let entries = vec![self.entry(
-                    n,
-                    self.hosts[host_index].last_list_state[n],
-                    Some(started_at),
-                )];
-                self.saw(
-                    host_index,
-                    &Event::EndpointList {
-                        update_kind: UpdateKind::SelfReported,
-                        entries,
-                    },
-                );
-                self.handle(host_index, Input::Frame(link, hello.into()));
+                self.node_answers(host_index, n, link);
             } else {
                 self.handle(host_index, Input::ConnectFailed(link, "refused".into()));
             }
         }
     }
 
+    fn list_answers(&mut self, host_index: usize, link: LinkId) {
+        self.hosts[host_index].list = Some(link);
+        self.handle(host_index, Input::Connected(link));
+        let hello = Hello {
+            role: Role::List as i32,
+            name: "list".into(),
+            ..Hello::default()
+        };
+        self.handle(host_index, Input::Frame(link, hello.into()));
+        (0..2).for_each(|n| self.list(host_index, n));
+    }
+
+    fn node_answers(&mut self, host_index: usize, n: usize, link: LinkId) {
+        self.hosts[host_index].links[n] = Some(link);
+        self.handle(host_index, Input::Connected(link));
+        let started_at = self.nodes[n].started_at;
+        let hello = Hello {
+            role: Role::Node as i32,
+            name: NAMES[n].into(),
+            incarnation: self.nodes[n].incarnation,
+            age_us: (self.now - started_at).micros(),
+            shard_plus_one: n as i64 + 2,
+        };
+        let state = self.hosts[host_index].last_list_state[n];
+        let event = Event::EndpointList {
+            update_kind: UpdateKind::SelfReported,
+            entries: vec![self.entry(n, state, Some(started_at))],
+        };
+        self.saw(host_index, &event);
+        self.handle(host_index, Input::Frame(link, hello.into()));
+    }
+
     pub(super) fn reset(&mut self, host_index: usize, n: usize) {
         let Some(link) = self.hosts[host_index].links[n].take() else {
             return;
@@ -136,26 +135,17 @@
         };
         self.model.step();
         self.hosts[host_index].last_list_state[n] = state;
-        let entries = vec![self.entry(n, state, Some(started_at))];
-        self.saw(
-            host_index,
-            &Event::EndpointList {
-                update_kind: UpdateKind::Delta,
-                entries,
-            },
-        );
-        self.handle(
-            host_index,
-            Input::Frame(
-                link,
-                EndpointListUpdate {
-                    version: 1,
-                    whole: false,
-                    entries: vec![entry],
-                }
-                .into(),
-            ),
-        );
+        let event = Event::EndpointList {
+            update_kind: UpdateKind::Delta,
+            entries: vec![self.entry(n, state, Some(started_at))],
+        };
+        self.saw(host_index, &event);
+        let update = EndpointListUpdate {
+            version: 1,
+            whole: false,
+            entries: vec![entry],
+        };
+        self.handle(host_index, Input::Frame(link, update.into()));
     }
 
     pub(super) fn fault(&mut self) {
--- a/crates/host/tests/host/model/traffic.rs
+++ b/crates/host/tests/host/model/traffic.rs
@@ -34,12 +34,7 @@
             },
             mark: format!("m{id}"),
             repeat: 0,
-            // Mostly a first try; some are a next one, or impatient.
-            timeout_us: if self.rng.random_bool(0.8) {
-                1_500_000
-            } else {
-                self.rng.random_range(60_000..1_500_000)
-            },
+            timeout_us: self.draw_timeout_us(),
         };
         let request = Request {
             id: RequestId(id),
@@ -56,6 +51,15 @@
         self.request_arrives(host_index, request, submit);
     }
 
+    /// Mostly that of a first try; some are a next one, or impatient.
+    fn draw_timeout_us(&mut self) -> i64 {
+        if self.rng.random_bool(0.8) {
+            1_500_000
+        } else {
+            self.rng.random_range(60_000..1_500_000)
+        }
+    }
+
     /// Hands a request to a host, which must accept it.
     fn request_arrives(&mut self, host_index: usize, request: Request, submit: Submit) {
         self.model.step();
--- a/crates/host/tests/host/nodes.rs
+++ b/crates/host/tests/host/nodes.rs
@@ -3,9 +3,9 @@
 use crate::rig::{ConnectRequest, Rig, document, ms};
 use gullsail_host::core::Input;
 use gullsail_protocol::{
-    AttemptResult, EndpointListUpdate, Hello, ListedEndpoint, ListedState, Message, Outcome, Role,
+    AttemptResult, EndpointListUpdate, ListedEndpoint, ListedState, Message, Outcome,
 };
-use gullsail_scheduler_api::Instant;
+use gullsail_scheduler_api::{Instant, Span};
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
@@ -40,11 +40,9 @@
     }
 }
 
-/// Drains are kept through broken connections, late lists and the node's own word; only another start, told
-/// by the list as ready, takes one back.
-#[test]
-fn a_drain_is_taken_back_by_a_newer_start_only() {
-    let entry = |state: ListedState, incarnation, age_ms: i64| EndpointListUpdate {
+/// An update of the list that names the first node alone.
+fn first_node_listed(state: ListedState, incarnation: u64, age_ms: i64) -> EndpointListUpdate {
+    EndpointListUpdate {
         version: 1,
         whole: false,
         entries: vec![ListedEndpoint {
@@ -56,7 +54,14 @@
             age_us: age_ms * 1000,
             ..ListedEndpoint::default()
         }],
-    };
+    }
+}
+
+/// Drains are kept through broken connections, late lists and the node's own word; only another start, told
+/// by the list as ready, takes one back.
+#[test]
+fn a_drain_is_taken_back_by_a_newer_start_only() {
+    let entry = first_node_listed;
     use ListedState::*;
     // what is told after the drain, and whether the node may be used then
     let cases = [
@@ -72,16 +77,7 @@
         let mut rig = new_rig();
         let client = rig.client();
         let n = rig.node_up("n1", 11, ms(1e7));
-        let list = rig.connection_to("list").unwrap();
-        rig.handle(Input::Connected(list));
-        rig.frame(
-            list,
-            Hello {
-                role: Role::List as i32,
-                name: "list".into(),
-                ..Hello::default()
-            },
-        );
+        let list = rig.list_up();
         rig.frame(list, entry(Draining, 11, 1_000_000));
         rig.handle(Input::Closed(n, "reset".into()));
         rig.pass(ms(50.0));
@@ -94,6 +90,23 @@
     }
 }
 
+/// Connections to the first node are refused, or accepted and silent.
+fn six_seconds_without_the_node(rig: &mut Rig, refuses: bool) {
+    let mut seen = 0;
+    for _ in 0..6000 {
+        for place in seen..rig.connects.len() {
+            let ConnectRequest { link, address, .. } = rig.connects[place].clone();
+            if address == "n1" && refuses {
+                rig.handle(Input::ConnectFailed(link, "refused".into()));
+            } else if address == "n1" {
+                rig.handle(Input::Connected(link));
+            }
+        }
+        seen = rig.connects.len();
+        rig.pass(ms(1.0));
+    }
+}
+
 /// A port that refuses, and one that accepts and stays silent: attempts end as certainly not run within the
 /// connect time-out, and tries come ever more seldom, with no end.
 #[test]
@@ -102,19 +115,7 @@
         let mut rig = new_rig();
         let client = rig.client();
         rig.submit(client, 5, "trip");
-        let mut seen = 0;
-        for _ in 0..6000 {
-            for place in seen..rig.connects.len() {
-                let ConnectRequest { link, address, .. } = rig.connects[place].clone();
-                if address == "n1" && refuses {
-                    rig.handle(Input::ConnectFailed(link, "refused".into()));
-                } else if address == "n1" {
-                    rig.handle(Input::Connected(link));
-                }
-            }
-            seen = rig.connects.len();
-            rig.pass(ms(1.0));
-        }
+        six_seconds_without_the_node(&mut rig, refuses);
         assert_eq!(
             rig.outcomes(client, 5),
             [Outcome::Rejected],
@@ -134,8 +135,8 @@
         let connects: Vec<_> = rig
             .connects
             .iter()
-            .filter(|client| client.address == "n1")
-            .map(|client| client.at)
+            .filter(|request| request.address == "n1")
+            .map(|request| request.at)
             .collect();
         assert!(
             (5..=40).contains(&connects.len()),
@@ -155,16 +156,7 @@
 fn a_list_may_name_two_nodes_with_one_shard() {
     let mut rig = new_rig();
     let (client, (n1, _)) = (rig.client(), rig.nodes_up());
-    let list = rig.connection_to("list").unwrap();
-    rig.handle(Input::Connected(list));
-    rig.frame(
-        list,
-        Hello {
-            role: Role::List as i32,
-            name: "list".into(),
-            ..Hello::default()
-        },
-    );
+    let list = rig.list_up();
     let entry = |name: &str, incarnation| ListedEndpoint {
         name: name.into(),
         address: name.into(),
@@ -181,19 +173,7 @@
             entries: vec![entry("n1", 11), entry("n9", 19)],
         },
     );
-    let n9 = rig.connection_to("n9").unwrap();
-    rig.handle(Input::Connected(n9));
-    let (role, name) = (Role::Node as i32, "n9".to_string());
-    rig.frame(
-        n9,
-        Hello {
-            role,
-            name,
-            incarnation: 19,
-            age_us: 1 << 40,
-            shard_plus_one: 2,
-        },
-    );
+    let n9 = rig.node_greets("n9", 19, Span::from_micros(1 << 40), 2);
     for id in 0..40 {
         rig.submit(client, id, "read");
     }
@@ -228,7 +208,7 @@
     let tries = rig
         .connects
         .iter()
-        .filter(|client| client.address == "list")
+        .filter(|request| request.address == "list")
         .count();
     assert!((4..=9).contains(&tries), "{tries} calls in twenty seconds");
     assert!(rig.core.counts().endpoint_list_losses as usize >= tries - 1);
--- a/crates/host/tests/host/other_configurations.rs
+++ b/crates/host/tests/host/other_configurations.rs
@@ -56,67 +56,71 @@
     assert_eq!(rig.not_taken(client), ["unknown volume \"v\""]);
 }
 
+/// What came of a document that was cut.
+#[derive(PartialEq)]
+enum Cut {
+    /// It was served by as a whole.
+    Taken,
+    TurnedDown,
+}
+
+/// Proposes these two files to a host that serves by the first document.
+fn propose_files(main: &str, tail: &str, what: &str) -> Cut {
+    let before = text_of(&[]) + "revision 1\nroute to=\"all\"\n";
+    let files = [
+        ("new.kdl", main),
+        ("tail.kdl", tail),
+        ("first.kdl", &before),
+    ];
+    let files = files.map(|(name, text)| (name.to_string(), text.to_string()));
+    let Ok((deployment, _)) = load(&Memory(files.into()), "new.kdl") else {
+        return Cut::TurnedDown;
+    };
+    let old = first();
+    let mut rig = Rig::new(&old, 0, START);
+    let client = rig.client();
+    rig.submit(client, 1, "read");
+    let new = Arc::new(deployment);
+    let changes = diff(&old, &new);
+    let cut = match propose(&mut rig, &old, &new, false) {
+        ProposalOutcome::Taken { revision } => {
+            assert_eq!(revision.0, 2);
+            assert!(Arc::ptr_eq(rig.core.deployment(), &new), "whole");
+            let safe = changes.iter().all(|change| change.class == Class::Safe);
+            assert!(safe, "{what}: {changes:?}");
+            Cut::Taken
+        }
+        ProposalOutcome::TurnedDown(why) => {
+            assert!(!why.is_empty());
+            let unchanged = Arc::ptr_eq(rig.core.deployment(), &old);
+            assert!(unchanged, "the old one, whole");
+            Cut::TurnedDown
+        }
+    };
+    rig.pass(ms(1600.0));
+    assert_eq!(rig.outcomes(client, 1).len(), 1);
+    cut
+}
+
 /// A document of two files cut at every byte, as if it were read half written: it is turned down, or what is
 /// left of it is sound, not dangerous, and served by whole. With its revision as the last line every cut of
 /// the first file is turned down.
 #[test]
 fn half_written_documents_are_turned_down_or_whole() {
-    let old = first();
     let whole = text_of(&[("limit=\"40units/s\"", "limit=\"50units/s\"")]);
     let (head, tail) = whole.split_at(whole.find("host \"h1\"").unwrap());
     let main =
         format!("include \"tail.kdl\"\n{head}route to=\"all\"\nrevision 2 after=\"first.kdl\"\n");
-    let before = text_of(&[]) + "revision 1\nroute to=\"all\"\n";
-    let (mut taken_main, mut taken_tail, mut down) = (0, 0, 0);
-    for (cuts_main, length) in [(true, main.len()), (false, tail.len())] {
-        for cut in 0..length {
-            let (main, tail) = if cuts_main {
-                (&main[..cut], tail)
-            } else {
-                (&main[..], &tail[..cut])
-            };
-            let files = [
-                ("new.kdl", main),
-                ("tail.kdl", tail),
-                ("first.kdl", &before),
-            ];
-            let files = files.map(|(name, text)| (name.to_string(), text.to_string()));
-            let Ok((deployment, _)) = load(&Memory(files.into()), "new.kdl") else {
-                down += 1;
-                continue;
-            };
-            let mut rig = Rig::new(&old, 0, START);
-            let client = rig.client();
-            rig.submit(client, 1, "read");
-            let new = Arc::new(deployment);
-            let changes = diff(&old, &new);
-            match propose(&mut rig, &old, &new, false) {
-                ProposalOutcome::Taken { revision } => {
-                    assert_eq!(revision.0, 2);
-                    assert!(Arc::ptr_eq(rig.core.deployment(), &new), "whole");
-                    assert!(
-                        changes.iter().all(|client| client.class == Class::Safe),
-                        "cut {cut}: {changes:?}"
-                    );
-                    *(if cuts_main {
-                        &mut taken_main
-                    } else {
-                        &mut taken_tail
-                    }) += 1;
-                }
-                ProposalOutcome::TurnedDown(why) => {
-                    assert!(!why.is_empty());
-                    assert!(
-                        Arc::ptr_eq(rig.core.deployment(), &old),
-                        "the old one, whole"
-                    );
-                    down += 1;
-                }
-            }
-            rig.pass(ms(1600.0));
-            assert_eq!(rig.outcomes(client, 1).len(), 1);
-        }
-    }
+    let cuts_of_main =
+        (0..main.len()).map(|cut| propose_files(&main[..cut], tail, &format!("cut {cut}")));
+    let cuts_of_main: Vec<Cut> = cuts_of_main.collect();
+    let cuts_of_tail =
+        (0..tail.len()).map(|cut| propose_files(&main, &tail[..cut], &format!("cut {cut}")));
+    let cuts_of_tail: Vec<Cut> = cuts_of_tail.collect();
+    let taken = |cuts: &[Cut]| cuts.iter().filter(|cut| **cut == Cut::Taken).count();
+    let taken_main = taken(&cuts_of_main);
+    let taken_tail = taken(&cuts_of_tail);
+    let down = cuts_of_main.len() + cuts_of_tail.len() - taken_main - taken_tail;
     // Only the line end of its last line may lack: nothing is lost with that.
     assert!(
         taken_main <= 1 && down > 500,
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use gullsail_host::core::{HeldLoad, Input, LinkId};
 use gullsail_protocol::{
-    AttemptResult, Cancel, EndpointListUpdate, Frame, Handle, Hello, ListedEndpoint, ListedState,
-    Message, Outcome, Role, Submit, Withdraw,
+    AttemptResult, Cancel, EndpointListUpdate, Frame, Handle, ListedEndpoint, ListedState, Message,
+    Outcome, Submit, Withdraw,
 };
 use gullsail_scheduler_api::Instant;
 
@@ -55,16 +55,7 @@
 
 /// The list is reached, and says how the first node stands.
 pub fn list_says(rig: &mut Rig, state: ListedState) {
-    let list = rig.connection_to("list").unwrap();
-    rig.handle(Input::Connected(list));
-    rig.frame(
-        list,
-        Hello {
-            role: Role::List as i32,
-            name: "list".into(),
-            ..Hello::default()
-        },
-    );
+    let list = rig.list_up();
     let entry = ListedEndpoint {
         name: "n1".into(),
         address: "n1".into(),
@@ -146,48 +137,56 @@
     if !matches!(stage, Stage::Queued | Stage::ForTheConnection) {
         n = rig.node_up("n1", 11, ms(1e7));
     }
-    let mut others = 0;
+    let mut played = Played {
+        rig,
+        client,
+        node: n,
+        others: 0,
+    };
+    submit_for(&mut played, other, stage);
+    played
+}
+
+/// Submits request 5, and brings about what it waits for.
+fn submit_for(played: &mut Played, other: LinkId, stage: Stage) {
+    let rig = &mut played.rig;
+    let client = played.client;
+    let n = played.node;
     match stage {
         Stage::Queued => {
             // The list says that its node drains: it waits for a successor.
-            list_says(&mut rig, ListedState::Draining);
-            write(&mut rig, client, 5, "v", 100);
+            list_says(rig, ListedState::Draining);
+            write(rig, client, 5, "v", 100);
         }
         // A newborn's bucket is empty.
-        Stage::ForTokens => write(&mut rig, client, 5, "w", 100),
+        Stage::ForTokens => write(rig, client, 5, "w", 100),
         Stage::ForItsTurn => {
             rig.pass(ms(2000.0));
-            write(&mut rig, other, 4, "w", 100);
-            write(&mut rig, client, 5, "w", 100);
-            others = 1;
+            write(rig, other, 4, "w", 100);
+            write(rig, client, 5, "w", 100);
+            played.others = 1;
         }
-        Stage::ForTheConnection => write(&mut rig, client, 5, "v", 100),
+        Stage::ForTheConnection => write(rig, client, 5, "v", 100),
         Stage::InTheLink | Stage::AtTheNode => {
             if stage == Stage::InTheLink {
                 rig.stuck.insert(n);
             }
-            write(&mut rig, client, 5, "v", 100);
+            write(rig, client, 5, "v", 100);
         }
         Stage::BetweenAttempts => {
-            write(&mut rig, client, 5, "v", 100);
+            write(rig, client, 5, "v", 100);
             let attempt = rig.attempts(n)[0].attempt;
             // The node takes no more, so the further attempt waits in its line.
-            list_says(&mut rig, ListedState::Draining);
+            list_says(rig, ListedState::Draining);
             rig.answer(n, attempt, AttemptResult::Rejected);
         }
         Stage::Answered => {
             rig.stuck.insert(client);
-            write(&mut rig, client, 5, "v", 100);
+            write(rig, client, 5, "v", 100);
             let attempt = rig.attempts(n)[0].attempt;
             rig.answer(n, attempt, AttemptResult::Succeeded);
         }
     }
-    Played {
-        rig,
-        client,
-        node: n,
-        others,
-    }
 }
 
 /// What happens to it there.
@@ -220,13 +219,14 @@
     }
 }
 
-/// Each stage of a request's path by what may happen to it there: the one answer, or none where the client
-/// left; what the node is told; and that all that was held is given back.
-#[test]
-fn a_request_may_end_at_each_stage() {
-    use End::*;
+/// Each stage of a request's path by what may happen to it there.
+fn cases() -> [Case; 40] {
+    use End::{ClientGone, Deadline, NodeBreaks, Stop, Withdrawn};
     use Outcome::{Failed, Rejected, Succeeded};
-    use Stage::*;
+    use Stage::{
+        Answered, AtTheNode, BetweenAttempts, ForItsTurn, ForTheConnection, ForTokens, InTheLink,
+        Queued,
+    };
     let case = |stage, end, answers, attempts, cancelled| Case {
         stage,
         end,
@@ -234,7 +234,7 @@
         attempts,
         cancelled,
     };
-    let cases: [Case; 40] = [
+    [
         case(Queued, Withdrawn, &[], 0, false),
         case(Queued, ClientGone, &[], 0, false),
         case(Queued, Deadline, &[Rejected], 0, false),
@@ -276,12 +276,18 @@
         case(Answered, Deadline, &[Succeeded], 1, false),
         case(Answered, NodeBreaks, &[Succeeded], 1, false),
         case(Answered, Stop, &[Succeeded], 1, false),
-    ];
-    for case in &cases {
+    ]
+}
+
+/// Each stage of a request's path by what may happen to it there: the one answer, or none where the client
+/// left; what the node is told; and that all that was held is given back.
+#[test]
+fn a_request_may_end_at_each_stage() {
+    for case in &cases() {
         let Case { stage, end, .. } = *case;
         let what = format!("{stage:?} {end:?}");
         let mut played = bring_to(stage);
-        let open = played.others + usize::from(stage != Answered);
+        let open = played.others + usize::from(stage != Stage::Answered);
         assert_eq!(
             played.rig.core.load().open_requests,
             open,
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -118,46 +118,43 @@
         rig
     }
 
+    /// Advances the host until it sends nothing more. What it sends is written at once, except on stuck links.
     pub fn settle(&mut self) {
         loop {
             self.core.advance(self.now);
             let outputs: Vec<_> = self.core.outputs().collect();
-            let mut written = Vec::new();
-            for output in outputs {
-                match output {
-                    Output::Send { link, frame, .. } => {
-                        written.push((link, frame.len()));
-                        self.sent.push(SentFrame {
-                            at: self.now,
-                            link,
-                            frame,
-                        });
-                    }
-                    Output::Connect { link, address } => {
-                        self.connects.push(ConnectRequest {
-                            at: self.now,
-                            link,
-                            address,
-                        });
-                    }
-                    Output::Close { link } => self.closed.push(link),
-                    Output::Reading { link, on } => _ = self.reading.insert(link, on),
-                    Output::ProposalDecided { requester, outcome } => {
-                        self.proposals_decided.push((requester, outcome));
-                    }
-                    Output::CommandOutcome { requester, outcome } => {
-                        self.commands_finished.push((requester, outcome));
-                    }
-                    Output::Finished => self.finished = true,
-                }
-            }
-            written.retain(|written_link| !self.stuck.contains(&written_link.0));
+            let first_sent = self.sent.len();
+            outputs.into_iter().for_each(|output| self.record(output));
+            let written: Vec<_> = self.sent[first_sent..]
+                .iter()
+                .filter(|sent| !self.stuck.contains(&sent.link))
+                .map(|sent| Input::Written(sent.link, sent.frame.len()))
+                .collect();
             if written.is_empty() {
                 return;
             }
-            written.into_iter().for_each(|(attempt, bytes)| {
-                self.core.handle(self.now, Input::Written(attempt, bytes))
-            });
+            for input in written {
+                self.core.handle(self.now, input);
+            }
+        }
+    }
+
+    fn record(&mut self, output: Output) {
+        let at = self.now;
+        match output {
+            Output::Send { link, frame, .. } => self.sent.push(SentFrame { at, link, frame }),
+            Output::Connect { link, address } => {
+                self.connects.push(ConnectRequest { at, link, address });
+            }
+            Output::Close { link } => self.closed.push(link),
+            Output::Reading { link, on } => _ = self.reading.insert(link, on),
+            Output::ProposalDecided { requester, outcome } => {
+                self.proposals_decided.push((requester, outcome));
+            }
+            Output::CommandOutcome { requester, outcome } => {
+                self.commands_finished.push((requester, outcome));
+            }
+            Output::Finished => self.finished = true,
         }
     }
 
@@ -202,21 +199,42 @@
             .map(|request| request.link)
     }
 
+    /// The endpoint list is reached, and identifies itself.
+    pub fn list_up(&mut self) -> LinkId {
+        let list = self.connection_to("list").unwrap();
+        self.handle(Input::Connected(list));
+        let hello = Hello {
+            role: Role::List as i32,
+            name: "list".into(),
+            ..Hello::default()
+        };
+        self.frame(list, hello);
+        list
+    }
+
     pub fn node_up(&mut self, name: &str, incarnation: u64, age: Span) -> LinkId {
+        let shard_plus_one = name[1..].parse::<i64>().unwrap() + 1;
+        self.node_greets(name, incarnation, age, shard_plus_one)
+    }
+
+    /// A node is reached, and identifies itself.
+    pub fn node_greets(
+        &mut self,
+        name: &str,
+        incarnation: u64,
+        age: Span,
+        shard_plus_one: i64,
+    ) -> LinkId {
         let link = self.connection_to(name).unwrap();
         self.handle(Input::Connected(link));
-        let shard_plus_one = name[1..].parse::<i64>().unwrap() + 1;
-        let (role, name, age_us) = (Role::Node as i32, name.to_string(), age.micros());
-        self.frame(
-            link,
-            Hello {
-                role,
-                name,
-                incarnation,
-                age_us,
-                shard_plus_one,
-            },
-        );
+        let hello = Hello {
+            role: Role::Node as i32,
+            name: name.into(),
+            incarnation,
+            age_us: age.micros(),
+            shard_plus_one,
+        };
+        self.frame(link, hello);
         link
     }
 
