--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -109,22 +109,22 @@
                 ("zones", deployment.zones.clone()),
             ]
         };
-        for ((what, a), (_, b)) in names(self.old).into_iter().zip(names(self.new)) {
+        for ((what, old), (_, new)) in names(self.old).into_iter().zip(names(self.new)) {
             let sorted = |names: &[String]| names.iter().cloned().collect::<BTreeSet<_>>();
-            if sorted(&a) == sorted(&b) {
+            if sorted(&old) == sorted(&new) {
                 let why = "hosts number them by their places, and the numbers must not change";
-                self.change(what, "order", say(&a), say(&b), Class::Restart, why);
+                self.change(what, "order", say(&old), say(&new), Class::Restart, why);
             } else if what == "zones" {
-                let class = if b.starts_with(&a) {
+                let class = if new.starts_with(&old) {
                     Class::Safe
                 } else {
                     Class::Restart
                 };
                 let why = "a new one at the end takes no number from another";
-                self.change(what, "names", say(&a), say(&b), class, why);
-            } else if what == "hosts" && self.joins() && !b.starts_with(&a) {
+                self.change(what, "names", say(&old), say(&new), class, why);
+            } else if what == "hosts" && self.joins() && !new.starts_with(&old) {
                 let why = "a new host has to stand at the end, or it takes the number of another";
-                self.change(what, "names", say(&a), say(&b), Class::Restart, why);
+                self.change(what, "names", say(&old), say(&new), Class::Restart, why);
             }
         }
     }
@@ -142,8 +142,8 @@
                 .map(|c| (c.name.clone(), (c.limit.rate, c.limit.burst, c.hard)))
                 .collect()
         };
-        let (a, b) = (index(self.old), index(self.new));
-        if a.is_empty() != b.is_empty() {
+        let (old, new) = (index(self.old), index(self.new));
+        if old.is_empty() != new.is_empty() {
             let why = "whether zones count is read at a start only";
             let say = |m: &BTreeMap<_, _>| {
                 if m.is_empty() {
@@ -155,16 +155,16 @@
             self.change(
                 "crossings",
                 "budgets",
-                say(&a),
-                say(&b),
+                say(&old),
+                say(&new),
                 Class::Restart,
                 why,
             );
         }
-        for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
+        for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
             let (from, to) = (
-                a.get(name).map_or("none".into(), say),
-                b.get(name).map_or("none".into(), say),
+                old.get(name).map_or("none".into(), say),
+                new.get(name).map_or("none".into(), say),
             );
             let why = "each host keeps to the lower of its parts until all have followed";
             self.change(
@@ -180,12 +180,12 @@
 
     fn rest(&mut self) {
         let bounds = |deployment: &Deployment| say(&deployment.bounds);
-        let (a, b) = (bounds(self.old), bounds(self.new));
+        let (old, new) = (bounds(self.old), bounds(self.new));
         self.change(
             "bounds",
             "figures",
-            a,
-            b,
+            old,
+            new,
             Class::Restart,
             "sockets are bound by them from their start",
         );
@@ -216,12 +216,12 @@
             why,
         );
         let list = |deployment: &Deployment| deployment.list.address.clone();
-        let (a, b) = (list(self.old), list(self.new));
+        let (old, new) = (list(self.old), list(self.new));
         self.change(
             "list",
             "address",
-            a,
-            b,
+            old,
+            new,
             Class::Restart,
             "it is read at a start only",
         );
@@ -237,12 +237,12 @@
                 .map(|m| (&m.name, values::server(m)))
                 .collect::<BTreeMap<_, _>>())
         };
-        let (a, b) = (servers(self.old), servers(self.new));
+        let (old, new) = (servers(self.old), servers(self.new));
         self.change(
             "machines",
             "figures",
-            a,
-            b,
+            old,
+            new,
             Class::Safe,
             "they are the stand-ins'; no host reads them",
         );
@@ -264,11 +264,14 @@
                 .map(|p| (p.name.clone(), say(&(zones(p), &p.kinds))))
                 .collect()
         };
-        let (a, b) = (index(self.old), index(self.new));
+        let (old, new) = (index(self.old), index(self.new));
         let none = "none".to_string();
         let why = "new objects go there from now on; what lies somewhere stays";
-        for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
-            let (from, to) = (a.get(name).unwrap_or(&none), b.get(name).unwrap_or(&none));
+        for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
+            let (from, to) = (
+                old.get(name).unwrap_or(&none),
+                new.get(name).unwrap_or(&none),
+            );
             self.change(
                 &format!("pool \"{name}\""),
                 "nodes",
@@ -303,9 +306,9 @@
                 .collect()
         };
         for v in &self.new.volumes {
-            let (a, b) = (pools(self.old, &v.name), pools(self.new, &v.name));
-            for (request_class, to) in &b {
-                let Some(from) = a.get(request_class) else {
+            let (old, new) = (pools(self.old, &v.name), pools(self.new, &v.name));
+            for (request_class, to) in &new {
+                let Some(from) = old.get(request_class) else {
                     continue;
                 };
                 let what = format!("pool of {request_class}");
@@ -322,39 +325,47 @@
     }
 
     fn rules(&mut self) {
-        let (a, b) = (self.old.figures().clone(), self.new.figures().clone());
+        let (old, new) = (self.old.figures().clone(), self.new.figures().clone());
         let graces = (self.old.drain_grace, self.new.drain_grace);
         let restart = "every host reads it at its start only";
         let mut c = |what: &str, from: String, to: String| {
             self.change("rules", what, from, to, Class::Restart, restart);
         };
-        c("tick", say(&a.tick), say(&b.tick));
-        c("order-settle", say(&a.order_settle), say(&b.order_settle));
-        c("most-units", say(&a.max_units), say(&b.max_units));
+        c("tick", say(&old.tick), say(&new.tick));
+        c(
+            "order-settle",
+            say(&old.order_settle),
+            say(&new.order_settle),
+        );
+        c("most-units", say(&old.max_units), say(&new.max_units));
         c(
             "share-part",
-            say(&a.within_share_value),
-            say(&b.within_share_value),
+            say(&old.within_share_value),
+            say(&new.within_share_value),
         );
         c(
             "spare-part",
-            say(&a.beyond_share_value),
-            say(&b.beyond_share_value),
+            say(&old.beyond_share_value),
+            say(&new.beyond_share_value),
+        );
+        c(
+            "advice",
+            say(&old.max_retry_after),
+            say(&new.max_retry_after),
         );
-        c("advice", say(&a.max_retry_after), say(&b.max_retry_after));
         c(
             "legs",
             say(&(
-                a.max_attempts,
-                a.retry_budget.map(|l| (l.free, l.share, l.window)),
+                old.max_attempts,
+                old.retry_budget.map(|l| (l.free, l.share, l.window)),
             )),
             say(&(
-                b.max_attempts,
-                b.retry_budget.map(|l| (l.free, l.share, l.window)),
+                new.max_attempts,
+                new.retry_budget.map(|l| (l.free, l.share, l.window)),
             )),
         );
         c("drain-grace", say(&graces.0), say(&graces.1));
-        let (x, y) = (a.slow_start, b.slow_start);
+        let (x, y) = (old.slow_start, new.slow_start);
         let why = "hosts with the old and the new figures together may send a cold node more than it bears";
         self.change(
             "cold",
@@ -374,11 +385,14 @@
                 .map(|s| (s.name.clone(), values::request_class(s)))
                 .collect()
         };
-        let (a, b) = (index(self.old), index(self.new));
-        for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
+        let (old, new) = (index(self.old), index(self.new));
+        for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
             let of = format!("stream-type \"{name}\"");
             let none = "none".to_string();
-            let (from, to) = (a.get(name).unwrap_or(&none), b.get(name).unwrap_or(&none));
+            let (from, to) = (
+                old.get(name).unwrap_or(&none),
+                new.get(name).unwrap_or(&none),
+            );
             let idempotency = |deployment: &Deployment| {
                 deployment
                     .request_classes
@@ -387,8 +401,8 @@
                     .map(|s| values::idempotency(&s.decisions.idempotency))
             };
             let changed = idempotency(self.old) != idempotency(self.new)
-                && a.contains_key(name)
-                && b.contains_key(name);
+                && old.contains_key(name)
+                && new.contains_key(name);
             if changed {
                 let why = "transfers that may have run by the old effect would be repeated by the new one";
                 self.change(
@@ -425,7 +439,7 @@
             let find =
                 |deployment: &Deployment| deployment.plans.iter().find(|p| p.name == name).cloned();
             let of = format!("plan \"{name}\"");
-            let (Some(a), Some(b)) = (find(self.old), find(self.new)) else {
+            let (Some(old), Some(new)) = (find(self.old), find(self.new)) else {
                 let is = |deployment: &Deployment| {
                     if find(deployment).is_some() {
                         "defined".into()
@@ -438,20 +452,20 @@
                 self.change(&of, "plan", from, to, Class::Safe, why);
                 continue;
             };
-            self.plan_limit(&of, &a, &b);
-            self.plan_figures(&of, &a, &b);
+            self.plan_limit(&of, &old, &new);
+            self.plan_figures(&of, &old, &new);
         }
     }
 
-    fn plan_limit(&mut self, of: &str, a: &NamedPlan, b: &NamedPlan) {
+    fn plan_limit(&mut self, of: &str, old: &NamedPlan, new: &NamedPlan) {
         let limit = |p: &NamedPlan| p.decisions.limit.map(|l| (l.rate, l.burst));
-        let (x, y) = (limit(a), limit(b));
+        let (x, y) = (limit(old), limit(new));
         let lowered = match (x, y) {
             (None, Some(_)) => true,
             (Some(x), Some(y)) => y.0 < x.0 || y.1 < x.1,
             _ => false,
         };
-        let sized = b.decisions.nominal_rate.max(b.decisions.reserve);
+        let sized = new.decisions.nominal_rate.max(new.decisions.reserve);
         let under = lowered && y.is_some_and(|y| y.0 < sized);
         let (class, why) = if under {
             (
@@ -470,45 +484,45 @@
     }
 
     /// Figures of a plan by which the scheduler only orders what waits.
-    fn plan_figures(&mut self, of: &str, a: &NamedPlan, b: &NamedPlan) {
+    fn plan_figures(&mut self, of: &str, old: &NamedPlan, new: &NamedPlan) {
         let safe = "it orders what waits; no rule depends on it";
         self.change(
             of,
             "reserve",
-            say(&a.decisions.reserve),
-            say(&b.decisions.reserve),
+            say(&old.decisions.reserve),
+            say(&new.decisions.reserve),
             Class::Safe,
             safe,
         );
         self.change(
             of,
             "usual",
-            say(&a.decisions.nominal_rate),
-            say(&b.decisions.nominal_rate),
+            say(&old.decisions.nominal_rate),
+            say(&new.decisions.nominal_rate),
             Class::Safe,
             safe,
         );
         self.change(
             of,
             "weight",
-            say(&a.decisions.weight),
-            say(&b.decisions.weight),
+            say(&old.decisions.weight),
+            say(&new.decisions.weight),
             Class::Safe,
             safe,
         );
         self.change(
             of,
             "price",
-            say(&a.decisions.price),
-            say(&b.decisions.price),
+            say(&old.decisions.price),
+            say(&new.decisions.price),
             Class::Safe,
             safe,
         );
         self.change(
             of,
             "slack",
-            say(&a.slack),
-            say(&b.slack),
+            say(&old.slack),
+            say(&new.slack),
             Class::Safe,
             "hosts do not use it",
         );
--- a/crates/configuration/src/diff/volumes.rs
+++ b/crates/configuration/src/diff/volumes.rs
@@ -21,12 +21,12 @@
             .collect();
         for name in names {
             let of = format!("volume \"{name}\"");
-            let (a, b) = (
+            let (old, new) = (
                 self.old.volume(&name).cloned(),
                 self.new.volume(&name).cloned(),
             );
-            let (a, b) = match (a, b) {
-                (Some(a), Some(b)) => (a, b),
+            let (old, new) = match (old, new) {
+                (Some(old), Some(new)) => (old, new),
                 (Some(_), None) => {
                     let (why, before) = (
                         "its clients are turned away from then on",
@@ -56,14 +56,14 @@
                     continue;
                 }
             };
-            self.plan_of_volume(&of, &a, &b);
-            self.hosts_of_volume(&of, &a, &b);
+            self.plan_of_volume(&of, &old, &new);
+            self.hosts_of_volume(&of, &old, &new);
         }
     }
 
-    fn plan_of_volume(&mut self, of: &str, a: &NamedVolume, b: &NamedVolume) {
+    fn plan_of_volume(&mut self, of: &str, old: &NamedVolume, new: &NamedVolume) {
         let plan = |deployment: &Deployment, v: &NamedVolume| deployment.plans[v.plan.0].clone();
-        let (x, y) = (plan(self.old, a), plan(self.new, b));
+        let (x, y) = (plan(self.old, old), plan(self.new, new));
         let limit = y.decisions.limit.map_or(f64::INFINITY, |l| l.rate);
         let (class, why) = if limit < x.decisions.nominal_rate.max(x.decisions.reserve) {
             (
@@ -81,8 +81,8 @@
         self.can_serve(before);
     }
 
-    fn hosts_of_volume(&mut self, of: &str, a: &NamedVolume, b: &NamedVolume) {
-        let (x, y) = (Self::hosts_of(self.old, a), Self::hosts_of(self.new, b));
+    fn hosts_of_volume(&mut self, of: &str, old: &NamedVolume, new: &NamedVolume) {
+        let (x, y) = (Self::hosts_of(self.old, old), Self::hosts_of(self.new, new));
         let leaves = x.difference(&y).next().is_some();
         let (class, why) = if leaves {
             (
@@ -118,20 +118,20 @@
                 })
                 .collect()
         };
-        let (a, b) = (index(self.old), index(self.new));
-        for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
+        let (old, new) = (index(self.old), index(self.new));
+        for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
             let of = format!("host \"{name}\"");
             let (from, to) = (
-                a.get(name).map_or("none".into(), say),
-                b.get(name).map_or("none".into(), say),
+                old.get(name).map_or("none".into(), say),
+                new.get(name).map_or("none".into(), say),
             );
-            let new = !a.contains_key(name);
-            let why = if new && self.joins() {
+            let is_new = !old.contains_key(name);
+            let why = if is_new && self.joins() {
                 "it is a member once it runs and the others have this document"
             } else {
                 "hosts know each other by their places and addresses, which are read at a start only"
             };
-            let class = match (new, b.contains_key(name)) {
+            let class = match (is_new, new.contains_key(name)) {
                 (true, _) if self.joins() => Class::Safe,
                 (false, false) => Class::Dangerous,
                 _ => Class::Restart,
@@ -153,12 +153,12 @@
                 .map(|n| (n.place.name.clone(), place(n)))
                 .collect()
         };
-        let (a, b) = (index(self.old), index(self.new));
-        for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
+        let (old, new) = (index(self.old), index(self.new));
+        for name in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
             let of = format!("node \"{name}\"");
             let (from, to) = (
-                a.get(name).map_or("none".into(), say),
-                b.get(name).map_or("none".into(), say),
+                old.get(name).map_or("none".into(), say),
+                new.get(name).map_or("none".into(), say),
             );
             self.change(
                 &of,
@@ -173,7 +173,7 @@
             m.values().map(|n| n.0).collect::<BTreeSet<_>>()
         };
         let before = self.changes.len();
-        for shard in shards(&a).difference(&shards(&b)) {
+        for shard in shards(&old).difference(&shards(&new)) {
             let why = "no node is left that holds it: reads of its data can't be served";
             self.change(
                 &format!("cell {shard}"),
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -74,20 +74,20 @@
     }
 }
 
-fn found<'a>(e: &'a KdlEntry, reader: &mut Reader) -> Option<Range<'a>> {
-    let KdlValue::String(text) = e.value() else {
+fn found<'a>(argument: &'a KdlEntry, reader: &mut Reader) -> Option<Range<'a>> {
+    let KdlValue::String(text) = argument.value() else {
         return None;
     };
     range(text).unwrap_or_else(|why| {
         let help = Some("a range is two numbers that count up: \"h{01..40}\"".into());
-        reader.report("range", why, e.span(), help);
+        reader.report("range", why, argument.span(), help);
         None
     })
 }
 
-fn set(e: &mut KdlEntry, value: KdlValue) {
-    e.set_value(value);
-    e.clear_format();
+fn set(argument: &mut KdlEntry, value: KdlValue) {
+    argument.set_value(value);
+    argument.clear_format();
 }
 
 /// The entries that one entry stands for: itself alone if it has no range.
@@ -98,14 +98,14 @@
         lists(&mut node, reader);
     }
     let mut count = 1;
-    for e in node.entries() {
-        match found(e, reader).map(|range| range.count) {
+    for argument in node.entries() {
+        match found(argument, reader).map(|range| range.count) {
             Some(other) if count > 1 && other != count => {
                 let message = format!("a range of {other} in an entry with one of {count}");
                 reader.report(
                     "range",
                     message,
-                    e.span(),
+                    argument.span(),
                     Some("ranges of an entry count up together".into()),
                 );
                 return Vec::new();
@@ -117,17 +117,17 @@
     if !node
         .entries()
         .iter()
-        .any(|e| matches!(e.value(), KdlValue::String(s) if matches!(range(s), Ok(Some(_)))))
+        .any(|argument| matches!(argument.value(), KdlValue::String(s) if matches!(range(s), Ok(Some(_)))))
     {
         return vec![node];
     }
     let copy = |place| {
         let mut copy = node.clone();
-        for (e, from) in copy.entries_mut().iter_mut().zip(node.entries()) {
+        for (argument, from) in copy.entries_mut().iter_mut().zip(node.entries()) {
             if let KdlValue::String(text) = from.value()
                 && let Ok(Some(range)) = range(text)
             {
-                set(e, range.value(place));
+                set(argument, range.value(place));
             }
         }
         copy
@@ -142,19 +142,20 @@
     };
     for child in children.nodes_mut() {
         lists(child, reader);
-        if !child
-            .entries()
-            .iter()
-            .any(|e| e.value().as_string().is_some_and(|s| s.contains('{')))
-        {
+        if !child.entries().iter().any(|argument| {
+            argument
+                .value()
+                .as_string()
+                .is_some_and(|s| s.contains('{'))
+        }) {
             continue;
         }
         let mut all = Vec::with_capacity(child.entries().len());
-        for e in child.entries() {
-            match found(e, reader) {
-                Some(range) if e.name().is_none() => {
+        for argument in child.entries() {
+            match found(argument, reader) {
+                Some(range) if argument.name().is_none() => {
                     for place in 0..range.count {
-                        let mut one = e.clone();
+                        let mut one = argument.clone();
                         set(&mut one, range.value(place));
                         all.push(one);
                     }
@@ -162,9 +163,9 @@
                 Some(_) => {
                     let message =
                         "a range can't be a property of an entry within another".to_string();
-                    reader.report("range", message, e.span(), None);
+                    reader.report("range", message, argument.span(), None);
                 }
-                None => all.push(e.clone()),
+                None => all.push(argument.clone()),
             }
         }
         *child.entries_mut() = all;
--- a/crates/configuration/src/reader_values.rs
+++ b/crates/configuration/src/reader_values.rs
@@ -16,11 +16,11 @@
         found
     }
 
-    fn wrong<T: Default>(&mut self, e: &KdlEntry, wanted: &str, help: Option<String>) -> T {
+    fn wrong<T: Default>(&mut self, argument: &KdlEntry, wanted: &str, help: Option<String>) -> T {
         self.report(
             "wrong-kind",
-            format!("{} is not {wanted}", e.value()),
-            e.span(),
+            format!("{} is not {wanted}", argument.value()),
+            argument.span(),
             help,
         );
         T::default()
@@ -31,10 +31,10 @@
         match node
             .entries()
             .iter()
-            .filter(|e| e.name().is_none())
+            .filter(|argument| argument.name().is_none())
             .nth(place)
         {
-            Some(e) => self.text_of(e),
+            Some(argument) => self.text_of(argument),
             None => {
                 let message = format!("`{}` needs {what}", node.name().value());
                 self.report("missing", message, node.name().span(), None);
@@ -43,44 +43,44 @@
         }
     }
 
-    pub(crate) fn text_of(&mut self, e: &KdlEntry) -> String {
-        match e.value() {
+    pub(crate) fn text_of(&mut self, argument: &KdlEntry) -> String {
+        match argument.value() {
             KdlValue::String(s) => s.clone(),
             _ => self.wrong(
-                e,
+                argument,
                 "a text",
-                Some(format!("write it in quotes: \"{}\"", e.value())),
+                Some(format!("write it in quotes: \"{}\"", argument.value())),
             ),
         }
     }
 
     /// The text under a key, if there is one.
     pub fn text_at(&mut self, node: &KdlNode, key: &str) -> Option<String> {
-        let e = self.entry(node, key, false)?;
-        Some(self.text_of(e))
+        let argument = self.entry(node, key, false)?;
+        Some(self.text_of(argument))
     }
 
     /// Whether a flag is set; not there: it is not.
     pub fn flag(&mut self, node: &KdlNode, key: &str) -> bool {
         match self.entry(node, key, false) {
             None => false,
-            Some(e) => match e.value() {
+            Some(argument) => match argument.value() {
                 KdlValue::Bool(b) => *b,
-                _ => self.wrong(e, "#true or #false", None),
+                _ => self.wrong(argument, "#true or #false", None),
             },
         }
     }
 
     /// A number of at least `least`; `None` where it is not given.
     pub fn number_at(&mut self, node: &KdlNode, key: &str, least: f64) -> Option<f64> {
-        let e = self.entry(node, key, false)?;
-        let number = match e.value() {
+        let argument = self.entry(node, key, false)?;
+        let number = match argument.value() {
             KdlValue::Integer(n) => *n as f64,
             KdlValue::Float(x) => *x,
-            _ => return Some(self.wrong(e, "a number", None)),
+            _ => return Some(self.wrong(argument, "a number", None)),
         };
         if !number.is_finite() || number < least {
-            return Some(self.wrong(e, &format!("a number of at least {least}"), None));
+            return Some(self.wrong(argument, &format!("a number of at least {least}"), None));
         }
         Some(number)
     }
@@ -93,14 +93,18 @@
 
     /// A whole number under a key, or what holds otherwise.
     pub fn whole(&mut self, node: &KdlNode, key: &str, least: u32, otherwise: u32) -> u32 {
-        let Some(e) = self.entry(node, key, false) else {
+        let Some(argument) = self.entry(node, key, false) else {
             return otherwise;
         };
-        match e.value() {
+        match argument.value() {
             KdlValue::Integer(n) if *n >= i128::from(least) && *n <= i128::from(u32::MAX) => {
                 *n as u32
             }
-            _ => self.wrong(e, &format!("a whole number of at least {least}"), None),
+            _ => self.wrong(
+                argument,
+                &format!("a whole number of at least {least}"),
+                None,
+            ),
         }
     }
 
@@ -111,14 +115,14 @@
 
     /// A span, such as `"150ms"`; `None` where it is not given.
     pub fn span_at(&mut self, node: &KdlNode, key: &str) -> Option<Span> {
-        let e = self.entry(node, key, false)?;
+        let argument = self.entry(node, key, false)?;
         let help = || {
             Some("a span is written with its unit in quotes: \"150ms\", \"1.5s\", \"2min\"".into())
         };
-        let KdlValue::String(s) = e.value() else {
-            return Some(self.wrong(e, "a span", help()));
+        let KdlValue::String(s) = argument.value() else {
+            return Some(self.wrong(argument, "a span", help()));
         };
-        Some(span(s).unwrap_or_else(|| self.wrong(e, "a span", help())))
+        Some(span(s).unwrap_or_else(|| self.wrong(argument, "a span", help())))
     }
 
     /// The span under a key that has to be there.
@@ -129,7 +133,7 @@
 
     /// Bytes with their unit, such as `"256MiB"`.
     pub fn bytes(&mut self, node: &KdlNode, key: &str, otherwise: usize) -> usize {
-        let Some(e) = self.entry(node, key, false) else {
+        let Some(argument) = self.entry(node, key, false) else {
             return otherwise;
         };
         let help = || {
@@ -138,8 +142,8 @@
                     .into(),
             )
         };
-        let KdlValue::String(s) = e.value() else {
-            return self.wrong(e, "a number of bytes", help());
+        let KdlValue::String(s) = argument.value() else {
+            return self.wrong(argument, "a number of bytes", help());
         };
         let unit = s.trim_end().ends_with(|c: char| c.is_ascii_alphabetic());
         match s
@@ -153,7 +157,7 @@
             .filter(|_| unit)
         {
             Some(bytes) if bytes > 0 => bytes,
-            _ => self.wrong(e, "a number of bytes", help()),
+            _ => self.wrong(argument, "a number of bytes", help()),
         }
     }
 
@@ -166,14 +170,14 @@
         least: f64,
         unit: Option<f64>,
     ) -> Option<f64> {
-        let e = self.entry(node, key, false)?;
+        let argument = self.entry(node, key, false)?;
         let help =
             || Some("a rate is written with its unit in quotes: \"40units/s\", \"16MiB/s\"".into());
-        let KdlValue::String(s) = e.value() else {
-            return Some(self.wrong(e, "a rate", help()));
+        let KdlValue::String(s) = argument.value() else {
+            return Some(self.wrong(argument, "a rate", help()));
         };
         let Some(amount) = s.trim_end().strip_suffix("/s") else {
-            return Some(self.wrong(e, "a rate", help()));
+            return Some(self.wrong(argument, "a rate", help()));
         };
         let rate = if let Some(units) = amount.trim_end().strip_suffix("units") {
             units.trim().parse::<f64>().ok()
@@ -186,7 +190,7 @@
                 let help =
                     Some("rules unit=\"64KiB\" says how many bytes a unit stands for".into());
                 let message = format!("`{key}` is in bytes, and nothing says how many are a unit");
-                self.report("no-unit", message, e.span(), help);
+                self.report("no-unit", message, argument.span(), help);
                 return Some(0.0);
             }
             bytes.zip(unit).map(|(bytes, unit)| bytes / unit)
@@ -195,20 +199,20 @@
         };
         match rate.filter(|reader| reader.is_finite()) {
             Some(rate) if rate >= least => Some(rate),
-            Some(_) => Some(self.wrong(e, &format!("a rate of at least {least}"), None)),
-            None => Some(self.wrong(e, "a rate", help())),
+            Some(_) => Some(self.wrong(argument, &format!("a rate of at least {least}"), None)),
+            None => Some(self.wrong(argument, "a rate", help())),
         }
     }
 
     /// Bytes a second, such as `"20MiB/s"`; more than none.
     pub fn bytes_a_second(&mut self, node: &KdlNode, key: &str) -> f64 {
-        let Some(e) = self.entry(node, key, true) else {
+        let Some(argument) = self.entry(node, key, true) else {
             return 0.0;
         };
         let help =
             || Some("bytes a second are written with their unit in quotes: \"20MiB/s\"".into());
-        let KdlValue::String(s) = e.value() else {
-            return self.wrong(e, "a rate in bytes", help());
+        let KdlValue::String(s) = argument.value() else {
+            return self.wrong(argument, "a rate in bytes", help());
         };
         let amount = s.strip_suffix("/s").filter(|a| a.ends_with('B'));
         match amount
@@ -216,14 +220,14 @@
             .map(|b| b.as_u64())
         {
             Some(bytes) if bytes > 0 && bytes < 1 << 60 => bytes as f64,
-            _ => self.wrong(e, "a rate in bytes", help()),
+            _ => self.wrong(argument, "a rate in bytes", help()),
         }
     }
 
     /// A part of a whole: 0 to 1, or `"30%"`.
     pub fn part_at(&mut self, node: &KdlNode, key: &str) -> Option<f64> {
-        let e = self.entry(node, key, false)?;
-        let part = match e.value() {
+        let argument = self.entry(node, key, false)?;
+        let part = match argument.value() {
             KdlValue::Integer(n) => Some(*n as f64),
             KdlValue::Float(x) => Some(*x),
             KdlValue::String(s) => s
@@ -235,7 +239,7 @@
         let help = Some("a part of the whole is written 0.3 or \"30%\"".into());
         Some(
             part.filter(|p| (0.0..=1.0).contains(p))
-                .unwrap_or_else(|| self.wrong(e, "a part from 0 to 1", help)),
+                .unwrap_or_else(|| self.wrong(argument, "a part from 0 to 1", help)),
         )
     }
 
@@ -252,8 +256,8 @@
         key: &str,
         keywords: &[(&str, T)],
     ) -> Option<T> {
-        let e = self.entry(node, key, true)?;
-        let text = self.text_of(e);
+        let argument = self.entry(node, key, true)?;
+        let text = self.text_of(argument);
         let found = keywords.iter().find(|w| w.0 == text).map(|w| w.1);
         if found.is_none() {
             let known: Vec<_> = keywords.iter().map(|w| w.0).collect();
@@ -262,7 +266,7 @@
             self.report(
                 "unknown-word",
                 format!("`{key}` can't be \"{text}\""),
-                e.span(),
+                argument.span(),
                 help,
             );
         }
@@ -270,11 +274,11 @@
     }
 
     /// The place of what a name refers to.
-    pub fn refer(&mut self, e: &KdlEntry, what: &str, names: &Names) -> Option<usize> {
-        let name = self.text_of(e);
+    pub fn refer(&mut self, argument: &KdlEntry, what: &str, names: &Names) -> Option<usize> {
+        let name = self.text_of(argument);
         let found = names.position(&name);
         if found.is_none() {
-            self.unknown(e.span(), what, &name, names.list());
+            self.unknown(argument.span(), what, &name, names.list());
         }
         found
     }
@@ -287,8 +291,8 @@
         what: &str,
         names: &Names,
     ) -> Option<usize> {
-        let e = self.entry(node, key, true)?;
-        self.refer(e, what, names)
+        let argument = self.entry(node, key, true)?;
+        self.refer(argument, what, names)
     }
 }
 
--- a/crates/configuration/src/resolve.rs
+++ b/crates/configuration/src/resolve.rs
@@ -67,12 +67,14 @@
         let at = from.unwrap_or((0, 0).into());
         let text = match self.loader.load(name) {
             Ok(text) => text,
-            Err(e) => {
+            Err(argument) => {
                 // The first file has no place to point to but its own beginning.
                 if from.is_none() {
                     self.reader.file(name, "");
                 }
-                return self.reader.report("file", format!("{name}: {e}"), at, None);
+                return self
+                    .reader
+                    .report("file", format!("{name}: {argument}"), at, None);
             }
         };
         self.bytes += text.len();
@@ -120,8 +122,8 @@
                 None,
             );
         }
-        for e in node.entries() {
-            let text = self.reader.text_of(e);
+        for argument in node.entries() {
+            let text = self.reader.text_of(argument);
             let Some(name) = beside(from, &text) else {
                 let help = Some(
                     "files are named from the one that includes them, below the first one's folder"
@@ -130,19 +132,19 @@
                 self.reader.report(
                     "outside",
                     format!("\"{text}\" leads out of the configuration"),
-                    e.span(),
+                    argument.span(),
                     help,
                 );
                 continue;
             };
-            for name in self.files_named(name, &text, e) {
-                self.include_file(name, e);
+            for name in self.files_named(name, &text, argument) {
+                self.include_file(name, argument);
             }
         }
     }
 
     /// The files that an `include` stands for: one, or those that a pattern matches.
-    fn files_named(&mut self, name: String, text: &str, e: &KdlEntry) -> Vec<String> {
+    fn files_named(&mut self, name: String, text: &str, argument: &KdlEntry) -> Vec<String> {
         if !text.contains(['*', '?', '[']) {
             return vec![name];
         }
@@ -155,32 +157,33 @@
             }
             Err(why) => format!("\"{text}\": {why}"),
         };
-        self.reader.report("file", message, e.span(), None);
+        self.reader.report("file", message, argument.span(), None);
         Vec::new()
     }
 
-    fn include_file(&mut self, name: String, e: &KdlEntry) {
+    fn include_file(&mut self, name: String, argument: &KdlEntry) {
         if let Some(place) = self.chain.iter().position(|c| *c == name) {
             let mut way = self.chain[place..].to_vec();
             way.push(name);
             let message = format!("files include each other in a loop: {}", way.join(" -> "));
-            self.reader.report("loop", message, e.span(), None);
+            self.reader.report("loop", message, argument.span(), None);
         } else if self.chain.len() >= DEPTH {
             let message = format!("more than {DEPTH} files within each other");
-            self.reader.report("too-deep", message, e.span(), None);
+            self.reader
+                .report("too-deep", message, argument.span(), None);
         } else if !self.seen.contains(&name) {
-            self.file(&name, Some(e.span()));
+            self.file(&name, Some(argument.span()));
         }
     }
 
     fn template(&mut self, node: &KdlNode) {
         let name = self.reader.text(node, 0, "a name");
         let mut defaults = BTreeMap::new();
-        for e in node.entries() {
-            if let Some(key) = e.name() {
+        for argument in node.entries() {
+            if let Some(key) = argument.name() {
                 defaults.insert(
                     key.value().to_string(),
-                    (e.value().clone(), e.span().offset()),
+                    (argument.value().clone(), argument.span().offset()),
                 );
             }
         }
@@ -200,10 +203,10 @@
         }
         let mut names = BTreeSet::new();
         parameters(node, &mut names);
-        for e in node.entries() {
-            if let Some(key) = e.name().filter(|key| !names.contains(key.value())) {
+        for argument in node.entries() {
+            if let Some(key) = argument.name().filter(|key| !names.contains(key.value())) {
                 let message = format!("nothing in the template is `${}`", key.value());
-                self.reader.warn("unused", message, e.span(), None);
+                self.reader.warn("unused", message, argument.span(), None);
             }
         }
         self.templates.insert(
@@ -231,11 +234,11 @@
         }
         let mut values = t.defaults.clone();
         let node = t.node.clone();
-        for e in at.entries() {
-            if let Some(key) = e.name() {
+        for argument in at.entries() {
+            if let Some(key) = argument.name() {
                 values.insert(
                     key.value().to_string(),
-                    (e.value().clone(), e.span().offset()),
+                    (argument.value().clone(), argument.span().offset()),
                 );
             }
         }
@@ -259,22 +262,26 @@
                 _ => self.keep(child),
             }
         }
-        for e in at.entries() {
-            if let Some(key) = e.name().filter(|k| !needed.contains(k.value())) {
+        for argument in at.entries() {
+            if let Some(key) = argument.name().filter(|k| !needed.contains(k.value())) {
                 let known: Vec<String> = needed.iter().cloned().collect();
-                self.reader
-                    .unknown(e.span(), "parameter of this template", key.value(), &known);
+                self.reader.unknown(
+                    argument.span(),
+                    "parameter of this template",
+                    key.value(),
+                    &known,
+                );
             }
         }
     }
 
     /// A text that is `$name` becomes the value of that name; `$name` within a text, its text.
     fn fill(&mut self, node: &mut KdlNode, values: &Values, needed: &mut BTreeSet<String>) {
-        for e in node.entries_mut() {
-            let KdlValue::String(text) = e.value() else {
+        for argument in node.entries_mut() {
+            let KdlValue::String(text) = argument.value() else {
                 continue;
             };
-            let (text, at) = (text.clone(), e.span());
+            let (text, at) = (text.clone(), argument.span());
             if !text.contains('$') {
                 continue;
             }
@@ -303,8 +310,8 @@
                 rest = tail;
             }
             filled += rest;
-            e.set_value(whole.unwrap_or(KdlValue::String(filled)));
-            e.clear_format();
+            argument.set_value(whole.unwrap_or(KdlValue::String(filled)));
+            argument.clear_format();
         }
         if let Some(children) = node.children_mut() {
             for child in children.nodes_mut() {
@@ -317,7 +324,11 @@
 /// The parameters that a template's entries name.
 fn parameters(node: &KdlNode, names: &mut BTreeSet<String>) {
     for child in node.iter_children() {
-        for text in child.entries().iter().filter_map(|e| e.value().as_string()) {
+        for text in child
+            .entries()
+            .iter()
+            .filter_map(|argument| argument.value().as_string())
+        {
             for after in text.split('$').skip(1) {
                 let end = after
                     .find(|c: char| !(c.is_ascii_alphanumeric() || c == '_'))
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -42,9 +42,9 @@
 }
 
 impl Route {
-    fn takes(&self, v: &NamedVolume, request_class: usize) -> bool {
-        (self.volumes.is_empty() || self.volumes.iter().any(|p| p.matches(&v.name)))
-            && (self.plans.is_empty() || self.plans.contains(&v.plan.0))
+    fn takes(&self, volume: &NamedVolume, request_class: usize) -> bool {
+        (self.volumes.is_empty() || self.volumes.iter().any(|p| p.matches(&volume.name)))
+            && (self.plans.is_empty() || self.plans.contains(&volume.plan.0))
             && (self.request_classes.is_empty() || self.request_classes.contains(&request_class))
     }
 
@@ -182,26 +182,7 @@
     let plans = values(entry, "plan")
         .filter_map(|e| reader.refer(e, "plan", &plans))
         .collect();
-    let mut volumes = Vec::new();
-    for e in values(entry, "volume") {
-        let text = reader.text_of(e);
-        match glob::Pattern::new(&text) {
-            Ok(pattern) => {
-                let matches = known.volumes.iter().any(|v| pattern.matches(&v.name));
-                if !matches && !text.is_empty() && !known.volumes.is_empty() {
-                    let names: Vec<String> = known.volumes.iter().map(|v| v.name.clone()).collect();
-                    reader.unknown(e.span(), "volume", &text, &names);
-                }
-                volumes.push(pattern);
-            }
-            Err(why) => reader.report(
-                "wrong-kind",
-                format!("\"{text}\" is no pattern: {why}"),
-                e.span(),
-                None,
-            ),
-        }
-    }
+    let volumes = volume_patterns(reader, entry, known);
     Route {
         to: PoolId(to),
         volumes,
@@ -210,6 +191,31 @@
     }
 }
 
+/// The patterns by which a route names volumes; one that matches no volume is reported.
+fn volume_patterns(reader: &mut Reader, entry: &KdlNode, known: &Known) -> Vec<glob::Pattern> {
+    let mut patterns = Vec::new();
+    for value in values(entry, "volume") {
+        let text = reader.text_of(value);
+        let pattern = match glob::Pattern::new(&text) {
+            Ok(pattern) => pattern,
+            Err(why) => {
+                let message = format!("\"{text}\" is no pattern: {why}");
+                reader.report("wrong-kind", message, value.span(), None);
+                continue;
+            }
+        };
+        let mut volumes = known.volumes.iter();
+        let matches = volumes.any(|volume| pattern.matches(&volume.name));
+        if !matches && !text.is_empty() && !known.volumes.is_empty() {
+            let names = known.volumes.iter().map(|volume| volume.name.clone());
+            let names: Vec<String> = names.collect();
+            reader.unknown(value.span(), "volume", &text, &names);
+        }
+        patterns.push(pattern);
+    }
+    patterns
+}
+
 /// Reports pools without a node, with every node, or without a route.
 fn check_pools(
     document: &KdlDocument,
@@ -320,13 +326,13 @@
     // How much each route takes, and of what it would take but for one before it, who that is.
     let mut taken = vec![0usize; built.routes.len()];
     let mut instead: Vec<Option<usize>> = vec![None; built.routes.len()];
-    for v in known.volumes {
+    for volume in known.volumes {
         for request_class in 0..known.request_classes.len() {
             let takes = built
                 .routes
                 .iter()
                 .enumerate()
-                .filter(|(_, route)| route.takes(v, request_class));
+                .filter(|(_, route)| route.takes(volume, request_class));
             let mut takes = takes.map(|(place, _)| place);
             let first = takes.next();
             built
--- a/crates/placement/src/documents.rs
+++ b/crates/placement/src/documents.rs
@@ -33,20 +33,26 @@
 }
 
 /// The pools that a volume's new objects go to, with the request classes that go there.
-fn pools(d: &Deployment, volume: usize) -> BTreeMap<PoolId, Vec<usize>> {
+fn pools(deployment: &Deployment, volume: usize) -> BTreeMap<PoolId, Vec<usize>> {
     let mut all: BTreeMap<PoolId, Vec<usize>> = BTreeMap::new();
-    for place in (0..d.request_classes.len()).filter(|place| d.request_classes[*place].write) {
-        all.entry(d.routes.pool(volume, RequestClassId(place)))
+    for place in (0..deployment.request_classes.len())
+        .filter(|place| deployment.request_classes[*place].write)
+    {
+        all.entry(deployment.routes.pool(volume, RequestClassId(place)))
             .or_default()
             .push(place);
     }
     all
 }
 
-fn zones_of(d: &Deployment, pool: PoolId) -> BTreeSet<usize> {
-    let running = d.nodes.iter().filter(|n| !n.spare);
+fn zones_of(deployment: &Deployment, pool: PoolId) -> BTreeSet<usize> {
+    let running = deployment.nodes.iter().filter(|n| !n.spare);
     let inside = running.filter(|n| {
-        pool == PoolId::ALL || d.routes.pools_of(n.place.zone, &n.kind).contains(&pool)
+        pool == PoolId::ALL
+            || deployment
+                .routes
+                .pools_of(n.place.zone, &n.kind)
+                .contains(&pool)
     });
     inside.map(|n| n.place.zone.0).collect()
 }
@@ -59,11 +65,11 @@
     nodes: Vec<f64>,
 }
 
-fn capacity(d: &Deployment) -> Result<Capacity, MissingInput> {
-    let mut units = vec![0.0; d.zones.len()];
-    let mut nodes = vec![0.0; d.zones.len()];
-    for node in d.nodes.iter().filter(|node| !node.spare) {
-        let server = d.servers.get(node.server);
+fn capacity(deployment: &Deployment) -> Result<Capacity, MissingInput> {
+    let mut units = vec![0.0; deployment.zones.len()];
+    let mut nodes = vec![0.0; deployment.zones.len()];
+    for node in deployment.nodes.iter().filter(|node| !node.spare) {
+        let server = deployment.servers.get(node.server);
         let server = server.ok_or_else(|| MissingInput::Server(node.place.name.clone()))?;
         units[node.place.zone.0] += server.can() * PROMISABLE;
         nodes[node.place.zone.0] += 1.0;
@@ -72,21 +78,21 @@
 }
 
 /// What a volume is sized for, by the zones of its hosts, and the zones where its new objects may be placed.
-fn demand(d: &Deployment, place: usize, unit: f64) -> Demand {
-    let volume = &d.volumes[place];
-    let plan = &d.plans[volume.plan.0].decisions;
+fn demand(deployment: &Deployment, place: usize, unit: f64) -> Demand {
+    let volume = &deployment.volumes[place];
+    let plan = &deployment.plans[volume.plan.0].decisions;
     let bytes = plan.nominal_rate.max(plan.reserve) * unit;
-    let mut from = vec![0.0; d.zones.len()];
+    let mut from = vec![0.0; deployment.zones.len()];
     for host in volume.hosts.iter() {
-        from[d.hosts[host.0 as usize].zone.0] += bytes / volume.hosts.len() as f64;
+        from[deployment.hosts[host.0 as usize].zone.0] += bytes / volume.hosts.len() as f64;
     }
     // Where each of its pools has a node; where none has them all, where any has one.
-    let each: Vec<_> = pools(d, place)
+    let each: Vec<_> = pools(deployment, place)
         .keys()
-        .map(|pool| zones_of(d, *pool))
+        .map(|pool| zones_of(deployment, *pool))
         .collect();
     let common = each.iter().cloned().reduce(|a, b| &a & &b);
-    let common = common.unwrap_or_else(|| zones_of(d, PoolId::ALL));
+    let common = common.unwrap_or_else(|| zones_of(deployment, PoolId::ALL));
     let zones = if common.is_empty() {
         each.into_iter().flatten().collect()
     } else {
@@ -104,32 +110,35 @@
 ///
 /// # Errors
 /// The document does not state what a plan needs.
-pub fn question(d: &Deployment, price: f64) -> Result<Question, MissingInput> {
-    let unit = d.unit.ok_or(MissingInput::Unit)?;
-    let count = d.zones.len();
+pub fn question(deployment: &Deployment, price: f64) -> Result<Question, MissingInput> {
+    let unit = deployment.unit.ok_or(MissingInput::Unit)?;
+    let count = deployment.zones.len();
     if count == 0 {
         return Err(MissingInput::Zones);
     }
-    let Capacity { units, nodes } = capacity(d)?;
+    let Capacity { units, nodes } = capacity(deployment)?;
     let node_capacity = units
         .iter()
         .zip(&nodes)
         .map(|(units, nodes)| units / nodes.max(1.0))
         .collect();
-    let budgets = d.cross_zone_budgets.iter().filter_map(|c| match c.of {
-        BudgetScope::ZonePair(from, to) => Some(Budget {
-            from: from.0,
-            to: to.0,
-            limit: c.limit.rate,
-        }),
-        BudgetScope::Plan(_) => None,
-    });
+    let budgets = deployment
+        .cross_zone_budgets
+        .iter()
+        .filter_map(|c| match c.of {
+            BudgetScope::ZonePair(from, to) => Some(Budget {
+                from: from.0,
+                to: to.0,
+                limit: c.limit.rate,
+            }),
+            BudgetScope::Plan(_) => None,
+        });
     Ok(Question {
-        zones: d.zones.clone(),
+        zones: deployment.zones.clone(),
         capacity: units,
         node_capacity,
-        demands: (0..d.volumes.len())
-            .map(|place| demand(d, place, unit))
+        demands: (0..deployment.volumes.len())
+            .map(|place| demand(deployment, place, unit))
             .collect(),
         budgets: budgets.collect(),
         price: vec![vec![price; count]; count],
@@ -143,9 +152,9 @@
 }
 
 /// The entry of a pool: the planned zones, or those of the pool that it is made from.
-fn pool_entry(d: &Deployment, pool: PoolId, name: &str, zones: &[usize]) -> KdlNode {
+fn pool_entry(deployment: &Deployment, pool: PoolId, name: &str, zones: &[usize]) -> KdlNode {
     let old = pool.0.checked_sub(1);
-    let old = old.and_then(|place| d.routes.pools.get(place));
+    let old = old.and_then(|place| deployment.routes.pools.get(place));
     let mut children = KdlDocument::new();
     let zones = if zones.is_empty() {
         old.map(|pool| pool.zones.iter().map(|zone| zone.0).collect())
@@ -154,7 +163,7 @@
         zones.to_vec()
     };
     if !zones.is_empty() {
-        let names = zones.iter().map(|zone| d.zones[*zone].clone());
+        let names = zones.iter().map(|zone| deployment.zones[*zone].clone());
         children.nodes_mut().push(child("zone", names));
     }
     if let Some(pool) = old.filter(|pool| !pool.kinds.is_empty()) {
@@ -168,13 +177,18 @@
 }
 
 /// The entry of a route: a volume's new objects of these request classes go to a pool.
-fn route_entry(d: &Deployment, volume: &str, to: String, request_classes: &[usize]) -> KdlNode {
+fn route_entry(
+    deployment: &Deployment,
+    volume: &str,
+    to: String,
+    request_classes: &[usize],
+) -> KdlNode {
     let mut children = KdlDocument::new();
     children
         .nodes_mut()
         .push(child("volume", [glob_of(volume)]));
     let names = request_classes.iter();
-    let names = names.map(|place| d.request_classes[*place].name.clone());
+    let names = names.map(|place| deployment.request_classes[*place].name.clone());
     children.nodes_mut().push(child("stream-type", names));
     let mut entry = KdlNode::new("route");
     entry.push(KdlEntry::new_prop("to", to));
@@ -183,28 +197,34 @@
 }
 
 /// The document with pools and routes by the plan: all other entries as they are, in one text.
-pub fn proposal(document: &KdlDocument, d: &Deployment, plan: &Plan) -> String {
+pub fn proposal(document: &KdlDocument, deployment: &Deployment, plan: &Plan) -> String {
     let mut made: BTreeMap<String, KdlNode> = BTreeMap::new();
     let mut routes = Vec::new();
-    for (place, v) in d.volumes.iter().enumerate() {
+    for (place, v) in deployment.volumes.iter().enumerate() {
         let all: f64 = plan.to[place].iter().sum();
-        let used: BTreeSet<usize> = (0..d.zones.len())
+        let used: BTreeSet<usize> = (0..deployment.zones.len())
             .filter(|z| plan.to[place][*z] > all * MIN_FRACTION && all > 0.0)
             .collect();
-        for (pool, types) in pools(d, place) {
-            let zones: Vec<usize> = used.intersection(&zones_of(d, pool)).copied().collect();
+        for (pool, types) in pools(deployment, place) {
+            let zones: Vec<usize> = used
+                .intersection(&zones_of(deployment, pool))
+                .copied()
+                .collect();
             // Nothing to say of a volume that asks for nothing: it keeps its pool.
             let name = if zones.is_empty() {
-                d.routes.name(pool).to_string()
+                deployment.routes.name(pool).to_string()
             } else {
-                let names: Vec<_> = zones.iter().map(|z| d.zones[*z].as_str()).collect();
-                format!("{}-in-{}", d.routes.name(pool), names.join("-"))
+                let names: Vec<_> = zones
+                    .iter()
+                    .map(|z| deployment.zones[*z].as_str())
+                    .collect();
+                format!("{}-in-{}", deployment.routes.name(pool), names.join("-"))
             };
             if name != gullsail_configuration::routes::ALL {
-                let entry = pool_entry(d, pool, &name, &zones);
+                let entry = pool_entry(deployment, pool, &name, &zones);
                 made.entry(name.clone()).or_insert(entry);
             }
-            routes.push(route_entry(d, &v.name, name, &types));
+            routes.push(route_entry(deployment, &v.name, name, &types));
         }
     }
     let mut rest = KdlNode::new("route");
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -196,16 +196,20 @@
 }
 
 impl Proxies {
-    async fn open(d: &Deployment, script: &Script, wire: &Arc<Wire>) -> Result<Proxies, RunError> {
+    async fn open(
+        deployment: &Deployment,
+        script: &Script,
+        wire: &Arc<Wire>,
+    ) -> Result<Proxies, RunError> {
         let mut all = Proxies {
             tasks: JoinSet::new(),
             addresses: BTreeMap::new(),
             places: BTreeMap::new(),
         };
-        let names = d
+        let names = deployment
             .hosts
             .iter()
-            .chain(d.nodes.iter().map(|n| &n.place))
+            .chain(deployment.nodes.iter().map(|n| &n.place))
             .map(|p| p.name.clone());
         for name in names
             .chain(script.newcomers.iter().cloned())
@@ -245,7 +249,7 @@
 
 impl<'a> ScenarioRun<'a> {
     fn new(
-        d: Arc<Deployment>,
+        deployment: Arc<Deployment>,
         script: &'a Script,
         stage: &'a Stage,
         wire: Arc<Wire>,
@@ -257,7 +261,7 @@
             step_sender,
             step_receiver: Some(step_receiver),
             stage,
-            deployment: d,
+            deployment,
             script,
             wire,
             document: stage.dir.join("deployment.kdl"),
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -31,39 +31,39 @@
     document
         .nodes_mut()
         .iter_mut()
-        .for_each(|n| address(n, addresses));
+        .for_each(|node| address(node, addresses));
     // A scenario numbers its revisions itself.
     document
         .nodes_mut()
-        .retain(|n| !["day", "revision"].contains(&n.name().value()));
+        .retain(|node| !["day", "revision"].contains(&node.name().value()));
     if reloads {
         document.nodes_mut().push(revision(1, None));
     }
     document.to_string()
 }
 
-fn address(n: &mut KdlNode, addresses: &BTreeMap<String, String>) {
-    let name = match n.name().value() {
-        "host" | "node" => n.get(0).and_then(|v| v.as_string()).map(str::to_string),
+fn address(node: &mut KdlNode, addresses: &BTreeMap<String, String>) {
+    let name = match node.name().value() {
+        "host" | "node" => node.get(0).and_then(|v| v.as_string()).map(str::to_string),
         "list" => Some("list".to_string()),
         _ => None,
     };
     if let Some(address) = name.and_then(|name| addresses.get(&name)) {
         for (key, value) in [("address", address.as_str()), ("listen", "127.0.0.1:0")] {
-            n.entries_mut()
+            node.entries_mut()
                 .retain(|e| e.name().is_none_or(|k| k.value() != key));
-            n.push(KdlEntry::new_prop(key, value));
+            node.push(KdlEntry::new_prop(key, value));
         }
     }
 }
 
 pub(super) fn revision(number: u64, after: Option<&str>) -> KdlNode {
-    let mut n = KdlNode::new("revision");
-    n.push(KdlEntry::new(i128::from(number)));
+    let mut node = KdlNode::new("revision");
+    node.push(KdlEntry::new(i128::from(number)));
     if let Some(after) = after {
-        n.push(KdlEntry::new_prop("after", after));
+        node.push(KdlEntry::new_prop("after", after));
     }
-    n
+    node
 }
 
 /// The document with `entries` in place of those of the same kind and name, and the next revision number.
@@ -81,17 +81,18 @@
         .filter_map(|e| KdlDocument::parse_v2(e).ok())
         .flat_map(|d| d.nodes().to_vec())
     {
-        let same =
-            |n: &KdlNode| n.name().value() == entry.name().value() && n.get(0) == entry.get(0);
-        match document.nodes_mut().iter_mut().find(|n| same(n)) {
-            Some(n) => {
+        let same = |node: &KdlNode| {
+            node.name().value() == entry.name().value() && node.get(0) == entry.get(0)
+        };
+        match document.nodes_mut().iter_mut().find(|node| same(node)) {
+            Some(node) => {
                 // The script does not change where a process listens.
                 let kept: Vec<_> = ["address", "listen"]
                     .iter()
-                    .filter_map(|key| n.entry(*key).cloned())
+                    .filter_map(|key| node.entry(*key).cloned())
                     .collect();
-                *n = entry;
-                kept.into_iter().for_each(|e| n.push(e));
+                *node = entry;
+                kept.into_iter().for_each(|e| node.push(e));
             }
             None => {
                 let mut entry = entry;
@@ -114,7 +115,7 @@
     };
     document
         .nodes_mut()
-        .retain(|n| n.name().value() != "revision");
+        .retain(|node| node.name().value() != "revision");
     document.nodes_mut().push(revision(number, after));
     document.to_string()
 }
@@ -144,9 +145,9 @@
         let document = KdlDocument::parse_v2(&text).unwrap_or_default();
         let number = document
             .get("revision")
-            .and_then(|n| n.get(0))
+            .and_then(|node| node.get(0))
             .and_then(|v| v.as_integer());
-        if let Some(revision) = number.and_then(|n| u64::try_from(n).ok()) {
+        if let Some(revision) = number.and_then(|node| u64::try_from(node).ok()) {
             self.record_document(host, revision, None, true);
         }
     }
--- a/crates/scenario/src/run/lifecycle.rs
+++ b/crates/scenario/src/run/lifecycle.rs
@@ -33,17 +33,17 @@
             .deployment
             .nodes
             .iter()
-            .filter(|n| !n.spare)
+            .filter(|node| !node.spare)
             .cloned()
             .collect();
-        for n in &nodes {
-            self.start_node(n, true).await?;
+        for node in &nodes {
+            self.start_node(node, true).await?;
         }
         self.start("list", vec!["list".into()], Some(0)).await?;
         // What the list knows from the start: who runs, and where.
         let entries = nodes
             .iter()
-            .map(|n| self.entry(n, ListedState::Ready, addresses))
+            .map(|node| self.entry(node, ListedState::Ready, addresses))
             .collect();
         self.order(
             "list",
@@ -103,12 +103,16 @@
         Ok(())
     }
 
-    pub(super) async fn start_node(&mut self, n: &NodePlace, warm: bool) -> Result<(), RunError> {
-        let mut args = vec!["node".into(), "--name".into(), n.place.name.clone()];
+    pub(super) async fn start_node(
+        &mut self,
+        node: &NodePlace,
+        warm: bool,
+    ) -> Result<(), RunError> {
+        let mut args = vec!["node".into(), "--name".into(), node.place.name.clone()];
         if warm {
             args.extend(["--age".into(), "1h".into()]);
         }
-        self.start(&n.place.name, args, warm.then_some(0)).await
+        self.start(&node.place.name, args, warm.then_some(0)).await
     }
 
     pub(super) async fn start_host(&mut self, host: &str) -> Result<(), RunError> {
@@ -157,11 +161,11 @@
 
     pub(super) fn entry(
         &self,
-        n: &NodePlace,
+        node: &NodePlace,
         state: ListedState,
         addresses: &BTreeMap<String, String>,
     ) -> ListedEndpoint {
-        let place = self.places.get(&n.place.name);
+        let place = self.places.get(&node.place.name);
         let incarnation = place
             .and_then(|p| p.process.as_ref())
             .map_or(0, |p| p.listening.incarnation);
@@ -173,19 +177,19 @@
             }
         });
         ListedEndpoint {
-            name: n.place.name.clone(),
-            address: addresses.get(&n.place.name).cloned().unwrap_or_default(),
-            shard: n.shard.0,
+            name: node.place.name.clone(),
+            address: addresses.get(&node.place.name).cloned().unwrap_or_default(),
+            shard: node.shard.0,
             zone: self
                 .deployment
                 .zones
-                .get(n.place.zone.0)
+                .get(node.place.zone.0)
                 .cloned()
                 .unwrap_or_default(),
             state: state as i32,
             age_us: age,
             incarnation,
-            kind: n.kind.clone(),
+            kind: node.kind.clone(),
         }
     }
 
@@ -216,7 +220,7 @@
             let mut left = bytes;
             while let Some(((), happened)) = inbox.recv().await {
                 match happened {
-                    LinkEvent::Written(n) => left = left.saturating_sub(n),
+                    LinkEvent::Written(node) => left = left.saturating_sub(node),
                     LinkEvent::Closed(_) => break,
                     LinkEvent::Frame(_) => {}
                 }
--- a/crates/scenario/src/run/report.rs
+++ b/crates/scenario/src/run/report.rs
@@ -112,34 +112,38 @@
 }
 
 /// One host's state at the end.
-fn host_text(h: &State) -> String {
-    let counts = &h.counts;
+fn host_text(state: &State) -> String {
+    let counts = &state.counts;
     let longest_ms = counts.longest_step_us as f64 / 1e3;
     let mut text = format!(
         "  {} at revision {}: longest step of its event loop {longest_ms:.1} ms, {} steps over 10 ms; configurations accepted {}, refused {}\n",
-        h.host, h.revision, counts.long_steps, counts.documents_taken, counts.documents_turned_down
+        state.host,
+        state.revision,
+        counts.long_steps,
+        counts.documents_taken,
+        counts.documents_turned_down
     );
-    for p in &h.past {
+    for p in &state.past {
         let span = (p.to_us - p.from_us) as f64 / 1e6;
         text += &format!(
             "  {}: budget {} overrun by {} bytes in {span:.1} s: {}\n",
-            h.host, p.budget, p.bytes, p.cause
+            state.host, p.budget, p.bytes, p.cause
         );
     }
-    if !h.behind.is_empty() {
+    if !state.behind.is_empty() {
         text += &format!(
             "  {}: hosts on an earlier configuration: {}\n",
-            h.host,
-            h.behind.join(" ")
+            state.host,
+            state.behind.join(" ")
         );
     }
     text
 }
 
 /// Bytes of attempts and answers that a host counted, by zones.
-pub(super) fn attempts_bytes(h: &State) -> BTreeMap<(String, String), u64> {
+pub(super) fn attempts_bytes(state: &State) -> BTreeMap<(String, String), u64> {
     let mut counted = BTreeMap::new();
-    for c in h
+    for c in state
         .crossed
         .iter()
         .filter(|c| c.reason != gullsail_zone_traffic::Reason::Peers)
@@ -169,9 +173,9 @@
         return Vec::new();
     }
     let mut failures = Vec::new();
-    for h in hosts {
-        let counted = attempts_bytes(h);
-        for (key, bytes) in seen.iter().filter(|(key, _)| key.0 == h.host) {
+    for state in hosts {
+        let counted = attempts_bytes(state);
+        for (key, bytes) in seen.iter().filter(|(key, _)| key.0 == state.host) {
             let counted = counted
                 .get(&(key.1.clone(), key.2.clone()))
                 .copied()
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -2,7 +2,7 @@
 //! an even share of its volume's limit, to the node that holds its data, or to any ready node.
 //! It has no window, no ordering, no retries and no slow start, and it trusts the endpoint list.
 
-use gullsail_configuration::Deployment;
+use gullsail_configuration::{Deployment, NamedVolume};
 use gullsail_connections::{Link, LinkEvent};
 use gullsail_protocol::{
     Answer, Attempt, AttemptResult, Bounds, EndpointListQuery, Frame, Hello, ListedState, Message,
@@ -36,7 +36,7 @@
 }
 
 struct BaselineHost {
-    d: Arc<Deployment>,
+    deployment: Arc<Deployment>,
     rng: ChaCha8Rng,
     links: BTreeMap<u64, (Who, Link)>,
     /// Ready nodes by the list, with their addresses and shards, and their links.
@@ -96,21 +96,21 @@
 }
 
 /// Serves until its task is dropped.
-pub async fn serve(d: Arc<Deployment>, me: HostId, seed: u64, listener: TcpListener) {
+pub async fn serve(deployment: Arc<Deployment>, me: HostId, seed: u64, listener: TcpListener) {
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
     let mut connecting = Connecting {
         tasks: JoinSet::new(),
-        list_address: d.list.address.clone(),
+        list_address: deployment.list.address.clone(),
         node_tried_at: BTreeMap::new(),
     };
     let hello = Hello {
         role: Role::Host as i32,
-        name: d.hosts[me.0 as usize].name.clone(),
+        name: deployment.hosts[me.0 as usize].name.clone(),
         incarnation: seed | 1,
         ..Hello::default()
     };
-    let mut host = BaselineHost::new(d, seed);
+    let mut host = BaselineHost::new(deployment, seed);
     connecting.open_list(Duration::ZERO);
     let mut last_link = 0;
     loop {
@@ -159,8 +159,8 @@
 }
 
 impl BaselineHost {
-    fn new(d: Arc<Deployment>, seed: u64) -> BaselineHost {
-        let running = d.nodes.iter().filter(|node| !node.spare);
+    fn new(deployment: Arc<Deployment>, seed: u64) -> BaselineHost {
+        let running = deployment.nodes.iter().filter(|node| !node.spare);
         let ready = running
             .map(|node| {
                 (
@@ -170,7 +170,7 @@
             })
             .collect();
         BaselineHost {
-            d,
+            deployment,
             rng: ChaCha8Rng::seed_from_u64(seed),
             links: BTreeMap::new(),
             ready,
@@ -226,12 +226,17 @@
         }
     }
 
-    fn submit(&mut self, link: u64, s: Submit, body: bytes::Bytes) {
-        let d = self.d.clone();
-        let request_class = d.request_classes.iter().find(|t| t.name == s.request_class);
-        let (Some(request_class), Some(volume)) = (request_class, d.volume(&s.volume)) else {
+    fn submit(&mut self, link: u64, submit: Submit, body: bytes::Bytes) {
+        let deployment = self.deployment.clone();
+        let request_class = deployment
+            .request_classes
+            .iter()
+            .find(|t| t.name == submit.request_class);
+        let (Some(request_class), Some(volume)) =
+            (request_class, deployment.volume(&submit.volume))
+        else {
             let n = NotTaken {
-                id: s.id,
+                id: submit.id,
                 reason: "not known here".into(),
                 leaving: false,
             };
@@ -240,28 +245,19 @@
         let (now, idempotency) = (Instant::now(), request_class.decisions.idempotency);
         // A little before the deadline, for the way back.
         let until = now
-            + Duration::from_micros(s.timeout_us.max(0) as u64)
+            + Duration::from_micros(submit.timeout_us.max(0) as u64)
                 .saturating_sub(Duration::from_millis(100));
         let sent = Sent {
             client: link,
-            id: s.id,
+            id: submit.id,
             idempotency,
             node: 0,
             until,
         };
-        if let Some(limit) = d.plans[volume.plan.0].decisions.limit {
-            let hosts = volume.hosts.len() as f64;
-            let (rate, cap) = (limit.rate / hosts, limit.burst / hosts);
-            // A newborn can't know what it spent.
-            let (level, at) = self.levels.entry(volume.id.0).or_insert((0.0, now));
-            *level = (*level + rate * (now - *at).as_secs_f64()).min(cap);
-            *at = now;
-            if *level < s.units {
-                return self.answer(&sent, true);
-            }
-            *level -= s.units;
+        if !self.take_tokens(volume, submit.units, now) {
+            return self.answer(&sent, true);
         }
-        let fits = |n: &(&String, &(String, i64))| s.handle.is_none_or(|h| h.shard == n.1.1);
+        let fits = |n: &(&String, &(String, i64))| submit.handle.is_none_or(|h| h.shard == n.1.1);
         let found = self
             .ready
             .iter()
@@ -274,13 +270,13 @@
         self.last += 1;
         let attempt = Attempt {
             attempt: self.last,
-            request_class: s.request_class,
-            volume: s.volume,
-            units: s.units,
+            request_class: submit.request_class,
+            volume: submit.volume,
+            units: submit.units,
             write: request_class.write,
-            handle: s.handle,
-            mark: s.mark,
-            repeat: s.repeat,
+            handle: submit.handle,
+            mark: submit.mark,
+            repeat: submit.repeat,
             number: 0,
             time_out_us: (until - now).as_micros() as i64,
         };
@@ -288,7 +284,26 @@
         self.send(node, Frame::from(attempt).with_body(body));
     }
 
-    /// Rejected where that promises nothing false, else abandoned.
+    /// Takes a request's units from this host's even share of the limit; `false`: there are too few.
+    fn take_tokens(&mut self, volume: &NamedVolume, units: f64, now: Instant) -> bool {
+        let Some(limit) = self.deployment.plans[volume.plan.0].decisions.limit else {
+            return true;
+        };
+        let hosts = volume.hosts.len() as f64;
+        let rate = limit.rate / hosts;
+        let burst = limit.burst / hosts;
+        // A host that has just started cannot know what it spent before.
+        let (level, at) = self.levels.entry(volume.id.0).or_insert((0.0, now));
+        *level = (*level + rate * (now - *at).as_secs_f64()).min(burst);
+        *at = now;
+        if *level < units {
+            return false;
+        }
+        *level -= units;
+        true
+    }
+
+    /// Rejects the request if a repeat does no harm, else reports it as failed.
     fn answer(&mut self, sent: &Sent, never_ran: bool) {
         let harmless = matches!(
             sent.idempotency,
--- a/crates/simulator/src/client.rs
+++ b/crates/simulator/src/client.rs
@@ -39,7 +39,7 @@
 }
 
 struct Clients {
-    d: Arc<Deployment>,
+    deployment: Arc<Deployment>,
     load: Load,
     rng: ChaCha8Rng,
     links: BTreeMap<u64, (usize, Link)>,
@@ -58,7 +58,7 @@
 /// Plays the load until `until`, then waits for what is open. `addresses` are the hosts', in the document's
 /// order, then those of hosts that a later document names.
 pub async fn run(
-    d: Arc<Deployment>,
+    deployment: Arc<Deployment>,
     load: Load,
     addresses: Vec<String>,
     mut changes: mpsc::Receiver<Change>,
@@ -75,7 +75,7 @@
         }
     };
     (0..addresses.len()).for_each(|h| _ = connecting.spawn(connect(h, 0)));
-    let mut c = Clients::new(d, load, addresses.len());
+    let mut c = Clients::new(deployment, load, addresses.len());
     let mut next: Vec<Instant> = (0..c.load.rates.len())
         .map(|s| c.next(s, Instant::now()))
         .collect();
@@ -121,7 +121,7 @@
 }
 
 impl Clients {
-    fn new(d: Arc<Deployment>, load: Load, addresses: usize) -> Clients {
+    fn new(deployment: Arc<Deployment>, load: Load, addresses: usize) -> Clients {
         Clients {
             rng: ChaCha8Rng::seed_from_u64(load.seed),
             by_host: vec![None; addresses],
@@ -134,7 +134,7 @@
             changes: Vec::new(),
             written: BTreeMap::new(),
             tallies: Tallies::new(),
-            d,
+            deployment,
             load,
         }
     }
@@ -146,7 +146,7 @@
     }
 
     fn greet(&self, host: usize, link: &Link) {
-        let known = self.d.hosts.get(host).map(|h| h.name.as_str());
+        let known = self.deployment.hosts.get(host).map(|h| h.name.as_str());
         let name = format!("client-{}", known.unwrap_or("newcomer"));
         let hello = Hello {
             role: Role::Client as i32,
@@ -159,17 +159,18 @@
     fn change(&mut self, change: Change) {
         match change {
             Change::LeadMoves => self.lead += 1,
-            Change::Document(d) => self.follow(d),
+            Change::Document(deployment) => self.follow(deployment),
             other => self.changes.push(other),
         }
     }
 
     /// A document with more hosts: volumes go through these too. Request classes, volumes and plans are the
     /// same, in the same places. One without an address is known to no client.
-    fn follow(&mut self, d: Arc<Deployment>) {
-        let more = d.hosts.len() > self.d.hosts.len() && d.hosts.len() <= self.by_host.len();
-        if more && d.volumes.len() == self.d.volumes.len() {
-            self.d = d;
+    fn follow(&mut self, deployment: Arc<Deployment>) {
+        let more = deployment.hosts.len() > self.deployment.hosts.len()
+            && deployment.hosts.len() <= self.by_host.len();
+        if more && deployment.volumes.len() == self.deployment.volumes.len() {
+            self.deployment = deployment;
         }
     }
 
@@ -190,18 +191,25 @@
             Change::Surge { until, .. } | Change::Impatient { until, .. } => *until > now,
             Change::LeadMoves | Change::Document(_) => false,
         });
-        let weights: Vec<f64> = (0..self.d.volumes.len()).map(|v| self.weight(v)).collect();
-        let usual: f64 = self.d.volumes.iter().map(|v| self.usual(v.plan.0)).sum();
+        let weights: Vec<f64> = (0..self.deployment.volumes.len())
+            .map(|v| self.weight(v))
+            .collect();
+        let usual: f64 = self
+            .deployment
+            .volumes
+            .iter()
+            .map(|v| self.usual(v.plan.0))
+            .sum();
         weights.iter().sum::<f64>() / usual.max(1e-9)
     }
 
     fn usual(&self, plan: usize) -> f64 {
-        self.d.plans[plan].decisions.nominal_rate.max(0.1)
+        self.deployment.plans[plan].decisions.nominal_rate.max(0.1)
     }
 
     fn weight(&self, v: usize) -> f64 {
-        let volume = &self.d.volumes[v];
-        let plan = &self.d.plans[volume.plan.0].name;
+        let volume = &self.deployment.volumes[v];
+        let plan = &self.deployment.plans[volume.plan.0].name;
         let surges = self.changes.iter().map(|c| match c {
             Change::Surge { who, times, .. }
                 if who == "*" || *who == volume.name || who == plan =>
@@ -214,12 +222,14 @@
     }
 
     fn begin(&mut self, s: usize, now: Instant) {
-        let d = self.d.clone();
-        let weights: Vec<_> = (0..d.volumes.len()).map(|v| (v, self.weight(v))).collect();
+        let deployment = self.deployment.clone();
+        let weights: Vec<_> = (0..deployment.volumes.len())
+            .map(|v| (v, self.weight(v)))
+            .collect();
         let Ok(v) = weights.choose_weighted(&mut self.rng, |w| w.1).map(|w| w.0) else {
             return;
         };
-        let (volume, request_class) = (&d.volumes[v], &d.request_classes[s]);
+        let (volume, request_class) = (&deployment.volumes[v], &deployment.request_classes[s]);
         // A volume uses its hosts unevenly: each one half as much as the one before.
         let hosts = &volume.hosts;
         let place = (0..hosts.len())
@@ -228,7 +238,7 @@
         let host = hosts[(place + self.lead) % hosts.len()].0 as usize;
         self.last += 1;
         let mark = format!("{:x}-{}", self.load.seed, self.last);
-        let most = d.figures().max_units.max(1.0);
+        let most = deployment.figures().max_units.max(1.0);
         let units = self.rng.random_range(1..=(most / 2.0).ceil() as u32) as f64;
         let target = self.choose_object(v, s, &mark);
         let span = |s: Span| Duration::from_micros(s.micros().max(0) as u64);
@@ -264,8 +274,8 @@
 
     /// The object that a request reads or writes, and what it sends.
     fn choose_object(&mut self, v: usize, s: usize, mark: &str) -> Target {
-        let d = self.d.clone();
-        let (volume, request_class) = (&d.volumes[v], &d.request_classes[s]);
+        let deployment = self.deployment.clone();
+        let (volume, request_class) = (&deployment.volumes[v], &deployment.request_classes[s]);
         let mut body = Bytes::new();
         let mut handle = None;
         let mut order_key = String::new();
@@ -311,7 +321,7 @@
     }
 
     fn shards(&self) -> Vec<i64> {
-        let mut shards: Vec<i64> = self.d.nodes.iter().map(|n| n.shard.0).collect();
+        let mut shards: Vec<i64> = self.deployment.nodes.iter().map(|n| n.shard.0).collect();
         shards.sort_unstable();
         shards.dedup();
         shards
@@ -329,8 +339,8 @@
 
     fn tally(&mut self, t: &Try) -> &mut Tally {
         let (request_class, plan) = (
-            &self.d.request_classes[t.request_class].name,
-            &self.d.plans[t.plan].name,
+            &self.deployment.request_classes[t.request_class].name,
+            &self.deployment.plans[t.plan].name,
         );
         self.tallies
             .entry((request_class.clone(), plan.clone()))
@@ -352,7 +362,7 @@
     /// Another try, if one is left and there is time; `safe`: nothing of this one ran.
     fn again(&mut self, mut t: Try, wait: Duration, safe: bool) {
         let at = Instant::now() + wait;
-        let idempotency = self.d.request_classes[t.request_class]
+        let idempotency = self.deployment.request_classes[t.request_class]
             .decisions
             .idempotency;
         let known = t.submit.handle.is_some();
@@ -379,7 +389,7 @@
         } else {
             // Its host is gone: another of the volume's.
             let mut hosts = self
-                .d
+                .deployment
                 .volume(&t.submit.volume)
                 .map(|v| v.hosts.to_vec())
                 .unwrap_or_default();
@@ -472,13 +482,15 @@
 
     fn done(&mut self, t: Try, a: Answer, body: Bytes, now: Instant) {
         let in_time = now <= t.objective_deadline;
-        let write = self.d.request_classes[t.request_class].write;
-        let in_order = self.d.request_classes[t.request_class].decisions.in_order;
+        let write = self.deployment.request_classes[t.request_class].write;
+        let in_order = self.deployment.request_classes[t.request_class]
+            .decisions
+            .in_order;
         let mut right = true;
         if write {
             let handle = a.handle.unwrap_or_default();
             if !in_order {
-                let volume = number_of(&self.d, &t.submit.volume);
+                let volume = number_of(&self.deployment, &t.submit.volume);
                 let written = self.written.entry(volume).or_default();
                 written.push_back((handle, number(&t.submit.mark)));
                 if written.len() > 16 {
@@ -486,7 +498,7 @@
                 }
             }
         } else if let Some(h) = t.submit.handle {
-            let volume = number_of(&self.d, &t.submit.volume);
+            let volume = number_of(&self.deployment, &t.submit.volume);
             let written = self
                 .written
                 .get(&volume)
@@ -513,6 +525,6 @@
     gullsail_configuration::number(text)
 }
 
-fn number_of(d: &Deployment, volume: &str) -> u64 {
-    d.volume(volume).map_or(0, |v| v.id.0)
+fn number_of(deployment: &Deployment, volume: &str) -> u64 {
+    deployment.volume(volume).map_or(0, |v| v.id.0)
 }
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -70,35 +70,35 @@
     );
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
-    let mut n = Node::new(process, model, rng);
+    let mut node = Node::new(process, model, rng);
     let (mut last_link, mut last_attempt) = (0, 0);
     loop {
-        for id in n.model.advance(now()) {
-            n.finish(id, now());
+        for id in node.model.advance(now()) {
+            node.finish(id, now());
         }
-        n.end_expired_faults(now());
+        node.end_expired_faults(now());
         let next_wakeup = tokio::time::Instant::now()
             + std::time::Duration::from_micros(
-                (n.model.next() - now()).micros().clamp(200, 1_000_000) as u64,
+                (node.model.next() - now()).micros().clamp(200, 1_000_000) as u64,
             );
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
                 last_link += 1;
-                let link = Link::open(stream, last_link, n.process.bounds, 16_384, &sink, &mut tasks);
-                n.greet(last_link, link, now() - started_at);
+                let link = Link::open(stream, last_link, node.process.bounds, 16_384, &sink, &mut tasks);
+                node.greet(last_link, link, now() - started_at);
             },
             Some((link, happened)) = inbox.recv() => match happened {
                 LinkEvent::Frame(frame) => {
                     last_attempt += 1;
-                    if n.handle_frame(link, frame, last_attempt, now()) {
+                    if node.handle_frame(link, frame, last_attempt, now()) {
                         warn!(
-                            node = n.process.name,
+                            node = node.process.name,
                             "node overloaded during slow start: exiting"
                         );
                         return;
                     }
                 }
-                LinkEvent::Closed(_) => _ = n.links.remove(&link),
+                LinkEvent::Closed(_) => _ = node.links.remove(&link),
                 LinkEvent::Written(_) => {}
             },
             () = tokio::time::sleep_until(next_wakeup) => {}
@@ -187,33 +187,37 @@
                     }),
                 );
             }
-            Message::Order(o) => self.order(&o, now),
+            Message::Order(order) => self.order(&order, now),
             _ => {}
         }
         false
     }
 
-    fn order(&mut self, o: &Order, now: Instant) {
-        let lasts = Span::from_micros(o.lasts_us);
+    fn order(&mut self, order: &Order, now: Instant) {
+        let lasts = Span::from_micros(order.lasts_us);
         info!(
             node = self.process.name,
-            what = o.what,
-            size = o.size,
+            what = order.what,
+            size = order.size,
             ms = lasts.millis(),
             "fault injected"
         );
-        match o.what.as_str() {
+        match order.what.as_str() {
             "stall" => self.model.stall(now, lasts),
             "slow" => {
-                self.model.slow(o.size);
+                self.model.slow(order.size);
                 self.active_faults.push((now + lasts, "slow"));
             }
             "costly" => {
-                self.costly = Some((o.request_class.clone(), o.share.clamp(0.0, 1.0), o.size));
+                self.costly = Some((
+                    order.request_class.clone(),
+                    order.share.clamp(0.0, 1.0),
+                    order.size,
+                ));
                 self.active_faults.push((now + lasts, "costly"));
             }
             "fail" => {
-                self.fail = o.size;
+                self.fail = order.size;
                 self.active_faults.push((now + lasts, "fail"));
             }
             other => warn!(
