--- a/crates/connections/tests/read_budget.rs
+++ b/crates/connections/tests/read_budget.rs
@@ -14,6 +14,18 @@
 const BODY: usize = 300_000;
 const LONG: Duration = Duration::from_secs(30);
 
+/// Writes ten frames as fast as the other side reads them.
+async fn write_ten_frames(mut stream: TcpStream) -> TcpStream {
+    let frame = Frame::from(Withdraw { id: 1 }).with_body(Bytes::from(vec![7; BODY]));
+    let mut wire = BytesMut::new();
+    frame.head(&mut wire);
+    wire.extend_from_slice(&frame.body);
+    for _ in 0..10 {
+        stream.write_all(&wire).await.unwrap();
+    }
+    stream
+}
+
 #[test]
 fn frames_that_wait_are_bounded_in_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -29,7 +41,7 @@
             let mut links = Vec::new();
             let budget = ReadBudget::new(all);
             for key in 0..2 {
-                let mut stream = TcpStream::connect(listener.local_addr().unwrap())
+                let stream = TcpStream::connect(listener.local_addr().unwrap())
                     .await
                     .unwrap();
                 let (other, _) = listener.accept().await.unwrap();
@@ -38,17 +50,7 @@
                     budget: Some(budget.clone()),
                 };
                 links.push(Link::open_within(other, key, within, 8, &sink, &mut tasks));
-                tokio::spawn(async move {
-                    let frame =
-                        Frame::from(Withdraw { id: 1 }).with_body(Bytes::from(vec![7; BODY]));
-                    let mut wire = BytesMut::new();
-                    frame.head(&mut wire);
-                    wire.extend_from_slice(&frame.body);
-                    for _ in 0..10 {
-                        stream.write_all(&wire).await.unwrap();
-                    }
-                    stream
-                });
+                tokio::spawn(write_ten_frames(stream));
             }
             let mut waiting = Vec::new();
             let mut received = 0;
--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -131,13 +131,13 @@
         let mut from = BufReader::new(from.take(MAX_LINE_BYTES));
         tokio::time::timeout(REQUESTER_TIMEOUT, from.read_line(&mut line)).await??;
         let request = serde_json::from_str(&line);
-        let reply = match request {
+        let outcome = match request {
             Ok(request) => self.reply(request, to_loop).await,
             Err(error) => Some(ControlReply::Error {
                 why: format!("request not understood: {error}"),
             }),
         };
-        let reply = reply.unwrap_or(ControlReply::Error {
+        let reply = outcome.unwrap_or(ControlReply::Error {
             why: "this host is leaving".into(),
         });
         let mut text = serde_json::to_string(&reply)?;
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -56,8 +56,8 @@
                 && connection.unsent_bytes == 0
                 && !self.requests.has_any(id)
         };
-        let idle = self.connections.open.iter();
-        let idle = idle.filter(|(id, connection)| is_idle(**id, connection));
+        let connections = self.connections.open.iter();
+        let idle = connections.filter(|(id, connection)| is_idle(**id, connection));
         let Some((&id, longest_idle)) = idle.min_by_key(|(_, connection)| connection.last_frame_at)
         else {
             return false;
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -8,6 +8,7 @@
 use gullsail_protocol::{Handle, Submit};
 use gullsail_scheduler_api::{Instant, NodeId, ObjectId, RequestId, Span};
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 
 /// An attempt's number at this host. The node repeats it in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,13 +70,40 @@
     pub attempts: usize,
 }
 
+/// A request as its client knows it. Ordered by connection, so that the requests of one connection are a range.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ClientRequestKey {
+    link: LinkId,
+    client_request_id: u64,
+}
+
+impl ClientRequestKey {
+    /// All keys of one connection.
+    fn all_of(link: LinkId) -> RangeInclusive<ClientRequestKey> {
+        let key = |client_request_id| ClientRequestKey {
+            link,
+            client_request_id,
+        };
+        key(0)..=key(u64::MAX)
+    }
+}
+
+impl OpenRequest {
+    fn client_key(&self) -> ClientRequestKey {
+        ClientRequestKey {
+            link: self.link,
+            client_request_id: self.submit.id,
+        }
+    }
+}
+
 /// All open requests and attempts of one host.
 #[derive(Debug, Default)]
 pub struct Requests {
-    /// Boxed: the map moves its entries about.
+    /// Boxed, since the map moves its entries.
     open: BTreeMap<RequestId, Box<OpenRequest>>,
-    /// By connection and the client's own id, which is unique among the open requests of a connection.
-    by_client_id: BTreeMap<(LinkId, u64), RequestId>,
+    /// A client's own id is unique among the open requests of its connection.
+    by_client_id: BTreeMap<ClientRequestKey, RequestId>,
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
     last_request: u64,
     last_attempt: u64,
@@ -114,7 +142,11 @@
 
     /// The open request that a client knows by this id.
     pub fn by_client_id(&self, link: LinkId, client_request_id: u64) -> Option<RequestId> {
-        self.by_client_id.get(&(link, client_request_id)).copied()
+        let key = ClientRequestKey {
+            link,
+            client_request_id,
+        };
+        self.by_client_id.get(&key).copied()
     }
 
     /// Adds a request and gives it this host's own number.
@@ -122,7 +154,7 @@
         self.last_request += 1;
         let id = RequestId(self.last_request);
         self.held_bytes += open.body.len();
-        self.by_client_id.insert((open.link, open.submit.id), id);
+        self.by_client_id.insert(open.client_key(), id);
         self.open.insert(id, Box::new(open));
         id
     }
@@ -131,14 +163,14 @@
     pub fn end(&mut self, id: RequestId) -> Option<Box<OpenRequest>> {
         let open = self.open.remove(&id)?;
         self.held_bytes -= open.body.len();
-        self.by_client_id.remove(&(open.link, open.submit.id));
+        self.by_client_id.remove(&open.client_key());
         Some(open)
     }
 
     /// Whether a client has an open request.
     pub fn has_any(&self, link: LinkId) -> bool {
         self.by_client_id
-            .range((link, 0)..=(link, u64::MAX))
+            .range(ClientRequestKey::all_of(link))
             .next()
             .is_some()
     }
@@ -146,7 +178,7 @@
     /// A client's open requests.
     pub fn of_link(&self, link: LinkId) -> Vec<RequestId> {
         self.by_client_id
-            .range((link, 0)..=(link, u64::MAX))
+            .range(ClientRequestKey::all_of(link))
             .map(|(_, id)| *id)
             .collect()
     }
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -15,7 +15,7 @@
 use gullsail_connections::LinkEvent;
 use gullsail_scheduler_api::{HostId, Span};
 pub use gullsail_timers::HostClock;
-use sockets::Sockets;
+use sockets::{ConnectResult, Sockets};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
@@ -57,7 +57,7 @@
     Stop,
     Accepted(io::Result<TcpStream>),
     /// A connection attempt ended.
-    Connected(Option<(LinkId, io::Result<TcpStream>)>),
+    Connected(Option<ConnectResult>),
     /// Frames are in the batch.
     Frames,
     Control(LoopRequest),
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -92,6 +92,12 @@
     Ok(stream)
 }
 
+/// The result of an attempt to connect.
+pub(super) struct ConnectResult {
+    link: LinkId,
+    stream: io::Result<TcpStream>,
+}
+
 /// The host's sockets, and the tasks that read, write and open them.
 pub(super) struct Sockets {
     /// Open connections.
@@ -99,7 +105,7 @@
     /// Tasks of open connections and of the control socket.
     pub(super) tasks: JoinSet<()>,
     /// Connections that are being established.
-    pub(super) connecting: JoinSet<(LinkId, io::Result<TcpStream>)>,
+    pub(super) connecting: JoinSet<ConnectResult>,
     connect_tasks: BTreeMap<LinkId, AbortHandle>,
     /// `None`: the host shuts down.
     pub(super) listener: Option<TcpListener>,
@@ -145,7 +151,12 @@
 
     /// Starts to establish a connection.
     pub(super) fn connect(&mut self, link: LinkId, address: String) {
-        let connect = async move { (link, TcpStream::connect(&address).await) };
+        let connect = async move {
+            ConnectResult {
+                link,
+                stream: TcpStream::connect(&address).await,
+            }
+        };
         let task = self.connecting.spawn(connect);
         self.connect_tasks.insert(link, task);
     }
@@ -195,15 +206,15 @@
     }
 
     /// Handles the end of an attempt to connect.
-    pub(super) fn connected(&mut self, connected: Option<(LinkId, io::Result<TcpStream>)>) {
-        let Some((id, connected)) = connected else {
+    pub(super) fn connected(&mut self, connected: Option<ConnectResult>) {
+        let Some(ConnectResult { link: id, stream }) = connected else {
             return;
         };
         // Without an entry, it was closed meanwhile.
         if self.sockets.connect_tasks.remove(&id).is_none() {
             return;
         }
-        let input = match connected {
+        let input = match stream {
             Ok(stream) => {
                 let limits = self.sockets.limits.clone();
                 self.sockets.open(id, stream, limits);
--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -164,6 +164,14 @@
         }
     }
 
+    fn changes(&self) -> &[(&'static str, &'static str)] {
+        if self.change == NOTHING {
+            &[]
+        } else {
+            std::slice::from_ref(&self.change)
+        }
+    }
+
     fn insisted(self) -> Case {
         Case {
             insist: true,
@@ -221,13 +229,10 @@
 fn documents_are_taken_whole_or_not_at_all() {
     let cases = taken_changes().into_iter().chain(refused_changes());
     for case in cases {
-        let Case {
-            change,
-            revision,
-            insist,
-            refusal: why,
-        } = case;
-        let change: &[_] = if change == NOTHING { &[] } else { &[change] };
+        let revision = case.revision;
+        let why = case.refusal;
+        let insist = case.insist;
+        let change = case.changes();
         let old = first();
         let mut rig = Rig::new(&old, 0, START);
         let (client, (n1, _)) = (rig.client(), rig.nodes_up());
--- a/crates/host/tests/host/nodes.rs
+++ b/crates/host/tests/host/nodes.rs
@@ -121,17 +121,10 @@
             [Outcome::Rejected],
             "it never ran, and is told so"
         );
-        let answered = rig
-            .sent
-            .iter()
-            .find(|sent| matches!(sent.frame.message, Message::Answer(_)))
-            .unwrap()
-            .at;
-        assert!(
-            answered - START <= ms(650.0),
-            "{}",
-            (answered - START).millis()
-        );
+        let mut sent = rig.sent.iter();
+        let answer = sent.find(|sent| matches!(sent.frame.message, Message::Answer(_)));
+        let waited = answer.unwrap().at - START;
+        assert!(waited <= ms(650.0), "{}", waited.millis());
         let connects: Vec<_> = rig
             .connects
             .iter()
--- a/crates/host/tests/host/stall_detector.rs
+++ b/crates/host/tests/host/stall_detector.rs
@@ -44,28 +44,32 @@
         ),
     ];
     let began = Instant::now();
-    for Case {
+    for case in cases {
+        check(began, case);
+    }
+}
+
+fn check(began: Instant, case: Case) {
+    let Case {
         turns,
         last,
         waited,
-    } in cases
-    {
-        let mut detector = StallDetector::new(began);
-        let ms = Duration::from_millis;
-        let reports = turns
-            .iter()
-            .map(|(at, empty)| detector.turn(began + ms(*at), *empty));
-        let reported = reports.last().flatten();
-        let now = began + ms(turns[turns.len() - 1].0);
-        assert_eq!(
-            (reported, detector.waited(now)),
-            (last.map(ms), waited.map(ms)),
-            "{turns:?}"
-        );
-        assert_eq!(detector.settling(), last.is_some(), "{turns:?}");
-        assert!(
-            detector.next_turn(None) <= now + MAX_TURN_INTERVAL,
-            "{turns:?}"
-        );
-    }
+    } = case;
+    let mut detector = StallDetector::new(began);
+    let ms = Duration::from_millis;
+    let reports = turns
+        .iter()
+        .map(|(at, empty)| detector.turn(began + ms(*at), *empty));
+    let reported = reports.last().flatten();
+    let now = began + ms(turns[turns.len() - 1].0);
+    assert_eq!(
+        (reported, detector.waited(now)),
+        (last.map(ms), waited.map(ms)),
+        "{turns:?}"
+    );
+    assert_eq!(detector.settling(), last.is_some(), "{turns:?}");
+    assert!(
+        detector.next_turn(None) <= now + MAX_TURN_INTERVAL,
+        "{turns:?}"
+    );
 }
--- a/crates/host/tests/host/waiting_attempts.rs
+++ b/crates/host/tests/host/waiting_attempts.rs
@@ -3,7 +3,7 @@
 
 use crate::request_stages::{list_says, nothing_is_held};
 use crate::rig::{Rig, SentAttempt, document, ms};
-use gullsail_host::core::Input;
+use gullsail_host::core::{Input, LinkId};
 use gullsail_protocol::{AttemptResult, Hello, ListedState, Outcome, Role};
 use gullsail_scheduler_api::Instant;
 
@@ -48,6 +48,33 @@
     }
 }
 
+/// The node answers the newest attempt of this request; the first attempts of two requests fail.
+fn answer_newest(rig: &mut Rig, node: LinkId, id: u64) {
+    if let Some(attempt) = rig
+        .attempts(node)
+        .last()
+        .filter(|attempt| attempt.mark == format!("m{id}"))
+    {
+        let failed = [101, 160].contains(&id) && attempt.number == 0;
+        rig.answer(
+            node,
+            attempt.attempt,
+            if failed {
+                AttemptResult::Failed
+            } else {
+                AttemptResult::Succeeded
+            },
+        );
+    }
+    if let Some(attempt) = rig
+        .attempts(node)
+        .last()
+        .filter(|attempt| attempt.number > 0 && attempt.mark == format!("m{id}"))
+    {
+        rig.answer(node, attempt.attempt, AttemptResult::Succeeded);
+    }
+}
+
 /// Rule 6: a further attempt that was decided while its node's connection was down goes out later; it counts
 /// for the window in which it goes out too.
 #[test]
@@ -64,29 +91,7 @@
     // decided, and later.
     for id in 10..200 {
         rig.submit_to(client, id, "read", "v", 2);
-        if let Some(attempt) = rig
-            .attempts(n2)
-            .last()
-            .filter(|attempt| attempt.mark == format!("m{id}"))
-        {
-            let failed = [101, 160].contains(&id) && attempt.number == 0;
-            rig.answer(
-                n2,
-                attempt.attempt,
-                if failed {
-                    AttemptResult::Failed
-                } else {
-                    AttemptResult::Succeeded
-                },
-            );
-        }
-        if let Some(attempt) = rig
-            .attempts(n2)
-            .last()
-            .filter(|attempt| attempt.number > 0 && attempt.mark == format!("m{id}"))
-        {
-            rig.answer(n2, attempt.attempt, AttemptResult::Succeeded);
-        }
+        answer_newest(&mut rig, n2, id);
         rig.pass(ms(10.0));
     }
     let further: Vec<Instant> = rig
@@ -106,7 +111,6 @@
 /// out: else the store would fill up behind it and all of it go out on top.
 #[test]
 fn tokens_of_attempts_that_wait_are_not_filled_up_behind_them() {
-    let (rate, burst) = (40.0, 64.0);
     let mut rig = Rig::new(
         &document(&[(
             "volume \"w\" plan=\"held\"",
@@ -145,7 +149,13 @@
             rig.answer(n2, attempt.attempt, AttemptResult::Succeeded);
         }
     }
-    // The store for all hosts, by what went out and when.
+    check_store(&mut rig, n2);
+}
+
+/// The store for all hosts, by what went out and when, is never overdrawn.
+fn check_store(rig: &mut Rig, n2: LinkId) {
+    let rate = 40.0;
+    let burst = 64.0;
     let mut level = burst;
     let mut level_at = START;
     let mut lowest = burst;
