--- a/crates/fleet/tests/maintenance/coordinator.rs
+++ b/crates/fleet/tests/maintenance/coordinator.rs
@@ -5,8 +5,9 @@
 use gullsail_fleet::ballot::Ballot;
 use gullsail_fleet::maintenance::coordinator::{CommandDecision, CommandKind, RenewalReport};
 use gullsail_fleet::maintenance::{OrderBook, OrderBookVersion, Stage};
+use gullsail_fleet::process_id::ProcessId;
 use gullsail_protocol::FleetCommand;
-use gullsail_scheduler_api::Span;
+use gullsail_scheduler_api::{HostId, Span};
 use std::collections::BTreeSet;
 
 fn command(kind: CommandKind) -> FleetCommand {
@@ -76,6 +77,39 @@
     }
 }
 
+/// Host 0 has restarted and still uses the server, the other hosts have released it. The departure of host 0's
+/// earlier process comes late and does not stand for the process that runs now.
+#[test]
+fn a_late_departure_of_an_earlier_process_does_not_count() {
+    for (departed, expected) in [(1, Stage::Draining), (2, Stage::Drained)] {
+        let mut driver = Driver::new(3, 2, None, ms(-20_000));
+        renew_all(&mut driver, 2, 0, false);
+        let command = FleetCommand {
+            shard_away: true,
+            ..command(CommandKind::TakeOffline)
+        };
+        driver.command(&command, ms(0));
+        // Beyond 6000, when the earlier process may have used the server last.
+        for at in (500..=6500).step_by(500) {
+            renew_all(&mut driver, 2, at, false);
+        }
+        assert_eq!(driver.stage(), Some(Stage::Draining));
+        for host in [1, 2] {
+            let report = RenewalReport {
+                released: BTreeSet::from([SERVER]),
+                ..report(host, driver.version())
+            };
+            driver.renew(report, ms(6500));
+        }
+        driver.coordinator.member_left(ProcessId {
+            host: HostId(0),
+            incarnation: departed,
+        });
+        driver.advance(ms(6500), true);
+        assert_eq!(driver.stage(), Some(expected), "incarnation {departed}");
+    }
+}
+
 fn order_book(round: u64, stage: Stage) -> OrderBook {
     let version = OrderBookVersion {
         ballot: Ballot { round, by: 0 },
