--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use nix::sys::signal::Signal;
-use rig::*;
+use rig::{Host, SOON, discovery, document, read_message, read_status, reply, send_request, serve};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::Command;
--- a/crates/cli/tests/platform/races.rs
+++ b/crates/cli/tests/platform/races.rs
@@ -1,7 +1,10 @@
 //! Races on real sockets, forced by a peer that delays, a full window, or a process that is stopped while both events
 //! happen. Each test checks what must hold in whichever order the process then finds them.
 
-use crate::rig::*;
+use crate::rig::{
+    Host, SOON, discovery, document, read_message, read_status, reply, request_text, send_request,
+    serve,
+};
 use nix::sys::signal::Signal;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
--- a/crates/platform/tests/platform/attempts.rs
+++ b/crates/platform/tests/platform/attempts.rs
@@ -1,6 +1,6 @@
 //! Every outcome of an attempt, and which connection may carry it.
 
-use crate::rig::*;
+use crate::rig::{NODES, PEER, Rig, page, request_text, response};
 use gullsail_platform::core::{Input, Output};
 
 /// The header by which a node says that it did not run the request.
--- a/crates/platform/tests/platform/clients.rs
+++ b/crates/platform/tests/platform/clients.rs
@@ -1,6 +1,6 @@
 //! Responses to requests and to invalid messages, and clients that disconnect at every stage.
 
-use crate::rig::*;
+use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{ConnectionId, Input, Output};
 
 /// A change that makes a valid write request invalid, and the status that it is answered with.
--- a/crates/platform/tests/platform/discovery.rs
+++ b/crates/platform/tests/platform/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: polls, pages that count, pages that change nothing, and reloads at every stage.
 
-use crate::rig::*;
+use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{ConnectionId, Input};
 use gullsail_platform::settings_document::SettingsDocument;
 
--- a/crates/platform/tests/platform/limits_and_shutdown.rs
+++ b/crates/platform/tests/platform/limits_and_shutdown.rs
@@ -1,6 +1,6 @@
 //! Bounds on what is held, the stages of the shutdown, and sizes that do not grow with finished work.
 
-use crate::rig::*;
+use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{Input, Output};
 use std::collections::BTreeMap;
 
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -1,7 +1,7 @@
 //! Two events that cross, in both orders, where the core decides what holds. docs/platform.md has a row for
 //! each.
 
-use crate::rig::*;
+use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{ConnectionId, Input, Output};
 
 /// Handled together, as one batch.
--- a/crates/platform/tests/platform/serialized_names.rs
+++ b/crates/platform/tests/platform/serialized_names.rs
@@ -1,6 +1,6 @@
 //! Names that operators read: the keys of the metrics in the log and the texts of errors in settings documents.
 
-use crate::rig::*;
+use crate::rig::{DISCOVERY, settings_document};
 use gullsail_platform::core::{Metrics, RequestError};
 use gullsail_platform::settings_document::SettingsDocument;
 use gullsail_scheduler_api::AttemptOutcome;
