--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -18,6 +18,7 @@
 /// the end of the idempotency window are not sent.
 const MAX_SEND_DELAY: Span = Span::from_micros(10_000);
 
+/// How far an attempt has come; its end removes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptProgress {
     WaitingForConnection,
@@ -30,10 +31,13 @@
     },
 }
 
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) node: NodeId,
+    /// When the scheduler decided on it.
     pub(super) decided_at: Instant,
+    /// When it times out.
     pub(super) deadline: Instant,
     pub(super) progress: AttemptProgress,
     /// The node's start time when the attempt was decided.
--- a/crates/platform/src/core/clients/capacity.rs
+++ b/crates/platform/src/core/clients/capacity.rs
@@ -9,7 +9,8 @@
 use gullsail_scheduler_api::{Instant, Span};
 
 /// A message has to be complete this long after its first byte, the first one after connecting. The platform
-/// demands an error or a close within 3 s; the difference is for the interval of the check and for delays.
+/// demands an error or a close within 3 s; the difference is for the interval of the check and for delays. The text
+/// of the 408 response names two seconds, which a client that keeps to it is never refused for.
 const MESSAGE_TIMEOUT: Span = Span::from_micros(2_200_000);
 
 impl Core {
