--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -7,7 +7,8 @@
 use gullsail_scheduler_api::{CrossZoneBudget, HostId, SchedulerConfig, Span};
 use std::collections::BTreeMap;
 
-/// All that a document says.
+/// All that a document says. A field for each kind of entry: readers need single ones, and the whole is replaced at
+/// a reload.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Names of zones, by [`ZoneId`].
--- a/crates/protocol/src/message/fleet.rs
+++ b/crates/protocol/src/message/fleet.rs
@@ -73,8 +73,8 @@
     pub state: u32,
 }
 
-/// From host to host, of who belongs to the fleet and what each may use; what it means is told in
-/// `crates/fleet`.
+/// From host to host, about membership and shares; `crates/fleet` explains what it means. All kinds share one message,
+/// whose fields are fixed by their protobuf tags.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetMessage {
     /// The fleet, as a hash of its name.
@@ -158,7 +158,7 @@
     pub command: Option<FleetCommand>,
 }
 
-/// One server's maintenance order; what the figures mean is told in `crates/fleet`.
+/// One server's maintenance order, field by field as `crates/fleet` keeps it.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetOrder {
     /// The server.
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -65,6 +65,8 @@
     warm: bool,
 }
 
+/// A scenario while it is played: its processes, the steps still to come and what was noted. Each step may need any
+/// of it, so it is one struct; the files of this module hold the methods by job.
 struct ScenarioRun<'a> {
     stage: &'a Stage,
     deployment: Arc<Deployment>,
