--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -11,15 +11,15 @@
 /// a reload.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Names of zones, by [`ZoneId`].
+    /// Names of zones, by [`ZoneId`](gullsail_scheduler_api::ZoneId).
     pub zones: Vec<String>,
-    /// By [`RequestClassId`].
+    /// By [`RequestClassId`](gullsail_scheduler_api::RequestClassId).
     pub request_classes: Vec<NamedRequestClass>,
-    /// By [`PlanId`].
+    /// By [`PlanId`](gullsail_scheduler_api::PlanId).
     pub plans: Vec<NamedPlan>,
     /// In the order of the document.
     pub volumes: Vec<NamedVolume>,
-    /// By [`HostId`].
+    /// By [`HostId`](gullsail_scheduler_api::HostId).
     pub hosts: Vec<Place>,
     /// The storage nodes.
     pub nodes: Vec<NodePlace>,
