--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -5,6 +5,7 @@
 mod lists;
 mod observations;
 mod reader;
+mod requests;
 
 pub use observations::{
     AnswerSeen, AttemptAnswerSeen, AttemptSeen, BallotSeen, ConnectionSeen, EndpointReport,
@@ -16,7 +17,8 @@
 use gullsail_protocol::record::ProcessEvent;
 use std::collections::BTreeMap;
 
-/// Everything that the rules are judged by.
+/// Everything that the rules are judged by. It has more than twelve fields: each is one kind of observation,
+/// filled by the reader alone, and most rules read several kinds.
 #[derive(Debug, Default)]
 pub struct History {
     /// Of all configurations, by their numbers.
--- a/crates/audit/src/history/reader.rs
+++ b/crates/audit/src/history/reader.rs
@@ -1,17 +1,15 @@
 //! Reads a recording, entry by entry in order of time.
 
 use super::lists::List;
+use super::requests::{Passed, RequestIndex, close_link};
 use super::{
-    AnswerSeen, AttemptAnswerSeen, AttemptSeen, BallotSeen, ConnectionSeen, FrameSeen, GrantSeen,
-    History, ProcessEventSeen, RequestSeen, RevisionSeen, SharesSeen, StageSeen,
+    AttemptSeen, BallotSeen, ConnectionSeen, FrameSeen, GrantSeen, History, ProcessEventSeen,
+    RevisionSeen, SharesSeen, StageSeen,
 };
 use crate::error::RecordingError;
 use gullsail_configuration::Deployment;
 use gullsail_protocol::record::{Delivery, Entry, What};
-use gullsail_protocol::{
-    Attempt, AttemptAnswer, AttemptResult, EndpointListUpdate, FleetMessage, FleetWhat, Frame,
-    Message, Submit,
-};
+use gullsail_protocol::{EndpointListUpdate, FleetMessage, FleetWhat, Frame, Message};
 use std::collections::BTreeMap;
 
 impl History {
@@ -75,29 +73,9 @@
     entry: Entry,
 }
 
-/// An identifier that is unique on its connection.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct OnLink {
-    link: u64,
-    id: u64,
-}
-
-/// A frame that was passed on.
-struct Passed {
-    line: usize,
-    at: i64,
-    out: i64,
-    link: u64,
-    from: String,
-    to: String,
-    delivery: Delivery,
-}
-
 struct Reader {
     history: History,
-    /// Places among the history's requests and attempts.
-    requests: BTreeMap<OnLink, usize>,
-    attempts: BTreeMap<OnLink, usize>,
+    index: RequestIndex,
     /// By connection.
     lists: BTreeMap<u64, List>,
 }
@@ -115,8 +93,7 @@
                 hosts,
                 ..History::default()
             },
-            requests: BTreeMap::new(),
-            attempts: BTreeMap::new(),
+            index: RequestIndex::default(),
             lists: BTreeMap::new(),
         }
     }
@@ -140,7 +117,7 @@
                 };
                 self.frame(passed, message, body);
             }
-            What::Closed { .. } => self.closed(entry.link, entry.out),
+            What::Closed { .. } => close_link(&mut self.history, entry.link, entry.out),
             What::Document {
                 revision,
                 text,
@@ -236,137 +213,29 @@
                 bytes,
             });
         }
-        let link = passed.link;
-        let on_link = |id: u64| OnLink { link, id };
+        let history = &mut self.history;
+        let index = &mut self.index;
         match message {
-            Message::Submit(submit) => self.submit(passed, submit),
-            Message::Answer(answer) => {
-                let Passed { line, at, .. } = passed;
-                if let Some(request) = self.request(on_link(answer.id)) {
-                    request.answers.push(AnswerSeen { line, at, answer });
-                }
-            }
+            Message::Submit(submit) => index.submit(history, passed, submit),
+            Message::Answer(answer) => index.answer(history, &passed, answer),
             Message::NotTaken(not_taken) => {
-                if let Some(request) = self.request(on_link(not_taken.id)) {
+                if let Some(request) = index.request(history, passed.link, not_taken.id) {
                     request.not_taken_at.get_or_insert(passed.at);
                 }
             }
             Message::Withdraw(withdraw) => {
-                if let Some(request) = self.request(on_link(withdraw.id)) {
+                if let Some(request) = index.request(history, passed.link, withdraw.id) {
                     request.withdrawn_at.get_or_insert(passed.out);
                 }
             }
-            Message::Attempt(attempt) => self.attempt(passed, attempt),
-            Message::AttemptAnswer(answer) => self.attempt_answer(&passed, &answer),
+            Message::Attempt(attempt) => index.attempt(history, passed, attempt),
+            Message::AttemptAnswer(answer) => index.attempt_answer(history, &passed, &answer),
             Message::FleetMessage(message) => self.fleet_message(passed, &message),
             Message::EndpointListUpdate(update) => self.list_update(passed, &update),
             _ => {}
         }
     }
 
-    fn request(&mut self, on_link: OnLink) -> Option<&mut RequestSeen> {
-        let place = *self.requests.get(&on_link)?;
-        self.history.requests.get_mut(place)
-    }
-
-    fn submit(&mut self, passed: Passed, submit: Submit) {
-        let Passed {
-            line,
-            out,
-            link,
-            to,
-            ..
-        } = passed;
-        self.requests.insert(
-            OnLink {
-                link,
-                id: submit.id,
-            },
-            self.history.requests.len(),
-        );
-        self.history.requests.push(RequestSeen {
-            line,
-            at: out,
-            host: to,
-            link,
-            submit,
-            answers: Vec::new(),
-            not_taken_at: None,
-            withdrawn_at: None,
-            link_closed_at: None,
-            attempts: Vec::new(),
-        });
-    }
-
-    fn attempt(&mut self, passed: Passed, attempt: Attempt) {
-        let Passed {
-            line,
-            at,
-            out,
-            link,
-            from,
-            to,
-            ..
-        } = passed;
-        self.attempts.insert(
-            OnLink {
-                link,
-                id: attempt.attempt,
-            },
-            self.history.attempts.len(),
-        );
-        self.history.attempts.push(AttemptSeen {
-            line,
-            at,
-            arrived_at: out,
-            host: from,
-            node: to,
-            link,
-            attempt,
-            answer: None,
-            broken_at: None,
-        });
-    }
-
-    fn attempt_answer(&mut self, passed: &Passed, answer: &AttemptAnswer) {
-        let Passed {
-            line,
-            out,
-            link,
-            delivery,
-            ..
-        } = *passed;
-        let place = self.attempts.get(&OnLink {
-            link,
-            id: answer.attempt,
-        });
-        let Some(seen) = place.and_then(|place| self.history.attempts.get_mut(*place)) else {
-            return;
-        };
-        let result = AttemptResult::try_from(answer.result).unwrap_or(AttemptResult::Unknown);
-        match &mut seen.answer {
-            // The original of an answer that was turned into an error says what the node did.
-            None => {
-                let at = if delivery == Delivery::Altered {
-                    i64::MAX
-                } else {
-                    out
-                };
-                seen.answer = Some(AttemptAnswerSeen {
-                    line,
-                    at,
-                    result,
-                    ran: answer.ran,
-                });
-            }
-            Some(original) if original.at == i64::MAX => {
-                original.at = out;
-                original.result = result;
-            }
-            Some(_) => {}
-        }
-    }
-
     /// A grant that a third host passed on says nothing of when it left its own.
     fn fleet_message(&mut self, passed: Passed, message: &FleetMessage) {
         let Passed { line, at, from, .. } = passed;
@@ -403,20 +272,4 @@
                 .push(report.report);
         }
     }
-
-    fn closed(&mut self, link: u64, at: i64) {
-        for request in self
-            .history
-            .requests
-            .iter_mut()
-            .filter(|request| request.link == link)
-        {
-            request.link_closed_at.get_or_insert(at);
-        }
-        for attempt in &mut self.history.attempts {
-            if attempt.link == link && attempt.answer.is_none() {
-                attempt.broken_at.get_or_insert(at);
-            }
-        }
-    }
 }
--- /dev/null
+++ b/crates/audit/src/history/requests.rs
@@ -0,0 +1,172 @@
+//! Requests and attempts of a recording: each frame about one is put to it, by its connection and identifier.
+
+use super::{AnswerSeen, AttemptAnswerSeen, AttemptSeen, History, RequestSeen};
+use gullsail_protocol::record::Delivery;
+use gullsail_protocol::{Answer, Attempt, AttemptAnswer, AttemptResult, Submit};
+use std::collections::BTreeMap;
+
+/// An identifier that is unique on its connection.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct OnLink {
+    link: u64,
+    id: u64,
+}
+
+/// A frame that was passed on.
+pub(super) struct Passed {
+    pub(super) line: usize,
+    pub(super) at: i64,
+    pub(super) out: i64,
+    pub(super) link: u64,
+    pub(super) from: String,
+    pub(super) to: String,
+    pub(super) delivery: Delivery,
+}
+
+/// Finds requests and attempts in the history by the identifiers that their frames carry.
+#[derive(Default)]
+pub(super) struct RequestIndex {
+    /// Places among the history's requests.
+    requests: BTreeMap<OnLink, usize>,
+    /// Places among the history's attempts.
+    attempts: BTreeMap<OnLink, usize>,
+}
+
+impl RequestIndex {
+    /// The request that was last submitted with this identifier on the connection.
+    pub(super) fn request<'a>(
+        &self,
+        history: &'a mut History,
+        link: u64,
+        id: u64,
+    ) -> Option<&'a mut RequestSeen> {
+        let place = *self.requests.get(&OnLink { link, id })?;
+        history.requests.get_mut(place)
+    }
+
+    pub(super) fn answer(&self, history: &mut History, passed: &Passed, answer: Answer) {
+        let Passed { line, at, link, .. } = *passed;
+        if let Some(request) = self.request(history, link, answer.id) {
+            request.answers.push(AnswerSeen { line, at, answer });
+        }
+    }
+
+    pub(super) fn submit(&mut self, history: &mut History, passed: Passed, submit: Submit) {
+        let Passed {
+            line,
+            out,
+            link,
+            to,
+            ..
+        } = passed;
+        self.requests.insert(
+            OnLink {
+                link,
+                id: submit.id,
+            },
+            history.requests.len(),
+        );
+        history.requests.push(RequestSeen {
+            line,
+            at: out,
+            host: to,
+            link,
+            submit,
+            answers: Vec::new(),
+            not_taken_at: None,
+            withdrawn_at: None,
+            link_closed_at: None,
+            attempts: Vec::new(),
+        });
+    }
+
+    pub(super) fn attempt(&mut self, history: &mut History, passed: Passed, attempt: Attempt) {
+        let Passed {
+            line,
+            at,
+            out,
+            link,
+            from,
+            to,
+            ..
+        } = passed;
+        self.attempts.insert(
+            OnLink {
+                link,
+                id: attempt.attempt,
+            },
+            history.attempts.len(),
+        );
+        history.attempts.push(AttemptSeen {
+            line,
+            at,
+            arrived_at: out,
+            host: from,
+            node: to,
+            link,
+            attempt,
+            answer: None,
+            broken_at: None,
+        });
+    }
+
+    pub(super) fn attempt_answer(
+        &mut self,
+        history: &mut History,
+        passed: &Passed,
+        answer: &AttemptAnswer,
+    ) {
+        let Passed {
+            line,
+            out,
+            link,
+            delivery,
+            ..
+        } = *passed;
+        let place = self.attempts.get(&OnLink {
+            link,
+            id: answer.attempt,
+        });
+        let Some(seen) = place.and_then(|place| history.attempts.get_mut(*place)) else {
+            return;
+        };
+        let result = AttemptResult::try_from(answer.result).unwrap_or(AttemptResult::Unknown);
+        match &mut seen.answer {
+            // The original of an answer that was turned into an error says what the node did.
+            None => {
+                let at = if delivery == Delivery::Altered {
+                    i64::MAX
+                } else {
+                    out
+                };
+                seen.answer = Some(AttemptAnswerSeen {
+                    line,
+                    at,
+                    result,
+                    ran: answer.ran,
+                });
+            }
+            Some(original) if original.at == i64::MAX => {
+                original.at = out;
+                original.result = result;
+            }
+            Some(_) => {}
+        }
+    }
+}
+
+/// Marks what was open on a connection when it closed.
+pub(super) fn close_link(history: &mut History, link: u64, at: i64) {
+    for request in history
+        .requests
+        .iter_mut()
+        .filter(|request| request.link == link)
+    {
+        request.link_closed_at.get_or_insert(at);
+    }
+    for attempt in &mut history.attempts {
+        if attempt.link == link && attempt.answer.is_none() {
+            attempt.broken_at.get_or_insert(at);
+        }
+    }
+}
--- a/crates/audit/src/rules/idempotency.rs
+++ b/crates/audit/src/rules/idempotency.rs
@@ -123,12 +123,19 @@
     }
 }
 
-fn is_in_scope(deployment: &Deployment, scope: IdempotencyScope, a: &str, b: &str) -> bool {
-    let a = deployment.node(a);
-    let b = deployment.node(b);
+fn is_in_scope(
+    deployment: &Deployment,
+    scope: IdempotencyScope,
+    first: &str,
+    second: &str,
+) -> bool {
+    let first = deployment.node(first);
+    let second = deployment.node(second);
     match scope {
         IdempotencyScope::All => true,
-        IdempotencyScope::Zone => a.map(|node| node.place.zone) == b.map(|node| node.place.zone),
-        IdempotencyScope::Shard => a.map(|node| node.shard) == b.map(|node| node.shard),
+        IdempotencyScope::Zone => {
+            first.map(|node| node.place.zone) == second.map(|node| node.place.zone)
+        }
+        IdempotencyScope::Shard => first.map(|node| node.shard) == second.map(|node| node.shard),
     }
 }
--- a/crates/audit/src/rules/volume_limits.rs
+++ b/crates/audit/src/rules/volume_limits.rs
@@ -97,7 +97,9 @@
     };
     let oldest = followed.oldest_certain;
     let range = history.configurations.range(oldest.min(newest)..=newest);
-    let mut limits: Vec<Option<VolumeLimit>> = range.map(|(_, d)| limit_of(d, volume)).collect();
+    let mut limits: Vec<Option<VolumeLimit>> = range
+        .map(|(_, document)| limit_of(document, volume))
+        .collect();
     if oldest == first {
         limits.push(limit_of(
             history.configurations.get(&first).unwrap_or(deployment),
