--- a/crates/simulator/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -13,15 +13,25 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// An entry, when its node started (as far as known), and when the list may tell of it.
-type Known = (ListedEndpoint, Option<Instant>);
+/// An entry of the list.
+struct KnownEndpoint {
+    endpoint: ListedEndpoint,
+    /// When the process started, as far as is known.
+    started: Option<Instant>,
+}
+
+/// A change that watchers learn of later.
+struct PendingChange {
+    publish_at: Instant,
+    entries: Vec<ListedEndpoint>,
+}
 
 struct List {
-    entries: BTreeMap<String, Known>,
+    entries: BTreeMap<String, KnownEndpoint>,
     version: u64,
     watchers: BTreeSet<u64>,
     links: BTreeMap<u64, Link>,
-    coming: VecDeque<(Instant, Vec<ListedEndpoint>)>,
+    coming: VecDeque<PendingChange>,
     late: Duration,
     down_until: Instant,
 }
@@ -29,7 +39,8 @@
 /// Serves until its task is dropped.
 pub async fn serve(entries: Vec<ListedEndpoint>, late: Span, listener: TcpListener) {
     let (sink, mut inbox) = mpsc::channel(1024);
-    let (mut tasks, mut last_link) = (JoinSet::new(), 0);
+    let mut tasks = JoinSet::new();
+    let mut last_link = 0;
     let mut list = List {
         entries: BTreeMap::new(),
         version: 1,
@@ -42,18 +53,19 @@
     list.learn(entries);
     loop {
         let now = Instant::now();
-        while let Some((_, entries)) = list.coming.pop_front_if(|c| c.0 <= now) {
-            list.publish(entries);
+        while let Some(change) = list.coming.pop_front_if(|change| change.publish_at <= now) {
+            list.publish(change.entries);
         }
         let next_wakeup = list
             .coming
             .front()
-            .map_or(now + Duration::from_secs(3600), |c| c.0);
+            .map_or(now + Duration::from_secs(3600), |change| change.publish_at);
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
                 last_link += 1;
                 let link = Link::open(stream, last_link, Bounds::DEFAULT, 1024, &sink, &mut tasks);
                 let hello = Hello { role: Role::List as i32, name: "list".into(), ..Hello::default() };
+                // Dropped: a closed link is forgotten by its own event.
                 let _ = link.send(Frame::from(hello));
                 list.links.insert(last_link, link);
             },
@@ -74,38 +86,46 @@
 impl List {
     fn learn(&mut self, entries: Vec<ListedEndpoint>) {
         let now = Instant::now();
-        for e in entries {
-            let age = Duration::from_micros(e.age_us.max(0) as u64);
-            let started = if e.incarnation == 0 {
+        for endpoint in entries {
+            let age = Duration::from_micros(endpoint.age_us.max(0) as u64);
+            let started = if endpoint.incarnation == 0 {
                 None
             } else {
                 now.checked_sub(age)
             };
-            self.entries.insert(e.name.clone(), (e, started));
+            let known = KnownEndpoint { endpoint, started };
+            self.entries.insert(known.endpoint.name.clone(), known);
         }
     }
 
     fn entry(&self, name: &str) -> Option<ListedEndpoint> {
-        let (e, started) = self.entries.get(name)?;
-        let age_us = started.map_or(0, |s| s.elapsed().as_micros() as i64);
+        let KnownEndpoint { endpoint, started } = self.entries.get(name)?;
+        let age_us = started.map_or(0, |at| at.elapsed().as_micros() as i64);
         Some(ListedEndpoint {
             age_us,
-            ..e.clone()
+            ..endpoint.clone()
         })
     }
 
     fn publish(&mut self, entries: Vec<ListedEndpoint>) {
-        let names: Vec<_> = entries.iter().map(|e| e.name.clone()).collect();
+        let names: Vec<_> = entries.iter().map(|entry| entry.name.clone()).collect();
         self.learn(entries);
         self.version += 1;
-        let entries = names.iter().filter_map(|n| self.entry(n)).collect();
+        let entries = names.iter().filter_map(|name| self.entry(name)).collect();
         let news = Frame::from(EndpointListUpdate {
             version: self.version,
             whole: false,
             entries,
         });
-        for link in self.watchers.iter().filter_map(|w| self.links.get(w)) {
-            let _ = link.send(news.clone());
+        for watcher in &self.watchers {
+            self.send(*watcher, news.clone());
+        }
+    }
+
+    fn send(&self, link: u64, frame: Frame) {
+        if let Some(link) = self.links.get(&link) {
+            // Dropped: a closed link is forgotten by its own event.
+            let _ = link.send(frame);
         }
     }
 
@@ -116,43 +136,42 @@
                 let refused = EndpointListRefused {
                     reason: "out of reach".into(),
                 };
-                if let Some(l) = self.links.get(&link) {
-                    let _ = l.send(Frame::from(refused));
-                }
+                self.send(link, Frame::from(refused));
             }
             Message::EndpointListQuery(ask) => {
                 let gone = ListedState::Gone as i32;
                 let names = self
                     .entries
                     .values()
-                    .filter(|e| e.0.state != gone)
-                    .map(|e| e.0.name.clone());
+                    .filter(|known| known.endpoint.state != gone)
+                    .map(|known| known.endpoint.name.clone());
                 let entries = names
                     .collect::<Vec<_>>()
                     .iter()
-                    .filter_map(|n| self.entry(n))
+                    .filter_map(|name| self.entry(name))
                     .collect();
                 if ask.watch {
                     self.watchers.insert(link);
                 }
-                if let Some(l) = self.links.get(&link) {
-                    let _ = l.send(Frame::from(EndpointListUpdate {
-                        version: self.version,
-                        whole: true,
-                        entries,
-                    }));
-                }
+                let update = EndpointListUpdate {
+                    version: self.version,
+                    whole: true,
+                    entries,
+                };
+                self.send(link, Frame::from(update));
             }
-            Message::Order(o) if o.what == "refuse" => {
-                self.down_until = Instant::now() + Duration::from_micros(o.lasts_us.max(0) as u64);
+            Message::Order(order) if order.what == "refuse" => {
+                self.down_until =
+                    Instant::now() + Duration::from_micros(order.lasts_us.max(0) as u64);
                 // Whoever watches loses the watch, as when the service itself is gone.
-                for w in std::mem::take(&mut self.watchers) {
-                    self.links.remove(&w);
+                for watcher in std::mem::take(&mut self.watchers) {
+                    self.links.remove(&watcher);
                 }
             }
-            Message::Order(o) => self
-                .coming
-                .push_back((Instant::now() + self.late, o.entries)),
+            Message::Order(order) => self.coming.push_back(PendingChange {
+                publish_at: Instant::now() + self.late,
+                entries: order.entries,
+            }),
             _ => {}
         }
     }
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -7,7 +7,7 @@
 use gullsail_configuration::Server;
 use gullsail_connections::{Link, LinkEvent};
 use gullsail_protocol::{
-    Attempt, AttemptAnswer, AttemptResult, Bounds, Frame, Handle, Hello, Message, Order,
+    Attempt, AttemptAnswer, AttemptResult, Bounds, Cancel, Frame, Handle, Hello, Message, Order,
     ProbeAnswer, Role,
 };
 use gullsail_scheduler_api::{Instant, SlowStart, Span};
@@ -40,18 +40,46 @@
     pub bounds: Bounds,
 }
 
+/// An attempt that the node has taken, with the link that its answer goes to.
+struct TakenAttempt {
+    link: u64,
+    attempt: Attempt,
+    body: Bytes,
+}
+
+/// An effect that is remembered by its mark.
+struct Mark {
+    at: Instant,
+    handle: Handle,
+}
+
+/// A fault: some requests cost more work than usual.
+struct CostlyRequests {
+    /// Empty: all request classes.
+    request_class: String,
+    /// The part of the requests that cost more.
+    share: f64,
+    /// So many times the usual work.
+    factor: f64,
+}
+
+/// A fault that ends by itself.
+struct ActiveFault {
+    until: Instant,
+    kind: &'static str,
+}
+
 struct Node {
     process: NodeProcess,
     model: Model,
     links: BTreeMap<u64, Link>,
-    attempts: BTreeMap<u64, (u64, Attempt, Bytes)>,
+    attempts: BTreeMap<u64, TakenAttempt>,
     objects: BTreeMap<u64, Bytes>,
-    marks: BTreeMap<String, (Instant, Handle)>,
+    marks: BTreeMap<String, Mark>,
     rng: ChaCha8Rng,
     fail: f64,
-    /// This part of a request class's requests costs so many times their usual work.
-    costly: Option<(String, f64, f64)>,
-    active_faults: Vec<(Instant, &'static str)>,
+    costly: Option<CostlyRequests>,
+    active_faults: Vec<ActiveFault>,
 }
 
 /// Serves on the listener; returns when the node has fallen over.
@@ -71,7 +99,8 @@
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
     let mut node = Node::new(process, model, rng);
-    let (mut last_link, mut last_attempt) = (0, 0);
+    let mut last_link = 0;
+    let mut last_attempt = 0;
     loop {
         for id in node.model.advance(now()) {
             node.finish(id, now());
@@ -141,51 +170,22 @@
     fn handle_frame(&mut self, link: u64, frame: Frame, id: u64, now: Instant) -> bool {
         match frame.message {
             Message::Attempt(attempt) => {
-                let costly = self
-                    .costly
-                    .as_ref()
-                    .filter(|c| c.0.is_empty() || c.0 == attempt.request_class);
-                let dear = costly
-                    .filter(|c| self.rng.random_bool(c.1))
-                    .map_or(1.0, |c| c.2);
-                match self
-                    .model
-                    .arrive(now, id, attempt.units, attempt.write, dear)
-                {
-                    Arrival::Taken => _ = self.attempts.insert(id, (link, attempt, frame.body)),
-                    Arrival::Full => {
-                        let result = AttemptResult::Rejected as i32;
-                        self.send(
-                            link,
-                            Frame::from(AttemptAnswer {
-                                attempt: attempt.attempt,
-                                result,
-                                ..AttemptAnswer::default()
-                            }),
-                        );
-                    }
-                    Arrival::FellOver => return true,
-                }
-            }
-            Message::Cancel(c) => {
-                let waits = self
-                    .attempts
-                    .iter()
-                    .find(|(_, (l, attempt, _))| *l == link && attempt.attempt == c.attempt);
-                if let Some(id) = waits.map(|(id, _)| *id).filter(|id| self.model.cancel(*id)) {
-                    self.attempts.remove(&id);
-                }
-            }
-            Message::Probe(p) => {
-                let (running, queued) = self.model.load();
-                self.send(
+                let taken = TakenAttempt {
                     link,
-                    Frame::from(ProbeAnswer {
-                        id: p.id,
-                        running,
-                        queued,
-                    }),
-                );
+                    attempt,
+                    body: frame.body,
+                };
+                return self.take(id, taken, now);
+            }
+            Message::Cancel(cancel) => self.cancel(link, &cancel),
+            Message::Probe(probe) => {
+                let load = self.model.load();
+                let answer = ProbeAnswer {
+                    id: probe.id,
+                    running: load.running,
+                    queued: load.waiting,
+                };
+                self.send(link, Frame::from(answer));
             }
             Message::Order(order) => self.order(&order, now),
             _ => {}
@@ -193,6 +193,55 @@
         false
     }
 
+    /// Takes or rejects an attempt; `true`: the node fell over.
+    fn take(&mut self, id: u64, taken: TakenAttempt, now: Instant) -> bool {
+        let attempt = &taken.attempt;
+        let factor = self.cost_factor(&attempt.request_class);
+        match self
+            .model
+            .arrive(now, id, attempt.units, attempt.write, factor)
+        {
+            Arrival::Taken => _ = self.attempts.insert(id, taken),
+            Arrival::Full => {
+                let rejected = AttemptAnswer {
+                    attempt: attempt.attempt,
+                    result: AttemptResult::Rejected as i32,
+                    ..AttemptAnswer::default()
+                };
+                self.send(taken.link, Frame::from(rejected));
+            }
+            Arrival::FellOver => return true,
+        }
+        false
+    }
+
+    /// How many times its usual work a request costs.
+    fn cost_factor(&mut self, request_class: &str) -> f64 {
+        match &self.costly {
+            Some(costly)
+                if (costly.request_class.is_empty() || costly.request_class == request_class)
+                    && self.rng.random_bool(costly.share) =>
+            {
+                costly.factor
+            }
+            _ => 1.0,
+        }
+    }
+
+    /// Drops an attempt that still waits; one that runs goes on.
+    fn cancel(&mut self, link: u64, cancel: &Cancel) {
+        let found = self
+            .attempts
+            .iter()
+            .find(|(_, taken)| taken.link == link && taken.attempt.attempt == cancel.attempt)
+            .map(|(id, _)| *id);
+        if let Some(id) = found
+            && self.model.cancel(id)
+        {
+            self.attempts.remove(&id);
+        }
+    }
+
     fn order(&mut self, order: &Order, now: Instant) {
         let lasts = Span::from_micros(order.lasts_us);
         info!(
@@ -206,19 +255,19 @@
             "stall" => self.model.stall(now, lasts),
             "slow" => {
                 self.model.slow(order.size);
-                self.active_faults.push((now + lasts, "slow"));
+                self.start_fault("slow", now + lasts);
             }
             "costly" => {
-                self.costly = Some((
-                    order.request_class.clone(),
-                    order.share.clamp(0.0, 1.0),
-                    order.size,
-                ));
-                self.active_faults.push((now + lasts, "costly"));
+                self.costly = Some(CostlyRequests {
+                    request_class: order.request_class.clone(),
+                    share: order.share.clamp(0.0, 1.0),
+                    factor: order.size,
+                });
+                self.start_fault("costly", now + lasts);
             }
             "fail" => {
                 self.fail = order.size;
-                self.active_faults.push((now + lasts, "fail"));
+                self.start_fault("fail", now + lasts);
             }
             other => warn!(
                 node = self.process.name,
@@ -228,11 +277,16 @@
         }
     }
 
+    fn start_fault(&mut self, kind: &'static str, until: Instant) {
+        self.active_faults.push(ActiveFault { until, kind });
+    }
+
     fn end_expired_faults(&mut self, now: Instant) {
-        let (over, on): (Vec<_>, Vec<_>) = self.active_faults.drain(..).partition(|t| t.0 <= now);
-        self.active_faults = on;
-        for (_, what) in over {
-            match what {
+        let faults = self.active_faults.drain(..);
+        let (over, active): (Vec<_>, Vec<_>) = faults.partition(|fault| fault.until <= now);
+        self.active_faults = active;
+        for fault in over {
+            match fault.kind {
                 "slow" => self.model.slow(1.0),
                 "costly" => self.costly = None,
                 _ => self.fail = 0.0,
@@ -241,9 +295,14 @@
     }
 
     fn finish(&mut self, id: u64, now: Instant) {
-        let Some((link, attempt, body)) = self.attempts.remove(&id) else {
+        let Some(taken) = self.attempts.remove(&id) else {
             return;
         };
+        let TakenAttempt {
+            link,
+            attempt,
+            body,
+        } = taken;
         let answer = AttemptAnswer {
             attempt: attempt.attempt,
             result: AttemptResult::Failed as i32,
@@ -259,39 +318,10 @@
             handle: attempt.handle,
             ..answer.clone()
         };
-        let shard = self.process.shard;
         let frame = if attempt.write {
-            self.marks.retain(|_, m| now - m.0 < MARKS_KEPT);
-            if let Some((_, handle)) = self
-                .marks
-                .get(&attempt.mark)
-                .filter(|_| !attempt.mark.is_empty())
-            {
-                // The repeat of one that took effect: the same answer, no second effect.
-                Frame::from(AttemptAnswer {
-                    ran: false,
-                    handle: Some(*handle),
-                    ..done
-                })
-            } else {
-                let new = || Handle {
-                    shard,
-                    object: BASE_OBJECTS + self.rng.random_range(0..u64::MAX / 2),
-                };
-                let handle = attempt.handle.unwrap_or_else(new);
-                self.objects.insert(handle.object, body);
-                self.marks.insert(attempt.mark, (now, handle));
-                Frame::from(AttemptAnswer {
-                    handle: Some(handle),
-                    ..done
-                })
-            }
+            self.write(attempt, body, done, now)
         } else {
-            let found = attempt.handle.filter(|h| h.shard == shard).and_then(|h| {
-                let written = self.objects.get(&h.object).cloned();
-                written.or_else(|| (h.object < BASE_OBJECTS).then(|| base_content(h)))
-            });
-            match found {
+            match attempt.handle.and_then(|handle| self.read(handle)) {
                 Some(bytes) => Frame::from(done).with_body(bytes),
                 None => Frame::from(AttemptAnswer {
                     reason: "no such object here".into(),
@@ -302,12 +332,46 @@
         self.send(link, frame);
     }
 
+    /// Stores an object, or finds by its mark that an earlier attempt did.
+    fn write(&mut self, attempt: Attempt, body: Bytes, done: AttemptAnswer, now: Instant) -> Frame {
+        self.marks.retain(|_, mark| now - mark.at < MARKS_KEPT);
+        let known = self.marks.get(&attempt.mark);
+        if let Some(mark) = known.filter(|_| !attempt.mark.is_empty()) {
+            // The repeat of one that took effect: the same answer, no second effect.
+            return Frame::from(AttemptAnswer {
+                ran: false,
+                handle: Some(mark.handle),
+                ..done
+            });
+        }
+        let shard = self.process.shard;
+        let handle = attempt.handle.unwrap_or_else(|| Handle {
+            shard,
+            object: BASE_OBJECTS + self.rng.random_range(0..u64::MAX / 2),
+        });
+        self.objects.insert(handle.object, body);
+        self.marks.insert(attempt.mark, Mark { at: now, handle });
+        Frame::from(AttemptAnswer {
+            handle: Some(handle),
+            ..done
+        })
+    }
+
+    /// The bytes of an object of this node's shard.
+    fn read(&self, handle: Handle) -> Option<Bytes> {
+        if handle.shard != self.process.shard {
+            return None;
+        }
+        let written = self.objects.get(&handle.object).cloned();
+        written.or_else(|| (handle.object < BASE_OBJECTS).then(|| base_content(handle)))
+    }
+
     fn send(&self, link: u64, frame: Frame) {
         // A link that is gone, or takes nothing, loses its answers: so do real ones.
         if self
             .links
             .get(&link)
-            .is_some_and(|l| l.send(frame).is_err())
+            .is_some_and(|link| link.send(frame).is_err())
         {
             warn!(
                 node = self.process.name,
--- a/crates/simulator/src/node_model.rs
+++ b/crates/simulator/src/node_model.rs
@@ -26,6 +26,35 @@
     put_off: f64,
 }
 
+/// Writes that the node finishes later, all at once.
+struct DeferredWork {
+    /// In seconds of one core.
+    core_seconds: f64,
+    next_flush: Instant,
+}
+
+/// Units that a node took while it warmed up.
+struct SentUnits {
+    at: Instant,
+    units: f64,
+}
+
+/// A request whose work ends at a known time. They finish in this order: by time, then by number.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Finished {
+    at: Instant,
+    id: u64,
+}
+
+/// How many requests a node has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeLoad {
+    /// Requests on a core.
+    pub running: u32,
+    /// Requests in the queue.
+    pub waiting: u32,
+}
+
 /// A node's server in given time: cores, a bounded queue, pauses, deferred writes, slow start.
 pub struct Model {
     server: Server,
@@ -33,13 +62,11 @@
     started_at: Instant,
     waiting: VecDeque<Work>,
     running: BTreeMap<u64, Instant>,
-    /// Work put off, in seconds of one core, and when it is done next.
-    debt: f64,
-    next_flush: Instant,
+    deferred: DeferredWork,
     next_pause: Instant,
     still_until: Instant,
     slow: f64,
-    sent: VecDeque<(Instant, f64)>,
+    sent: VecDeque<SentUnits>,
     fallen: bool,
     rng: ChaCha8Rng,
 }
@@ -55,13 +82,15 @@
     ) -> Model {
         let next_pause = now + server.pause_every.times(rng.random_range(0.3..1.3));
         Model {
-            next_flush: now + server.flush_every,
+            deferred: DeferredWork {
+                core_seconds: 0.0,
+                next_flush: now + server.flush_every,
+            },
             next_pause,
             slow_start,
             started_at,
             waiting: VecDeque::new(),
             running: BTreeMap::new(),
-            debt: 0.0,
             still_until: now,
             slow: 1.0,
             sent: VecDeque::new(),
@@ -94,13 +123,13 @@
             return Arrival::FellOver;
         }
         if now - self.started_at < self.slow_start.ramp {
-            self.sent.push_back((now, units));
+            self.sent.push_back(SentUnits { at: now, units });
             while self
                 .sent
-                .pop_front_if(|s| now - s.0 > self.slow_start.window)
+                .pop_front_if(|sent| now - sent.at > self.slow_start.window)
                 .is_some()
             {}
-            if self.sent.iter().map(|s| s.1).sum::<f64>() > self.bears(now) {
+            if self.sent.iter().map(|sent| sent.units).sum::<f64>() > self.bears(now) {
                 self.fallen = true;
                 return Arrival::FellOver;
             }
@@ -109,7 +138,7 @@
             return Arrival::Full;
         }
         // Times are skewed, as of disks: a gamma distribution with a mean of one.
-        let skew = Gamma::new(4.0, 0.25).map_or(1.0, |g| g.sample(&mut self.rng));
+        let skew = Gamma::new(4.0, 0.25).map_or(1.0, |gamma| gamma.sample(&mut self.rng));
         let secs = units * self.server.unit.secs() * skew * dear;
         let put_off = if write {
             secs * self.server.put_off
@@ -150,12 +179,13 @@
 
     fn begin(&mut self, now: Instant) {
         while self.running.len() < self.server.cores as usize {
-            let Some(w) = self.waiting.pop_front() else {
+            let Some(work) = self.waiting.pop_front() else {
                 return;
             };
-            self.debt += w.put_off;
-            let lasts = Span::from_millis(w.secs / self.speed(now) * 1e3);
-            self.running.insert(w.id, now.max(self.still_until) + lasts);
+            self.deferred.core_seconds += work.put_off;
+            let lasts = Span::from_millis(work.secs / self.speed(now) * 1e3);
+            self.running
+                .insert(work.id, now.max(self.still_until) + lasts);
         }
     }
 
@@ -169,22 +199,23 @@
                     .pause_every
                     .times(self.rng.random_range(0.5..1.5));
         }
-        if now >= self.next_flush {
-            let all =
-                std::mem::take(&mut self.debt) / f64::from(self.server.cores) / self.speed(now);
+        if now >= self.deferred.next_flush {
+            let all = std::mem::take(&mut self.deferred.core_seconds)
+                / f64::from(self.server.cores)
+                / self.speed(now);
             self.stall(now, Span::from_millis(all * 1e3));
-            self.next_flush = now + self.server.flush_every;
+            self.deferred.next_flush = now + self.server.flush_every;
         }
-        let mut done: Vec<_> = self
-            .running
-            .iter()
-            .filter(|r| *r.1 <= now)
-            .map(|r| (*r.1, *r.0))
+        let ended = self.running.iter().filter(|(_, at)| **at <= now);
+        let mut finished: Vec<Finished> = ended
+            .map(|(id, at)| Finished { at: *at, id: *id })
             .collect();
-        done.sort();
-        done.iter().for_each(|(_, id)| _ = self.running.remove(id));
+        finished.sort();
+        for work in &finished {
+            self.running.remove(&work.id);
+        }
         self.begin(now);
-        done.into_iter().map(|(_, id)| id).collect()
+        finished.into_iter().map(|work| work.id).collect()
     }
 
     /// When the model next has something to do.
@@ -194,17 +225,20 @@
             .values()
             .min()
             .copied()
-            .unwrap_or(self.next_flush);
+            .unwrap_or(self.deferred.next_flush);
         let pause = if self.server.pause > Span::ZERO {
             self.next_pause
         } else {
-            self.next_flush
+            self.deferred.next_flush
         };
-        first.min(self.next_flush).min(pause)
+        first.min(self.deferred.next_flush).min(pause)
     }
 
     /// How many requests run, and how many wait.
-    pub fn load(&self) -> (u32, u32) {
-        (self.running.len() as u32, self.waiting.len() as u32)
+    pub fn load(&self) -> NodeLoad {
+        NodeLoad {
+            running: self.running.len() as u32,
+            waiting: self.waiting.len() as u32,
+        }
     }
 }
