--- a/crates/reference-model/src/history.rs
+++ b/crates/reference-model/src/history.rs
@@ -239,8 +239,10 @@
         about: impl Fn(&Observation) -> bool,
     ) -> Vec<String> {
         let entries = self.incarnation(host).filter(|entry| about(&entry.what));
-        let line =
-            |e: &HistoryEntry| format!("{:.3} ms, step {}: {:?}", e.at.millis(), e.step, e.what);
+        let line = |entry: &HistoryEntry| {
+            let at = entry.at.millis();
+            format!("{at:.3} ms, step {}: {:?}", entry.step, entry.what)
+        };
         let mut lines: Vec<String> = entries
             .map(line)
             .map(|line| line.chars().take(240).collect())
--- a/crates/reference-model/src/lib.rs
+++ b/crates/reference-model/src/lib.rs
@@ -10,6 +10,7 @@
 // One-letter names are left in places: docs/ROADMAP.md lists them.
 #![allow(clippy::min_ident_chars)]
 
+mod answers;
 mod history;
 mod rules;
 mod volume_limit;
@@ -53,16 +54,18 @@
 }
 
 impl fmt::Display for Breach {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (rule, host, at) = (self.rule, self.host.0, self.at.millis());
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let rule = self.rule;
+        let host = self.host.0;
+        let at = self.at.millis();
         write!(
-            f,
+            formatter,
             "rule {rule}, host {host}, at {at} ms, {:?}: {}",
             self.request, self.what
         )?;
         self.evidence
             .iter()
-            .try_for_each(|line| write!(f, "\n    {line}"))
+            .try_for_each(|line| write!(formatter, "\n    {line}"))
     }
 }
 
--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -1,7 +1,8 @@
-//! The rules 1 to 6, each by itself, in the order of the brief. Rule 7 stands in `volume_limit`.
+//! The rules 1 to 6 on attempts, each by itself, in their order. Rule 7 is in `volume_limit`, and the rules on
+//! answers are in `answers`.
 
 use crate::history::{AttemptEnding, Observation, RequestHistory};
-use crate::{Breach, Model, ReportedLate};
+use crate::{Breach, Model};
 use gullsail_scheduler_api::{
     Action, AttemptOutcome, Event, HostId, Idempotency, IdempotencyScope, Instant, NodeId, Request,
     RequestId, SchedulerConfig,
@@ -63,84 +64,6 @@
         }
     }
 
-    /// Rules 1 and 2 on an answer: the one, in time, and a rejection only where a repeat does no harm.
-    pub(crate) fn may_answer(
-        &mut self,
-        now: Instant,
-        host: HostId,
-        id: RequestId,
-        rejected: bool,
-    ) -> Verdict {
-        let Some(history) = self.request_history(host, id) else {
-            return Err(self.breach(1, now, host, id, "an answer to a transfer that never came"));
-        };
-        self.tested[0] += 1;
-        if let Some(ended) = history.ended {
-            let what = format!("a second answer; it ended at {} ms", ended.at.millis());
-            return Err(self.breach(1, now, host, id, what));
-        }
-        if now > history.deadline() + self.parameters.answer_slack {
-            return Err(self.breach(1, now, host, id, "the answer comes after the expiry"));
-        }
-        let classes = self.config(host).map(|config| &config.request_classes);
-        let class = classes.and_then(|classes| classes.get(history.request.request_class.0));
-        let safe = match class.map(|class| class.idempotency) {
-            Some(
-                Idempotency::Idempotent
-                | Idempotency::WithKey {
-                    scope: IdempotencyScope::All,
-                    ..
-                },
-            ) => true,
-            _ => history.may_have_run().is_none(),
-        };
-        self.tested[1] += u64::from(!safe);
-        if rejected && !safe {
-            return Err(self.breach(2, now, host, id, "deferred, though it may have run"));
-        }
-        Ok(())
-    }
-
-    /// Rule 1, on what must have happened: each request has its answer once its time is up.
-    ///
-    /// # Errors
-    /// One that has none; each is reported once.
-    pub fn passed(&mut self, now: Instant) -> Result<(), Breach> {
-        for host in self.hosts_up() {
-            let overdue = self
-                .accepted(host)
-                .filter(|a| a.at + a.request.timeout + self.parameters.answer_slack < now);
-            let late = overdue.map(|a| ReportedLate {
-                host,
-                request: a.request.id,
-                arrived: a.at,
-            });
-            let late: Vec<_> = late
-                .filter(|late| !self.reported_late.contains(late))
-                .collect();
-            for ReportedLate { request, .. } in late {
-                let Some(history) = self.request_history(host, request) else {
-                    continue;
-                };
-                self.reported_late.push(ReportedLate {
-                    host,
-                    request,
-                    arrived: history.arrived,
-                });
-                if history.ended.is_none() {
-                    return Err(self.breach(
-                        1,
-                        now,
-                        host,
-                        request,
-                        "its time is up and it has no answer",
-                    ));
-                }
-            }
-        }
-        Ok(())
-    }
-
     /// Rule 1: nothing is sent for a request that is over. What is seen in the same step may cross.
     fn not_after_its_end(&mut self, sending: &Sending) -> Verdict {
         let history = &sending.history;
@@ -230,7 +153,7 @@
             .evidence
             .extend(self.history_lines(*host, |what| match what {
                 Observation::Saw(Event::EndpointList { entries, .. }) => {
-                    entries.iter().any(|e| e.node == *node)
+                    entries.iter().any(|entry| entry.node == *node)
                 }
                 _ => false,
             }));
@@ -273,7 +196,7 @@
             }
             for entry in self
                 .incarnation(other)
-                .filter(|e| *now - e.at < rule.window && e.at >= started)
+                .filter(|entry| *now - entry.at < rule.window && entry.at >= started)
             {
                 if let Observation::Did(Action::StartAttempt { id, node: to, .. }) = &entry.what
                     && to == node
@@ -389,8 +312,8 @@
         let Some(shard) = request.shard else { return };
         let entries = self.lists(host).flat_map(|list| list.entries);
         let mut nodes: Vec<NodeId> = entries
-            .filter(|e| e.shard == shard)
-            .map(|e| e.node)
+            .filter(|entry| entry.shard == shard)
+            .map(|entry| entry.node)
             .collect();
         nodes.sort_unstable();
         nodes.dedup();
--- a/crates/reference-model/src/volume_limit.rs
+++ b/crates/reference-model/src/volume_limit.rs
@@ -13,13 +13,20 @@
     limit: Option<Limit>,
 }
 
+/// A request, by the host that sent its first attempt.
+#[derive(PartialEq)]
+struct SentRequest {
+    host: HostId,
+    id: RequestId,
+}
+
 /// A volume's bucket for all hosts, filled and emptied along the history.
 struct Replay {
     volume: VolumeId,
     plan: PlanId,
     held: Vec<HeldLimit>,
     /// Requests whose first attempt was sent.
-    sent: Vec<(HostId, RequestId)>,
+    sent: Vec<SentRequest>,
     /// The limit that binds: the highest that a host holds to, none where one knows of no limit.
     limit: Option<Limit>,
     tokens: f64,
@@ -28,12 +35,13 @@
 
 impl Replay {
     fn apply(&mut self, before: &[HistoryEntry], entry: &HistoryEntry) {
-        let (host, plan) = (entry.host, self.plan);
+        let host = entry.host;
+        let plan = self.plan;
         let mut taken = 0.0;
         match &entry.what {
             Observation::HostStarted(config) => {
                 // A host's ids begin anew with each incarnation.
-                self.sent.retain(|sent| sent.0 != host);
+                self.sent.retain(|sent| sent.host != host);
                 self.held.retain(|held| held.host != host);
                 let limit = config.plans.get(plan.0).and_then(|plan| plan.limit);
                 self.held.push(HeldLimit { host, limit });
@@ -42,7 +50,8 @@
             Observation::Saw(Event::ConfigChanged {
                 plans, allocations, ..
             }) => {
-                let Some(changed) = allocations.iter().find(|a| a.volume == self.volume) else {
+                let Some(changed) = allocations.iter().find(|entry| entry.volume == self.volume)
+                else {
                     return;
                 };
                 for held in self.held.iter_mut().filter(|held| held.host == host) {
@@ -50,20 +59,20 @@
                 }
             }
             Observation::Did(Action::StartAttempt { id, .. })
-                if !self.sent.contains(&(host, *id)) =>
+                if !self.sent.contains(&SentRequest { host, id: *id }) =>
             {
-                self.sent.push((host, *id));
+                self.sent.push(SentRequest { host, id: *id });
                 let request = before.iter().rev().find_map(|earlier| match &earlier.what {
-                    Observation::Saw(Event::RequestArrived(r))
-                        if earlier.host == host && r.id == *id =>
+                    Observation::Saw(Event::RequestArrived(request))
+                        if earlier.host == host && request.id == *id =>
                     {
-                        Some(r)
+                        Some(request)
                     }
                     _ => None,
                 });
                 taken = request
-                    .filter(|r| r.volume == self.volume)
-                    .map_or(0.0, |r| r.units);
+                    .filter(|request| request.volume == self.volume)
+                    .map_or(0.0, |request| request.units);
             }
             _ => return,
         }
@@ -80,9 +89,9 @@
     }
 
     fn bind(&mut self) {
-        let highest = |a: Limit, b: Limit| Limit {
-            rate: a.rate.max(b.rate),
-            burst: a.burst.max(b.burst),
+        let highest = |one: Limit, other: Limit| Limit {
+            rate: one.rate.max(other.rate),
+            burst: one.burst.max(other.burst),
         };
         let all: Option<Vec<Limit>> = self.held.iter().map(|held| held.limit).collect();
         let binding = all.and_then(|all| all.into_iter().reduce(highest));
@@ -104,13 +113,13 @@
     /// knows of no limit.
     pub(crate) fn within_the_volume_limit(&mut self, sending: &Sending) -> Verdict {
         let request = &sending.history.request;
-        let (now, volume) = (sending.now, request.volume);
-        let (held, sent) = (Vec::new(), Vec::new());
+        let now = sending.now;
+        let volume = request.volume;
         let mut bucket = Replay {
             volume,
             plan: request.plan,
-            held,
-            sent,
+            held: Vec::new(),
+            sent: Vec::new(),
             limit: None,
             tokens: 0.0,
             at: now,
