--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -2,11 +2,12 @@
 //! an even share of its volume's limit, to the node that holds its data, or to any ready node.
 //! It has no window, no ordering, no retries and no slow start, and it trusts the endpoint list.
 
+use bytes::Bytes;
 use gullsail_configuration::{Deployment, NamedVolume};
 use gullsail_connections::{Link, LinkEvent};
 use gullsail_protocol::{
-    Answer, Attempt, AttemptResult, Bounds, EndpointListQuery, Frame, Hello, ListedState, Message,
-    NotTaken, Outcome, Role, Submit,
+    Answer, Attempt, AttemptAnswer, AttemptResult, Bounds, EndpointListQuery, EndpointListUpdate,
+    Frame, Hello, ListedState, Message, NotTaken, Outcome, Role, Submit,
 };
 use gullsail_scheduler_api::{HostId, Idempotency, IdempotencyScope};
 use rand::seq::IteratorRandom;
@@ -21,7 +22,7 @@
 use tokio::time::Instant;
 
 #[derive(Clone, PartialEq)]
-enum Who {
+enum Peer {
     Client,
     Node(String),
     List,
@@ -35,16 +36,37 @@
     until: Instant,
 }
 
+/// An open link with the process at its other end.
+struct PeerLink {
+    peer: Peer,
+    link: Link,
+}
+
+/// A node that is ready by the list.
+struct ReadyNode {
+    address: String,
+    shard: i64,
+}
+
+/// A volume's tokens at this host.
+struct TokenLevel {
+    tokens: f64,
+    at: Instant,
+}
+
 struct BaselineHost {
+    /// The first frame on each link.
+    hello: Hello,
     deployment: Arc<Deployment>,
     rng: ChaCha8Rng,
-    links: BTreeMap<u64, (Who, Link)>,
-    /// Ready nodes by the list, with their addresses and shards, and their links.
-    ready: BTreeMap<String, (String, i64)>,
+    links: BTreeMap<u64, PeerLink>,
+    /// Ready nodes by the list, by name.
+    ready: BTreeMap<String, ReadyNode>,
+    /// The links of nodes that have said their name.
     up: BTreeMap<String, u64>,
     attempts: BTreeMap<u64, Sent>,
-    /// Tokens and since when.
-    levels: BTreeMap<u64, (f64, Instant)>,
+    /// By volume number.
+    levels: BTreeMap<u64, TokenLevel>,
     last: u64,
 }
 
@@ -53,14 +75,20 @@
 /// The wait before the endpoint list service is connected to again.
 const LIST_RECONNECT_WAIT: Duration = Duration::from_millis(500);
 /// How often requests that have expired are looked for.
-const EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
+const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A connection that was being opened; without a stream: it failed.
 struct Connected {
-    who: Who,
+    peer: Peer,
     stream: Option<TcpStream>,
 }
 
+/// A connection that was just opened.
+struct OpenedStream {
+    peer: Peer,
+    stream: TcpStream,
+}
+
 /// Connections that are being opened.
 struct Connecting {
     tasks: JoinSet<Connected>,
@@ -70,26 +98,30 @@
 }
 
 impl Connecting {
-    fn open(&mut self, who: Who, address: String, wait: Duration) {
+    fn open(&mut self, peer: Peer, address: String, wait: Duration) {
         self.tasks.spawn(async move {
             tokio::time::sleep(wait).await;
             let stream = TcpStream::connect(address).await.ok();
-            Connected { who, stream }
+            Connected { peer, stream }
         });
     }
 
     fn open_list(&mut self, wait: Duration) {
-        self.open(Who::List, self.list_address.clone(), wait);
+        self.open(Peer::List, self.list_address.clone(), wait);
     }
 
     /// Connects to ready nodes without a connection.
     fn open_nodes(&mut self, host: &BaselineHost) {
-        for (name, (address, _)) in &host.ready {
+        for (name, node) in &host.ready {
             let tried_at = self.node_tried_at.get(name);
             let due = tried_at.is_none_or(|at| at.elapsed() > NODE_RECONNECT_INTERVAL);
             if due && !host.up.contains_key(name) {
                 self.node_tried_at.insert(name.clone(), Instant::now());
-                self.open(Who::Node(name.clone()), address.clone(), Duration::ZERO);
+                self.open(
+                    Peer::Node(name.clone()),
+                    node.address.clone(),
+                    Duration::ZERO,
+                );
             }
         }
     }
@@ -104,13 +136,7 @@
         list_address: deployment.list.address.clone(),
         node_tried_at: BTreeMap::new(),
     };
-    let hello = Hello {
-        role: Role::Host as i32,
-        name: deployment.hosts[me.0 as usize].name.clone(),
-        incarnation: seed | 1,
-        ..Hello::default()
-    };
-    let mut host = BaselineHost::new(deployment, seed);
+    let mut host = BaselineHost::new(deployment, me, seed);
     connecting.open_list(Duration::ZERO);
     let mut last_link = 0;
     loop {
@@ -119,26 +145,26 @@
         let mut opened = None;
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
-                opened = Some((Who::Client, stream));
+                opened = Some(OpenedStream { peer: Peer::Client, stream });
             },
-            Some(Ok(Connected { who, stream })) = connecting.tasks.join_next(), if !connecting.tasks.is_empty() => match stream {
-                Some(stream) => opened = Some((who, stream)),
-                None if who == Who::List => connecting.open_list(LIST_RECONNECT_WAIT),
+            Some(Ok(Connected { peer, stream })) = connecting.tasks.join_next(), if !connecting.tasks.is_empty() => match stream {
+                Some(stream) => opened = Some(OpenedStream { peer, stream }),
+                None if peer == Peer::List => connecting.open_list(LIST_RECONNECT_WAIT),
                 None => {}
             },
             Some((id, happened)) = inbox.recv() => match happened {
                 LinkEvent::Frame(frame) => host.handle_frame(id, frame),
-                LinkEvent::Closed(_) => match host.links.remove(&id) {
-                    Some((Who::List, _)) => connecting.open_list(LIST_RECONNECT_WAIT),
-                    Some((Who::Node(name), _)) => host.lost(id, &name),
-                    _ => {}
+                LinkEvent::Closed(_) => match host.links.remove(&id).map(|closed| closed.peer) {
+                    Some(Peer::List) => connecting.open_list(LIST_RECONNECT_WAIT),
+                    Some(Peer::Node(name)) => host.lost(id, &name),
+                    Some(Peer::Client) | None => {}
                 },
                 LinkEvent::Written(_) => {}
             },
-            () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
+            () = tokio::time::sleep(DEADLINE_CHECK_INTERVAL) => {}
             _ = tasks.join_next(), if !tasks.is_empty() => {}
         }
-        if let Some((who, stream)) = opened {
+        if let Some(OpenedStream { peer, stream }) = opened {
             last_link += 1;
             let link = Link::open(
                 stream,
@@ -148,28 +174,31 @@
                 &sink,
                 &mut tasks,
             );
-            // A connection that is closed already is reported by its reading task.
-            let _ = link.send(Frame::from(hello.clone()));
-            if who == Who::List {
-                let _ = link.send(Frame::from(EndpointListQuery { watch: true }));
-            }
-            host.links.insert(last_link, (who, link));
+            host.greet(last_link, PeerLink { peer, link });
         }
     }
 }
 
 impl BaselineHost {
-    fn new(deployment: Arc<Deployment>, seed: u64) -> BaselineHost {
+    fn new(deployment: Arc<Deployment>, me: HostId, seed: u64) -> BaselineHost {
+        let hello = Hello {
+            role: Role::Host as i32,
+            name: deployment.hosts[me.0 as usize].name.clone(),
+            incarnation: seed | 1,
+            ..Hello::default()
+        };
         let running = deployment.nodes.iter().filter(|node| !node.spare);
         let ready = running
             .map(|node| {
-                (
-                    node.place.name.clone(),
-                    (node.place.address.clone(), node.shard.0),
-                )
+                let ready = ReadyNode {
+                    address: node.place.address.clone(),
+                    shard: node.shard.0,
+                };
+                (node.place.name.clone(), ready)
             })
             .collect();
         BaselineHost {
+            hello,
             deployment,
             rng: ChaCha8Rng::seed_from_u64(seed),
             links: BTreeMap::new(),
@@ -181,68 +210,91 @@
         }
     }
 
+    /// Sends the first frames on a new link and keeps it.
+    fn greet(&mut self, id: u64, opened: PeerLink) {
+        // Dropped: a connection that is closed already is reported by its reading task.
+        let _ = opened.link.send(Frame::from(self.hello.clone()));
+        if opened.peer == Peer::List {
+            let query = EndpointListQuery { watch: true };
+            // Dropped for the same reason.
+            let _ = opened.link.send(Frame::from(query));
+        }
+        self.links.insert(id, opened);
+    }
+
     fn handle_frame(&mut self, link: u64, frame: Frame) {
         match frame.message {
-            Message::Submit(s) => self.submit(link, s, frame.body),
-            Message::AttemptAnswer(a) => {
-                let Some(sent) = self.attempts.remove(&a.attempt) else {
-                    return;
-                };
-                match AttemptResult::try_from(a.result) {
-                    Ok(AttemptResult::Succeeded) => {
-                        let done = Outcome::Succeeded as i32;
-                        let answer = Answer {
-                            id: sent.id,
-                            outcome: done,
-                            handle: a.handle,
-                            retry_after_us: 0,
-                        };
-                        self.send(sent.client, Frame::from(answer).with_body(frame.body));
-                    }
-                    Ok(AttemptResult::Rejected) => self.answer(&sent, true),
-                    _ => self.answer(&sent, false),
-                }
-            }
-            Message::Hello(h) => {
-                if let Some((Who::Node(name), _)) = self.links.get(&link)
-                    && *name == h.name
+            Message::Submit(submit) => self.submit(link, submit, frame.body),
+            Message::AttemptAnswer(answer) => self.attempt_ended(&answer, frame.body),
+            Message::Hello(hello) => {
+                if let Some(PeerLink {
+                    peer: Peer::Node(name),
+                    ..
+                }) = self.links.get(&link)
+                    && *name == hello.name
                 {
-                    self.up.insert(h.name, link);
-                }
-            }
-            Message::EndpointListUpdate(news) => {
-                if news.whole {
-                    self.ready.clear();
-                }
-                for e in news.entries {
-                    if e.state == ListedState::Ready as i32 {
-                        self.ready.insert(e.name, (e.address, e.shard));
-                    } else {
-                        self.ready.remove(&e.name);
-                    }
+                    self.up.insert(hello.name, link);
                 }
             }
+            Message::EndpointListUpdate(update) => self.update_list(update),
             _ => {}
         }
     }
 
-    fn submit(&mut self, link: u64, submit: Submit, body: bytes::Bytes) {
+    fn attempt_ended(&mut self, ended: &AttemptAnswer, body: Bytes) {
+        let Some(sent) = self.attempts.remove(&ended.attempt) else {
+            return;
+        };
+        match AttemptResult::try_from(ended.result) {
+            Ok(AttemptResult::Succeeded) => {
+                let answer = Answer {
+                    id: sent.id,
+                    outcome: Outcome::Succeeded as i32,
+                    handle: ended.handle,
+                    retry_after_us: 0,
+                };
+                self.send(sent.client, Frame::from(answer).with_body(body));
+            }
+            Ok(AttemptResult::Rejected) => self.answer(&sent, true),
+            _ => self.answer(&sent, false),
+        }
+    }
+
+    fn update_list(&mut self, update: EndpointListUpdate) {
+        if update.whole {
+            self.ready.clear();
+        }
+        for entry in update.entries {
+            if entry.state == ListedState::Ready as i32 {
+                let node = ReadyNode {
+                    address: entry.address,
+                    shard: entry.shard,
+                };
+                self.ready.insert(entry.name, node);
+            } else {
+                self.ready.remove(&entry.name);
+            }
+        }
+    }
+
+    fn submit(&mut self, link: u64, submit: Submit, body: Bytes) {
         let deployment = self.deployment.clone();
         let request_class = deployment
             .request_classes
             .iter()
-            .find(|t| t.name == submit.request_class);
+            .find(|class| class.name == submit.request_class);
         let (Some(request_class), Some(volume)) =
             (request_class, deployment.volume(&submit.volume))
         else {
-            let n = NotTaken {
+            let not_taken = NotTaken {
                 id: submit.id,
                 reason: "not known here".into(),
                 leaving: false,
             };
-            return self.send(link, n.into());
+            return self.send(link, not_taken.into());
         };
-        let (now, idempotency) = (Instant::now(), request_class.decisions.idempotency);
+        let now = Instant::now();
+        let idempotency = request_class.decisions.idempotency;
         // A little before the deadline, for the way back.
         let until = now
             + Duration::from_micros(submit.timeout_us.max(0) as u64)
@@ -257,12 +309,12 @@
         if !self.take_tokens(volume, submit.units, now) {
             return self.answer(&sent, true);
         }
-        let fits = |n: &(&String, &(String, i64))| submit.handle.is_none_or(|h| h.shard == n.1.1);
+        let fits = |node: &ReadyNode| submit.handle.is_none_or(|to| to.shard == node.shard);
         let found = self
             .ready
             .iter()
-            .filter(fits)
-            .map(|n| n.0)
+            .filter(|(_, node)| fits(node))
+            .map(|(name, _)| name)
             .choose(&mut self.rng);
         let Some(node) = found.and_then(|name| self.up.get(name)).copied() else {
             return self.answer(&sent, true);
@@ -293,13 +345,17 @@
         let rate = limit.rate / hosts;
         let burst = limit.burst / hosts;
         // A host that has just started cannot know what it spent before.
-        let (level, at) = self.levels.entry(volume.id.0).or_insert((0.0, now));
-        *level = (*level + rate * (now - *at).as_secs_f64()).min(burst);
-        *at = now;
-        if *level < units {
+        let empty = TokenLevel {
+            tokens: 0.0,
+            at: now,
+        };
+        let level = self.levels.entry(volume.id.0).or_insert(empty);
+        level.tokens = (level.tokens + rate * (now - level.at).as_secs_f64()).min(burst);
+        level.at = now;
+        if level.tokens < units {
             return false;
         }
-        *level -= units;
+        level.tokens -= units;
         true
     }
 
@@ -333,7 +389,7 @@
         let over: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, s)| s.until <= now)
+            .filter(|(_, sent)| sent.until <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
@@ -344,11 +400,12 @@
     }
 
     fn lost(&mut self, link: u64, name: &str) {
-        self.up.retain(|n, l| n != name || *l != link);
+        self.up
+            .retain(|node, its_link| node != name || *its_link != link);
         let over: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, s)| s.node == link)
+            .filter(|(_, sent)| sent.node == link)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
@@ -359,8 +416,10 @@
     }
 
     fn send(&self, link: u64, frame: Frame) {
-        if let Some((_, l)) = self.links.get(&link) {
-            let _ = l.send(frame);
+        if let Some(to) = self.links.get(&link) {
+            // Dropped: a client retries when its connection closes, and an attempt without an answer fails at
+            // its deadline.
+            let _ = to.link.send(frame);
         }
     }
 }
