--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -2,7 +2,10 @@
 //! an even share of its volume's limit, to the node that holds its data, or to any ready node.
 //! It has no window, no ordering, no retries and no slow start, and it trusts the endpoint list.
 
+mod connecting;
+
 use bytes::Bytes;
+use connecting::{Connecting, LIST_RECONNECT_WAIT, OpenedStream, Peer, ReadyNode};
 use gullsail_configuration::{Deployment, NamedVolume};
 use gullsail_connections::{Link, LinkEvent};
 use gullsail_protocol::{
@@ -16,18 +19,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-#[derive(Clone, PartialEq)]
-enum Peer {
-    Client,
-    Node(String),
-    List,
-}
-
+/// An attempt that was sent to a node, with the request that it is for.
 struct Sent {
     client: u64,
     id: u64,
@@ -42,12 +39,6 @@
     link: Link,
 }
 
-/// A node that is ready by the list.
-struct ReadyNode {
-    address: String,
-    shard: i64,
-}
-
 /// A volume's tokens at this host.
 struct TokenLevel {
     tokens: f64,
@@ -70,87 +61,27 @@
     last: u64,
 }
 
-/// The time between two attempts to connect to a node.
-const NODE_RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
-/// The wait before the endpoint list service is connected to again.
-const LIST_RECONNECT_WAIT: Duration = Duration::from_millis(500);
 /// How often requests that have expired are looked for.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A connection that was being opened; without a stream: it failed.
-struct Connected {
-    peer: Peer,
-    stream: Option<TcpStream>,
-}
-
-/// A connection that was just opened.
-struct OpenedStream {
-    peer: Peer,
-    stream: TcpStream,
-}
-
-/// Connections that are being opened.
-struct Connecting {
-    tasks: JoinSet<Connected>,
-    list_address: String,
-    /// When each node was last connected to.
-    node_tried_at: BTreeMap<String, Instant>,
-}
-
-impl Connecting {
-    fn open(&mut self, peer: Peer, address: String, wait: Duration) {
-        self.tasks.spawn(async move {
-            tokio::time::sleep(wait).await;
-            let stream = TcpStream::connect(address).await.ok();
-            Connected { peer, stream }
-        });
-    }
-
-    fn open_list(&mut self, wait: Duration) {
-        self.open(Peer::List, self.list_address.clone(), wait);
-    }
-
-    /// Connects to ready nodes without a connection.
-    fn open_nodes(&mut self, host: &BaselineHost) {
-        for (name, node) in &host.ready {
-            let tried_at = self.node_tried_at.get(name);
-            let due = tried_at.is_none_or(|at| at.elapsed() > NODE_RECONNECT_INTERVAL);
-            if due && !host.up.contains_key(name) {
-                self.node_tried_at.insert(name.clone(), Instant::now());
-                self.open(
-                    Peer::Node(name.clone()),
-                    node.address.clone(),
-                    Duration::ZERO,
-                );
-            }
-        }
-    }
-}
-
 /// Serves until its task is dropped.
 pub async fn serve(deployment: Arc<Deployment>, me: HostId, seed: u64, listener: TcpListener) {
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
-    let mut connecting = Connecting {
-        tasks: JoinSet::new(),
-        list_address: deployment.list.address.clone(),
-        node_tried_at: BTreeMap::new(),
-    };
+    let mut connecting = Connecting::new(deployment.list.address.clone());
     let mut host = BaselineHost::new(deployment, me, seed);
     connecting.open_list(Duration::ZERO);
     let mut last_link = 0;
     loop {
-        connecting.open_nodes(&host);
+        connecting.open_nodes(&host.ready, &host.up);
         host.expire();
         let mut opened = None;
         tokio::select! {
             came = listener.accept() => if let Ok((stream, _)) = came {
                 opened = Some(OpenedStream { peer: Peer::Client, stream });
             },
-            Some(Ok(Connected { peer, stream })) = connecting.tasks.join_next(), if !connecting.tasks.is_empty() => match stream {
-                Some(stream) => opened = Some(OpenedStream { peer, stream }),
-                None if peer == Peer::List => connecting.open_list(LIST_RECONNECT_WAIT),
-                None => {}
+            Some(Ok(connected)) = connecting.tasks.join_next(), if !connecting.tasks.is_empty() => {
+                opened = connecting.ended(connected);
             },
             Some((id, happened)) = inbox.recv() => match happened {
                 LinkEvent::Frame(frame) => host.handle_frame(id, frame),
