--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -6,9 +6,6 @@
 //! each rule the [`Verdict`] says whether it was kept, how often it was put to the test, how near its bound
 //! came, and for each breach which lines of the recording show it.
 
-// One-letter names are left in places: docs/ROADMAP.md lists them.
-#![allow(clippy::min_ident_chars)]
-
 mod error;
 mod history;
 mod rules;
--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -19,7 +19,7 @@
     pub plans: Vec<NamedPlan>,
     /// In the order of the document.
     pub volumes: Vec<NamedVolume>,
-    /// By [`HostId`](gullsail_scheduler_api::HostId).
+    /// By [`HostId`].
     pub hosts: Vec<Place>,
     /// The storage nodes.
     pub nodes: Vec<NodePlace>,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -12,9 +12,6 @@
 //! Numbers are little-endian. A kind that is not known is skipped as a whole, a field that is not known is
 //! skipped by the serialization; all else that is not understood ends the connection ([`Broken`]).
 
-// One-letter names are left in places: docs/ROADMAP.md lists them.
-#![allow(clippy::min_ident_chars)]
-
 pub mod message;
 pub mod record;
 
@@ -115,13 +112,13 @@
             }
             fn encoded_len(&self) -> usize {
                 match self {
-                    $(Message::$name(m) => m.encoded_len(),)*
+                    $(Message::$name(message) => message.encoded_len(),)*
                     Message::Newer { .. } => 0,
                 }
             }
             fn encode_into(&self, out: &mut BytesMut) {
                 match self {
-                    $(Message::$name(m) => m.encode_raw(out),)*
+                    $(Message::$name(message) => message.encode_raw(out),)*
                     Message::Newer { .. } => {}
                 }
             }
@@ -134,8 +131,8 @@
         }
 
         $(impl From<$name> for Frame {
-            fn from(m: $name) -> Frame {
-                Frame { message: Message::$name(m), body: Bytes::new() }
+            fn from(message: $name) -> Frame {
+                Frame { message: Message::$name(message), body: Bytes::new() }
             }
         })*
     };
@@ -246,25 +243,25 @@
     let mut frame = buf.split_to(whole).freeze();
     frame.advance(HEADER);
     let message =
-        Message::decode(kind, frame.split_to(message)).map_err(|e| Broken::Malformed {
+        Message::decode(kind, frame.split_to(message)).map_err(|error| Broken::Malformed {
             kind,
-            why: e.to_string(),
+            why: error.to_string(),
         })?;
-    if let Message::DemandReport(l) = &message
-        && l.bytes.len() > MAX_DEMAND_REPORT_BYTES
+    if let Message::DemandReport(report) = &message
+        && report.bytes.len() > MAX_DEMAND_REPORT_BYTES
     {
         return Err(Broken::TooLong {
-            what: "label",
-            found: l.bytes.len(),
+            what: "demand report",
+            found: report.bytes.len(),
             most: MAX_DEMAND_REPORT_BYTES,
         });
     }
-    if let Message::Reached(r) = &message
-        && r.hosts.len() > MAX_DEMAND_REPORT_BYTES
+    if let Message::Reached(notice) = &message
+        && notice.hosts.len() > MAX_DEMAND_REPORT_BYTES
     {
         return Err(Broken::TooLong {
-            what: "note on revisions",
-            found: r.hosts.len(),
+            what: "revision notice",
+            found: notice.hosts.len(),
             most: MAX_DEMAND_REPORT_BYTES,
         });
     }
--- a/crates/reference-model/src/lib.rs
+++ b/crates/reference-model/src/lib.rs
@@ -7,9 +7,6 @@
 //! of it ([`Model::step`]), what it saw in that step, then what it did. [`Model::passed`] says what must have
 //! happened by now. Events and actions that no rule speaks of, timers above all, need not be reported.
 
-// One-letter names are left in places: docs/ROADMAP.md lists them.
-#![allow(clippy::min_ident_chars)]
-
 mod answers;
 mod history;
 mod rules;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,9 +3,6 @@
 //! [`recording_proxy`], which stands before a process's socket, records each frame and disturbs what it is
 //! told to.
 
-// One-letter names are left in places: docs/ROADMAP.md lists them.
-#![allow(clippy::min_ident_chars)]
-
 pub mod baseline;
 pub mod client;
 pub mod discovery;
--- a/crates/zone-traffic/src/lib.rs
+++ b/crates/zone-traffic/src/lib.rs
@@ -2,9 +2,6 @@
 //! bounded memory. A host counts into them as it sends and receives, and shows them to its operators; nothing
 //! is decided by them. No I/O and no clock of its own.
 
-// One-letter names are left in places: docs/ROADMAP.md lists them.
-#![allow(clippy::min_ident_chars)]
-
 mod ledger;
 mod overruns;
 
--- a/crates/zone-traffic/src/overruns.rs
+++ b/crates/zone-traffic/src/overruns.rs
@@ -85,7 +85,7 @@
         let all: f64 = rates.iter().map(|rate| rate.lately).sum();
         let most = rates
             .into_iter()
-            .max_by(|a, b| a.lately.total_cmp(&b.lately))?;
+            .max_by(|one, other| one.lately.total_cmp(&other.lately))?;
         let known_long_enough = seen > SURGE_WINDOW.secs() * 2.0;
         let surges = most.lately * 2.0 > all && most.lately > SURGE_FACTOR * most.usually;
         (known_long_enough && surges).then_some(most.plan)
@@ -103,15 +103,17 @@
             (OverrunCause::DataPlacement, Some(plan)) => OverrunReason::Surge(plan),
             _ => OverrunReason::Decided(cause),
         };
-        let goes_on = |o: &&mut Overrun| {
-            o.cross_zone_budget == cross_zone_budget && o.known == known && now - o.to <= MAX_GAP
+        let continues = |overrun: &&mut Overrun| {
+            overrun.cross_zone_budget == cross_zone_budget
+                && overrun.known == known
+                && now - overrun.to <= MAX_GAP
         };
         if let Some(overrun) = self
             .all
             .iter_mut()
             .rev()
             .take(NEWEST_SEARCHED)
-            .find(goes_on)
+            .find(continues)
         {
             overrun.to = overrun.to.max(now);
             overrun.bytes += bytes;
