--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -43,10 +43,10 @@
         "core.named",
         "core.legs",
         "core.pending",
-        "desk.xfers",
-        "desk.lines",
-        "desk.turns",
-        "nodes.out",
+        "open_requests",
+        "wait_queues",
+        "object_orders",
+        "endpoints.in_flight",
     ] {
         assert_eq!(held(rig, name), 0, "{what}: {name}");
     }
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -356,7 +356,13 @@
             assert_eq!(rig.metrics().attempts_sent, attempts_before, "{case}");
         }
         rig.advance_time(3000.0);
-        let held = ["requests", "attempts", "nodes.out", "desk.xfers"].map(|name| rig.size(name));
+        let held = [
+            "requests",
+            "attempts",
+            "endpoints.in_flight",
+            "open_requests",
+        ]
+        .map(|name| rig.size(name));
         assert_eq!(held, [0; 4], "{case}");
     }
 }
@@ -418,8 +424,13 @@
                     "{order:?} {leaves}"
                 );
                 rig.advance_time(3000.0);
-                let size_metrics =
-                    ["requests", "attempts", "nodes.out", "desk.xfers"].map(|name| rig.size(name));
+                let size_metrics = [
+                    "requests",
+                    "attempts",
+                    "endpoints.in_flight",
+                    "open_requests",
+                ]
+                .map(|name| rig.size(name));
                 assert_eq!(size_metrics, [0; 4], "{order:?} {leaves}");
             }
         }
--- a/tests/decisions/bounds.rs
+++ b/tests/decisions/bounds.rs
@@ -37,7 +37,8 @@
             });
             host.pass(ms(1000));
         }
-        let kept = ["brain.nodes", "desk.rooms", "desk.cells"].map(|name| host.size_metric(name));
+        let kept =
+            ["endpoints", "endpoint_capacities", "shards"].map(|name| host.size_metric(name));
         assert!(
             kept[0] <= 61 && kept[1] == 0 && kept[2] == 0,
             "drains {drains}: {kept:?}"
@@ -86,11 +87,11 @@
             host.pass(ms(1));
         }
         assert!(
-            host.size_metric("desk.accepted") <= 1002,
+            host.size_metric("arrivals") <= 1002,
             "silent {silent}: {}",
-            host.size_metric("desk.accepted")
+            host.size_metric("arrivals")
         );
-        assert!(host.size_metric("desk.xfers") <= 60);
+        assert!(host.size_metric("open_requests") <= 60);
     }
 }
 
@@ -112,7 +113,7 @@
 #[test]
 fn withdrawn_volumes_are_forgotten() {
     let mut host = Host::new(config(), vec![node(1, 0)], at(1000));
-    let sizes = |host: &Host| ["desk.volumes", "desk.xfers"].map(|name| host.size_metric(name));
+    let sizes = |host: &Host| ["volumes", "open_requests"].map(|name| host.size_metric(name));
     for volume in 0..200 {
         host.deliver(change_allocations(vec![allocations(volume, 2)]));
         host.deliver(limited_request(volume, volume, 1.0));
@@ -182,7 +183,7 @@
             bytes: demand_report::pack_report(host.now, &[line]),
         });
     }
-    assert_eq!(host.size_metric("volumes.lent"), 0);
+    assert_eq!(host.size_metric("volumes.loans"), 0);
 }
 
 /// Rule 1: what comes with a plan or a request class that no configuration has any more is answered too.
@@ -237,7 +238,7 @@
     }));
     host.pass(ms(3000));
     assert_eq!(
-        (host.size_metric("desk.xfers"), host.answers(4)),
+        (host.size_metric("open_requests"), host.answers(4)),
         (0, vec!["rejected"])
     );
 }
