--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -5,7 +5,7 @@
 use crate::{Breach, Model};
 use gullsail_scheduler_api::{
     Action, AttemptOutcome, Event, HostId, Idempotency, IdempotencyScope, Instant, NodeId, Request,
-    RequestId, SchedulerConfig,
+    RequestId, SchedulerConfig, Span,
 };
 
 pub(crate) type Verdict = Result<(), Breach>;
@@ -105,19 +105,7 @@
                 Some("an unrepeatable transfer that may have run goes again")
             }
             Idempotency::WithKey { scope, window } => {
-                let (there, here) = (
-                    self.listings(*host, first.node).last(),
-                    self.listings(*host, *node).last(),
-                );
-                let same = match scope {
-                    IdempotencyScope::All => true,
-                    IdempotencyScope::Zone => {
-                        there.map(|entry| entry.zone) == here.map(|entry| entry.zone)
-                    }
-                    IdempotencyScope::Shard => {
-                        there.map(|entry| entry.shard) == here.map(|entry| entry.shard)
-                    }
-                };
+                let same = self.same_scope(*host, scope, first.node, *node);
                 if !same {
                     Some("a keyed transfer that may have run leaves its group")
                 } else if *now - first.at > window {
@@ -131,6 +119,27 @@
         wrong.map_or(Ok(()), |what| Err(self.breach_by(2, sending, what)))
     }
 
+    /// Whether two nodes share their idempotency keys, by the lists that this host saw last.
+    fn same_scope(
+        &self,
+        host: HostId,
+        scope: IdempotencyScope,
+        first: NodeId,
+        second: NodeId,
+    ) -> bool {
+        let first = self.listings(host, first).last();
+        let second = self.listings(host, second).last();
+        match scope {
+            IdempotencyScope::All => true,
+            IdempotencyScope::Zone => {
+                first.map(|entry| entry.zone) == second.map(|entry| entry.zone)
+            }
+            IdempotencyScope::Shard => {
+                first.map(|entry| entry.shard) == second.map(|entry| entry.shard)
+            }
+        }
+    }
+
     /// Rule 3: nothing new goes to a node that this host knows to drain or to be gone, after the grace.
     fn not_to_a_draining_node(&mut self, sending: &Sending) -> Verdict {
         let Sending {
@@ -167,6 +176,28 @@
             .max()
     }
 
+    /// The units of each attempt that hosts which know of a node's start sent there, since it and after a
+    /// time.
+    fn units_since_start(&self, node: NodeId, started: Instant, after: Instant) -> Vec<f64> {
+        let mut sent = Vec::new();
+        for host in self.hosts_up() {
+            if self.started(host, node).is_none_or(|at| at < started) {
+                continue; // it does not know of this start
+            }
+            let entries = self.incarnation(host);
+            for entry in entries.filter(|entry| entry.at > after && entry.at >= started) {
+                if let Observation::Did(Action::StartAttempt { id, node: to, .. }) = &entry.what
+                    && *to == node
+                {
+                    let mut accepted = self.accepted(host);
+                    let request = accepted.find(|accepted| accepted.request.id == *id);
+                    sent.push(request.map_or(0.0, |accepted| accepted.request.units));
+                }
+            }
+        }
+        sent
+    }
+
     /// Rule 4: what all hosts that know of a start send within any window of the rule's length stays under
     /// what the node bears: what is borne in any case, or the multiple of what it can do by now, which grows
     /// with the ramp.
@@ -189,25 +220,10 @@
         let part = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.ramp.secs();
         let by_now = self.parameters.multiple * self.parameters.can * part * rule.window.secs();
         let bound = rule.units.max(by_now);
-        let mut sent = history.request.units;
-        for other in self.hosts_up() {
-            if self.started(other, *node).is_none_or(|at| at < started) {
-                continue; // it does not know of this start
-            }
-            for entry in self
-                .incarnation(other)
-                .filter(|entry| *now - entry.at < rule.window && entry.at >= started)
-            {
-                if let Observation::Did(Action::StartAttempt { id, node: to, .. }) = &entry.what
-                    && to == node
-                {
-                    let request = self
-                        .accepted(other)
-                        .find(|accepted| accepted.request.id == *id);
-                    sent += request.map_or(0.0, |accepted| accepted.request.units);
-                }
-            }
-        }
+        let before = self.units_since_start(*node, started, *now - rule.window);
+        let sent = before
+            .iter()
+            .fold(history.request.units, |sum, units| sum + units);
         self.tested[3] += u64::from(sent > rule.units / 2.0);
         if sent > bound {
             let what = format!(
@@ -240,33 +256,7 @@
             .collect();
         self.tested[4] += before.len() as u64;
         for earlier in before {
-            let id = earlier.request.id.0;
-            let wrong = if earlier.ended.is_none() {
-                Some(format!("transfer {id} came before it and is not over"))
-            } else if earlier
-                .attempts
-                .iter()
-                .any(|attempt| attempt.ended.is_none())
-            {
-                Some(format!("transfer {id} came before it and has a leg out"))
-            } else {
-                let unknown = earlier
-                    .attempts
-                    .iter()
-                    .filter_map(|attempt| attempt.ended)
-                    .filter(may_still_run);
-                let rest = unknown
-                    .map(|end| end.at + config.order_settle)
-                    .max()
-                    .filter(|until| now < until);
-                rest.map(|until| {
-                    format!(
-                        "after transfer {id} its object rests until {} ms",
-                        until.millis()
-                    )
-                })
-            };
-            if let Some(what) = wrong {
+            if let Some(what) = blocks_its_object(&earlier, config.order_settle, *now) {
                 return Err(self.breach_by(5, sending, what));
             }
         }
@@ -326,6 +316,27 @@
     }
 }
 
+/// Why a later request of the same object may not be sent yet.
+fn blocks_its_object(earlier: &RequestHistory, settle: Span, now: Instant) -> Option<String> {
+    let id = earlier.request.id.0;
+    if earlier.ended.is_none() {
+        return Some(format!("transfer {id} came before it and is not over"));
+    }
+    let mut attempts = earlier.attempts.iter();
+    if attempts.any(|attempt| attempt.ended.is_none()) {
+        return Some(format!("transfer {id} came before it and has a leg out"));
+    }
+    let ends = earlier.attempts.iter().filter_map(|attempt| attempt.ended);
+    let unknown = ends.filter(may_still_run);
+    let rests_until = unknown.map(|end| end.at + settle).max()?;
+    (now < rests_until).then(|| {
+        format!(
+            "after transfer {id} its object rests until {} ms",
+            rests_until.millis()
+        )
+    })
+}
+
 fn may_still_run(end: &AttemptEnding) -> bool {
     matches!(
         end.outcome,
