--- a/crates/audit/src/history/observations.rs
+++ b/crates/audit/src/history/observations.rs
@@ -211,8 +211,8 @@
 }
 
 impl fmt::Display for BallotSeen {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "({}, {})", self.round, self.by)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "({}, {})", self.round, self.by)
     }
 }
 
--- a/crates/simulator/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -129,6 +129,25 @@
         }
     }
 
+    /// Answers a query with all entries that are not gone.
+    fn send_whole_list(&mut self, link: u64, watch: bool) {
+        let gone = ListedState::Gone as i32;
+        let listed = self
+            .entries
+            .iter()
+            .filter(|(_, known)| known.endpoint.state != gone);
+        let entries = listed.filter_map(|(name, _)| self.entry(name)).collect();
+        if watch {
+            self.watchers.insert(link);
+        }
+        let update = EndpointListUpdate {
+            version: self.version,
+            whole: true,
+            entries,
+        };
+        self.send(link, Frame::from(update));
+    }
+
     fn handle_frame(&mut self, link: u64, frame: Frame) {
         let down = Instant::now() < self.down_until;
         match frame.message {
@@ -138,28 +157,7 @@
                 };
                 self.send(link, Frame::from(refused));
             }
-            Message::EndpointListQuery(ask) => {
-                let gone = ListedState::Gone as i32;
-                let names = self
-                    .entries
-                    .values()
-                    .filter(|known| known.endpoint.state != gone)
-                    .map(|known| known.endpoint.name.clone());
-                let entries = names
-                    .collect::<Vec<_>>()
-                    .iter()
-                    .filter_map(|name| self.entry(name))
-                    .collect();
-                if ask.watch {
-                    self.watchers.insert(link);
-                }
-                let update = EndpointListUpdate {
-                    version: self.version,
-                    whole: true,
-                    entries,
-                };
-                self.send(link, Frame::from(update));
-            }
+            Message::EndpointListQuery(query) => self.send_whole_list(link, query.watch),
             Message::Order(order) if order.what == "refuse" => {
                 self.down_until =
                     Instant::now() + Duration::from_micros(order.lasts_us.max(0) as u64);
