--- a/crates/simulator/src/node_model.rs
+++ b/crates/simulator/src/node_model.rs
@@ -27,7 +27,7 @@
 }
 
 /// Writes that the node finishes later, all at once.
-struct DeferredWork {
+struct PendingWrites {
     /// In seconds of one core.
     core_seconds: f64,
     next_flush: Instant,
@@ -62,7 +62,7 @@
     started_at: Instant,
     waiting: VecDeque<Work>,
     running: BTreeMap<u64, Instant>,
-    deferred: DeferredWork,
+    pending_writes: PendingWrites,
     next_pause: Instant,
     still_until: Instant,
     slow: f64,
@@ -82,7 +82,7 @@
     ) -> Model {
         let next_pause = now + server.pause_every.times(rng.random_range(0.3..1.3));
         Model {
-            deferred: DeferredWork {
+            pending_writes: PendingWrites {
                 core_seconds: 0.0,
                 next_flush: now + server.flush_every,
             },
@@ -182,7 +182,7 @@
             let Some(work) = self.waiting.pop_front() else {
                 return;
             };
-            self.deferred.core_seconds += work.put_off;
+            self.pending_writes.core_seconds += work.put_off;
             let lasts = Span::from_millis(work.secs / self.speed(now) * 1e3);
             self.running
                 .insert(work.id, now.max(self.still_until) + lasts);
@@ -199,12 +199,12 @@
                     .pause_every
                     .times(self.rng.random_range(0.5..1.5));
         }
-        if now >= self.deferred.next_flush {
-            let all = std::mem::take(&mut self.deferred.core_seconds)
+        if now >= self.pending_writes.next_flush {
+            let all = std::mem::take(&mut self.pending_writes.core_seconds)
                 / f64::from(self.server.cores)
                 / self.speed(now);
             self.stall(now, Span::from_millis(all * 1e3));
-            self.deferred.next_flush = now + self.server.flush_every;
+            self.pending_writes.next_flush = now + self.server.flush_every;
         }
         let ended = self.running.iter().filter(|(_, at)| **at <= now);
         let mut finished: Vec<Finished> = ended
@@ -225,13 +225,13 @@
             .values()
             .min()
             .copied()
-            .unwrap_or(self.deferred.next_flush);
+            .unwrap_or(self.pending_writes.next_flush);
         let pause = if self.server.pause > Span::ZERO {
             self.next_pause
         } else {
-            self.deferred.next_flush
+            self.pending_writes.next_flush
         };
-        first.min(self.deferred.next_flush).min(pause)
+        first.min(self.pending_writes.next_flush).min(pause)
     }
 
     /// How many requests run, and how many wait.
