--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -83,17 +83,20 @@
         (header(0x9d, 0, 1, 0, 0), "version 0"),
         (
             header(0x9d, 1, 1, 1 << 30, 0),
-            "message of 1073741824 bytes, at most 4096",
+            "message of 1073741824 bytes is too long, at most 4096",
         ),
         (
             header(0x9d, 1, 1, 0, 1 << 30),
-            "body of 1073741824 bytes, at most 65536",
+            "body of 1073741824 bytes is too long, at most 65536",
         ),
-        (wire(&long), "label of 257 bytes, at most 256"),
-        (bad_message, "message of kind 10 can't be decoded"),
+        (
+            wire(&long),
+            "demand report of 257 bytes is too long, at most 256",
+        ),
+        (bad_message, "message of kind 10 cannot be decoded"),
         (
             wire(&message),
-            "note on revisions of 257 bytes, at most 256",
+            "revision notice of 257 bytes is too long, at most 256",
         ),
     ];
     for (mut bytes, wanted) in cases {
