--- a/crates/config-transition/src/error.rs
+++ b/crates/config-transition/src/error.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
     /// It is older than the current one.
-    #[error("revision {} is not later than {}, which this host holds to", .next.0, .held.0)]
+    #[error("revision {} is not later than {}, which this host runs", .next.0, .held.0)]
     NotLater {
         /// The current revision.
         held: Revision,
@@ -15,14 +15,14 @@
         next: Revision,
     },
     /// It has the number of the current one, but other limits or hosts.
-    #[error("limits or hosts of volumes change, and revision {} is the one that this host holds to: give the \
-             document the next number, and name the file of the one before with `after`", .0.0)]
+    #[error("limits or hosts of volumes change, but this host runs revision {} already: give the configuration the \
+             next revision number, and name the file of the earlier one with `after`", .0.0)]
     SameRevision(Revision),
     /// It names an earlier revision with the number of the current one, but other limits or hosts.
-    #[error("the document named for revision {} is not the one that this host holds to", .0.0)]
+    #[error("the configuration named with `after` as revision {} differs from the one that this host runs", .0.0)]
     Other(Revision),
     /// It does not follow the current one.
-    #[error("revision {} comes after {}, but this host holds to {}", .next.0, .after.0, .held.0)]
+    #[error("revision {} follows {}, but this host runs {}", .next.0, .after.0, .held.0)]
     NotNext {
         /// The current revision.
         held: Revision,
@@ -32,6 +32,6 @@
         next: Revision,
     },
     /// The chain given with it does not reach back to this revision, which some host may still follow.
-    #[error("some hosts are not known to have gone past revision {}: keep naming it with `after`", .0.0)]
+    #[error("some hosts may still run revision {}: keep naming it with `after`", .0.0)]
     ChainTooShort(Revision),
 }
