--- a/crates/audit/src/history/reader.rs
+++ b/crates/audit/src/history/reader.rs
@@ -9,7 +9,7 @@
 use crate::error::RecordingError;
 use gullsail_configuration::Deployment;
 use gullsail_protocol::record::{Delivery, Entry, What};
-use gullsail_protocol::{EndpointListUpdate, FleetMessage, FleetWhat, Frame, Message};
+use gullsail_protocol::{EndpointListUpdate, FleetMessage, FleetMessageKind, Frame, Message};
 use std::collections::BTreeMap;
 
 impl History {
@@ -25,7 +25,7 @@
             entries.push(Numbered { line, entry });
         }
         // Relays write as they pass frames on; what reached its receiver first comes first.
-        entries.sort_by_key(|numbered| (numbered.entry.out, numbered.line));
+        entries.sort_by_key(|numbered| (numbered.entry.sent_at, numbered.line));
         let mut reader = Reader::new(deployment);
         for Numbered { line, entry } in entries {
             reader.entry(line, entry)?;
@@ -42,14 +42,22 @@
         let mut by_mark: BTreeMap<(&str, &str, u32), usize> = BTreeMap::new();
         for (place, request) in self.requests.iter().enumerate() {
             by_mark.insert(
-                (&request.host, &request.submit.mark, request.submit.repeat),
+                (
+                    &request.host,
+                    &request.submit.idempotency_key,
+                    request.submit.repeat,
+                ),
                 place,
             );
         }
         let request_of = |seen: &AttemptSeen| {
             let attempt = &seen.attempt;
             by_mark
-                .get(&(seen.host.as_str(), attempt.mark.as_str(), attempt.repeat))
+                .get(&(
+                    seen.host.as_str(),
+                    attempt.idempotency_key.as_str(),
+                    attempt.repeat,
+                ))
                 .copied()
         };
         let requests: Vec<Option<usize>> = self.attempts.iter().map(request_of).collect();
@@ -99,7 +107,7 @@
     }
 
     fn entry(&mut self, line: usize, entry: Entry) -> Result<(), RecordingError> {
-        self.history.end = self.history.end.max(entry.out);
+        self.history.end = self.history.end.max(entry.sent_at);
         match entry.what {
             What::Frame {
                 message,
@@ -109,7 +117,7 @@
                 let passed = Passed {
                     line,
                     at: entry.at,
-                    out: entry.out,
+                    out: entry.sent_at,
                     link: entry.link,
                     from: entry.from,
                     to: entry.to,
@@ -119,7 +127,7 @@
                 };
                 self.frame(passed, message, body);
             }
-            What::Closed { .. } => close_link(&mut self.history, entry.link, entry.out),
+            What::Closed { .. } => close_link(&mut self.history, entry.link, entry.sent_at),
             What::Unread { received } => {
                 self.history.unread.insert(entry.link, entry.at, received);
             }
@@ -146,13 +154,15 @@
                 *history.reported_overruns.entry(budget).or_default() += bytes;
             }
             What::Parts {
-                lasts_us, parts, ..
+                lease_left_us,
+                shares,
+                ..
             } => {
                 let seen = SharesSeen {
                     at,
                     line,
-                    lasts_us,
-                    shares: parts,
+                    lasts_us: lease_left_us,
+                    shares,
                 };
                 history.shares.entry(to).or_default().push(seen);
             }
@@ -254,7 +264,7 @@
     fn fleet_message(&mut self, passed: Passed, message: &FleetMessage) {
         let Passed { line, at, from, .. } = passed;
         let sender = self.history.hosts.get(message.from as usize);
-        if message.what() == FleetWhat::Grant && sender == Some(&from) {
+        if message.kind() == FleetMessageKind::Grant && sender == Some(&from) {
             let ballot = BallotSeen {
                 round: message.round,
                 by: message.by,
--- a/crates/audit/src/rules/answers.rs
+++ b/crates/audit/src/rules/answers.rs
@@ -15,7 +15,7 @@
         } else if !request.answers.is_empty() || !request.attempts.is_empty() {
             let what = format!(
                 "{} was refused as invalid, but more came of it",
-                request.submit.mark
+                request.submit.idempotency_key
             );
             verdict.breach(what, history.lines_of(request));
         }
@@ -29,7 +29,7 @@
     history: &History,
     request: &RequestSeen,
 ) {
-    let mark = &request.submit.mark;
+    let mark = &request.submit.idempotency_key;
     match request.answers.as_slice() {
         [] if is_excused(history, request) => {}
         [] if was_not_run(deployment, history, request) => {
@@ -88,7 +88,7 @@
     request: &RequestSeen,
     answer: &AnswerSeen,
 ) {
-    let mark = &request.submit.mark;
+    let mark = &request.submit.idempotency_key;
     let timeout = request.submit.timeout_us;
     let deadline = request.at + timeout;
     verdict.approach((answer.at - request.at) as f64 / (timeout + FRAME_DELAY) as f64);
--- a/crates/audit/src/rules/idempotency.rs
+++ b/crates/audit/src/rules/idempotency.rs
@@ -60,7 +60,7 @@
             _ => false,
         };
         if !is_recognised {
-            let mark = &request.submit.mark;
+            let mark = &request.submit.idempotency_key;
             let what = format!(
                 "{mark} may have run at {} and was sent to {}",
                 before.node, attempt.node
@@ -99,7 +99,7 @@
     {
         let what = format!(
             "{} may have run at {} and was rejected",
-            request.submit.mark, attempt.node
+            request.submit.idempotency_key, attempt.node
         );
         verdict.breach(what, history.lines_of(request));
     }
@@ -112,7 +112,10 @@
         let attempt = &seen.attempt;
         let took_effect = attempt.write && seen.answer.is_some_and(|answer| answer.ran);
         if took_effect && idempotencies.of(&attempt.request_class) != Idempotency::Idempotent {
-            effects.entry(&attempt.mark).or_default().push(seen);
+            effects
+                .entry(&attempt.idempotency_key)
+                .or_default()
+                .push(seen);
         }
     }
     for (mark, attempts) in effects {
--- a/crates/audit/src/rules/ordering.rs
+++ b/crates/audit/src/rules/ordering.rs
@@ -129,10 +129,10 @@
         && !had_come_before(before, first)
     {
         let Queue { host, key, .. } = queue;
-        let mark = &request.submit.mark;
+        let mark = &request.submit.idempotency_key;
         let what = format!(
             "{host}, key {key}: {mark} sent while {} was open",
-            before.submit.mark
+            before.submit.idempotency_key
         );
         verdict.breach(what, [before.line, first.line]);
     }
@@ -163,10 +163,10 @@
             .min(MAX_NEARNESS);
         if rest + FRAME_DELAY < settle {
             let Queue { host, key, .. } = queue;
-            let mark = &request.submit.mark;
+            let mark = &request.submit.idempotency_key;
             let what = format!(
                 "{host}, key {key}: {mark} sent {rest} us after an attempt of {} ended unknown",
-                before.submit.mark
+                before.submit.idempotency_key
             );
             verdict.breach(what, [attempt.line, first.line]);
         }
--- a/crates/audit/src/rules/retry_budget.rs
+++ b/crates/audit/src/rules/retry_budget.rs
@@ -37,7 +37,7 @@
                 |at: &&i64| **at > since - FRAME_DELAY && **at <= retry.at + FRAME_DELAY;
             let sent = sent.count() as f64;
             let accepted = accepted.iter().filter(in_window).count() as f64;
-            let most = budget.free + budget.share * accepted;
+            let most = budget.fixed_retries + budget.retries_per_request * accepted;
             verdict.approach(sent / most.max(1e-9));
             if sent > most {
                 let host = process.host;
--- a/crates/audit/src/rules/slow_start.rs
+++ b/crates/audit/src/rules/slow_start.rs
@@ -52,7 +52,7 @@
         {}
         let age = (attempt.arrived_at - started_at) as f64 / ramp.max(1) as f64;
         let fraction = slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * age;
-        let can = server.falls_over * server.can() * fraction * slow_start.window.secs();
+        let can = server.falls_over * server.capacity() * fraction * slow_start.window.secs();
         let bears = slow_start.units.max(can);
         let units: f64 = recent.iter().map(|sent| sent.attempt.units).sum();
         verdict.approach(units / bears.max(1e-9));
--- a/crates/audit/src/rules/zone_budgets.rs
+++ b/crates/audit/src/rules/zone_budgets.rs
@@ -19,7 +19,7 @@
     let zones = zones(deployment);
     let zone_of = |name: &str| zones.get(name).copied();
     for budget in &deployment.cross_zone_budgets {
-        let BudgetScope::ZonePair(from, to) = budget.of else {
+        let BudgetScope::ZonePair(from, to) = budget.scope else {
             continue;
         };
         let crosses = |frame: &&FrameSeen| {
--- a/crates/audit/tests/planted/fleet.rs
+++ b/crates/audit/tests/planted/fleet.rs
@@ -4,7 +4,7 @@
 use gullsail_configuration::parse;
 use gullsail_protocol::record::{ProcessEvent, What};
 use gullsail_protocol::{
-    Attempt, AttemptAnswer, AttemptResult, FleetMessage, FleetWhat, Message, Outcome,
+    Attempt, AttemptAnswer, AttemptResult, FleetMessage, FleetMessageKind, Message, Outcome,
 };
 
 /// What hosts logged of their shares, and grants on the wire. Both rules find what is planted, and nothing else.
@@ -70,8 +70,8 @@
                 What::Parts {
                     incarnation: 1,
                     epoch: 1,
-                    lasts_us,
-                    parts,
+                    lease_left_us: lasts_us,
+                    shares: parts,
                 },
             );
         }
@@ -107,9 +107,9 @@
         }
         for (by, round, at) in grants {
             let names = ["h1", "h2"];
-            let what = FleetWhat::Grant as i32;
+            let what = FleetMessageKind::Grant as i32;
             let message = FleetMessage {
-                what,
+                kind: what,
                 from: *by,
                 to: 1 - by,
                 round: *round,
--- a/crates/audit/tests/planted/recording.rs
+++ b/crates/audit/tests/planted/recording.rs
@@ -98,7 +98,7 @@
             request_class,
             volume,
             units,
-            mark,
+            idempotency_key: mark,
             order_key,
             timeout_us,
             ..Submit::default()
@@ -143,7 +143,7 @@
             request_class: s.request_class,
             volume: s.volume,
             units: s.units,
-            mark: s.mark,
+            idempotency_key: s.idempotency_key,
             number,
             time_out_us: 200 * MS,
             ..Attempt::default()
--- a/crates/benchlink/tests/same_config.rs
+++ b/crates/benchlink/tests/same_config.rs
@@ -72,9 +72,9 @@
     let (here, mut names) = events::config(&boot_info).unwrap();
     let document = platform_document();
     // An attempt can wait for its connection on sockets alone.
-    assert_eq!(document.config.connect_wait, Span::from_millis(250.0));
+    assert_eq!(document.config.max_connect_wait, Span::from_millis(250.0));
     let there = SchedulerConfig {
-        connect_wait: Span::ZERO,
+        max_connect_wait: Span::ZERO,
         ..document.config.clone()
     };
     assert_eq!(format!("{here:?}"), format!("{there:?}"));
--- a/crates/cli/benches/host_cost/load.rs
+++ b/crates/cli/benches/host_cost/load.rs
@@ -66,7 +66,7 @@
                 volume,
                 units,
                 handle,
-                mark,
+                idempotency_key: mark,
                 ..Attempt::default()
             };
             Attempt {
@@ -82,7 +82,7 @@
                 volume,
                 units,
                 handle,
-                mark,
+                idempotency_key: mark,
                 ..Submit::default()
             };
             Submit {
--- a/crates/cli/benches/service/sockets.rs
+++ b/crates/cli/benches/service/sockets.rs
@@ -67,7 +67,7 @@
     };
     let wire = |frame: Frame| {
         let mut out = BytesMut::new();
-        frame.head(&mut out);
+        frame.encode_head(&mut out);
         out.extend_from_slice(&frame.body);
         out
     };
--- a/crates/cli/benches/service/world/clients.rs
+++ b/crates/cli/benches/service/world/clients.rs
@@ -88,7 +88,7 @@
             }),
             // The keys of an hour are not those of the next.
             order_key: format!("k{hour}/{}", self.rng.random_range(0..500)),
-            mark: format!("m{id}"),
+            idempotency_key: format!("m{id}"),
             repeat: 0,
             // Mostly a first try; some are a next one, or have a short timeout.
             timeout_us: if self.rng.random_bool(0.85) {
--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -4,7 +4,8 @@
 use crate::{atomic_file, logs};
 use gullsail_configuration::diff::{Class, diff as compare};
 use gullsail_configuration::{
-    Deployment, DiagnosticRecord, Files, Problem, Problems, Reader, Weight, explain as codes,
+    Deployment, DiagnosticRecord, Files, Problem, ProblemSeverity, Problems, Reader,
+    explain as codes,
 };
 use gullsail_host::control::{ControlReply, ControlRequest, Load, State};
 use kdl::KdlNode;
@@ -67,7 +68,7 @@
         if !json {
             let errors = problems
                 .iter()
-                .filter(|p| p.weight == Weight::Error)
+                .filter(|p| p.severity == ProblemSeverity::Error)
                 .count();
             logs::say(&format!(
                 "{}: {errors} error(s); `gullsail explain CODE` explains each",
@@ -199,7 +200,7 @@
         let named = node.get(0).and_then(|v| v.as_string()).unwrap_or_default();
         let foreign = d
             .volume(named)
-            .is_some_and(|v| kind == "volume" && !v.through(me));
+            .is_some_and(|v| kind == "volume" && !v.is_served_by(me));
         // `machine` is for simulated nodes and `day` for scenarios: no host reads them.
         if !foreign && !["machine", "day"].contains(&kind) {
             let origin = reader.origin(node.span().offset());
@@ -221,7 +222,7 @@
         Ok(Err(e)) => Err(e.problems.iter().map(Problem::diagnostic).collect()),
         Err(e) => Err(vec![DiagnosticRecord {
             code: "file".into(),
-            weight: Weight::Error,
+            severity: ProblemSeverity::Error,
             file: file.display().to_string(),
             line: 1,
             column: 1,
--- a/crates/cli/tests/fleet/client.rs
+++ b/crates/cli/tests/fleet/client.rs
@@ -39,7 +39,7 @@
     /// It is not written whole.
     pub fn send(&mut self, message: impl Into<Frame>) -> std::io::Result<()> {
         let mut bytes = BytesMut::new();
-        message.into().head(&mut bytes);
+        message.into().encode_head(&mut bytes);
         self.stream.write_all(&bytes)
     }
 
@@ -57,7 +57,7 @@
                 shard: 1,
                 object: 3,
             }),
-            mark: format!("mark-{id}"),
+            idempotency_key: format!("mark-{id}"),
             timeout_us: timeout.as_micros() as i64,
             ..Submit::default()
         })
--- a/crates/cli/tests/loopback/main.rs
+++ b/crates/cli/tests/loopback/main.rs
@@ -108,7 +108,7 @@
         drop(early);
         let mut n = greet(&nl, 1).await;
         let attempt = n.attempt().await.unwrap();
-        assert_eq!(attempt.mark, "mark-1");
+        assert_eq!(attempt.idempotency_key, "mark-1");
         drop(n);
         let (answer, _) = c.answer().await.unwrap();
         assert_eq!(
@@ -119,7 +119,7 @@
         let mut again = greet(&nl, 1).await;
         c.send(submit(2, "trip")).await;
         assert_eq!(
-            again.attempt().await.unwrap().mark,
+            again.attempt().await.unwrap().idempotency_key,
             "mark-2",
             "the first is not sent again"
         );
--- a/crates/cli/tests/loopback/rig.rs
+++ b/crates/cli/tests/loopback/rig.rs
@@ -218,7 +218,7 @@
 pub fn wire(frame: impl Into<Frame>) -> Vec<u8> {
     let frame: Frame = frame.into();
     let mut bytes = BytesMut::new();
-    frame.head(&mut bytes);
+    frame.encode_head(&mut bytes);
     [&bytes, &frame.body[..]].concat()
 }
 
@@ -232,7 +232,7 @@
             shard: 1,
             object: 3,
         }),
-        mark: format!("mark-{id}"),
+        idempotency_key: format!("mark-{id}"),
         timeout_us: 15_000_000,
         ..Submit::default()
     }
--- a/crates/cli/tests/shortages/rig.rs
+++ b/crates/cli/tests/shortages/rig.rs
@@ -93,7 +93,7 @@
 
 pub fn wire(frame: Frame) -> BytesMut {
     let mut out = BytesMut::new();
-    frame.head(&mut out);
+    frame.encode_head(&mut out);
     out.extend_from_slice(&frame.body);
     out
 }
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -293,8 +293,8 @@
                 VolumeAllocation {
                     volume: id,
                     plan: shared.plan,
-                    hosts,
-                    part: None,
+                    host_count: hosts,
+                    host_limit: None,
                 }
             }
             None => {
@@ -305,8 +305,8 @@
                 VolumeAllocation {
                     volume: id,
                     plan: PlanId::default(),
-                    hosts: 0,
-                    part,
+                    host_count: 0,
+                    host_limit: part,
                 }
             }
         }
@@ -314,14 +314,14 @@
 
     fn allocation(&self, id: VolumeId) -> VolumeAllocation {
         let even = self.even_allocation(id);
-        if even.hosts == 0 {
+        if even.host_count == 0 {
             return even;
         }
         let limit = self.limit_of(id);
         let even_limit = self.current().limit_for(id, self.me, None);
         // An even share is reported as such, so that rounding does not turn one limit into two.
         VolumeAllocation {
-            part: limit.filter(|_| limit != even_limit),
+            host_limit: limit.filter(|_| limit != even_limit),
             ..even
         }
     }
@@ -345,7 +345,7 @@
         let chain = &self.chain;
         let is_named = |id: &VolumeId| chain.iter().any(|limits| limits.volumes.contains_key(id));
         self.reported
-            .retain(|id, allocation| allocation.hosts > 0 || is_named(id));
+            .retain(|id, allocation| allocation.host_count > 0 || is_named(id));
         changed
     }
 }
--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -381,8 +381,8 @@
     hosts[2].go_on(chain.clone(), at(1)).unwrap();
     let changed = hosts[2].changed();
     assert_eq!(changed.len(), 1);
-    assert_eq!(changed[0].hosts, 3);
-    assert_eq!(changed[0].part.map(|limit| limit.rate), Some(0.0));
+    assert_eq!(changed[0].host_count, 3);
+    assert_eq!(changed[0].host_limit.map(|limit| limit.rate), Some(0.0));
     assert_eq!([rate(&hosts[0]), rate(&hosts[2])], case.during.map(Some));
     hosts[1].go_on(chain, at(1)).unwrap();
     exchange_notices(&mut hosts);
@@ -390,7 +390,7 @@
     // Reported once, as an even share again.
     let changed = hosts[2].changed();
     assert_eq!(changed.len(), 1);
-    assert_eq!(changed[0].part, None);
+    assert_eq!(changed[0].host_limit, None);
     assert_eq!(hosts[2].changed(), []);
     assert_eq!(hosts[0].next(), None, "all know: nothing more is sent");
 }
--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -83,7 +83,7 @@
         fleet,
         maintenance,
         place: revision(document, reader),
-        line: Vec::new(),
+        limit_history: Vec::new(),
         zones: names.zones.list().to_vec(),
         request_classes,
         plans,
@@ -301,7 +301,7 @@
 fn default_config(hosts: &[Place], request_classes: &[NamedRequestClass]) -> SchedulerConfig {
     let decisions = request_classes.iter().map(|class| class.decisions.clone());
     SchedulerConfig {
-        hosts: hosts.len() as u32,
+        host_count: hosts.len() as u32,
         request_classes: decisions.collect(),
         tick: Span::from_millis(20.0),
         max_attempts: 3,
@@ -326,7 +326,7 @@
     let bounds_node = single(reader, document, "bounds");
     let bounds = bounds(reader, bounds_node);
     // And the host's timers come up to a millisecond late.
-    config.connect_wait = bounds.connect + Span::from_micros(2000);
+    config.max_connect_wait = bounds.connect + Span::from_micros(2000);
     (rules, bounds)
 }
 
@@ -392,8 +392,8 @@
     reader.only(entry, 0, &["most", "free", "share", "window"], &[]);
     config.max_attempts = reader.whole(entry, "most", 1, 3);
     config.retry_budget = reader.span_at(entry, "window").map(|window| RetryBudget {
-        free: reader.number_at(entry, "free", 0.0).unwrap_or_default(),
-        share: reader.part_at(entry, "share").unwrap_or_default(),
+        fixed_retries: reader.number_at(entry, "free", 0.0).unwrap_or_default(),
+        retries_per_request: reader.part_at(entry, "share").unwrap_or_default(),
         window,
     });
 }
--- a/crates/configuration/src/cross_zone_budgets.rs
+++ b/crates/configuration/src/cross_zone_budgets.rs
@@ -49,11 +49,11 @@
         );
         reader.report("burst-too-small", message, entry.span(), Some(help));
     }
-    let id = demand_report::carried(VolumeId(number(&format!("crossing/{name}"))));
+    let id = demand_report::message_volume_id(VolumeId(number(&format!("crossing/{name}"))));
     Some(NamedCrossZoneBudget {
         name,
         id,
-        of,
+        scope: of,
         limit: Limit { rate, burst },
         hard,
         hosts,
@@ -78,12 +78,12 @@
     // A plan's budget that all pairs together could not fill says nothing.
     let pairs = all
         .iter()
-        .filter(|c| matches!(c.of, BudgetScope::ZonePair(..)));
+        .filter(|c| matches!(c.scope, BudgetScope::ZonePair(..)));
     let sum: f64 = pairs.clone().map(|c| c.limit.rate).sum();
     for (c, entry) in all
         .iter()
         .zip(&nodes)
-        .filter(|(c, _)| matches!(c.of, BudgetScope::Plan(_)))
+        .filter(|(c, _)| matches!(c.scope, BudgetScope::Plan(_)))
     {
         if pairs.clone().next().is_some() && c.limit.rate > sum {
             let message = format!("{} may cross more than all pairs of zones together", c.name);
--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -46,7 +46,7 @@
     /// The document's revision and its predecessor.
     pub place: RevisionPlace,
     /// What this revision and those before it allow each volume, oldest first.
-    pub line: Vec<gullsail_config_transition::RevisionLimits>,
+    pub limit_history: Vec<gullsail_config_transition::RevisionLimits>,
     pub(crate) config: SchedulerConfig,
     pub(crate) volumes_by_name: BTreeMap<String, usize>,
 }
@@ -76,10 +76,10 @@
     pub fn cross_zone_budgets_at(&self, me: HostId) -> Vec<CrossZoneBudget> {
         let share = |c: &NamedCrossZoneBudget| CrossZoneBudget {
             id: c.id,
-            of: c.of,
+            scope: c.scope,
             limit: c.limit,
             hard: c.hard,
-            hosts: if c.hosts.binary_search(&me).is_ok() {
+            host_count: if c.hosts.binary_search(&me).is_ok() {
                 c.hosts.len() as u32
             } else {
                 0
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -357,11 +357,13 @@
             "legs",
             say(&(
                 old.max_attempts,
-                old.retry_budget.map(|l| (l.free, l.share, l.window)),
+                old.retry_budget
+                    .map(|l| (l.fixed_retries, l.retries_per_request, l.window)),
             )),
             say(&(
                 new.max_attempts,
-                new.retry_budget.map(|l| (l.free, l.share, l.window)),
+                new.retry_budget
+                    .map(|l| (l.fixed_retries, l.retries_per_request, l.window)),
             )),
         );
         c("drain-grace", say(&graces.0), say(&graces.1));
--- a/crates/configuration/src/diff_values.rs
+++ b/crates/configuration/src/diff_values.rs
@@ -47,14 +47,14 @@
     let MaintenanceConfig {
         longest,
         watched,
-        blind,
-        rests,
+        isolation_grace,
+        quiet_hours,
         ..
     } = config;
     plain(&format_args!(
         "WorksTerms {{ at_once: {at_once}, in_zone: {in_zone}, in_pool: {in_pool}, keep: {keep:?}, \
-         keep_cell: {keep_shard:?}, busy: {busy:?}, longest: {longest:?}, watched: {watched:?}, blind: {blind:?}, \
-         rests: {rests:?} }}"
+         keep_cell: {keep_shard:?}, busy: {busy:?}, longest: {longest:?}, watched: {watched:?}, \
+         blind: {isolation_grace:?}, rests: {quiet_hours:?} }}"
     ))
 }
 
--- a/crates/configuration/src/entities.rs
+++ b/crates/configuration/src/entities.rs
@@ -56,7 +56,7 @@
 
 impl NamedVolume {
     /// Whether the volume's requests come through this host.
-    pub fn through(&self, host: HostId) -> bool {
+    pub fn is_served_by(&self, host: HostId) -> bool {
         self.hosts.binary_search(&host).is_ok()
     }
 }
@@ -69,7 +69,7 @@
     /// The hash of its name.
     pub id: VolumeId,
     /// What counts against it.
-    pub of: BudgetScope,
+    pub scope: BudgetScope,
     /// In bytes.
     pub limit: Limit,
     /// It is never overrun by requests with a choice of zone.
@@ -131,7 +131,7 @@
 
 impl Server {
     /// Units a second that all its cores do.
-    pub fn can(&self) -> f64 {
+    pub fn capacity(&self) -> f64 {
         f64::from(self.cores) / self.unit.secs().max(1e-9)
     }
 }
--- a/crates/configuration/src/entry_classes.rs
+++ b/crates/configuration/src/entry_classes.rs
@@ -172,7 +172,7 @@
         }
     }
     // Six bytes of the number travel in demand reports.
-    let id = demand_report::carried(VolumeId(number(&name)));
+    let id = demand_report::message_volume_id(VolumeId(number(&name)));
     NamedVolume {
         name,
         id,
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -34,7 +34,7 @@
 
 pub use builder::{KEPT, build};
 pub use deployment::*;
-pub use problem::{DiagnosticRecord, Problem, Problems, Weight, meant};
+pub use problem::{DiagnosticRecord, Problem, ProblemSeverity, Problems, meant};
 pub use reader::{Names, Reader};
 pub use source_map::{Files, LoadError, Loader, Memory};
 
--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -28,7 +28,7 @@
         .map(|node| deployment.servers.get(node.server))
         .collect();
     if let Some(servers) = servers.filter(|m| !m.is_empty()) {
-        let can: f64 = servers.iter().map(|m| m.can()).sum();
+        let can: f64 = servers.iter().map(|m| m.capacity()).sum();
         let reserved: f64 = deployment
             .volumes
             .iter()
@@ -177,7 +177,7 @@
     let f = deployment.figures();
     let nothing = f
         .retry_budget
-        .is_some_and(|b| b.free < 1.0 && b.share == 0.0);
+        .is_some_and(|b| b.fixed_retries < 1.0 && b.retries_per_request == 0.0);
     if let Some(entry) = entries(document, "legs")
         .next()
         .filter(|_| nothing && f.max_attempts > 1)
@@ -210,7 +210,7 @@
         .filter(|node| !node.spare)
         .map(|node| deployment.servers.get(node.server))
         .collect();
-    let can = running.iter().flatten().map(|m| m.can()).sum::<f64>();
+    let can = running.iter().flatten().map(|m| m.capacity()).sum::<f64>();
     for (p, entry) in deployment.plans.iter().zip(entries(document, "plan")) {
         let at = |key: &str| entry.entry(key).map_or(entry.span(), |e| e.span());
         let warn = |reader: &mut Reader, code, message: &str, key: &str| {
--- a/crates/configuration/src/maintenance.rs
+++ b/crates/configuration/src/maintenance.rs
@@ -40,13 +40,16 @@
             "keep=0.8: a fifth of it may be away".into(),
         );
     }
-    if maintenance.longest > Span::ZERO && maintenance.blind > MOST_BLIND
-        || maintenance.blind < fleet.lease
+    if maintenance.longest > Span::ZERO && maintenance.isolation_grace > MOST_BLIND
+        || maintenance.isolation_grace < fleet.lease
     {
         let help = format!("from one lease ({} ms) to an hour", fleet.lease.millis());
         wrong(
             "blind",
-            format!("a blind time of {} ms", maintenance.blind.millis()),
+            format!(
+                "a blind time of {} ms",
+                maintenance.isolation_grace.millis()
+            ),
             help,
         );
     }
@@ -82,8 +85,8 @@
         busy: reader.part_at(entry, "busy").unwrap_or(0.9),
         longest: reader.span(entry, "longest"),
         watched: reader.span(entry, "watched"),
-        blind: reader.span(entry, "blind"),
-        rests: read_rests(reader, entry),
+        isolation_grace: reader.span(entry, "blind"),
+        quiet_hours: read_rests(reader, entry),
     };
     let Some(fleet) = fleet else {
         let help = "hosts settle works by their `fleet`: add one".into();
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -8,7 +8,7 @@
 /// An error keeps a document from being used; a warning does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Weight {
+pub enum ProblemSeverity {
     /// The document cannot be used.
     Error,
     /// The document can be used.
@@ -21,7 +21,7 @@
     /// The kind of problem, for `gullsail explain`.
     pub code: &'static str,
     /// Whether the document can be used.
-    pub weight: Weight,
+    pub severity: ProblemSeverity,
     /// What is wrong.
     pub message: String,
     /// How it may be mended.
@@ -44,7 +44,8 @@
     /// The kind of problem.
     pub code: String,
     /// Whether the document can be used.
-    pub weight: Weight,
+    #[serde(rename = "weight")]
+    pub severity: ProblemSeverity,
     /// The file.
     pub file: String,
     /// The line, from 1.
@@ -64,7 +65,7 @@
     pub fn diagnostic(&self) -> DiagnosticRecord {
         DiagnosticRecord {
             code: self.code.into(),
-            weight: self.weight,
+            severity: self.severity,
             file: self.file.clone(),
             line: self.line,
             column: self.column,
@@ -88,7 +89,7 @@
         Some(Box::new(self.code))
     }
     fn severity(&self) -> Option<Severity> {
-        Some(if self.weight == Weight::Error {
+        Some(if self.severity == ProblemSeverity::Error {
             Severity::Error
         } else {
             Severity::Warning
--- a/crates/configuration/src/reader.rs
+++ b/crates/configuration/src/reader.rs
@@ -2,7 +2,7 @@
 //! replaced by a harmless one, so that one mistake does not hide the next; [`Reader::close`] gives nothing
 //! out if there was any.
 
-use crate::problem::{Problem, Problems, Weight, meant};
+use crate::problem::{Problem, ProblemSeverity, Problems, meant};
 use crate::source_map::{NESTED, Sources, shift, too_nested};
 use kdl::{KdlDocument, KdlNode};
 use miette::{NamedSource, SourceSpan};
@@ -52,7 +52,7 @@
 
 struct Reported {
     code: &'static str,
-    weight: Weight,
+    weight: ProblemSeverity,
     message: String,
     at: SourceSpan,
     help: Option<String>,
@@ -163,9 +163,9 @@
             ..
         } = self;
         reported.sort_by_key(|n| n.at.offset());
-        let errors = reported.iter().any(|n| n.weight == Weight::Error);
+        let errors = reported.iter().any(|n| n.weight == ProblemSeverity::Error);
         // With errors about, a warning is mostly one's consequence: what is misspelt is used nowhere.
-        reported.retain(|n| !errors || n.weight == Weight::Error);
+        reported.retain(|n| !errors || n.weight == ProblemSeverity::Error);
         let problems: Vec<_> = reported.into_iter().map(|n| locate(&sources, n)).collect();
         if errors {
             Err(Problems { name, problems })
@@ -184,7 +184,7 @@
     ) {
         self.reported.push(Reported {
             code,
-            weight: Weight::Error,
+            weight: ProblemSeverity::Error,
             message,
             at,
             help,
@@ -202,7 +202,7 @@
     ) {
         self.reported.push(Reported {
             code,
-            weight: Weight::Warning,
+            weight: ProblemSeverity::Warning,
             message,
             at,
             help,
@@ -220,7 +220,7 @@
     pub(crate) fn noted_errors(&self) -> usize {
         self.reported
             .iter()
-            .filter(|n| n.weight == Weight::Error)
+            .filter(|n| n.weight == ProblemSeverity::Error)
             .count()
     }
 
@@ -246,7 +246,7 @@
         let see = vec![format!("{see} {}", self.sources.say(other))];
         self.reported.push(Reported {
             code,
-            weight: Weight::Error,
+            weight: ProblemSeverity::Error,
             message,
             at,
             help: None,
@@ -338,7 +338,7 @@
     let source = NamedSource::new(&file, text);
     Problem {
         code,
-        weight,
+        severity: weight,
         message,
         help,
         file,
--- a/crates/configuration/src/revisions.rs
+++ b/crates/configuration/src/revisions.rs
@@ -66,7 +66,7 @@
         reader.report("too-much", message, n.span(), None);
     }
     line.push(revision_limits(&built));
-    built.line = line;
+    built.limit_history = line;
     reader.close(built)
 }
 
@@ -126,5 +126,5 @@
             Some(help.into()),
         ));
     }
-    Ok(earlier.line)
+    Ok(earlier.limit_history)
 }
--- a/crates/configuration/tests/collection.rs
+++ b/crates/configuration/tests/collection.rs
@@ -89,7 +89,7 @@
         let found = found.map_or_else(|e| e.problems, |(_, warnings)| warnings);
         wrong.extend(judge(c, &found).err());
         assert!(
-            found.iter().all(|p| p.weight == Weight::Warning) || !wrong.is_empty(),
+            found.iter().all(|p| p.severity == ProblemSeverity::Warning) || !wrong.is_empty(),
             "{}: {found:?}",
             c.text
         );
--- a/crates/connections/src/read_budget.rs
+++ b/crates/connections/src/read_budget.rs
@@ -8,7 +8,7 @@
 /// frames alone could fill with the largest bodies. Whoever handles a frame gives its bytes back.
 #[derive(Clone, Debug)]
 pub struct ReadBudget {
-    free: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     total_bytes: usize,
     partial: Option<PartialFrames>,
 }
@@ -16,7 +16,7 @@
 /// The budget for large frames of which a part was received.
 #[derive(Clone, Debug)]
 struct PartialFrames {
-    free: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     /// A connection on which such a frame makes no progress for this long is closed.
     stall_limit: Duration,
 }
@@ -26,20 +26,23 @@
     pub fn new(total_bytes: usize) -> ReadBudget {
         let total_bytes = total_bytes.clamp(1, u32::MAX as usize);
         ReadBudget {
-            free: Arc::new(Semaphore::new(total_bytes)),
+            permits: Arc::new(Semaphore::new(total_bytes)),
             total_bytes,
             partial: None,
         }
     }
 
     /// The budget for connections that others open. It shares this budget and has as many bytes again for
-    /// frames longer than [`gullsail_protocol::AHEAD`] of which a part was received. Each of these takes its
+    /// frames longer than [`gullsail_protocol::MAX_RESERVED_BYTES`] of which a part was received. Each of these takes its
     /// whole length before more of it is read, so that many slow senders cannot fill the memory. A connection
     /// that makes no progress within such a frame for `stall_limit` is closed.
     pub fn for_incoming(&self, stall_limit: Duration) -> ReadBudget {
-        let free = Arc::new(Semaphore::new(self.total_bytes));
+        let permits = Arc::new(Semaphore::new(self.total_bytes));
         ReadBudget {
-            partial: Some(PartialFrames { free, stall_limit }),
+            partial: Some(PartialFrames {
+                permits,
+                stall_limit,
+            }),
             ..self.clone()
         }
     }
@@ -52,7 +55,7 @@
     /// Waits until the budget has room for a frame, and takes its bytes.
     pub(crate) async fn take(&self, bytes: usize) {
         // The semaphore is never closed.
-        if let Ok(taken) = self.free.acquire_many(self.charge(bytes)).await {
+        if let Ok(taken) = self.permits.acquire_many(self.charge(bytes)).await {
             taken.forget();
         }
     }
@@ -67,7 +70,7 @@
         let partial = self.partial.as_ref()?;
         // The semaphore is never closed.
         partial
-            .free
+            .permits
             .clone()
             .acquire_many_owned(self.charge(bytes))
             .await
@@ -81,11 +84,11 @@
 
     /// Gives the bytes of a frame back that was handled.
     pub fn give_back(&self, bytes: usize) {
-        self.free.add_permits(self.charge(bytes) as usize);
+        self.permits.add_permits(self.charge(bytes) as usize);
     }
 
     /// The bytes that are free now.
-    pub fn free(&self) -> usize {
-        self.free.available_permits()
+    pub fn free_bytes(&self) -> usize {
+        self.permits.available_permits()
     }
 }
--- a/crates/connections/src/reader.rs
+++ b/crates/connections/src/reader.rs
@@ -4,7 +4,7 @@
 use crate::close_reason::CloseReason;
 use crate::{LinkEvent, ReadLimits, Sink};
 use bytes::BytesMut;
-use gullsail_protocol::{AHEAD, announced, decode};
+use gullsail_protocol::{MAX_RESERVED_BYTES, announced_frame_bytes, decode};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -92,8 +92,8 @@
         let Some(budget) = budget.filter(|budget| budget.bounds_partial_frames()) else {
             return Ok(PartialFrame::Read);
         };
-        let needs_budget = |bytes: &usize| *bytes > AHEAD && self.partial.is_none();
-        let Some(frame_bytes) = announced(buffer).filter(needs_budget) else {
+        let needs_budget = |bytes: &usize| *bytes > MAX_RESERVED_BYTES && self.partial.is_none();
+        let Some(frame_bytes) = announced_frame_bytes(buffer).filter(needs_budget) else {
             return Ok(PartialFrame::Read);
         };
         tokio::select! {
--- a/crates/connections/src/writer.rs
+++ b/crates/connections/src/writer.rs
@@ -30,7 +30,7 @@
                 next = queued.try_recv().ok();
                 continue;
             }
-            frame.head(&mut gathered);
+            frame.encode_head(&mut gathered);
             if frame.body.len() <= GATHER_BYTES / 4 {
                 gathered.extend_from_slice(&frame.body);
             } else {
--- a/crates/connections/tests/read_budget.rs
+++ b/crates/connections/tests/read_budget.rs
@@ -18,7 +18,7 @@
 async fn write_ten_frames(mut stream: TcpStream) -> TcpStream {
     let frame = Frame::from(Withdraw { id: 1 }).with_body(Bytes::from(vec![7; BODY]));
     let mut wire = BytesMut::new();
-    frame.head(&mut wire);
+    frame.encode_head(&mut wire);
     wire.extend_from_slice(&frame.body);
     for _ in 0..10 {
         stream.write_all(&wire).await.unwrap();
@@ -76,7 +76,7 @@
                 .into_iter()
                 .for_each(|bytes| budget.give_back(bytes));
             assert_eq!(
-                timeout(LONG, async { budget.free() }).await,
+                timeout(LONG, async { budget.free_bytes() }).await,
                 Ok(all),
                 "all of it is given back"
             );
--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -35,7 +35,7 @@
     let floors: u64 = shares.iter().sum();
     let mut rest = u64::from(WHOLE).saturating_sub(committed_elsewhere + floors);
     let shortfall =
-        |place: usize| u64::from(budget.least).saturating_sub(floor(demands[place].host));
+        |place: usize| u64::from(budget.min_share).saturating_sub(floor(demands[place].host));
     let asking: Vec<usize> = (0..demands.len())
         .filter(|place| demands[*place].demand > 0.0)
         .collect();
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -13,14 +13,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
     /// The hosts through which it is used, in order of their numbers.
-    pub through: Arc<[HostId]>,
+    pub hosts: Arc<[HostId]>,
     /// What each of these hosts may use without a lease. All floors together are at most the whole.
     pub floor: u32,
     /// Lagging hosts: those that may still use a larger floor, or one at all, by an earlier revision of the
     /// configuration.
     pub lagging_hosts: BTreeMap<HostId, u32>,
     /// The smallest useful share: it holds one largest request.
-    pub least: u32,
+    pub min_share: u32,
 }
 
 impl Budget {
@@ -34,7 +34,7 @@
 
     /// The floor by the current revision alone.
     fn current_floor(&self, host: HostId) -> u32 {
-        if self.through.binary_search(&host).is_ok() {
+        if self.hosts.binary_search(&host).is_ok() {
             self.floor
         } else {
             0
@@ -43,7 +43,7 @@
 
     /// The sum of all hosts' floors.
     pub fn floors(&self) -> u64 {
-        let current = self.through.len() as u64 * u64::from(self.floor);
+        let current = self.hosts.len() as u64 * u64::from(self.floor);
         let lagging = self.lagging_hosts.iter().map(|(host, lagging)| {
             let excess = lagging.saturating_sub(self.current_floor(*host));
             u64::from(excess)
@@ -125,11 +125,11 @@
     (f64::from(WHOLE) * part.clamp(0.0, 1.0) / hosts.max(1) as f64) as u32
 }
 
-/// The share that holds `largest` of what a token bucket of size `store` holds, rounded up; the whole where
-/// the bucket is smaller.
-pub fn least(largest: f64, store: f64) -> u32 {
-    if largest < store {
-        (f64::from(WHOLE) * largest / store).ceil() as u32
+/// The share that holds a request of `largest_request` tokens, for a token bucket of `capacity` tokens, rounded
+/// up; the whole budget if the bucket is smaller than the request.
+pub fn min_share(largest_request: f64, capacity: f64) -> u32 {
+    if largest_request < capacity {
+        (f64::from(WHOLE) * largest_request / capacity).ceil() as u32
     } else {
         WHOLE
     }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -89,7 +89,7 @@
 
     /// What each host may be using of a budget, of the hosts that may use it.
     pub fn shares_in_use(&self, id: VolumeId, budget: &Budget) -> Vec<HostShare> {
-        let hosts = budget.through.iter().chain(budget.lagging_hosts.keys());
+        let hosts = budget.hosts.iter().chain(budget.lagging_hosts.keys());
         let share = |host: &HostId| HostShare {
             host: *host,
             share: self.ledger.committed_share(id, budget, *host),
@@ -242,7 +242,7 @@
         let budgets = config
             .budgets
             .iter()
-            .filter(|(_, budget)| budget.through.binary_search(&host).is_ok());
+            .filter(|(_, budget)| budget.hosts.binary_search(&host).is_ok());
         budgets
             .map(|(id, budget)| (*id, self.share(*id, budget, host)))
             .collect()
@@ -298,7 +298,7 @@
                 demand: member.demand.get(&id).copied().unwrap_or_default(),
             })
         };
-        let demands: Vec<HostDemand> = budget.through.iter().filter_map(demand_of).collect();
+        let demands: Vec<HostDemand> = budget.hosts.iter().filter_map(demand_of).collect();
         let own: u64 = demands
             .iter()
             .map(|member| u64::from(self.ledger.committed_share(id, budget, member.host)))
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -106,7 +106,7 @@
 
     /// The share of each budget that may be used now, and how long the member lease still lasts; `None`: this
     /// host holds no lease.
-    pub fn parts(&self) -> (impl Iterator<Item = (VolumeId, u32)>, Option<Span>) {
+    pub fn shares_and_lease(&self) -> (impl Iterator<Item = (VolumeId, u32)>, Option<Span>) {
         let shares = self.config.budgets.keys().map(|id| (*id, self.share(*id)));
         let lasts = self
             .membership
@@ -122,7 +122,7 @@
     }
 
     /// Whether this host is the coordinator at that time.
-    pub fn decides(&self, now: Instant) -> bool {
+    pub fn is_coordinator(&self, now: Instant) -> bool {
         self.coordinator_role.is_some() && self.election.candidate.held(now).is_some()
     }
 
@@ -133,7 +133,7 @@
 
     /// Hosts whose lease has expired or that have left, by the coordinator's newest message. They use at most
     /// their floor share.
-    pub fn out(&self) -> impl Iterator<Item = HostId> {
+    pub fn inactive_hosts(&self) -> impl Iterator<Item = HostId> {
         self.membership.inactive_hosts()
     }
 
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -11,7 +11,7 @@
 use crate::maintenance::OrderBook;
 use crate::maintenance::coordinator::MaintenanceCoordinator;
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
+use gullsail_protocol::{FleetMember, FleetMessage, FleetMessageKind, FleetShare};
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
@@ -152,7 +152,7 @@
 
     /// Asks a host to renew its lease.
     pub(super) fn poll(&mut self, host: HostId, ballot: Ballot, via: Option<HostId>) {
-        let message = self.new_message(FleetWhat::Ask, host, 0);
+        let message = self.new_message(FleetMessageKind::Ask, host, 0);
         self.send(
             FleetMessage {
                 round: ballot.round,
@@ -211,7 +211,7 @@
                     epoch = self.membership.epoch,
                     "renewal fenced: another incarnation holds the lease of this host"
                 );
-                self.new_message(FleetWhat::Fence, process.host, incarnation)
+                self.new_message(FleetMessageKind::Fence, process.host, incarnation)
             }
             RenewalOutcome::Granted { serial, shares } => {
                 self.grant(message, process, serial, &shares)
@@ -236,10 +236,10 @@
     ) -> FleetMessage {
         self.statistics.counts.granted += 1;
         let maintenance = self.maintenance_renewed(renewal);
-        let part = |(id, share): (&VolumeId, &u32)| FleetPart {
+        let part = |(id, share): (&VolumeId, &u32)| FleetShare {
             budget: id.0,
             share: *share,
-            asked: 0.0,
+            demand: 0.0,
         };
         // The members are sent to hosts that do not know them yet.
         let members = if renewal.epoch == self.membership.epoch {
@@ -249,10 +249,10 @@
         };
         FleetMessage {
             serial,
-            parts: shares.iter().map(part).collect(),
+            shares: shares.iter().map(part).collect(),
             members,
             maintenance,
-            ..self.new_message(FleetWhat::Grant, process.host, process.incarnation)
+            ..self.new_message(FleetMessageKind::Grant, process.host, process.incarnation)
         }
     }
 
@@ -269,22 +269,26 @@
         let is_current = coordinator.is_current(messages::ballot(message));
         self.maintenance_member_left(message, is_current);
         self.publish_membership();
-        let message = self.new_message(FleetWhat::Left, process.host, process.incarnation);
+        let message = self.new_message(FleetMessageKind::Left, process.host, process.incarnation);
         self.send(message, Some(link));
     }
 }
 
 fn read_renewal(message: &FleetMessage, via: Option<HostId>) -> Renewal {
-    let is_held = |part: &&FleetPart| message.serial > 0 && part.share > 0;
-    let demand = |part: &FleetPart| (VolumeId(part.budget), f64::from(part.asked));
+    let is_held = |part: &&FleetShare| message.serial > 0 && part.share > 0;
+    let demand = |part: &FleetShare| (VolumeId(part.budget), f64::from(part.demand));
     Renewal {
         process: messages::sender(message),
         ballot: messages::ballot(message),
         via,
         serial: message.serial,
-        demand: message.parts.iter().map(demand).collect::<BTreeMap<_, _>>(),
+        demand: message
+            .shares
+            .iter()
+            .map(demand)
+            .collect::<BTreeMap<_, _>>(),
         held: message
-            .parts
+            .shares
             .iter()
             .filter(is_held)
             .map(messages::part)
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -9,7 +9,7 @@
     Acceptor, AcceptorReply, CandidateRequest, LeaseCandidate, Proposal,
 };
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMessage, FleetWhat};
+use gullsail_protocol::{FleetMessage, FleetMessageKind};
 use gullsail_scheduler_api::{HostId, Instant};
 use rand::Rng;
 use std::ops::Range;
@@ -80,9 +80,9 @@
 
     pub(super) fn ask_voters(&mut self, request: CandidateRequest) {
         let (what, ballot, number) = match request {
-            CandidateRequest::Prepare(ballot) => (FleetWhat::Prepare, ballot, 0),
+            CandidateRequest::Prepare(ballot) => (FleetMessageKind::Prepare, ballot, 0),
             CandidateRequest::Propose(proposal) => {
-                (FleetWhat::Propose, proposal.ballot, proposal.number)
+                (FleetMessageKind::Propose, proposal.ballot, proposal.number)
             }
         };
         for voter in self.config.voters().collect::<Vec<_>>() {
@@ -102,7 +102,7 @@
         let ballot = messages::ballot(request);
         let process = messages::sender(request);
         self.election.candidate.observe(ballot);
-        let reply = if request.what() == FleetWhat::Prepare {
+        let reply = if request.kind() == FleetMessageKind::Prepare {
             self.election.acceptor.prepare(ballot, process, self.now)
         } else {
             self.election
@@ -111,9 +111,11 @@
         };
         let (what, ballot, number) = match reply {
             AcceptorReply::Recovering => return,
-            AcceptorReply::Refused(later) => (FleetWhat::Refuse, later, 0),
-            AcceptorReply::Promised { taken } => (FleetWhat::Promise, ballot, u64::from(taken)),
-            AcceptorReply::Accepted => (FleetWhat::Accept, ballot, request.number),
+            AcceptorReply::Refused(later) => (FleetMessageKind::Refuse, later, 0),
+            AcceptorReply::Promised { taken } => {
+                (FleetMessageKind::Promise, ballot, u64::from(taken))
+            }
+            AcceptorReply::Accepted => (FleetMessageKind::Accept, ballot, request.number),
         };
         let message = self.new_message(what, process.host, process.incarnation);
         let message = FleetMessage {
@@ -192,7 +194,7 @@
             .filter(|voter| *voter != me)
             .collect::<Vec<_>>()
         {
-            let message = self.new_message(FleetWhat::Release, voter, 0);
+            let message = self.new_message(FleetMessageKind::Release, voter, 0);
             let message = FleetMessage {
                 round: lease.ballot.round,
                 by: lease.ballot.by,
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -7,7 +7,7 @@
 use crate::maintenance::coordinator::{CommandDecision, RenewalReport};
 use crate::maintenance::{FleetSnapshot, OrderBook, ServerId, ServerRole, Servers};
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetCommand, FleetMaintenance, FleetMessage, FleetWhat};
+use gullsail_protocol::{FleetCommand, FleetMaintenance, FleetMessage, FleetMessageKind};
 use gullsail_scheduler_api::{HostId, Span};
 use std::collections::BTreeSet;
 
@@ -44,7 +44,7 @@
             .unwrap_or_default();
         let unknown = order_book.filter(|order_book| order_book.version != known);
         Some(Box::new(FleetMaintenance {
-            line: unknown.map(|order_book| order_book.to_message(self.now)),
+            order_book: unknown.map(|order_book| order_book.to_message(self.now)),
             round: newest.ballot.round,
             by: newest.ballot.by,
             count: newest.count,
@@ -79,7 +79,7 @@
             incarnation: from_member.from_incarnation,
             known: Some(known).filter(|known| known.count > 0),
             released: message
-                .let_go
+                .released
                 .iter()
                 .map(|server| ServerId(*server))
                 .collect(),
@@ -88,7 +88,7 @@
         };
         coordinator.renewal_reported(&config, maintenance, report, self.now);
         let reported = message
-            .line
+            .order_book
             .as_ref()
             .and_then(|line| OrderBook::from_message(line, self.now));
         if let Some(order_book) = reported {
@@ -173,7 +173,7 @@
             CommandDecision::Accepted => FleetCommand::default(),
             CommandDecision::Refused { server, refusal } => FleetCommand {
                 refused: server.0,
-                why: refusal.to_string(),
+                refusal: refusal.to_string(),
                 ..FleetCommand::default()
             },
         };
@@ -185,7 +185,7 @@
             number: message.number,
             maintenance: Some(Box::new(maintenance)),
             ..self.new_message(
-                FleetWhat::Heard,
+                FleetMessageKind::Heard,
                 HostId(message.from),
                 message.from_incarnation,
             )
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -108,7 +108,7 @@
         };
         let since = self.now - until;
         let confirmation_expired = since >= Span::ZERO;
-        let isolated = since >= config.blind_held(self.config.drift);
+        let isolated = since >= config.isolation_grace_held(self.config.drift);
         self.changed |= confirmation_expired != self.maintenance.confirmation_expired
             || isolated != self.maintenance.isolated;
         if isolated && !self.maintenance.isolated {
@@ -130,7 +130,7 @@
             .confirmed_until
             .filter(|_| !state.confirmation_expired);
         let blind = state.confirmed_until.filter(|_| !state.isolated);
-        let blind = blind.map(|until| until + config.blind_held(self.config.drift));
+        let blind = blind.map(|until| until + config.isolation_grace_held(self.config.drift));
         [state.commands.next(), lost, blind]
             .into_iter()
             .flatten()
@@ -161,11 +161,11 @@
             .first_lease_at
             .map_or(0.0, |at| (self.now - at).millis());
         let report = FleetMaintenance {
-            line: earlier.map(|order_book| order_book.to_message(self.now)),
+            order_book: earlier.map(|order_book| order_book.to_message(self.now)),
             round: version.ballot.round,
             by: version.ballot.by,
             count: version.count,
-            let_go: state.released.iter().map(|server| server.0).collect(),
+            released: state.released.iter().map(|server| server.0).collect(),
             member_for_ms: member_for.max(0.0) as u64,
             served: served as f32,
             command: None,
@@ -211,7 +211,7 @@
 
     /// Replaces the order book by a newer one.
     fn follow_order_book(&mut self, report: &FleetMaintenance) {
-        let message = report.line.as_ref();
+        let message = report.order_book.as_ref();
         let Some(newer) = message.and_then(|message| OrderBook::from_message(message, self.now))
         else {
             return;
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -9,7 +9,7 @@
 use crate::demand::Demand;
 use crate::member_lease::{GrantId, MemberLeaseHolder, RenewalRequest};
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
+use gullsail_protocol::{FleetMember, FleetMessage, FleetMessageKind, FleetShare};
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
 use tracing::{info, warn};
@@ -77,11 +77,11 @@
     }
 
     /// The shares that this host holds, and the demand of its clients, by budget.
-    fn renewal_parts(&mut self, config: &FleetConfig, now: Instant) -> Vec<FleetPart> {
-        let mut parts: BTreeMap<VolumeId, FleetPart> = BTreeMap::new();
-        let new_part = |id: VolumeId| FleetPart {
+    fn renewal_parts(&mut self, config: &FleetConfig, now: Instant) -> Vec<FleetShare> {
+        let mut parts: BTreeMap<VolumeId, FleetShare> = BTreeMap::new();
+        let new_part = |id: VolumeId| FleetShare {
             budget: id.0,
-            ..FleetPart::default()
+            ..FleetShare::default()
         };
         if let Some(lease) = self.lease_holder.lease() {
             for (id, share) in &lease.shares {
@@ -90,7 +90,7 @@
         }
         for (id, rate) in self.demand.rates(now) {
             if config.budgets.contains_key(&id) {
-                parts.entry(id).or_insert_with(|| new_part(id)).asked = rate as f32;
+                parts.entry(id).or_insert_with(|| new_part(id)).demand = rate as f32;
             }
         }
         parts.into_values().collect()
@@ -126,8 +126,8 @@
             serial,
             round: ballot.round,
             by: ballot.by,
-            parts,
-            ..self.new_message(FleetWhat::Renew, coordinator, 0)
+            shares: parts,
+            ..self.new_message(FleetMessageKind::Renew, coordinator, 0)
         };
         let message = self.add_maintenance_report(message);
         if renewal.use_relays {
@@ -149,8 +149,11 @@
             // It may have been elected by voters that have all forgotten later ballots. It retries above the
             // ballot that is reported here.
             let known = self.membership.lease_holder.ballot();
-            let message =
-                self.new_message(FleetWhat::Refuse, HostId(poll.from), poll.from_incarnation);
+            let message = self.new_message(
+                FleetMessageKind::Refuse,
+                HostId(poll.from),
+                poll.from_incarnation,
+            );
             self.send(
                 FleetMessage {
                     round: known.round,
@@ -170,7 +173,7 @@
 
     /// A coordinator grants a lease.
     pub(super) fn grant_received(&mut self, message: &FleetMessage) {
-        let shares: Shares = message.parts.iter().map(messages::part).collect();
+        let shares: Shares = message.shares.iter().map(messages::part).collect();
         let grant = GrantId {
             ballot: messages::ballot(message),
             serial: message.serial,
@@ -263,7 +266,11 @@
         let message = FleetMessage {
             round: ballot.round,
             by: ballot.by,
-            ..self.new_message(FleetWhat::Leave, coordinator.host, coordinator.incarnation)
+            ..self.new_message(
+                FleetMessageKind::Leave,
+                coordinator.host,
+                coordinator.incarnation,
+            )
         };
         let message = self.add_maintenance_report(message);
         self.send(message, via);
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -6,7 +6,7 @@
 use crate::config::WHOLE;
 use crate::maintenance::OrderBook;
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMaintenance, FleetMessage, FleetPart, FleetWhat};
+use gullsail_protocol::{FleetMaintenance, FleetMessage, FleetMessageKind, FleetShare};
 use gullsail_scheduler_api::{HostId, VolumeId};
 use std::collections::VecDeque;
 
@@ -30,7 +30,7 @@
 }
 
 /// The budget and share in a part of a message.
-pub(super) fn part(part: &FleetPart) -> (VolumeId, u32) {
+pub(super) fn part(part: &FleetShare) -> (VolumeId, u32) {
     (VolumeId(part.budget), part.share)
 }
 
@@ -47,14 +47,14 @@
     /// An empty message of this host. `to_incarnation` 0: to any process of that host.
     pub(super) fn new_message(
         &self,
-        what: FleetWhat,
+        what: FleetMessageKind,
         to: HostId,
         to_incarnation: u64,
     ) -> FleetMessage {
         FleetMessage {
             fleet: self.config.fleet,
             rules: RULES,
-            what: what as i32,
+            kind: what as i32,
             from: self.process.host.0,
             from_incarnation: self.process.incarnation,
             to: to.0,
@@ -118,7 +118,7 @@
             Some("of an unknown host")
         } else if message.from == self.process.host.0 {
             Some("of another process with this host's name")
-        } else if !message.parts.iter().all(part_is_sound) || !maintenance_is_sound {
+        } else if !message.shares.iter().all(part_is_sound) || !maintenance_is_sound {
             Some("with figures that make no sense")
         } else {
             None
@@ -126,7 +126,7 @@
     }
 
     fn is_sound(&self, maintenance: &FleetMaintenance) -> bool {
-        let order_book = maintenance.line.as_ref();
+        let order_book = maintenance.order_book.as_ref();
         let readable =
             order_book.is_none_or(|book| OrderBook::from_message(book, self.now).is_some());
         readable && maintenance.served.is_finite() && maintenance.served >= 0.0
@@ -149,35 +149,39 @@
         let is_voter = self.config.is_voter(self.process.host);
         let stays = !self.membership.is_leaving();
         let announced = matches!(self.membership.departure, Departure::Announced { .. });
-        match message.what() {
-            FleetWhat::Prepare | FleetWhat::Propose if is_voter && stays => {
+        match message.kind() {
+            FleetMessageKind::Prepare | FleetMessageKind::Propose if is_voter && stays => {
                 self.answer_candidate(&message, link);
             }
-            FleetWhat::Release if is_voter => self.election.acceptor.release(sender(&message)),
-            FleetWhat::Promise => self.promise_received(&message),
-            FleetWhat::Accept => self.acceptance_received(&message),
-            FleetWhat::Refuse => self.election.candidate.refused(ballot(&message), self.now),
-            FleetWhat::Ask if stays => self.poll_received(&message, link),
+            FleetMessageKind::Release if is_voter => {
+                self.election.acceptor.release(sender(&message))
+            }
+            FleetMessageKind::Promise => self.promise_received(&message),
+            FleetMessageKind::Accept => self.acceptance_received(&message),
+            FleetMessageKind::Refuse => self.election.candidate.refused(ballot(&message), self.now),
+            FleetMessageKind::Ask if stays => self.poll_received(&message, link),
             // The departure message was lost, or there was no coordinator when it was due.
-            FleetWhat::Ask if announced => {
+            FleetMessageKind::Ask if announced => {
                 let coordinator = sender(&message);
                 self.send_departure(coordinator, ballot(&message), Some(link));
             }
-            FleetWhat::Renew => self.renewal_received(&message, link),
-            FleetWhat::Grant if stays => self.grant_received(&message),
-            FleetWhat::Leave => self.departure_received(&message, link),
-            FleetWhat::Left if announced => self.membership.departure = Departure::Complete,
-            FleetWhat::Fence if ballot(&message) >= self.membership.lease_holder.ballot() => {
+            FleetMessageKind::Renew => self.renewal_received(&message, link),
+            FleetMessageKind::Grant if stays => self.grant_received(&message),
+            FleetMessageKind::Leave => self.departure_received(&message, link),
+            FleetMessageKind::Left if announced => self.membership.departure = Departure::Complete,
+            FleetMessageKind::Fence
+                if ballot(&message) >= self.membership.lease_holder.ballot() =>
+            {
                 self.fence_received()
             }
-            FleetWhat::OperatorCommand => self.command_received(&message, link),
-            FleetWhat::Heard => self.command_answered(&message),
-            FleetWhat::Unknown => self.count_dropped("of an unknown kind"),
+            FleetMessageKind::OperatorCommand => self.command_received(&message, link),
+            FleetMessageKind::Heard => self.command_answered(&message),
+            FleetMessageKind::Unknown => self.count_dropped("of an unknown kind"),
             _ => self.count_dropped("out of place"),
         }
     }
 }
 
-fn part_is_sound(part: &FleetPart) -> bool {
-    part.share <= WHOLE && part.asked.is_finite() && part.asked >= 0.0
+fn part_is_sound(part: &FleetShare) -> bool {
+    part.share <= WHOLE && part.demand.is_finite() && part.demand >= 0.0
 }
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -4,7 +4,7 @@
 use super::Fleet;
 use crate::maintenance::coordinator::CommandKind;
 use crate::maintenance::{CommandRefusal, ServerId};
-use gullsail_protocol::{FleetCommand, FleetMaintenance, FleetMessage, FleetWhat};
+use gullsail_protocol::{FleetCommand, FleetMaintenance, FleetMessage, FleetMessageKind};
 use gullsail_scheduler_api::Instant;
 use std::collections::BTreeMap;
 
@@ -141,7 +141,7 @@
         let message = FleetMessage {
             number,
             maintenance: Some(Box::new(maintenance)),
-            ..self.new_message(FleetWhat::OperatorCommand, coordinator, 0)
+            ..self.new_message(FleetMessageKind::OperatorCommand, coordinator, 0)
         };
         if let Some(relay) = self.relays(coordinator).into_iter().next() {
             self.send(message.clone(), Some(relay));
@@ -157,12 +157,12 @@
         };
         let commands = &mut self.maintenance.commands;
         if commands.pending.remove(&message.number).is_some() {
-            let result = if result.why.is_empty() {
+            let result = if result.refusal.is_empty() {
                 CommandResult::Accepted
             } else {
                 CommandResult::Refused {
                     server: ServerId(result.refused),
-                    reason: result.why.clone(),
+                    reason: result.refusal.clone(),
                 }
             };
             let number = message.number;
--- a/crates/fleet/src/maintenance/access.rs
+++ b/crates/fleet/src/maintenance/access.rs
@@ -28,6 +28,6 @@
         None => stage.is_none_or(|stage| !stage.barred()),
         // There may be orders that this host does not know, so after the isolation grace a host without a lease
         // sends to no server. It may harm when the fleet has no coordinator for so long: no host serves.
-        Some(since) => stage.is_none() && now - since < config.blind_held(drift),
+        Some(since) => stage.is_none() && now - since < config.isolation_grace_held(drift),
     }
 }
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -101,7 +101,7 @@
         let second = self.snapshot.second_of_day;
         let (from, to) = self
             .config
-            .rests
+            .quiet_hours
             .iter()
             .find(|(from, to)| is_within(*from, *to, second))?;
         Blocker::by_itself(format!(
--- a/crates/fleet/src/maintenance/config.rs
+++ b/crates/fleet/src/maintenance/config.rs
@@ -24,14 +24,14 @@
     pub watched: Span,
     /// The isolation grace: how long a host whose confirmed lease has ended keeps sending to servers that it knows
     /// no order for.
-    pub blind: Span,
+    pub isolation_grace: Span,
     /// Quiet hours in which no server starts to drain: from and to, in seconds from midnight UTC.
-    pub rests: Vec<(u32, u32)>,
+    pub quiet_hours: Vec<(u32, u32)>,
 }
 
 impl MaintenanceConfig {
     /// The isolation grace as a host counts it: shortened by the drift of clocks.
-    pub fn blind_held(&self, drift: f64) -> Span {
-        self.blind.times((1.0 - drift) / (1.0 + drift))
+    pub fn isolation_grace_held(&self, drift: f64) -> Span {
+        self.isolation_grace.times((1.0 - drift) / (1.0 + drift))
     }
 }
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -102,7 +102,7 @@
             order.version = count;
             order.age = Span::ZERO;
             order.as_of = now;
-            order.waits.clear();
+            order.waiting_for.clear();
         }
     }
 
@@ -254,8 +254,8 @@
         {
             let order_book = self.order_book.as_mut();
             if let Some(order) = order_book.and_then(|order_book| order_book.order_mut(server)) {
-                changed |= order.waits != waits || order.hosts != hosts;
-                order.waits = truncate(&waits);
+                changed |= order.waiting_for != waits || order.hosts != hosts;
+                order.waiting_for = truncate(&waits);
                 order.hosts = hosts;
             }
         }
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -173,7 +173,7 @@
             shard_away: command.shard_away,
             returns: command.returns,
             reason: truncate(&command.reason),
-            waits: String::new(),
+            waiting_for: String::new(),
             hosts: Vec::new(),
             passed: 0,
             incarnation: 0,
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -50,7 +50,7 @@
         config: &FleetConfig,
         maintenance: &MaintenanceConfig,
     ) -> Instant {
-        self.elected_at + config.lease + maintenance.blind
+        self.elected_at + config.lease + maintenance.isolation_grace
     }
 
     /// A member renews its lease.
@@ -61,7 +61,8 @@
         report: RenewalReport,
         now: Instant,
     ) {
-        let lease_and_blind = |granted: Instant| granted + config.lease + maintenance.blind;
+        let lease_and_blind =
+            |granted: Instant| granted + config.lease + maintenance.isolation_grace;
         // One lease after this process had its first one, no other process of the host held any, whoever was
         // the coordinator.
         let member_for = report.member_for.times(1.0 - config.drift);
@@ -184,7 +185,11 @@
             count: self.count_with(order),
         };
         let knows = usage.known.is_some_and(|known| known >= requested);
-        let blind = if knows { Span::ZERO } else { maintenance.blind };
+        let blind = if knows {
+            Span::ZERO
+        } else {
+            maintenance.isolation_grace
+        };
         usage
             .earlier_incarnations_until
             .max(usage.granted_at + config.lease + blind)
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -110,7 +110,7 @@
     /// The operator's reason.
     pub reason: String,
     /// What the order waits for, for operators.
-    pub waits: String,
+    pub waiting_for: String,
     /// While it drains, the hosts that still use the server. Once it is offline, the hosts that never reported
     /// its release, so that their lease had to be waited out.
     pub hosts: Vec<u32>,
--- a/crates/fleet/src/maintenance/order_book.rs
+++ b/crates/fleet/src/maintenance/order_book.rs
@@ -4,7 +4,7 @@
 use super::order::{Order, Stage};
 use super::server::ServerId;
 use crate::ballot::Ballot;
-use gullsail_protocol::{FleetLine, FleetOrder};
+use gullsail_protocol::{FleetOrder, FleetOrderBook};
 use gullsail_scheduler_api::{Instant, Span};
 
 /// The most open orders: a message with all of them stays below the limit of a frame.
@@ -58,8 +58,8 @@
     }
 
     /// Encodes the order book for a message.
-    pub fn to_message(&self, now: Instant) -> FleetLine {
-        FleetLine {
+    pub fn to_message(&self, now: Instant) -> FleetOrderBook {
+        FleetOrderBook {
             round: self.version.ballot.round,
             by: self.version.ballot.by,
             count: self.version.count,
@@ -73,7 +73,7 @@
     }
 
     /// Decodes an order book; `None`: it is invalid.
-    pub fn from_message(message: &FleetLine, now: Instant) -> Option<OrderBook> {
+    pub fn from_message(message: &FleetOrderBook, now: Instant) -> Option<OrderBook> {
         if message.count == 0 || message.orders.len() > 2 * MAX_ORDERS {
             return None;
         }
@@ -109,7 +109,7 @@
         shard_away: order.shard_away,
         returns: order.returns,
         reason: order.reason.clone(),
-        waits: order.waits.clone(),
+        waiting_for: order.waiting_for.clone(),
         hosts: order.hosts.clone(),
         passed: order.passed,
         incarnation: order.incarnation,
@@ -128,7 +128,7 @@
         shard_away: order.shard_away,
         returns: order.returns,
         reason: truncate(&order.reason),
-        waits: truncate(&order.waits),
+        waiting_for: truncate(&order.waiting_for),
         hosts: order.hosts.clone(),
         passed: order.passed,
         incarnation: order.incarnation,
--- a/crates/fleet/tests/exploration.rs
+++ b/crates/fleet/tests/exploration.rs
@@ -49,10 +49,10 @@
 fn fleet_config() -> Arc<FleetConfig> {
     let through = (0..3).map(HostId).collect();
     let budget = Budget {
-        through,
+        hosts: through,
         floor: 100_000,
         lagging_hosts: BTreeMap::new(),
-        least: 1000,
+        min_share: 1000,
     };
     let lease = Span::from_micros(LEASE);
     Arc::new(FleetConfig {
@@ -220,7 +220,7 @@
             .collect();
         let deciding = runs
             .iter()
-            .filter(|(host, fleet)| fleet.decides(self.clock(*host)))
+            .filter(|(host, fleet)| fleet.is_coordinator(self.clock(*host)))
             .count();
         let sum: u32 = shares.iter().map(|(_, share)| share).sum();
         (sum > WHOLE || deciding > 1).then(|| format!("{shares:?} in use, {deciding} decide"))
@@ -272,7 +272,7 @@
     let coordinator = (0..3).find(|host| {
         coordinator_died.hosts[*host as usize]
             .as_ref()
-            .is_some_and(|fleet| fleet.decides(coordinator_died.clock(*host)))
+            .is_some_and(|fleet| fleet.is_coordinator(coordinator_died.clock(*host)))
     });
     let coordinator = coordinator.expect("a coordinator is elected by now");
     coordinator_died.hosts[coordinator as usize] = None;
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -15,10 +15,10 @@
 
 fn budget(hosts: u32, floor: u32, least: u32) -> Budget {
     Budget {
-        through: (0..hosts).map(HostId).collect(),
+        hosts: (0..hosts).map(HostId).collect(),
         floor,
         lagging_hosts: BTreeMap::new(),
-        least,
+        min_share: least,
     }
 }
 
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -29,8 +29,8 @@
         busy: 0.9,
         longest: Span::from_millis(1000.0),
         watched: Span::from_millis(100.0),
-        blind: Span::from_millis(3000.0),
-        rests: vec![(79_200, 21_600)],
+        isolation_grace: Span::from_millis(3000.0),
+        quiet_hours: vec![(79_200, 21_600)],
     }
 }
 
@@ -86,7 +86,7 @@
         shard_away: false,
         returns: false,
         reason: String::new(),
-        waits: String::new(),
+        waiting_for: String::new(),
         hosts: Vec::new(),
         passed,
         incarnation: 1,
--- a/crates/fleet/tests/messages.rs
+++ b/crates/fleet/tests/messages.rs
@@ -2,7 +2,7 @@
 //! nothing and are counted by cause; one name is one process.
 
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
-use gullsail_protocol::{FleetMessage, FleetPart, FleetWhat};
+use gullsail_protocol::{FleetMessage, FleetMessageKind, FleetShare};
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 
 fn fleet_config(hosts: u32, voters: u32) -> Arc<FleetConfig> {
     let budget = Budget {
-        through: (0..hosts).map(HostId).collect(),
+        hosts: (0..hosts).map(HostId).collect(),
         floor: WHOLE / 5 / hosts,
         lagging_hosts: BTreeMap::new(),
-        least: 1000,
+        min_share: 1000,
     };
     let budgets = [(VolumeId(1), budget)].into();
     Arc::new(FleetConfig {
@@ -36,7 +36,7 @@
     let mut fleet = Fleet::new(fleet_config(2, 1), HostId(0), 11, 1, ms(0));
     (0..3000).step_by(10).for_each(|at| fleet.advance(ms(at)));
     fleet.outputs().for_each(drop);
-    assert!(fleet.decides(ms(3000)));
+    assert!(fleet.is_coordinator(ms(3000)));
     fleet
 }
 
@@ -45,13 +45,13 @@
     fleet.advance(ms(at));
     let polls = fleet
         .outputs()
-        .filter(|output| output.message.what() == FleetWhat::Ask);
+        .filter(|output| output.message.kind() == FleetMessageKind::Ask);
     let newest = polls.map(|output| output.message).next_back();
     let (round, by) = newest.map_or((u64::MAX >> 20, 0), |poll| (poll.round, poll.by));
     FleetMessage {
         fleet: 7,
         rules: 1,
-        what: FleetWhat::Renew as i32,
+        kind: FleetMessageKind::Renew as i32,
         from: 1,
         from_incarnation: incarnation,
         number: 1,
@@ -61,7 +61,7 @@
     }
 }
 
-fn answers(fleet: &mut Fleet, message: FleetMessage, at: i64) -> Vec<FleetWhat> {
+fn answers(fleet: &mut Fleet, message: FleetMessage, at: i64) -> Vec<FleetMessageKind> {
     // Time has gone on meanwhile; a point before the last one changes nothing.
     (at - 1000..at)
         .step_by(10)
@@ -77,7 +77,7 @@
     fleet
         .outputs()
         .filter(|output| output.to == HostId(1))
-        .map(|output| output.message.what())
+        .map(|output| output.message.kind())
         .collect()
 }
 
@@ -102,17 +102,17 @@
             |message| message.to_incarnation = 99,
             "for an earlier process of this name",
         ),
-        case(|message| message.what = 77, "of an unknown kind"),
+        case(|message| message.kind = 77, "of an unknown kind"),
         case(
-            |message| message.what = FleetWhat::Left as i32,
+            |message| message.kind = FleetMessageKind::Left as i32,
             "out of place",
         ),
         case(
-            |message| message.parts[0].asked = f32::NAN,
+            |message| message.shares[0].demand = f32::NAN,
             "with figures that make no sense",
         ),
         case(
-            |message| message.parts[0].share = WHOLE + 1,
+            |message| message.shares[0].share = WHOLE + 1,
             "with figures that make no sense",
         ),
     ]
@@ -123,10 +123,10 @@
     for (place, DamagedMessage { damage, cause }) in damaged_messages().into_iter().enumerate() {
         let mut fleet = coordinator();
         let mut message = renewal(&mut fleet, 21, 3500);
-        message.parts = vec![FleetPart {
+        message.shares = vec![FleetShare {
             budget: 1,
             share: 0,
-            asked: 3.0,
+            demand: 3.0,
         }];
         damage(&mut message);
         let epoch = fleet.epoch();
@@ -146,30 +146,33 @@
 fn one_name_is_one_process() {
     let mut fleet = coordinator();
     let first = renewal(&mut fleet, 21, 3500);
-    assert_eq!(answers(&mut fleet, first.clone(), 3501), [FleetWhat::Grant]);
+    assert_eq!(
+        answers(&mut fleet, first.clone(), 3501),
+        [FleetMessageKind::Grant]
+    );
     let second = FleetMessage {
         from_incarnation: 22,
         ..first.clone()
     };
     assert_eq!(
         answers(&mut fleet, second.clone(), 3700),
-        [FleetWhat::Fence]
+        [FleetMessageKind::Fence]
     );
-    assert_eq!(answers(&mut fleet, first, 3800), [FleetWhat::Grant]);
+    assert_eq!(answers(&mut fleet, first, 3800), [FleetMessageKind::Grant]);
     assert_eq!(
         answers(&mut fleet, second.clone(), 4700),
-        [FleetWhat::Fence],
+        [FleetMessageKind::Fence],
         "the first one's lease is not over"
     );
     assert_eq!(
         answers(&mut fleet, second.clone(), 4801),
-        [FleetWhat::Grant]
+        [FleetMessageKind::Grant]
     );
     // And a host that learns so uses nothing, not even its floor.
     let mut other = Fleet::new(fleet_config(2, 1), HostId(1), 22, 1, ms(0));
     assert!(other.share(VolumeId(1)) > 0);
     let fence = FleetMessage {
-        what: FleetWhat::Fence as i32,
+        kind: FleetMessageKind::Fence as i32,
         from: 0,
         from_incarnation: 11,
         to: 1,
@@ -194,7 +197,7 @@
     let message = FleetMessage {
         fleet: 7,
         rules: 1,
-        what: FleetWhat::Renew as i32,
+        kind: FleetMessageKind::Renew as i32,
         from: 1,
         to: 2,
         ..FleetMessage::default()
@@ -242,15 +245,15 @@
 }
 
 fn drawn_message((what, from, to, round, by, number, parts): Fields) -> FleetMessage {
-    let part = |(budget, share, asked)| FleetPart {
+    let part = |(budget, share, asked)| FleetShare {
         budget,
         share,
-        asked,
+        demand: asked,
     };
     FleetMessage {
         fleet: 7,
         rules: 1,
-        what,
+        kind: what,
         from,
         to,
         round: round >> 12,
@@ -258,7 +261,7 @@
         number,
         serial: number,
         epoch: round >> 12,
-        parts: parts.into_iter().map(part).collect(),
+        shares: parts.into_iter().map(part).collect(),
         ..FleetMessage::default()
     }
 }
--- a/crates/fleet/tests/world/commands.rs
+++ b/crates/fleet/tests/world/commands.rs
@@ -33,7 +33,7 @@
 fn coordinator(w: &World) -> u32 {
     let is_coordinator = |number: &u32| {
         let fleet = w.hosts[*number as usize].fleet.as_ref();
-        fleet.is_some_and(|fleet| fleet.decides(w.clock(*number, w.now)))
+        fleet.is_some_and(|fleet| fleet.is_coordinator(w.clock(*number, w.now)))
     };
     (0..HOSTS).find(is_coordinator).unwrap()
 }
--- a/crates/fleet/tests/world/harness.rs
+++ b/crates/fleet/tests/world/harness.rs
@@ -30,10 +30,10 @@
         let floor = WHOLE * 3 / 10 / through.len() as u32;
         let through = through.into_iter().map(HostId).collect();
         Budget {
-            through,
+            hosts: through,
             floor,
             lagging_hosts: BTreeMap::new(),
-            least,
+            min_share: least,
         }
     };
     let some = (0..hosts).filter(|host| host % 2 == 0).collect();
--- a/crates/fleet/tests/world/invariants.rs
+++ b/crates/fleet/tests/world/invariants.rs
@@ -95,7 +95,8 @@
     fn check_coordinators(&mut self, running: &[u32]) {
         let decides = |host: &&u32| {
             let clock = self.clock(**host, self.now);
-            self.fleet(**host).is_some_and(|fleet| fleet.decides(clock))
+            self.fleet(**host)
+                .is_some_and(|fleet| fleet.is_coordinator(clock))
         };
         let deciding: Vec<u32> = running.iter().filter(decides).copied().collect();
         assert!(
--- a/crates/fleet/tests/world/main.rs
+++ b/crates/fleet/tests/world/main.rs
@@ -33,7 +33,7 @@
         // every other size.
         let coordinator = (0..5).find(|host| {
             let fleet = w.hosts[*host as usize].fleet.as_ref();
-            fleet.is_some_and(|fleet| fleet.decides(w.clock(*host, w.now)))
+            fleet.is_some_and(|fleet| fleet.is_coordinator(w.clock(*host, w.now)))
         });
         let first = coordinator.filter(|_| hosts != 50 && hosts != 200);
         let other_voters = (0..5).filter(|host| Some(*host) != coordinator);
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -21,8 +21,8 @@
         busy: 0.9,
         longest: Span::from_millis(60_000.0),
         watched: Span::from_millis(300.0),
-        blind: Span::from_millis(3000.0),
-        rests: Vec::new(),
+        isolation_grace: Span::from_millis(3000.0),
+        quiet_hours: Vec::new(),
     }
 }
 
@@ -98,7 +98,7 @@
         let orders = fleet.orders().map(|order| {
             format!(
                 "{}#{} {:?} {} {:?}",
-                order.server.0, order.number, order.stage, order.waits, order.hosts
+                order.server.0, order.number, order.stage, order.waiting_for, order.hosts
             )
         });
         let orders: Vec<String> = orders.collect();
@@ -250,7 +250,7 @@
         w.run(8 * LEASE);
         let is_coordinator = |number: &u32| {
             let fleet = w.hosts[*number as usize].fleet.as_ref();
-            fleet.is_some_and(|fleet| fleet.decides(w.clock(*number, w.now)))
+            fleet.is_some_and(|fleet| fleet.is_coordinator(w.clock(*number, w.now)))
         };
         let coordinator = (0..hosts).find(is_coordinator).unwrap();
         let through = (coordinator + 1) % hosts;
--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -45,7 +45,7 @@
             // A result of a newer version may mean that it ran.
             Ok(AttemptResult::Failed | AttemptResult::Unknown) | Err(_) => AttemptOutcome::Failed,
         };
-        let used_percent = answer.used_plus_one.checked_sub(1);
+        let used_percent = answer.usage_percent_plus_one.checked_sub(1);
         AttemptReport {
             outcome,
             used: used_percent.map(|percent| f64::from(percent) / 100.0),
@@ -266,7 +266,7 @@
         units: submit.units,
         write: open.write,
         handle: submit.handle,
-        mark: submit.mark.clone(),
+        idempotency_key: submit.idempotency_key.clone(),
         repeat: submit.repeat,
         number,
         time_out_us: timeout.micros(),
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -44,7 +44,12 @@
     pub(super) fn new(host: HostId, deployment: &Deployment, now: Instant) -> ConfigChangeState {
         let host_count = deployment.hosts.len() as u32;
         ConfigChangeState {
-            transition: ConfigTransition::new(host, host_count, deployment.line.clone(), now),
+            transition: ConfigTransition::new(
+                host,
+                host_count,
+                deployment.limit_history.clone(),
+                now,
+            ),
             next_round: None,
         }
     }
@@ -98,7 +103,7 @@
         }
         self.config_change
             .transition
-            .go_on(proposal.to.line.clone(), self.now)
+            .go_on(proposal.to.limit_history.clone(), self.now)
             .map_err(|error| vec![error.to_string()])?;
         let old = std::mem::replace(&mut self.deployment, proposal.to.clone());
         self.config_change
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -165,7 +165,7 @@
                 || plan.is_some_and(|plan| *scope == BudgetScope::Plan(plan))
         };
         for budget in &deployment.cross_zone_budgets {
-            if is_charged(&budget.of) {
+            if is_charged(&budget.scope) {
                 self.record_demand(budget.id, bytes as f64);
             }
         }
@@ -215,7 +215,7 @@
         };
         let shares = self.budget_shares(fleet);
         let slow_start_share = fleet.share(SLOW_START_BUDGET);
-        let inactive: BTreeSet<HostId> = fleet.out().collect();
+        let inactive: BTreeSet<HostId> = fleet.inactive_hosts().collect();
         let was_inactive = std::mem::replace(&mut self.fleet.inactive_members, inactive.clone());
         self.log_shares();
         self.config_change.transition.settle(shares, inactive);
@@ -277,7 +277,7 @@
                 .and_then(|fleet| fleet.probes),
         );
         FleetMembership {
-            hosts: self.deployment.hosts.len() as u32,
+            host_count: self.deployment.hosts.len() as u32,
             slow_start_share,
             probe_interval,
         }
@@ -293,7 +293,7 @@
         if !enabled!(target: "gullsail_parts", Level::DEBUG) {
             return;
         }
-        let (shares, lease) = fleet.parts();
+        let (shares, lease) = fleet.shares_and_lease();
         let held: BTreeMap<_, _> = shares
             .filter_map(|(id, share)| Some((self.budget_name(id.0)?, share)))
             .collect();
@@ -340,5 +340,5 @@
 /// hosts never add up to more than the budget.
 fn slow_start_delayed_increase(deployment: &Deployment) -> DelayedIncrease {
     let figures = deployment.figures();
-    DelayedIncrease::new(figures.slow_start.window.times(1.1) + figures.connect_wait)
+    DelayedIncrease::new(figures.slow_start.window.times(1.1) + figures.max_connect_wait)
 }
--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::fleet::{CONNECT_BUDGET, PROBE_BUDGET, SLOW_START_BUDGET};
-use gullsail_fleet::config::{floor, least};
+use gullsail_fleet::config::{floor, min_share};
 use gullsail_fleet::{Budget, FleetConfig};
 use gullsail_scheduler_api::{HostId, VolumeId};
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
         for volume in &deployment.volumes {
             let plan = deployment.plans.get(volume.plan.0);
             if let Some(limit) = plan.and_then(|plan| plan.decisions.limit) {
-                let least = least(max_units, limit.burst);
+                let least = min_share(max_units, limit.burst);
                 let budget = self.shared_budget(volume.id, &volume.hosts, least, floor_share);
                 budgets.insert(volume.id, budget);
             }
@@ -49,7 +49,7 @@
         let configured = self.deployment.cross_zone_budgets.iter();
         configured
             .map(|budget| {
-                let least = least(max_bytes, budget.limit.burst);
+                let least = min_share(max_bytes, budget.limit.burst);
                 let shared = self.shared_budget(budget.id, &budget.hosts, least, floor_share);
                 (budget.id, shared)
             })
@@ -65,10 +65,10 @@
         floor_share: f64,
     ) -> Budget {
         Budget {
-            through: through.clone(),
+            hosts: through.clone(),
             floor: floor(floor_share, through.len()),
             lagging_hosts: self.lagging_hosts(id, floor_share),
-            least,
+            min_share: least,
         }
     }
 
@@ -84,13 +84,13 @@
         let through: Arc<[HostId]> = (0..host_count).map(HostId).collect();
         let slow_start = Budget {
             floor: floor(floor_share, through.len()),
-            through,
+            hosts: through,
             lagging_hosts: BTreeMap::new(),
-            least: least(figures.max_units, figures.slow_start.units),
+            min_share: min_share(figures.max_units, figures.slow_start.units),
         };
         // Rates have no largest request that a share must hold, since their operations are paced.
         let paced = Budget {
-            least: 0,
+            min_share: 0,
             ..slow_start.clone()
         };
         let mut budgets = BTreeMap::new();
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -239,7 +239,7 @@
             stage: order.stage,
             for_ms: order.aged(self.now).millis(),
             longest_ms: order.longest.millis(),
-            waits: order.waits.clone(),
+            waits: order.waiting_for.clone(),
             hosts: order
                 .hosts
                 .iter()
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -115,7 +115,7 @@
             self.counts.demand_reports_received += 1;
             self.events.push(Event::PeerMessage {
                 from,
-                bytes: demand_report::moved(&bytes, offset),
+                bytes: demand_report::with_shifted_time(&bytes, offset),
             });
         } else if peer.clock_too_far || peer.waiting.len() >= MAX_WAITING_FRAMES {
             self.counts.demand_reports_dropped += 1;
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -112,7 +112,7 @@
             return Err(InvalidRequest::UnknownVolume(submit.volume.clone()));
         };
         let volume = &deployment.volumes[volume_place];
-        if !volume.through(self.identity.host) {
+        if !volume.is_served_by(self.identity.host) {
             return Err(InvalidRequest::VolumeElsewhere(volume.name.clone()));
         }
         let units = submit.units;
@@ -159,7 +159,7 @@
         let class = RequestClassId(valid.places.request_class);
         let class_deadline = deployment.request_classes[valid.places.request_class].deadline;
         // No less than the frames of its attempts will have: names, figures and the body.
-        let names = submit.request_class.len() + submit.volume.len() + submit.mark.len();
+        let names = submit.request_class.len() + submit.volume.len() + submit.idempotency_key.len();
         let bytes = ATTEMPT_HEAD_BYTES + names + valid.body.len();
         Request {
             id: RequestId::default(),
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -195,7 +195,7 @@
             what: ServerRole::Node {
                 shard: node.shard.0,
                 pool: number(&node.kind),
-                can: server.map_or(1.0, gullsail_configuration::Server::can),
+                can: server.map_or(1.0, gullsail_configuration::Server::capacity),
             },
             zone: node.zone.0 as u32,
             well: node.state == EndpointState::Ready && reachable,
--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -320,7 +320,7 @@
                 request_class,
                 volume,
                 units: 1.0,
-                mark,
+                idempotency_key: mark,
                 timeout_us: 1_500_000,
                 ..Submit::default()
             };
@@ -333,7 +333,7 @@
         [nodes.0, nodes.1].map(|n| {
             rig.attempts(n)
                 .iter()
-                .filter(|attempt| attempt.mark[1..].parse::<u64>().unwrap() >= first)
+                .filter(|attempt| attempt.idempotency_key[1..].parse::<u64>().unwrap() >= first)
                 .count()
         })
     };
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -75,7 +75,7 @@
             "case {place}"
         );
         assert!(
-            sent.iter().all(|sent| sent.attempt.mark == "m5"),
+            sent.iter().all(|sent| sent.attempt.idempotency_key == "m5"),
             "a repeat is known by its mark"
         );
         assert!(
@@ -391,7 +391,7 @@
         let submit = Submit {
             timeout_us: timeout * 1000,
             id: 9,
-            mark: "m9".into(),
+            idempotency_key: "m9".into(),
             ..rig.submitted("read", "v", 1)
         };
         rig.handle(Input::DelayedFrame(
--- a/crates/host/tests/host/model/observations.rs
+++ b/crates/host/tests/host/model/observations.rs
@@ -69,7 +69,7 @@
         link: LinkId,
         sent: &Attempt,
     ) -> Result<(), Breach> {
-        let id = RequestId(sent.mark[1..].parse().unwrap());
+        let id = RequestId(sent.idempotency_key[1..].parse().unwrap());
         let mut links = self.hosts[host_index].links.iter();
         let n = links.position(|other| *other == Some(link)).unwrap();
         let count = self.hosts[host_index].attempts.entry(id).or_default();
--- a/crates/host/tests/host/model/traffic.rs
+++ b/crates/host/tests/host/model/traffic.rs
@@ -32,7 +32,7 @@
             } else {
                 String::new()
             },
-            mark: format!("m{id}"),
+            idempotency_key: format!("m{id}"),
             repeat: 0,
             timeout_us: self.draw_timeout_us(),
         };
--- a/crates/host/tests/host/other_configurations.rs
+++ b/crates/host/tests/host/other_configurations.rs
@@ -45,7 +45,7 @@
             AttemptAnswer {
                 attempt: attempt.attempt,
                 result: AttemptResult::Succeeded as i32,
-                used_plus_one: 51,
+                usage_percent_plus_one: 51,
                 ..AttemptAnswer::default()
             },
         );
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -26,7 +26,7 @@
         } else {
             String::new()
         },
-        mark: format!("m{id}"),
+        idempotency_key: format!("m{id}"),
         timeout_us: 1_500_000,
         ..Submit::default()
     };
@@ -307,7 +307,7 @@
     let seen: Vec<_> = rig
         .new_attempts()
         .into_iter()
-        .filter(|sent| sent.attempt.mark == "m5")
+        .filter(|sent| sent.attempt.idempotency_key == "m5")
         .collect();
     assert_eq!(seen.len(), case.attempts, "{what}");
     let cancelled = seen.iter().any(|sent| {
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -263,7 +263,7 @@
         let sent = Submit {
             id,
             handle,
-            mark: format!("m{id}"),
+            idempotency_key: format!("m{id}"),
             ..self.submitted(request_class, volume, shard)
         };
         self.frame(link, sent);
--- a/crates/host/tests/host/waiting_attempts.rs
+++ b/crates/host/tests/host/waiting_attempts.rs
@@ -53,7 +53,7 @@
     if let Some(attempt) = rig
         .attempts(node)
         .last()
-        .filter(|attempt| attempt.mark == format!("m{id}"))
+        .filter(|attempt| attempt.idempotency_key == format!("m{id}"))
     {
         let failed = [101, 160].contains(&id) && attempt.number == 0;
         rig.answer(
@@ -69,7 +69,7 @@
     if let Some(attempt) = rig
         .attempts(node)
         .last()
-        .filter(|attempt| attempt.number > 0 && attempt.mark == format!("m{id}"))
+        .filter(|attempt| attempt.number > 0 && attempt.idempotency_key == format!("m{id}"))
     {
         rig.answer(node, attempt.attempt, AttemptResult::Succeeded);
     }
@@ -144,7 +144,7 @@
         for attempt in rig
             .attempts(n2)
             .into_iter()
-            .filter(|attempt| attempt.mark == format!("m{id}"))
+            .filter(|attempt| attempt.idempotency_key == format!("m{id}"))
         {
             rig.answer(n2, attempt.attempt, AttemptResult::Succeeded);
         }
--- a/crates/placement/src/documents.rs
+++ b/crates/placement/src/documents.rs
@@ -71,7 +71,7 @@
     for node in deployment.nodes.iter().filter(|node| !node.spare) {
         let server = deployment.servers.get(node.server);
         let server = server.ok_or_else(|| MissingInput::Server(node.place.name.clone()))?;
-        units[node.place.zone.0] += server.can() * PROMISABLE;
+        units[node.place.zone.0] += server.capacity() * PROMISABLE;
         nodes[node.place.zone.0] += 1.0;
     }
     Ok(Capacity { units, nodes })
@@ -125,7 +125,7 @@
     let budgets = deployment
         .cross_zone_budgets
         .iter()
-        .filter_map(|c| match c.of {
+        .filter_map(|c| match c.scope {
             BudgetScope::ZonePair(from, to) => Some(Budget {
                 from: from.0,
                 to: to.0,
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -321,7 +321,7 @@
             && extent
                 .shard
                 .is_none_or(|shard| (0..shards).contains(&shard.0))
-            && (1..=config.hosts.max(1)).contains(&extent.hosts);
+            && (1..=config.host_count.max(1)).contains(&extent.hosts);
         if in_range {
             Ok(extent)
         } else {
--- a/crates/platform/src/settings_document.rs
+++ b/crates/platform/src/settings_document.rs
@@ -138,7 +138,7 @@
             source.error(format!("{file}, settings: {error}"), help, None)
         })?;
         let reach = raw.settings.reach();
-        config.connect_wait = reach.connect_time_out;
+        config.max_connect_wait = reach.connect_time_out;
         source.validate(&raw, &config, &reach)?;
         Ok(SettingsDocument {
             name: raw.name,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -25,10 +25,10 @@
 /// The longest demand report between hosts, as the design has it.
 pub const MAX_DEMAND_REPORT_BYTES: usize = 256;
 /// The length of a frame's header, in bytes.
-pub const HEADER: usize = 12;
+pub const HEADER_BYTES: usize = 12;
 const TAG: u8 = 0x9d;
 /// Room made for bytes that are announced and have not come: whole for all but the largest pieces.
-pub const AHEAD: usize = 256 << 10;
+pub const MAX_RESERVED_BYTES: usize = 256 << 10;
 
 /// What one end of a connection accepts at most.
 #[derive(Clone, Copy, Debug)]
@@ -59,14 +59,14 @@
     #[error("frame has version 0, expected 1 or later")]
     Version,
     /// A part of the frame is longer than accepted.
-    #[error("{what} of {found} bytes is too long, at most {most} are accepted")]
+    #[error("{part} of {length} bytes is too long, at most {max_length} are accepted")]
     TooLong {
         /// The part: message, body, or a field of a message.
-        what: &'static str,
+        part: &'static str,
         /// Its length in bytes.
-        found: usize,
+        length: usize,
         /// The most bytes that are accepted.
-        most: usize,
+        max_length: usize,
     },
     /// The message is not valid protobuf of its kind.
     #[error("message of kind {kind} cannot be decoded: {why}")]
@@ -178,7 +178,7 @@
 
     /// Bytes on the wire.
     pub fn len(&self) -> usize {
-        HEADER + self.message.encoded_len() + self.body.len()
+        HEADER_BYTES + self.message.encoded_len() + self.body.len()
     }
 
     /// Never: a frame has at least its header.
@@ -187,9 +187,9 @@
     }
 
     /// Header and message; the body goes after it as it is, without a copy.
-    pub fn head(&self, out: &mut BytesMut) {
+    pub fn encode_head(&self, out: &mut BytesMut) {
         let message = self.message.encoded_len();
-        out.reserve(HEADER + message);
+        out.reserve(HEADER_BYTES + message);
         out.put_u8(TAG);
         out.put_u8(VERSION);
         out.put_u16_le(self.message.kind());
@@ -201,9 +201,9 @@
 
 /// How long the frame at the front is, header included, once its header has come. Its bounds are not judged
 /// here.
-pub fn announced(buf: &BytesMut) -> Option<usize> {
-    let mut size_metrics = buf.get(4..HEADER)?;
-    Some(HEADER + size_metrics.get_u32_le() as usize + size_metrics.get_u32_le() as usize)
+pub fn announced_frame_bytes(buf: &BytesMut) -> Option<usize> {
+    let mut size_metrics = buf.get(4..HEADER_BYTES)?;
+    Some(HEADER_BYTES + size_metrics.get_u32_le() as usize + size_metrics.get_u32_le() as usize)
 }
 
 /// Takes the next frame off the front of what has been read; `None`: more must be read first. The body is a
@@ -218,7 +218,7 @@
     if *tag != TAG {
         return Err(Broken::Tag(*tag));
     }
-    let Some(mut header) = buf.get(..HEADER) else {
+    let Some(mut header) = buf.get(..HEADER_BYTES) else {
         return Ok(None);
     };
     header.advance(1);
@@ -227,22 +227,26 @@
     }
     let kind = header.get_u16_le();
     let (message, body) = (header.get_u32_le() as usize, header.get_u32_le() as usize);
-    for (what, found, most) in [
+    for (part, length, max_length) in [
         ("message", message, bounds.message),
         ("body", body, bounds.body),
     ] {
-        if found > most {
-            return Err(Broken::TooLong { what, found, most });
+        if length > max_length {
+            return Err(Broken::TooLong {
+                part,
+                length,
+                max_length,
+            });
         }
     }
-    let whole = HEADER + message + body;
+    let whole = HEADER_BYTES + message + body;
     if buf.len() < whole {
         // Not all at once: a header alone must not have its whole frame set aside.
-        buf.reserve((whole - buf.len()).min(AHEAD));
+        buf.reserve((whole - buf.len()).min(MAX_RESERVED_BYTES));
         return Ok(None);
     }
     let mut frame = buf.split_to(whole).freeze();
-    frame.advance(HEADER);
+    frame.advance(HEADER_BYTES);
     let message =
         Message::decode(kind, frame.split_to(message)).map_err(|error| Broken::Malformed {
             kind,
@@ -252,18 +256,18 @@
         && report.bytes.len() > MAX_DEMAND_REPORT_BYTES
     {
         return Err(Broken::TooLong {
-            what: "demand report",
-            found: report.bytes.len(),
-            most: MAX_DEMAND_REPORT_BYTES,
+            part: "demand report",
+            length: report.bytes.len(),
+            max_length: MAX_DEMAND_REPORT_BYTES,
         });
     }
     if let Message::Reached(notice) = &message
         && notice.hosts.len() > MAX_DEMAND_REPORT_BYTES
     {
         return Err(Broken::TooLong {
-            what: "revision notice",
-            found: notice.hosts.len(),
-            most: MAX_DEMAND_REPORT_BYTES,
+            part: "revision notice",
+            length: notice.hosts.len(),
+            max_length: MAX_DEMAND_REPORT_BYTES,
         });
     }
     Ok(Some(Frame {
--- a/crates/protocol/src/message/attempt.rs
+++ b/crates/protocol/src/message/attempt.rs
@@ -28,8 +28,9 @@
     #[prost(message, optional, tag = "6")]
     pub handle: Option<Handle>,
     /// The same in every try of one request: a node recognises a repeat by it.
+    #[serde(rename = "mark")]
     #[prost(string, tag = "7")]
-    pub mark: String,
+    pub idempotency_key: String,
     /// Which of the client's tries this belongs to, from 0.
     #[prost(uint32, tag = "8")]
     pub repeat: u32,
@@ -74,8 +75,9 @@
     pub handle: Option<Handle>,
     /// The volume's use through all hosts in a finished period, in percent of its usual rate, plus one;
     /// 0: not told.
+    #[serde(rename = "used_plus_one")]
     #[prost(uint32, tag = "4")]
-    pub used_plus_one: u32,
+    pub usage_percent_plus_one: u32,
     /// It took effect now, and not in an earlier attempt whose mark it bears.
     #[prost(bool, tag = "5")]
     pub ran: bool,
--- a/crates/protocol/src/message/client.rs
+++ b/crates/protocol/src/message/client.rs
@@ -27,8 +27,9 @@
     #[prost(string, tag = "6")]
     pub order_key: String,
     /// The same in every try of what a client wants once: a repeat is known by it.
+    #[serde(rename = "mark")]
     #[prost(string, tag = "7")]
-    pub mark: String,
+    pub idempotency_key: String,
     /// Which of the client's tries this is, from 0.
     #[prost(uint32, tag = "8")]
     pub repeat: u32,
--- a/crates/protocol/src/message/fleet.rs
+++ b/crates/protocol/src/message/fleet.rs
@@ -9,7 +9,7 @@
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
-pub enum FleetWhat {
+pub enum FleetMessageKind {
     /// Not a message that this version knows.
     Unknown = 0,
     /// To a voter: promise this ballot.
@@ -45,7 +45,7 @@
 
 /// What somebody may use of a budget, or asks of it.
 #[derive(Clone, Copy, PartialEq, Message, Serialize, Deserialize)]
-pub struct FleetPart {
+pub struct FleetShare {
     /// The budget.
     #[prost(fixed64, tag = "1")]
     pub budget: u64,
@@ -53,8 +53,9 @@
     #[prost(uint32, tag = "2")]
     pub share: u32,
     /// In the budget's own measure, a second.
+    #[serde(rename = "asked")]
     #[prost(float, tag = "3")]
-    pub asked: f32,
+    pub demand: f32,
 }
 
 /// One member of the fleet, as the coordinator lists it.
@@ -83,9 +84,10 @@
     /// The version of the rules by which the message is written.
     #[prost(uint32, tag = "2")]
     pub rules: u32,
-    /// A [`FleetWhat`].
-    #[prost(enumeration = "FleetWhat", tag = "3")]
-    pub what: i32,
+    /// A [`FleetMessageKind`].
+    #[serde(rename = "what")]
+    #[prost(enumeration = "FleetMessageKind", tag = "3")]
+    pub kind: i32,
     /// The host that wrote it; another one may have passed it on.
     #[prost(uint32, tag = "4")]
     pub from: u32,
@@ -116,8 +118,9 @@
     #[prost(uint64, tag = "12")]
     pub serial: u64,
     /// Shares held or granted, and demand.
+    #[serde(rename = "parts")]
     #[prost(message, repeated, tag = "13")]
-    pub parts: Vec<FleetPart>,
+    pub shares: Vec<FleetShare>,
     /// The members, where the receiver may not know them.
     #[prost(message, repeated, tag = "14")]
     pub members: Vec<FleetMember>,
@@ -132,8 +135,9 @@
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetMaintenance {
     /// All orders, where the receiver may not know them.
+    #[serde(rename = "line")]
     #[prost(message, optional, tag = "1")]
-    pub line: Option<FleetLine>,
+    pub order_book: Option<FleetOrderBook>,
     /// The version of the order book that the sender knows: the round of its ballot; 0: none.
     #[prost(uint64, tag = "2")]
     pub round: u64,
@@ -144,8 +148,9 @@
     #[prost(uint64, tag = "4")]
     pub count: u64,
     /// Of a renewal: servers to which this host sends nothing any more.
+    #[serde(rename = "let_go")]
     #[prost(fixed64, repeated, tag = "5")]
-    pub let_go: Vec<u64>,
+    pub released: Vec<u64>,
     /// Of a renewal: for how long this process has been a member.
     #[prost(uint64, tag = "6")]
     pub member_for_ms: u64,
@@ -191,8 +196,9 @@
     #[prost(string, tag = "9")]
     pub reason: String,
     /// What it waits for, for people.
+    #[serde(rename = "waits")]
     #[prost(string, tag = "10")]
-    pub waits: String,
+    pub waiting_for: String,
     /// Hosts that still use the server, or whose lease was waited out.
     #[prost(uint32, repeated, tag = "11")]
     pub hosts: Vec<u32>,
@@ -207,7 +213,7 @@
 
 /// All orders, as of one change: by whose ballot, and its count.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
-pub struct FleetLine {
+pub struct FleetOrderBook {
     /// The round of the ballot under which it was changed last.
     #[prost(uint64, tag = "1")]
     pub round: u64,
@@ -252,6 +258,7 @@
     #[prost(fixed64, tag = "7")]
     pub refused: u64,
     /// Of a result: why it is refused; empty: it is accepted.
+    #[serde(rename = "why")]
     #[prost(string, tag = "8")]
-    pub why: String,
+    pub refusal: String,
 }
--- a/crates/protocol/src/message/simulation.rs
+++ b/crates/protocol/src/message/simulation.rs
@@ -9,14 +9,16 @@
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Order {
     /// Of a node: `stall`, `slow`, `fail`, `costly`. Of the list: `late`, `refuse`.
+    #[serde(rename = "what")]
     #[prost(string, tag = "1")]
-    pub what: String,
+    pub kind: String,
     /// How severe: a factor or a share.
     #[prost(double, tag = "2")]
     pub size: f64,
     /// How long it lasts.
+    #[serde(rename = "lasts_us")]
     #[prost(int64, tag = "3")]
-    pub lasts_us: i64,
+    pub duration_us: i64,
     /// Of the list: these entries are so from now on.
     #[prost(message, repeated, tag = "4")]
     pub entries: Vec<ListedEndpoint>,
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -11,7 +11,8 @@
     /// When the proxy had read it.
     pub at: i64,
     /// When the other side was sent it.
-    pub out: i64,
+    #[serde(rename = "out")]
+    pub sent_at: i64,
     /// The connection.
     pub link: u64,
     /// The process that sent it.
@@ -36,7 +37,7 @@
     pub fn new(at: i64, link: u64, from: &str, to: &str, what: What) -> Entry {
         Entry {
             at,
-            out: at,
+            sent_at: at,
             link,
             from: from.into(),
             to: to.into(),
@@ -100,9 +101,11 @@
         /// The epoch of the membership that it knew.
         epoch: u64,
         /// How long its lease lasts; -1: it holds none.
-        lasts_us: i64,
+        #[serde(rename = "lasts_us")]
+        lease_left_us: i64,
         /// Its share of each budget in millionths, by name.
-        parts: BTreeMap<String, u32>,
+        #[serde(rename = "parts")]
+        shares: BTreeMap<String, u32>,
     },
     /// The host called `to` logged the stage of a maintenance order.
     Stage {
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -12,7 +12,7 @@
 
 fn wire(frame: &Frame) -> BytesMut {
     let mut b = BytesMut::new();
-    frame.head(&mut b);
+    frame.encode_head(&mut b);
     b.put_slice(&frame.body);
     assert_eq!(b.len(), frame.len());
     b
@@ -33,7 +33,7 @@
         id,
         volume: "v".into(),
         units: 2.5,
-        mark: "m".into(),
+        idempotency_key: "m".into(),
         timeout_us: 9,
         ..Submit::default()
     };
@@ -153,7 +153,7 @@
                 Ok(None) | Err(_) => break,
             }
         }
-        prop_assert!(buf.capacity() <= 200 + HEADER + BOUNDS.message + BOUNDS.body);
+        prop_assert!(buf.capacity() <= 200 + HEADER_BYTES + BOUNDS.message + BOUNDS.body);
     }
 }
 
@@ -163,7 +163,7 @@
 fn a_header_alone_costs_little() {
     let frame = Frame::from(Withdraw { id: 1 }).with_body(bytes::Bytes::from(vec![5; 8 << 20]));
     let mut wire = bytes::BytesMut::new();
-    frame.head(&mut wire);
+    frame.encode_head(&mut wire);
     wire.extend_from_slice(&frame.body);
     let mut buf = bytes::BytesMut::new();
     for part in wire.chunks(100_000) {
--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -284,7 +284,7 @@
                 _ => {}
             }
         }
-        let allowed = budget.free + budget.share * accepted;
+        let allowed = budget.fixed_retries + budget.retries_per_request * accepted;
         self.tested[5] += u64::from(retries > allowed / 2.0);
         if retries > allowed {
             let what = format!("{retries} further legs in the window; {allowed} may be sent");
--- a/crates/scenario/src/run/allocations_log.rs
+++ b/crates/scenario/src/run/allocations_log.rs
@@ -66,8 +66,8 @@
                     let what = What::Parts {
                         incarnation: l.incarnation,
                         epoch: l.epoch,
-                        lasts_us: l.lasts_us,
-                        parts,
+                        lease_left_us: l.lasts_us,
+                        shares: parts,
                     };
                     self.wire.record_at(host, when, what);
                 }
--- a/crates/scenario/src/run/fault_start.rs
+++ b/crates/scenario/src/run/fault_start.rs
@@ -107,9 +107,9 @@
             } => {
                 let what = "costly".into();
                 let order = Order {
-                    what,
+                    kind: what,
                     size: times,
-                    lasts_us: lasts.micros(),
+                    duration_us: lasts.micros(),
                     share,
                     request_class,
                     ..Order::default()
@@ -120,8 +120,8 @@
             }
             Fault::ListDown { lasts } => {
                 let order = Order {
-                    what: "refuse".into(),
-                    lasts_us: lasts.micros(),
+                    kind: "refuse".into(),
+                    duration_us: lasts.micros(),
                     ..Order::default()
                 };
                 self.order("list", order).await;
@@ -150,7 +150,7 @@
                     self.order(
                         "list",
                         Order {
-                            what: "set".into(),
+                            kind: "set".into(),
                             entries,
                             ..Order::default()
                         },
--- a/crates/scenario/src/run/faults.rs
+++ b/crates/scenario/src/run/faults.rs
@@ -152,7 +152,7 @@
         self.note(format!("{node} starts and warms up"));
         self.start_node(&place, false).await?;
         let order = Order {
-            what: "set".into(),
+            kind: "set".into(),
             entries: vec![self.entry(&place, ListedState::Ready, addresses)],
             ..Order::default()
         };
@@ -172,7 +172,7 @@
             self.order(
                 "list",
                 Order {
-                    what: "set".into(),
+                    kind: "set".into(),
                     entries,
                     ..Order::default()
                 },
@@ -229,9 +229,9 @@
     pub(super) async fn order_nodes(&self, node: &str, what: &str, size: f64, lasts: Span) {
         for name in self.nodes(node) {
             let order = Order {
-                what: what.into(),
+                kind: what.into(),
                 size,
-                lasts_us: lasts.micros(),
+                duration_us: lasts.micros(),
                 ..Order::default()
             };
             self.order(&name, order).await;
--- a/crates/scenario/src/run/lifecycle.rs
+++ b/crates/scenario/src/run/lifecycle.rs
@@ -48,7 +48,7 @@
         self.order(
             "list",
             Order {
-                what: "set".into(),
+                kind: "set".into(),
                 entries,
                 ..Order::default()
             },
--- a/crates/scheduler-api/src/config.rs
+++ b/crates/scheduler-api/src/config.rs
@@ -74,14 +74,14 @@
     /// Its id in messages between hosts.
     pub id: VolumeId,
     /// The traffic that counts against it.
-    pub of: BudgetScope,
+    pub scope: BudgetScope,
     /// Rate and burst, in bytes.
     pub limit: Limit,
     /// A new object never overruns it. A soft budget may be overrun where the host's zone has no node for the
     /// object.
     pub hard: bool,
     /// How many hosts share it; 0: this host has no share.
-    pub hosts: u32,
+    pub host_count: u32,
 }
 
 /// The traffic that counts against a cross-zone budget.
@@ -97,9 +97,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Retries that are always allowed.
-    pub free: f64,
+    pub fixed_retries: f64,
     /// Retries allowed for each request that arrived in the window.
-    pub share: f64,
+    pub retries_per_request: f64,
     /// The time over which retries and requests are counted.
     pub window: Span,
 }
@@ -124,7 +124,7 @@
     /// This host.
     pub me: HostId,
     /// How many hosts there are, running or not.
-    pub hosts: u32,
+    pub host_count: u32,
     /// How late a timer may fire. Final answers are given two ticks before the client's deadline.
     pub tick: Span,
     /// By [`RequestClassId`](crate::RequestClassId).
@@ -141,7 +141,7 @@
     /// `None`: retries are not limited over all requests.
     pub retry_budget: Option<RetryBudget>,
     /// How long an attempt may wait for its connection before it goes out.
-    pub connect_wait: Span,
+    pub max_connect_wait: Span,
     /// How long the next request on an object waits after an attempt that may still run.
     pub order_settle: Span,
     /// Attempts for one request, the first included.
@@ -160,7 +160,7 @@
     pub poll_endpoints: bool,
     /// Longest interval between polls of the endpoint list. A host that polls less often is taken as informed
     /// of what it missed.
-    pub poll_within: Option<Span>,
+    pub max_poll_interval: Option<Span>,
     /// The zone of this host; `None`: zones are not taken into account.
     pub zone: Option<ZoneId>,
     /// All cross-zone budgets, also those of which this host has no share.
@@ -174,7 +174,7 @@
     pub fn slow_start_units_per_host(&self) -> f64 {
         match self.slow_start_share {
             Some(part) => self.slow_start.units * part,
-            None => self.slow_start.units / f64::from(self.hosts.max(1)),
+            None => self.slow_start.units / f64::from(self.host_count.max(1)),
         }
     }
 
@@ -188,7 +188,7 @@
         self.plans = plans;
         self.cross_zone_budgets = cross_zone_budgets;
         if let Some(fleet_membership) = fleet_membership {
-            self.hosts = fleet_membership.hosts;
+            self.host_count = fleet_membership.host_count;
             self.slow_start_share = fleet_membership.slow_start_share;
             self.probe_interval = fleet_membership.probe_interval;
         }
@@ -199,7 +199,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetMembership {
     /// How many hosts there are, running or not.
-    pub hosts: u32,
+    pub host_count: u32,
     /// As in [`SchedulerConfig`].
     pub slow_start_share: Option<f64>,
     /// As in [`SchedulerConfig`].
@@ -214,7 +214,7 @@
     /// The plan of the volume from now on.
     pub plan: PlanId,
     /// How many hosts serve the volume; 0: this host no longer does.
-    pub hosts: u32,
+    pub host_count: u32,
     /// This host's share of the limit, where it is not an even one.
-    pub part: Option<Limit>,
+    pub host_limit: Option<Limit>,
 }
--- a/crates/scheduler-api/src/demand_report.rs
+++ b/crates/scheduler-api/src/demand_report.rs
@@ -8,7 +8,7 @@
 /// One volume in a demand report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VolumeDemand {
-    /// The volume, as [`carried`].
+    /// The volume, as [`message_volume_id`].
     pub volume: VolumeId,
     /// Demand at the sender, in units a second.
     pub demand: f64,
@@ -21,7 +21,7 @@
 /// A host that serves a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeUser {
-    /// The volume, as [`carried`].
+    /// The volume, as [`message_volume_id`].
     pub volume: VolumeId,
     /// The host.
     pub host: HostId,
@@ -58,13 +58,13 @@
 pub const USERS_PER_MESSAGE: usize = (256 - 2) / USER_BYTES;
 
 /// A volume's id as messages carry it: its low six bytes.
-pub fn carried(volume: VolumeId) -> VolumeId {
+pub fn message_volume_id(volume: VolumeId) -> VolumeId {
     VolumeId(volume.0 & 0xffff_ffff_ffff)
 }
 
 /// A figure as the receiver will read it: encoded in two bytes, rounded down. A lender takes away exactly what
 /// the borrower will add.
-pub fn rounded(figure: f64) -> f64 {
+pub fn as_received(figure: f64) -> f64 {
     unpack_figure(pack_figure(figure))
 }
 
@@ -170,7 +170,7 @@
 
 /// The same message with the time of a demand report moved by `by`, from the sender's clock to the receiver's.
 /// A message that is cut off, or is no demand report, is returned unchanged.
-pub fn moved(bytes: &[u8], by: Span) -> Vec<u8> {
+pub fn with_shifted_time(bytes: &[u8], by: Span) -> Vec<u8> {
     let mut moved = bytes.to_vec();
     if let (true, Some(made_at)) = (bytes.starts_with(&[TAG, REPORT]), moved.get_mut(2..10)) {
         let at = i64::from_le_bytes(made_at.try_into().unwrap_or_default());
--- a/crates/scheduler-settings/src/lib.rs
+++ b/crates/scheduler-settings/src/lib.rs
@@ -28,13 +28,13 @@
         slow_start_share: None,
         probe_interval: Span::ZERO,
         me: HostId(raw.rank),
-        hosts: raw.peers_total,
+        host_count: raw.peers_total,
         tick: Span::from_millis(raw.tick),
         request_classes: request_classes.collect::<Result<_, _>>()?,
         plans: plans(&raw.policies),
         slow_start: slow_start(raw),
         retry_budget: retry_budget(&raw.rules),
-        connect_wait: Span::ZERO,
+        max_connect_wait: Span::ZERO,
         order_settle: Span::from_millis(raw.rules.order_settle),
         max_attempts: raw.limits.max_attempts,
         max_units: raw.family_info.max_units,
@@ -43,7 +43,7 @@
         max_retry_after: max_retry_after(&raw.limits),
         peer_messages_enabled: raw.limits.peer_messages,
         poll_endpoints: raw.membership_mode == "ask",
-        poll_within: raw.rules.must_ask_in.map(Span::from_millis),
+        max_poll_interval: raw.rules.must_ask_in.map(Span::from_millis),
         zone: None,
         cross_zone_budgets: Vec::new(),
         max_bytes: 0.0,
@@ -103,8 +103,8 @@
 fn retry_budget(rules: &Rules) -> Option<RetryBudget> {
     Some(RetryBudget {
         window: Span::from_millis(rules.look_back?),
-        free: rules.free_resends.unwrap_or(0.0),
-        share: rules.extra_per_request.unwrap_or(0.0),
+        fixed_retries: rules.free_resends.unwrap_or(0.0),
+        retries_per_request: rules.extra_per_request.unwrap_or(0.0),
     })
 }
 
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -258,7 +258,7 @@
             units: submit.units,
             write: request_class.write,
             handle: submit.handle,
-            mark: submit.mark,
+            idempotency_key: submit.idempotency_key,
             repeat: submit.repeat,
             number: 0,
             time_out_us: (until - now).as_micros() as i64,
--- a/crates/simulator/src/client/answers.rs
+++ b/crates/simulator/src/client/answers.rs
@@ -112,7 +112,7 @@
         let written = self.written.entry(volume).or_default();
         written.push_back(WrittenObject {
             handle,
-            seed: number(&attempt.submit.mark),
+            seed: number(&attempt.submit.idempotency_key),
         });
         if written.len() > WRITTEN_REMEMBERED {
             written.pop_front();
--- a/crates/simulator/src/client/arrivals.rs
+++ b/crates/simulator/src/client/arrivals.rs
@@ -131,7 +131,7 @@
                 units,
                 handle,
                 order_key,
-                mark,
+                idempotency_key: mark,
                 repeat: 0,
                 timeout_us: 0,
             },
--- a/crates/simulator/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -158,9 +158,9 @@
                 self.send(link, Frame::from(refused));
             }
             Message::EndpointListQuery(query) => self.send_whole_list(link, query.watch),
-            Message::Order(order) if order.what == "refuse" => {
+            Message::Order(order) if order.kind == "refuse" => {
                 self.down_until =
-                    Instant::now() + Duration::from_micros(order.lasts_us.max(0) as u64);
+                    Instant::now() + Duration::from_micros(order.duration_us.max(0) as u64);
                 // Whoever watches loses the watch, as when the service itself is gone.
                 for watcher in std::mem::take(&mut self.watchers) {
                     self.links.remove(&watcher);
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -235,15 +235,15 @@
     }
 
     fn order(&mut self, order: &Order, now: Instant) {
-        let lasts = Span::from_micros(order.lasts_us);
+        let lasts = Span::from_micros(order.duration_us);
         info!(
             node = self.process.name,
-            what = order.what,
+            what = order.kind,
             size = order.size,
             ms = lasts.millis(),
             "fault injected"
         );
-        match order.what.as_str() {
+        match order.kind.as_str() {
             "stall" => self.model.stall(now, lasts),
             "slow" => {
                 self.model.slow(order.size);
@@ -334,7 +334,7 @@
         let keys = &mut self.process.keys;
         match keys.record(
             &attempt.request_class,
-            &attempt.mark,
+            &attempt.idempotency_key,
             handle,
             machine_time(),
         ) {
--- a/crates/simulator/src/node_model.rs
+++ b/crates/simulator/src/node_model.rs
@@ -112,7 +112,7 @@
     /// Units that a cold node bears within the rule's window: what is borne in any case, or some times what
     /// it can do now.
     fn bears(&self, now: Instant) -> f64 {
-        let a_second = self.server.can();
+        let a_second = self.server.capacity();
         let can = a_second * self.speed(now) * self.slow_start.window.secs();
         self.slow_start.units.max(self.server.falls_over * can)
     }
--- a/crates/simulator/src/recording_proxy/relay.rs
+++ b/crates/simulator/src/recording_proxy/relay.rs
@@ -49,7 +49,7 @@
     for (way, to) in sides {
         while let Some(queued) = way.queue.pop_front_if(|front| front.due <= now) {
             let RecordedFrame { mut entry, frame } = queued.recorded;
-            entry.out = wire.now();
+            entry.sent_at = wire.now();
             // Recorded before it goes out: nobody can have answered it by then.
             wire.write_entry(entry);
             full |= to.send(frame).is_err() && !way.ended;
--- a/src/scheduler/admission/arrival.rs
+++ b/src/scheduler/admission/arrival.rs
@@ -11,7 +11,7 @@
 
 /// Takes in a request that has just arrived.
 pub(crate) fn admit(state: &mut SchedulerState, mut request: Request, rng: &mut ChaCha8Rng) {
-    request.volume = demand_report::carried(request.volume);
+    request.volume = demand_report::message_volume_id(request.volume);
     let now = state.now;
     let id = request.id;
     let Some(class) = known_class(&state.config, &request) else {
--- a/src/scheduler/admission/config_change.rs
+++ b/src/scheduler/admission/config_change.rs
@@ -29,7 +29,7 @@
             .volumes
             .apply_allocation(allocation, state.now, &state.config);
         if withdrawn {
-            shed_waiting(state, demand_report::carried(allocation.volume));
+            shed_waiting(state, demand_report::message_volume_id(allocation.volume));
         }
     }
 }
--- a/src/scheduler/attempts/retry_budget.rs
+++ b/src/scheduler/attempts/retry_budget.rs
@@ -28,19 +28,19 @@
     }
 
     /// Forgets what has left the window. An attempt may go out later than it was decided, by up to
-    /// `connect_wait`: retries count for that much longer, and arrivals for that much less.
+    /// `max_connect_wait`: retries count for that much longer, and arrivals for that much less.
     pub(crate) fn expire(&mut self, now: Instant, config: &SchedulerConfig) {
         let Some(budget) = config.retry_budget else {
             return;
         };
         let window_start = now - budget.window;
-        let arrivals_from = window_start + config.connect_wait;
+        let arrivals_from = window_start + config.max_connect_wait;
         while self
             .arrivals
             .pop_front_if(|at| *at <= arrivals_from)
             .is_some()
         {}
-        let retries_from = window_start - config.connect_wait;
+        let retries_from = window_start - config.max_connect_wait;
         while self.retries.pop_front_if(|at| *at < retries_from).is_some() {}
     }
 
@@ -51,7 +51,7 @@
         };
         let arrivals = self.arrivals.len() as f64;
         let with_next = self.retries.len() as f64 + 1.0;
-        with_next <= budget.free + budget.share * arrivals
+        with_next <= budget.fixed_retries + budget.retries_per_request * arrivals
     }
 
     pub(crate) fn arrival_count(&self) -> usize {
--- a/src/scheduler/cross_zone/budget.rs
+++ b/src/scheduler/cross_zone/budget.rs
@@ -26,10 +26,10 @@
     let shared_here = config
         .cross_zone_budgets
         .iter()
-        .filter(|budget| budget.hosts > 0);
-    let applied = shared_here.filter(move |budget| from != to && scopes.contains(&budget.of));
+        .filter(|budget| budget.host_count > 0);
+    let applied = shared_here.filter(move |budget| from != to && scopes.contains(&budget.scope));
     applied.map(|budget| AppliedBudget {
-        id: demand_report::carried(budget.id),
+        id: demand_report::message_volume_id(budget.id),
         hard: budget.hard,
     })
 }
@@ -123,9 +123,9 @@
     }
     let bytes = waiting.iter().map(|open| open.request().bytes).sum::<f64>();
     let budgets = state.config.cross_zone_budgets.iter();
-    let shared_here = budgets.filter(|budget| budget.hosts > 0);
+    let shared_here = budgets.filter(|budget| budget.host_count > 0);
     let wanted: Vec<_> = shared_here
-        .map(|budget| demand_report::carried(budget.id))
+        .map(|budget| demand_report::message_volume_id(budget.id))
         .collect();
     for id in &wanted {
         if let Some(budget) = state.volumes.get_mut(*id) {
--- a/src/scheduler/demand_reports/peer_messages.rs
+++ b/src/scheduler/demand_reports/peer_messages.rs
@@ -34,7 +34,7 @@
 }
 
 fn is_other_host(state: &SchedulerState, host: HostId) -> bool {
-    host != state.config.me && host.0 < state.config.hosts
+    host != state.config.me && host.0 < state.config.host_count
 }
 
 fn handle_report(state: &mut SchedulerState, from: HostId, made_at: Instant, report: VolumeDemand) {
--- a/src/scheduler/dispatch/candidate.rs
+++ b/src/scheduler/dispatch/candidate.rs
@@ -62,7 +62,7 @@
         return;
     };
     let budgets = state.config.cross_zone_budgets.iter();
-    let budget_ids = budgets.map(|budget| demand_report::carried(budget.id));
+    let budget_ids = budgets.map(|budget| demand_report::message_volume_id(budget.id));
     for id in queue.volumes().chain(budget_ids) {
         if let Some(volume) = state.volumes.get_mut(id) {
             volume.refill(state.now, &state.config);
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -133,9 +133,9 @@
         SlowStartUnits { units, even_units }
     }
 
-    /// An attempt may go out later than it was decided, by up to `connect_wait`: it counts for that much longer.
+    /// An attempt may go out later than it was decided, by up to `max_connect_wait`: it counts for that much longer.
     fn forget_old(&mut self, now: Instant, config: &SchedulerConfig) {
-        let window = config.slow_start.window.times(WINDOW_MARGIN) + config.connect_wait;
+        let window = config.slow_start.window.times(WINDOW_MARGIN) + config.max_connect_wait;
         self.attempts
             .retain(|attempt| now - attempt.sent_at <= window);
     }
@@ -168,7 +168,7 @@
     config: &SchedulerConfig,
     fleet_demand: &FleetDemandEstimate,
 ) -> bool {
-    let hosts = f64::from(config.hosts.max(1));
+    let hosts = f64::from(config.host_count.max(1));
     let turns = (fleet_demand.units_per_window / (even_share * hosts))
         .max(1.0)
         .ceil();
@@ -196,7 +196,7 @@
     pub(crate) fn update(&mut self, own_demand: f64, shards: usize, config: &SchedulerConfig) {
         let shards = shards.max(1) as f64;
         let newest =
-            own_demand * f64::from(config.hosts) * config.slow_start.window.secs() / shards;
+            own_demand * f64::from(config.host_count) * config.slow_start.window.secs() / shards;
         self.units_per_window += (newest - self.units_per_window) * DEMAND_SMOOTHING;
     }
 }
--- a/src/scheduler/endpoint_polling.rs
+++ b/src/scheduler/endpoint_polling.rs
@@ -26,8 +26,8 @@
     /// The list was lost: sets the timer for the next poll. Each host waits for its own fraction of the
     /// backoff, since all of them lose the list at the same time.
     pub(super) fn list_lost(&mut self, now: Instant, config: &SchedulerConfig) -> Action {
-        let fraction = 0.5 + 0.5 * f64::from(config.me.0) / f64::from(config.hosts.max(1));
-        let most = config.poll_within.unwrap_or(MAX_POLL_BACKOFF);
+        let fraction = 0.5 + 0.5 * f64::from(config.me.0) / f64::from(config.host_count.max(1));
+        let most = config.max_poll_interval.unwrap_or(MAX_POLL_BACKOFF);
         let wait = self.backoff.min(most).times(fraction);
         self.backoff = self.backoff.times(2.0).min(MAX_POLL_BACKOFF);
         Action::SetTimer {
--- a/src/scheduler/volume/loans.rs
+++ b/src/scheduler/volume/loans.rs
@@ -89,7 +89,7 @@
         };
         self.refill(now, config);
         let keep = self.tokens_to_keep(now, config, &limit);
-        let lent = demand_report::rounded(wanted.min(self.bucket.tokens() - keep));
+        let lent = demand_report::as_received(wanted.min(self.bucket.tokens() - keep));
         self.bucket.take(lent);
         if lent > 0.0 {
             self.bucket.hold(lent, now + TOKEN_REQUEST_INTERVAL);
--- a/src/scheduler/volume/state.rs
+++ b/src/scheduler/volume/state.rs
@@ -64,7 +64,7 @@
         config: &SchedulerConfig,
     ) {
         let hosts = match request.volume_hosts {
-            0 => f64::from(config.hosts.max(1)),
+            0 => f64::from(config.host_count.max(1)),
             hosts => f64::from(hosts),
         };
         if hosts > self.hosts {
@@ -85,9 +85,9 @@
         config: &SchedulerConfig,
     ) -> bool {
         self.plan = allocation.plan;
-        self.hosts = f64::from(allocation.hosts.max(1));
-        self.share = allocation.part;
-        self.withdrawn = allocation.hosts == 0;
+        self.hosts = f64::from(allocation.host_count.max(1));
+        self.share = allocation.host_limit;
+        self.withdrawn = allocation.host_count == 0;
         self.refill(now, config);
         self.withdrawn
     }
@@ -124,9 +124,9 @@
     /// Takes the units of a request's first attempt from the bucket and from the reserve.
     pub(crate) fn spend(&mut self, now: Instant, config: &SchedulerConfig, units: f64) {
         self.bucket.take(units);
-        if config.connect_wait > Span::ZERO && self.limit(config).is_some() {
+        if config.max_connect_wait > Span::ZERO && self.limit(config).is_some() {
             self.bucket
-                .hold_for_unsent_attempt(units, now, config.connect_wait);
+                .hold_for_unsent_attempt(units, now, config.max_connect_wait);
         }
         let weight = config.plans[self.plan.0].weight;
         self.reserve.spend(units, weight, now);
@@ -198,7 +198,7 @@
         if !is_shared {
             return None;
         }
-        self.search.next(id, config.hosts, now)
+        self.search.next(id, config.host_count, now)
     }
 
     /// Another host uses this volume.
--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -87,7 +87,7 @@
         now: Instant,
         config: &SchedulerConfig,
     ) -> bool {
-        let id = demand_report::carried(allocation.volume);
+        let id = demand_report::message_volume_id(allocation.volume);
         let volume = self.by_id.entry(id).or_insert_with(|| Volume::new(now));
         volume.apply_allocation(allocation, now, config)
     }
@@ -121,7 +121,9 @@
     pub(crate) fn sync_budgets(&mut self, now: Instant, config: &SchedulerConfig) {
         let position = |id: &VolumeId| {
             let mut budgets = config.cross_zone_budgets.iter();
-            budgets.position(|budget| budget.hosts > 0 && demand_report::carried(budget.id) == *id)
+            budgets.position(|budget| {
+                budget.host_count > 0 && demand_report::message_volume_id(budget.id) == *id
+            })
         };
         self.by_id.retain(|id, volume| {
             let is_budget = volume.kind != LimitKind::Volume;
@@ -130,14 +132,14 @@
         for budget in config
             .cross_zone_budgets
             .iter()
-            .filter(|budget| budget.hosts > 0)
+            .filter(|budget| budget.host_count > 0)
         {
-            let id = demand_report::carried(budget.id);
+            let id = demand_report::message_volume_id(budget.id);
             let volume = self.by_id.entry(id).or_insert_with(|| Volume::new(now));
             if let Some(position) = position(&id) {
                 volume.kind = LimitKind::CrossZoneBudget { position };
             }
-            volume.hosts = f64::from(budget.hosts);
+            volume.hosts = f64::from(budget.host_count);
         }
     }
 
--- a/tests/decisions/bounds.rs
+++ b/tests/decisions/bounds.rs
@@ -72,8 +72,8 @@
 fn the_retry_budget_keeps_its_window_only() {
     let mut f = config();
     f.retry_budget = Some(RetryBudget {
-        free: 3.0,
-        share: 0.1,
+        fixed_retries: 3.0,
+        retries_per_request: 0.1,
         window: ms(1000),
     });
     for nodes in [vec![], vec![node(1, 0)]] {
@@ -103,8 +103,8 @@
     VolumeAllocation {
         volume: VolumeId(volume),
         plan: PlanId(usize::from(hosts > 0)),
-        hosts,
-        part,
+        host_count: hosts,
+        host_limit: part,
     }
 }
 
@@ -248,16 +248,16 @@
 fn host_with_budget(limit: Limit) -> Host {
     let budget = CrossZoneBudget {
         id: VolumeId(901),
-        of: BudgetScope::ZonePair(ZoneId(0), ZoneId(1)),
+        scope: BudgetScope::ZonePair(ZoneId(0), ZoneId(1)),
         limit,
         hard: true,
-        hosts: 1,
+        host_count: 1,
     };
     let config = SchedulerConfig {
         zone: Some(ZoneId(0)),
         cross_zone_budgets: vec![budget],
         max_bytes: 1000.0,
-        connect_wait: ms(250),
+        max_connect_wait: ms(250),
         ..config()
     };
     let far = Endpoint {
--- a/tests/decisions/cold_fleet.rs
+++ b/tests/decisions/cold_fleet.rs
@@ -71,7 +71,7 @@
 impl World {
     fn new(load: &Load) -> World {
         let mut config = config();
-        config.hosts = load.hosts;
+        config.host_count = load.hosts;
         config.slow_start.units = load.cold_units;
         config.max_attempts = 1;
         config.peer_messages_enabled = false;
@@ -93,7 +93,7 @@
 
     fn start_hosts(&mut self) {
         let warm: Vec<_> = (1..SHARDS).map(|shard| node(shard as u64, shard)).collect();
-        for host in 0..self.config.hosts {
+        for host in 0..self.config.host_count {
             let config = SchedulerConfig {
                 me: HostId(host),
                 ..self.config.clone()
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -34,7 +34,7 @@
         window: ms(200),
     };
     SchedulerConfig {
-        hosts: 2,
+        host_count: 2,
         tick: ms(2),
         request_classes: [
             Idempotency::Idempotent,
--- a/tests/decisions/cross_zone.rs
+++ b/tests/decisions/cross_zone.rs
@@ -14,10 +14,10 @@
 fn zoned(hard: bool, limit: Limit) -> SchedulerConfig {
     let budget = |id, from, to| CrossZoneBudget {
         id: VolumeId(id),
-        of: BudgetScope::ZonePair(ZoneId(from), ZoneId(to)),
+        scope: BudgetScope::ZonePair(ZoneId(from), ZoneId(to)),
         limit,
         hard,
-        hosts: 2,
+        host_count: 2,
     };
     let cross_zone_budgets = vec![budget(901, 0, 1), budget(902, 1, 0)];
     SchedulerConfig {
--- a/tests/decisions/inputs.rs
+++ b/tests/decisions/inputs.rs
@@ -13,7 +13,7 @@
     for (within, longest) in [(None, 7500), (Some(ms(900)), 900)] {
         let f = SchedulerConfig {
             poll_endpoints: true,
-            poll_within: within,
+            max_poll_interval: within,
             me: HostId(1),
             ..config()
         };
@@ -104,7 +104,7 @@
     let mut none = config();
     (none.plans, none.request_classes) = (vec![], vec![]);
     let mut huge = config();
-    (huge.hosts, huge.max_units) = (u32::MAX, 1e300);
+    (huge.host_count, huge.max_units) = (u32::MAX, 1e300);
     huge.peer_messages_enabled = false;
     let mut tiny = config();
     tiny.plans[1].limit = Some(Limit {
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -133,7 +133,7 @@
             burst: 14.0 * f64::from(count),
         };
         let mut config = config();
-        config.hosts = count;
+        config.host_count = count;
         config.plans[1].limit = Some(limit);
         let mut world = VolumeWorld {
             faults,
@@ -375,8 +375,8 @@
         allocations: vec![VolumeAllocation {
             volume: VolumeId(7),
             plan: PlanId(1),
-            hosts,
-            part,
+            host_count: hosts,
+            host_limit: part,
         }],
         cross_zone_budgets: Vec::new(),
         fleet_membership: None,
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -43,7 +43,7 @@
 /// Delivers a demand report of the other host about volume 7, made at this time.
 fn report_demand(host: &mut Host, made_at: Instant, demand: f64) {
     let report = demand_report::VolumeDemand {
-        volume: demand_report::carried(VolumeId(7)),
+        volume: demand_report::message_volume_id(VolumeId(7)),
         demand,
         wanted: 0.0,
         lent: 0.0,
@@ -154,8 +154,8 @@
         allocations: vec![VolumeAllocation {
             volume: VolumeId(7),
             plan: PlanId(1),
-            hosts: 0,
-            part: None,
+            host_count: 0,
+            host_limit: None,
         }],
         cross_zone_budgets: vec![],
         fleet_membership: None,
@@ -332,7 +332,7 @@
 #[test]
 fn a_volume_of_unknown_host_count_has_an_even_share_of_all() {
     let f = SchedulerConfig {
-        hosts: 4,
+        host_count: 4,
         peer_messages_enabled: false,
         ..config()
     };
@@ -457,8 +457,8 @@
     for (free, share, most) in [(0.0, 0.0, 0), (3.0, 0.0, 3), (1.0, 0.1, 5)] {
         let mut f = config();
         f.retry_budget = Some(RetryBudget {
-            free,
-            share,
+            fixed_retries: free,
+            retries_per_request: share,
             window: ms(5000),
         });
         let mut host = Host::new(f, vec![node(1, 0)], at(1000));
--- a/tests/decisions/symptoms.rs
+++ b/tests/decisions/symptoms.rs
@@ -233,7 +233,7 @@
         };
         let mut host = Host::new(
             SchedulerConfig {
-                hosts: 100,
+                host_count: 100,
                 ..config()
             },
             nodes,
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -88,11 +88,11 @@
 
 pub fn world_config(hosts: u32, rng: &mut ChaCha8Rng) -> SchedulerConfig {
     let mut f = config();
-    f.hosts = hosts;
+    f.host_count = hosts;
     f.order_settle = ms(60);
     f.retry_budget = Some(RetryBudget {
-        free: 1.0,
-        share: 0.05,
+        fixed_retries: 1.0,
+        retries_per_request: 0.05,
         window: ms(1000),
     });
     f.slow_start = SlowStart {
@@ -329,8 +329,8 @@
         VolumeAllocation {
             volume: VolumeId(volume),
             plan: self.plan(me, volume),
-            hosts,
-            part,
+            host_count: hosts,
+            host_limit: part,
         }
     }
 
