--- a/src/decaying_sum.rs
+++ b/src/decaying_sum.rs
@@ -2,9 +2,9 @@
 
 use gullsail_scheduler_api::{Instant, Span};
 
-/// Exponentially decaying sum. Each addition falls to 1/e of its value within the time constant `over`, so the
-/// value is about what was added in the last `over`. It is brought up to date when it is read or added to; all
-/// calls for one sum use the same time constant.
+/// Exponentially decaying sum. Each added amount falls to 1/e of its value within the time constant `over`, so
+/// the sum approximates the total of the amounts added in the last `over`. Decay is applied on each read and
+/// each addition. All calls for one sum must use the same time constant.
 #[derive(Clone, Debug, Default)]
 pub struct DecayingSum {
     sum: f64,
@@ -12,7 +12,7 @@
 }
 
 impl DecayingSum {
-    /// The value as of now.
+    /// Applies the decay up to `now` and returns the sum.
     pub fn read(&mut self, now: Instant, over: Span) -> f64 {
         let elapsed_secs = (now - self.at).secs().max(0.0);
         self.sum *= (-elapsed_secs / over.secs()).exp();
@@ -20,12 +20,12 @@
         self.sum
     }
 
-    /// Brings the sum up to date and adds to it.
+    /// Applies the decay up to `now` and adds `amount`.
     pub fn add(&mut self, now: Instant, over: Span, amount: f64) {
         self.sum = self.read(now, over) + amount;
     }
 
-    /// The value as of the last call of [`read`](Self::read) or [`add`](Self::add), without decay since.
+    /// The sum at the last call of [`read`](Self::read) or [`add`](Self::add), without the decay since then.
     pub fn last(&self) -> f64 {
         self.sum
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! gullsail: the scheduler of a storage gateway. The module [`scheduler`] decides when and where requests are
-//! sent and which are rejected; its events, actions and configuration are defined in `gullsail-scheduler-api`.
-//! This crate reads no clock and uses no sockets or files.
+//! sent and which of them are shed. Its events, actions and configuration are defined in
+//! `gullsail-scheduler-api`. This crate reads no clock and uses no sockets or files.
 
 pub mod decaying_sum;
 pub mod scheduler;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,27 +1,28 @@
-//! Decides what becomes of every request. A caller makes one [`Scheduler`] for each incarnation of a host and
-//! calls [`Scheduler::step`] with the clock and the events since; it carries out the actions that come back,
-//! in their order. Events, actions, ids and the configuration are those of `gullsail-scheduler-api`.
+//! Decides where and when each request is sent, and which requests are shed. A caller makes one [`Scheduler`]
+//! for each incarnation of a host. It calls [`Scheduler::step`] with the current time and the events since the
+//! last call, and carries out the returned actions in their order. Events, actions, ids and the configuration
+//! are defined in `gullsail-scheduler-api`.
 //!
-//! This file moves messages between the two sides of the scheduler: the requests' side and one tracker for
-//! each endpoint. The decisions stand in a folder or file for each component; imports go from the later to the
-//! earlier ones:
+//! This file moves messages between the two sides of the scheduler: the side that holds requests and queues,
+//! and one tracker for each endpoint. Each component has a folder or file. A component imports only from
+//! components that come before it in this list:
 //!
-//! 1. `messages`, `intervals`: what both sides know.
+//! 1. `messages`, `intervals`: types and constants that both sides use.
 //! 2. `endpoint`: congestion window, health, slow start, sparse traffic, index of the ready endpoints.
 //! 3. `volume`: token bucket, share of the limit, loans, reserve; also for cross-zone budgets.
 //! 4. `attempts` (`retry_budget`, `overload_guard`, `idempotency`, `limits`), `dispatch::queue`,
 //!    `request_table`, `admission::objective`.
-//! 5. `state`: all components together.
+//! 5. `state`: the struct that holds all components.
 //! 6. `demand_reports`: epochs, directories of a volume's hosts, messages between hosts.
-//! 7. `cross_zone`: budgets for traffic between zones. `final_answer`: shedding.
+//! 7. `cross_zone`: budgets for traffic between zones. `final_answer`: shedding and closing of requests.
 //! 8. `dispatch`: review of queues, choice of endpoints and of requests. `admission`: arrivals, configuration
-//!    changes. `attempts::outcome`: what the end of an attempt means.
+//!    changes. `attempts::outcome`: handling of an attempt that has ended.
 //! 9. `endpoint_polling`: polling of the endpoint list. `request_scheduler`: hands events to the components.
 //!
 //! Invariants:
 //!
-//! 1. State changes only in [`Scheduler::step`]; the clock is the caller's.
-//! 2. All random choices come from one generator, so equal seeds and events give equal actions.
+//! 1. State changes only in [`Scheduler::step`]; the caller supplies the time.
+//! 2. All random choices come from one generator, so equal seeds, times and events give equal actions.
 //! 3. Every request gets at most one final answer.
 
 mod admission;
@@ -50,29 +51,29 @@
 use request_scheduler::RequestScheduler;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The decisions of one host: events in, actions out.
+/// The scheduler of one host. It turns events into actions.
 pub struct Scheduler {
     now: Instant,
     trackers: BTreeMap<NodeId, EndpointTracker>,
-    /// The endpoints whose trackers have messages: a step looks at no others.
-    with_mail: BTreeSet<NodeId>,
+    /// The endpoints whose trackers have unhandled messages.
+    trackers_with_messages: BTreeSet<NodeId>,
     requests: RequestScheduler,
     rng: ChaCha8Rng,
 }
 
 impl Scheduler {
-    /// The scheduler of a host that has just started and knows no endpoint yet.
+    /// The scheduler of a host that has just started and has not received an endpoint list.
     pub fn new(config: SchedulerConfig, seed: u64, now: Instant) -> Self {
         Scheduler {
             now,
             trackers: BTreeMap::new(),
-            with_mail: BTreeSet::new(),
+            trackers_with_messages: BTreeSet::new(),
             requests: RequestScheduler::new(config, now),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Takes in the events in their order and returns what is to be done, in its order.
+    /// Handles the events in their order and returns the actions to carry out, in their order.
     pub fn step(&mut self, now: Instant, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         self.now = now;
         self.requests.set_now(now);
@@ -97,7 +98,8 @@
         size_metrics::size_metrics(&self.trackers, self.requests.state())
     }
 
-    /// Hands the entries of a list to their trackers. Endpoints that a complete list does not name are gone.
+    /// Posts the entries of an endpoint list to their trackers. Known endpoints that are missing from a
+    /// complete list are gone.
     fn update_list(&mut self, update_kind: UpdateKind, entries: &[Endpoint]) {
         let is_complete = matches!(
             update_kind,
@@ -121,10 +123,10 @@
             );
         }
         self.trackers
-            .retain(|_, tracker| !tracker.is_forgotten(self.now));
+            .retain(|_, tracker| !tracker.is_removable(self.now));
     }
 
-    /// Entries that say "gone" for the known endpoints that are not in a complete list.
+    /// Entries with the state `Gone` for the known endpoints that are missing from a complete list.
     fn gone_endpoints(&self, entries: &[Endpoint]) -> Vec<Endpoint> {
         let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
         let known = self.trackers.values().map(EndpointTracker::entry);
@@ -141,19 +143,20 @@
     fn post(&mut self, id: NodeId, message: EndpointMessage) {
         if let Some(tracker) = self.trackers.get_mut(&id) {
             tracker.post(message);
-            self.with_mail.insert(id);
+            self.trackers_with_messages.insert(id);
         }
     }
 
-    /// Runs until all mailboxes are empty: requests first, then one endpoint at a time, which reports its
-    /// capacity to the requests' side.
+    /// Handles messages until all mailboxes are empty. Messages to the request scheduler come first, then those
+    /// of one tracker at a time. After its messages, a tracker reports its endpoint's capacity to the request
+    /// scheduler.
     fn run(&mut self) {
         loop {
             self.requests.handle_messages(&mut self.rng);
             while let Some(Outgoing { to, message }) = self.requests.next_outgoing() {
                 self.post(to, message);
             }
-            let Some(id) = self.with_mail.pop_first() else {
+            let Some(id) = self.trackers_with_messages.pop_first() else {
                 return;
             };
             let Some(tracker) = self.trackers.get_mut(&id) else {
--- a/src/scheduler/admission/arrival.rs
+++ b/src/scheduler/admission/arrival.rs
@@ -1,5 +1,5 @@
-//! A request arrives: it is taken into the table and queued, or rejected if the configuration no longer knows
-//! its class or plan.
+//! Arrival of a request: the request is added to the table and queued, or rejected if the configuration no
+//! longer has its class or plan.
 
 use crate::scheduler::dispatch::review::enqueue;
 use crate::scheduler::request_table::OpenRequest;
@@ -9,13 +9,14 @@
 };
 use rand_chacha::ChaCha8Rng;
 
-/// Takes in a request that has just arrived.
+/// Handles a request that has just arrived.
 pub(crate) fn admit(state: &mut SchedulerState, mut request: Request, rng: &mut ChaCha8Rng) {
     request.volume = demand_report::carried(request.volume);
     let now = state.now;
     let id = request.id;
-    let Some(class) = known_class(&state.config, &request) else {
-        // The request never ran, and nothing below would ever answer it.
+    let Some(class) = configured_class(&state.config, &request) else {
+        // The request is not added to the table, so no later event would answer it. It never ran, so a
+        // rejection is safe.
         state.actions.push(Action::Reject {
             id,
             retry_after: state.config.max_retry_after,
@@ -37,15 +38,18 @@
     enqueue(state, id, rng);
 }
 
-/// The class of a request, if the configuration knows it and the request's plan.
-fn known_class<'a>(config: &'a SchedulerConfig, request: &Request) -> Option<&'a RequestClass> {
+/// The class of a request; `None` if the configuration lacks the class or the request's plan.
+fn configured_class<'a>(
+    config: &'a SchedulerConfig,
+    request: &Request,
+) -> Option<&'a RequestClass> {
     let class = config.request_classes.get(request.request_class.0)?;
     config.plans.get(request.plan.0)?;
     Some(class)
 }
 
-/// When the final answer is given at the latest. A timer may fire late by one tick; the other tick is for the
-/// answer's way to the client.
+/// The time by which the scheduler gives the final answer. It is two ticks before the request times out: a
+/// timer may fire one tick late, and the answer may take another tick to reach the client.
 fn answer_deadline(request: &Request, now: Instant, config: &SchedulerConfig) -> Instant {
     now + request.timeout - config.tick - config.tick
 }
--- a/src/scheduler/admission/config_change.rs
+++ b/src/scheduler/admission/config_change.rs
@@ -6,7 +6,7 @@
     CrossZoneBudget, FleetMembership, Plan, RequestId, VolumeAllocation, VolumeId, demand_report,
 };
 
-/// What changes, as in `Event::ConfigChanged`.
+/// The fields of `Event::ConfigChanged`.
 pub(crate) struct ConfigChange {
     pub(crate) plans: Vec<Plan>,
     pub(crate) allocations: Vec<VolumeAllocation>,
@@ -14,8 +14,8 @@
     pub(crate) fleet_membership: Option<FleetMembership>,
 }
 
-/// Applies plans, budgets and fleet membership, then the allocations of volumes. Up to now, volumes fill by the
-/// old configuration.
+/// Applies plans, budgets and fleet membership, then the allocations of volumes. Volumes are first refilled up
+/// to now by the old configuration.
 pub(crate) fn apply_config_change(state: &mut SchedulerState, change: ConfigChange) {
     state.volumes.refill_all(state.now, &state.config);
     state.config.apply_change(
@@ -34,13 +34,13 @@
     }
 }
 
-/// Sheds the requests without an attempt of a volume that this host no longer serves.
+/// Sheds the requests that have had no attempt, of a volume that this host no longer serves.
 fn shed_waiting(state: &mut SchedulerState, volume: VolumeId) {
-    let of_volume = state
+    let volume_requests = state
         .requests
         .iter()
         .filter(|open| open.request().volume == volume && open.is_first_attempt());
-    let waiting: Vec<RequestId> = of_volume.map(|open| open.request().id).collect();
+    let waiting: Vec<RequestId> = volume_requests.map(|open| open.request().id).collect();
     for id in waiting {
         shed(state, id);
     }
--- a/src/scheduler/admission/mod.rs
+++ b/src/scheduler/admission/mod.rs
@@ -1,5 +1,6 @@
-//! Admission: [`arrival`] takes in a request, [`objective`] works out how long it is useful, [`starvation`]
-//! says whether waiting for tokens is useless, and [`config_change`] applies what changes while serving.
+//! Admission of requests. [`arrival`] handles a new request, [`objective`] computes its objective deadline,
+//! [`starvation`] detects requests that would get no tokens in time, and [`config_change`] applies
+//! configuration changes while requests are served.
 
 pub(super) mod arrival;
 pub(super) mod config_change;
--- a/src/scheduler/admission/objective.rs
+++ b/src/scheduler/admission/objective.rs
@@ -1,19 +1,21 @@
-//! How long a request is useful, and which latency counts as congestion at an endpoint.
+//! The time left until a request's objective deadline, and the latency that counts as congestion at an
+//! endpoint.
 
 use gullsail_scheduler_api::{Request, RequestClass, RequestClassId, SchedulerConfig, Span};
 use std::collections::BTreeMap;
 
 /// Factor on the tightest latency objective above which a latency counts as congestion whatever the class. It
-/// allows for expensive requests, which are slow on an idle endpoint too. Larger, and patient classes fill the
-/// endpoints' queues until the tightest class misses its objective.
+/// allows for expensive requests, which are slow on an idle endpoint too. With a larger factor, classes with a
+/// long objective fill the endpoints' queues until the tightest class misses its objective.
 const OBJECTIVE_TOLERANCE: f64 = 2.0;
 
-/// What this host knows of the timeouts and objectives of request classes.
+/// The timeouts that this host has seen and the objectives of request classes.
 pub(crate) struct LatencyObjectives {
-    /// The longest timeout seen of each class.
+    /// The longest timeout seen in each class.
     longest_timeouts: BTreeMap<RequestClassId, Span>,
-    /// The most that a class's objective counts for at an endpoint. All classes share the endpoint's queue.
-    most_at_node: Span,
+    /// Upper bound of the latency objective used at an endpoint. It holds for every class, since all classes
+    /// share the endpoint's queue.
+    max_objective_at_node: Span,
 }
 
 impl LatencyObjectives {
@@ -22,18 +24,19 @@
         let tightest = classes.map(|class| class.latency_objective).min();
         LatencyObjectives {
             longest_timeouts: BTreeMap::new(),
-            most_at_node: tightest.unwrap_or_default().times(OBJECTIVE_TOLERANCE),
+            max_objective_at_node: tightest.unwrap_or_default().times(OBJECTIVE_TOLERANCE),
         }
     }
 
-    /// The latency objective by which an endpoint's answers to this class are judged.
-    pub(crate) fn at_node(&self, class: &RequestClass) -> Span {
-        class.latency_objective.min(self.most_at_node)
+    /// The latency above which an attempt of this class counts as late at an endpoint.
+    pub(crate) fn objective_at_node(&self, class: &RequestClass) -> Span {
+        class.latency_objective.min(self.max_objective_at_node)
     }
 
-    /// The time left until a request's objective deadline. A retry by the client carries a shorter timeout than
-    /// its first try; the difference to the longest timeout seen is taken as time already spent. A timeout
-    /// below the objective means an impatient first try instead, which is useful until its deadline: `None`.
+    /// The time left until a request's objective deadline; `None` if the request has no such deadline before
+    /// its timeout. A client's retry carries a shorter timeout than its first try, so the difference to the
+    /// longest timeout seen counts as time already spent. A timeout below the objective is taken as a first try
+    /// of a client with a short timeout: `None`.
     pub(crate) fn time_left(&mut self, request: &Request, class: &RequestClass) -> Option<Span> {
         let longest = self
             .longest_timeouts
--- a/src/scheduler/admission/starvation.rs
+++ b/src/scheduler/admission/starvation.rs
@@ -1,12 +1,12 @@
-//! Whether a request would wait for its volume's tokens in vain.
+//! Detection of requests that would get no tokens of their volume before their objective deadline.
 
 use crate::scheduler::request_table::OpenRequest;
 use crate::scheduler::state::SchedulerState;
 use gullsail_scheduler_api::{RequestId, SchedulerConfig};
 
-/// True if waiting requests of the same volume that go before this one use up all tokens expected before its
-/// objective deadline. Waiting would only keep the client from asking elsewhere. It is wrong if those requests
-/// are shed themselves.
+/// Whether waiting requests of the same volume that rank before this one need more tokens than are expected
+/// before its objective deadline. Shedding the request then lets the client try another host. The result is
+/// wrong if the requests before it are shed themselves.
 pub(crate) fn no_tokens_in_time(state: &mut SchedulerState, id: RequestId) -> bool {
     let Some(open) = state.requests.get(id) else {
         return false;
@@ -22,20 +22,21 @@
         return false;
     }
     let others = state.requests.iter();
-    let before = others.filter(|other| goes_before(other, open, &state.config));
-    let units_before: f64 = before.map(|other| other.request().units).sum();
-    units_before > expected
+    let earlier = others.filter(|other| ranks_before(other, open, &state.config));
+    let earlier_units: f64 = earlier.map(|other| other.request().units).sum();
+    earlier_units > expected
 }
 
-/// Whether a request waits for tokens of the same volume, needs no more of them than `open`, and ranks no lower.
-fn goes_before(other: &OpenRequest, open: &OpenRequest, config: &SchedulerConfig) -> bool {
-    let waits = other.is_first_attempt() && other.is_waiting();
+/// Whether `other` waits for tokens of the same volume, needs no more tokens than `open`, and ranks no lower.
+fn ranks_before(other: &OpenRequest, open: &OpenRequest, config: &SchedulerConfig) -> bool {
+    let is_waiting_for_tokens = other.is_first_attempt() && other.is_waiting();
     let same_volume = other.request().volume == open.request().volume;
     let fits = other.request().units <= open.request().units;
-    waits && same_volume && fits && ranks_no_lower(other, open, config)
+    is_waiting_for_tokens && same_volume && fits && ranks_no_lower(other, open, config)
 }
 
-/// By the priority weight of the class, then by the time left.
+/// Whether `other` ranks no lower than `open`. The higher priority weight of the class ranks first, then the
+/// earlier objective deadline.
 fn ranks_no_lower(other: &OpenRequest, open: &OpenRequest, config: &SchedulerConfig) -> bool {
     let weight_of =
         |open: &OpenRequest| config.request_classes[open.request().request_class.0].priority_weight;
--- a/src/scheduler/attempts/idempotency.rs
+++ b/src/scheduler/attempts/idempotency.rs
@@ -1,10 +1,10 @@
-//! Where a request may be sent again after an attempt that may have run.
+//! Rules for sending a request again after an attempt that an endpoint may have executed.
 
 use gullsail_scheduler_api::{
     Endpoint, Idempotency, IdempotencyScope, Instant, RequestClass, ShardId, ZoneId,
 };
 
-/// The first attempt of a request that is not known to have been skipped by its endpoint.
+/// The first attempt of a request that its endpoint may have executed.
 #[derive(Clone, Copy)]
 pub(crate) struct UnprovenExecution {
     pub(crate) attempt: u32,
@@ -13,7 +13,8 @@
     pub(crate) sent_at: Instant,
 }
 
-/// Whether an endpoint would recognise the repeat of what may have run already, or a repeat does no harm.
+/// Whether a request may be sent to an endpoint after `execution`: a repeat does no harm, the endpoint would
+/// recognise the repeat by its idempotency key, or nothing can have run (`None`).
 pub(crate) fn may_repeat_at(
     execution: Option<UnprovenExecution>,
     endpoint: &Endpoint,
@@ -35,7 +36,7 @@
     in_scope && now - execution.sent_at < window
 }
 
-/// Whether any endpoint could be sent the request again.
+/// Whether there may be an endpoint to which the request can be sent again.
 pub(crate) fn may_run_again(
     execution: Option<UnprovenExecution>,
     idempotency: Idempotency,
@@ -43,7 +44,7 @@
     idempotency != Idempotency::NonIdempotent || execution.is_none()
 }
 
-/// Whether the endpoints of one shard alone recognise repeats of this class's requests.
+/// Whether only the endpoints of the same shard recognise repeats of this class's requests.
 pub(crate) fn is_bound_to_shard(class: &RequestClass) -> bool {
     matches!(
         class.idempotency,
--- a/src/scheduler/attempts/limits.rs
+++ b/src/scheduler/attempts/limits.rs
@@ -1,5 +1,5 @@
-//! The limits on attempts that hold over all requests of this host: the retry budget, the overload guard and
-//! the windows of endpoints with sparse traffic.
+//! Limits on attempts over all requests of this host: the retry budget, the overload guard and the windows
+//! shared by endpoints with sparse traffic.
 
 use super::overload_guard::OverloadGuard;
 use super::retry_budget::RetryBudgetUsage;
@@ -7,7 +7,7 @@
 use crate::scheduler::messages::{AttemptKey, EndpointCapacity};
 use gullsail_scheduler_api::{AttemptEnd, AttemptOutcome, Instant, SchedulerConfig, Span};
 
-/// Is told of every arrival and attempt, and says whether another attempt may be sent.
+/// Counts arrivals and attempts, and decides whether another attempt may be sent.
 pub(crate) struct AttemptLimits {
     retry_budget: RetryBudgetUsage,
     overload_guard: OverloadGuard,
@@ -63,7 +63,7 @@
             .record_ended(now, key, end, recently_degraded);
     }
 
-    /// Forgets what has left the retry budget's window.
+    /// Removes arrivals and retries that are older than the retry budget's window.
     pub(crate) fn expire(&mut self, now: Instant, config: &SchedulerConfig) {
         self.retry_budget.expire(now, config);
     }
@@ -73,7 +73,7 @@
         self.retry_budget.allows_retry(config)
     }
 
-    /// Whether any attempt may be sent to this endpoint now.
+    /// Whether these limits and the endpoint's available slots allow an attempt at this endpoint now.
     pub(crate) fn allow_attempt(&mut self, now: Instant, capacity: &EndpointCapacity) -> bool {
         let sent_limit = self.overload_guard.sent_limit(now);
         capacity.available_slots > 0
--- a/src/scheduler/attempts/mod.rs
+++ b/src/scheduler/attempts/mod.rs
@@ -1,5 +1,6 @@
-//! Attempts at endpoints: what their [`outcome`] means for the request, the [`retry_budget`], the
-//! [`overload_guard`], and what [`idempotency`] allows. [`limits`] holds the limits over all requests together.
+//! Attempts at endpoints. [`outcome`] handles an attempt that has ended, and [`idempotency`] decides where a
+//! request may be sent again. [`limits`] combines the limits over all requests of this host, among them the
+//! [`retry_budget`] and the [`overload_guard`].
 
 pub(super) mod idempotency;
 pub(super) mod limits;
--- a/src/scheduler/attempts/outcome.rs
+++ b/src/scheduler/attempts/outcome.rs
@@ -1,5 +1,4 @@
-//! What the end of an attempt means: its outcome is passed to all that count it, and the request is closed,
-//! retried or shed.
+//! Handling of an attempt that has ended: the outcome is recorded, and the request is closed, retried or shed.
 
 use super::idempotency::may_run_again;
 use crate::scheduler::cross_zone::ledger::{CrossZoneBytes, charge_budgets};
@@ -11,7 +10,7 @@
 use gullsail_scheduler_api::{AttemptEnd, AttemptOutcome, OverrunCause, Span};
 use rand_chacha::ChaCha8Rng;
 
-/// Handles the end of an attempt, also of one whose request has its final answer already.
+/// Handles the end of an attempt, even if the request already has its final answer.
 pub(crate) fn attempt_ended(state: &mut SchedulerState, end: &AttemptEnd, rng: &mut ChaCha8Rng) {
     record_at_endpoint(state, end);
     let Some(open) = state.requests.get(end.id) else {
@@ -69,7 +68,8 @@
         .record_ended(state.now, key, end, recently_degraded);
 }
 
-/// Whether a retry could still be in time. After a timeout it would mostly do the same work twice.
+/// Whether a retry could still meet the objective deadline. There is no retry after a timeout, since it would
+/// mostly do the same work twice.
 fn is_retry_useful(state: &SchedulerState, open: &OpenRequest, end: &AttemptEnd) -> bool {
     let capacity = state.endpoints.capacity(end.node);
     let latency = capacity.map_or(Span::ZERO, |capacity| capacity.latency);
--- a/src/scheduler/attempts/overload_guard.rs
+++ b/src/scheduler/attempts/overload_guard.rs
@@ -1,20 +1,21 @@
-//! Overload guard: a host sends no more than a multiple of what succeeded recently. When most of what hosts
-//! send fails, together they keep full nodes full, and overloaded nodes serve next to nothing. No host sees one
-//! node often enough to back off from it, but each host sees that most of its own attempts fail.
+//! Overload guard: a host sends no more attempts than a multiple of its recent successes. If all hosts keep
+//! sending while most attempts fail, the nodes stay overloaded and complete almost nothing. A host with sparse
+//! traffic sends too few attempts to each node for a window per node to react, but the failure rate over all of
+//! its attempts is visible to it.
 
 use crate::decaying_sum::DecayingSum;
 use crate::scheduler::endpoint::window::INITIAL_WINDOW;
 use gullsail_scheduler_api::{Instant, Span};
 
 /// Attempts allowed for each success. Half of the attempts may fail before sending is limited. A smaller value
-/// limits a host at ordinary error rates; a larger one lets an overload last.
+/// limits a host at ordinary error rates; a larger one prolongs an overload.
 const MAX_SENT_PER_SUCCESS: f64 = 2.0;
 
-/// Time constant of both counts: long enough for several attempts of a host with sparse traffic. Longer, and
-/// an overload is noticed late.
+/// Time constant of the counts of attempts and successes. It covers several attempts of a host with sparse
+/// traffic. A longer one notices an overload late.
 const SUCCESS_RATE_WINDOW: Span = Span::from_micros(3_000_000);
 
-/// Attempts sent and succeeded recently, over all endpoints.
+/// Recent attempts and successes over all endpoints.
 pub(crate) struct OverloadGuard {
     sent: DecayingSum,
     succeeded: DecayingSum,
@@ -41,12 +42,13 @@
             .add(now, SUCCESS_RATE_WINDOW, f64::from(succeeded));
     }
 
-    /// How many recent attempts there may be before another is sent; one attempt is always allowed.
+    /// The number of recent attempts up to which another attempt may be sent. It is at least one, so that a
+    /// host without successes still sends single attempts.
     pub(crate) fn sent_limit(&mut self, now: Instant) -> f64 {
         MAX_SENT_PER_SUCCESS * self.succeeded.read(now, SUCCESS_RATE_WINDOW) + 1.0
     }
 
-    /// Attempts sent recently.
+    /// Decaying count of the attempts sent recently.
     pub(crate) fn sent(&mut self, now: Instant) -> f64 {
         self.sent.read(now, SUCCESS_RATE_WINDOW)
     }
--- a/src/scheduler/attempts/retry_budget.rs
+++ b/src/scheduler/attempts/retry_budget.rs
@@ -1,16 +1,16 @@
-//! Retry budget: how many attempts beyond each request's first this host may send within a window, as a number
-//! of its own and a part of the requests that arrived in the window. Both are counted exactly, because a rule
-//! of the platform checks them. The figures are those of the configuration.
+//! Retry budget: the number of retries that this host may send within a window. It is a fixed number plus a
+//! fraction of the requests that arrived in the window, both from the configuration. Arrivals and retries are
+//! counted exactly, because a rule of the platform checks them.
 
 use gullsail_scheduler_api::{Instant, SchedulerConfig};
 use std::collections::VecDeque;
 
-/// What counts within the retry budget's window.
+/// The arrivals and retries within the retry budget's window; both are empty without a budget.
 #[derive(Default)]
 pub(crate) struct RetryBudgetUsage {
-    /// When requests arrived, including those that were shed at once.
+    /// Arrival times of requests, including those that were shed at once.
     arrivals: VecDeque<Instant>,
-    /// When retries were sent.
+    /// Times at which retries were sent.
     retries: VecDeque<Instant>,
 }
 
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Forgets what has left the window. An attempt may go out later than it was decided, by up to
-    /// `connect_wait`: retries count for that much longer, and arrivals for that much less.
+    /// Removes entries that are older than the window. An attempt may leave the host up to `connect_wait` after
+    /// the decision to send it, so retries count for that much longer and arrivals for that much less.
     pub(crate) fn expire(&mut self, now: Instant, config: &SchedulerConfig) {
         let Some(budget) = config.retry_budget else {
             return;
--- a/src/scheduler/cross_zone/budget.rs
+++ b/src/scheduler/cross_zone/budget.rs
@@ -1,4 +1,5 @@
-//! What may cross between zones, which waiting requests have nowhere to go, and which budgets need tokens.
+//! Rules for sending new objects to other zones: which requests may leave this host's zone, which waiting
+//! requests no zone can serve in time, and which budgets need tokens.
 
 use crate::scheduler::dispatch::queue::QueueKey;
 use crate::scheduler::request_table::OpenRequest;
@@ -9,14 +10,14 @@
 };
 use std::collections::BTreeSet;
 
-/// A budget that a crossing counts against.
+/// A budget that a transfer between zones counts against.
 pub(crate) struct AppliedBudget {
     pub(crate) id: VolumeId,
     hard: bool,
 }
 
-/// The budgets that bytes of a plan's volume count against when they go from zone to zone.
-pub(crate) fn budgets_across(
+/// The budgets that apply to bytes of a plan's volume sent between two zones; none if the zones are the same.
+pub(crate) fn budgets_between(
     config: &SchedulerConfig,
     plan: PlanId,
     from: ZoneId,
@@ -34,11 +35,12 @@
     })
 }
 
-/// Why this host's zone has no endpoint for new objects of a pool; `None`: it has one.
+/// The reason why this host's zone has no usable endpoint for new objects of a pool. `None` if the zone has
+/// one, or if the host has no zone.
 pub(crate) fn no_local_node(state: &SchedulerState, pool: PoolId) -> Option<OverrunCause> {
     let own_zone = state.config.zone?;
-    let of_pool = state.endpoints.capacities_of_pool(pool);
-    let mut local = of_pool
+    let pool_capacities = state.endpoints.capacities_of_pool(pool);
+    let mut local = pool_capacities
         .filter(|capacity| capacity.entry.zone == own_zone)
         .peekable();
     if local.peek().is_none() {
@@ -49,10 +51,11 @@
         .then_some(OverrunCause::LocalNodesSilent)
 }
 
-/// Whether a new object may go to that zone, with the tokens that there will be after a time. It stays in this
-/// host's zone until half of its time is over, unless no endpoint there takes it. It needs tokens of every
-/// budget that applies; a soft budget may be overrun where no local endpoint takes the object.
-pub(crate) fn may_cross(
+/// Whether a new object may be sent to `zone`, counting the tokens that the budgets gain `within` a time. The
+/// object stays in this host's zone until half of the time to its objective deadline has elapsed, unless the
+/// zone has no usable endpoint. It needs tokens of every budget that applies. Without a usable local endpoint,
+/// a soft budget may be overrun.
+pub(crate) fn may_send_to_zone(
     state: &SchedulerState,
     open: &OpenRequest,
     zone: ZoneId,
@@ -67,15 +70,16 @@
         return false;
     }
     let allows = |budget: AppliedBudget| {
-        let volume = state.volumes.known(budget.id);
+        let volume = state.volumes.expect_volume(budget.id);
         let tokens = volume.tokens_after(within, &state.config);
         (is_forced && !budget.hard) || tokens >= request.bytes
     };
-    budgets_across(&state.config, request.plan, own_zone, zone).all(allows)
+    budgets_between(&state.config, request.plan, own_zone, zone).all(allows)
 }
 
-/// Requests that wait for a pool without a local endpoint, and that get no tokens in time to go elsewhere.
-pub(crate) fn without_destination(
+/// The requests of a pool's queue that no zone can serve in time: this host's zone has no usable endpoint, and
+/// the budgets to other zones gain too few tokens.
+pub(crate) fn unservable_requests(
     state: &SchedulerState,
     key: QueueKey,
     pool: PoolId,
@@ -86,26 +90,26 @@
     if no_local_node(state, pool).is_none() {
         return Vec::new();
     }
-    let of_pool = state.endpoints.capacities_of_pool(pool);
-    let zones = of_pool.map(|capacity| capacity.entry.zone);
+    let pool_capacities = state.endpoints.capacities_of_pool(pool);
+    let zones = pool_capacities.map(|capacity| capacity.entry.zone);
     let other_zones: BTreeSet<ZoneId> = zones.filter(|zone| *zone != own_zone).collect();
     let may_wait = |open: &OpenRequest| {
         let left = open.objective_deadline() - state.now;
         other_zones.is_empty()
             || other_zones
                 .iter()
-                .any(|zone| may_cross(state, open, *zone, left))
+                .any(|zone| may_send_to_zone(state, open, *zone, left))
     };
     let queue = state.queues.get(key).into_iter();
     let waiting = queue.flat_map(|queue| queue.ids());
     waiting
-        .filter(|id| !may_wait(state.requests.known(*id)))
+        .filter(|id| !may_wait(state.requests.expect_open(*id)))
         .collect()
 }
 
-/// The budgets for which a pool's queue needs tokens, once some request in it may leave the zone. The bytes
-/// that wait are noted at each of them.
-pub(crate) fn budgets_wanted(
+/// The budgets for which a pool's queue needs tokens; none until some request in the queue may leave the zone.
+/// Sets the waiting bytes of each of these budgets.
+pub(crate) fn budgets_needing_tokens(
     state: &mut SchedulerState,
     key: QueueKey,
     pool: PoolId,
@@ -113,7 +117,10 @@
     let Some(queue) = state.queues.get(key) else {
         return Vec::new();
     };
-    let waiting: Vec<_> = queue.ids().map(|id| state.requests.known(id)).collect();
+    let waiting: Vec<_> = queue
+        .ids()
+        .map(|id| state.requests.expect_open(id))
+        .collect();
     let is_forced = no_local_node(state, pool).is_some();
     let any_may_leave = waiting
         .iter()
@@ -124,13 +131,13 @@
     let bytes = waiting.iter().map(|open| open.request().bytes).sum::<f64>();
     let budgets = state.config.cross_zone_budgets.iter();
     let shared_here = budgets.filter(|budget| budget.hosts > 0);
-    let wanted: Vec<_> = shared_here
+    let budget_ids: Vec<_> = shared_here
         .map(|budget| demand_report::carried(budget.id))
         .collect();
-    for id in &wanted {
+    for id in &budget_ids {
         if let Some(budget) = state.volumes.get_mut(*id) {
             budget.set_waiting_bytes(bytes);
         }
     }
-    wanted
+    budget_ids
 }
--- a/src/scheduler/cross_zone/ledger.rs
+++ b/src/scheduler/cross_zone/ledger.rs
@@ -1,11 +1,11 @@
-//! Charges the bytes that cross between zones to their budgets and reports overruns.
+//! Charges the bytes sent between zones to the cross-zone budgets and reports overruns.
 
-use super::budget::budgets_across;
+use super::budget::budgets_between;
 use crate::scheduler::demand_reports::token_request::request_tokens;
 use crate::scheduler::state::SchedulerState;
 use gullsail_scheduler_api::{Action, OverrunCause, PlanId, RequestId, VolumeId, ZoneId};
 
-/// Bytes of one request that go from zone to zone.
+/// Bytes sent between two zones for one request.
 pub(crate) struct CrossZoneBytes {
     pub(crate) id: RequestId,
     pub(crate) plan: PlanId,
@@ -16,9 +16,9 @@
     pub(crate) cause: OverrunCause,
 }
 
-/// Takes the bytes from every budget that applies, if the zones differ.
+/// Takes the bytes from every budget that applies, and reports each overrun. Does nothing within one zone.
 pub(crate) fn charge_budgets(state: &mut SchedulerState, sent: &CrossZoneBytes) {
-    let applied = budgets_across(&state.config, sent.plan, sent.from, sent.to);
+    let applied = budgets_between(&state.config, sent.plan, sent.from, sent.to);
     let budgets: Vec<VolumeId> = applied.map(|budget| budget.id).collect();
     for id in budgets {
         let Some(budget) = state.volumes.get_mut(id) else {
--- a/src/scheduler/demand_reports/directory.rs
+++ b/src/scheduler/demand_reports/directory.rs
@@ -1,4 +1,4 @@
-//! Directory of the hosts that use a volume, for the volumes whose directory falls to this host.
+//! Directory of the hosts that use a volume, for the volumes of which this host is a directory host.
 
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 use std::collections::BTreeMap;
@@ -6,19 +6,20 @@
 /// The hosts that use each volume.
 #[derive(Default)]
 pub(crate) struct UserDirectory {
-    /// With each host, when it last searched for the others.
+    /// For each volume, its hosts with the time of their last search.
     users: BTreeMap<VolumeId, BTreeMap<HostId, Instant>>,
 }
 
-/// What the directory knows of a volume when a host searches.
+/// The directory's reply to the search of a host.
 pub(crate) struct OtherUsers {
+    /// The other hosts that use the volume.
     pub(crate) hosts: Vec<HostId>,
-    /// The searching host is new: the others have not heard of it.
+    /// The searching host was not in the directory, so the other hosts must be notified of it.
     pub(crate) searcher_is_new: bool,
 }
 
 impl UserDirectory {
-    /// Notes that a host uses a volume and returns the others.
+    /// Records that a host uses a volume, and returns the other hosts of the volume.
     pub(crate) fn register(&mut self, host: HostId, volume: VolumeId, now: Instant) -> OtherUsers {
         let users = self.users.entry(volume).or_default();
         let searcher_is_new = users.insert(host, now).is_none();
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Forgets hosts that have not searched for so long.
+    /// Removes hosts that have not searched within `retention`.
     pub(crate) fn forget_old(&mut self, now: Instant, retention: Span) {
         for users in self.users.values_mut() {
             users.retain(|_, searched_at| now - *searched_at < retention);
--- a/src/scheduler/demand_reports/epoch.rs
+++ b/src/scheduler/demand_reports/epoch.rs
@@ -1,5 +1,6 @@
-//! Epochs: the regular review of all volumes, at multiples of [`EPOCH`] on the hosts' common clock. It refills
-//! the volumes, brings estimates up to date, forgets what is no longer needed and searches for other hosts.
+//! Epochs: the regular review of all volumes, at multiples of [`EPOCH`] on the hosts' common clock. A review
+//! refills the volumes, updates estimates, removes entries that are no longer needed and searches for other
+//! hosts.
 
 use super::peer_messages::register_user;
 use crate::scheduler::intervals::EPOCH;
@@ -17,7 +18,7 @@
         id: EPOCH_TIMER,
         at: Instant::from_micros(next_epoch * EPOCH.micros()),
     });
-    state.requests.forget_settled(now);
+    state.requests.forget_idle_objects(now);
     state.endpoints.forget_old(now);
     state.directory.forget_old(now, directory_retention());
     let requests = &state.requests;
--- a/src/scheduler/demand_reports/peer_messages.rs
+++ b/src/scheduler/demand_reports/peer_messages.rs
@@ -7,7 +7,8 @@
 use gullsail_scheduler_api::demand_report::{self, PeerMessage, VolumeDemand, VolumeUser};
 use gullsail_scheduler_api::{Action, HostId, Instant, VolumeId};
 
-/// Handles a message from another host. Messages from hosts that the fleet does not have are ignored.
+/// Handles a message from another host. Messages from this host's own id or from ids outside the fleet are
+/// ignored.
 pub(crate) fn handle_peer_message(state: &mut SchedulerState, from: HostId, bytes: &[u8]) {
     if !is_other_host(state, from) {
         return;
@@ -28,7 +29,7 @@
                 add_peer(state, user);
             }
         }
-        // Cut off, or not of this program: there is nothing to answer.
+        // The message is truncated or in an unknown format, so it needs no answer.
         None => {}
     }
 }
@@ -39,7 +40,7 @@
 
 fn handle_report(state: &mut SchedulerState, from: HostId, made_at: Instant, report: VolumeDemand) {
     let now = state.now;
-    // Hosts share one clock. A report from the future is not of this fleet; an old one is out of date.
+    // Hosts share one clock, so a report from the future is invalid. An old report is out of date.
     if made_at > now || now - made_at >= DEMAND_WINDOW {
         return;
     }
@@ -54,7 +55,8 @@
     }
 }
 
-/// Answers a host's search for the other users of a volume. If the host is new, the others are told of it.
+/// Answers a host's search for the other hosts of a volume. If the host is new in the directory, the other
+/// hosts are notified of it.
 pub(crate) fn register_user(state: &mut SchedulerState, from: HostId, volume: VolumeId) {
     let OtherUsers {
         hosts,
--- a/src/scheduler/demand_reports/token_request.rs
+++ b/src/scheduler/demand_reports/token_request.rs
@@ -4,7 +4,7 @@
 use gullsail_scheduler_api::demand_report::{self, VolumeDemand};
 use gullsail_scheduler_api::{Action, VolumeId};
 
-/// Asks some peers in turn for tokens, if more units wait for the volume than there are tokens.
+/// Asks the next peers in turn for tokens, if more units wait for the volume than there are tokens.
 pub(crate) fn request_tokens(state: &mut SchedulerState, id: VolumeId) {
     let Some(volume) = state.volumes.get_mut(id) else {
         return;
--- a/src/scheduler/dispatch/candidate.rs
+++ b/src/scheduler/dispatch/candidate.rs
@@ -1,33 +1,34 @@
-//! The choice of the request that goes to an endpoint with room: the one with the most value per unit among
-//! those that may be sent there now; of equal value, the one with the least time left.
+//! The choice of the request to send to an endpoint with room: among the requests that may be sent there now,
+//! the one with the highest value per unit; of equal value, the one with the earliest objective deadline.
 
 use super::queue::{QueueKey, WaitingRequest};
 use crate::scheduler::attempts::idempotency::may_repeat_at;
-use crate::scheduler::cross_zone::budget::may_cross;
+use crate::scheduler::cross_zone::budget::may_send_to_zone;
 use crate::scheduler::endpoint::health::MEDIAN_TO_MEAN_LATENCY;
 use crate::scheduler::messages::EndpointCapacity;
 use crate::scheduler::request_table::OpenRequest;
 use crate::scheduler::state::SchedulerState;
 use gullsail_scheduler_api::{RequestClass, RequestId, Span, demand_report};
 
-/// Requests looked at in each group of a queue. The first may be too large for the endpoint, or wait for an
-/// earlier request of its object. More of them cost processor time at each choice.
+/// Number of requests considered in each group of a queue. There is more than one because the first request may
+/// be too large for the endpoint, or wait for an earlier request on its object. A larger number costs more
+/// processor time at each choice.
 const CANDIDATES_PER_GROUP: usize = 4;
 
-/// The best request of a queue for an endpoint, with the value that it has per unit.
+/// The best request of a queue for an endpoint, with its value per unit.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) value: f64,
     pub(crate) id: RequestId,
 }
 
-/// A waiting request with the value that it has per unit.
-struct Valued<'a> {
+/// A waiting request with its value per unit.
+struct ValuedRequest<'a> {
     value: f64,
     waiting: &'a WaitingRequest,
 }
 
-/// The best candidate of one queue, if any of its requests may be sent to the endpoint now.
+/// The best candidate of one queue; `None` if none of its considered requests may be sent to the endpoint now.
 pub(crate) fn best_candidate(
     state: &mut SchedulerState,
     key: QueueKey,
@@ -36,16 +37,16 @@
     refill_volumes(state, key);
     let state = &*state;
     let queue = state.queues.get(key)?;
-    let first = queue.first_of_groups(CANDIDATES_PER_GROUP);
-    let sendable = first.filter(|waiting| {
-        let open = state.requests.known(waiting.id);
+    let considered = queue.first_of_groups(CANDIDATES_PER_GROUP);
+    let sendable = considered.filter(|waiting| {
+        let open = state.requests.expect_open(waiting.id);
         may_send(state, waiting.id, open, capacity)
     });
-    let valued = sendable.map(|waiting| Valued {
-        value: value_per_unit(state, state.requests.known(waiting.id)),
+    let valued = sendable.map(|waiting| ValuedRequest {
+        value: value_per_unit(state, state.requests.expect_open(waiting.id)),
         waiting,
     });
-    // Of equal value, the request with the least time left is the greatest.
+    // Of equal value, the request with the earliest objective deadline is the maximum.
     let best = valued.max_by(|left, right| {
         let by_value = left.value.total_cmp(&right.value);
         by_value.then(right.waiting.cmp(left.waiting))
@@ -56,7 +57,7 @@
     })
 }
 
-/// Brings the volumes of a queue and all cross-zone budgets up to date.
+/// Refills the token buckets of a queue's volumes and of all cross-zone budgets.
 fn refill_volumes(state: &mut SchedulerState, key: QueueKey) {
     let Some(queue) = state.queues.get(key) else {
         return;
@@ -70,10 +71,11 @@
     }
 }
 
-/// The value of one unit of a request: full within the volume's reserve, less beyond its fair share.
+/// The value of one unit of a request. It is full within the volume's reserve. Beyond the reserve it is
+/// reduced, and reduced further the more the volume exceeds its fair share.
 fn value_per_unit(state: &SchedulerState, open: &OpenRequest) -> f64 {
     let config = &state.config;
-    let volume = state.volumes.known(open.request().volume);
+    let volume = state.volumes.expect_volume(open.request().volume);
     let class = state.class_of(open.request());
     let full = class.priority_weight * config.plans[volume.plan().0].price;
     let within_fair_share = volume.within_fair_share(state.volumes.mean_excess());
@@ -86,7 +88,7 @@
     }
 }
 
-/// Whether a request may have an attempt at that endpoint now.
+/// Whether a request may be sent to an endpoint now.
 fn may_send(
     state: &SchedulerState,
     id: RequestId,
@@ -116,8 +118,8 @@
     capacity.units >= open.request().units
 }
 
-/// An attempt that is expected to miss its objective is not sent. Across many hosts, such single attempts
-/// would overload the endpoint.
+/// Whether an attempt is expected to end by the objective deadline. Attempts that are expected to be late are
+/// not sent: such attempts of many hosts together would overload the endpoint.
 fn is_expected_in_time(
     state: &SchedulerState,
     open: &OpenRequest,
@@ -127,16 +129,17 @@
     expected_end <= open.objective_deadline()
 }
 
-/// Cross-zone budgets bind new objects only: the data of others lies where it lies.
+/// Whether a request may be sent to the endpoint's zone. Cross-zone budgets limit only new objects, since the
+/// data of other requests is already stored at a shard.
 fn is_zone_allowed(
     state: &SchedulerState,
     open: &OpenRequest,
     capacity: &EndpointCapacity,
 ) -> bool {
-    open.request().shard.is_some() || may_cross(state, open, capacity.entry.zone, Span::ZERO)
+    open.request().shard.is_some() || may_send_to_zone(state, open, capacity.entry.zone, Span::ZERO)
 }
 
-/// Whether the order of requests on one object lets this one go, for classes that keep the order.
+/// Whether a request may be sent now by the order of requests on its object. True for classes without an order.
 fn is_next_of_object(
     state: &SchedulerState,
     id: RequestId,
@@ -151,6 +154,6 @@
 
 fn has_tokens(state: &SchedulerState, open: &OpenRequest) -> bool {
     let request = open.request();
-    let volume = state.volumes.known(request.volume);
+    let volume = state.volumes.expect_volume(request.volume);
     volume.allows(request.units, &state.config)
 }
--- a/src/scheduler/dispatch/endpoint_choice.rs
+++ b/src/scheduler/dispatch/endpoint_choice.rs
@@ -10,8 +10,8 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// Endpoints looked at for a new object: enough that some of them have room. More cost processor time; fewer
-/// leave objects waiting while other endpoints are free.
+/// Number of endpoints sampled for a new object: enough that some of them have room. A larger sample costs more
+/// processor time; a smaller one leaves objects waiting while other endpoints have room.
 const SAMPLE_SIZE: usize = 8;
 
 /// Weight of an endpoint in another zone, relative to one in this host's zone.
@@ -20,7 +20,8 @@
 /// Smallest latency that a weight is divided by, in seconds.
 const MIN_LATENCY_SECS: f64 = 1e-3;
 
-/// Chooses the endpoint for the next new object of a pool, if one waits, and asks it for its capacity.
+/// Chooses the endpoint for the next new object of a pool, if a request waits for the pool, and asks the
+/// endpoint for its capacity.
 pub(crate) fn choose_endpoint(state: &mut SchedulerState, pool: PoolId, rng: &mut ChaCha8Rng) {
     if !state.queues.waits_for(Destination::Pool(pool)) {
         return;
@@ -37,11 +38,11 @@
     let full: Vec<NodeId> = without_slots.map(|capacity| capacity.entry.node).collect();
     if let Some(node) = chosen {
         state.endpoints.choose(node, pool);
-        state.outbox.push_back(Outgoing::capacity_wanted(node));
+        state.outbox.push_back(Outgoing::capacity_requested(node));
     }
     state
         .outbox
-        .extend(full.into_iter().map(Outgoing::capacity_wanted));
+        .extend(full.into_iter().map(Outgoing::capacity_requested));
 }
 
 fn choose_from(
@@ -66,13 +67,13 @@
     let own_zone = state.config.zone;
     let chosen =
         with_room.choose_weighted(rng, |capacity| weight(capacity, own_zone, remote_weight));
-    // An error means that there is nothing to choose from.
+    // An error means that no endpoint of the sample has room.
     chosen.ok().map(|capacity| capacity.entry.node)
 }
 
-/// Whether an endpoint that warms up may be sent more than this host's even share: only if most of the sample
-/// is warm and has room, or all of it warms up. Else new objects would gather at a cold endpoint whenever the
-/// warm ones are full.
+/// Whether an endpoint that is warming up may be chosen beyond this host's even share. This holds only if most
+/// of the sample is warm and has room, or if the whole sample is warming up. Otherwise, whenever the warm
+/// endpoints are full, the new objects of all hosts would be sent to the cold ones.
 fn may_exceed_even_share(sample: &[&EndpointCapacity]) -> bool {
     let is_warm = |capacity: &EndpointCapacity| capacity.units.is_infinite();
     let warm_with_room = sample
--- a/src/scheduler/dispatch/mod.rs
+++ b/src/scheduler/dispatch/mod.rs
@@ -1,6 +1,7 @@
-//! Dispatch: requests wait in a [`queue`] until an endpoint has room. The [`review`] of a queue sheds what can
-//! no longer be in time; [`endpoint_choice`] picks endpoints for new objects; [`candidate`] picks the request
-//! that goes to an endpoint with room, and [`send`] sends it. What came of an attempt is for `attempts`.
+//! Dispatch: requests wait in a [`queue`] until an endpoint has room. [`review`] sheds the requests of a queue
+//! that can no longer meet their objective, [`endpoint_choice`] chooses endpoints for new objects,
+//! [`candidate`] chooses the request for an endpoint with room, and [`send`] sends it. The end of an attempt is
+//! handled in `attempts`.
 
 pub(super) mod candidate;
 pub(super) mod endpoint_choice;
--- a/src/scheduler/dispatch/queue.rs
+++ b/src/scheduler/dispatch/queue.rs
@@ -1,12 +1,12 @@
-//! Wait queues: what waits for a shard's endpoints or for a pool, with the timers by which the queues are
-//! reviewed. Which request goes next is decided in `candidate`, not here.
+//! Wait queues of the requests for a shard or a pool, with the timers for the review of the queues. The next
+//! request to send is chosen in `candidate`.
 
 use crate::scheduler::endpoint::index::Destination;
 use crate::scheduler::messages::FIRST_QUEUE_TIMER;
 use gullsail_scheduler_api::{Instant, RequestClassId, RequestId, TimerId, VolumeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Retries wait in queues of their own.
+/// Identifies a wait queue. First attempts and retries for the same destination wait in separate queues.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
     pub(crate) retries: bool,
@@ -20,14 +20,14 @@
     pub(crate) request_class: RequestClassId,
 }
 
-/// In a group the request with the least time left comes first.
+/// A request in a group. The order is by objective deadline, the earliest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitingRequest {
     pub(crate) objective_deadline: Instant,
     pub(crate) id: RequestId,
 }
 
-/// One queue; it exists while a request waits in it.
+/// One queue. It exists only while a request waits in it.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     groups: BTreeMap<QueueGroup, BTreeSet<WaitingRequest>>,
@@ -56,7 +56,7 @@
         self.groups.keys().map(|group| group.volume)
     }
 
-    /// The first requests of each group.
+    /// The first `count` requests of each group.
     pub(crate) fn first_of_groups(&self, count: usize) -> impl Iterator<Item = &WaitingRequest> {
         let groups = self.groups.values();
         groups.flat_map(move |group| group.iter().take(count))
@@ -91,7 +91,7 @@
         queue.groups.entry(group).or_default().insert(waiting);
     }
 
-    /// False: there is no such queue.
+    /// Removes a request from its queue. False if there is no such queue.
     pub(crate) fn remove(
         &mut self,
         key: QueueKey,
@@ -111,7 +111,7 @@
         true
     }
 
-    /// A review timer for a queue that has none running.
+    /// Assigns a review timer to a queue. `None` if the queue does not exist or has a running timer.
     pub(crate) fn new_timer(&mut self, key: QueueKey) -> Option<TimerId> {
         let queue = self.by_key.get_mut(&key)?;
         if queue.timer.is_some() {
@@ -124,7 +124,7 @@
         Some(id)
     }
 
-    /// The queue for which this timer was set, if it is still there.
+    /// The queue for which a timer was set; `None` if that queue no longer exists or has a newer timer.
     pub(crate) fn timer_fired(&mut self, id: TimerId) -> Option<QueueKey> {
         let key = self.timers.remove(&id)?;
         let queue = self.by_key.get_mut(&key)?;
--- a/src/scheduler/dispatch/review.rs
+++ b/src/scheduler/dispatch/review.rs
@@ -1,11 +1,11 @@
-//! Entry into a wait queue and the review of a queue: requests that can no longer be in time are shed, tokens
-//! are requested for the others, and endpoints are asked for their capacity.
+//! Entry into a wait queue and the review of a queue. A review sheds the requests that can no longer meet their
+//! objective, requests tokens for the others, and asks endpoints for their capacity.
 
 use super::endpoint_choice::choose_endpoint;
 use super::queue::QueueKey;
 use crate::scheduler::admission::starvation::no_tokens_in_time;
 use crate::scheduler::attempts::idempotency::is_bound_to_shard;
-use crate::scheduler::cross_zone::budget::{budgets_wanted, without_destination};
+use crate::scheduler::cross_zone::budget::{budgets_needing_tokens, unservable_requests};
 use crate::scheduler::demand_reports::token_request::request_tokens;
 use crate::scheduler::endpoint::health::MEDIAN_TO_MEAN_LATENCY;
 use crate::scheduler::endpoint::index::Destination;
@@ -16,7 +16,8 @@
 use gullsail_scheduler_api::{Action, Instant, RequestId, VolumeId};
 use rand_chacha::ChaCha8Rng;
 
-/// Puts a request into its queue, for its first attempt or for a retry.
+/// Puts a request into its queue, for its first attempt or for a retry, and reviews the queue. Sheds the
+/// request if it would get no tokens in time.
 pub(crate) fn enqueue(state: &mut SchedulerState, id: RequestId, rng: &mut ChaCha8Rng) {
     let Some(key) = queue_key(state, id) else {
         return;
@@ -29,7 +30,8 @@
     }
 }
 
-/// The queue for a request. A retry whose key is known at one shard alone waits for that shard.
+/// The queue for a request. If only one shard recognises the idempotency key of a retry, the retry waits for
+/// that shard.
 fn queue_key(state: &SchedulerState, id: RequestId) -> Option<QueueKey> {
     let open = state.requests.get(id)?;
     let request = open.request();
@@ -42,7 +44,8 @@
     })
 }
 
-/// The review timer of a queue has fired.
+/// Reviews a queue after its review timer has fired. Requests that even the fastest endpoint of the destination
+/// is not expected to answer in time are shed.
 pub(crate) fn review_queue_on_timer(
     state: &mut SchedulerState,
     key: QueueKey,
@@ -54,7 +57,7 @@
     review_queue(state, key, earliest_completion, rng);
 }
 
-/// Reviews a queue. Requests with an objective deadline up to `earliest_completion` are shed.
+/// Reviews a queue. Requests whose objective deadline is not after `earliest_completion` are shed.
 fn review_queue(
     state: &mut SchedulerState,
     key: QueueKey,
@@ -80,7 +83,7 @@
     request_capacity(state, key.destination, rng);
 }
 
-/// The requests of a queue that cannot be served in time.
+/// The requests of a queue that cannot be served in time or have no endpoint to go to.
 fn requests_to_shed(
     state: &SchedulerState,
     key: QueueKey,
@@ -96,7 +99,7 @@
         queue.due_by(earliest_completion)
     };
     if let Destination::Pool(pool) = key.destination {
-        to_shed.extend(without_destination(state, key, pool));
+        to_shed.extend(unservable_requests(state, key, pool));
     }
     to_shed
 }
@@ -104,7 +107,9 @@
 /// The cross-zone budgets from which requests of a queue need tokens.
 fn budgets_short_of_tokens(state: &mut SchedulerState, key: QueueKey) -> Vec<VolumeId> {
     match key.destination {
-        Destination::Pool(pool) if state.config.zone.is_some() => budgets_wanted(state, key, pool),
+        Destination::Pool(pool) if state.config.zone.is_some() => {
+            budgets_needing_tokens(state, key, pool)
+        }
         _ => Vec::new(),
     }
 }
@@ -116,12 +121,12 @@
     }
 }
 
-/// Asks endpoints that could take a waiting request for their capacity.
+/// Asks endpoints that could serve a waiting request for their capacity.
 fn request_capacity(state: &mut SchedulerState, destination: Destination, rng: &mut ChaCha8Rng) {
     match destination {
         Destination::Shard(shard) => {
             let nodes = state.endpoints.nodes_of_shard(shard);
-            state.outbox.extend(nodes.map(Outgoing::capacity_wanted));
+            state.outbox.extend(nodes.map(Outgoing::capacity_requested));
         }
         Destination::Pool(pool) => choose_endpoint(state, pool, rng),
     }
--- a/src/scheduler/dispatch/send.rs
+++ b/src/scheduler/dispatch/send.rs
@@ -1,4 +1,4 @@
-//! Sending an attempt to an endpoint that has room.
+//! Sending of attempts to an endpoint that has room.
 
 use super::candidate::{Candidate, best_candidate};
 use super::endpoint_choice::choose_endpoint;
@@ -12,15 +12,15 @@
 use gullsail_scheduler_api::{Action, OverrunCause, PoolId, Request, RequestId, ZoneId};
 use rand_chacha::ChaCha8Rng;
 
-/// The best new object for an endpoint that was chosen for its pool.
+/// The best request for a new object, in a pool for which the endpoint was chosen.
 #[derive(Clone, Copy)]
 struct NewObject {
     candidate: Candidate,
     pool: PoolId,
 }
 
-/// Sends an endpoint one request, if it has room and any request may go to it. First attempts go before
-/// retries.
+/// Sends one request to an endpoint, if the endpoint has room and a request may be sent to it. First attempts
+/// take precedence over retries.
 pub(crate) fn fill_endpoint(
     state: &mut SchedulerState,
     capacity: &EndpointCapacity,
@@ -31,33 +31,34 @@
         return;
     }
     for retries in [false, true] {
-        let of_shard = QueueKey {
+        let shard_queue = QueueKey {
             retries,
             destination: Destination::Shard(capacity.entry.shard),
         };
-        let bound = best_candidate(state, of_shard, capacity);
+        let shard_bound = best_candidate(state, shard_queue, capacity);
         let new_object = best_new_object(state, retries, &chosen_for, capacity);
-        let preferred = new_object.filter(|new| goes_before(state, new.candidate, bound));
+        let preferred =
+            new_object.filter(|new| takes_precedence(state, new.candidate, shard_bound));
         if let Some(new) = preferred {
             send(state, new.candidate.id, capacity);
             choose_endpoint(state, new.pool, rng);
             return;
         }
-        if let Some(bound) = bound {
-            send(state, bound.id, capacity);
+        if let Some(shard_bound) = shard_bound {
+            send(state, shard_bound.id, capacity);
             return;
         }
     }
 }
 
-/// The new object of most value in the pools for which this endpoint was chosen.
+/// The new object with the highest value in the pools for which this endpoint was chosen.
 fn best_new_object(
     state: &mut SchedulerState,
     retries: bool,
     chosen_for: &[PoolId],
     capacity: &EndpointCapacity,
 ) -> Option<NewObject> {
-    let of_pools = chosen_for.iter().filter_map(|pool| {
+    let new_objects = chosen_for.iter().filter_map(|pool| {
         let key = QueueKey {
             retries,
             destination: Destination::Pool(*pool),
@@ -68,18 +69,25 @@
             pool: *pool,
         })
     });
-    of_pools.max_by(|left, right| left.candidate.value.total_cmp(&right.candidate.value))
+    new_objects.max_by(|left, right| left.candidate.value.total_cmp(&right.candidate.value))
 }
 
-/// Whether a new object goes before a request that is bound to this endpoint's shard. It yields until half of
-/// its time is over, since it can wait for an endpoint that no bound request waits for. Where data lies
-/// unevenly, new objects would otherwise displace requests that have one endpoint only.
-fn goes_before(state: &SchedulerState, new: Candidate, bound: Option<Candidate>) -> bool {
-    let Some(bound) = bound else {
+/// Whether a new object takes precedence over the best request for this endpoint's shard. Until half of the
+/// time to its objective deadline has elapsed, the new object yields, since another endpoint may take it. Where
+/// data is distributed unevenly, new objects would otherwise displace requests that only one shard can serve.
+fn takes_precedence(
+    state: &SchedulerState,
+    new: Candidate,
+    shard_bound: Option<Candidate>,
+) -> bool {
+    let Some(shard_bound) = shard_bound else {
         return true;
     };
-    let half_time_passed = state.requests.known(new.id).half_time_passed(state.now);
-    new.value > bound.value && half_time_passed
+    let half_time_passed = state
+        .requests
+        .expect_open(new.id)
+        .half_time_passed(state.now);
+    new.value > shard_bound.value && half_time_passed
 }
 
 fn send(state: &mut SchedulerState, id: RequestId, capacity: &EndpointCapacity) {
@@ -105,7 +113,7 @@
     charge_cross_zone(state, key, &request, capacity.entry.zone);
 }
 
-/// Notes the attempt at the limits, at its request and at the endpoint's tracker.
+/// Records an attempt in the attempt limits and the request table, and posts it to the endpoint's tracker.
 fn record_sent(
     state: &mut SchedulerState,
     key: AttemptKey,
@@ -113,7 +121,7 @@
     capacity: &EndpointCapacity,
 ) {
     let class = state.class_of(request);
-    let latency_objective = state.objectives.at_node(class);
+    let latency_objective = state.objectives.objective_at_node(class);
     state
         .attempt_limits
         .record_sent(state.now, &state.config, key, capacity, latency_objective);
@@ -134,7 +142,7 @@
     });
 }
 
-/// Charges the attempt's bytes to the cross-zone budgets if it leaves this host's zone.
+/// Charges the request's bytes to the cross-zone budgets if the attempt leaves this host's zone.
 fn charge_cross_zone(state: &mut SchedulerState, key: AttemptKey, request: &Request, to: ZoneId) {
     let Some(own_zone) = state.config.zone else {
         return;
--- a/src/scheduler/endpoint/index.rs
+++ b/src/scheduler/endpoint/index.rs
@@ -1,36 +1,38 @@
-//! Index of the endpoints that are ready, by pool and by shard, with the last capacity that each reported; and
-//! the endpoints chosen for the next new object of each pool.
+//! Index of the ready endpoints by pool and by shard, with the last reported capacity of each, and the
+//! endpoints chosen for the next new object of each pool.
 
 use crate::scheduler::messages::EndpointCapacity;
 use gullsail_scheduler_api::{Endpoint, EndpointState, Instant, NodeId, PoolId, ShardId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After the last endpoint for a destination was seen, a replacement is expected for this long, and requests
-/// wait for it. Shorter, and requests are rejected during a restart; longer, and clients wait in vain.
+/// How long requests wait for a replacement after the last endpoint for a destination was last listed. A
+/// shorter time rejects requests during a restart; a longer one lets requests wait that no endpoint will serve.
 const REPLACEMENT_WINDOW: Span = Span::from_micros(60_000_000);
 
-/// Where an attempt can go: to the endpoints that hold a shard, or, for a new object, to any endpoint of a pool.
+/// The endpoints that can serve a request: those that hold a shard, or, for a new object, all endpoints of a
+/// pool.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Destination {
     Pool(PoolId),
     Shard(ShardId),
 }
 
-/// An endpoint that was chosen for the next new object of a pool. The order is by node first.
+/// An endpoint that was chosen for the next new object of a pool. Ordered by node first, so that all choices of
+/// one node form a range.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolChoice {
     node: NodeId,
     pool: PoolId,
 }
 
-/// The ready endpoints.
+/// The ready endpoints, and the recent times at which destinations had an endpoint that was not ready.
 #[derive(Default)]
 pub(crate) struct EndpointIndex {
     capacities: BTreeMap<NodeId, EndpointCapacity>,
     by_pool: BTreeMap<PoolId, Vec<NodeId>>,
     by_shard: BTreeMap<ShardId, BTreeSet<NodeId>>,
     choices: BTreeSet<PoolChoice>,
-    /// Destinations of listed endpoints that were not ready, and when that was last seen.
+    /// Destinations of endpoints that were listed but not ready, with the time of the last such report.
     last_unready_at: BTreeMap<Destination, Instant>,
 }
 
@@ -44,30 +46,31 @@
 }
 
 impl EndpointIndex {
-    /// Takes in what an endpoint reported. True if it is newly ready; then the caller adds it to its pools.
+    /// Stores the reported capacity of an endpoint. Returns true if the endpoint was not indexed before and is
+    /// ready; the caller then adds it to its pools.
     pub(crate) fn update(&mut self, capacity: &EndpointCapacity, now: Instant) -> bool {
         let entry = &capacity.entry;
         let ready = entry.state == EndpointState::Ready;
         if !ready {
             self.record_unready(entry, now);
         }
-        let moved = |old: &Endpoint| old.shard != entry.shard || old.pools != entry.pools;
+        let is_reassigned = |old: &Endpoint| old.shard != entry.shard || old.pools != entry.pools;
         let outdated = self
             .capacities
             .get(&entry.node)
-            .is_some_and(|old| !ready || moved(&old.entry));
+            .is_some_and(|old| !ready || is_reassigned(&old.entry));
         if outdated {
             self.remove(entry.node);
         }
         if !ready {
             return false;
         }
-        let known = self.capacities.insert(entry.node, capacity.clone());
-        if known.is_some() {
+        let previous = self.capacities.insert(entry.node, capacity.clone());
+        if previous.is_some() {
             return false;
         }
-        let of_shard = self.by_shard.entry(entry.shard).or_default();
-        of_shard.insert(entry.node);
+        let shard_nodes = self.by_shard.entry(entry.shard).or_default();
+        shard_nodes.insert(entry.node);
         true
     }
 
@@ -98,12 +101,12 @@
         self.choices.retain(|choice| choice.node != id);
     }
 
-    /// Notes that the next new object of `pool` should go to `node`.
+    /// Records that the next new object of `pool` should be sent to `node`.
     pub(crate) fn choose(&mut self, node: NodeId, pool: PoolId) {
         self.choices.insert(PoolChoice { node, pool });
     }
 
-    /// The pools for which an endpoint was chosen; they are no longer noted after this call.
+    /// Removes and returns the pools for which an endpoint was chosen.
     pub(crate) fn take_choices(&mut self, node: NodeId) -> Vec<PoolId> {
         let first = PoolChoice {
             node,
@@ -113,11 +116,11 @@
             node,
             pool: PoolId::LAST,
         };
-        let taken = self.choices.extract_if(first..=last, |_| true);
-        taken.map(|choice| choice.pool).collect()
+        let choices = self.choices.extract_if(first..=last, |_| true);
+        choices.map(|choice| choice.pool).collect()
     }
 
-    /// The last capacity that a ready endpoint reported.
+    /// The last reported capacity of an endpoint; `None` if it is not ready.
     pub(crate) fn capacity(&self, node: NodeId) -> Option<&EndpointCapacity> {
         self.capacities.get(&node)
     }
@@ -139,8 +142,8 @@
         nodes.map(|node| &self.capacities[node])
     }
 
-    /// No ready endpoint serves this destination, and none that did was seen recently enough for a replacement
-    /// to be expected. Waiting cannot help.
+    /// Whether no ready endpoint serves a destination and no replacement is expected any more. Requests for it
+    /// should not wait.
     pub(crate) fn is_unreachable(&self, destination: Destination, now: Instant) -> bool {
         let none_ready = match destination {
             Destination::Shard(shard) => !self.by_shard.contains_key(&shard),
@@ -150,13 +153,14 @@
         none_ready && last_unready_at.is_none_or(|at| now - *at > REPLACEMENT_WINDOW)
     }
 
-    /// Forgets the destinations for which no replacement is expected any more.
+    /// Removes the destinations for which no replacement is expected any more.
     pub(crate) fn forget_old(&mut self, now: Instant) {
         self.last_unready_at
             .retain(|_, at| now - *at <= REPLACEMENT_WINDOW);
     }
 
-    /// The least latency among a shard's endpoints; zero for a pool and for a shard without endpoints.
+    /// The lowest expected latency among a shard's ready endpoints; zero for a pool and for a shard without
+    /// ready endpoints.
     pub(crate) fn least_latency(&self, destination: Destination) -> Span {
         let Destination::Shard(shard) = destination else {
             return Span::ZERO;
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -1,40 +1,42 @@
-//! Slow start: how many units may be sent to an endpoint that is warming up, and the estimate of the whole
-//! fleet's demand that this limit needs.
+//! Slow start: the limit on the units sent to an endpoint that is warming up, and the estimate of the fleet's
+//! demand that this limit uses.
 //!
-//! 1. All hosts together may send what a node can serve at its start, the slow-start budget; each host has an even share of it, which
-//!    grows with the ramp.
-//! 2. An attempt that was served within the window proves capacity and counts in part only.
-//! 3. Where the even share is smaller than one request, a host may send one attempt at a time.
-//! 4. Where the hosts ask for more than the budget, they start such lone attempts in turns.
+//! 1. The slow-start budget is what a node can serve at its start. It limits the units that all hosts together
+//!    send within the slow-start window. Each host has an even share, which grows with the ramp.
+//! 2. An attempt that was served proves capacity, so it counts only in part.
+//! 3. Where the even share is smaller than one request, a host may send a lone attempt: one at a time.
+//! 4. Where the estimated demand of all hosts exceeds the budget, the hosts start lone attempts in turns.
 //!
-//! Rules 3 and 4 are inaccurate if the demand of this host differs much from that of the others.
+//! Rules 3 and 4 are inaccurate if the demand of this host differs much from that of the other hosts.
 
 use crate::scheduler::messages::AttemptKey;
 use gullsail_scheduler_api::{AttemptOutcome, Instant, NodeId, SchedulerConfig, Span};
 
-/// Part of the promised ramp growth that is used. At 1.0 any node that warms up slower than promised would
-/// be overloaded.
+/// Fraction of the configured ramp growth that is used. At 1.0, a node that warms up more slowly than
+/// configured would be overloaded.
 const RAMP_SAFETY: f64 = 0.8;
 
-/// Weight of an attempt that was served. It is above zero because the node may have deferred the work, or the
-/// request was cheap.
+/// Weight of the units of an attempt that was served. It is above zero because the node may have deferred the
+/// work, or the request may have been cheap.
 const SERVED_WEIGHT: f64 = 0.33;
 
-/// Part of the fleet's slow-start budget that one lone attempt may have, whatever the number of hosts.
+/// Fraction of the fleet's slow-start budget that a lone attempt may use, whatever the number of hosts.
 const LONE_ATTEMPT_FRACTION: f64 = 0.25;
 
-/// Attempts count for this many times the configured window: attempts that were sent apart may arrive
-/// together.
+/// Factor on the configured window for which an attempt counts. It is above one because attempts that were sent
+/// at different times may arrive at the node together.
 const WINDOW_MARGIN: f64 = 1.1;
 
-/// Weight of the newest demand in the estimate, for each epoch of 250 ms. The estimate then follows over some
-/// seconds, about as long as a ramp; a larger weight makes the turns of lone attempts jump.
+/// Weight of the newest demand in the moving average, updated in each epoch of 250 ms. The estimate then
+/// follows the demand over some seconds, about as long as a ramp. With a larger weight, the number of turns for
+/// lone attempts would change from one window to the next.
 const DEMAND_SMOOTHING: f64 = 0.05;
 
-/// Smallest initial fraction assumed, so that the growth stays finite.
+/// Lower bound of the initial fraction that is divided by, so that the growth stays finite.
 const MIN_INITIAL_FRACTION: f64 = 0.01;
 
-/// Nodes with neighbouring numbers start their turns at different hosts; numbers are taken modulo this.
+/// Node ids are taken modulo this number to offset the turns of lone attempts. Nodes with consecutive ids thus
+/// have their first turn at different hosts.
 const NODE_OFFSETS: u64 = 4096;
 
 struct RecentAttempt {
@@ -54,23 +56,23 @@
     }
 }
 
-/// How many units an endpoint may be sent now; infinite once it has warmed up.
+/// Units that this host may send to an endpoint now; infinite once the endpoint has warmed up.
 pub(crate) struct SlowStartUnits {
-    /// With the allowance for a lone attempt.
+    /// The units allowed, including those for a lone attempt.
     pub(crate) units: f64,
-    /// Within this host's even share, whatever other hosts send.
+    /// The units left of this host's even share; may be negative.
     pub(crate) even_units: f64,
 }
 
 impl SlowStartUnits {
-    /// For an endpoint that has warmed up.
+    /// The units for an endpoint that has warmed up.
     const UNLIMITED: SlowStartUnits = SlowStartUnits {
         units: f64::INFINITY,
         even_units: f64::INFINITY,
     };
 }
 
-/// The attempts recently sent to one endpoint. They are kept one by one, not as a decaying sum, because the
+/// The attempts recently sent to one endpoint. They are stored individually, not as a decaying sum, because the
 /// slow-start limit is checked against exact counts.
 #[derive(Default)]
 pub(crate) struct SlowStart {
@@ -87,7 +89,7 @@
         });
     }
 
-    /// An attempt that never went out does not count.
+    /// Removes an attempt that was not sent; marks one that succeeded as served.
     pub(crate) fn record_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         if outcome == AttemptOutcome::NotSent {
             self.attempts.retain(|attempt| attempt.key != key);
@@ -98,7 +100,8 @@
         }
     }
 
-    /// The units that `node`, which last started at `started`, may be sent now.
+    /// The units that this host may send to `node` now. `started` is the node's last start; `None` if unknown,
+    /// in which case the node counts as warm.
     pub(crate) fn units(
         &mut self,
         node: NodeId,
@@ -133,7 +136,8 @@
         SlowStartUnits { units, even_units }
     }
 
-    /// An attempt may go out later than it was decided, by up to `connect_wait`: it counts for that much longer.
+    /// Removes attempts that no longer count. An attempt may leave the host up to `connect_wait` after the
+    /// decision to send it, so it counts for that much longer.
     fn forget_old(&mut self, now: Instant, config: &SchedulerConfig) {
         let window = config.slow_start.window.times(WINDOW_MARGIN) + config.connect_wait;
         self.attempts
@@ -144,23 +148,24 @@
         self.attempts.iter().all(|attempt| attempt.served)
     }
 
-    /// Number of attempts remembered.
+    /// Number of attempts stored.
     pub(crate) fn len(&self) -> usize {
         self.attempts.len()
     }
 }
 
-/// This host's even share of the units within the window, `age` after the node's start.
+/// This host's even share of the units that may be sent within the window, `age` after the node's start.
 fn ramped_share(age: Span, config: &SchedulerConfig) -> f64 {
-    let rule = &config.slow_start;
-    let ramped = (age - rule.window).secs().max(0.0) / rule.ramp.secs();
-    let initial = rule.initial_fraction.max(MIN_INITIAL_FRACTION);
-    let growth = (1.0 - rule.initial_fraction) * ramped / initial;
+    let slow_start = &config.slow_start;
+    let ramped = (age - slow_start.window).secs().max(0.0) / slow_start.ramp.secs();
+    let initial = slow_start.initial_fraction.max(MIN_INITIAL_FRACTION);
+    let growth = (1.0 - slow_start.initial_fraction) * ramped / initial;
     config.slow_start_units_per_host() * (1.0 + RAMP_SAFETY * growth)
 }
 
-/// Whether this host may start lone attempts in the current window. With `turns` groups of hosts, each group
-/// has every `turns`-th window; with demand below the budget there is one group, and it is always its turn.
+/// Whether this host may start lone attempts in the current window. The hosts form `turns` groups, and each
+/// group has its turn in every `turns`-th window. While the demand is below the budget there is one group,
+/// which always has its turn.
 fn is_own_turn(
     node: NodeId,
     even_share: f64,
@@ -178,21 +183,22 @@
     (rotation_offset + windows_elapsed) % turns < 1.0
 }
 
-/// Estimate of the units that all hosts together ask of one node within the slow-start window. It assumes that
-/// the other hosts are asked for as much as this one.
+/// Estimate of the units that all hosts together request from one node within the slow-start window. It assumes
+/// that every host has the same demand as this one.
 pub(crate) struct FleetDemandEstimate {
     units_per_window: f64,
 }
 
 impl FleetDemandEstimate {
-    /// A host that has just started knows nothing of its demand. It assumes as much as the slow-start budget.
+    /// The estimate of a host that has just started and has not measured its demand. It equals the slow-start
+    /// budget.
     pub(crate) fn new(config: &SchedulerConfig) -> Self {
         FleetDemandEstimate {
             units_per_window: config.slow_start.units,
         }
     }
 
-    /// Takes in this host's demand, in units a second, once in an epoch.
+    /// Adds this host's current demand, in units a second, to the moving average. Called once in each epoch.
     pub(crate) fn update(&mut self, own_demand: f64, shards: usize, config: &SchedulerConfig) {
         let shards = shards.max(1) as f64;
         let newest =
--- a/src/scheduler/endpoint/sparse_traffic.rs
+++ b/src/scheduler/endpoint/sparse_traffic.rs
@@ -1,25 +1,26 @@
-//! Congestion windows for endpoints with sparse traffic. Where each of many hosts sends a node an attempt only
-//! now and then, no window for this one node sees enough answers to react in time, yet all hosts together can
-//! overload it. So the endpoints of one zone that answer this host rarely share one window. Zones are kept
-//! apart because one may be cut off.
+//! Congestion windows for endpoints with sparse traffic. If each of many hosts rarely sends an attempt to a
+//! node, a window for this one node gets too few answers to react in time, yet all hosts together can overload
+//! the node. So the endpoints of one zone that answer this host rarely share one window. Each zone has a window
+//! of its own, because a network partition may cut off one zone.
 //!
-//! The shared window falls less than that of a single endpoint, and only for missed latency objectives: about
-//! one attempt in twenty is late without any congestion. Endpoints that warm up, or were late within the last
-//! minute, do not reduce it. The window is too small for the healthy endpoints of a zone if many others fail.
+//! The shared window decreases less than that of a single endpoint, and only for attempts that miss their
+//! latency objective: about one attempt in twenty is late without any congestion. Endpoints that are warming
+//! up, or were late within the last minute, do not reduce it. If many endpoints of a zone fail, the window is
+//! too small for the healthy ones.
 
 use super::window::MAX_WINDOW;
 use crate::scheduler::messages::{AttemptKey, EndpointCapacity};
 use gullsail_scheduler_api::{AttemptEnd, AttemptOutcome, Instant, Span, ZoneId};
 use std::collections::BTreeMap;
 
-/// Part of the shared window that is left after a decrease. Half, as for a single endpoint, would let one
-/// endpoint's failure stop the traffic to all others.
+/// Factor on the shared window at a decrease. With one half, as for a single endpoint, the failure of one
+/// endpoint would stop the traffic to all others.
 const SHARED_DECREASE_FACTOR: f64 = 0.7;
 
 struct SharedWindow {
-    /// In attempts; at least one.
+    /// Size of the window, in attempts; at least one.
     size: f64,
-    /// Latency objective of each attempt in flight.
+    /// The attempts in flight with their latency objectives.
     in_flight: BTreeMap<AttemptKey, Span>,
     last_decrease: Instant,
 }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Adjusts the window after an attempt that is no longer in `in_flight`.
+    /// Adjusts the window after the end of an attempt. The caller has removed the attempt from `in_flight`.
     fn record(
         &mut self,
         now: Instant,
@@ -68,7 +69,7 @@
 }
 
 impl SparseTrafficWindows {
-    /// Whether the shared window keeps this endpoint from being sent an attempt.
+    /// Whether an endpoint has sparse traffic and the shared window of its zone is full.
     pub(crate) fn is_full_for(&self, capacity: &EndpointCapacity) -> bool {
         let window = self.by_zone.get(&capacity.entry.zone);
         capacity.sparse_traffic && window.is_some_and(SharedWindow::is_full)
--- a/src/scheduler/endpoint/tracker.rs
+++ b/src/scheduler/endpoint/tracker.rs
@@ -1,6 +1,6 @@
-//! One endpoint as this host knows it: its entry in the endpoint list and the attempts in flight there. The
-//! tracker takes messages, passes what they tell to the window, the health and the slow start, and reports
-//! the endpoint's capacity.
+//! The state of one endpoint at this host: its entry in the endpoint list and its attempts in flight. The
+//! tracker handles messages, updates the congestion window, the health and the slow start from them, and
+//! reports the endpoint's capacity.
 
 use super::health::EndpointHealth;
 use super::slow_start::{FleetDemandEstimate, SlowStart, SlowStartUnits};
@@ -11,8 +11,9 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long the tracker of an endpoint is kept after the endpoint is gone. No update of the endpoint list is
-/// later than that; with a shorter time, a late update would bring a node back as an unknown one.
+/// How long the tracker of an endpoint is kept after the endpoint is gone. Updates of the endpoint list are
+/// never delayed for longer. After a shorter time, a delayed update would add the endpoint again as a ready
+/// one.
 const GONE_RETENTION: Span = Span::from_micros(60_000_000);
 
 struct InFlight {
@@ -20,11 +21,11 @@
     latency_objective: Span,
 }
 
-/// Follows one endpoint.
+/// Tracks the state of one endpoint.
 pub(crate) struct EndpointTracker {
     mailbox: VecDeque<EndpointMessage>,
     entry: Endpoint,
-    /// When the endpoint was last listed while it was not gone.
+    /// Time of the last update before which the endpoint was not gone.
     last_present: Instant,
     in_flight: BTreeMap<AttemptKey, InFlight>,
     window: CongestionWindow,
@@ -45,13 +46,13 @@
         }
     }
 
-    /// The endpoint as this host knows it.
+    /// The current entry of the endpoint.
     pub(crate) fn entry(&self) -> &Endpoint {
         &self.entry
     }
 
-    /// Nothing of this endpoint is needed any more.
-    pub(crate) fn is_forgotten(&self, now: Instant) -> bool {
+    /// Whether the tracker can be removed: the endpoint has been gone for [`GONE_RETENTION`].
+    pub(crate) fn is_removable(&self, now: Instant) -> bool {
         self.entry.state == EndpointState::Gone
             && now - self.last_present > GONE_RETENTION
             && self.mailbox.is_empty()
@@ -70,7 +71,7 @@
 
     fn handle(&mut self, message: EndpointMessage, now: Instant) {
         match message {
-            EndpointMessage::CapacityWanted => {}
+            EndpointMessage::CapacityRequested => {}
             EndpointMessage::EndpointUpdated {
                 entry,
                 self_reported,
@@ -100,9 +101,10 @@
         let restarted = entry.started > self.entry.started;
         if restarted {
             self.window.reset();
-            self.health.record_alive(now);
+            self.health.reset_silence(now);
         }
-        // The list lags behind. A drain takes effect at once; only a newer start makes the endpoint ready again.
+        // The list may be out of date, so an entry with the same start cannot undo a drain. Only a newer start
+        // makes the endpoint ready again.
         let leaving = self.entry.state != EndpointState::Ready && !restarted;
         let state = if leaving {
             self.entry.state.max(entry.state)
@@ -112,7 +114,7 @@
         if self.entry.state != EndpointState::Gone {
             self.last_present = now;
         }
-        // After a broken connection a restart is assumed, until the node itself reports an earlier start.
+        // After a lost connection this host assumes a restart, until the node itself reports an earlier start.
         let started = if self_reported {
             entry.started
         } else {
@@ -136,8 +138,8 @@
             return;
         };
         if outcome == AttemptOutcome::ConnectionLost {
-            // The process has probably died. That is no congestion, so the window stays; what answers next
-            // has just started.
+            // The node's process has probably restarted, so the endpoint counts as just started. A lost
+            // connection is no sign of congestion, so the window stays unchanged.
             self.entry.started = self.entry.started.max(Some(now));
         }
         self.slow_start.record_ended(key, outcome);
@@ -152,7 +154,7 @@
             .record(&ended, self.in_flight.len(), mean_latency, now);
     }
 
-    /// What the endpoint can take now.
+    /// The capacity of the endpoint now.
     pub(crate) fn capacity(
         &mut self,
         now: Instant,
@@ -172,15 +174,15 @@
             units,
             even_units,
             latency: self.health.expected_latency(now),
-            silent: self.silent(now),
+            silent: self.is_silent(now),
             recently_degraded: units.is_finite() || self.window.recently_decreased(now),
-            sparse_traffic: self.health.answers_rarely(now),
+            sparse_traffic: self.health.has_sparse_traffic(now),
         }
     }
 
-    fn silent(&self, now: Instant) -> bool {
+    fn is_silent(&self, now: Instant) -> bool {
         let oldest = self.in_flight.values().map(|attempt| attempt.sent_at).min();
-        self.health.silent(oldest, now)
+        self.health.is_silent(oldest, now)
     }
 
     fn available_slots(&self, now: Instant, config: &SchedulerConfig) -> usize {
@@ -188,9 +190,10 @@
         if !ready || self.health.must_wait_to_probe(config.probe_interval, now) {
             return 0;
         }
-        if self.silent(now) {
-            // A stalled, a dead and an unreachable node look the same. Requests stay at this host, where they
-            // can still be shed or wait for a replacement; single attempts probe the node ever more rarely.
+        if self.is_silent(now) {
+            // A stalled, a crashed and an unreachable node cannot be told apart. Requests stay at this host,
+            // where they can still be shed or wait for a replacement. Single attempts probe the node at growing
+            // intervals.
             return usize::from(self.health.probe_due(config.probe_interval, now));
         }
         self.window.available_slots(
@@ -205,7 +208,7 @@
         self.in_flight.len()
     }
 
-    /// Number of attempts that count against slow start.
+    /// Number of attempts that are stored for slow start.
     pub(crate) fn slow_start_count(&self) -> usize {
         self.slow_start.len()
     }
--- a/src/scheduler/endpoint/window.rs
+++ b/src/scheduler/endpoint/window.rs
@@ -1,40 +1,41 @@
-//! Congestion window: how many attempts this host may have in flight at one endpoint. It grows by one for
-//! each round trip that is in time (additive increase) and halves when an attempt is late or fails
-//! (multiplicative decrease). Below one, attempts are spaced in time.
+//! Congestion window: the number of attempts that this host may have in flight at one endpoint. The window
+//! grows by one for each round trip in time (additive increase) and is halved when an attempt is late or fails
+//! (multiplicative decrease). Below one, single attempts are spaced in time.
 
 use gullsail_scheduler_api::{AttemptOutcome, Instant, Span};
 
-/// Attempts in flight at an endpoint that has not answered yet: a few. More would overload a small node before
-/// its first answer; fewer would leave a node idle for several round trips.
+/// Window of an endpoint that has not answered yet. A larger window would overload a small node before its
+/// first answer; a smaller one would leave a node idle for several round trips.
 pub(crate) const INITIAL_WINDOW: f64 = 4.0;
 
-/// Largest number of attempts in flight at one endpoint. Without a bound, the window of a fast node would grow
-/// until the node's own queue is full; a smaller one limits what a host that is alone can send.
+/// Largest window. Without a bound, the window of a fast node would grow until the node's own queue is full. A
+/// smaller bound would limit the throughput of a single host.
 pub(crate) const MAX_WINDOW: f64 = 32.0;
 
-/// Smallest window: one attempt in eight times the latency. With a smaller one, the endpoint is probed less
-/// than once within most latency objectives, and this host would not notice that it has recovered.
+/// Smallest window: one attempt in eight times the mean latency. With a smaller one, an endpoint would be
+/// probed less than once within most latency objectives, and this host would not notice its recovery.
 const MIN_WINDOW: f64 = 0.125;
 
 /// Increase for each answer in time while the window is below one. A window at [`MIN_WINDOW`] is back at one
-/// after four such answers; a smaller increase keeps a recovered node idle for longer.
+/// after four such answers. A smaller increase would keep a recovered node idle for longer.
 const SUB_UNIT_INCREASE: f64 = 0.25;
 
-/// Share of the latency objective that an attempt may spend at the node before it counts as congestion. The
-/// rest is for the wait at this host, where requests can still be ordered and shed.
+/// Fraction of the latency objective above which an attempt counts as late. The remaining fraction is for the
+/// wait at this host, where requests can still be ordered and shed.
 const NODE_TIME_FRACTION: f64 = 0.4;
 
-/// For how long a decrease marks the endpoint as degraded.
+/// How long after a decrease the endpoint counts as recently degraded.
 const DEGRADED_MEMORY: Span = Span::from_micros(60_000_000);
 
 /// Limits the attempts in flight at one endpoint.
 pub(crate) struct CongestionWindow {
-    /// In attempts. Below one, single attempts are spaced by the latency divided by this size.
+    /// Size of the window, in attempts. Below one, single attempts are spaced by the mean latency divided by
+    /// this size.
     size: f64,
     last_decrease: Instant,
 }
 
-/// An attempt that has ended, as the window sees it.
+/// The end of an attempt, with what the window and the health need of it.
 pub(crate) struct EndedAttempt {
     pub(crate) outcome: AttemptOutcome,
     pub(crate) latency: Span,
@@ -49,12 +50,13 @@
         }
     }
 
-    /// The endpoint has restarted: what was learnt of its earlier process no longer holds.
+    /// Resets the window after a restart of the endpoint.
     pub(crate) fn reset(&mut self) {
         self.size = INITIAL_WINDOW;
     }
 
-    /// Adjusts the window. `in_flight` no longer counts the attempt; `mean_latency` includes it.
+    /// Adjusts the window after the end of an attempt. `in_flight` does not count this attempt; `mean_latency`
+    /// includes it.
     pub(crate) fn record(
         &mut self,
         ended: &EndedAttempt,
@@ -79,32 +81,32 @@
         }
     }
 
-    /// Halves the window, at most once in a round trip.
+    /// Halves the window, at most once in each mean latency.
     fn decrease(&mut self, mean_latency: Span, now: Instant) {
         if now - self.last_decrease <= mean_latency {
             return;
         }
-        // Many hosts with a window of one each can still overload a small or slowed node, so the window falls
-        // below one. A node that was late for a single expensive request is then idle for a while.
+        // Many hosts with a window of one each can still overload a small or slow node, so the window may fall
+        // below one. The drawback is that a node with a single expensive request is then idle for a while.
         let floor = if self.size > 1.0 { 1.0 } else { MIN_WINDOW };
         self.size = (self.size / 2.0).max(floor);
         self.last_decrease = now;
     }
 
-    /// Smaller than at the start because of a decrease within the last minute.
+    /// Whether the window was decreased within the last minute and is smaller than the initial window.
     pub(crate) fn recently_decreased(&self, now: Instant) -> bool {
         self.size < INITIAL_WINDOW && now - self.last_decrease < DEGRADED_MEMORY
     }
 
-    /// How many more attempts may be sent now, `since_sent` after the last one.
+    /// The number of further attempts that may be sent now, `since_sent` after the last one.
     pub(crate) fn available_slots(
         &self,
         in_flight: usize,
         since_sent: Span,
         mean_latency: Span,
     ) -> usize {
-        let spacing_over = self.size >= 1.0 || since_sent > mean_latency.times(1.0 / self.size);
-        if !spacing_over {
+        let spacing_elapsed = self.size >= 1.0 || since_sent > mean_latency.times(1.0 / self.size);
+        if !spacing_elapsed {
             return 0;
         }
         (self.size.max(1.0) as usize).saturating_sub(in_flight)
--- a/src/scheduler/endpoint_polling.rs
+++ b/src/scheduler/endpoint_polling.rs
@@ -1,17 +1,17 @@
-//! Polling of the endpoint list after it was lost, with a backoff.
+//! Polling of the endpoint list after its loss, with an exponential backoff.
 
 use super::messages::POLL_TIMER;
 use gullsail_scheduler_api::{Action, Instant, SchedulerConfig, Span, UpdateKind};
 
-/// First backoff before the endpoint list is polled again: a few round trips. Doubles up to
-/// [`MAX_POLL_BACKOFF`].
+/// First backoff before the endpoint list is polled again: a few round trips. The backoff doubles with each
+/// loss up to [`MAX_POLL_BACKOFF`].
 const MIN_POLL_BACKOFF: Span = Span::from_micros(500_000);
 
 /// Largest backoff: an eighth of the minute for which requests wait for a replacement of a lost endpoint.
-/// Longer, and the replacement is noticed late; shorter, and a list service that is down is asked more often.
+/// A longer backoff notices the replacement late; a shorter one puts more load on a failed list service.
 const MAX_POLL_BACKOFF: Span = Span::from_micros(7_500_000);
 
-/// The backoff of this host.
+/// The backoff of this host between polls of the endpoint list.
 pub(super) struct EndpointPolling {
     backoff: Span,
 }
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The list was lost: sets the timer for the next poll. Each host waits for its own fraction of the
-    /// backoff, since all of them lose the list at the same time.
+    /// Returns the action that sets the timer for the next poll after the loss of the list. Each host waits for
+    /// a different fraction of the backoff, since all hosts lose the list at the same time.
     pub(super) fn list_lost(&mut self, now: Instant, config: &SchedulerConfig) -> Action {
         let fraction = 0.5 + 0.5 * f64::from(config.me.0) / f64::from(config.hosts.max(1));
-        let most = config.poll_within.unwrap_or(MAX_POLL_BACKOFF);
-        let wait = self.backoff.min(most).times(fraction);
+        let max_backoff = config.poll_within.unwrap_or(MAX_POLL_BACKOFF);
+        let wait = self.backoff.min(max_backoff).times(fraction);
         self.backoff = self.backoff.times(2.0).min(MAX_POLL_BACKOFF);
         Action::SetTimer {
             id: POLL_TIMER,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The list was received from its service: the backoff starts anew.
+    /// Resets the backoff if the list came from the list service.
     pub(super) fn list_received(&mut self, update_kind: UpdateKind) {
         if matches!(update_kind, UpdateKind::Delta | UpdateKind::Snapshot) {
             self.backoff = MIN_POLL_BACKOFF;
--- a/src/scheduler/final_answer.rs
+++ b/src/scheduler/final_answer.rs
@@ -1,7 +1,7 @@
-//! Final answers that the scheduler gives itself, and the closing of requests. Requests are shed on arrival
-//! (`admission`), when they wait in vain (`dispatch::review`), after a failed attempt that must not be followed
-//! by another (`attempts::outcome`), at their deadline (`request_scheduler`), and when their volume is
-//! withdrawn (`admission::config_change`).
+//! Final answers that the scheduler gives without an endpoint, and the closing of requests. A request is shed
+//! when it enters a queue or its queue is reviewed and it cannot be served in time (`dispatch::review`), after
+//! a failed attempt that may not be retried (`attempts::outcome`), at its deadline (`request_scheduler`), and
+//! when its volume is withdrawn from this host (`admission::config_change`).
 
 use super::attempts::idempotency::is_safe_anywhere;
 use super::endpoint::index::Destination;
@@ -9,7 +9,8 @@
 use super::state::SchedulerState;
 use gullsail_scheduler_api::{Action, Request, RequestId, Span};
 
-/// Gives a request its final answer at once: rejected if a repeat by the client does no harm, else failed.
+/// Gives a request its final answer at once. The request is rejected if the client may safely repeat it, and
+/// failed otherwise.
 pub(super) fn shed(state: &mut SchedulerState, id: RequestId) {
     let Some(open) = state.requests.get(id) else {
         return;
@@ -31,9 +32,10 @@
     close(state, id);
 }
 
-/// When a client may try again: once the volume has tokens, and no sooner than an endpoint usually answers.
+/// The delay before a client should retry: until the volume has tokens for the request, and at least the usual
+/// latency of the request's endpoints. `None` if the configuration sets no maximum.
 fn retry_after(state: &SchedulerState, request: &Request) -> Option<Span> {
-    let most = state.config.max_retry_after?;
+    let max_delay = state.config.max_retry_after?;
     let volume = state.volumes.get(request.volume);
     let until_tokens = volume.map_or(EPOCH, |volume| {
         volume.time_until_tokens(request.units, &state.config)
@@ -41,10 +43,11 @@
     let latency = request.shard.map_or(EPOCH, |shard| {
         state.endpoints.least_latency(Destination::Shard(shard))
     });
-    Some(latency.max(until_tokens).min(most))
+    Some(latency.max(until_tokens).min(max_delay))
 }
 
-/// The client has its answer or is gone. The request stays in the table until no attempt is in flight.
+/// Closes a request whose client has its answer or has disconnected. The request stays in the table until no
+/// attempt is in flight.
 pub(super) fn close(state: &mut SchedulerState, id: RequestId) {
     state.leave_queue(id);
     state.requests.close(id);
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,21 +1,21 @@
-//! What the two sides of the scheduler send each other: the
+//! Messages between the two sides of the scheduler: the
 //! [`RequestScheduler`](super::request_scheduler::RequestScheduler) and one
-//! [`EndpointTracker`](super::endpoint::tracker::EndpointTracker) for each endpoint. Also the numbers of the
-//! scheduler's own timers. Nothing is decided here.
+//! [`EndpointTracker`](super::endpoint::tracker::EndpointTracker) for each endpoint. Also the ids of
+//! the scheduler's timers.
 
 use gullsail_scheduler_api::{AttemptOutcome, Endpoint, Event, NodeId, RequestId, Span, TimerId};
 
-/// Timers with smaller numbers are deadlines of requests and have the request's number. A host would have to
-/// number 2^40 requests before the ranges meet.
+/// The timer for the start of the next epoch. Smaller timer ids are deadlines of requests and equal the request
+/// id. The two ranges overlap only after 2^40 requests.
 pub(super) const EPOCH_TIMER: TimerId = TimerId(1 << 40);
 
 /// The timer for the next poll of the endpoint list.
 pub(super) const POLL_TIMER: TimerId = TimerId(EPOCH_TIMER.0 + 1);
 
-/// Timers of wait queues have this number or larger ones.
+/// The smallest id of a timer for the review of a wait queue; no other timers have larger ids.
 pub(super) const FIRST_QUEUE_TIMER: u64 = EPOCH_TIMER.0 + 2;
 
-/// What a timer is for, by its number.
+/// The purpose of a timer, derived from its id.
 pub(super) enum SchedulerTimer {
     RequestDeadline(RequestId),
     Epoch,
@@ -34,19 +34,20 @@
     }
 }
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestId,
     pub(super) attempt: u32,
 }
 
-/// To the tracker of one endpoint. Each message is answered by the endpoint's capacity.
+/// A message to the tracker of one endpoint. After handling its messages, the tracker reports the endpoint's
+/// capacity.
 pub(super) enum EndpointMessage {
     /// The endpoint list has an entry for this endpoint.
     EndpointUpdated {
         entry: Endpoint,
-        /// The node reported the entry itself.
+        /// Whether the node itself reported the entry, rather than the endpoint list service.
         self_reported: bool,
     },
     AttemptSent {
@@ -59,7 +60,7 @@
         outcome: AttemptOutcome,
         latency: Span,
     },
-    CapacityWanted,
+    CapacityRequested,
 }
 
 /// A message on its way to one endpoint's tracker.
@@ -69,36 +70,38 @@
 }
 
 impl Outgoing {
-    pub(super) fn capacity_wanted(to: NodeId) -> Self {
+    pub(super) fn capacity_requested(to: NodeId) -> Self {
         Outgoing {
             to,
-            message: EndpointMessage::CapacityWanted,
+            message: EndpointMessage::CapacityRequested,
         }
     }
 }
 
-/// To the side that holds requests and queues.
+/// A message to the request scheduler.
 pub(super) enum RequestMessage {
     Event(Event),
     Capacity(EndpointCapacity),
 }
 
-/// What an endpoint can take at this moment, as its tracker sees it.
+/// What this host may send to an endpoint now, as its tracker reports it.
 #[derive(Clone)]
 pub(super) struct EndpointCapacity {
     pub(super) entry: Endpoint,
-    /// How many more attempts it may be sent.
+    /// Number of further attempts that this host may send to the endpoint now.
     pub(super) available_slots: usize,
-    /// How many units it may be sent now; infinite once it has warmed up.
+    /// Units that this host may send to the endpoint now; infinite once the endpoint has warmed up.
     pub(super) units: f64,
-    /// The same within this host's even share, whatever other hosts send.
+    /// Units that this host may send now within its even share of the slow-start budget; infinite once the
+    /// endpoint has warmed up.
     pub(super) even_units: f64,
     /// Expected latency of an attempt.
     pub(super) latency: Span,
-    /// Attempts are in flight for far longer than usual, and nothing was heard since.
+    /// The oldest attempt in flight has taken far longer than the mean latency, and no answer to any attempt
+    /// has arrived since it was sent.
     pub(super) silent: bool,
-    /// Warming up, or its window was decreased within the last minute.
+    /// The endpoint is warming up, or its window was decreased within the last minute and is still small.
     pub(super) recently_degraded: bool,
-    /// It answers too rarely for a window of its own to react in time.
+    /// The endpoint answers this host too rarely for a window of this one endpoint to react in time.
     pub(super) sparse_traffic: bool,
 }
--- a/src/scheduler/request_scheduler.rs
+++ b/src/scheduler/request_scheduler.rs
@@ -1,5 +1,5 @@
-//! The requests' side of the scheduler: it hands each event and each endpoint's capacity to the component that
-//! handles it. Nothing is decided here.
+//! The side of the scheduler that holds requests and queues. It passes each event and each reported capacity to
+//! the component that handles it.
 
 use super::admission::arrival::admit;
 use super::admission::config_change::{ConfigChange, apply_config_change};
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// Takes messages and puts out actions and messages to the endpoints' trackers.
+/// Handles events and reported capacities; produces actions and messages to the endpoints' trackers.
 pub(super) struct RequestScheduler {
     mailbox: VecDeque<RequestMessage>,
     polling: EndpointPolling,
@@ -58,18 +58,19 @@
         }
     }
 
-    /// The next message to an endpoint's tracker.
+    /// Removes and returns the next message to an endpoint's tracker.
     pub(super) fn next_outgoing(&mut self) -> Option<Outgoing> {
         self.state.outbox.pop_front()
     }
 
-    /// The actions put out since the last call.
+    /// Removes and returns the actions produced since the last call.
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.state.actions)
     }
 
     fn handle(&mut self, message: RequestMessage, rng: &mut ChaCha8Rng) {
-        // On every message: while no endpoint has room, arrivals would otherwise pile up.
+        // Expire on every message, not only when an attempt is sent. While no endpoint has room, the recorded
+        // arrivals would otherwise grow without bound.
         let state = &mut self.state;
         state.attempt_limits.expire(state.now, &state.config);
         match message {
@@ -127,7 +128,8 @@
     }
 }
 
-/// Takes in the capacity of an endpoint. One that is newly ready may be chosen for its pools at once.
+/// Stores the reported capacity of an endpoint. An endpoint that has just become ready is added to its pools
+/// and can be chosen for a new object of each pool at once.
 fn update_endpoint(state: &mut SchedulerState, capacity: &EndpointCapacity, rng: &mut ChaCha8Rng) {
     let newly_ready = state.endpoints.update(capacity, state.now);
     if !newly_ready {
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -1,23 +1,23 @@
-//! Open requests, from their arrival until the last of their attempts has ended, and the order of requests on
-//! one object. Bookkeeping only: what becomes of a request is decided in `admission`, `dispatch` and `attempts`.
+//! Open requests, from their arrival until they have an answer and no attempt is in flight, and the order of
+//! requests on one object. Decisions about a request are made in `admission`, `dispatch` and `attempts`.
 
 use super::attempts::idempotency::UnprovenExecution;
 use super::dispatch::queue::{QueueGroup, QueueKey, WaitingRequest};
 use gullsail_scheduler_api::{AttemptEnd, Instant, ObjectId, Request, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request that is not over.
+/// A request that lacks its final answer or has an attempt in flight.
 pub(super) struct OpenRequest {
     request: Request,
     objective_deadline: Instant,
-    /// When half of the time until the objective deadline is over.
+    /// The middle of the time from arrival to the objective deadline.
     half_time: Instant,
-    /// The queue in which it waits.
+    /// The queue in which the request waits; `None` if it waits in none.
     queue: Option<QueueKey>,
     attempts_sent: u32,
     in_flight: u32,
     unproven_execution: Option<UnprovenExecution>,
-    /// It has its final answer, or the client receives a streamed one.
+    /// The request has its final answer, the client has disconnected, or a streamed response has started.
     answered: bool,
 }
 
@@ -43,7 +43,7 @@
         self.objective_deadline
     }
 
-    /// Whether half of the time until the objective deadline is over.
+    /// Whether half of the time from arrival to the objective deadline has elapsed.
     pub(super) fn half_time_passed(&self, now: Instant) -> bool {
         now >= self.half_time
     }
@@ -52,7 +52,7 @@
         self.attempts_sent
     }
 
-    /// Whether its next attempt is its first.
+    /// Whether the next attempt of this request is its first.
     pub(super) fn is_first_attempt(&self) -> bool {
         self.attempts_sent == 0
     }
@@ -61,17 +61,17 @@
         self.queue.is_some()
     }
 
-    /// The client is owed no further answer.
+    /// Whether the client needs no further answer.
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// The first attempt that may have run.
+    /// The first attempt that an endpoint may have executed; `None` if no attempt can have run.
     pub(super) fn unproven_execution(&self) -> Option<UnprovenExecution> {
         self.unproven_execution
     }
 
-    /// It is certain that no endpoint worked on it.
+    /// Whether it is certain that no endpoint executed the request.
     pub(super) fn never_ran(&self) -> bool {
         self.unproven_execution.is_none() && self.in_flight == 0
     }
@@ -94,9 +94,9 @@
 /// The requests on one object whose class keeps their order.
 #[derive(Default)]
 struct ObjectOrder {
-    /// In order of arrival.
+    /// Open requests in order of arrival.
     requests: VecDeque<RequestId>,
-    /// An earlier attempt may still run until then, so the next request waits.
+    /// Until this time an attempt with an unknown outcome may still run, so the next request waits.
     blocked_until: Instant,
 }
 
@@ -108,7 +108,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request; one that keeps its object's order goes behind the others of its object.
+    /// Adds a request. With `keeps_order`, the request is placed after the earlier requests on its object.
     pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest, keeps_order: bool) {
         if let (true, Some(object)) = (keeps_order, open.request.object) {
             let order = self.object_orders.entry(object).or_default();
@@ -121,29 +121,29 @@
         self.open.get(&id)
     }
 
-    /// A request that is known to be open, since it waits in a queue.
-    pub(super) fn known(&self, id: RequestId) -> &OpenRequest {
+    /// An open request, such as one that waits in a queue. Panics if the request is not open.
+    pub(super) fn expect_open(&self, id: RequestId) -> &OpenRequest {
         &self.open[&id]
     }
 
-    /// All open requests, by their ids.
+    /// All open requests, in the order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = &OpenRequest> {
         self.open.values()
     }
 
-    /// Notes the queue of a request.
+    /// Records the queue in which a request waits. `None` if the request is not open.
     pub(super) fn set_queue(&mut self, id: RequestId, key: QueueKey) -> Option<&OpenRequest> {
         let open = self.open.get_mut(&id)?;
         open.queue = Some(key);
         Some(open)
     }
 
-    /// The queue in which a request waited; it no longer does after this call.
+    /// Clears and returns the queue in which a request waits. `None` if it waits in none.
     pub(super) fn take_queue(&mut self, id: RequestId) -> Option<QueueKey> {
         self.open.get_mut(&id)?.queue.take()
     }
 
-    /// Notes an attempt. The first that may have run is kept.
+    /// Records an attempt that was sent. `execution` is stored only if no earlier attempt may have run.
     pub(super) fn record_sent(&mut self, id: RequestId, execution: UnprovenExecution) {
         if let Some(open) = self.open.get_mut(&id) {
             open.attempts_sent += 1;
@@ -152,7 +152,8 @@
         }
     }
 
-    /// Notes the end of an attempt. If it may still run, its object is blocked until `blocked_until`.
+    /// Records the end of an attempt. If the attempt may still run at the endpoint, the request's object is
+    /// blocked until `blocked_until`.
     pub(super) fn record_ended(&mut self, end: &AttemptEnd, blocked_until: Instant) {
         let Some(open) = self.open.get_mut(&end.id) else {
             return;
@@ -169,14 +170,14 @@
         }
     }
 
-    /// The client is owed no further answer.
+    /// Marks a request as answered, since a streamed response has started.
     pub(super) fn set_answered(&mut self, id: RequestId) {
         if let Some(open) = self.open.get_mut(&id) {
             open.answered = true;
         }
     }
 
-    /// The client is owed no further answer; the request is removed if no attempt is in flight.
+    /// Marks a request as answered and removes it if no attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -192,7 +193,7 @@
         self.open.remove(&id);
     }
 
-    /// Whether the order of requests on an object lets this one go.
+    /// Whether the order of requests on an object allows this request to be sent now.
     pub(super) fn is_next_of_object(
         &self,
         id: RequestId,
@@ -203,8 +204,8 @@
         order.is_none_or(|order| order.requests.front() == Some(&id) && now >= order.blocked_until)
     }
 
-    /// Forgets the objects that have no requests and are not blocked.
-    pub(super) fn forget_settled(&mut self, now: Instant) {
+    /// Removes the order of objects that have no open requests and are not blocked.
+    pub(super) fn forget_idle_objects(&mut self, now: Instant) {
         self.object_orders
             .retain(|_, order| !order.requests.is_empty() || order.blocked_until > now);
     }
--- a/src/scheduler/size_metrics.rs
+++ b/src/scheduler/size_metrics.rs
@@ -1,4 +1,5 @@
-//! The sizes of the scheduler's collections, for whoever watches a host over days. Nothing is decided by them.
+//! The sizes of the scheduler's collections, so that an operator can see a collection that grows without bound.
+//! No decision depends on them.
 
 use super::endpoint::tracker::EndpointTracker;
 use super::state::SchedulerState;
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -1,6 +1,6 @@
-//! The state on the requests' side of the scheduler. Each component owns its part and keeps its fields private;
-//! the functions that decide are given this state and use the components' methods. Only what concerns a
-//! request, its queue and its volume at once stands here.
+//! The state of the request scheduler: all components, each of which keeps its fields private. Functions that
+//! make decisions take this state and call the components' methods. The methods here are those that change a
+//! request, its queue and its volume together.
 
 use super::admission::objective::LatencyObjectives;
 use super::attempts::limits::AttemptLimits;
@@ -14,11 +14,11 @@
 use gullsail_scheduler_api::{Action, Instant, Request, RequestClass, RequestId, SchedulerConfig};
 use std::collections::VecDeque;
 
-/// All components, with what they put out.
+/// All components of the request scheduler, with the actions and messages that they produce.
 pub(super) struct SchedulerState {
     pub(super) now: Instant,
     pub(super) config: SchedulerConfig,
-    /// What the host is to do, in order.
+    /// Actions for the host to carry out, in order.
     pub(super) actions: Vec<Action>,
     /// Messages to the endpoints' trackers, in order.
     pub(super) outbox: VecDeque<Outgoing>,
@@ -52,12 +52,13 @@
         }
     }
 
-    /// The class of an open request.
+    /// The class of a request. Admission has checked that the configuration has this class.
     pub(super) fn class_of(&self, request: &Request) -> &RequestClass {
         &self.config.request_classes[request.request_class.0]
     }
 
-    /// Puts a request into a queue. The units of a first attempt wait at its volume.
+    /// Puts a request into a queue. If its next attempt is its first, its units are added to the waiting units
+    /// of its volume.
     pub(super) fn enter_queue(&mut self, id: RequestId, key: QueueKey) {
         let Some(open) = self.requests.set_queue(id, key) else {
             return;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes a request out of its queue, if it waits in one.
+    /// Removes a request from its queue, if it waits in one, and its units from those that wait at its volume.
     pub(super) fn leave_queue(&mut self, id: RequestId) {
         let Some(key) = self.requests.take_queue(id) else {
             return;
@@ -89,7 +90,7 @@
     /// Takes the units of a request's first attempt from its volume.
     pub(super) fn spend(&mut self, request: &Request) {
         let volume = self.volumes.get_mut(request.volume);
-        let volume = volume.expect("an open request's volume is known");
+        let volume = volume.expect("the volume of an open request is in the table");
         volume.spend(self.now, &self.config, request.units);
     }
 }
--- a/src/scheduler/volume/loans.rs
+++ b/src/scheduler/volume/loans.rs
@@ -1,6 +1,7 @@
-//! Loans of tokens between the hosts of a volume. Tokens are lent, not rates: the lender lowers its own tokens
-//! and its burst before the borrower is told, so the tokens of all hosts never sum past the plan's burst,
-//! whatever becomes of messages, clocks or hosts. A loan whose message is lost is lost to all.
+//! Loans of tokens between the hosts of a volume. A host lends tokens, not a rate. The lender lowers its tokens
+//! and its burst before it sends the loan, so the sum of the tokens of all hosts never exceeds the plan's
+//! burst, whatever happens to messages, clocks or hosts. If the message of a loan is lost, its tokens are lost
+//! to all hosts.
 
 use super::peers::TOKEN_REQUEST_INTERVAL;
 use super::state::{LimitKind, Volume};
@@ -8,17 +9,18 @@
 use gullsail_scheduler_api::demand_report::{self, VolumeDemand};
 use gullsail_scheduler_api::{HostId, Instant, Limit, SchedulerConfig};
 
-/// A request to some peers for tokens.
+/// A request for tokens to some peers.
 pub(crate) struct TokenRequest {
     /// Demand at this host, in units a second.
     pub(crate) demand: f64,
-    /// Tokens wanted from each lender.
+    /// Tokens requested from each lender.
     pub(crate) wanted: f64,
     pub(crate) lenders: Vec<HostId>,
 }
 
 impl Volume {
-    /// A request for tokens, if more units wait than there are tokens and it is time to ask.
+    /// The next request for tokens. `None` unless more units wait than there are tokens, the request interval
+    /// is over and there is a peer to ask.
     pub(crate) fn token_request(
         &mut self,
         now: Instant,
@@ -42,8 +44,8 @@
         })
     }
 
-    /// Takes in a peer's report with the tokens that it lends. Returns the report to answer with, if the peer
-    /// wants tokens and there are some to lend. `started_at` is when this host started.
+    /// Handles a peer's demand report and the tokens that it lends. Returns the report to send back if the peer
+    /// requests tokens and this host can lend some. `started_at` is the start of this incarnation of the host.
     pub(crate) fn receive_report(
         &mut self,
         from: HostId,
@@ -57,7 +59,7 @@
         if !self.peers.record(from, made_at, report.demand) {
             return None;
         }
-        // Tokens that were lent to an earlier incarnation of this host do not count.
+        // Ignore tokens that were lent to an earlier incarnation of this host.
         let limit = self.limit(config).filter(|_| made_at > started_at);
         if let Some(limit) = limit {
             self.borrow(report.lent, made_at, now, &limit);
@@ -74,7 +76,8 @@
         })
     }
 
-    /// Adds lent tokens. After the time for which the lender holds them they no longer count.
+    /// Adds borrowed tokens to the bucket. Tokens that arrive after the lender has stopped holding them are
+    /// dropped, since the lender's bucket may have refilled by then.
     fn borrow(&mut self, lent: f64, made_at: Instant, now: Instant, limit: &Limit) {
         let in_time = now - made_at < TOKEN_REQUEST_INTERVAL;
         let usable = if in_time { lent } else { 0.0 };
@@ -82,7 +85,8 @@
         self.bucket.add(usable, burst);
     }
 
-    /// Takes the tokens for a peer out of the bucket and returns how many there are.
+    /// Takes the tokens for a peer from the bucket, holds them and returns their number. Returns zero if this
+    /// host needs its tokens itself.
     fn lend(&mut self, now: Instant, config: &SchedulerConfig, wanted: f64) -> f64 {
         let Some(limit) = self.limit(config) else {
             return 0.0;
@@ -97,9 +101,10 @@
         lent
     }
 
-    /// The rate rule of docs/design.md: a host keeps its own demand while the hosts together ask for less than
-    /// the limit, else its share of the limit by demand. It also keeps what its next request needs: if many
-    /// hosts ask, none would otherwise have enough for a whole request.
+    /// The tokens that this host does not lend, by the rate rule of docs/design.md. While the demand of all
+    /// hosts is below the limit, a host keeps the tokens for its own demand; otherwise, for its share of the
+    /// limit in proportion to demand. It also keeps the tokens for its next request. Otherwise, if many hosts
+    /// request tokens, no host would have enough for a whole request.
     fn tokens_to_keep(&self, now: Instant, config: &SchedulerConfig, limit: &Limit) -> f64 {
         let own = self.demand.last();
         let recent = self.peers.demands().filter(|peer| peer.is_recent(now));
--- a/src/scheduler/volume/mod.rs
+++ b/src/scheduler/volume/mod.rs
@@ -1,7 +1,8 @@
-//! Volumes and cross-zone budgets: everything that has a limit over all hosts. Each has a [`token_bucket`]
-//! filled by this host's [`share`] of the limit; what is missing is borrowed from other hosts ([`loans`]), of
-//! which [`peers`] holds the last reports and which [`search`] looks for. The [`reserve`] decides what a volume's
-//! next unit is worth against other volumes. [`state`] has the state of one volume, [`table`] all of them.
+//! Volumes and cross-zone budgets, which have a limit over all hosts. Each has a [`token_bucket`] that is
+//! filled by this host's [`share`] of the limit. Missing tokens are borrowed from other hosts ([`loans`]);
+//! [`search`] finds these hosts, and [`peers`] holds their last reports. The [`reserve`] determines the value
+//! of a volume's next unit relative to other volumes. [`state`] holds the state of one volume, [`table`] that
+//! of all volumes.
 
 pub(super) mod loans;
 pub(super) mod peers;
--- a/src/scheduler/volume/peers.rs
+++ b/src/scheduler/volume/peers.rs
@@ -1,22 +1,24 @@
-//! The other hosts that use a volume: what each last reported, and whose turn it is to be asked for tokens.
+//! The other hosts that use a volume: the last demand report of each, and the order in which they are asked for
+//! tokens.
 
 use crate::scheduler::intervals::DEMAND_WINDOW;
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeMap;
 
-/// Interval between requests for tokens, and the time for which lent tokens may be under way: a few round
-/// trips between hosts. Longer, and waiting requests starve; shorter, and answers arrive too late to count.
+/// Interval between requests for tokens, and the longest time that lent tokens may be in transit: a few round
+/// trips between hosts. With a longer interval, waiting requests starve; with a shorter one, loans arrive too
+/// late to be used.
 pub(crate) const TOKEN_REQUEST_INTERVAL: Span = Span::from_micros(100_000);
 
-/// How many peers are asked for tokens at a time. It keeps messages few, while one that is lost, or a peer
-/// that has nothing to lend, costs little.
+/// Number of peers that are asked for tokens at a time. The number is small to send few messages, and above one
+/// so that a lost message or a peer without spare tokens has little effect.
 const PEERS_PER_REQUEST: usize = 3;
 
 /// A peer's newest demand report.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PeerDemand {
     reported_at: Instant,
-    /// In units a second.
+    /// The peer's own demand, in units a second.
     pub(crate) demand: f64,
 }
 
@@ -30,19 +32,21 @@
 #[derive(Default)]
 pub(crate) struct Peers {
     reports: BTreeMap<HostId, PeerDemand>,
-    /// Position of the peer that is asked first at the next request for tokens.
-    next_asked: usize,
-    /// When tokens may be asked for again.
-    ask_at: Instant,
+    /// Position in `reports` of the peer that is asked first at the next request for tokens, modulo the number
+    /// of peers.
+    next_position: usize,
+    /// The time from which tokens may be requested again.
+    next_request_at: Instant,
 }
 
 impl Peers {
-    /// Another host uses the volume. It has no demand until it reports some.
+    /// Adds another host that uses the volume. Its demand is zero until its first report.
     pub(crate) fn add(&mut self, host: HostId) {
         self.reports.entry(host).or_default();
     }
 
-    /// Takes in a report. False if a newer one of this host is known: reports may arrive late or twice.
+    /// Stores a peer's report. Returns false, and ignores the report, if it is not newer than the stored one:
+    /// reports may arrive late or twice.
     pub(crate) fn record(&mut self, from: HostId, made_at: Instant, demand: f64) -> bool {
         let newest = self.reports.entry(from).or_default();
         if made_at <= newest.reported_at {
@@ -66,15 +70,15 @@
 
     /// Whether the interval since the last request for tokens is over.
     pub(crate) fn may_ask(&self, now: Instant) -> bool {
-        now >= self.ask_at
+        now >= self.next_request_at
     }
 
-    /// The peers whose turn it is to be asked for tokens. There must be at least one peer.
+    /// The next peers to ask for tokens, in turn. Starts a new interval. There must be at least one peer.
     pub(crate) fn next_lenders(&mut self, now: Instant) -> Vec<HostId> {
         let asked = self.reports.len().min(PEERS_PER_REQUEST);
-        let first = self.next_asked % self.reports.len();
-        self.next_asked = first + asked;
-        self.ask_at = now + TOKEN_REQUEST_INTERVAL;
+        let first = self.next_position % self.reports.len();
+        self.next_position = first + asked;
+        self.next_request_at = now + TOKEN_REQUEST_INTERVAL;
         let in_turn = self.reports.keys().cycle().skip(first);
         in_turn.take(asked).copied().collect()
     }
--- a/src/scheduler/volume/reserve.rs
+++ b/src/scheduler/volume/reserve.rs
@@ -1,22 +1,22 @@
-//! What a volume's next unit is worth against other volumes. Units within the reserve of its plan have full
-//! value. Beyond the reserve, a volume that was sent less than the others, by weight, is within its fair share
-//! and has more value than one that was sent more.
+//! The value of a volume's next unit relative to other volumes. Units within the reserve of the volume's plan
+//! have full value. Beyond the reserve, a volume whose excess by weight is at most the mean of all volumes is
+//! within its fair share. Its units have a higher value than those of a volume with a larger excess.
 
 use crate::decaying_sum::DecayingSum;
 use crate::scheduler::intervals::DEMAND_WINDOW;
 use gullsail_scheduler_api::Instant;
 
-/// Smallest weight assumed, so that units by weight stay finite.
+/// Lower bound of a weight that is divided by, so that the weighted units stay finite.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// Smallest demand and excess that are divided by.
+/// Lower bound of a demand or an excess that is divided by.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// Units beyond the reserve, by weight, from which on a volume counts in the mean excess. Without this bound,
-/// volumes that sent almost nothing beyond their reserves would lower the mean for all others.
+/// Weighted units beyond the reserve above which a volume counts in the mean excess. Without this bound,
+/// volumes with almost no excess would lower the mean for all others.
 const MIN_EXCESS: f64 = 0.1;
 
-/// Units of the reserve, and what was sent beyond it.
+/// The unused units of a volume's reserve, and the units recently sent beyond it.
 #[derive(Default)]
 pub(crate) struct Reserve {
     units: f64,
@@ -25,7 +25,8 @@
 }
 
 impl Reserve {
-    /// Adds what a rate brings in a time. The reserve holds at most one second of it and a largest request.
+    /// Adds the units that `rate` yields in the elapsed time. The reserve holds at most the units of one second
+    /// and of one largest request.
     pub(crate) fn refill(&mut self, rate: f64, elapsed_secs: f64, max_units: f64) {
         self.units = (self.units + rate * elapsed_secs).min(rate + max_units);
     }
@@ -44,41 +45,41 @@
         }
     }
 
-    /// How far a volume is within its fair share: 1.0 while its weighted excess is at most the mean of all
-    /// volumes, less the more it is above.
+    /// The degree to which a volume is within its fair share: 1.0 while its weighted excess is at most the mean
+    /// of all volumes, and lower in inverse proportion to a larger excess.
     pub(crate) fn within_fair_share(&self, mean_excess: f64) -> f64 {
         (mean_excess / self.weighted_excess.last().max(MIN_DIVISOR)).min(1.0)
     }
 }
 
-/// This host's rate of the plan's reserve, in proportion to its part of the fleet's demand. A host with little
-/// demand still gets half of an even share.
+/// This host's part of the plan's reserve rate, in proportion to its fraction of the fleet's demand. A host
+/// with little demand still gets half of an even share.
 pub(crate) fn reserve_rate(
     plan_reserve: f64,
     own_demand: f64,
     fleet_demand: f64,
     hosts: f64,
 ) -> f64 {
-    let least_part = 1.0 / hosts / 2.0;
-    let part = own_demand / fleet_demand.max(MIN_DIVISOR);
-    plan_reserve * part.max(least_part)
+    let min_fraction = 1.0 / hosts / 2.0;
+    let fraction = own_demand / fleet_demand.max(MIN_DIVISOR);
+    plan_reserve * fraction.max(min_fraction)
 }
 
-/// The mean weighted excess over the volumes that have one.
+/// Computes the mean weighted excess over the volumes that have an excess.
 #[derive(Default)]
 pub(crate) struct MeanExcess {
     sum: f64,
-    volumes: f64,
+    volume_count: f64,
 }
 
 impl MeanExcess {
     pub(crate) fn add(&mut self, reserve: &mut Reserve, now: Instant) {
         let excess = reserve.weighted_excess.read(now, DEMAND_WINDOW);
         self.sum += excess;
-        self.volumes += f64::from(excess > MIN_EXCESS);
+        self.volume_count += f64::from(excess > MIN_EXCESS);
     }
 
     pub(crate) fn mean(&self) -> f64 {
-        self.sum / f64::max(self.volumes, 1.0)
+        self.sum / f64::max(self.volume_count, 1.0)
     }
 }
--- a/src/scheduler/volume/search.rs
+++ b/src/scheduler/volume/search.rs
@@ -1,36 +1,39 @@
-//! Searches for the other hosts of a volume, which ask the hosts that keep its directory.
+//! Schedule of the searches for the other hosts of a volume. A search asks a directory host, which stores the
+//! hosts that use the volume.
 
 use crate::scheduler::intervals::EPOCH;
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 
-/// How often the interval between searches doubles: from one epoch (0.25 s) to 16 s.
+/// Number of times that the interval between searches doubles: from one epoch (0.25 s) to 16 s.
 const MAX_SEARCH_DOUBLINGS: u32 = 6;
 
-/// How many hosts keep the directory of a volume's hosts. One of them may be down, or have lost it.
+/// Number of directory hosts of a volume. There is more than one because a host may be down or may have lost
+/// its directory in a restart.
 const DIRECTORY_HOSTS: u32 = 2;
 
-/// How long a directory remembers a host that does not search again: four times the longest interval between
-/// its searches, so that lost messages do not remove it.
+/// How long a directory keeps a host that does not search again: four times the longest interval between
+/// searches, so that a few lost messages do not remove a host.
 pub(crate) fn directory_retention() -> Span {
     EPOCH.times(f64::from(4 << MAX_SEARCH_DOUBLINGS))
 }
 
-/// When this host searches for the other hosts of one volume.
+/// The schedule of this host's searches for the other hosts of one volume.
 #[derive(Default)]
 pub(crate) struct PeerSearch {
-    /// Searches so far.
+    /// Number of searches since the last restart of the schedule.
     searches: u32,
     next_at: Instant,
 }
 
 impl PeerSearch {
-    /// More hosts use the volume than were known: the search begins anew.
+    /// Restarts the schedule with the shortest interval, since the volume has more hosts than before.
     pub(crate) fn restart(&mut self, now: Instant) {
         self.searches = 0;
         self.next_at = now;
     }
 
-    /// The host to ask, when a search is due. The hosts of the directory are asked in turn.
+    /// The directory host to ask, if a search is due; schedules the next search. Directory hosts are asked in
+    /// turn.
     pub(crate) fn next(&mut self, id: VolumeId, hosts: u32, now: Instant) -> Option<HostId> {
         if now < self.next_at {
             return None;
--- a/src/scheduler/volume/share.rs
+++ b/src/scheduler/volume/share.rs
@@ -1,20 +1,21 @@
-//! This host's share of a volume's limit, and what the share will bring.
+//! This host's share of a volume's limit, and the tokens expected from it.
 
 use super::peers::PeerDemand;
 use super::state::{LimitKind, Volume};
 use crate::scheduler::intervals::EPOCH;
 use gullsail_scheduler_api::{Instant, Limit, SchedulerConfig, Span};
 
-/// Longest time until tokens that is worked out, in seconds. It only bounds the figure: the answer to a client
-/// is bounded again by the configured maximum.
+/// Upper bound of the computed time until tokens, in seconds. The retry delay that is sent to a client is
+/// bounded again by the configured maximum.
 const MAX_WAIT_SECS: f64 = 60.0;
 
-/// Smallest refill rate assumed, in units a second, so that the time stays finite.
+/// Lower bound of a refill rate that is divided by, in units a second, so that the time stays finite.
 const MIN_RATE: f64 = 1e-3;
 
 impl Volume {
-    /// The limit over all hosts. While a plan that lost its limit has not reached all hosts, the others still
-    /// keep to the old one, so an allocated share holds here too.
+    /// The limit over all hosts; `None` if the volume has none. If the plan has lost its limit, the allocated
+    /// share of this host still applies, since other hosts may not have received the new plan yet and keep the
+    /// old limit.
     pub(crate) fn limit(&self, config: &SchedulerConfig) -> Option<Limit> {
         if let LimitKind::CrossZoneBudget { position } = self.kind {
             return Some(config.cross_zone_budgets[position].limit);
@@ -23,7 +24,7 @@
         plan.and_then(|plan| plan.limit).or(self.share)
     }
 
-    /// This host's share of the rate and of the burst. Held tokens are missing from the burst.
+    /// This host's share of the rate and of the burst. The burst is lowered by the held tokens.
     pub(crate) fn host_share(&mut self, now: Instant, limit: &Limit) -> Limit {
         let held = self.bucket.held_units(now);
         let even = Limit {
@@ -42,15 +43,16 @@
         self.share.map_or(even_rate, |share| share.rate)
     }
 
-    /// The tokens here after a time without spending or borrowing, without the bound by the burst.
+    /// The tokens of this host after `time` if none are spent or borrowed. Not bounded by the burst.
     pub(crate) fn tokens_after(&self, time: Span, config: &SchedulerConfig) -> f64 {
         let limit = self.limit(config);
         let rate = limit.map_or(0.0, |limit| self.host_rate(&limit));
         self.bucket.tokens() + rate * time.secs()
     }
 
-    /// The units that may be sent here until then: what this host's share brings, and what other hosts could
-    /// lend. Nothing can be borrowed if each of them recently reported a demand for the whole limit.
+    /// The tokens that this host may have by `until`: its current tokens, those from its share, and those that
+    /// other hosts could lend. No tokens can be borrowed if every other host recently reported a demand for the
+    /// whole limit. Infinite without a limit.
     pub(crate) fn tokens_expected_by(
         &mut self,
         now: Instant,
@@ -76,7 +78,8 @@
         self.bucket.tokens() + expected
     }
 
-    /// When this host's share will have brought tokens for all that waits here and for so many units more.
+    /// The time until this host's share yields tokens for all waiting units and for `units` more; at least one
+    /// epoch.
     pub(crate) fn time_until_tokens(&self, units: f64, config: &SchedulerConfig) -> Span {
         let Some(limit) = self.limit(config) else {
             return EPOCH;
--- a/src/scheduler/volume/state.rs
+++ b/src/scheduler/volume/state.rs
@@ -1,5 +1,5 @@
-//! The state of one volume or cross-zone budget at this host. What the share of the limit brings is worked out
-//! in `share`, loans in `loans`, searches for other hosts in `search`.
+//! The state of one volume or cross-zone budget at this host. The share of the limit is computed in `share`,
+//! loans in `loans`, searches for other hosts in `search`.
 
 use super::peers::Peers;
 use super::reserve::{Reserve, reserve_rate};
@@ -11,35 +11,37 @@
     HostId, Instant, Limit, PlanId, Request, SchedulerConfig, Span, VolumeAllocation, VolumeId,
 };
 
-/// Demand below this, in units a second, is none: a withdrawn volume may be forgotten. With
-/// [`DEMAND_WINDOW`] that is some twenty seconds after its last request, when no demand report or loan of it
-/// is under way any more.
+/// A demand up to this number of units a second counts as none, so that a withdrawn volume may be removed. With
+/// [`DEMAND_WINDOW`] that is some twenty seconds after its last request. By then, no demand report or loan of
+/// the volume is in transit.
 const NO_DEMAND: f64 = 1e-9;
 
-/// What a limit is for.
+/// The traffic that a limit applies to.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum LimitKind {
     /// The requests of a volume, in units. The limit is that of its plan.
     #[default]
     Volume,
-    /// The traffic between zones, in bytes. The limit stands at this position in the configuration.
+    /// The traffic between zones, in bytes. The limit is at this position of the configuration's cross-zone
+    /// budgets.
     CrossZoneBudget { position: usize },
 }
 
-/// A volume or a cross-zone budget, as this host holds it.
+/// The state of a volume or a cross-zone budget at this host.
 #[derive(Default)]
 pub(crate) struct Volume {
     pub(super) kind: LimitKind,
     pub(super) plan: PlanId,
-    /// How many hosts share the limit; at least one once the volume is known.
+    /// Number of hosts that share the limit. Zero only until the first request or allocation of the volume.
     pub(super) hosts: f64,
-    /// This host's share of the limit, where it is not an even one.
+    /// This host's allocated share of the limit; `None` for an even share.
     pub(super) share: Option<Limit>,
-    /// Its requests no longer come through this host.
+    /// The configuration has withdrawn the volume from this host.
     pub(super) withdrawn: bool,
-    /// Units asked for at this host.
+    /// Units (or bytes) requested at this host, as a decaying sum over [`DEMAND_WINDOW`].
     pub(super) demand: DecayingSum,
-    /// Units a second through all hosts, as answers report it, some seconds late.
+    /// Units a second sent by all hosts, reported in answers with a delay of some seconds; `None` if never
+    /// reported.
     pub(super) fleet_usage: Option<f64>,
     pub(super) bucket: TokenBucket,
     pub(super) reserve: Reserve,
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Takes in a request that has just arrived. `started_at` is when this host started.
+    /// Records the demand of a request that has just arrived, and a higher number of hosts that it reports.
+    /// `started_at` is the start of this incarnation of the host.
     pub(super) fn record_arrival(
         &mut self,
         request: &Request,
@@ -68,7 +71,7 @@
             hosts => f64::from(hosts),
         };
         if hosts > self.hosts {
-            // A host that has just started does not know what it spent before, so its bucket starts empty.
+            // An earlier incarnation of this host may have spent the tokens, so the bucket starts empty.
             self.plan = request.plan;
             self.hosts = hosts;
             self.bucket.empty(started_at);
@@ -77,7 +80,8 @@
         self.demand.add(now, DEMAND_WINDOW, request.units);
     }
 
-    /// Takes in an allocation from a configuration change. True if the volume was withdrawn from this host.
+    /// Applies an allocation from a configuration change. Returns true if it withdraws the volume from this
+    /// host.
     pub(crate) fn apply_allocation(
         &mut self,
         allocation: &VolumeAllocation,
@@ -92,18 +96,19 @@
         self.withdrawn
     }
 
-    /// Takes in the usage through all hosts, as a fraction of the plan's nominal rate.
+    /// Records the usage of the volume through all hosts. `used` is a fraction of the plan's nominal rate.
     pub(crate) fn record_fleet_usage(&mut self, used: f64, config: &SchedulerConfig) {
         let plan = config.plans.get(self.plan.0);
         self.fleet_usage = plan.map(|plan| used * plan.nominal_rate);
     }
 
-    /// Nothing of a withdrawn volume is needed any more, apart from its open requests.
+    /// Whether the volume is withdrawn and has no demand, so that it can be removed once it has no open
+    /// requests.
     pub(super) fn is_unused(&mut self, now: Instant) -> bool {
         self.withdrawn && self.demand.read(now, DEMAND_WINDOW) <= NO_DEMAND
     }
 
-    /// Brings the bucket, the demand and the reserve up to date.
+    /// Refills the bucket and the reserve, and applies the decay to the demand, up to `now`.
     pub(crate) fn refill(&mut self, now: Instant, config: &SchedulerConfig) {
         let elapsed_secs = self.bucket.secs_since_refill(now);
         if let Some(limit) = self.limit(config) {
@@ -113,9 +118,9 @@
         let own_demand = self.demand.read(now, DEMAND_WINDOW);
         self.bucket.set_refilled(now);
         if let (LimitKind::Volume, Some(plan)) = (self.kind, config.plans.get(self.plan.0)) {
-            let if_others_alike = own_demand * self.hosts;
+            let extrapolated = own_demand * self.hosts;
             let fleet_usage = self.fleet_usage.map(|usage| usage.max(own_demand));
-            let fleet_demand = fleet_usage.unwrap_or(if_others_alike);
+            let fleet_demand = fleet_usage.unwrap_or(extrapolated);
             let rate = reserve_rate(plan.reserve, own_demand, fleet_demand, self.hosts);
             self.reserve.refill(rate, elapsed_secs, config.max_units);
         }
@@ -132,8 +137,8 @@
         self.reserve.spend(units, weight, now);
     }
 
-    /// Takes the bytes of a cross-zone transfer from the budget's bucket, which may go below zero. Returns by
-    /// how many of these bytes the budget was overrun; not above zero: by none.
+    /// Takes the bytes of a cross-zone transfer from the budget's bucket, whose tokens may become negative.
+    /// Returns how many of these bytes exceed the budget; zero or less if none do.
     pub(crate) fn charge_bytes(
         &mut self,
         now: Instant,
@@ -147,7 +152,7 @@
         bytes.min(-self.bucket.tokens())
     }
 
-    /// Whether a first attempt of so many units may be sent now.
+    /// Whether the limit allows a first attempt of `units` now.
     pub(crate) fn allows(&self, units: f64, config: &SchedulerConfig) -> bool {
         self.limit(config).is_none() || self.bucket.tokens() >= units
     }
@@ -156,37 +161,37 @@
         self.plan
     }
 
-    /// Whether units of this volume are within its reserve.
+    /// Whether the reserve of the volume covers `units`.
     pub(crate) fn reserve_covers(&self, units: f64) -> bool {
         self.reserve.covers(units)
     }
 
-    /// How far the volume is within its fair share; 1.0: entirely.
+    /// The degree to which the volume is within its fair share, up to 1.0.
     pub(crate) fn within_fair_share(&self, mean_excess: f64) -> f64 {
         self.reserve.within_fair_share(mean_excess)
     }
 
-    /// Units of the first attempts that wait at this host.
+    /// Units of the requests that wait at this host for their first attempt.
     pub(crate) fn waiting_units(&self) -> f64 {
         self.bucket.waiting_units()
     }
 
-    /// A first attempt of so many units begins to wait.
+    /// Adds the units of a request that begins to wait for its first attempt.
     pub(crate) fn add_waiting(&mut self, units: f64) {
         self.bucket.add_waiting(units);
     }
 
-    /// A first attempt of so many units no longer waits.
+    /// Subtracts the units of a request that no longer waits for its first attempt.
     pub(crate) fn remove_waiting(&mut self, units: f64) {
         self.bucket.remove_waiting(units);
     }
 
-    /// The bytes that wait for a cross-zone budget.
+    /// Sets the bytes that wait for a cross-zone budget.
     pub(crate) fn set_waiting_bytes(&mut self, bytes: f64) {
         self.bucket.set_waiting(bytes);
     }
 
-    /// The host to ask for the other hosts of this volume, when a search is due.
+    /// The directory host to ask for the other hosts of this volume; `None` if no search is due or needed.
     pub(crate) fn next_search(
         &mut self,
         id: VolumeId,
@@ -201,7 +206,7 @@
         self.search.next(id, config.hosts, now)
     }
 
-    /// Another host uses this volume.
+    /// Adds another host that uses this volume.
     pub(crate) fn add_peer(&mut self, host: HostId) {
         self.peers.add(host);
     }
--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -1,5 +1,5 @@
-//! All volumes and cross-zone budgets that this host knows. Budgets have ids of their own among the volumes:
-//! they fill, are lent and are asked for in the same way.
+//! All volumes and cross-zone budgets at this host. Both are stored under volume ids, since their tokens are
+//! refilled, lent and requested in the same way.
 
 use super::reserve::MeanExcess;
 use super::state::{LimitKind, Volume};
@@ -8,27 +8,27 @@
 };
 use std::collections::BTreeMap;
 
-/// The volumes by their ids, as these are sent between hosts.
+/// The volumes by their ids, in the form in which ids are sent between hosts.
 pub(crate) struct VolumeTable {
     by_id: BTreeMap<VolumeId, Volume>,
-    /// Mean, over the volumes beyond their reserves, of the units recently sent beyond them, by weight.
+    /// Mean weighted excess over the volumes that were sent units beyond their reserves.
     mean_excess: f64,
-    /// When this incarnation of the host started.
+    /// Start of this incarnation of the host.
     started_at: Instant,
 }
 
-/// A search for further hosts of a volume.
+/// A search for the other hosts of a volume.
 pub(crate) struct VolumeSearch {
     pub(crate) directory_host: HostId,
     pub(crate) volume: VolumeId,
 }
 
-/// What a review of all volumes found.
+/// The result of a review of all volumes.
 #[derive(Default)]
 pub(crate) struct VolumeReview {
     /// Demand over all volumes at this host, in units a second.
     pub(crate) demand: f64,
-    /// The searches that are due.
+    /// Searches to send now.
     pub(crate) searches: Vec<VolumeSearch>,
 }
 
@@ -57,12 +57,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// A volume that is known to be here: that of an open request, or a budget of the configuration.
-    pub(crate) fn known(&self, id: VolumeId) -> &Volume {
+    /// The volume of an open request, or a cross-zone budget of the configuration. Panics if `id` is neither.
+    pub(crate) fn expect_volume(&self, id: VolumeId) -> &Volume {
         &self.by_id[&id]
     }
 
-    /// Takes in a request that has just arrived.
+    /// Records a request that has just arrived at its volume, which is created if needed.
     pub(crate) fn record_arrival(
         &mut self,
         request: &Request,
@@ -73,14 +73,15 @@
         volume.record_arrival(request, now, self.started_at, config);
     }
 
-    /// Brings all volumes up to date.
+    /// Refills all volumes up to `now`.
     pub(crate) fn refill_all(&mut self, now: Instant, config: &SchedulerConfig) {
         for volume in self.by_id.values_mut() {
             volume.refill(now, config);
         }
     }
 
-    /// True if the volume was withdrawn from this host.
+    /// Applies an allocation to its volume, which is created if needed. Returns true if the allocation
+    /// withdraws the volume from this host.
     pub(crate) fn apply_allocation(
         &mut self,
         allocation: &VolumeAllocation,
@@ -92,7 +93,8 @@
         volume.apply_allocation(allocation, now, config)
     }
 
-    /// Refills all volumes and brings the estimates up to date.
+    /// Refills all volumes, updates the mean excess, and collects the total demand and the searches that are
+    /// due.
     pub(crate) fn review(&mut self, now: Instant, config: &SchedulerConfig) -> VolumeReview {
         let mut review = VolumeReview::default();
         let mut mean_excess = MeanExcess::default();
@@ -111,13 +113,13 @@
         review
     }
 
-    /// Forgets withdrawn volumes that have neither demand nor open requests.
+    /// Removes withdrawn volumes that have neither demand nor open requests.
     pub(crate) fn forget_unused(&mut self, now: Instant, has_open: impl Fn(VolumeId) -> bool) {
         self.by_id
             .retain(|id, volume| !volume.is_unused(now) || has_open(*id));
     }
 
-    /// Brings the cross-zone budgets in line with the configuration.
+    /// Adds, updates and removes cross-zone budgets so that they match the configuration.
     pub(crate) fn sync_budgets(&mut self, now: Instant, config: &SchedulerConfig) {
         let position = |id: &VolumeId| {
             let mut budgets = config.cross_zone_budgets.iter();
