--- a/src/scheduler/cross_zone/budget.rs
+++ b/src/scheduler/cross_zone/budget.rs
@@ -27,10 +27,10 @@
     let shared_here = config
         .cross_zone_budgets
         .iter()
-        .filter(|budget| budget.hosts > 0);
-    let applied = shared_here.filter(move |budget| from != to && scopes.contains(&budget.of));
+        .filter(|budget| budget.host_count > 0);
+    let applied = shared_here.filter(move |budget| from != to && scopes.contains(&budget.scope));
     applied.map(|budget| AppliedBudget {
-        id: demand_report::carried(budget.id),
+        id: demand_report::message_volume_id(budget.id),
         hard: budget.hard,
     })
 }
@@ -130,9 +130,9 @@
     }
     let bytes = waiting.iter().map(|open| open.request().bytes).sum::<f64>();
     let budgets = state.config.cross_zone_budgets.iter();
-    let shared_here = budgets.filter(|budget| budget.hosts > 0);
+    let shared_here = budgets.filter(|budget| budget.host_count > 0);
     let budget_ids: Vec<_> = shared_here
-        .map(|budget| demand_report::carried(budget.id))
+        .map(|budget| demand_report::message_volume_id(budget.id))
         .collect();
     for id in &budget_ids {
         if let Some(budget) = state.volumes.get_mut(*id) {
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -136,10 +136,10 @@
         SlowStartUnits { units, even_units }
     }
 
-    /// Removes attempts that no longer count. An attempt may leave the host up to `connect_wait` after the
+    /// Removes attempts that no longer count. An attempt may leave the host up to `max_connect_wait` after the
     /// decision to send it, so it counts for that much longer.
     fn forget_old(&mut self, now: Instant, config: &SchedulerConfig) {
-        let window = config.slow_start.window.times(WINDOW_MARGIN) + config.connect_wait;
+        let window = config.slow_start.window.times(WINDOW_MARGIN) + config.max_connect_wait;
         self.attempts
             .retain(|attempt| now - attempt.sent_at <= window);
     }
@@ -173,7 +173,7 @@
     config: &SchedulerConfig,
     fleet_demand: &FleetDemandEstimate,
 ) -> bool {
-    let hosts = f64::from(config.hosts.max(1));
+    let hosts = f64::from(config.host_count.max(1));
     let turns = (fleet_demand.units_per_window / (even_share * hosts))
         .max(1.0)
         .ceil();
@@ -202,7 +202,7 @@
     pub(crate) fn update(&mut self, own_demand: f64, shards: usize, config: &SchedulerConfig) {
         let shards = shards.max(1) as f64;
         let newest =
-            own_demand * f64::from(config.hosts) * config.slow_start.window.secs() / shards;
+            own_demand * f64::from(config.host_count) * config.slow_start.window.secs() / shards;
         self.units_per_window += (newest - self.units_per_window) * DEMAND_SMOOTHING;
     }
 }
--- a/tests/decisions/bounds.rs
+++ b/tests/decisions/bounds.rs
@@ -75,8 +75,8 @@
 fn retry_budget_keeps_only_arrivals_within_its_window() {
     let mut config = config();
     config.retry_budget = Some(RetryBudget {
-        free: 3.0,
-        share: 0.1,
+        fixed_retries: 3.0,
+        retries_per_request: 0.1,
         window: ms(1000),
     });
     for nodes in [vec![], vec![node(1, 0)]] {
@@ -106,8 +106,8 @@
     VolumeAllocation {
         volume: VolumeId(volume),
         plan: PlanId(usize::from(hosts > 0)),
-        hosts,
-        part,
+        host_count: hosts,
+        host_limit: part,
     }
 }
 
@@ -258,16 +258,16 @@
 fn host_with_budget(limit: Limit) -> Host {
     let budget = CrossZoneBudget {
         id: VolumeId(901),
-        of: BudgetScope::ZonePair(ZoneId(0), ZoneId(1)),
+        scope: BudgetScope::ZonePair(ZoneId(0), ZoneId(1)),
         limit,
         hard: true,
-        hosts: 1,
+        host_count: 1,
     };
     let config = SchedulerConfig {
         zone: Some(ZoneId(0)),
         cross_zone_budgets: vec![budget],
         max_bytes: 1000.0,
-        connect_wait: ms(250),
+        max_connect_wait: ms(250),
         ..config()
     };
     let remote_node = Endpoint {
--- a/tests/decisions/inputs.rs
+++ b/tests/decisions/inputs.rs
@@ -13,7 +13,7 @@
     for (poll_limit, max_interval) in [(None, 7500), (Some(ms(900)), 900)] {
         let config = SchedulerConfig {
             poll_endpoints: true,
-            poll_within: poll_limit,
+            max_poll_interval: poll_limit,
             me: HostId(1),
             ..config()
         };
@@ -108,7 +108,7 @@
     let mut none = config();
     (none.plans, none.request_classes) = (vec![], vec![]);
     let mut huge = config();
-    (huge.hosts, huge.max_units) = (u32::MAX, 1e300);
+    (huge.host_count, huge.max_units) = (u32::MAX, 1e300);
     huge.peer_messages_enabled = false;
     let mut tiny = config();
     tiny.plans[1].limit = Some(Limit {
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -43,7 +43,7 @@
 /// Delivers a demand report of the other host about volume 7.
 fn report_demand(host: &mut Host, made_at: Instant, demand: f64) {
     let report = demand_report::VolumeDemand {
-        volume: demand_report::carried(VolumeId(7)),
+        volume: demand_report::message_volume_id(VolumeId(7)),
         demand,
         wanted: 0.0,
         lent: 0.0,
@@ -157,8 +157,8 @@
         allocations: vec![VolumeAllocation {
             volume: VolumeId(7),
             plan: PlanId(1),
-            hosts: 0,
-            part: None,
+            host_count: 0,
+            host_limit: None,
         }],
         cross_zone_budgets: vec![],
         fleet_membership: None,
@@ -348,7 +348,7 @@
 #[test]
 fn volume_of_unknown_host_count_gets_an_even_share_over_all_hosts() {
     let config = SchedulerConfig {
-        hosts: 4,
+        host_count: 4,
         peer_messages_enabled: false,
         ..config()
     };
@@ -491,8 +491,8 @@
     for (free, share, max_retries) in [(0.0, 0.0, 0), (3.0, 0.0, 3), (1.0, 0.1, 5)] {
         let mut config = config();
         config.retry_budget = Some(RetryBudget {
-            free,
-            share,
+            fixed_retries: free,
+            retries_per_request: share,
             window: ms(5000),
         });
         let mut host = Host::new(config, vec![node(1, 0)], at(1000));
--- a/tests/decisions/symptoms.rs
+++ b/tests/decisions/symptoms.rs
@@ -1,5 +1,5 @@
-//! Regression tests of faults seen in earlier runs: congestion windows, silent nodes, new objects, overload. Ids
-//! such as `i67aed5` name the fault that a test guards against.
+//! Regression tests of faults seen in earlier runs: congestion windows, silent nodes, new objects, overload.
+//! Ids such as `i67aed5` name the fault that a test guards against.
 
 use crate::common::*;
 use gullsail::api::{
@@ -259,7 +259,7 @@
         };
         let mut host = Host::new(
             SchedulerConfig {
-                hosts: 100,
+                host_count: 100,
                 ..config()
             },
             nodes,
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -99,11 +99,11 @@
 /// The configuration of a simulation, with a random scope for idempotency keys.
 pub fn world_config(hosts: u32, rng: &mut ChaCha8Rng) -> SchedulerConfig {
     let mut config = config();
-    config.hosts = hosts;
+    config.host_count = hosts;
     config.order_settle = ms(60);
     config.retry_budget = Some(RetryBudget {
-        free: 1.0,
-        share: 0.05,
+        fixed_retries: 1.0,
+        retries_per_request: 0.05,
         window: ms(1000),
     });
     config.slow_start = SlowStart {
@@ -355,8 +355,8 @@
         VolumeAllocation {
             volume: VolumeId(volume),
             plan: self.plan(me, volume),
-            hosts,
-            part,
+            host_count: hosts,
+            host_limit: part,
         }
     }
 
