--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -1,8 +1,8 @@
 //! Attempts. Each is sent to its node as a frame, and its end is reported to the scheduler once.
 //!
 //! An attempt whose node has no connection waits for it, for one connect timeout at most. The methods here
-//! are called by the scheduler's actions, by timers, and when something happens on a node's connection. Nothing
-//! here decides whether there is a retry.
+//! are called for the scheduler's actions, for timers, and for events on a node's connection. The scheduler alone
+//! decides on retries.
 
 use super::Core;
 use super::ids::AttemptId;
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReport {
     outcome: AttemptOutcome,
-    /// How much of the volume's nominal rate is in use over all hosts, as a fraction, where the node reports it.
+    /// The fraction of the volume's nominal rate that is in use over all hosts; `None`: the node does not report it.
     used: Option<f64>,
     /// Bytes of the node's answer; 0 without an answer.
     answer_bytes: usize,
@@ -42,7 +42,7 @@
         let outcome = match AttemptResult::try_from(answer.result) {
             Ok(AttemptResult::Succeeded) => AttemptOutcome::Succeeded,
             Ok(AttemptResult::Rejected) => AttemptOutcome::Rejected,
-            // A result of a newer version may mean that it ran.
+            // A result that only a newer version defines may mean that the attempt ran.
             Ok(AttemptResult::Failed | AttemptResult::Unknown) | Err(_) => AttemptOutcome::Failed,
         };
         let used_percent = answer.used_plus_one.checked_sub(1);
@@ -74,15 +74,15 @@
         let Some(record) = record.filter(|record| record.connection.up().is_none()) else {
             return self.send_attempt(attempt);
         };
-        // It waits for the connection for one connect timeout at most. Until then it certainly has not run.
+        // The attempt waits for the connection for one connect timeout at most. Until it is sent, it cannot run.
         record.pending.insert(attempt);
         let wait = self.deployment.bounds.connect.min(timeout);
         self.set_timer(now + wait, TimerKind::Attempt(attempt));
         self.connect_nodes();
     }
 
-    /// Reports an attempt as not sent, because its node is forgotten or its request has ended. The scheduler
-    /// learns of a request's end before it starts attempts, since it handles all events of a batch first.
+    /// Reports an attempt as not sent, because its node's record was removed or its request has ended. The
+    /// scheduler handles all events of a step before it starts attempts, so it usually knows of a request's end.
     fn attempt_not_started(&mut self, id: RequestId, attempt: u32, node: NodeId) {
         let finished = self.requests.get(id).is_none();
         self.events.push(Event::AttemptEnded(AttemptEnd {
@@ -108,7 +108,7 @@
         let node = in_flight.node;
         let number = in_flight.number;
         let left = in_flight.timeout_at - now;
-        // It may have waited for the connection while its node began to drain.
+        // The node may have started to drain while the attempt waited for the connection.
         let link = self.ready_connection(node);
         let open = self.requests.get(request);
         let Some((link, open)) = link.zip(open).filter(|_| left > Span::ZERO) else {
@@ -125,14 +125,14 @@
         self.set_timer(timeout_at, TimerKind::Attempt(attempt));
     }
 
-    /// The connection to a node that attempts may be sent to.
+    /// Returns the connection to a node; `None`: it is not up, or no attempt may be sent to the node.
     fn ready_connection(&mut self, node: NodeId) -> Option<LinkId> {
         let record = self.nodes.get(node)?;
         let ready = record.state == EndpointState::Ready && !record.offline_or_unknown;
         record.connection.up().filter(|_| ready)
     }
 
-    /// Reports to the scheduler how an attempt ended, once for each attempt.
+    /// Removes an attempt and reports to the scheduler how it ended. Does nothing if it has ended before.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, report: impl Into<AttemptReport>) {
         let report: AttemptReport = report.into();
         let Some(ended) = self.requests.attempt_ended(attempt) else {
@@ -157,7 +157,7 @@
         }));
     }
 
-    /// The timer of an attempt: for its connection, or for its answer.
+    /// Handles the timer of an attempt, which limits its wait for the connection or for the node's answer.
     pub(super) fn on_attempt_deadline(&mut self, attempt: AttemptId) {
         let Some(in_flight) = self.requests.attempt(attempt) else {
             return;
@@ -171,12 +171,12 @@
                     self.send(link, Frame::from(Cancel { attempt: attempt.0 }));
                 }
             }
-            // The timer of its wait for the connection, which was established before the timer fired.
+            // The timer limited the wait for the connection, but the attempt was sent before it fired.
             Some(_) => {}
         }
     }
 
-    /// Handles a node's answer to an attempt. `bytes`: length of the whole frame.
+    /// Handles a node's answer to an attempt. `bytes`: length of the answer's frame, body included.
     pub(super) fn attempt_answer(
         &mut self,
         node: NodeId,
@@ -186,7 +186,7 @@
     ) {
         let attempt = AttemptId(answer.attempt);
         self.count_attempt_answer(node, &answer, bytes);
-        // The answer is late, or another node's.
+        // An answer is discarded if the attempt has ended or was sent to another node.
         let in_flight = self.requests.attempt(attempt);
         let answered = in_flight.filter(|out| out.node == node && out.sent_at.is_some());
         let Some(answered) = answered else {
--- a/crates/host/src/core/clock.rs
+++ b/crates/host/src/core/clock.rs
@@ -1,26 +1,25 @@
-//! What is known of a peer's clock. A query leaves at `queried_at` and its answer arrives at `answered_at`,
-//! both by our clock; in between the peer read its own as `reading`. So its clock is ahead of ours by
-//! something between `reading - answered_at` and `reading - queried_at`: a bound, not an estimate (the
-//! interval form of Marzullo's algorithm). Each answer narrows the interval; drift widens what was learned
-//! before.
+//! Bounds of the offset of a peer's clock. A query is sent at `queried_at` and its reply arrives at `answered_at`,
+//! both by this host's clock. In between the peer reads its own clock as `reading`. So the peer's clock is ahead
+//! by at least `reading - answered_at` and at most `reading - queried_at`: a bound, not an estimate (the interval
+//! form of Marzullo's algorithm). Each reply narrows the interval, and drift widens it with time.
 
 use gullsail_scheduler_api::{Instant, Span};
 
-/// How much faster or slower than ours a correct clock may run: 500 ppm. Quartz is ten times better; a clock that
-/// its server slews may reach this. If it is too small, the truth may lie outside the bounds; if it is too
-/// large, the bounds widen needlessly between two queries.
+/// How much faster or slower than this host's clock a peer's correct clock may run: 500 ppm. Quartz is ten times
+/// better, but a clock that is slewed may reach this. If it is too small, the true offset may lie outside the
+/// bounds; if it is too large, the bounds widen needlessly between two queries.
 const MAX_DRIFT: f64 = 500e-6;
-/// Readings are rounded down to whole microseconds, on both sides.
+/// Readings of both clocks are rounded down to whole microseconds, so a difference of two may be off by this much.
 const ROUNDING: Span = Span::from_micros(2);
 /// Replies that took longer than 1 s are not used: they would hardly narrow the bounds.
 const MAX_ROUND_TRIP: Span = Span::from_micros(1_000_000);
 
-/// How far a peer's clock is ahead of ours.
+/// Bounds of how far a peer's clock is ahead of this host's clock. Negative: it is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockOffset {
-    /// At least.
+    /// Lower bound of the offset.
     pub least: Span,
-    /// At most.
+    /// Upper bound of the offset.
     pub most: Span,
 }
 
@@ -30,27 +29,29 @@
     at: Instant,
 }
 
-/// What is known of one peer's clock.
+/// The offset of one peer's clock, as far as it is known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerClock {
+    /// The newest bounds; `None`: no reply was used yet.
     known: Option<Measurement>,
 }
 
-/// What a reply said of the clock.
+/// How a reply to a clock query changed the bounds of the offset.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Learned {
-    /// It took too long.
+    /// The reply took too long and was not used.
     Nothing,
-    /// The first bounds.
+    /// The reply gave the first bounds.
     First,
-    /// Narrower bounds.
+    /// The reply agrees with the earlier bounds, which it may have narrowed.
     Narrowed,
-    /// It contradicts the earlier bounds: the peer's clock was set.
+    /// The reply contradicts the earlier bounds and replaced them: the peer's clock was set.
     Stepped,
 }
 
 impl PeerClock {
-    /// Takes in the reply to one query.
+    /// Updates the bounds by the reply to one query. `reading`: the peer's clock when it replied. The other times
+    /// are by this host's clock.
     pub fn learn(
         &mut self,
         queried_at: Instant,
@@ -60,7 +61,7 @@
         if answered_at < queried_at || answered_at - queried_at > MAX_ROUND_TRIP {
             return Learned::Nothing;
         }
-        // By the time of the answer's arrival the peer's clock may have drifted since the reading.
+        // The peer's clock may have drifted between its reading and the arrival of the reply.
         let uncertainty = (answered_at - queried_at).times(MAX_DRIFT) + ROUNDING;
         let measured = ClockOffset {
             least: reading - answered_at - uncertainty,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// The bounds by now, wider by what both clocks may have drifted; `None`: nothing is known yet.
+    /// Returns the bounds at `now`, widened by the possible drift since the last reply; `None`: no reply was used
+    /// yet.
     pub fn bounds(&self, now: Instant) -> Option<ClockOffset> {
         let Measurement { offset, at } = self.known?;
         let drift = (now - at).max(Span::ZERO).times(MAX_DRIFT);
@@ -100,14 +102,14 @@
         })
     }
 
-    /// What must be added to a point of the peer's clock to have the earliest that it can be by ours. A
-    /// demand report then never looks fresher than it is, so that no loan counts for longer than its lender
-    /// counts it.
+    /// Returns the span that converts a time of the peer's clock to the earliest possible time of this host's clock;
+    /// `None`: the offset is not known. With the earliest time, a demand report never looks fresher than it is, so
+    /// this host does not count a loan for longer than the lender does.
     pub fn earliest(&self, now: Instant) -> Option<Span> {
         self.bounds(now).map(|offset| Span::ZERO - offset.most)
     }
 
-    /// Whether it is certainly further from ours than `apart`.
+    /// Whether the peer's clock certainly differs from this host's clock by more than `apart`.
     pub fn too_far(&self, now: Instant, apart: Span) -> bool {
         self.bounds(now)
             .is_some_and(|offset| offset.least > apart || offset.most < Span::ZERO - apart)
--- a/crates/host/src/core/connection_table.rs
+++ b/crates/host/src/core/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of connections. Each entry has the role of its other side, the bytes that wait for it, and the
+//! The table of connections. Each entry has the role of the other side, the number of unsent bytes, and the
 //! time by which a response is due. The other files of this module open, use and close connections through
 //! the methods here. Nothing here reads a frame's content.
 
@@ -14,32 +14,35 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
-/// How many connect timeouts the other side's first frame, or the endpoint list's reply, may take. These wait for a
-/// program to act, not only for the network.
+/// Timeout of the other side's first frame and of the endpoint list's reply, in connect timeouts. It is longer than
+/// the connect timeout, since the other program must act and not only the network.
 pub(super) const HANDSHAKE_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// The most connections that others may open, where the caller sets no lower number. It bounds the memory
-/// that connections without a request hold; above it, an idle client is evicted or the connection is refused.
+/// The most connections that others may have open to this host, if the caller sets no lower number. It bounds the
+/// memory of connections without a request. Above it, an idle client is evicted or the connection is refused.
 pub(super) const MAX_INCOMING_CONNECTIONS: usize = 20_000;
 
 /// One connection, whoever opened it.
 pub(super) struct Connection {
     pub(super) peer_kind: PeerKind,
-    /// Bytes that were sent and are not written yet.
+    /// Bytes that were queued for the connection and are not written to its socket yet.
     pub(super) unsent_bytes: usize,
     /// When bytes were last written, or when the first unsent bytes were queued.
     pub(super) no_progress_since: Instant,
+    /// Whether the caller reads from the connection.
     pub(super) reading: bool,
+    /// When the last frame was received, or when the connection was added if there was none.
     pub(super) last_frame_at: Instant,
-    /// The time by which it must be established, identify itself, or reply.
+    /// The time by which the connection must be established, or the other side must identify itself or reply;
+    /// `None`: no response is due.
     pub(super) response_deadline: Option<Instant>,
 }
 
-/// Whose connection it is.
+/// Who is on the other side of a connection.
 pub(super) enum PeerKind {
-    /// It has not sent its first frame.
+    /// The other side opened the connection and has not sent its first frame.
     Unidentified {
-        /// Bytes that were sent to it.
+        /// Length of this host's first frame. It is counted as traffic once the zone of the other side is known.
         sent_bytes: usize,
     },
     Client,
@@ -60,7 +63,7 @@
         )
     }
 
-    /// The role of the other side, for the log.
+    /// Returns the role of the other side, for the log.
     pub(super) fn role(&self) -> &'static str {
         match self {
             PeerKind::Unidentified { .. } => "unidentified",
@@ -76,13 +79,13 @@
 pub(super) struct ConnectionTable {
     pub(super) open: BTreeMap<LinkId, Connection>,
     last_id: u64,
-    /// Bytes that wait to be written, over all connections.
+    /// Sum of [`Connection::unsent_bytes`] over all connections.
     pub(super) unsent_bytes: usize,
-    /// How many connections others opened.
+    /// Number of open connections that others opened.
     pub(super) incoming: usize,
-    /// How many connections others may open.
+    /// The most connections that others may have open.
     pub(super) max_incoming: usize,
-    /// When an idle client may be searched for again.
+    /// The earliest time of the next search for an idle client to evict.
     pub(super) next_idle_search: Instant,
 }
 
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Adds a connection.
+    /// Adds a connection and gives it an id.
     pub(super) fn insert(&mut self, peer_kind: PeerKind, now: Instant) -> LinkId {
         self.last_id += 1;
         let id = LinkId(self.last_id);
@@ -122,7 +125,7 @@
         Some(connection)
     }
 
-    /// Counts bytes that are to be written. Returns whether the connection is open.
+    /// Adds bytes that were queued to the unsent bytes. Returns whether the connection is open.
     fn queued(&mut self, id: LinkId, bytes: usize, now: Instant) -> bool {
         let Some(connection) = self.open.get_mut(&id) else {
             return false;
@@ -135,7 +138,7 @@
         true
     }
 
-    /// Counts bytes that were written. Returns whether the connection is open.
+    /// Subtracts bytes that were written from the unsent bytes. Returns whether the connection is open.
     fn written(&mut self, id: LinkId, bytes: usize, now: Instant) -> bool {
         let Some(connection) = self.open.get_mut(&id) else {
             return false;
@@ -147,19 +150,19 @@
         true
     }
 
-    /// The response that was due arrived in time.
+    /// Clears the response deadline of a connection whose other side has responded.
     pub(super) fn response_received(&mut self, id: LinkId) {
         if let Some(connection) = self.open.get_mut(&id) {
             connection.response_deadline = None;
         }
     }
 
-    /// Clients' connections, in the order of their ids.
+    /// Returns the connections of clients, in the order of their ids.
     pub(super) fn clients(&self) -> Vec<LinkId> {
         self.ids_where(|connection| matches!(connection.peer_kind, PeerKind::Client))
     }
 
-    /// The connections that fulfil the condition, in the order of their ids.
+    /// Returns the connections that fulfil the condition, in the order of their ids.
     pub(super) fn ids_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<LinkId> {
         let matching = self
             .open
@@ -170,8 +173,7 @@
 }
 
 impl Core {
-    /// Requests a connection. Nodes' addresses come from the endpoint list, all others from the
-    /// configuration.
+    /// Requests that the caller opens a connection to an address.
     pub(super) fn connect(&mut self, peer_kind: PeerKind, address: String) -> LinkId {
         let link = self.connections.insert(peer_kind, self.now);
         self.expect_response(link, 1.0);
@@ -179,7 +181,8 @@
         link
     }
 
-    /// A connection that this host requested is established: both sides introduce themselves.
+    /// Handles a connection that this host requested and that is now established: sends this host's first frame and
+    /// expects the other side's.
     pub(super) fn connected(&mut self, id: LinkId) {
         let hello = self.hello();
         if let Some(outbound) = self.outbound_connection(id) {
@@ -189,7 +192,8 @@
         }
     }
 
-    /// The record of a connection that this host requested.
+    /// Returns the state of a connection that this host requested; `None`: the other side opened it, or the peer or
+    /// node is not known any more.
     fn outbound_connection(&mut self, id: LinkId) -> Option<&mut OutboundConnection> {
         match self.connections.open.get(&id)?.peer_kind {
             PeerKind::Node(node) => Some(&mut self.nodes.get(node)?.connection),
@@ -199,7 +203,7 @@
         }
     }
 
-    /// From now on the other side has this many connect timeouts to respond.
+    /// Sets the response deadline of a connection to this many connect timeouts from now.
     pub(super) fn expect_response(&mut self, id: LinkId, connect_timeouts: f64) {
         let deadline = self.now + self.deployment.bounds.connect.times(connect_timeouts);
         if let Some(connection) = self.connections.open.get_mut(&id) {
@@ -226,7 +230,7 @@
         self.close_connection(id, reason);
     }
 
-    /// This host's own first frame on each connection.
+    /// Returns the frame with which this host identifies itself on each connection.
     pub(super) fn hello(&self) -> Frame {
         let Identity {
             host,
@@ -246,7 +250,7 @@
         self.send_by(to, frame, None);
     }
 
-    /// Sends a frame that is of no use after `until`.
+    /// Sends a frame that the caller may drop after `until`, since it is of no use then; `None`: it is always of use.
     pub(super) fn send_by(&mut self, to: LinkId, frame: Frame, until: Option<Instant>) {
         self.count_frame(to, &frame, true);
         if self.connections.queued(to, frame.len(), self.now) {
@@ -258,14 +262,14 @@
         }
     }
 
-    /// Bytes of what was sent are written, so the client may be read from again.
+    /// Handles bytes that were written to a connection. A client may be read from again after that.
     pub(super) fn written(&mut self, id: LinkId, bytes: usize) {
         if self.connections.written(id, bytes, self.now) {
             self.update_reading(id);
         }
     }
 
-    /// Closes a connection. What it was for is handled as after any other end.
+    /// Closes a connection, and handles its end as if the other side had closed it.
     pub(super) fn close_connection(&mut self, link: LinkId, reason: &str) {
         if self.connections.open.contains_key(&link) {
             self.outputs.push(Output::Close { link });
@@ -273,7 +277,7 @@
         }
     }
 
-    /// A connection ended, whoever closed it.
+    /// Removes a connection that ended, whoever closed it, and handles the end by the kind of the other side.
     pub(super) fn connection_ended(&mut self, id: LinkId, reason: &str) {
         let Some(connection) = self.connections.remove(id) else {
             return;
@@ -315,8 +319,8 @@
         debug!(peer = host.0, reason, "peer connection lost");
         let backoff = self.deployment.bounds.redial;
         if let Some(peer) = self.peers.get_mut(&host) {
-            // These frames are stale by the next attempt to connect, which is made only when there is
-            // something to send.
+            // These frames would be stale at the next attempt to connect, which is made only when there is another
+            // frame to send.
             peer.waiting.clear();
             let at = peer.connection.lost(self.now, backoff, &mut self.rng);
             self.set_timer(at, TimerKind::ReconnectPeer(host));
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The connection to the endpoint list, and its updates on their way to the scheduler.
+//! The connection to the endpoint list service, whose updates are passed on to the scheduler.
 
 use super::Core;
 use super::connection_table::{HANDSHAKE_TIMEOUT_FACTOR, PeerKind};
@@ -18,7 +18,8 @@
 }
 
 impl Core {
-    /// Queries the endpoint list once its connection is up. Opens the connection if there is none.
+    /// Sends a query to the endpoint list if its connection is up and no query has been sent on it without a reply.
+    /// Opens the connection if there is none.
     pub(super) fn connect_endpoint_list(&mut self) {
         if let Some(link) = self.endpoint_list.connection.up() {
             if !self.endpoint_list.query_outstanding {
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -1,5 +1,5 @@
-//! Frames that come in, dispatched by the role of their sender. A frame that its sender may not send closes
-//! that connection and affects nothing else. A frame of a newer version is skipped.
+//! Dispatches received frames by the role of their sender. A frame that its sender may not send closes that
+//! connection and affects nothing else. A frame of a kind that only a newer version defines is skipped.
 
 use super::Core;
 use super::clock::PeerClock;
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use tracing::{debug, warn};
 
-/// The sender of a frame, by what this host knows of its connection.
+/// The sender of a frame: [`PeerKind`] without the state of the connection.
 #[derive(Clone, Copy)]
 enum Sender {
     Unidentified,
@@ -36,19 +36,20 @@
     }
 }
 
-/// What comes with a frame's message.
+/// A received frame without its message.
 struct FrameContext {
+    /// The connection on which the frame was received.
     id: LinkId,
     body: Bytes,
-    /// Bytes of the whole frame.
+    /// Length of the frame, body included.
     frame_bytes: usize,
-    /// The frame may have waited while the process was stalled, so its request's timeout was shortened.
+    /// The frame may have waited while the process was stalled. If it is a request, its timeout was shortened.
     timeout_shortened: bool,
 }
 
 impl Core {
-    /// Handles a frame that may have waited while the process was stalled. The client's timeout has run on
-    /// since the client sent it, so the request's timeout is shortened by the longest possible wait.
+    /// Handles a frame that may have waited for up to `waited` while the process was stalled. The client's timer ran
+    /// during that wait, so the timeout of a request is shortened by it.
     pub(super) fn handle_delayed_frame(&mut self, id: LinkId, mut frame: Frame, waited: Span) {
         if let Message::Submit(submit) = &mut frame.message {
             submit.timeout_us = (Span::from_micros(submit.timeout_us) - waited).micros();
@@ -57,7 +58,8 @@
         self.handle_frame(id, frame, true);
     }
 
-    /// Handles a frame. `timeout_shortened`: it may have waited while the process was stalled.
+    /// Handles a frame. `timeout_shortened`: the frame may have waited while the process was stalled, and the
+    /// caller has shortened the timeout if it is a request.
     pub(super) fn handle_frame(&mut self, id: LinkId, frame: Frame, timeout_shortened: bool) {
         let frame_bytes = frame.len();
         self.count_frame(id, &frame, false);
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Closes a connection whose sender may not send such a frame.
+    /// Closes a connection on which the other side sent a frame that its role may not send.
     fn unexpected_frame(&mut self, id: LinkId, message: &Message) {
         let connection = self.connections.open.get(&id);
         let role = connection.map_or("", |connection| connection.peer_kind.role());
@@ -175,7 +177,7 @@
         self.close_connection(id, "unexpected frame for role");
     }
 
-    /// Handles the first frame of a connection that somebody opened to this host.
+    /// Handles the first frame on a connection that a client or a peer opened to this host.
     fn identify_connection(&mut self, id: LinkId, hello: &Hello) {
         match Role::try_from(hello.role) {
             Ok(Role::Client) => {
@@ -209,7 +211,8 @@
         self.query_clock(id);
     }
 
-    /// Records who is on the other side. Returns the bytes that were sent to it before that was known.
+    /// Records who is on the other side of a connection. Returns the bytes that were sent to it before it identified
+    /// itself.
     fn set_peer_kind(&mut self, id: LinkId, peer_kind: PeerKind) -> usize {
         let Some(connection) = self.connections.open.get_mut(&id) else {
             return 0;
--- a/crates/host/src/core/ids.rs
+++ b/crates/host/src/core/ids.rs
@@ -1,12 +1,12 @@
-//! Numbers by which the core and its caller name things. They import nothing of the other files, which all use them.
+//! Ids that the core and its caller use. This file depends on no other file of the core, since all of them use it.
 
-/// A connection, named by the core.
+/// Id of a connection, chosen by the core. Ids are not used again within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// Whoever waits for the result of a proposal or of an operator command. The caller chooses the number.
+/// Id of the requester that waits for the result of a proposal or of an operator command, chosen by the caller.
 pub type RequesterId = u64;
 
-/// An attempt's number at this host. The node repeats it in its answer.
+/// Id of an attempt, chosen by the core. The node repeats it in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -1,5 +1,5 @@
-//! Connections that others open to this host: how many there may be, and which one is evicted when the limit
-//! is reached.
+//! Connections that clients and peers open to this host. Their number is limited; when the limit is reached, an idle
+//! client is evicted.
 
 use super::Core;
 use super::connection_table::{
@@ -8,14 +8,14 @@
 use super::ids::LinkId;
 use gullsail_scheduler_api::{Instant, Span};
 
-/// Shortest time between two searches for an idle client: 100 ms. A search visits all connections, so a
-/// shorter interval lets whoever connects often keep the host busy; a longer one refuses connections although
-/// an idle client could be evicted.
+/// Shortest time between two searches for an idle client: 100 ms. A search visits all connections, so with a shorter
+/// interval a client that connects often could keep the host busy. With a longer one, more connections are refused
+/// although an idle client could be evicted.
 const IDLE_SEARCH_INTERVAL: Span = Span::from_micros(100_000);
 
 impl Core {
-    /// Accepts a connection that somebody opened. `None`: the limit is reached or the host shuts down, and
-    /// the caller must drop the connection.
+    /// Adds a connection that the caller accepted. `None`: the limit is reached or the host shuts down, and the
+    /// caller must drop the connection.
     pub fn accept(&mut self, now: Instant) -> Option<LinkId> {
         if self.shutdown.requested {
             self.counts.connections_refused += 1;
@@ -24,8 +24,9 @@
         self.accept_from_backlog(now)
     }
 
-    /// Accepts a connection that was established before the host stopped listening: its client may have sent a
-    /// request. `None`: the limit is reached, and the caller must drop the connection.
+    /// Adds a connection that was in the listener's backlog when the host stopped listening. Its client may have sent
+    /// a request, so it is served during the shutdown too. `None`: the limit is reached, and the caller must drop the
+    /// connection.
     pub fn accept_from_backlog(&mut self, now: Instant) -> Option<LinkId> {
         self.now = self.now.max(now);
         if !self.has_room_for_incoming() {
@@ -43,18 +44,19 @@
         Some(link)
     }
 
-    /// Sets how many connections others may open: fewer than the process can hold, so that nodes, peers, the
-    /// endpoint list and the operator can still be reached when clients open as many as they may.
+    /// Sets the most connections that others may have open. It must be lower than the process's limit, so that nodes,
+    /// peers, the endpoint list and the operator can still connect when clients use all that they may.
     pub fn set_max_incoming_links(&mut self, most: usize) {
         self.connections.max_incoming = most.clamp(1, MAX_INCOMING_CONNECTIONS);
     }
 
-    /// Whether one more connection may be accepted, if need be after evicting an idle client.
+    /// Whether one more connection may be accepted. Evicts an idle client if the limit is reached.
     fn has_room_for_incoming(&mut self) -> bool {
         self.connections.incoming < self.connections.max_incoming || self.evict_idle_client()
     }
 
-    /// Closes the client that has been idle longest, if it has been idle for longer than `client-stall`.
+    /// Closes the connection of the client that has been idle longest, if that is longer than `client-stall`. Returns
+    /// whether one was closed.
     fn evict_idle_client(&mut self) -> bool {
         if self.now < self.connections.next_idle_search {
             return false;
--- a/crates/host/src/core/mod.rs
+++ b/crates/host/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The host as a state machine. [`Input`]s and the time go in, [`Output`]s come out. It has no socket, no
-//! clock and no random source of its own, so tests and the simulator can run it at any speed.
+//! The host as a state machine. It receives [`Input`]s and the time, and returns [`Output`]s. It has no socket
+//! and no clock, and its caller seeds its random generator, so tests and benchmarks can run it at any speed.
 //!
 //! A caller (the `runtime` module, a test, a benchmark) passes in what happened with [`Core::handle`], any
 //! number of times. It then calls [`Core::advance`] once and carries out [`Core::outputs`] in their order.
@@ -7,16 +7,16 @@
 //!
 //! This file holds the list of components and these entry points. Each component's state is in its own file:
 //!
-//! 1. `ids`, `input_output`, `proposal`, `operator_command`, `event_queue`, `timers`, `counters` and `identity`: names, what
-//!    goes in and out, what is due later, what is counted, and which process this is.
+//! 1. `ids`, `input_output`, `proposal`, `operator_command`, `event_queue`, `timers`, `counters` and `identity`: ids,
+//!    inputs and outputs, scheduler events, timers, counters, and the identity of this process.
 //! 2. `connection_table`, `incoming_connections`, `back_pressure` and [`reconnect`]: connections of every
 //!    kind.
 //! 3. `frames_in` dispatches frames by the role of their sender; `peers`, `endpoint_list` and
 //!    `node_connections` handle one role each.
 //! 4. `request_handling`, `attempt_handling`, [`requests`] and [`nodes`]: from a client's request to its one
 //!    final answer.
-//! 5. [`config_change`], [`fleet`], [`maintenance`], `server_drains`, [`zone_traffic`] and `shutdown`:
-//!    configuration, what hosts agree on, servers taken offline, traffic between zones, and the end.
+//! 5. [`config_change`], [`fleet`], [`maintenance`], `server_drains`, [`zone_traffic`] and `shutdown`: configuration
+//!    changes, fleet membership, servers taken offline, traffic between zones, and shutdown.
 
 mod attempt_handling;
 mod back_pressure;
@@ -78,22 +78,22 @@
 use timers::SWEEP_INTERVAL;
 use zone_traffic::ZoneTrafficState;
 
-/// One host: all of its state, between two inputs.
+/// The state of one host.
 ///
 /// It has more than twelve fields because each field is the state of one component, defined in the file of
-/// that component together with the methods that read nothing else. `Core` only passes messages on
-/// between the components.
+/// that component together with the methods that need no other component. The methods of `Core` connect the
+/// components.
 pub struct Core {
     identity: Identity,
-    /// The configuration that is served by. A new one replaces it as a whole.
+    /// The current configuration. A new one replaces it as a whole.
     deployment: Arc<Deployment>,
     scheduler: Scheduler,
     rng: ChaCha8Rng,
-    /// The latest time that a caller passed in.
+    /// The latest time that a caller passed in. It never decreases.
     now: Instant,
-    /// Events for the scheduler's next step, in the order in which it will see them.
+    /// Events for the scheduler's next step.
     events: EventQueue,
-    /// What the caller must do, in this order.
+    /// Outputs that the caller has not fetched yet, in the order in which it must carry them out.
     outputs: Vec<Output>,
     timers: Timers<TimerKind>,
 
@@ -152,7 +152,8 @@
         core
     }
 
-    /// Starts every component, in an order that later ones rely on.
+    /// Starts every component. The order matters: the scheduler receives the configured nodes and the first
+    /// allocations before the fleet and maintenance adjust them.
     fn start(&mut self, seed: u64) {
         let configured = self.nodes.iter();
         let entries = configured.map(|(id, node)| node.entry(id, None)).collect();
@@ -209,12 +210,12 @@
         self.finish_if_answered();
     }
 
-    /// Returns what the caller must do, in this order.
+    /// Removes and returns all outputs. The caller must carry them out in this order.
     pub fn outputs(&mut self) -> std::vec::Drain<'_, Output> {
         self.outputs.drain(..)
     }
 
-    /// Returns the latest time of the next call of [`Core::advance`].
+    /// Returns the latest time of the next call of [`Core::advance`]; `None`: no timer is set.
     pub fn next_wake_up(&self) -> Option<Instant> {
         self.timers.next()
     }
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -1,5 +1,5 @@
 //! Connections to nodes. They are opened before they are needed. Attempts that wait for a connection are sent
-//! once it is up, or end with it.
+//! once the node has identified itself.
 
 use super::Core;
 use super::connection_table::PeerKind;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Handles a node's first frame. It must come from the node that the endpoint list named.
+    /// Handles a node's first frame. Closes the connection if the frame does not come from the expected node.
     pub(super) fn node_hello(&mut self, id: LinkId, node: NodeId, hello: &Hello) {
         let Some(record) = self.nodes.get(node) else {
             return self.close_connection(id, "node no longer known");
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Handles a node that identified itself. Its start is reported to the scheduler before anything is sent
-    /// to it.
+    /// Handles a node that identified itself. The scheduler's next step handles the node's start before it starts
+    /// attempts.
     fn node_up(&mut self, node: NodeId, link: LinkId, hello: &Hello) {
         let age = Span::from_micros(hello.age_us);
         let Some(identified) = self
@@ -93,9 +93,9 @@
             update_kind: UpdateKind::SelfReported,
             entries: vec![identified.endpoint],
         });
-        // The scheduler decided on the pending attempts for another process, or before the node's start was
-        // known. A node that warms up must not receive all of them at once, so they end as not sent, and the
-        // scheduler decides again. None of them ran.
+        // The scheduler decided on the pending attempts for another process of the node, or before the node's start
+        // was known. A node that warms up must not receive all of them at once, so they end as not sent, and the
+        // scheduler decides again.
         let warming_up = identified.process != NodeProcess::Same
             && age < self.deployment.figures().slow_start.ramp;
         for attempt in pending {
@@ -107,8 +107,9 @@
         }
     }
 
-    /// Handles the end of a node's connection, or an attempt to connect that failed. Attempts that were sent
-    /// may have run. The others wait for the next connection as long as they may, unless the node is gone.
+    /// Handles the end of a node's connection, or an attempt to connect that failed. Attempts that were sent end,
+    /// and the node may have run them. The others wait for the next connection until their timers fire, or end as
+    /// unreachable if the node is gone.
     pub(super) fn node_connection_lost(&mut self, node: NodeId, reason: &str) {
         let backoff = self.deployment.bounds.redial;
         let attempts = self.requests.at_node(node);
--- a/crates/host/src/core/nodes.rs
+++ b/crates/host/src/core/nodes.rs
@@ -1,7 +1,7 @@
 //! The nodes, as the endpoint list and their own first frames describe them. Both sources report when a node
-//! started, the list later than the node itself. Both name the incarnation, so this host keeps one start time
-//! for each incarnation, whichever source reports it first. Otherwise a start that is reported twice would
-//! look like two starts, and the second report would end a drain.
+//! started, the list later than the node. Both name the incarnation, so this host keeps one start time for each
+//! incarnation, from the source that reports it first. Otherwise a start that is reported twice would look like
+//! two starts, and the scheduler would end a drain at the second report.
 
 use super::ids::AttemptId;
 use super::reconnect::OutboundConnection;
@@ -13,10 +13,11 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Incarnations remembered for a node: a report of an older start would look like a new one. The endpoint list is late
-/// by a few restarts at most.
+/// Incarnations remembered for each node. A late report of a forgotten incarnation would look like a new start; the
+/// endpoint list is late by a few restarts at most.
 const MAX_INCARNATIONS: usize = 8;
-/// How long a node that is gone is remembered: longer than by the scheduler, so that no start is reported to it twice.
+/// How long the record of a node that is gone is kept: 120 s. The scheduler forgets the node sooner, so no start is
+/// reported to the scheduler twice.
 const GONE_RETENTION: Span = Span::from_micros(120_000_000);
 
 /// One node, as this host knows it.
@@ -25,34 +26,34 @@
 /// first frames, and this host's connection to it.
 #[derive(Debug)]
 pub struct NodeRecord {
-    /// Its name in the configuration or in the endpoint list.
+    /// The node's name in the configuration or in the endpoint list.
     pub name: String,
-    /// Where to connect; empty: not known yet.
+    /// The address to connect to; empty: not known yet.
     pub address: String,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
-    /// The zone that it is in.
+    /// The zone that the node is in.
     pub zone: ZoneId,
-    /// Its kind. Pools are formed by it.
+    /// The node's kind, as named by the configuration or the endpoint list. Pools select nodes by it.
     pub kind: String,
-    /// The pools that it belongs to, by its zone and kind.
+    /// The pools that the node belongs to, by its zone and kind.
     pub pools: Vec<PoolId>,
-    /// Its state according to the endpoint list.
+    /// The node's state according to the endpoint list.
     pub state: EndpointState,
-    /// This host's connection to it.
+    /// This host's connection to the node.
     pub connection: OutboundConnection,
-    /// Nothing may be sent to it: it is offline for maintenance, or this host does not know whether it is.
+    /// Nothing may be sent to the node: it is offline for maintenance, or this host does not know whether it is.
     pub offline_or_unknown: bool,
-    /// How often the node returned from that. The scheduler ends a drain only for a newer start, so each
-    /// return is reported as a start one microsecond later.
+    /// How often `offline_or_unknown` changed back to false. The scheduler ends a drain only for a newer start, so
+    /// each return is reported as a start one microsecond later than the one before.
     times_returned: i64,
-    /// Paces new connections to it where the hosts share a limit on their rate.
+    /// Paces new connections to the node where the hosts share a limit on their rate.
     pub rate_pacer: RatePacer,
-    /// Its incarnation according to its first frame on its newest connection.
+    /// The incarnation that the node last gave in its first frame; `None`: it has not identified itself.
     pub incarnation: Option<u64>,
-    /// When each incarnation started, as first reported.
+    /// The start of each remembered incarnation, in the order in which they were first reported.
     starts: VecDeque<NodeStart>,
-    /// When the endpoint list first called it gone.
+    /// The first sweep at which the node was gone; `None`: it was not gone at the last sweep.
     gone_since: Option<Instant>,
     /// Attempts that wait for the connection.
     pub pending: BTreeSet<AttemptId>,
@@ -61,9 +62,9 @@
 /// The start of one process of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeStart {
-    /// Which process.
+    /// The process's incarnation; 0: not known.
     pub incarnation: u64,
-    /// When; `None`: not known.
+    /// When the process started, by this host's clock; `None`: not known.
     pub at: Option<Instant>,
 }
 
@@ -74,16 +75,16 @@
     First,
     /// The same process as before.
     Same,
-    /// Another process than before.
+    /// Another process than before: the node restarted.
     Restarted,
 }
 
-/// What a node's first frame on a connection says of the node.
+/// A node after its first frame on a connection.
 #[derive(Debug)]
 pub struct IdentifiedNode {
-    /// The node's state for the scheduler.
+    /// The node as the scheduler sees it.
     pub endpoint: Endpoint,
-    /// Whether the node restarted.
+    /// Whether the process is the same as on the connection before.
     pub process: NodeProcess,
 }
 
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Remembers a start that was reported. Returns when it was first reported to have happened; `None`: the
-    /// incarnation is not known.
+    /// Records a reported start. Returns the start time according to the first report of this incarnation.
+    /// `incarnation` 0: it is not known, and `None` is returned.
     fn record_start(&mut self, incarnation: u64, age: Span, now: Instant) -> Option<Instant> {
         if incarnation == 0 {
             return None;
@@ -132,23 +133,23 @@
         start
     }
 
-    /// How many starts are remembered.
+    /// Returns the number of starts that are remembered.
     pub fn starts(&self) -> usize {
         self.starts.len()
     }
 
-    /// Nothing may be sent to it from now on, or something again.
+    /// Sets whether the node must not be sent to, because it is offline or may be.
     pub fn set_offline_or_unknown(&mut self, offline_or_unknown: bool) {
         self.times_returned += i64::from(self.offline_or_unknown && !offline_or_unknown);
         self.offline_or_unknown = offline_or_unknown;
     }
 
-    /// The newest start that was reported.
+    /// Returns the start of the incarnation that was reported last; incarnation 0 if none was.
     pub fn newest_start(&self) -> NodeStart {
         self.starts.back().copied().unwrap_or_default()
     }
 
-    /// Its state for the scheduler.
+    /// Returns the node as the scheduler sees it. `started`: when it started; `None`: not known.
     pub fn entry(&self, id: NodeId, started: Option<Instant>) -> Endpoint {
         let state = if self.offline_or_unknown {
             self.state.max(EndpointState::Draining)
@@ -165,7 +166,7 @@
         }
     }
 
-    /// The start that is reported to the scheduler. It is left out while the node may be offline: an unknown
+    /// Returns the start time that is reported to the scheduler. `None` while the node may be offline: an unknown
     /// state must not look like a start.
     fn reported_start(&self, started: Option<Instant>) -> Option<Instant> {
         if self.offline_or_unknown {
@@ -178,14 +179,14 @@
     }
 }
 
-/// All nodes that one host knows.
+/// The records of all nodes that one host knows.
 #[derive(Debug, Default)]
 pub struct Nodes {
     all: BTreeMap<NodeId, NodeRecord>,
 }
 
 impl Nodes {
-    /// The nodes of the configuration, except spares.
+    /// Creates the records of the nodes in the configuration, except spares.
     pub fn from_document(deployment: &Deployment) -> Nodes {
         let record = |configured: &gullsail_configuration::NodePlace| {
             let place = &configured.place;
@@ -205,18 +206,18 @@
         }
     }
 
-    /// A node, by its id.
+    /// Returns the record of a node; `None`: the node is not known.
     pub fn get(&mut self, id: NodeId) -> Option<&mut NodeRecord> {
         self.all.get_mut(&id)
     }
 
-    /// All nodes, in the order of their ids.
+    /// Returns all nodes, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &NodeRecord)> {
         self.all.iter().map(|(id, node)| (*id, node))
     }
 
-    /// Takes in an update of the endpoint list. Returns the endpoints in it, for the scheduler. `snapshot`: nodes
-    /// that are not in it are gone.
+    /// Applies an update of the endpoint list. Returns the endpoints in it, for the scheduler. `snapshot`: the
+    /// update is complete, so nodes that it does not name are gone.
     pub fn listed(
         &mut self,
         snapshot: bool,
@@ -252,12 +253,12 @@
         let shard = ShardId(listed.shard);
         let zones = &deployment.zones;
         let zone = zones.iter().position(|zone| *zone == listed.zone);
-        // A zone that the configuration does not have is different from all that it has.
+        // A zone that the configuration does not name is treated as different from all that it names.
         let zone = ZoneId(zone.unwrap_or(usize::MAX));
         let state = match ListedState::try_from(listed.state) {
             Ok(ListedState::Ready) => EndpointState::Ready,
             Ok(ListedState::Gone) => EndpointState::Gone,
-            // A state of a newer version may be anything but ready.
+            // A state that only a newer version defines is treated as draining, so no attempts are sent.
             Ok(ListedState::Draining) | Err(_) => EndpointState::Draining,
         };
         let node = self
@@ -275,8 +276,8 @@
         node.entry(id, started)
     }
 
-    /// Takes in a node's first frame on a connection, which makes its start certain. `None`: the node is
-    /// forgotten.
+    /// Records a node's first frame on a connection: its incarnation and how long the process has been running
+    /// (`age`). `None`: the node's record was removed.
     pub fn identified(
         &mut self,
         id: NodeId,
@@ -297,7 +298,7 @@
         })
     }
 
-    /// Another configuration has other pools: all nodes as they are now, for the scheduler.
+    /// Assigns all nodes to the pools of a new configuration. Returns all nodes as the scheduler sees them.
     pub fn reassign_pools(&mut self, deployment: &Deployment) -> Vec<Endpoint> {
         for node in self.all.values_mut() {
             node.pools = deployment.routes.pools_of(node.zone, &node.kind);
@@ -308,8 +309,8 @@
             .collect()
     }
 
-    /// The shards that two or more ready nodes hold, with the nodes' names. This is expected only while one
-    /// node replaces another.
+    /// Returns the shards that two or more ready nodes hold, with the nodes' names. This is expected only while
+    /// one node replaces another.
     pub fn duplicate_shards(&self) -> BTreeMap<ShardId, Vec<&str>> {
         let mut shards: BTreeMap<ShardId, Vec<&str>> = BTreeMap::new();
         for node in self.all.values() {
@@ -321,7 +322,8 @@
         shards
     }
 
-    /// Forgets nodes that are long gone and that nothing here needs.
+    /// Removes the records of nodes that have been gone for more than two minutes, unless an attempt waits for the
+    /// node or it has a connection.
     pub fn forget(&mut self, now: Instant) {
         for node in self.all.values_mut() {
             node.gone_since =
--- a/crates/host/src/core/peer_state.rs
+++ b/crates/host/src/core/peer_state.rs
@@ -1,4 +1,4 @@
-//! What is kept of each peer host: of the connection that it opened, and of the one that this host keeps to it.
+//! The state of peer hosts: of a connection that a peer opened, and of the connection that this host opens to it.
 
 use super::clock::{Learned, PeerClock};
 use super::reconnect::OutboundConnection;
@@ -7,13 +7,13 @@
 use std::collections::VecDeque;
 use tracing::{info, warn};
 
-/// A peer that opened a connection to this host, and what is known of its clock.
+/// A peer that opened a connection to this host.
 pub(super) struct IncomingPeer {
     pub(super) host: HostId,
     pub(super) clock: PeerClock,
-    /// Demand reports that wait until something is known of the clock.
+    /// Demand reports that wait until the offset of the peer's clock is known.
     pub(super) waiting: VecDeque<Vec<u8>>,
-    /// Its clock is certainly more than `clock-apart` away from ours.
+    /// The peer's clock certainly differs from this host's clock by more than `clock-apart`.
     pub(super) clock_too_far: bool,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The connection that this host keeps to a peer.
+/// The connection that this host opens to a peer.
 #[derive(Default)]
 pub(super) struct OutgoingPeer {
     pub(super) connection: OutboundConnection,
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -1,5 +1,5 @@
-//! Peer hosts: the connection to each, frames that wait for it, and what is known of its clock. A demand
-//! report is handed to the scheduler only once the clock of the peer that sent it is known.
+//! Peer hosts: the connection to each, frames that wait for it, and the offset of its clock. A demand report is
+//! handed to the scheduler only once the clock offset of its sender is known.
 
 use super::Core;
 use super::clock::Learned;
@@ -10,8 +10,8 @@
 use gullsail_protocol::{ClockQuery, ClockReply, DemandReport, Frame, Hello, Role};
 use gullsail_scheduler_api::{Event, HostId, Instant, demand_report};
 
-/// The most frames that wait for one connection, and the most demand reports that wait for one clock. A demand report
-/// is of use for a tenth of a second only, so more of them would hold memory for nothing.
+/// The most frames that wait for a connection to a peer, and the most demand reports that wait for the clock offset of
+/// a peer. A demand report is of use for a tenth of a second only, so keeping more would waste memory.
 const MAX_WAITING_FRAMES: usize = 8;
 
 impl Core {
@@ -21,7 +21,8 @@
         self.send_to_peer(to, Frame::from(DemandReport { bytes }));
     }
 
-    /// Sends a frame to a peer, or keeps it until the connection is up. Opens the connection if there is none.
+    /// Sends a frame to a peer, or keeps it until the connection is up. Opens a connection if there is none. While
+    /// the reconnect backoff runs, the frame is only kept.
     pub(super) fn send_to_peer(&mut self, to: HostId, frame: Frame) {
         let Some(place) = self.deployment.hosts.get(to.0 as usize) else {
             return;
@@ -30,7 +31,7 @@
         if let Some(link) = peer.connection.up() {
             return self.send(link, frame);
         }
-        // The newest frames matter most: the older ones are stale by the time the connection is up.
+        // The oldest frame is dropped: it is stale by the time the connection is up.
         if peer.waiting.len() >= MAX_WAITING_FRAMES {
             peer.waiting.pop_front();
         }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A peer reports what its clock shows. Demand reports that waited for this are handed on.
+    /// Handles a peer's reply to a clock query. Demand reports that waited for it are handed to the scheduler.
     pub(super) fn clock_reply(&mut self, id: LinkId, reply: ClockReply) {
         let max_apart = self.deployment.bounds.clock_apart;
         let now = self.now;
@@ -88,7 +89,7 @@
         peer.log_clock(&learned, was_too_far, now);
         let waiting = std::mem::take(&mut peer.waiting);
         if learned == Learned::Nothing {
-            // The reply took too long. So did the reports, which are of use for a tenth of a second.
+            // The reply took longer than a second. The reports waited as long, and are of use for a tenth of a second.
             self.counts.demand_reports_dropped += waiting.len() as u64;
             return;
         }
@@ -97,9 +98,9 @@
         }
     }
 
-    /// Hands a peer's demand report to the scheduler, with its times moved to this host's clock. A report
-    /// waits while the peer's clock is not known. It is dropped when that clock is too far off: something is
-    /// wrong there, and no limit is exceeded because of a lost report.
+    /// Hands a peer's demand report to the scheduler, with its times converted to this host's clock. A report
+    /// waits while the peer's clock offset is not known. It is dropped if the offset is too large, which is a fault
+    /// of one of the clocks: a lost report never causes a limit to be exceeded.
     pub(super) fn demand_report(&mut self, id: LinkId, bytes: Vec<u8>) {
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
--- a/crates/host/src/core/reconnect.rs
+++ b/crates/host/src/core/reconnect.rs
@@ -1,41 +1,41 @@
-//! One connection that this host keeps to a node, a peer or the endpoint list. It is up, being established, or
-//! waiting for the next attempt. The backoff between attempts grows exponentially with jitter.
+//! The state of a connection that this host opens to a node, a peer or the endpoint list, and opens again when it is
+//! lost. The backoff between attempts to connect grows exponentially with jitter.
 
 use super::ids::LinkId;
 use gullsail_scheduler_api::{Instant, Span};
 use rand::Rng;
 
-/// The backoff doubles this often at most, so that the factor cannot overflow. By then the
-/// longest backoff applies.
+/// The backoff doubles this often at most, so that the factor cannot overflow. The longest backoff applies
+/// sooner.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// The state of such a connection.
+/// The state of a connection that this host opens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// There is no connection, and none is being established.
+    /// There is no connection, and one may be opened at once.
     #[default]
     Idle,
-    /// A connection is being established.
+    /// The connection is being established.
     Connecting(LinkId),
-    /// It is established, and the other side's first frame is awaited.
+    /// The connection is established, and the other side has not sent its first frame.
     Greeting(LinkId),
     /// The other side has identified itself.
     Up(LinkId),
-    /// Backing off until this time.
+    /// There is no connection, and none may be opened before this time.
     Waiting(Instant),
 }
 
-/// A connection that this host establishes, and establishes again when it is lost.
+/// A connection that this host opens, and opens again when it is lost.
 #[derive(Clone, Debug, Default)]
 pub struct OutboundConnection {
-    /// Its state.
+    /// How far the connection or its next attempt has come.
     pub state: ConnectionState,
-    /// Failures in a row.
+    /// How often in a row the connection ended or could not be established, since it was up.
     failures: u32,
 }
 
 impl OutboundConnection {
-    /// The connection, even if it is still being established.
+    /// Returns the connection, also while it is being established; `None`: there is none.
     pub fn link(&self) -> Option<LinkId> {
         match self.state {
             ConnectionState::Connecting(link)
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The connection, if it is up.
+    /// Returns the connection if the other side has identified itself on it.
     pub fn up(&self) -> Option<LinkId> {
         if let ConnectionState::Up(link) = self.state {
             Some(link)
@@ -54,15 +54,15 @@
         }
     }
 
-    /// The other side has identified itself.
+    /// Records that the other side has identified itself.
     pub fn is_up(&mut self, link: LinkId) {
         self.state = ConnectionState::Up(link);
         self.failures = 0;
     }
 
-    /// Records that the connection ended or could not be established. Returns when to try again. The backoff
-    /// doubles with each failure in a row. At least half of it is kept and the rest is drawn, so that hosts
-    /// that lost the same node do not reconnect to it together. `backoff`: the first and the longest.
+    /// Records that the connection ended or could not be established. Returns when to try again. `backoff`: the
+    /// first and the longest backoff. The backoff doubles with each failure in a row. It is multiplied by a random
+    /// factor from 0.5 to 1, so that hosts that lost the same node do not reconnect to it together.
     pub fn lost(&mut self, now: Instant, backoff: (Span, Span), rng: &mut impl Rng) -> Instant {
         let (first, longest) = backoff;
         let doubled = first.times(f64::from(1u32 << self.failures.min(MAX_DOUBLINGS)));
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -1,4 +1,4 @@
-//! Requests of clients. Each is checked, handed to the scheduler, and gets at most one final answer. The
+//! Requests of clients. Each is checked and handed to the scheduler, and gets at most one final answer. The
 //! scheduler's actions are carried out here.
 
 use super::Core;
@@ -10,13 +10,13 @@
 use gullsail_scheduler_api::{Action, Event, Request, RequestClassId, RequestId, ShardId, Span};
 use thiserror::Error;
 
-/// Bytes that are charged for an attempt's frame beside its names and body. No frame has a larger head, so a
-/// budget is never charged too little; a larger value would charge small requests too much.
+/// Bytes that are charged to a cross-zone budget for an attempt's frame, in addition to its names and body. No frame
+/// has a larger head, so a budget is never charged too little; a larger value would charge small requests too much.
 const ATTEMPT_HEAD_BYTES: usize = 96;
 
-/// Ticks that must be left of a request's timeout. The scheduler ends open requests two ticks ahead of their
-/// deadlines. It could answer a request with less time only as too late, and a loop that is held up for those
-/// two ticks would answer after the deadline.
+/// Ticks that a request's timeout must exceed. The scheduler ends open requests two ticks ahead of their deadlines,
+/// so it would end a request with less time at once, and an event loop that is delayed by those two ticks would
+/// answer after the deadline.
 const MIN_TICKS_LEFT: f64 = 2.0;
 
 /// The final answer to a request.
@@ -38,13 +38,13 @@
     }
 }
 
-/// Where the names of a request are in the configuration.
+/// Indices in the configuration of the volume and the request class that a request names.
 struct RequestPlaces {
     volume: usize,
     request_class: usize,
 }
 
-/// A request that this host may hand to the scheduler.
+/// A request that passed all checks.
 struct ValidRequest {
     link: LinkId,
     submit: Submit,
@@ -73,8 +73,8 @@
 }
 
 impl Core {
-    /// Handles a request of a client. One that is invalid, or that comes during the shutdown, is refused at
-    /// once with the reason. `timeout_shortened`: it may have waited while the process was stalled.
+    /// Handles a request of a client. An invalid request, or one that arrives during the shutdown, is refused at
+    /// once with the reason. `timeout_shortened`: the request may have waited while the process was stalled.
     pub(super) fn submit(
         &mut self,
         link: LinkId,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Checks a request. Returns where its names are in the configuration.
+    /// Checks a request. Returns the indices of its volume and class in the configuration.
     fn check_submit(&self, submit: &Submit, body: &Bytes) -> Result<RequestPlaces, InvalidRequest> {
         let deployment = &self.deployment;
         let figures = deployment.figures();
@@ -151,14 +151,14 @@
             .push(Event::RequestArrived(Request { id, ..request }));
     }
 
-    /// The request as the scheduler sees it, without its number.
+    /// Builds the scheduler's form of a request. The caller sets its id.
     fn scheduler_request(&self, valid: &ValidRequest) -> Request {
         let deployment = &self.deployment;
         let submit = &valid.submit;
         let volume = &deployment.volumes[valid.places.volume];
         let class = RequestClassId(valid.places.request_class);
         let class_deadline = deployment.request_classes[valid.places.request_class].deadline;
-        // No less than the frames of its attempts will have: names, figures and the body.
+        // An upper bound of the length of an attempt's frame.
         let names = submit.request_class.len() + submit.volume.len() + submit.mark.len();
         let bytes = ATTEMPT_HEAD_BYTES + names + valid.body.len();
         Request {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Reports to a client that its request is not accepted. Nothing of it ran. `leaving`: this host shuts
+    /// Reports to a client that its request is not accepted. No attempt of it was sent. `leaving`: this host shuts
     /// down, so the client should use another.
     fn refuse(&mut self, link: LinkId, id: u64, reason: String, leaving: bool) {
         self.counts.not_taken += 1;
@@ -188,14 +188,14 @@
         self.send(link, Frame::from(refused));
     }
 
-    /// A client withdraws a request.
+    /// Handles a client's withdrawal of one of its requests.
     pub(super) fn withdraw(&mut self, link: LinkId, client_request_id: u64) {
         if let Some(id) = self.requests.by_client_id(link, client_request_id) {
             self.client_left(id);
         }
     }
 
-    /// The client of this request no longer waits for its answer.
+    /// Ends a request whose client withdrew it or disconnected.
     pub(super) fn client_left(&mut self, id: RequestId) {
         if self.requests.end(id).is_some() {
             self.counts.clients_left += 1;
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Sends the one final answer. A request that has it is no longer open, so there is no second.
+    /// Sends the final answer to a request and ends it. Does nothing if the request is no longer open, so a client
+    /// never gets a second answer.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(open) = self.requests.end(id) else {
             return;
@@ -250,13 +251,13 @@
         self.update_reading(open.link);
     }
 
-    /// Guards "at most one final answer" after a stall of the process: the client's timeout has passed, and
-    /// the client may have sent the request to another host. Without a stall, answers are due two ticks
-    /// before the deadline and never get here.
+    /// Drops an answer that is ready only after the deadline, which happens only after a stall of the process:
+    /// otherwise answers are due two ticks before the deadline. By now the client may have sent the request to
+    /// another host, so an answer could be its second one.
     fn drop_late_answer(&mut self, open: &OpenRequest) {
         self.counts.late_answers_dropped += 1;
         if open.timeout_shortened && open.attempts == 0 {
-            // The client may still wait, and nothing of the request ran.
+            // The client may still wait, and no attempt was sent, so a refusal is correct.
             let reason = "deadline may have passed while the host was stalled".into();
             self.refuse(open.link, open.submit.id, reason, false);
         }
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -13,60 +13,62 @@
 /// A request that has no final answer yet.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// Where to send the answer.
+    /// The client's connection, on which the answer is sent.
     pub link: LinkId,
-    /// The request as the client sent it, with the client's own id.
+    /// The request as the client sent it, with the id that the client chose.
     pub submit: Submit,
-    /// Whether it writes.
+    /// Whether the request class is one of writes.
     pub write: bool,
     /// The bytes to write; empty for a read.
     pub body: Bytes,
-    /// When its client stops waiting.
+    /// When the client stops waiting. No answer is sent after it.
     pub deadline: Instant,
-    /// Its timeout was shortened because the process was stalled, so its client may wait beyond `deadline`.
+    /// The request may have waited during a stall of the process, so its timeout was shortened by the longest
+    /// possible wait. The client may still wait after `deadline`.
     pub timeout_shortened: bool,
-    /// How many attempts were started.
+    /// How many attempts of the request were started.
     pub attempts: u32,
 }
 
 /// An attempt that was started and has not ended.
 #[derive(Debug)]
 pub struct InFlightAttempt {
-    /// The request it belongs to.
+    /// The request that it belongs to.
     pub request: RequestId,
-    /// Its place among its request's attempts, from 0.
+    /// How many attempts of the same request were started before it.
     pub number: u32,
-    /// The node it is sent to.
+    /// The node that it is sent to.
     pub node: NodeId,
     /// When the scheduler started it.
     pub started_at: Instant,
-    /// When its frame was sent. Until then it certainly has not run.
+    /// When its frame was sent; `None`: it waits for the node's connection, so the node cannot have run it.
     pub sent_at: Option<Instant>,
-    /// When it times out.
+    /// When the host stops waiting for the node's answer.
     pub timeout_at: Instant,
 }
 
-/// An attempt that was just started.
+/// The result of [`Requests::start_attempt`].
 #[derive(Clone, Copy, Debug)]
 pub struct StartedAttempt {
-    /// Its number.
+    /// The id of the new attempt.
     pub id: AttemptId,
-    /// How long it may take.
+    /// How long the attempt may take, its wait for the node's connection included.
     pub timeout: Span,
 }
 
 /// Lengths of the collections of [`Requests`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSizes {
-    /// Open requests.
+    /// Number of open requests.
     pub open: usize,
-    /// Entries of the index by client and client's id.
+    /// Number of entries of the index by connection and client's request id.
     pub client_ids: usize,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub attempts: usize,
 }
 
-/// A request as its client knows it. Ordered by connection, so that the requests of one connection are a range.
+/// Key of an open request: the client's connection and the id that the client chose. Keys are ordered by
+/// connection, so that the requests of one connection are a range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClientRequestKey {
     link: LinkId,
@@ -98,31 +100,34 @@
 pub struct Requests {
     /// Boxed, since the map moves its entries.
     open: BTreeMap<RequestId, Box<OpenRequest>>,
-    /// A client's own id is unique among the open requests of its connection.
+    /// Index of `open`. The id that a client chose is unique among the open requests of its connection.
     by_client_id: BTreeMap<ClientRequestKey, RequestId>,
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
+    /// The id that was given last; 0: none was.
     last_request: u64,
+    /// The id that was given last; 0: none was.
     last_attempt: u64,
+    /// Sum of the lengths of the open requests' bodies.
     held_bytes: usize,
 }
 
 impl Requests {
-    /// Body bytes of open requests.
+    /// Returns the body bytes of all open requests.
     pub fn held(&self) -> usize {
         self.held_bytes
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// How many attempts have not ended.
+    /// Returns the number of attempts that have not ended.
     pub fn attempts_out(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The lengths of the collections.
+    /// Returns the lengths of the collections, for the size metrics.
     pub fn size_metrics(&self) -> RequestSizes {
         RequestSizes {
             open: self.open.len(),
@@ -131,12 +136,12 @@
         }
     }
 
-    /// An open request.
+    /// Returns a request; `None`: it is not open.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id).map(Box::as_ref)
     }
 
-    /// The open request that a client knows by this id.
+    /// Finds the open request to which the client of this connection gave this id.
     pub fn by_client_id(&self, link: LinkId, client_request_id: u64) -> Option<RequestId> {
         let key = ClientRequestKey {
             link,
@@ -145,7 +150,7 @@
         self.by_client_id.get(&key).copied()
     }
 
-    /// Adds a request and gives it this host's own number.
+    /// Adds a request. Returns the id that it has within this host.
     pub fn insert(&mut self, open: OpenRequest) -> RequestId {
         self.last_request += 1;
         let id = RequestId(self.last_request);
@@ -155,7 +160,8 @@
         id
     }
 
-    /// Removes a request that has its answer, or whose client no longer waits.
+    /// Removes a request because it is answered, or because its client no longer waits. `None`: it was not open.
+    /// Its attempts in flight stay.
     pub fn end(&mut self, id: RequestId) -> Option<Box<OpenRequest>> {
         let open = self.open.remove(&id)?;
         self.held_bytes -= open.body.len();
@@ -163,7 +169,7 @@
         Some(open)
     }
 
-    /// Whether a client has an open request.
+    /// Whether the client of this connection has an open request.
     pub fn has_any(&self, link: LinkId) -> bool {
         self.by_client_id
             .range(ClientRequestKey::all_of(link))
@@ -171,7 +177,7 @@
             .is_some()
     }
 
-    /// A client's open requests.
+    /// Returns the open requests of the client of this connection.
     pub fn of_link(&self, link: LinkId) -> Vec<RequestId> {
         self.by_client_id
             .range(ClientRequestKey::all_of(link))
@@ -179,8 +185,8 @@
             .collect()
     }
 
-    /// Starts an attempt of an open request and counts it there. It times out at the request's deadline at the
-    /// latest.
+    /// Adds an attempt of a request. It times out after `time_out`, or at the request's deadline if that is
+    /// earlier. `None`: the request is not open.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
@@ -208,17 +214,17 @@
         })
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt; `None`: it has ended.
     pub fn attempt(&mut self, attempt: AttemptId) -> Option<&mut InFlightAttempt> {
         self.attempts.get_mut(&attempt)
     }
 
-    /// Removes an attempt that ended.
+    /// Removes an attempt that ended; `None`: it was removed before.
     pub fn attempt_ended(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
         self.attempts.remove(&attempt)
     }
 
-    /// The attempts at a node, in the order they were started.
+    /// Returns the attempts in flight to a node, in the order in which they were started.
     pub fn at_node(&self, node: NodeId) -> Vec<AttemptId> {
         self.attempts
             .iter()
@@ -228,7 +234,8 @@
     }
 }
 
-/// The object's number for the scheduler. Requests that keep an order form one sequence for each object.
+/// Returns the object by which the scheduler keeps the order of requests: a hash of the order key, or of the
+/// handle if there is no order key. `None`: the request has neither.
 pub fn object(submit: &Submit) -> Option<ObjectId> {
     if !submit.order_key.is_empty() {
         return Some(ObjectId(number(&submit.order_key)));
