--- a/crates/host/src/core/back_pressure.rs
+++ b/crates/host/src/core/back_pressure.rs
@@ -1,25 +1,26 @@
-//! Back pressure on clients: when their connections are read, and when clients have to wait. Called at the
-//! end of each [`Core::advance`], and when a connection's write queue changes.
+//! Back pressure on clients: the host stops reading from clients while it holds too many requests or bytes, and from
+//! one client while too many bytes wait for it. This is checked at the end of each [`Core::advance`], and when the
+//! unsent bytes of a connection change.
 
 use super::Core;
 use super::connection_table::PeerKind;
 use super::ids::LinkId;
 use super::input_output::Output;
 
-/// Reading resumes below this part of each bound, in tenths. The gap is hysteresis: without it, reading would
-/// stop and resume with each frame while the host is at its bound.
+/// Reading resumes below this many tenths of each bound. Without this hysteresis, reading would stop and resume with
+/// each frame while the host is at its bound.
 const RESUME_TENTHS: usize = 9;
 
 /// Whether this host reads from clients at all.
 #[derive(Debug, Default)]
 pub(super) struct BackPressure {
-    /// The host holds as much as it may, so no client is read from.
+    /// The host has reached a bound and reads from no client.
     pub(super) at_capacity: bool,
 }
 
 impl BackPressure {
-    /// Takes in whether a bound is reached, and whether all amounts are below the resume threshold. Returns
-    /// whether the state changed.
+    /// Updates the state. `full`: a bound is reached. `below_resume_threshold`: all amounts are low enough for reading
+    /// to resume. Returns whether the state changed.
     fn update(&mut self, full: bool, below_resume_threshold: bool) -> bool {
         let changed = full != self.at_capacity && (full || below_resume_threshold);
         if changed {
@@ -30,7 +31,7 @@
 }
 
 impl Core {
-    /// Stops reading from all clients while this host holds as much as it may, and resumes afterwards.
+    /// Stops reading from all clients if this host has reached a bound, and resumes once it is well below.
     pub(super) fn update_back_pressure(&mut self) {
         let bounds = &self.deployment.bounds;
         let max_open = bounds.most_open as usize;
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Reads from a client unless the host is at capacity or too many of the client's own answers wait.
+    /// Starts or stops reading from a client. It is read from unless the host is at capacity or too many bytes wait to
+    /// be written to this client.
     pub(super) fn update_reading(&mut self, id: LinkId) {
         let max_unsent = self.deployment.bounds.most_unsent;
         let at_capacity = self.back_pressure.at_capacity;
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -1,6 +1,6 @@
-//! Changing the configuration while serving. A proposed configuration is applied as a whole between two steps,
-//! or rejected as a whole with the reasons. [`gullsail_config_transition::ConfigTransition`] decides which
-//! limits hold until all hosts have it.
+//! Configuration changes while serving. A proposed configuration is applied as a whole between two steps, or
+//! rejected as a whole with the reasons. [`gullsail_config_transition::ConfigTransition`] decides which limits
+//! hold until all hosts follow the new configuration.
 
 use super::Core;
 use super::input_output::Output;
@@ -14,7 +14,8 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// The changes that cannot be made now, each with its reason.
+/// Returns one line for each change that cannot be made now, with the reason. `insist`: dangerous changes are made
+/// if they can be made while serving.
 fn refusals(changes: &[Change], insist: bool) -> Vec<String> {
     let refused = changes
         .iter()
@@ -33,10 +34,10 @@
     refused.map(line).collect()
 }
 
-/// The transition from one configuration to the next over all hosts.
+/// The state of the transition of all hosts from one configuration to the next.
 pub(super) struct ConfigChangeState {
     pub(super) transition: ConfigTransition,
-    /// When peers are sent revision notices next; `None`: nothing is due.
+    /// When the timer of the next round of revision notices fires; `None`: no timer is set.
     pub(super) next_round: Option<Instant>,
 }
 
@@ -49,8 +50,8 @@
         }
     }
 
-    /// When the next round of revision notices is due, if a timer must be set for it: none is set, or one that
-    /// is later.
+    /// Returns when the next round of revision notices is due, if a timer must be set for it; `None`: no round is
+    /// due, or a timer is set that fires early enough.
     fn round_without_timer(&self) -> Option<Instant> {
         let due = self.transition.next()?;
         let covered = self.next_round.is_some_and(|set| set <= due);
@@ -118,7 +119,7 @@
         Ok(())
     }
 
-    /// Reports changed allocations to the scheduler; with `always`, the plans even if no allocation changed.
+    /// Reports plans and changed allocations to the scheduler, if an allocation changed or `always` is set.
     fn report_config(&mut self, always: bool) {
         let allocations = self.config_change.transition.changed();
         if always || !allocations.is_empty() {
@@ -133,13 +134,13 @@
         }
     }
 
-    /// Reports the first allocations, which may differ from an equal share of each limit.
+    /// Reports the first allocations to the scheduler. They may differ from an equal share of each limit.
     pub(super) fn start_config_transition(&mut self) {
         self.report_config(false);
         self.schedule_revision_round();
     }
 
-    /// Sets the timer of the next round of revision notices, if one is due earlier than the timer that is set.
+    /// Sets a timer for the next round of revision notices, unless one is set that fires early enough.
     pub(super) fn schedule_revision_round(&mut self) {
         let Some(at) = self.config_change.round_without_timer() else {
             return;
@@ -183,7 +184,7 @@
         );
     }
 
-    /// A peer reports which revisions hosts hold.
+    /// Handles a peer's notice of the revisions that hosts follow.
     pub(super) fn peer_revision(&mut self, from: HostId, reached: Reached) {
         let notice = RevisionNotice {
             held: Revision(reached.held),
@@ -212,17 +213,17 @@
         self.schedule_revision_round();
     }
 
-    /// Which host this is.
+    /// Returns the id of this host in the configuration.
     pub fn me(&self) -> HostId {
         self.identity.host
     }
 
-    /// The configuration that this host serves by.
+    /// Returns the current configuration.
     pub fn deployment(&self) -> &Arc<Deployment> {
         &self.deployment
     }
 
-    /// Hosts that are not known to hold the current revision.
+    /// Returns the hosts that are not known to follow the current revision.
     pub fn hosts_behind(&self) -> Vec<HostId> {
         self.config_change.transition.missing().collect()
     }
--- a/crates/host/src/core/counters.rs
+++ b/crates/host/src/core/counters.rs
@@ -1,16 +1,16 @@
-//! What a host counts from its start on, for its operators. Nothing is decided by these figures.
+//! Counters of a host since its start, for its operators. No decision depends on them.
 
 use super::Core;
 use gullsail_scheduler_api::Span;
 use tracing::warn;
 
-/// A step of the loop that takes longer counts as long: 10 ms, in microseconds.
+/// A step of the event loop that takes longer than this counts as long: 10 ms, in microseconds.
 const LONG_STEP_US: u64 = 10_000;
 
-/// What was counted since the start.
+/// The counters of a host since its start.
 ///
-/// A counter that another version does not have is 0 when its counters are read here. The struct has more than
-/// twelve fields because it is one flat JSON object of the control socket.
+/// A counter that another version does not report is read as 0. The struct has more than twelve fields because it is
+/// one flat JSON object of the control socket.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Counts {
@@ -28,10 +28,10 @@
     pub failed: u64,
     /// Requests whose client withdrew them or disconnected.
     pub clients_left: u64,
-    /// Attempts, sent or not.
+    /// Attempts that the scheduler started, sent or not.
     #[serde(rename = "legs")]
     pub attempts: u64,
-    /// Node answers that were discarded since their attempt had ended.
+    /// Node answers that were discarded because their attempt had ended.
     pub late_node_answers: u64,
     /// Connections that ended.
     #[serde(rename = "links_broken")]
@@ -42,68 +42,69 @@
     /// Demand reports handed to the scheduler.
     #[serde(rename = "labels_heard")]
     pub demand_reports_received: u64,
-    /// Demand reports that were dropped: the sender's clock is too far off, or too many waited for it.
+    /// Demand reports that were dropped: the offset of the sender's clock is too large, its reply took too long, or
+    /// too many reports waited for it.
     #[serde(rename = "labels_dropped")]
     pub demand_reports_dropped: u64,
-    /// Times that a node reconnected as another process.
+    /// How often a node reconnected as another process.
     pub nodes_restarted: u64,
-    /// Times that a node connected for the first time, or reconnected as the same process.
+    /// How often a node connected for the first time, or reconnected as the same process.
     pub nodes_met_again: u64,
-    /// Times that the endpoint list became unavailable.
+    /// How often the endpoint list became unavailable.
     #[serde(rename = "list_lost")]
     pub endpoint_list_losses: u64,
     /// Incoming connections that were refused: the limit was reached, or the host was shutting down.
     #[serde(rename = "links_refused")]
     pub connections_refused: u64,
-    /// Times that the host stopped reading from all clients, since it held as much as it may.
+    /// How often the host stopped reading from all clients because it had reached a bound.
     #[serde(rename = "held_back")]
     pub back_pressure_events: u64,
-    /// The longest time that the loop worked between two waits, in microseconds.
+    /// The longest time that the event loop worked between two waits, in microseconds.
     pub longest_step_us: u64,
-    /// Steps of the loop that took more than ten milliseconds.
+    /// Steps of the event loop that took more than ten milliseconds.
     pub long_steps: u64,
-    /// Times that the process was stalled.
+    /// How often the process was stalled.
     #[serde(rename = "stood_still")]
     pub stalls: u64,
     /// The longest stall of the process, in microseconds.
     #[serde(rename = "longest_still_us")]
     pub longest_stall_us: u64,
-    /// Requests whose timeout was shortened by the time they may have waited during a stall.
+    /// Requests whose timeout was shortened by the time that they may have waited during a stall.
     #[serde(rename = "aged")]
     pub timeouts_shortened: u64,
-    /// Final answers that were not sent, since the client's deadline had passed.
+    /// Final answers that were not sent because the request's deadline had passed.
     #[serde(rename = "answers_withheld")]
     pub late_answers_dropped: u64,
     /// Configurations that were applied.
     pub documents_taken: u64,
     /// Configurations that were rejected.
     pub documents_turned_down: u64,
-    /// The most requests that were open at once.
+    /// The largest number of requests that were open at the same time.
     pub most_open: u64,
-    /// The most bytes that were held at once.
+    /// The largest number of bytes that were held at the same time, for requests and in write queues.
     pub most_held: u64,
 }
 
-/// What a host holds at one moment.
+/// The current load of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldLoad {
-    /// Open requests.
+    /// Number of open requests.
     pub open_requests: usize,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub attempts_out: usize,
-    /// Bytes held for requests, and for the other sides of connections.
+    /// Bytes of the bodies of open requests, and unsent bytes of all connections.
     pub bytes: usize,
 }
 
 impl Core {
-    /// Records how long the caller's loop worked between two waits.
+    /// Records how long the caller's event loop worked between two waits.
     pub fn worked(&mut self, span: Span) {
         let us = span.micros().max(0) as u64;
         self.counts.longest_step_us = self.counts.longest_step_us.max(us);
         self.counts.long_steps += u64::from(us > LONG_STEP_US);
     }
 
-    /// Records a stall of the process and how long it lasted.
+    /// Records a stall of the process that lasted for `span`.
     pub fn stalled(&mut self, span: Span) {
         warn!(
             stalled_ms = span.millis(),
@@ -116,12 +117,12 @@
             .max(span.micros().max(0) as u64);
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// What this host holds now.
+    /// Returns the current load.
     pub fn load(&self) -> HeldLoad {
         HeldLoad {
             open_requests: self.requests.open(),
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -1,5 +1,6 @@
-//! This host as a member of the fleet. It passes messages between `gullsail-fleet` and the connections to peers
-//! and reports the demand on each budget. The shares that come back become allocations for the scheduler.
+//! This host's membership in the fleet. Messages are passed between `gullsail-fleet` and the connections to peers.
+//! The demand on each budget is reported to the fleet, and the shares that the fleet grants become allocations for
+//! the scheduler.
 
 use super::Core;
 use super::timer_kind::TimerKind;
@@ -18,48 +19,48 @@
 use std::sync::Arc;
 use tracing::{Level, debug, enabled};
 
-/// Id of the slow-start budget. Ids of volumes are shorter, so these three never meet one.
+/// Id of the slow-start budget. Ids of volumes have fewer bits, so none of them equals one of these three ids.
 pub(super) const SLOW_START_BUDGET: VolumeId = VolumeId(u64::MAX);
 /// Id of the budget of new connections to nodes, per second and node.
 pub(super) const CONNECT_BUDGET: VolumeId = VolumeId(u64::MAX - 1);
-/// Id of the budget of attempts to nodes that do not answer, per second and node.
+/// Id of the budget of probes of nodes that do not answer, per second and node.
 pub(super) const PROBE_BUDGET: VolumeId = VolumeId(u64::MAX - 2);
-/// The longest interval between two operations of one kind: 60 s. A host with almost no share still tries each node
-/// this often, so that no node is left out forever.
+/// The longest interval between two connections to a node, or two probes of it: 60 s. A host with almost no share
+/// still tries each node this often, so that it uses every node eventually.
 const MAX_PACING_INTERVAL: Span = Span::from_micros(60_000_000);
-/// Shortest time between two fleet timers: 1 ms, in microseconds. It keeps a fleet that is due at once from
-/// waking the host in a tight loop.
+/// Shortest time until a fleet timer fires: 1 ms, in microseconds. Otherwise a fleet that is due again at once would
+/// wake the host in a tight loop.
 const MIN_FLEET_TIMER_US: i64 = 1000;
 
-/// The fleet as this host sees it, with names.
+/// The fleet as this host sees it, with the names of the configuration.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetView {
-    /// The fleet's name.
+    /// The fleet's name in the configuration.
     pub name: String,
-    /// How long a lease lasts, in milliseconds.
+    /// The configured duration of a lease, in milliseconds.
     pub lease_ms: f64,
     /// Names of hosts, indexed by their numbers in `status`.
     pub hosts: Vec<String>,
-    /// Names of budgets, by their numbers in `status`.
+    /// Numbers of budgets in `status`, each with the budget's name.
     pub budgets: Vec<(u64, String)>,
-    /// What the fleet reports of itself.
+    /// The fleet's status, which refers to hosts and budgets by number.
     pub status: Status,
 }
 
-/// This host's membership in the fleet, and what it last told the scheduler and the log about it.
+/// This host's membership in the fleet, and what was last reported to the scheduler about it.
 pub(super) struct FleetState {
     /// This host as a member of the fleet; `None`: the configuration has no fleet.
     pub(super) member: Option<Fleet>,
-    /// When the member has to advance next.
+    /// When the newest timer for the member's next advance fires; `None`: none was set.
     pub(super) next_turn: Option<Instant>,
     /// Hosts that have left the fleet or use only their floors, according to the coordinator.
     pub(super) inactive_members: BTreeSet<HostId>,
-    /// This host's share of the slow-start budget. A rise takes effect with a delay.
+    /// This host's share of the slow-start budget. An increase takes effect with a delay.
     pub(super) slow_start_share: DelayedIncrease,
-    /// When the slow-start share rises next.
+    /// When the slow-start share increases next; `None`: no increase is delayed.
     pub(super) next_slow_start_increase: Option<Instant>,
-    /// The fleet membership that the scheduler knows.
+    /// The fleet membership that was last reported to the scheduler; `None`: none was.
     pub(super) last_membership: Option<FleetMembership>,
 }
 
@@ -105,20 +106,22 @@
         self.notify_fleet(FleetEvent::DemandObserved { budget, units });
     }
 
-    /// Counts an accepted request for its volume, for the slow-start budget, and for the rate at which this host
-    /// may probe silent nodes: a host with more requests benefits more from what it learns.
+    /// Counts an accepted request as demand on its volume, on the slow-start budget, and on the budget of probes:
+    /// more of a host's requests benefit from a probe, the more requests the host has.
     pub(super) fn record_request_demand(&mut self, volume: VolumeId, units: f64) {
         self.record_demand(volume, units);
         self.record_demand(SLOW_START_BUDGET, units);
         self.record_demand(PROBE_BUDGET, units);
     }
 
-    /// Counts units that succeeded. Maintenance leaves enough servers to serve as much.
+    /// Reports units of requests that succeeded. The maintenance coordinator keeps enough servers in service to
+    /// serve them.
     pub(super) fn record_served(&mut self, units: f64) {
         self.record_demand(SERVED, units);
     }
 
-    /// The interval between operations at this host's share of a fleet-wide rate (per second). Zero: unlimited.
+    /// Returns the interval between operations at this host's share of `rate`, which is per second and over the whole
+    /// fleet. Zero: the operations are not limited.
     fn pacing_interval(&self, budget: VolumeId, rate: Option<f64>) -> Span {
         let (Some(fleet), Some(rate)) = (&self.fleet.member, rate) else {
             return Span::ZERO;
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Whether a connection to the node may be opened now. `Err`: the time to try again.
+    /// Whether a connection to the node may be opened now. `Err`: when to try again.
     pub(super) fn may_connect(&mut self, node: NodeId) -> Result<(), Instant> {
         let interval = self.pacing_interval(
             CONNECT_BUDGET,
@@ -148,7 +151,7 @@
         may
     }
 
-    /// Counts traffic between zones as demand on its budgets.
+    /// Counts traffic between zones as demand on each cross-zone budget that it is charged to.
     pub(super) fn record_cross_zone_demand(
         &mut self,
         from: ZoneId,
@@ -177,8 +180,8 @@
         }
     }
 
-    /// Advances the fleet. This comes before the scheduler's decisions, so that they see leases that ended and
-    /// messages that arrived.
+    /// Advances the fleet. This comes before the scheduler's step, so that the scheduler decides with the current
+    /// shares: leases may have expired and messages may have arrived.
     pub(super) fn advance_fleet(&mut self) {
         let Some(fleet) = &mut self.fleet.member else {
             return;
@@ -198,7 +201,8 @@
         self.schedule_fleet_turn(next);
     }
 
-    /// Sets a timer for the fleet's next turn. Timers cannot be cancelled; a replaced one fires without effect.
+    /// Sets a timer for the fleet's next advance, unless an earlier one is set. Timers cannot be cancelled, so a later
+    /// one that is set still fires, without effect.
     fn schedule_fleet_turn(&mut self, next: Instant) {
         let set = self.fleet.next_turn;
         if set.is_none_or(|at| at <= self.now || next < at) {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Passes this host's shares on to the scheduler, ahead of all other events of this step.
+    /// Reports this host's shares to the scheduler, ahead of all events of this step except configurations.
     fn apply_shares(&mut self) {
         let Some(fleet) = &self.fleet.member else {
             return;
@@ -223,13 +227,13 @@
         let slow_start_share = self.hold_slow_start_share(slow_start_share);
         self.report_allocations(allocations, slow_start_share);
         if was_inactive != self.fleet.inactive_members {
-            // The floors of hosts that may hold an older configuration have changed.
+            // The floors of hosts that may still follow an older configuration have changed.
             self.update_fleet_config();
             self.schedule_revision_round();
         }
     }
 
-    /// This host's share of each volume and of each cross-zone budget, as a fraction.
+    /// Returns this host's share of each volume and of each cross-zone budget, as a fraction.
     fn budget_shares(&self, fleet: &Fleet) -> BTreeMap<VolumeId, f64> {
         let volumes = self.deployment.volumes.iter().map(|volume| volume.id);
         let cross_zone = self.deployment.cross_zone_budgets.iter();
@@ -239,7 +243,8 @@
             .collect()
     }
 
-    /// Delays a rise of the slow-start share. Returns the share that this host may use now.
+    /// Delays an increase of the slow-start share to `granted`. Returns the share that this host may use now. Both
+    /// are in parts of [`WHOLE`].
     fn hold_slow_start_share(&mut self, granted: u32) -> u32 {
         let (usable, next_increase) = self.fleet.slow_start_share.hold(granted, self.now);
         self.fleet.next_slow_start_increase = next_increase;
@@ -262,7 +267,7 @@
             cross_zone_budgets: self.deployment.cross_zone_budgets_at(self.identity.host),
             fleet_membership: membership,
         };
-        // After configurations that came in the same step, before everything else.
+        // After configurations of the same step, before all other events.
         self.events
             .insert_after_last(event, |event| matches!(event, Event::ConfigChanged { .. }));
     }
@@ -283,9 +288,9 @@
         }
     }
 
-    /// Logs the shares that this host holds and for how long. Each change is one line with all budgets, so it
-    /// is built only where it is enabled. The scenario runner parses these lines: their target, message and
-    /// fields must stay (`parts`: share by budget name; `lasts_us`: -1 without a lease; `member`: a host name).
+    /// Logs the shares that this host holds and for how long. Each line contains all budgets, so it is built only
+    /// if its level is enabled. The scenario runner parses these lines: their target, message and fields must stay
+    /// (`parts`: share by budget name; `lasts_us`: -1 without a lease; `member`: a host name).
     fn log_shares(&self) {
         let Some(fleet) = &self.fleet.member else {
             return;
@@ -298,7 +303,7 @@
             .filter_map(|(id, share)| Some((self.budget_name(id.0)?, share)))
             .collect();
         let epoch = fleet.epoch();
-        // A map from strings to numbers always has a JSON form.
+        // Serializing a map from strings to numbers does not fail.
         let held = serde_json::to_string(&held).unwrap_or_default();
         let lasts_us = lease.map_or(-1, Span::micros);
         let own_place = self.deployment.hosts.get(self.identity.host.0 as usize);
@@ -307,15 +312,15 @@
         debug!(target: "gullsail_parts", member, incarnation, epoch, lasts_us, parts = held, "parts");
     }
 
-    /// Notifies the fleet that everything is answered. Returns whether this host may exit: the fleet knows of its
-    /// departure, or has had enough time to learn of it.
+    /// Starts to leave the fleet, or continues. Returns whether this host may exit: the coordinator has acknowledged
+    /// its departure, or did not in time.
     pub(super) fn leave_fleet(&mut self) -> bool {
         self.notify_fleet(FleetEvent::Leave);
         self.advance_fleet();
         self.fleet.member.as_ref().is_none_or(Fleet::has_left)
     }
 
-    /// What operators see of the fleet; `None`: the configuration has no fleet.
+    /// Returns the state of the fleet for operators; `None`: the configuration has no fleet.
     pub fn fleet_view(&self) -> Option<FleetView> {
         let fleet = self.fleet.member.as_ref()?;
         let configured = self.deployment.fleet.as_ref()?;
@@ -334,10 +339,10 @@
     }
 }
 
-/// Delays a rise of this host's share of the slow-start budget by one window of that budget and the time an
-/// attempt may wait for its connection. The window is taken a tenth longer than configured, as in the
-/// scheduler. Attempts counted against the old shares have left the window by then, so the shares of all
-/// hosts never add up to more than the budget.
+/// Creates the delay of increases of this host's slow-start share. It is one window of that budget plus the time an
+/// attempt may wait for its connection. The window is a tenth longer than configured, as in the scheduler. Attempts
+/// counted against the old shares have left the window by then, so the shares of all hosts never add up to more
+/// than the budget.
 fn slow_start_delayed_increase(deployment: &Deployment) -> DelayedIncrease {
     let figures = deployment.figures();
     DelayedIncrease::new(figures.slow_start.window.times(1.1) + figures.connect_wait)
--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -1,5 +1,4 @@
-//! The budgets that hosts share among themselves: the fleet's configuration of them, and their names for
-//! operators.
+//! The budgets that the hosts of a fleet share: the fleet's configuration of them, and their names for operators.
 
 use super::Core;
 use super::fleet::{CONNECT_BUDGET, PROBE_BUDGET, SLOW_START_BUDGET};
@@ -10,7 +9,7 @@
 use std::sync::Arc;
 
 impl Core {
-    /// The fleet's configuration; `None`: the configuration has no fleet.
+    /// Builds the fleet's configuration; `None`: the deployment has no fleet.
     pub(super) fn fleet_config(&self) -> Option<FleetConfig> {
         let deployment = &self.deployment;
         let fleet = deployment.fleet.as_ref()?;
@@ -28,7 +27,7 @@
         })
     }
 
-    /// The limits of volumes whose plan has one.
+    /// Builds the budgets of volumes whose plan has a limit.
     fn volume_budgets(&self, floor_share: f64) -> BTreeMap<VolumeId, Budget> {
         let deployment = &self.deployment;
         let max_units = deployment.figures().max_units;
@@ -56,7 +55,8 @@
             .collect()
     }
 
-    /// A budget that these hosts share. `least`: the smallest share that holds the largest request.
+    /// Builds a budget that these hosts share. `least`: the smallest share that holds the largest request.
+    /// `floor_share`: the fraction of the budget that the hosts may use without a lease.
     fn shared_budget(
         &self,
         id: VolumeId,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Budgets of all hosts for nodes: slow start, new connections, and probes.
+    /// Builds the budgets of slow start, new connections and probes, which all hosts share. `connects`, `probes`:
+    /// rates per second and node; `None`: not limited, so there is no budget.
     fn node_budgets(
         &self,
         floor_share: f64,
@@ -88,7 +89,7 @@
             lagging_hosts: BTreeMap::new(),
             least: least(figures.max_units, figures.slow_start.units),
         };
-        // Rates have no largest request that a share must hold, since their operations are paced.
+        // Connections and probes are paced one by one, so there is no largest request that a share must hold.
         let paced = Budget {
             least: 0,
             ..slow_start.clone()
@@ -103,7 +104,7 @@
         budgets
     }
 
-    /// Hosts that may still use a floor of an earlier configuration, with that floor.
+    /// Returns the hosts that may still use a floor of an earlier configuration, with that floor.
     fn lagging_hosts(&self, budget: VolumeId, floor_share: f64) -> BTreeMap<HostId, u32> {
         let mut floors: BTreeMap<HostId, u32> = BTreeMap::new();
         for lagging in self.config_change.transition.lagging_hosts(budget) {
@@ -113,7 +114,7 @@
         floors
     }
 
-    /// The name of a budget, as operators and the log see it.
+    /// Returns the name of a budget for operators and the log; `None`: there is no such budget.
     pub(super) fn budget_name(&self, id: u64) -> Option<String> {
         let deployment = &self.deployment;
         let node_budgets = [
--- a/crates/host/src/core/identity.rs
+++ b/crates/host/src/core/identity.rs
@@ -1,14 +1,14 @@
-//! Which process this is.
+//! The identity of a host's process.
 
 use gullsail_scheduler_api::{HostId, Instant};
 
-/// The host's number in the configuration, and the process that serves as this host.
+/// The host's id in the configuration, and the process that runs as this host.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Identity {
-    /// The host's number in the configuration.
+    /// Index of the host in the configuration.
     pub(super) host: HostId,
-    /// Differs for each process of this host, so that others notice a restart.
+    /// Differs between processes of the same host, so that others notice a restart.
     pub(super) incarnation: u64,
-    /// When this process started, by its own clock.
+    /// When this process started, by the host's clock.
     pub(super) started_at: Instant,
 }
--- a/crates/host/src/core/input_output.rs
+++ b/crates/host/src/core/input_output.rs
@@ -6,78 +6,78 @@
 use gullsail_protocol::Frame;
 use gullsail_scheduler_api::{Instant, Span};
 
-/// Something that happened outside of the core.
+/// An event outside of the core, reported by its caller.
 #[derive(Debug)]
 pub enum Input {
     /// A connection that was requested is established.
     Connected(LinkId),
     /// A connection that was requested could not be established, with the reason.
     ConnectFailed(LinkId, String),
-    /// A frame was read.
+    /// A frame was read from the connection.
     Frame(LinkId, Frame),
-    /// A frame that may have waited this long before it was read, because the process was stalled.
+    /// A frame was read from the connection after a stall of the process. It may have waited for up to this long.
     DelayedFrame(LinkId, Frame, Span),
-    /// This many bytes of what was sent are written.
+    /// This many bytes of sent frames were written to the connection's socket.
     Written(LinkId, usize),
-    /// The connection ended, with the reason. It is the last input of this connection.
+    /// The connection ended, with the reason. This is the last input of this connection.
     Closed(LinkId, String),
-    /// A proposed configuration, compared with the current one.
+    /// A configuration was proposed, compared with the current one.
     Propose(Box<Proposal>),
-    /// An operator command on servers.
+    /// An operator gave a command on servers.
     OperatorCommand(RequesterId, OperatorCommand),
-    /// Shut down: accept nothing new, answer what is open, then finish.
+    /// The host must shut down: accept nothing new, answer the open requests, then finish.
     Stop,
 }
 
-/// Something that the caller must do.
+/// An action that the caller must carry out.
 #[derive(Debug)]
 pub enum Output {
     /// Open a connection to an address.
     Connect {
-        /// Its id from now on.
+        /// The id that the connection has in all later inputs and outputs.
         link: LinkId,
-        /// Where to connect.
+        /// Address of the other side, as a host name or IP address and a port.
         address: String,
     },
-    /// Write a frame.
+    /// Write a frame to a connection.
     Send {
-        /// On this connection.
+        /// The connection to write to.
         link: LinkId,
-        /// What to write.
+        /// The frame to write.
         frame: Frame,
-        /// The frame is of no use after this time.
+        /// The frame may be dropped after this time, since it is of no use then; `None`: it is always of use.
         until: Option<Instant>,
     },
-    /// Write what was sent, then close the connection, even if it is still being established.
+    /// Write the frames that were sent, then close the connection, even if it is still being established.
     Close {
-        /// The connection.
+        /// The connection to close.
         link: LinkId,
     },
     /// Read from the connection, or stop reading from it.
     Reading {
-        /// The connection.
+        /// The connection to read from or not.
         link: LinkId,
-        /// Whether to read.
+        /// Whether to read from the connection.
         on: bool,
     },
-    /// The result of a proposal.
+    /// Report the outcome of a proposal.
     ProposalDecided {
-        /// Who proposed.
+        /// The requester that proposed the configuration.
         requester: RequesterId,
-        /// Applied, or rejected with the reasons.
+        /// Whether the configuration is applied.
         outcome: ProposalOutcome,
     },
-    /// The result of an operator command.
+    /// Report the result of an operator command.
     CommandOutcome {
-        /// Who gave the command.
+        /// The requester that gave the command.
         requester: RequesterId,
-        /// Accepted, or why not.
+        /// Whether the command is accepted.
         outcome: CommandOutcome,
     },
     /// Accept the connections that wait in the listener's backlog with [`super::Core::accept_from_backlog`], then
     /// close the listener.
     StopListening,
-    /// The shutdown is complete: everything is answered. Clients that are still connected are answered until they
-    /// leave, or for a bounded time.
+    /// End the process: every request is answered and this host has left the fleet. The caller serves clients that
+    /// are still connected until they disconnect, or for a bounded time.
     Finished,
 }
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -1,5 +1,6 @@
-//! Operator commands on servers, and what operators see of maintenance. The commands go to `gullsail-fleet`,
-//! whose maintenance coordinator decides. `server_drains` carries out its decisions on this host.
+//! Operator commands on servers, and the state of maintenance for operators. Commands are passed to
+//! `gullsail-fleet`, whose maintenance coordinator decides on them. `server_drains` carries out its decisions on
+//! this host.
 
 use super::Core;
 use super::ids::RequesterId;
@@ -14,60 +15,61 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A maintenance order, with names.
+/// A maintenance order, with the names of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrderView {
-    /// The server's name.
+    /// Name of the server to take offline.
     #[serde(rename = "machine")]
     pub server: String,
-    /// How many open orders come before it.
+    /// Number of open orders that were given before this one.
     pub before: usize,
-    /// How far it has come.
+    /// The stage that the order has reached.
     pub stage: Stage,
-    /// How long it has been in that stage, in milliseconds.
+    /// How long the order has been in that stage, in milliseconds.
     pub for_ms: f64,
     /// How long the server may be offline, in milliseconds.
     pub longest_ms: f64,
-    /// What it waits for.
+    /// What the order waits for, as a text for operators.
     pub waits: String,
-    /// Hosts that have not drained the server, or whose lease must expire first.
+    /// Names of the hosts that have not drained the server, or whose lease must expire first.
     pub hosts: Vec<String>,
-    /// Why, as the operator gave it.
+    /// Why the operator gave the order.
     pub reason: String,
 }
 
-/// All orders as one host knows them.
+/// The maintenance orders as one host knows them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MaintenanceView {
-    /// A coordinator has reported the orders to this host.
+    /// Whether a coordinator has reported the orders to this host.
     pub known: bool,
-    /// Too many hosts had lost their state when this order book was started, so earlier orders may be lost.
+    /// Whether too many hosts had lost their state when this order book was started, so that earlier orders may be
+    /// lost.
     pub anew: bool,
-    /// All orders.
+    /// Every order in the order book, open or finished.
     pub orders: Vec<OrderView>,
 }
 
 /// Kinds of commands, in the order of their numbers on the wire, which start at 1.
 const COMMAND_KINDS: [&str; 3] = ["out", "back", "cancel"];
 
-/// A host's id among servers.
+/// Returns the server id of a host.
 pub(super) fn host_server(name: &str) -> ServerId {
     ServerId(number(&format!("host {name}")))
 }
 
-/// A node's id among servers.
+/// Returns the server id of a node.
 pub(super) fn node_server(id: NodeId) -> ServerId {
     ServerId(id.0)
 }
 
-/// What this host keeps for operator commands and for the servers that go offline.
+/// The state of operator commands, and of the observation of servers.
 pub(super) struct MaintenanceState {
-    /// When this host reports next to the fleet what it observes of servers.
+    /// The time of the next report to the fleet of what this host observes of servers.
     pub(super) next_observation: Instant,
     /// The stage of each maintenance order that was logged last, by the order's number.
     pub(super) logged_stages: BTreeMap<u64, Stage>,
-    /// Operator commands without a result.
+    /// Requesters of operator commands that have no result yet.
     pub(super) pending_commands: BTreeSet<RequesterId>,
 }
 
@@ -87,7 +89,7 @@
         self.fleet.member.is_some() && self.deployment.maintenance.is_some()
     }
 
-    /// This host's name.
+    /// Returns this host's name in the configuration.
     pub(super) fn own_name(&self) -> String {
         self.deployment
             .hosts
@@ -95,7 +97,7 @@
             .map_or(String::new(), |host| host.name.clone())
     }
 
-    /// A server's name, for operators and the log.
+    /// Returns a server's name, for operators and the log. A server that is not known is named by its id.
     pub(super) fn server_name(&self, server: ServerId) -> String {
         let mut nodes = self.nodes.iter();
         if let Some((_, node)) = nodes.find(|(id, _)| node_server(*id) == server) {
@@ -108,7 +110,8 @@
         }
     }
 
-    /// The servers of these names. A zone's name stands for all nodes and hosts in it.
+    /// Returns the servers of these names, without duplicates. A zone's name stands for its ready nodes and its
+    /// hosts.
     fn servers(&self, names: &[String]) -> Result<Vec<ServerId>, CommandError> {
         let mut all = Vec::new();
         for name in names {
@@ -126,7 +129,7 @@
         Ok(all)
     }
 
-    /// The servers of one name, which may be that of a zone, a node, a host, or several of these.
+    /// Returns the servers of one name. A zone, a node and a host may have the same name; then all are returned.
     fn servers_named(&self, name: &str) -> Vec<ServerId> {
         let deployment = &self.deployment;
         let mut servers = Vec::new();
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Hands an operator command to the fleet, or rejects it at once.
+    /// Passes an operator command to the fleet, or rejects it at once if it is invalid.
     pub(super) fn command(&mut self, requester: RequesterId, command: OperatorCommand) {
         match self.fleet_command(command) {
             Err(error) => self.outputs.push(Output::CommandOutcome {
@@ -209,7 +212,7 @@
         })
     }
 
-    /// What operators see of maintenance; `None`: it is not configured.
+    /// Returns the state of maintenance for operators; `None`: maintenance is not configured.
     pub fn maintenance_view(&self) -> Option<MaintenanceView> {
         if !self.maintenance_enabled() {
             return None;
@@ -249,7 +252,7 @@
         }
     }
 
-    /// A host's name by its number in the configuration.
+    /// Returns a host's name by its index in the configuration.
     fn host_name(&self, number: u32) -> String {
         let host = self.deployment.hosts.get(number as usize);
         host.map_or_else(|| format!("host {number}"), |host| host.name.clone())
--- a/crates/host/src/core/proposal.rs
+++ b/crates/host/src/core/proposal.rs
@@ -1,4 +1,4 @@
-//! A proposed configuration, and what became of it.
+//! A proposed configuration and the outcome of the proposal.
 
 use super::ids::RequesterId;
 use gullsail_config_transition::Revision;
@@ -6,30 +6,30 @@
 use gullsail_configuration::diff::Change;
 use std::sync::Arc;
 
-/// A configuration that somebody wants this host to serve by.
+/// A proposal to replace the host's configuration.
 #[derive(Debug)]
 pub struct Proposal {
-    /// Who waits for the outcome.
+    /// The requester that receives the outcome.
     pub requester: RequesterId,
-    /// The configuration it was compared with. The proposer holds both until the outcome is known, so that the
-    /// last reference to a large configuration is dropped there and does not delay the loop.
+    /// The configuration that `to` was compared with. The proposer keeps references to both until the outcome is
+    /// known: dropping the last reference to a large configuration takes long and must not delay the event loop.
     pub from: Arc<Deployment>,
     /// The proposed configuration.
     pub to: Arc<Deployment>,
-    /// What differs between them.
+    /// The differences from `from` to `to`.
     pub changes: Vec<Change>,
-    /// Apply dangerous changes too, if they can be made while serving.
+    /// Whether to apply dangerous changes too, if they can be made while serving.
     pub insist: bool,
 }
 
 /// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalOutcome {
-    /// It is applied.
+    /// The proposed configuration is applied.
     Taken {
-        /// The revision that is served by now.
+        /// The revision of the configuration that is in use now.
         revision: Revision,
     },
-    /// It is rejected, with one line for each reason. Nothing has changed.
+    /// The proposal is rejected, with one line for each reason. Nothing has changed.
     TurnedDown(Vec<String>),
 }
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -1,6 +1,6 @@
-//! Servers that go offline, as this host acts on them. Nodes that it must not send to are draining for the
-//! scheduler and lose their connection from here. What this host observes of all servers is reported to the
-//! fleet.
+//! What this host does for servers that go offline for maintenance. It reports nodes that it must not send to as
+//! draining to the scheduler, and closes its connections to them. It also reports to the fleet what it observes of
+//! all servers.
 
 use super::Core;
 use super::input_output::Output;
@@ -18,28 +18,31 @@
 use std::collections::BTreeSet;
 use tracing::{debug, info};
 
-/// Time between two observations of servers while nothing happens: 50 ms. It is short beside a lease renewal, which
-/// carries the observations.
+/// Time between two observations of servers while the fleet does not change: 50 ms. It is short compared with the
+/// interval of lease renewals, which carry the observations.
 const OBSERVATION_INTERVAL: Span = Span::from_micros(50_000);
-/// Orders whose last logged stage is remembered. Orders are few, so this only bounds memory; if it is exceeded,
-/// a stage of the oldest order may be logged twice.
+/// The most orders whose last logged stage is remembered. Orders are few, so this only bounds memory; if it is
+/// exceeded, a stage of the oldest order may be logged twice.
 const MAX_LOGGED_ORDERS: usize = 4096;
 
-/// A node that must not be sent to any more, or that may be sent to again.
+/// A node for which it has changed whether attempts may be sent to it.
 struct NodeUseChange {
     node: NodeId,
+    /// The new value of [`NodeRecord::offline_or_unknown`].
     offline_or_unknown: bool,
 }
 
 impl Core {
-    /// At the start nothing is known of any server, so nothing may be sent to any.
+    /// Marks all nodes as unusable if maintenance is configured, since this host does not know yet which of them
+    /// are offline.
     pub(super) fn start_maintenance(&mut self) {
         if self.maintenance_enabled() {
             self.update_offline_nodes();
         }
     }
 
-    /// Acts on what the fleet decided. Called after the fleet advanced, ahead of the scheduler's decisions.
+    /// Carries out the fleet's decisions on servers. Called after the fleet advanced and before the scheduler's
+    /// step. `fleet_changed`: shares, members or orders may have changed.
     pub(super) fn advance_maintenance(&mut self, fleet_changed: bool) {
         if !self.maintenance_enabled() {
             return;
@@ -79,8 +82,8 @@
         }
     }
 
-    /// Disconnects drained nodes and reports to the fleet what this host observes of servers. Wakes up again
-    /// soon while a node is still draining.
+    /// Disconnects drained nodes and reports to the fleet what this host observes of servers. Sets a timer for
+    /// the next observation while a node that must not be sent to still has a connection.
     fn observe_servers(&mut self) {
         self.disconnect_offline_nodes();
         self.report_servers();
@@ -92,8 +95,9 @@
         }
     }
 
-    /// Makes nodes that must not be sent to draining for the scheduler, and others ready again, ahead of
-    /// everything that came in this step.
+    /// Reports nodes that must not be sent to as draining to the scheduler, and nodes that may be sent to again
+    /// with their state in the endpoint list. The report comes right after the last configuration or endpoint list
+    /// among the scheduler's events. Attempts that wait for the connection of an unusable node end as not sent.
     fn update_offline_nodes(&mut self) {
         let changes = self.node_use_changes();
         let mut entries = Vec::new();
@@ -128,7 +132,7 @@
         }
     }
 
-    /// The nodes for which it changed whether they may be sent to.
+    /// Returns the nodes for which it has changed whether attempts may be sent to them.
     fn node_use_changes(&self) -> Vec<NodeUseChange> {
         let Some(fleet) = &self.fleet.member else {
             return Vec::new();
@@ -143,7 +147,7 @@
         self.nodes.iter().filter_map(changed).collect()
     }
 
-    /// Closes the connections of nodes that must not be sent to and have no attempt in flight.
+    /// Closes the connections to nodes that must not be sent to and have no attempt in flight.
     fn disconnect_offline_nodes(&mut self) {
         let offline = self
             .nodes
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Reports to the fleet what this host observes of servers, and which of them it has drained.
+    /// Reports to the fleet what this host observes of servers, and which nodes it has drained and disconnected.
     fn report_servers(&mut self) {
         let mut servers = Servers::new();
         let mut released = BTreeSet::new();
@@ -183,8 +187,8 @@
         self.notify_fleet(FleetEvent::ServersObserved { servers, released });
     }
 
-    /// What this host observes of a node. A node that must not be sent to has no connection, so its state in the
-    /// endpoint list alone says whether it is well.
+    /// Returns what this host observes of a node. A node that must not be sent to has no connection, so whether it
+    /// is healthy depends on its state in the endpoint list alone.
     fn observe_node(&self, node: &NodeRecord) -> ServerObservation {
         let configured = self.deployment.node(&node.name);
         let server = configured.and_then(|place| self.deployment.servers.get(place.server));
@@ -204,8 +208,8 @@
         }
     }
 
-    /// Logs each stage of an order when this host first knows of it. The scenario runner parses these lines:
-    /// their target, message and fields must stay.
+    /// Logs the stage of each order whose stage has changed. The scenario runner parses these lines: their target,
+    /// message and fields must stay.
     fn log_stages(&mut self) {
         let Some(order_book) = self.fleet.member.as_ref().and_then(Fleet::line) else {
             return;
@@ -229,7 +233,7 @@
         let member = self.own_name();
         let incarnation = self.identity.incarnation;
         let name = self.server_name(server);
-        // A stage is a JSON string.
+        // The JSON form of a stage is a string.
         let stage = serde_json::to_value(stage).unwrap_or_default();
         let stage = stage.as_str().unwrap_or_default();
         debug!(target: "gullsail_works", member, incarnation, number, server = name, stage, "stage");
--- a/crates/host/src/core/shutdown.rs
+++ b/crates/host/src/core/shutdown.rs
@@ -1,6 +1,6 @@
-//! Shutdown: the host stops listening and tells its clients to go away. It accepts nothing new, answers what is open,
-//! reports the result of operator commands, leaves the fleet, and then asks its caller to end. Up to the end of a
-//! connection every request on it is answered.
+//! Shutdown. The host stops listening and asks its clients to disconnect. It refuses new requests, answers the open
+//! ones, reports the results of operator commands, leaves the fleet, and then lets its caller end the process. It
+//! answers or refuses every request on a connection until that connection ends.
 
 use super::Core;
 use super::connection_table::PeerKind;
@@ -11,23 +11,23 @@
 use gullsail_scheduler_api::{Instant, Span};
 use tracing::info;
 
-/// How long a shutdown waits for the results of operator commands. While a majority of voters can be reached, a command
-/// has its result sooner.
+/// How long a shutdown waits for the results of operator commands: 2 s. A command has its result sooner if a majority
+/// of the voters can be reached.
 const COMMAND_GRACE: Span = Span::from_micros(2_000_000);
 
 /// How far this host's shutdown has come.
 #[derive(Debug, Default)]
 pub(super) struct ShutdownState {
-    /// Nothing new is accepted.
+    /// The shutdown has started: new connections and requests are refused.
     pub(super) requested: bool,
-    /// Until then the shutdown waits for the results of operator commands.
+    /// When the shutdown stops waiting for the results of operator commands; `None`: it has not started.
     commands_until: Option<Instant>,
-    /// Everything is answered, and the caller knows that it may end this host.
+    /// Every request is answered, this host has left the fleet, and [`Output::Finished`] was put out.
     pub(super) complete: bool,
 }
 
 impl Core {
-    /// Starts the shutdown; does nothing if it has started.
+    /// Starts the shutdown. Does nothing if it has started before.
     pub(super) fn stop(&mut self) {
         if !self.shutdown.requested {
             info!(open_requests = self.requests.open(), "shutdown started");
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Stops listening and tells every client to go away.
+    /// Stops listening and asks every client to disconnect.
     pub(super) fn begin_shutdown(&mut self) {
         self.shutdown.requested = true;
         let commands_until = self.now + COMMAND_GRACE;
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Without this, a client would learn of the shutdown by the end of its connection, which may cross a request
-    /// that it sends.
+    /// Asks a client to disconnect and to send no more requests here. Otherwise the client would learn of the
+    /// shutdown from the end of its connection, which could cross a request that it sends.
     pub(super) fn tell_to_go_away(&mut self, client: LinkId) {
         self.send(client, Frame::from(GoAway {}));
     }
 
-    /// The connections that clients opened, and those whose other side has not introduced itself.
+    /// Returns the connections of clients, and those whose other side has not identified itself.
     pub fn client_links(&self) -> Vec<LinkId> {
         self.connections.ids_where(|connection| {
             matches!(
@@ -63,8 +63,9 @@
         })
     }
 
-    /// Completes the shutdown once everything is answered. The host waits a little longer for the results of
-    /// operator commands, however many come meanwhile: leaving the fleet answers those that are left.
+    /// Completes the shutdown once every request is answered and every operator command has its result. Commands
+    /// that have none after [`COMMAND_GRACE`] do not delay the shutdown, however many arrive meanwhile: leaving the
+    /// fleet ends them with an unknown result.
     pub(super) fn finish_if_answered(&mut self) {
         let grace_over = |until: Instant| until <= self.now;
         let commands_finished = self.maintenance.pending_commands.is_empty()
--- a/crates/host/src/core/size_metrics.rs
+++ b/crates/host/src/core/size_metrics.rs
@@ -1,12 +1,12 @@
-//! How many entries each collection of a host has, to find one that grows without bound. Nothing is decided
-//! by these figures.
+//! The number of entries in each collection of a host, to find one that grows without bound. No decision depends on
+//! these numbers.
 
 use super::Core;
 use super::connection_table::{Connection, PeerKind};
 use super::nodes::NodeRecord;
 
 impl Core {
-    /// The length of each collection in entries, by name, those of the scheduler included.
+    /// Returns the number of entries in each collection, by name, those of the scheduler included.
     pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
         let requests = self.requests.size_metrics();
         let (line, sent) = self.config_change.transition.size_metrics();
@@ -25,7 +25,7 @@
         all
     }
 
-    /// The lengths of the collections that belong to connections, nodes and peers.
+    /// Returns the number of entries in each collection that belongs to connections, nodes or peers.
     fn connection_sizes(&self) -> [(&'static str, usize); 7] {
         let connections = &self.connections.open;
         let reports = connections.values().map(waiting_reports).sum();
@@ -43,7 +43,7 @@
     }
 }
 
-/// Demand reports of a peer that wait for its clock.
+/// Returns the number of a peer's demand reports that wait for the offset of its clock.
 fn waiting_reports(connection: &Connection) -> usize {
     match &connection.peer_kind {
         PeerKind::IncomingPeer(peer) => peer.waiting.len(),
--- a/crates/host/src/core/timer_kind.rs
+++ b/crates/host/src/core/timer_kind.rs
@@ -1,29 +1,29 @@
-//! What each timer of the core is for.
+//! The kinds of timers of the core.
 
 use super::ids::{AttemptId, LinkId};
 use gullsail_scheduler_api::{HostId, NodeId, TimerId};
 
-/// What is due when a timer fires. Timers cannot be cancelled: whoever handles one checks whether there is
-/// still anything to do.
+/// What a timer is for. Timers cannot be cancelled, so the handler of each kind checks whether there is still
+/// anything to do.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerKind {
     /// A timer of the scheduler.
     Scheduler(TimerId),
-    /// An attempt has waited long enough for its connection, or for its answer.
+    /// The wait of an attempt for its connection, or for the node's answer, may have reached its limit.
     Attempt(AttemptId),
-    /// A connection, its first frame, or the endpoint list's reply may have taken too long.
+    /// The response deadline of a connection may have passed.
     ResponseDeadline(LinkId),
-    /// This host may try again to connect to the node.
+    /// The backoff of the connection to a node may have ended.
     ReconnectNode(NodeId),
-    /// This host may try again to connect to the peer.
+    /// The backoff of the connection to a peer may have ended.
     ReconnectPeer(HostId),
-    /// Peers are asked for their clocks.
+    /// Clock queries to peers are due.
     ClockQueries,
-    /// Stalled connections are closed, and nodes that are long gone are forgotten.
+    /// A sweep is due: it closes stalled connections and forgets nodes that are long gone.
     Sweep,
-    /// Only wakes the host, for the fleet, a slow-start share that rises, servers that drain, or a pending
-    /// operator command: [`Core::advance`] advances the fleet in each step.
+    /// Only wakes the host, since [`Core::advance`] advances the fleet in each step. It is set for the fleet, a
+    /// slow-start share that rises, servers that drain, and a shutdown that waits for operator commands.
     Fleet,
-    /// Peers are sent the revisions that hosts hold.
+    /// Revision notices to peers are due.
     RevisionRound,
 }
--- a/crates/host/src/core/timers.rs
+++ b/crates/host/src/core/timers.rs
@@ -7,8 +7,8 @@
 use gullsail_scheduler_api::{Event, HostId, Instant, NodeId, Span};
 use tracing::warn;
 
-/// Time between two sweeps: 1 s. A sweep visits all connections and nodes, so a shorter interval costs time; a
-/// longer one closes stalled connections that much later than `client-stall`.
+/// Time between two sweeps: 1 s. A sweep visits all connections and nodes, so a shorter interval costs CPU time.
+/// A stalled connection is closed up to one interval later than `client-stall`.
 pub(super) const SWEEP_INTERVAL: Span = Span::from_micros(1_000_000);
 
 impl Core {
@@ -66,7 +66,7 @@
         self.set_timer(self.now + SWEEP_INTERVAL, TimerKind::Sweep);
     }
 
-    /// Closes connections whose other side has read nothing for `client-stall` although bytes wait for it.
+    /// Closes connections that have unsent bytes and whose other side has read nothing for `client-stall`.
     fn close_stalled_connections(&mut self) {
         let max_stall = self.deployment.bounds.client_stall;
         let now = self.now;
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -1,5 +1,5 @@
-//! Traffic between zones. Frames are counted as they go out and come in, and overruns of cross-zone budgets as
-//! the scheduler decides on them. Nothing is decided here.
+//! Counters of the traffic between zones. Frames are counted when they are sent and received, and overruns of
+//! cross-zone budgets when the scheduler reports them. No decision depends on these counters.
 
 use super::Core;
 use super::connection_table::PeerKind;
@@ -14,14 +14,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A flow and its total, by the names of the configuration.
+/// The traffic of one flow between two zones, with the names of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Crossed {
-    /// The zone that it left.
+    /// Name of the zone that the traffic left.
     pub from: String,
-    /// The zone that it went to.
+    /// Name of the zone that the traffic entered.
     pub to: String,
-    /// Why it crossed.
+    /// Why the traffic went to another zone.
     pub reason: Reason,
     /// The request's plan; empty for traffic without a request.
     pub plan: String,
@@ -30,31 +30,31 @@
     /// The request's class; empty for traffic without a request.
     #[serde(rename = "stream_type")]
     pub request_class: String,
-    /// How much.
+    /// Frames and bytes of the flow.
     #[serde(flatten)]
     pub total: Total,
 }
 
-/// Bytes beyond a budget, over one interval.
+/// Bytes that exceeded a cross-zone budget during one interval.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetOverrun {
     /// The budget's name.
     pub budget: String,
-    /// Why it was exceeded, as far as was known when the scheduler decided.
+    /// Why the budget was exceeded, as far as the scheduler knew when it decided.
     pub cause: String,
-    /// Start of the interval, by the host's clock.
+    /// Start of the interval by the host's clock, in microseconds.
     pub from_us: i64,
-    /// End of the interval, by the host's clock.
+    /// End of the interval by the host's clock, in microseconds.
     pub to_us: i64,
-    /// How much.
+    /// Bytes over the budget.
     pub bytes: u64,
 }
 
-/// The cause of retries on the control socket, where keys stay from version to version.
+/// The cause of overruns by retries, as written on the control socket, whose texts stay from version to version.
 const RETRY_CAUSE: &str = "further legs";
 
 impl BudgetOverrun {
-    /// The cause in the words of reports.
+    /// Returns the cause as reports show it.
     pub fn shown_cause(&self) -> &str {
         match self.cause.as_str() {
             RETRY_CAUSE => "retries",
@@ -66,17 +66,17 @@
 /// Traffic between zones in one incarnation of a host.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneTraffic {
-    /// All flows.
+    /// Total of each flow between zones.
     pub crossed: Vec<Crossed>,
-    /// Overruns of budgets.
+    /// Overruns of cross-zone budgets.
     pub overruns: Vec<BudgetOverrun>,
 }
 
-/// The attempt that a node answered.
+/// An attempt that a node answered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnsweredAttempt {
     pub(super) request: RequestId,
-    /// Its place among the request's attempts.
+    /// How many attempts of the same request were started before it.
     pub(super) number: u32,
 }
 
@@ -84,10 +84,9 @@
 /// shorter bucket costs memory and a longer one makes the traffic of a time span less exact.
 const LEDGER_BUCKET: Span = Span::from_micros(10_000_000);
 
-/// What this host counted of the traffic between zones.
+/// This host's counters of the traffic between zones.
 pub(super) struct ZoneTrafficState {
     pub(super) ledger: Ledger,
-    /// Overruns of cross-zone budgets.
     pub(super) overruns: Overruns,
 }
 
@@ -101,7 +100,7 @@
 }
 
 impl Core {
-    /// The ledger and the overruns of this incarnation, by name.
+    /// Returns the flows and overruns of this incarnation, with the names of the configuration.
     pub fn zone_traffic(&self) -> ZoneTraffic {
         let volumes = self
             .deployment
@@ -180,15 +179,16 @@
             .unwrap_or_default()
     }
 
-    /// This host's zone. `None` where there are no cross-zone budgets: then nothing is counted, so hosts
-    /// without budgets do not pay for it.
+    /// Returns this host's zone. `None` if there are no cross-zone budgets: then no traffic is counted, which saves
+    /// the cost.
     fn own_zone(&self) -> Option<ZoneId> {
         let place = self.deployment.hosts.get(self.identity.host.0 as usize)?;
         (!self.deployment.cross_zone_budgets.is_empty()).then_some(place.zone)
     }
 
-    /// Counts a frame that carries no attempt. Frames between hosts are counted by their sender, frames between a
-    /// host and a node by the host.
+    /// Counts a frame that carries neither an attempt nor its answer; those are counted with their requests.
+    /// Frames between hosts are counted by their sender, frames between a host and a node by the host. `out`:
+    /// this host sent the frame.
     pub(super) fn count_frame(&mut self, link: LinkId, frame: &Frame, out: bool) {
         let Some(here) = self.own_zone() else { return };
         if matches!(
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Counts an attempt that is sent to a node in that zone.
+    /// Counts an attempt that is sent to a node in `zone`.
     pub(super) fn count_attempt(
         &mut self,
         zone: ZoneId,
@@ -293,7 +293,8 @@
         self.count(flow, bytes, false);
     }
 
-    /// Counts an answer of a node in that zone. `used`: it becomes a client's final answer.
+    /// Counts the answer of a node in `zone`. `attempt` is `None` if the attempt has ended or was sent to another
+    /// node. `used`: the answer becomes a client's final answer.
     pub(super) fn count_answer(
         &mut self,
         zone: ZoneId,
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Records that the scheduler exceeded a budget.
+    /// Records that an attempt of the scheduler exceeds a cross-zone budget by these bytes.
     pub(super) fn record_overrun(
         &mut self,
         cross_zone_budget: VolumeId,
