--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -1,7 +1,7 @@
-//! The control socket of a host, a local socket. On it, an operator's program queries the state, reloads the
+//! The control socket of a host, a Unix domain socket. Over it, an operator's program queries the state, reloads the
 //! configuration, or gives maintenance commands. Each request and each reply is one JSON object on one line.
-//! Configurations are read, checked and compared here, outside of the loop that serves requests. The loop only
-//! applies or rejects them.
+//! Configurations are read, checked and compared here, outside of the event loop. The loop only applies or rejects
+//! them.
 
 mod messages;
 
@@ -23,29 +23,30 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The longest request line, in bytes: it has room for a command that names a thousand servers.
+/// The longest request line, in bytes. It has room for a command that names a thousand servers.
 const MAX_LINE_BYTES: u64 = 128 * 1024;
-/// Requesters that are served at once; more wait in the socket's backlog.
+/// The most requesters that are served at the same time. Others wait in the socket's backlog.
 pub(crate) const MAX_REQUESTERS: usize = 8;
-/// The time a requester has to send its line, and again to read the reply.
+/// How long a requester may take to send its line, and again to read the reply.
 const REQUESTER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time a requester has to send its line once the host has ended.
+/// How long a requester may take to send its line once the event loop has ended.
 const LAST_LINE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The time a configuration may take to be read and checked. A disk may not respond.
+/// How long a configuration may take to be read and checked, unless the caller sets another time. A disk may not
+/// respond.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between attempts to accept while that fails.
+/// Time until the next attempt to accept a connection after one failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Reads the host's configuration again. Returns the configuration, or everything that is wrong with it.
+/// Reads the host's configuration again. Returns the configuration, or all problems that were found in it.
 pub type Load = dyn Fn() -> Result<Deployment, Vec<DiagnosticRecord>> + Send + Sync;
 
-/// A request of the socket's task to the loop, with the channel for the answer.
+/// A request of the control socket's task to the event loop, with the channel for the answer.
 pub enum LoopRequest {
-    /// Returns the configuration that the host serves by.
+    /// Returns the current configuration.
     Deployment(oneshot::Sender<Arc<Deployment>>),
     /// Returns the host's state.
     State(oneshot::Sender<State>),
-    /// Proposes a configuration. The function receives the number of the requester.
+    /// Proposes a configuration. The function builds the input for the core from the id of the requester.
     Propose(
         Box<dyn FnOnce(RequesterId) -> Input + Send>,
         oneshot::Sender<ProposalOutcome>,
@@ -54,29 +55,31 @@
     OperatorCommand(OperatorCommand, oneshot::Sender<CommandOutcome>),
 }
 
-/// The bound control socket, and how it reads configurations.
+/// A bound control socket that is not served yet.
 pub struct Control {
     listener: UnixListener,
     file: SocketFile,
     configurations: ConfigurationReader,
 }
 
-/// The socket's file, which is removed unless another process has replaced it.
+/// The socket's file. Removes it when dropped, unless another process has replaced it.
 struct SocketFile {
     path: PathBuf,
+    /// Identity of the file after it was bound; `None`: it could not be read, so the file is not removed.
     id: Option<FileId>,
 }
 
 /// Reads configurations, one at a time.
 struct ConfigurationReader {
     load: Arc<Load>,
-    /// A read that took too long and still runs. No second one is started beside it.
+    /// The task of the last read. It may still run after its timeout; no second read is started until it ends.
     reading: Mutex<Option<JoinHandle<()>>>,
     read_timeout: Duration,
-    /// Held by the requester whose reload is served.
+    /// Held while a reload is served, so that there is one at a time.
     one_reload: tokio::sync::Mutex<()>,
 }
 
+/// Identity of a file. It differs between files that replace each other at one path.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileId {
     device: u64,
@@ -92,10 +95,11 @@
 }
 
 impl Control {
-    /// Binds the socket, for this user only. A socket file at which no process answers is replaced.
+    /// Binds the socket, with access for this user only. Replaces a socket file that no process listens on. `load`
+    /// reads the host's configuration again.
     ///
     /// # Errors
-    /// Another process answers there, or the socket cannot be bound.
+    /// Another process listens on the socket, or it cannot be bound.
     pub fn bind(path: &Path, load: Arc<Load>) -> io::Result<Control> {
         if path.exists() {
             if std::os::unix::net::UnixStream::connect(path).is_ok() {
@@ -121,13 +125,13 @@
         })
     }
 
-    /// Sets how long a configuration may take to be read. The default is 20 s.
+    /// Sets how long a configuration may take to be read and checked. The default is 20 s.
     pub fn reading_within(mut self, read_timeout: Duration) -> Control {
         self.configurations.read_timeout = read_timeout;
         self
     }
 
-    /// Answers requesters, until the loop has ended and every request that was read is answered.
+    /// Answers requesters until the event loop has ended and every request that was read is answered.
     pub async fn serve(self, to_loop: mpsc::Sender<LoopRequest>) {
         let Control {
             listener,
@@ -149,7 +153,7 @@
                 _ = requesters.join_next(), if !requesters.is_empty() => {}
             }
         }
-        // Nobody can connect any more. Who has connected already is told that the host is leaving.
+        // Without the file, no requester can connect. Those in the backlog are told that the host is leaving.
         drop(file);
         for stream in backlog(listener) {
             requesters.spawn(service.clone().answer(stream));
@@ -158,7 +162,7 @@
     }
 }
 
-/// The connections that wait in the backlog of a socket that is closed.
+/// Closes a listener. Returns the connections that waited in its backlog.
 fn backlog(listener: UnixListener) -> Vec<UnixStream> {
     let Ok(listener) = listener.into_std() else {
         return Vec::new();
@@ -171,14 +175,14 @@
     ready.collect()
 }
 
-/// What serves the requesters.
+/// Serves the requests of the control socket.
 struct Service {
     configurations: ConfigurationReader,
     to_loop: mpsc::Sender<LoopRequest>,
 }
 
 impl Service {
-    /// A requester that left, or sends nothing, needs no answer.
+    /// Answers one requester. Errors are ignored: a requester that disconnected, or sends nothing, needs no answer.
     async fn answer(self: Arc<Self>, stream: UnixStream) {
         let _ = self.try_answer(stream).await;
     }
@@ -215,7 +219,7 @@
         Ok(line)
     }
 
-    /// `None`: the loop has ended.
+    /// Handles a request and returns the reply to it; `None`: the event loop has ended.
     async fn reply(&self, request: ControlRequest) -> Option<ControlReply> {
         match request {
             ControlRequest::Status => {
@@ -262,8 +266,8 @@
             LoopRequest::Propose(Box::new(propose), reply)
         })
         .await?;
-        // The last reference to the configuration that is not in use is dropped here, so that it does not delay
-        // the loop. Dropping returns nothing.
+        // The last reference to the configuration that is not in use is dropped in another thread, so that this does
+        // not delay the event loop.
         let _ = tokio::task::spawn_blocking(move || drop(configurations)).await;
         Some(match outcome {
             ProposalOutcome::Taken { revision } => ControlReply::Taken {
@@ -276,7 +280,8 @@
 }
 
 impl ConfigurationReader {
-    /// Reads the configuration and compares it with the current one. `Err`: the reply that says why this failed.
+    /// Reads the configuration and compares it with `from`, the current one. `Err`: the reply that says why this
+    /// failed.
     async fn read(&self, from: &Arc<Deployment>) -> Result<Proposed, ControlReply> {
         if self.read_in_progress() {
             let why = "the configuration is still being read for an earlier reload; the current one stays";
@@ -286,7 +291,7 @@
         let load = self.load.clone();
         let from = from.clone();
         let reading = tokio::task::spawn_blocking(move || {
-            // The requester may no longer wait.
+            // Sending fails if the requester no longer waits.
             let _ = result.send(load().map(|to| Proposed {
                 changes: diff(&from, &to),
                 to: Arc::new(to),
@@ -320,7 +325,7 @@
     }
 }
 
-/// A configuration that was read, and how it differs from the current one.
+/// A configuration that was read, and its differences from the current one.
 struct Proposed {
     changes: Vec<Change>,
     to: Arc<Deployment>,
@@ -329,7 +334,7 @@
 impl Drop for SocketFile {
     fn drop(&mut self) {
         if self.id.is_some() && file_at(&self.path) == self.id {
-            // Nothing can be done about a file that cannot be removed; the next host replaces it.
+            // If the file cannot be removed, the next host process replaces it.
             let _ = std::fs::remove_file(&self.path);
         }
     }
@@ -347,7 +352,7 @@
     }
 }
 
-/// Sends a request to the loop and waits for the answer. `None`: the loop has ended.
+/// Sends a request to the event loop and waits for the answer. `None`: the loop has ended.
 async fn query_loop<T>(
     to_loop: &mpsc::Sender<LoopRequest>,
     request: impl FnOnce(oneshot::Sender<T>) -> LoopRequest,
@@ -357,10 +362,10 @@
     answer.await.ok()
 }
 
-/// Sends a request to a host's control socket, as its operator's program does, and waits for the answer.
+/// Sends a request to the control socket at `path` and waits for the reply, for `wait` at most.
 ///
 /// # Errors
-/// No process answers there, or not before the timeout. `UnexpectedEof`: the host ended before it answered.
+/// No process listens on the socket, or it does not answer in time. `UnexpectedEof`: the host ended before it answered.
 pub async fn ask(path: &Path, request: ControlRequest, wait: Duration) -> io::Result<ControlReply> {
     let exchange = async {
         let mut stream = UnixStream::connect(path).await?;
--- a/crates/host/src/control/messages.rs
+++ b/crates/host/src/control/messages.rs
@@ -1,7 +1,7 @@
 //! The messages of the control socket.
 //!
-//! The keys of the JSON objects stay the same from version to version. If a field or variant has another name
-//! here, a serde attribute keeps its key.
+//! The keys and values of the JSON objects stay the same from version to version. Where a field or variant has another
+//! name in the code, a serde attribute keeps the name in JSON.
 
 use crate::core::Counts;
 use crate::core::fleet::FleetView;
@@ -15,15 +15,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum ControlRequest {
-    /// Reads the configuration again and serves by it.
+    /// Reads the configuration again and applies it.
     Reload {
-        /// Apply dangerous changes too.
+        /// Whether to apply dangerous changes too, if they can be made while serving.
         #[serde(default)]
         insist: bool,
     },
     /// Reports the host's state.
     Status,
-    /// Takes servers offline or back, or cancels that.
+    /// Takes servers offline, puts them back into service, or cancels an order.
     #[serde(rename = "word")]
     OperatorCommand(OperatorCommand),
 }
@@ -34,35 +34,36 @@
 pub enum ControlReply {
     /// The configuration is applied.
     Taken {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// What differs from the one before.
+        /// Differences from the configuration before.
         changes: Vec<Change>,
     },
-    /// The request is valid but cannot be carried out now.
+    /// The configuration or the maintenance command is rejected.
     TurnedDown {
         /// One line for each reason.
         why: Vec<String>,
     },
     /// The configuration is not valid.
     Broken {
-        /// Everything that is wrong with it.
+        /// All problems that were found in the configuration.
         problems: Vec<DiagnosticRecord>,
     },
     /// The host's state.
     Status(Box<State>),
-    /// The maintenance command is accepted, whichever host decided. The state says what it waits for.
+    /// The coordinator, on this host or another, accepted the maintenance command. The host's state shows what its
+    /// orders wait for.
     #[serde(rename = "word-taken")]
     CommandTaken,
     /// The host leaves before it knows the result of the maintenance command, which may still take effect.
     #[serde(rename = "word-unknown")]
     CommandResultUnknown {
-        /// What to do, for the operator.
+        /// What the operator can do about it.
         why: String,
     },
-    /// The line was not understood or could not be answered.
+    /// The request was not understood, or could not be answered.
     Error {
-        /// Why.
+        /// The cause, as a text for the operator.
         why: String,
     },
 }
@@ -73,26 +74,27 @@
 pub struct State {
     /// The host's name.
     pub host: String,
-    /// The revision that it serves by.
+    /// Revision of the current configuration.
     pub revision: u64,
-    /// Hosts that are not known to hold this revision. Until they do, the lower limit of both revisions holds.
+    /// Names of hosts that are not known to follow this revision. Until they do, the lower limit of both revisions
+    /// holds.
     pub behind: Vec<String>,
-    /// Open requests.
+    /// Number of open requests.
     pub open: usize,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     #[serde(rename = "legs_out")]
     pub attempts_out: usize,
-    /// Bytes held for requests and for connections.
+    /// Bytes of the bodies of open requests, and unsent bytes of all connections.
     pub held_bytes: usize,
-    /// What was counted since the start.
+    /// Counters since the start of the process.
     pub counts: Counts,
-    /// Traffic between zones in this incarnation of the host.
+    /// Total of each flow between zones in this incarnation of the host.
     pub crossed: Vec<Crossed>,
-    /// Overruns of cross-zone budgets.
+    /// Overruns of cross-zone budgets in this incarnation of the host.
     pub past: Vec<BudgetOverrun>,
-    /// The fleet as this host sees it; `None`: there is none.
+    /// The fleet as this host sees it; `None`: the configuration has no fleet.
     pub fleet: Option<FleetView>,
-    /// Servers offline for maintenance; `None`: maintenance is not configured.
+    /// The maintenance orders as this host knows them; `None`: maintenance is not configured.
     #[serde(rename = "works")]
     pub maintenance: Option<MaintenanceView>,
 }
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -1,8 +1,8 @@
-//! The thin layer around the host's core: sockets, one timer, the clock. It passes whatever happens to [`Core`]
-//! and carries out the outputs in their order. Nothing is decided here.
+//! The event loop around the host's core, with sockets, one timer and the clock. It passes events to [`Core`] and
+//! carries out its outputs in their order. All decisions are made by the core.
 //!
-//! Each turn of the loop lets the core advance, carries out its outputs, waits for the next thing to happen,
-//! and passes that to the core.
+//! Each turn of the loop lets the core advance, carries out its outputs, waits for the next event, and passes that
+//! to the core.
 
 mod control_requests;
 mod sockets;
@@ -25,48 +25,48 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long clients that were told to go away may stay connected once everything is answered.
+/// How long clients that were asked to disconnect may stay connected once every request is answered.
 const CLIENTS_LEAVE_TIME: Duration = Duration::from_secs(1);
-/// Frames that wait to be handled, over all connections. When there are more, sockets are not read. Their bytes
-/// are bounded by the read budget; this bounds the number of small ones.
+/// The most events of connections that wait to be handled, most of them frames, over all connections. When the queue
+/// is full, sockets are not read. The read budget bounds the bytes of waiting frames; this bounds their number.
 const INBOX_FRAMES: usize = 1024;
-/// Requests of the control socket that wait for the loop.
+/// The most requests of the control socket that wait for the loop.
 const LOOP_REQUESTS: usize = MAX_REQUESTERS;
-/// Frames that are handled together before anything is sent.
+/// The most events of connections that are handled in one turn, before anything is sent.
 const BATCH_FRAMES: usize = 256;
-/// Which host this is, and which process serves as it.
+/// What a host's process starts with: its configuration, its identity and its clock.
 #[derive(Clone, Debug)]
 pub struct HostProcess {
-    /// The configuration to begin with.
+    /// The configuration at the start.
     pub deployment: Arc<Deployment>,
-    /// Which of its hosts this is.
+    /// Id of this host in the configuration.
     pub me: HostId,
-    /// Seed of the scheduler's and the host's random choices.
+    /// Seed of the random generators of the scheduler and the host.
     pub seed: u64,
-    /// Differs for each process.
+    /// Differs between processes of the same host.
     pub incarnation: u64,
     /// The host's clock.
     pub clock: HostClock,
 }
 
-/// What ended a wait.
+/// What ended a wait of the event loop.
 enum Woken {
     Stop,
     Accepted(io::Result<TcpStream>),
-    /// A connection attempt ended.
+    /// An attempt to connect ended; `None`: its task was cancelled.
     Connected(Option<ConnectResult>),
-    /// Frames are in the batch.
+    /// Events of connections are in the batch.
     Frames,
     Control(LoopRequest),
     Timer,
     TaskEnded,
 }
 
-/// The loop's own state.
+/// The state of the event loop.
 struct Runtime {
     core: Core,
     clock: HostClock,
-    /// Empty between two turns.
+    /// Buffer for the core's outputs, kept for its capacity. It is empty between two turns.
     outputs: Vec<Output>,
     sockets: Sockets,
     requesters: Requesters,
@@ -74,11 +74,12 @@
     /// When the last wait ended.
     woken_at: Instant,
     stop_requested: bool,
-    /// Everything is answered since then.
+    /// When the core's shutdown was complete; `None`: it is not.
     finished_at: Option<Instant>,
 }
 
-/// Serves until `stop` is ready and all that was accepted is answered.
+/// Runs a host. Once `stop` is ready, the host shuts down: it answers the requests that it accepted, and this returns
+/// the host's counters.
 pub async fn run(
     process: HostProcess,
     listener: TcpListener,
@@ -151,14 +152,14 @@
         }
     }
 
-    /// Records how long the loop worked since the last wait. Returns when the next wait ends at the latest.
+    /// Records how long the loop worked since the last wait. Returns when the next wait must end at the latest.
     fn wake_up_at(&mut self) -> Instant {
         self.core.worked(to_span(self.woken_at.elapsed()));
         let requested = self.core.next_wake_up().map(|at| self.clock.at(at));
         self.stall.next_turn(requested)
     }
 
-    /// Whether everything is answered, and clients have left or had time to.
+    /// Whether the core's shutdown is complete, and all clients have disconnected or had [`CLIENTS_LEAVE_TIME`] to.
     fn may_exit(&self) -> bool {
         let Some(finished_at) = self.finished_at else {
             return false;
@@ -168,15 +169,15 @@
         clients_left || elapsed >= CLIENTS_LEAVE_TIME
     }
 
-    /// Keeps only the connections of clients. The core has left the fleet and no request is open, so the frames of
-    /// others are of no use.
+    /// Closes all connections but those of clients. The core has left the fleet and no request is open, so frames
+    /// from nodes and peers are of no use.
     fn keep_clients_only(&mut self) {
         let clients: BTreeSet<LinkId> = self.core.client_links().into_iter().collect();
         self.sockets.links.retain(|link, _| clients.contains(link));
         self.sockets.connecting.abort_all();
     }
 
-    /// Answers the operators that still wait, writes what is queued and ends all tasks. Returns what was counted.
+    /// Answers the operators that still wait, writes queued frames, and ends all tasks. Returns the counters.
     async fn finish(mut self, mut loop_requests: mpsc::Receiver<LoopRequest>) -> Counts {
         loop_requests.close();
         while let Ok(request) = loop_requests.try_recv() {
@@ -189,18 +190,18 @@
             requesters,
             ..
         } = self;
-        // Who waits for a result that does not come any more is told that this host is leaving.
+        // A requester that still waits is told that this host is leaving.
         drop(requesters);
         sockets.finish().await;
         core.counts().clone()
     }
 
-    /// Lets the core advance and carries out its outputs. Returns connections whose write queues are full.
+    /// Lets the core advance and carries out its outputs. Returns the connections whose write queues are full.
     fn turn(&mut self, inbox_empty: bool) -> Vec<LinkId> {
         if let Some(interval) = self.stall.turn(Instant::now(), inbox_empty) {
             self.core.stalled(to_span(interval));
         }
-        // After a stall, whatever arrived meanwhile is read first. The core must not decide by what it knew
+        // After a stall, everything that arrived during it is read first. The core must not decide by its state
         // before the stall.
         if self.stall.settling() {
             return Vec::new();
@@ -235,7 +236,7 @@
                     open.reading(on);
                 }
             }
-            // Once everything is answered, nobody needs a new connection.
+            // Once the shutdown is complete, a new connection is of no use.
             Output::Connect { .. } if self.finished_at.is_some() => {}
             Output::Connect { link, address } => self.sockets.connect(link, address),
             Output::Close { link } => self.sockets.close(link),
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Closes connections whose write queues are full, since the other side reads too slowly.
+    /// Closes connections whose write queues are full because the other side reads too slowly.
     fn close_overfull(&mut self, overfull: Vec<LinkId>) {
         for link in overfull {
             if self.sockets.links.remove(&link).is_some() {
--- a/crates/host/src/runtime/control_requests.rs
+++ b/crates/host/src/runtime/control_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the control socket's task to the loop, and the requesters that wait for their results.
+//! Requests of the control socket's task to the event loop, and the requesters that wait for their results.
 
 use super::Runtime;
 use crate::control::{LoopRequest, State};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// The requesters that wait for a result of the core.
+/// The requesters that wait for a result from the core, with the channel for it.
 #[derive(Default)]
 pub(super) struct Requesters {
     proposals: BTreeMap<RequesterId, oneshot::Sender<ProposalOutcome>>,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The state of the host, as the control socket reports it.
+/// Returns the state of the host, as the control socket reports it.
 fn state(core: &Core) -> State {
     let deployment = core.deployment();
     let name = |host: &HostId| {
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -1,5 +1,5 @@
-//! Sockets of a running host. Connections are accepted, established and closed here, within the limit on the
-//! process's file descriptors.
+//! The sockets of a running host. Connections are accepted, established and closed here, within the process's limit of
+//! file descriptors.
 
 use super::Runtime;
 use crate::control::MAX_REQUESTERS;
@@ -15,22 +15,23 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Frames that wait to be written to one connection. A connection on which more pile up is closed.
+/// The most frames that wait to be written to one connection. If there are more, the connection is closed.
 const OUTBOX_FRAMES: usize = 16_384;
-/// Descriptors reserved for the process itself: standard streams, listener, control socket, a configuration that is
-/// read, and the runtime's own.
+/// File descriptors reserved for the process itself: standard streams, listener, control socket, the files of a
+/// configuration that is being read, and those of the async runtime.
 const OWN_DESCRIPTORS: usize = 23;
 const RESERVED_DESCRIPTORS: usize = OWN_DESCRIPTORS + MAX_REQUESTERS;
-/// Time between attempts to accept while that fails: 50 ms.
+/// Time until the next attempt to accept a connection after one failed: 50 ms.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// Time between log lines that report such failures: 5 s, so that a shortage does not fill the log.
+/// Shortest time between two log lines that report failures to accept: 5 s, so that a lack of file descriptors does
+/// not fill the log.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Frames that wait to be handled may hold this part of `held-bytes`: a quarter.
+/// Frames that wait to be handled may hold `held-bytes` divided by this: a quarter.
 const READ_BUDGET_DIVISOR: usize = 4;
 
-/// How many connections others may open. Nodes, peers and the endpoint list come first, with two descriptors
-/// each, since a connection may be replaced while the old one closes. A quarter of all descriptors is left to
-/// others in any case.
+/// Returns the most connections that others may have open. Two file descriptors are reserved for each node and peer
+/// and for the endpoint list, since a connection may be replaced while the old one closes. A quarter of all
+/// descriptors is left to incoming connections in any case.
 pub(super) fn max_incoming_links(deployment: &Deployment) -> usize {
     let descriptors =
         getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
@@ -46,7 +47,8 @@
     left.max(descriptors / 4)
 }
 
-/// Failures to accept connections. Most are caused by a lack of file descriptors.
+/// Delays the next attempt to accept a connection after one failed, and limits the log lines about failures. Most of
+/// them are caused by a lack of file descriptors.
 pub(super) struct AcceptErrors {
     accept_from: Instant,
     log_from: Instant,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// When the next connection is accepted at the earliest.
+    /// Returns the earliest time of the next attempt to accept a connection.
     pub(super) fn accept_from(&self) -> Instant {
         self.accept_from
     }
@@ -78,7 +80,7 @@
     }
 }
 
-/// Accepts the next connection, not before `from`. Never ready without a listener.
+/// Accepts the next connection, not before `from`. Never completes without a listener.
 pub(super) async fn accept(listener: Option<&TcpListener>, from: Instant) -> io::Result<TcpStream> {
     let Some(listener) = listener else {
         return std::future::pending().await;
@@ -102,16 +104,20 @@
     pub(super) links: BTreeMap<LinkId, Link>,
     /// Tasks of open connections and of the control socket.
     pub(super) tasks: JoinSet<()>,
-    /// Connections that are being established.
+    /// Tasks that establish connections.
     pub(super) connecting: JoinSet<ConnectResult>,
+    /// Handles that abort the tasks in `connecting`.
     connect_tasks: BTreeMap<LinkId, AbortHandle>,
-    /// `None`: the host shuts down.
+    /// The listener for connections of clients and peers; `None`: the host shuts down.
     pub(super) listener: Option<TcpListener>,
     pub(super) accept_errors: AcceptErrors,
-    /// For frames that wait to be handled.
+    /// Bytes that frames may hold while they wait to be handled.
     pub(super) read_budget: ReadBudget,
+    /// Limits of connections that this host opens.
     limits: ReadLimits,
+    /// Limits of connections that others open.
     incoming_limits: ReadLimits,
+    /// The queue of all connections' events.
     sink: Sink<LinkId>,
 }
 
@@ -123,7 +129,7 @@
         now: Instant,
     ) -> Sockets {
         let bounds = deployment.bounds.frame;
-        // At least one of the largest frames must fit.
+        // At least one frame of the largest size must fit.
         let largest_frame = bounds.message + bounds.body;
         let budget_bytes = deployment.bounds.most_held / READ_BUDGET_DIVISOR;
         let read_budget = ReadBudget::new(budget_bytes.max(largest_frame));
@@ -173,7 +179,7 @@
         self.links.insert(id, link);
     }
 
-    /// Lets each connection write what is queued, for a bounded time, then ends all tasks that are left.
+    /// Lets each connection write its queued frames for a bounded time, then ends the remaining tasks.
     pub(super) async fn finish(self) {
         let Sockets {
             links, mut tasks, ..
@@ -181,30 +187,31 @@
         info!(connections = links.len(), "connections closing");
         drop(links);
         let all = async { while tasks.join_next().await.is_some() {} };
-        // After the time, a reader that waits for its queue and a writer whose other side reads nothing end
-        // with the set.
+        // A reader that waits for room in the inbox, and a writer whose other side reads nothing, do not end by
+        // themselves. They are aborted after the timeout.
         let _ = tokio::time::timeout(gullsail_connections::LINGER * 2, all).await;
         tasks.shutdown().await;
     }
 }
 
 impl Runtime {
-    /// Handles a connection that somebody opened, or a failure to accept one.
+    /// Handles a connection that was accepted, or a failure to accept one.
     pub(super) fn accepted(&mut self, accepted: io::Result<TcpStream>) {
         let stream = match accepted {
             Ok(stream) => stream,
-            // A moment later there may be free descriptors.
+            // File descriptors may be free at the next attempt.
             Err(error) => return self.sockets.accept_errors.record(&error, self.woken_at),
         };
-        // The core's first frame to it is among its outputs, so the link must be open before those.
+        // The core's outputs contain its first frame on the connection, so the link must be open before they are
+        // carried out.
         if let Some(id) = self.core.accept(self.clock.now()) {
             let limits = self.sockets.incoming_limits.clone();
             self.sockets.open(id, stream, limits);
         }
     }
 
-    /// Accepts the connections that wait in the backlog, then closes the listener. Their clients take them for
-    /// established and may have sent a request.
+    /// Accepts the connections that wait in the backlog, then closes the listener. For their clients they are
+    /// established, so a request may have been sent on them.
     pub(super) fn stop_listening(&mut self) {
         let Some(Ok(listener)) = self.sockets.listener.take().map(TcpListener::into_std) else {
             return;
@@ -227,7 +234,7 @@
         let Some(ConnectResult { link: id, stream }) = connected else {
             return;
         };
-        // Without an entry, it was closed meanwhile.
+        // Without an entry, the connection was closed while it was being established.
         if self.sockets.connect_tasks.remove(&id).is_none() {
             return;
         }
--- a/crates/host/src/stall_detector.rs
+++ b/crates/host/src/stall_detector.rs
@@ -1,47 +1,48 @@
-//! Detects that this process was stalled: stopped by a signal or by its server, or held up by one long step of its
-//! own. A loop cannot see a stall in what it reads: a frame that arrived meanwhile looks as if it had just
-//! arrived. So the loop turns at least once each [`MAX_TURN_INTERVAL`]. If a turn is much later than that,
-//! everything that is read next may have waited since the turn before, until whatever waited in sockets and
-//! queues has certainly been read.
+//! Detects that this process was stalled: stopped by a signal, suspended with its machine, or delayed by one long step
+//! of the event loop. Received frames do not show a stall, since a frame that arrived during it looks as if it had just
+//! arrived. So the loop turns at least once each [`MAX_TURN_INTERVAL`]. If a turn is much later than that, every frame
+//! that is read next may have waited since the turn before, until all that waited in sockets and queues has
+//! certainly been read.
 //!
-//! Owned by the runtime's loop; it reads no clock itself.
+//! The detector is owned by the runtime's loop, which passes in the time.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The loop turns at least this often: 20 ms. That is short beside two ticks of any configuration, the time by
-/// which answers precede their deadline. Fifty turns a second cost a thousandth of a core; a longer interval
-/// hides stalls of that length.
+/// The longest time between two turns of the event loop: 20 ms. It is short compared with two ticks of any
+/// configuration, the time by which answers precede their deadline. Fifty turns per second cost a thousandth of a
+/// core; a longer interval would hide stalls of that length.
 pub const MAX_TURN_INTERVAL: Duration = Duration::from_millis(20);
-/// An interval of this length between two turns counts as a stall: 60 ms. The delays of a busy server are mostly
-/// shorter. If it is too small, requests lose that much of their time for nothing; if it is too large, stalls
-/// of that length stay unnoticed.
+/// The shortest interval between two turns that counts as a stall: 60 ms. The delays on a busy machine are mostly
+/// shorter. If it is too small, the timeouts of requests are shortened needlessly; if it is too large, stalls of that
+/// length are not detected.
 const MIN_STALL: Duration = Duration::from_millis(60);
-/// For this long after a stall, whatever waited in sockets is read and nothing is decided: 10 ms. The runtime polls
-/// the sockets many times in that.
+/// How long after a stall input is read and nothing is decided: 10 ms. The runtime polls the sockets many times
+/// during it.
 const SETTLE_TIME: Duration = Duration::from_millis(10);
-/// For this long after a stall, and until the queue is empty, whatever is read may have arrived during it: 100 ms. If
-/// it is too short, a request may be answered after its deadline; if it is too long, requests that did not wait
-/// lose time.
+/// How long after a stall frames that are read may have arrived during it: 100 ms, and longer until the queue is empty.
+/// If it is too short, a request may be answered after its deadline; if it is too long, the timeouts of requests
+/// that did not wait are shortened.
 const SUSPECT_TIME: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug)]
 struct Stall {
-    /// The last turn before it.
+    /// Time of the last turn before the stall.
     since: Instant,
-    /// The first turn after it.
+    /// Time of the first turn after the stall.
     ended: Instant,
 }
 
-/// When the loop turned last, and whether the process was stalled recently.
+/// The time of the event loop's last turn, and the last stall of the process.
 #[derive(Debug)]
 pub struct StallDetector {
     last_turn: Instant,
+    /// The last stall; `None`: frames that are read cannot have waited during one.
     stall: Option<Stall>,
 }
 
 impl StallDetector {
-    /// A loop that begins now.
+    /// Creates the detector for a loop that starts at `now`.
     pub fn new(now: Instant) -> StallDetector {
         StallDetector {
             last_turn: now,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Records a turn of the loop. Returns how long the process was stalled before it, if it was.
-    /// `queue_empty`: nothing waits to be handled.
+    /// Records a turn of the loop. Returns the length of the stall before it; `None`: there was none.
+    /// `queue_empty`: no event of a connection waits to be handled.
     pub fn turn(&mut self, now: Instant, queue_empty: bool) -> Option<Duration> {
         self.stall
             .take_if(|stall| queue_empty && now.duration_since(stall.ended) > SUSPECT_TIME);
@@ -59,24 +60,25 @@
         if interval < MIN_STALL {
             return None;
         }
-        // After two stalls in a row, whatever waits may have arrived during the first of them.
+        // After two stalls in a row, a waiting frame may have arrived during the first of them.
         let since = self.stall.map_or(before, |stall| stall.since);
         self.stall = Some(Stall { since, ended: now });
         Some(interval)
     }
 
-    /// How long a frame that is read now may have waited, if the process was stalled recently.
+    /// Returns how long a frame that is read now may have waited; `None`: the process was not stalled recently.
     pub fn waited(&self, now: Instant) -> Option<Duration> {
         self.stall.map(|stall| now.duration_since(stall.since))
     }
 
-    /// Whether only input is handled for now, and nothing is decided.
+    /// Whether a stall ended so recently that input is read and nothing is decided.
     pub fn settling(&self) -> bool {
         self.stall
             .is_some_and(|stall| self.last_turn < stall.ended + SETTLE_TIME)
     }
 
-    /// The latest time of the loop's next turn, if the core requested one at `requested`.
+    /// Returns the latest time of the loop's next turn. `requested`: when the core's next timer is due; `None`: no
+    /// timer is set.
     pub fn next_turn(&self, requested: Option<Instant>) -> Instant {
         let latest = self.last_turn + MAX_TURN_INTERVAL;
         match self.stall {
