--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -76,7 +76,7 @@
     reading: Mutex<Option<JoinHandle<()>>>,
     read_timeout: Duration,
     /// Held while a reload is served, so that there is one at a time.
-    one_reload: tokio::sync::Mutex<()>,
+    reload_lock: tokio::sync::Mutex<()>,
 }
 
 /// Identity of a file. It differs between files that replace each other at one path.
@@ -120,7 +120,7 @@
                 load,
                 reading: Mutex::default(),
                 read_timeout: READ_TIMEOUT,
-                one_reload: tokio::sync::Mutex::default(),
+                reload_lock: tokio::sync::Mutex::default(),
             },
         })
     }
@@ -227,7 +227,7 @@
                 Some(ControlReply::Status(Box::new(state)))
             }
             ControlRequest::Reload { insist } => {
-                let _one_reload = self.configurations.one_reload.lock().await;
+                let _reload_guard = self.configurations.reload_lock.lock().await;
                 self.reload(insist).await
             }
             ControlRequest::OperatorCommand(command) => {
@@ -246,7 +246,7 @@
             read = self.configurations.read(&from) => read,
             () = self.to_loop.closed() => return None,
         };
-        let Proposed { changes, to } = match read {
+        let ComparedConfiguration { changes, to } = match read {
             Ok(proposed) => proposed,
             Err(reply) => return Some(reply),
         };
@@ -282,7 +282,7 @@
 impl ConfigurationReader {
     /// Reads the configuration and compares it with `from`, the current one. `Err`: the reply that says why this
     /// failed.
-    async fn read(&self, from: &Arc<Deployment>) -> Result<Proposed, ControlReply> {
+    async fn read(&self, from: &Arc<Deployment>) -> Result<ComparedConfiguration, ControlReply> {
         if self.read_in_progress() {
             let why = "the configuration is still being read for an earlier reload; the current one stays";
             return Err(ControlReply::Error { why: why.into() });
@@ -292,7 +292,7 @@
         let from = from.clone();
         let reading = tokio::task::spawn_blocking(move || {
             // Sending fails if the requester no longer waits.
-            let _ = result.send(load().map(|to| Proposed {
+            let _ = result.send(load().map(|to| ComparedConfiguration {
                 changes: diff(&from, &to),
                 to: Arc::new(to),
             }));
@@ -326,7 +326,7 @@
 }
 
 /// A configuration that was read, and its differences from the current one.
-struct Proposed {
+struct ComparedConfiguration {
     changes: Vec<Change>,
     to: Arc<Deployment>,
 }
--- a/crates/host/src/control/messages.rs
+++ b/crates/host/src/control/messages.rs
@@ -6,7 +6,7 @@
 use crate::core::Counts;
 use crate::core::fleet::FleetView;
 use crate::core::maintenance::{MaintenanceView, OperatorCommand};
-use crate::core::zone_traffic::{BudgetOverrun, Crossed};
+use crate::core::zone_traffic::{BudgetOverrun, ZoneFlow};
 use gullsail_configuration::DiagnosticRecord;
 use gullsail_configuration::diff::Change;
 use serde::{Deserialize, Serialize};
@@ -83,13 +83,13 @@
     pub open: usize,
     /// Number of attempts that have not ended.
     #[serde(rename = "legs_out")]
-    pub attempts_out: usize,
+    pub attempts_in_flight: usize,
     /// Bytes of the bodies of open requests, and unsent bytes of all connections.
     pub held_bytes: usize,
     /// Counters since the start of the process.
     pub counts: Counts,
     /// Total of each flow between zones in this incarnation of the host.
-    pub crossed: Vec<Crossed>,
+    pub crossed: Vec<ZoneFlow>,
     /// Overruns of cross-zone budgets in this incarnation of the host.
     pub past: Vec<BudgetOverrun>,
     /// The fleet as this host sees it; `None`: the configuration has no fleet.
--- a/crates/host/src/core/back_pressure.rs
+++ b/crates/host/src/core/back_pressure.rs
@@ -3,7 +3,7 @@
 //! unsent bytes of a connection change.
 
 use super::Core;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::input_output::Output;
 
@@ -37,7 +37,7 @@
         let max_open = bounds.most_open as usize;
         let max_held = bounds.most_held;
         let open = self.requests.open();
-        let held = self.requests.held() + self.connections.unsent_bytes;
+        let held = self.requests.body_bytes() + self.connections.unsent_bytes;
         self.counts.most_open = self.counts.most_open.max(open as u64);
         self.counts.most_held = self.counts.most_held.max(held as u64);
         let full = open >= max_open || held >= max_held;
@@ -60,7 +60,7 @@
         let Some(connection) = self.connections.open.get_mut(&id) else {
             return;
         };
-        if !matches!(connection.peer_kind, PeerKind::Client) {
+        if !matches!(connection.remote_kind, RemoteKind::Client) {
             return;
         }
         let on = !at_capacity && connection.unsent_bytes < max_unsent;
--- a/crates/host/src/core/clock.rs
+++ b/crates/host/src/core/clock.rs
@@ -16,16 +16,16 @@
 
 /// Bounds of how far a peer's clock is ahead of this host's clock. Negative: it is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClockOffset {
+pub struct OffsetBounds {
     /// Lower bound of the offset.
-    pub least: Span,
+    pub lower: Span,
     /// Upper bound of the offset.
-    pub most: Span,
+    pub upper: Span,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Measurement {
-    offset: ClockOffset,
+    offset: OffsetBounds,
     at: Instant,
 }
 
@@ -33,14 +33,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerClock {
     /// The newest bounds; `None`: no reply was used yet.
-    known: Option<Measurement>,
+    measurement: Option<Measurement>,
 }
 
 /// How a reply to a clock query changed the bounds of the offset.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum ClockUpdate {
     /// The reply took too long and was not used.
-    Nothing,
+    Ignored,
     /// The reply gave the first bounds.
     First,
     /// The reply agrees with the earlier bounds, which it may have narrowed.
@@ -52,66 +52,67 @@
 impl PeerClock {
     /// Updates the bounds by the reply to one query. `reading`: the peer's clock when it replied. The other times
     /// are by this host's clock.
-    pub fn learn(
+    pub fn record_reply(
         &mut self,
         queried_at: Instant,
         reading: Instant,
         answered_at: Instant,
-    ) -> Learned {
+    ) -> ClockUpdate {
         if answered_at < queried_at || answered_at - queried_at > MAX_ROUND_TRIP {
-            return Learned::Nothing;
+            return ClockUpdate::Ignored;
         }
         // The peer's clock may have drifted between its reading and the arrival of the reply.
         let uncertainty = (answered_at - queried_at).times(MAX_DRIFT) + ROUNDING;
-        let measured = ClockOffset {
-            least: reading - answered_at - uncertainty,
-            most: reading - queried_at + uncertainty,
+        let measured = OffsetBounds {
+            lower: reading - answered_at - uncertainty,
+            upper: reading - queried_at + uncertainty,
         };
         let Some(before) = self.bounds(answered_at) else {
-            self.known = Some(Measurement {
+            self.measurement = Some(Measurement {
                 offset: measured,
                 at: answered_at,
             });
-            return Learned::First;
+            return ClockUpdate::First;
         };
-        let both = ClockOffset {
-            least: before.least.max(measured.least),
-            most: before.most.min(measured.most),
+        let both = OffsetBounds {
+            lower: before.lower.max(measured.lower),
+            upper: before.upper.min(measured.upper),
         };
-        let stepped = both.least > both.most;
+        let stepped = both.lower > both.upper;
         let offset = if stepped { measured } else { both };
-        self.known = Some(Measurement {
+        self.measurement = Some(Measurement {
             offset,
             at: answered_at,
         });
         if stepped {
-            Learned::Stepped
+            ClockUpdate::Stepped
         } else {
-            Learned::Narrowed
+            ClockUpdate::Narrowed
         }
     }
 
     /// Returns the bounds at `now`, widened by the possible drift since the last reply; `None`: no reply was used
     /// yet.
-    pub fn bounds(&self, now: Instant) -> Option<ClockOffset> {
-        let Measurement { offset, at } = self.known?;
+    pub fn bounds(&self, now: Instant) -> Option<OffsetBounds> {
+        let Measurement { offset, at } = self.measurement?;
         let drift = (now - at).max(Span::ZERO).times(MAX_DRIFT);
-        Some(ClockOffset {
-            least: offset.least - drift,
-            most: offset.most + drift,
+        Some(OffsetBounds {
+            lower: offset.lower - drift,
+            upper: offset.upper + drift,
         })
     }
 
     /// Returns the span that converts a time of the peer's clock to the earliest possible time of this host's clock;
     /// `None`: the offset is not known. With the earliest time, a demand report never looks fresher than it is, so
     /// this host does not count a loan for longer than the lender does.
-    pub fn earliest(&self, now: Instant) -> Option<Span> {
-        self.bounds(now).map(|offset| Span::ZERO - offset.most)
+    pub fn to_earliest_local(&self, now: Instant) -> Option<Span> {
+        self.bounds(now).map(|offset| Span::ZERO - offset.upper)
     }
 
-    /// Whether the peer's clock certainly differs from this host's clock by more than `apart`.
-    pub fn too_far(&self, now: Instant, apart: Span) -> bool {
-        self.bounds(now)
-            .is_some_and(|offset| offset.least > apart || offset.most < Span::ZERO - apart)
+    /// Whether the peer's clock certainly differs from this host's clock by more than `max_offset`.
+    pub fn exceeds(&self, now: Instant, max_offset: Span) -> bool {
+        self.bounds(now).is_some_and(|offset| {
+            offset.lower > max_offset || offset.upper < Span::ZERO - max_offset
+        })
     }
 }
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -20,7 +20,7 @@
     let refused = changes
         .iter()
         .filter(|change| !change.while_serving || (change.class == Class::Dangerous && !insist));
-    let line = |change: &Change| {
+    let describe = |change: &Change| {
         let need = match change.class {
             Class::Dangerous if change.while_serving => "dangerous, and not insisted on",
             Class::Dangerous => "dangerous, and not possible while serving",
@@ -31,7 +31,7 @@
             change.of, change.what, change.from, change.to, change.why
         )
     };
-    refused.map(line).collect()
+    refused.map(describe).collect()
 }
 
 /// The state of the transition of all hosts from one configuration to the next.
@@ -52,7 +52,7 @@
 
     /// Returns when the next round of revision notices is due, if a timer must be set for it; `None`: no round is
     /// due, or a timer is set that fires early enough.
-    fn round_without_timer(&self) -> Option<Instant> {
+    fn round_to_schedule(&self) -> Option<Instant> {
         let due = self.transition.next()?;
         let covered = self.next_round.is_some_and(|set| set <= due);
         (!covered).then_some(due)
@@ -142,7 +142,7 @@
 
     /// Sets a timer for the next round of revision notices, unless one is set that fires early enough.
     pub(super) fn schedule_revision_round(&mut self) {
-        let Some(at) = self.config_change.round_without_timer() else {
+        let Some(at) = self.config_change.round_to_schedule() else {
             return;
         };
         self.config_change.next_round = Some(at);
@@ -214,7 +214,7 @@
     }
 
     /// Returns the id of this host in the configuration.
-    pub fn me(&self) -> HostId {
+    pub fn host_id(&self) -> HostId {
         self.identity.host
     }
 
--- a/crates/host/src/core/connection_table.rs
+++ b/crates/host/src/core/connection_table.rs
@@ -24,7 +24,7 @@
 
 /// One connection, whoever opened it.
 pub(super) struct Connection {
-    pub(super) peer_kind: PeerKind,
+    pub(super) remote_kind: RemoteKind,
     /// Bytes that were queued for the connection and are not written to its socket yet.
     pub(super) unsent_bytes: usize,
     /// When bytes were last written, or when the first unsent bytes were queued.
@@ -39,7 +39,7 @@
 }
 
 /// Who is on the other side of a connection.
-pub(super) enum PeerKind {
+pub(super) enum RemoteKind {
     /// The other side opened the connection and has not sent its first frame.
     Unidentified {
         /// Length of this host's first frame. It is counted as traffic once the zone of the other side is known.
@@ -54,23 +54,23 @@
     EndpointList,
 }
 
-impl PeerKind {
+impl RemoteKind {
     /// Whether the other side opened the connection.
     fn is_incoming(&self) -> bool {
         matches!(
             self,
-            PeerKind::Unidentified { .. } | PeerKind::Client | PeerKind::IncomingPeer(_)
+            RemoteKind::Unidentified { .. } | RemoteKind::Client | RemoteKind::IncomingPeer(_)
         )
     }
 
     /// Returns the role of the other side, for the log.
     pub(super) fn role(&self) -> &'static str {
         match self {
-            PeerKind::Unidentified { .. } => "unidentified",
-            PeerKind::Client => "client",
-            PeerKind::IncomingPeer(_) | PeerKind::OutgoingPeer(_) => "peer",
-            PeerKind::Node(_) => "node",
-            PeerKind::EndpointList => "endpoint list",
+            RemoteKind::Unidentified { .. } => "unidentified",
+            RemoteKind::Client => "client",
+            RemoteKind::IncomingPeer(_) | RemoteKind::OutgoingPeer(_) => "peer",
+            RemoteKind::Node(_) => "node",
+            RemoteKind::EndpointList => "endpoint list",
         }
     }
 }
@@ -102,11 +102,11 @@
     }
 
     /// Adds a connection and gives it an id.
-    pub(super) fn insert(&mut self, peer_kind: PeerKind, now: Instant) -> LinkId {
+    pub(super) fn insert(&mut self, remote_kind: RemoteKind, now: Instant) -> LinkId {
         self.last_id += 1;
         let id = LinkId(self.last_id);
         let connection = Connection {
-            peer_kind,
+            remote_kind,
             unsent_bytes: 0,
             no_progress_since: now,
             reading: true,
@@ -121,7 +121,7 @@
     fn remove(&mut self, id: LinkId) -> Option<Connection> {
         let connection = self.open.remove(&id)?;
         self.unsent_bytes -= connection.unsent_bytes;
-        self.incoming -= usize::from(connection.peer_kind.is_incoming());
+        self.incoming -= usize::from(connection.remote_kind.is_incoming());
         Some(connection)
     }
 
@@ -159,7 +159,7 @@
 
     /// Returns the connections of clients, in the order of their ids.
     pub(super) fn clients(&self) -> Vec<LinkId> {
-        self.ids_where(|connection| matches!(connection.peer_kind, PeerKind::Client))
+        self.ids_where(|connection| matches!(connection.remote_kind, RemoteKind::Client))
     }
 
     /// Returns the connections that fulfil the condition, in the order of their ids.
@@ -174,8 +174,8 @@
 
 impl Core {
     /// Requests that the caller opens a connection to an address.
-    pub(super) fn connect(&mut self, peer_kind: PeerKind, address: String) -> LinkId {
-        let link = self.connections.insert(peer_kind, self.now);
+    pub(super) fn connect(&mut self, remote_kind: RemoteKind, address: String) -> LinkId {
+        let link = self.connections.insert(remote_kind, self.now);
         self.expect_response(link, 1.0);
         self.outputs.push(Output::Connect { link, address });
         link
@@ -186,7 +186,7 @@
     pub(super) fn connected(&mut self, id: LinkId) {
         let hello = self.hello();
         if let Some(outbound) = self.outbound_connection(id) {
-            outbound.state = ConnectionState::Greeting(id);
+            outbound.state = ConnectionState::Identifying(id);
             self.send(id, hello);
             self.expect_response(id, HANDSHAKE_TIMEOUT_FACTOR);
         }
@@ -195,11 +195,13 @@
     /// Returns the state of a connection that this host requested; `None`: the other side opened it, or the peer or
     /// node is not known any more.
     fn outbound_connection(&mut self, id: LinkId) -> Option<&mut OutboundConnection> {
-        match self.connections.open.get(&id)?.peer_kind {
-            PeerKind::Node(node) => Some(&mut self.nodes.get(node)?.connection),
-            PeerKind::OutgoingPeer(host) => Some(&mut self.peers.get_mut(&host)?.connection),
-            PeerKind::EndpointList => Some(&mut self.endpoint_list.connection),
-            PeerKind::Unidentified { .. } | PeerKind::Client | PeerKind::IncomingPeer(_) => None,
+        match self.connections.open.get(&id)?.remote_kind {
+            RemoteKind::Node(node) => Some(&mut self.nodes.get(node)?.connection),
+            RemoteKind::OutgoingPeer(host) => Some(&mut self.peers.get_mut(&host)?.connection),
+            RemoteKind::EndpointList => Some(&mut self.endpoint_list.connection),
+            RemoteKind::Unidentified { .. } | RemoteKind::Client | RemoteKind::IncomingPeer(_) => {
+                None
+            }
         }
     }
 
@@ -220,9 +222,9 @@
         if deadline.is_none_or(|deadline| deadline > self.now) {
             return;
         }
-        let reason = match connection.peer_kind {
-            PeerKind::Unidentified { .. } => "no first frame before the timeout",
-            PeerKind::EndpointList if self.endpoint_list.query_outstanding => {
+        let reason = match connection.remote_kind {
+            RemoteKind::Unidentified { .. } => "no first frame before the timeout",
+            RemoteKind::EndpointList if self.endpoint_list.query_outstanding => {
                 "no reply before the timeout"
             }
             _ => "no connection or no first frame before the timeout",
@@ -283,18 +285,18 @@
             return;
         };
         self.counts.connections_closed += 1;
-        match connection.peer_kind {
-            PeerKind::Unidentified { .. } => info!(
+        match connection.remote_kind {
+            RemoteKind::Unidentified { .. } => info!(
                 connection = id.0,
                 reason, "connection closed before identification"
             ),
-            PeerKind::Client => self.client_connection_ended(id, reason),
-            PeerKind::IncomingPeer(peer) => {
+            RemoteKind::Client => self.client_connection_ended(id, reason),
+            RemoteKind::IncomingPeer(peer) => {
                 debug!(peer = peer.host.0, reason, "peer connection closed");
             }
-            PeerKind::OutgoingPeer(host) => self.outgoing_peer_ended(host, reason),
-            PeerKind::Node(node) => self.node_connection_lost(node, reason),
-            PeerKind::EndpointList => {
+            RemoteKind::OutgoingPeer(host) => self.outgoing_peer_ended(host, reason),
+            RemoteKind::Node(node) => self.node_connection_lost(node, reason),
+            RemoteKind::EndpointList => {
                 self.endpoint_list.connection.state = ConnectionState::Idle;
                 self.endpoint_list.query_outstanding = false;
                 self.endpoint_list_lost(reason);
@@ -303,7 +305,7 @@
     }
 
     fn client_connection_ended(&mut self, id: LinkId, reason: &str) {
-        let open = self.requests.of_link(id);
+        let open = self.requests.of_client(id);
         info!(
             connection = id.0,
             reason,
--- a/crates/host/src/core/counters.rs
+++ b/crates/host/src/core/counters.rs
@@ -91,21 +91,21 @@
     /// Number of open requests.
     pub open_requests: usize,
     /// Number of attempts that have not ended.
-    pub attempts_out: usize,
+    pub attempts_in_flight: usize,
     /// Bytes of the bodies of open requests, and unsent bytes of all connections.
     pub bytes: usize,
 }
 
 impl Core {
     /// Records how long the caller's event loop worked between two waits.
-    pub fn worked(&mut self, span: Span) {
+    pub fn record_step_time(&mut self, span: Span) {
         let us = span.micros().max(0) as u64;
         self.counts.longest_step_us = self.counts.longest_step_us.max(us);
         self.counts.long_steps += u64::from(us > LONG_STEP_US);
     }
 
     /// Records a stall of the process that lasted for `span`.
-    pub fn stalled(&mut self, span: Span) {
+    pub fn record_stall(&mut self, span: Span) {
         warn!(
             stalled_ms = span.millis(),
             "process stalled: request timeouts are shortened, leases may have expired"
@@ -126,8 +126,8 @@
     pub fn load(&self) -> HeldLoad {
         HeldLoad {
             open_requests: self.requests.open(),
-            attempts_out: self.requests.attempts_out(),
-            bytes: self.requests.held() + self.connections.unsent_bytes,
+            attempts_in_flight: self.requests.attempts_in_flight(),
+            bytes: self.requests.body_bytes() + self.connections.unsent_bytes,
         }
     }
 }
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The connection to the endpoint list service, whose updates are passed on to the scheduler.
 
 use super::Core;
-use super::connection_table::{HANDSHAKE_TIMEOUT_FACTOR, PeerKind};
+use super::connection_table::{HANDSHAKE_TIMEOUT_FACTOR, RemoteKind};
 use super::ids::LinkId;
 use super::reconnect::ConnectionState;
 use super::reconnect::OutboundConnection;
@@ -29,7 +29,7 @@
             }
         } else if self.endpoint_list.connection.link().is_none() {
             let address = self.deployment.list.address.clone();
-            let link = self.connect(PeerKind::EndpointList, address);
+            let link = self.connect(RemoteKind::EndpointList, address);
             self.endpoint_list.connection.state = ConnectionState::Connecting(link);
         }
     }
@@ -38,7 +38,7 @@
         if hello.role != Role::List as i32 {
             return self.close_connection(id, "not an endpoint list");
         }
-        self.endpoint_list.connection.is_up(id);
+        self.endpoint_list.connection.mark_up(id);
         self.connections.response_received(id);
         self.connect_endpoint_list();
     }
@@ -60,9 +60,9 @@
             endpoints = update.entries.len(),
             "endpoint list update received"
         );
-        let entries = self
-            .nodes
-            .listed(update.whole, update.entries, &self.deployment, self.now);
+        let entries =
+            self.nodes
+                .apply_list_update(update.whole, update.entries, &self.deployment, self.now);
         for (shard, names) in self.nodes.duplicate_shards() {
             warn!(
                 shard = shard.0,
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -53,7 +53,7 @@
     /// This host as a member of the fleet; `None`: the configuration has no fleet.
     pub(super) member: Option<Fleet>,
     /// When the newest timer for the member's next advance fires; `None`: none was set.
-    pub(super) next_turn: Option<Instant>,
+    pub(super) next_advance: Option<Instant>,
     /// Hosts that have left the fleet or use only their floors, according to the coordinator.
     pub(super) inactive_members: BTreeSet<HostId>,
     /// This host's share of the slow-start budget. An increase takes effect with a delay.
@@ -68,7 +68,7 @@
     pub(super) fn new(deployment: &Deployment) -> FleetState {
         FleetState {
             member: None,
-            next_turn: None,
+            next_advance: None,
             inactive_members: BTreeSet::new(),
             slow_start_share: slow_start_delayed_increase(deployment),
             next_slow_start_increase: None,
@@ -198,16 +198,16 @@
             self.apply_shares();
         }
         self.advance_maintenance(changed);
-        self.schedule_fleet_turn(next);
+        self.schedule_fleet_advance(next);
     }
 
     /// Sets a timer for the fleet's next advance, unless an earlier one is set. Timers cannot be cancelled, so a later
     /// one that is set still fires, without effect.
-    fn schedule_fleet_turn(&mut self, next: Instant) {
-        let set = self.fleet.next_turn;
+    fn schedule_fleet_advance(&mut self, next: Instant) {
+        let set = self.fleet.next_advance;
         if set.is_none_or(|at| at <= self.now || next < at) {
             let at = next.max(self.now + Span::from_micros(MIN_FLEET_TIMER_US));
-            self.fleet.next_turn = Some(at);
+            self.fleet.next_advance = Some(at);
             self.set_timer(at, TimerKind::Fleet);
         }
     }
@@ -224,7 +224,7 @@
         self.log_shares();
         self.config_change.transition.settle(shares, inactive);
         let allocations = self.config_change.transition.changed();
-        let slow_start_share = self.hold_slow_start_share(slow_start_share);
+        let slow_start_share = self.delay_slow_start_increase(slow_start_share);
         self.report_allocations(allocations, slow_start_share);
         if was_inactive != self.fleet.inactive_members {
             // The floors of hosts that may still follow an older configuration have changed.
@@ -245,7 +245,7 @@
 
     /// Delays an increase of the slow-start share to `granted`. Returns the share that this host may use now. Both
     /// are in parts of [`WHOLE`].
-    fn hold_slow_start_share(&mut self, granted: u32) -> u32 {
+    fn delay_slow_start_increase(&mut self, granted: u32) -> u32 {
         let (usable, next_increase) = self.fleet.slow_start_share.hold(granted, self.now);
         self.fleet.next_slow_start_increase = next_increase;
         if let Some(at) = next_increase {
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::clock::PeerClock;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::peer_state::IncomingPeer;
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use tracing::{debug, warn};
 
-/// The sender of a frame: [`PeerKind`] without the state of the connection.
+/// The sender of a frame: [`RemoteKind`] without the state of the connection.
 #[derive(Clone, Copy)]
 enum Sender {
     Unidentified,
@@ -23,15 +23,15 @@
     EndpointList,
 }
 
-impl From<&PeerKind> for Sender {
-    fn from(peer_kind: &PeerKind) -> Sender {
-        match peer_kind {
-            PeerKind::Unidentified { .. } => Sender::Unidentified,
-            PeerKind::Client => Sender::Client,
-            PeerKind::IncomingPeer(peer) => Sender::IncomingPeer(peer.host),
-            PeerKind::OutgoingPeer(host) => Sender::OutgoingPeer(*host),
-            PeerKind::Node(node) => Sender::Node(*node),
-            PeerKind::EndpointList => Sender::EndpointList,
+impl From<&RemoteKind> for Sender {
+    fn from(remote_kind: &RemoteKind) -> Sender {
+        match remote_kind {
+            RemoteKind::Unidentified { .. } => Sender::Unidentified,
+            RemoteKind::Client => Sender::Client,
+            RemoteKind::IncomingPeer(peer) => Sender::IncomingPeer(peer.host),
+            RemoteKind::OutgoingPeer(host) => Sender::OutgoingPeer(*host),
+            RemoteKind::Node(node) => Sender::Node(*node),
+            RemoteKind::EndpointList => Sender::EndpointList,
         }
     }
 }
@@ -74,7 +74,7 @@
             );
             return;
         }
-        let sender = Sender::from(&connection.peer_kind);
+        let sender = Sender::from(&connection.remote_kind);
         let context = FrameContext {
             id,
             body: frame.body,
@@ -167,7 +167,7 @@
     /// Closes a connection on which the other side sent a frame that its role may not send.
     fn unexpected_frame(&mut self, id: LinkId, message: &Message) {
         let connection = self.connections.open.get(&id);
-        let role = connection.map_or("", |connection| connection.peer_kind.role());
+        let role = connection.map_or("", |connection| connection.remote_kind.role());
         warn!(
             connection = id.0,
             role,
@@ -181,10 +181,10 @@
     fn identify_connection(&mut self, id: LinkId, hello: &Hello) {
         match Role::try_from(hello.role) {
             Ok(Role::Client) => {
-                self.set_peer_kind(id, PeerKind::Client);
+                self.set_remote_kind(id, RemoteKind::Client);
                 self.update_reading(id);
                 if self.shutdown.requested {
-                    self.tell_to_go_away(id);
+                    self.send_go_away(id);
                 }
             }
             Ok(Role::Host) => self.identify_peer(id, hello),
@@ -204,22 +204,22 @@
             host,
             clock: PeerClock::default(),
             waiting: VecDeque::new(),
-            clock_too_far: false,
+            clock_offset_too_large: false,
         };
-        let sent_bytes = self.set_peer_kind(id, PeerKind::IncomingPeer(peer));
+        let sent_bytes = self.set_remote_kind(id, RemoteKind::IncomingPeer(peer));
         self.count_peer_frame(host, sent_bytes);
         self.query_clock(id);
     }
 
     /// Records who is on the other side of a connection. Returns the bytes that were sent to it before it identified
     /// itself.
-    fn set_peer_kind(&mut self, id: LinkId, peer_kind: PeerKind) -> usize {
+    fn set_remote_kind(&mut self, id: LinkId, remote_kind: RemoteKind) -> usize {
         let Some(connection) = self.connections.open.get_mut(&id) else {
             return 0;
         };
         connection.response_deadline = None;
-        match std::mem::replace(&mut connection.peer_kind, peer_kind) {
-            PeerKind::Unidentified { sent_bytes } => sent_bytes,
+        match std::mem::replace(&mut connection.remote_kind, remote_kind) {
+            RemoteKind::Unidentified { sent_bytes } => sent_bytes,
             _ => 0,
         }
     }
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::connection_table::{
-    Connection, HANDSHAKE_TIMEOUT_FACTOR, MAX_INCOMING_CONNECTIONS, PeerKind,
+    Connection, HANDSHAKE_TIMEOUT_FACTOR, MAX_INCOMING_CONNECTIONS, RemoteKind,
 };
 use super::ids::LinkId;
 use gullsail_scheduler_api::{Instant, Span};
@@ -35,7 +35,7 @@
         }
         self.connections.incoming += 1;
         let hello = self.hello();
-        let unidentified = PeerKind::Unidentified {
+        let unidentified = RemoteKind::Unidentified {
             sent_bytes: hello.len(),
         };
         let link = self.connections.insert(unidentified, self.now);
@@ -46,8 +46,8 @@
 
     /// Sets the most connections that others may have open. It must be lower than the process's limit, so that nodes,
     /// peers, the endpoint list and the operator can still connect when clients use all that they may.
-    pub fn set_max_incoming_links(&mut self, most: usize) {
-        self.connections.max_incoming = most.clamp(1, MAX_INCOMING_CONNECTIONS);
+    pub fn set_max_incoming_connections(&mut self, limit: usize) {
+        self.connections.max_incoming = limit.clamp(1, MAX_INCOMING_CONNECTIONS);
     }
 
     /// Whether one more connection may be accepted. Evicts an idle client if the limit is reached.
@@ -63,9 +63,9 @@
         }
         self.connections.next_idle_search = self.now + IDLE_SEARCH_INTERVAL;
         let is_idle = |id: LinkId, connection: &Connection| {
-            matches!(connection.peer_kind, PeerKind::Client)
+            matches!(connection.remote_kind, RemoteKind::Client)
                 && connection.unsent_bytes == 0
-                && !self.requests.has_any(id)
+                && !self.requests.has_open(id)
         };
         let connections = self.connections.open.iter();
         let idle = connections.filter(|(id, connection)| is_idle(**id, connection));
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -54,12 +54,12 @@
 const COMMAND_KINDS: [&str; 3] = ["out", "back", "cancel"];
 
 /// Returns the server id of a host.
-pub(super) fn host_server(name: &str) -> ServerId {
+pub(super) fn host_server_id(name: &str) -> ServerId {
     ServerId(number(&format!("host {name}")))
 }
 
 /// Returns the server id of a node.
-pub(super) fn node_server(id: NodeId) -> ServerId {
+pub(super) fn node_server_id(id: NodeId) -> ServerId {
     ServerId(id.0)
 }
 
@@ -100,11 +100,11 @@
     /// Returns a server's name, for operators and the log. A server that is not known is named by its id.
     pub(super) fn server_name(&self, server: ServerId) -> String {
         let mut nodes = self.nodes.iter();
-        if let Some((_, node)) = nodes.find(|(id, _)| node_server(*id) == server) {
+        if let Some((_, node)) = nodes.find(|(id, _)| node_server_id(*id) == server) {
             return node.name.clone();
         }
         let mut hosts = self.deployment.hosts.iter();
-        match hosts.find(|host| host_server(&host.name) == server) {
+        match hosts.find(|host| host_server_id(&host.name) == server) {
             Some(host) => host.name.clone(),
             None => format!("server {}", server.0),
         }
@@ -137,9 +137,9 @@
             let nodes = self.nodes.iter();
             let ready =
                 nodes.filter(|(_, node)| node.zone.0 == zone && node.state == EndpointState::Ready);
-            servers.extend(ready.map(|(id, _)| node_server(id)));
+            servers.extend(ready.map(|(id, _)| node_server_id(id)));
             let hosts = deployment.hosts.iter().filter(|host| host.zone.0 == zone);
-            servers.extend(hosts.map(|host| host_server(&host.name)));
+            servers.extend(hosts.map(|host| host_server_id(&host.name)));
         }
         let node = node_id(name);
         if self
@@ -147,10 +147,10 @@
             .iter()
             .any(|(id, record)| record.name == name && id == node)
         {
-            servers.push(node_server(node));
+            servers.push(node_server_id(node));
         }
         if deployment.host(name).is_some() {
-            servers.push(host_server(name));
+            servers.push(host_server_id(name));
         }
         servers
     }
--- a/crates/host/src/core/mod.rs
+++ b/crates/host/src/core/mod.rs
@@ -135,7 +135,7 @@
             outputs: Vec::new(),
             timers: Timers::default(),
             connections: ConnectionTable::new(now),
-            nodes: Nodes::from_document(&deployment),
+            nodes: Nodes::from_deployment(&deployment),
             peers: BTreeMap::new(),
             endpoint_list: EndpointListState::default(),
             requests: Requests::default(),
@@ -156,7 +156,9 @@
     /// allocations before the fleet and maintenance adjust them.
     fn start(&mut self, seed: u64) {
         let configured = self.nodes.iter();
-        let entries = configured.map(|(id, node)| node.entry(id, None)).collect();
+        let entries = configured
+            .map(|(id, node)| node.endpoint(id, None))
+            .collect();
         self.events.push(Event::EndpointList {
             update_kind: UpdateKind::StaleSnapshot,
             entries,
@@ -203,7 +205,7 @@
         // because the attempts of a request are bounded.
         while !self.events.is_empty() {
             for action in self.scheduler.step(self.now, self.events.drain()) {
-                self.act(action);
+                self.carry_out(action);
             }
         }
         self.update_back_pressure();
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -2,7 +2,7 @@
 //! once the node has identified itself.
 
 use super::Core;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::nodes::{NodeProcess, NodeRecord};
 use super::reconnect::ConnectionState;
@@ -15,7 +15,7 @@
 
 impl Core {
     /// Opens connections to all usable nodes that have none. This is done before an attempt needs one, because
-    /// only a node's first frame says for certain how long the node has been running.
+    /// only a node's first frame states reliably how long the node has been running.
     pub(super) fn connect_nodes(&mut self) {
         let is_wanted = |node: &NodeRecord| {
             let usable = node.state != EndpointState::Gone && !node.offline_or_unknown;
@@ -30,10 +30,10 @@
             .collect();
         for (id, address) in wanted {
             let state = match self.may_connect(id) {
-                Ok(()) => ConnectionState::Connecting(self.connect(PeerKind::Node(id), address)),
+                Ok(()) => ConnectionState::Connecting(self.connect(RemoteKind::Node(id), address)),
                 Err(retry_at) => {
                     self.set_timer(retry_at, TimerKind::ReconnectNode(id));
-                    ConnectionState::Waiting(retry_at)
+                    ConnectionState::BackingOff(retry_at)
                 }
             };
             if let Some(node) = self.nodes.get(id) {
@@ -68,16 +68,16 @@
     /// attempts.
     fn node_up(&mut self, node: NodeId, link: LinkId, hello: &Hello) {
         let age = Span::from_micros(hello.age_us);
-        let Some(identified) = self
-            .nodes
-            .identified(node, hello.incarnation, age, self.now)
+        let Some(identified) =
+            self.nodes
+                .record_identification(node, hello.incarnation, age, self.now)
         else {
             return;
         };
         let Some(record) = self.nodes.get(node) else {
             return;
         };
-        record.connection.is_up(link);
+        record.connection.mark_up(link);
         let pending = std::mem::take(&mut record.pending);
         let name = &record.name;
         let incarnation = hello.incarnation;
@@ -112,7 +112,7 @@
     /// unreachable if the node is gone.
     pub(super) fn node_connection_lost(&mut self, node: NodeId, reason: &str) {
         let backoff = self.deployment.bounds.redial;
-        let attempts = self.requests.at_node(node);
+        let attempts = self.requests.in_flight_to(node);
         let Some(record) = self.nodes.get(node) else {
             return;
         };
--- a/crates/host/src/core/nodes.rs
+++ b/crates/host/src/core/nodes.rs
@@ -46,7 +46,7 @@
     pub offline_or_unknown: bool,
     /// How often `offline_or_unknown` changed back to false. The scheduler ends a drain only for a newer start, so
     /// each return is reported as a start one microsecond later than the one before.
-    times_returned: i64,
+    return_count: i64,
     /// Paces new connections to the node where the hosts share a limit on their rate.
     pub rate_pacer: RatePacer,
     /// The incarnation that the node last gave in its first frame; `None`: it has not identified itself.
@@ -100,7 +100,7 @@
             state,
             connection: OutboundConnection::default(),
             offline_or_unknown: false,
-            times_returned: 0,
+            return_count: 0,
             rate_pacer: RatePacer::default(),
             incarnation: None,
             starts: VecDeque::new(),
@@ -134,13 +134,13 @@
     }
 
     /// Returns the number of starts that are remembered.
-    pub fn starts(&self) -> usize {
+    pub fn start_count(&self) -> usize {
         self.starts.len()
     }
 
     /// Sets whether the node must not be sent to, because it is offline or may be.
     pub fn set_offline_or_unknown(&mut self, offline_or_unknown: bool) {
-        self.times_returned += i64::from(self.offline_or_unknown && !offline_or_unknown);
+        self.return_count += i64::from(self.offline_or_unknown && !offline_or_unknown);
         self.offline_or_unknown = offline_or_unknown;
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Returns the node as the scheduler sees it. `started`: when it started; `None`: not known.
-    pub fn entry(&self, id: NodeId, started: Option<Instant>) -> Endpoint {
+    pub fn endpoint(&self, id: NodeId, started: Option<Instant>) -> Endpoint {
         let state = if self.offline_or_unknown {
             self.state.max(EndpointState::Draining)
         } else {
@@ -171,10 +171,10 @@
     fn reported_start(&self, started: Option<Instant>) -> Option<Instant> {
         if self.offline_or_unknown {
             None
-        } else if self.times_returned == 0 {
+        } else if self.return_count == 0 {
             started
         } else {
-            Some(started.unwrap_or_default() + Span::from_micros(self.times_returned))
+            Some(started.unwrap_or_default() + Span::from_micros(self.return_count))
         }
     }
 }
@@ -187,7 +187,7 @@
 
 impl Nodes {
     /// Creates the records of the nodes in the configuration, except spares.
-    pub fn from_document(deployment: &Deployment) -> Nodes {
+    pub fn from_deployment(deployment: &Deployment) -> Nodes {
         let record = |configured: &gullsail_configuration::NodePlace| {
             let place = &configured.place;
             let name = place.name.clone();
@@ -218,7 +218,7 @@
 
     /// Applies an update of the endpoint list. Returns the endpoints in it, for the scheduler. `snapshot`: the
     /// update is complete, so nodes that it does not name are gone.
-    pub fn listed(
+    pub fn apply_list_update(
         &mut self,
         snapshot: bool,
         update: Vec<ListedEndpoint>,
@@ -230,7 +230,7 @@
         }
         let listed = update.into_iter();
         listed
-            .map(|listed| self.listed_endpoint(listed, deployment, now))
+            .map(|listed| self.apply_listed_endpoint(listed, deployment, now))
             .collect()
     }
 
@@ -243,7 +243,7 @@
         }
     }
 
-    fn listed_endpoint(
+    fn apply_listed_endpoint(
         &mut self,
         listed: ListedEndpoint,
         deployment: &Deployment,
@@ -273,12 +273,12 @@
         node.kind = listed.kind;
         let age = Span::from_micros(listed.age_us);
         let started = node.record_start(listed.incarnation, age, now);
-        node.entry(id, started)
+        node.endpoint(id, started)
     }
 
     /// Records a node's first frame on a connection: its incarnation and how long the process has been running
     /// (`age`). `None`: the node's record was removed.
-    pub fn identified(
+    pub fn record_identification(
         &mut self,
         id: NodeId,
         incarnation: u64,
@@ -293,7 +293,7 @@
             Some(_) => NodeProcess::Restarted,
         };
         Some(IdentifiedNode {
-            endpoint: node.entry(id, started),
+            endpoint: node.endpoint(id, started),
             process,
         })
     }
@@ -305,7 +305,7 @@
         }
         self.all
             .iter()
-            .map(|(id, node)| node.entry(*id, node.newest_start().at))
+            .map(|(id, node)| node.endpoint(*id, node.newest_start().at))
             .collect()
     }
 
@@ -324,7 +324,7 @@
 
     /// Removes the records of nodes that have been gone for more than two minutes, unless an attempt waits for the
     /// node or it has a connection.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn forget_gone(&mut self, now: Instant) {
         for node in self.all.values_mut() {
             node.gone_since =
                 (node.state == EndpointState::Gone).then(|| node.gone_since.unwrap_or(now));
--- a/crates/host/src/core/peer_state.rs
+++ b/crates/host/src/core/peer_state.rs
@@ -1,6 +1,6 @@
 //! The state of peer hosts: of a connection that a peer opened, and of the connection that this host opens to it.
 
-use super::clock::{Learned, PeerClock};
+use super::clock::{ClockUpdate, PeerClock};
 use super::reconnect::OutboundConnection;
 use gullsail_protocol::Frame;
 use gullsail_scheduler_api::{HostId, Instant};
@@ -14,27 +14,27 @@
     /// Demand reports that wait until the offset of the peer's clock is known.
     pub(super) waiting: VecDeque<Vec<u8>>,
     /// The peer's clock certainly differs from this host's clock by more than `clock-apart`.
-    pub(super) clock_too_far: bool,
+    pub(super) clock_offset_too_large: bool,
 }
 
 impl IncomingPeer {
-    pub(super) fn log_clock(&self, learned: &Learned, was_too_far: bool, now: Instant) {
+    pub(super) fn log_clock(&self, update: &ClockUpdate, was_too_large: bool, now: Instant) {
         let bounds = self.clock.bounds(now).unwrap_or_default();
         let peer = self.host.0;
-        let min_ahead_ms = bounds.least.millis();
-        let max_ahead_ms = bounds.most.millis();
-        match learned {
-            Learned::First => info!(
+        let min_ahead_ms = bounds.lower.millis();
+        let max_ahead_ms = bounds.upper.millis();
+        match update {
+            ClockUpdate::First => info!(
                 peer,
                 min_ahead_ms, max_ahead_ms, "peer clock offset measured"
             ),
-            Learned::Stepped => warn!(
+            ClockUpdate::Stepped => warn!(
                 peer,
                 min_ahead_ms, max_ahead_ms, "peer clock stepped: its offset is measured anew"
             ),
-            Learned::Narrowed | Learned::Nothing => {}
+            ClockUpdate::Narrowed | ClockUpdate::Ignored => {}
         }
-        if self.clock_too_far && !was_too_far {
+        if self.clock_offset_too_large && !was_too_large {
             warn!(
                 peer,
                 min_ahead_ms, max_ahead_ms, "peer clock offset too large: demand reports dropped"
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -2,8 +2,8 @@
 //! handed to the scheduler only once the clock offset of its sender is known.
 
 use super::Core;
-use super::clock::Learned;
-use super::connection_table::PeerKind;
+use super::clock::ClockUpdate;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::peer_state::IncomingPeer;
 use super::reconnect::ConnectionState;
@@ -38,7 +38,7 @@
         peer.waiting.push_back(frame);
         if peer.connection.state == ConnectionState::Idle {
             let address = place.address.clone();
-            let link = self.connect(PeerKind::OutgoingPeer(to), address);
+            let link = self.connect(RemoteKind::OutgoingPeer(to), address);
             self.peers.entry(to).or_default().connection.state = ConnectionState::Connecting(link);
         }
     }
@@ -64,7 +64,7 @@
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        peer.connection.is_up(id);
+        peer.connection.mark_up(id);
         let waiting = std::mem::take(&mut peer.waiting);
         self.connections.response_received(id);
         for frame in waiting {
@@ -74,21 +74,21 @@
 
     /// Handles a peer's reply to a clock query. Demand reports that waited for it are handed to the scheduler.
     pub(super) fn clock_reply(&mut self, id: LinkId, reply: ClockReply) {
-        let max_apart = self.deployment.bounds.clock_apart;
+        let max_offset = self.deployment.bounds.clock_apart;
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
             return;
         };
-        let learned = peer.clock.learn(
+        let update = peer.clock.record_reply(
             Instant::from_micros(reply.asked_us),
             Instant::from_micros(reply.clock_us),
             now,
         );
-        let was_too_far = peer.clock_too_far;
-        peer.clock_too_far = peer.clock.too_far(now, max_apart);
-        peer.log_clock(&learned, was_too_far, now);
+        let was_too_large = peer.clock_offset_too_large;
+        peer.clock_offset_too_large = peer.clock.exceeds(now, max_offset);
+        peer.log_clock(&update, was_too_large, now);
         let waiting = std::mem::take(&mut peer.waiting);
-        if learned == Learned::Nothing {
+        if update == ClockUpdate::Ignored {
             // The reply took longer than a second. The reports waited as long, and are of use for a tenth of a second.
             self.counts.demand_reports_dropped += waiting.len() as u64;
             return;
@@ -106,10 +106,10 @@
         let Some(peer) = self.incoming_peer(id) else {
             return;
         };
-        let offset = if peer.clock_too_far {
+        let offset = if peer.clock_offset_too_large {
             None
         } else {
-            peer.clock.earliest(now)
+            peer.clock.to_earliest_local(now)
         };
         let from = peer.host;
         if let Some(offset) = offset {
@@ -118,7 +118,7 @@
                 from,
                 bytes: demand_report::moved(&bytes, offset),
             });
-        } else if peer.clock_too_far || peer.waiting.len() >= MAX_WAITING_FRAMES {
+        } else if peer.clock_offset_too_large || peer.waiting.len() >= MAX_WAITING_FRAMES {
             self.counts.demand_reports_dropped += 1;
         } else {
             peer.waiting.push_back(bytes);
@@ -130,9 +130,9 @@
             .connections
             .open
             .get_mut(&id)
-            .map(|connection| &mut connection.peer_kind)
+            .map(|connection| &mut connection.remote_kind)
         {
-            Some(PeerKind::IncomingPeer(peer)) => Some(peer),
+            Some(RemoteKind::IncomingPeer(peer)) => Some(peer),
             _ => None,
         }
     }
--- a/crates/host/src/core/reconnect.rs
+++ b/crates/host/src/core/reconnect.rs
@@ -18,11 +18,11 @@
     /// The connection is being established.
     Connecting(LinkId),
     /// The connection is established, and the other side has not sent its first frame.
-    Greeting(LinkId),
+    Identifying(LinkId),
     /// The other side has identified itself.
     Up(LinkId),
     /// There is no connection, and none may be opened before this time.
-    Waiting(Instant),
+    BackingOff(Instant),
 }
 
 /// A connection that this host opens, and opens again when it is lost.
@@ -39,9 +39,9 @@
     pub fn link(&self) -> Option<LinkId> {
         match self.state {
             ConnectionState::Connecting(link)
-            | ConnectionState::Greeting(link)
+            | ConnectionState::Identifying(link)
             | ConnectionState::Up(link) => Some(link),
-            ConnectionState::Idle | ConnectionState::Waiting(_) => None,
+            ConnectionState::Idle | ConnectionState::BackingOff(_) => None,
         }
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Records that the other side has identified itself.
-    pub fn is_up(&mut self, link: LinkId) {
+    pub fn mark_up(&mut self, link: LinkId) {
         self.state = ConnectionState::Up(link);
         self.failures = 0;
     }
@@ -69,7 +69,7 @@
         let wait = doubled.min(longest);
         let at = now + wait.times(rng.random_range(0.5..=1.0));
         self.failures += 1;
-        self.state = ConnectionState::Waiting(at);
+        self.state = ConnectionState::BackingOff(at);
         at
     }
 }
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -39,7 +39,7 @@
 }
 
 /// Indices in the configuration of the volume and the request class that a request names.
-struct RequestPlaces {
+struct RequestIndices {
     volume: usize,
     request_class: usize,
 }
@@ -50,7 +50,7 @@
     submit: Submit,
     body: Bytes,
     timeout_shortened: bool,
-    places: RequestPlaces,
+    indices: RequestIndices,
 }
 
 /// Why a request is not accepted. The texts are shown to the client.
@@ -89,29 +89,33 @@
             return self.refuse(link, submit.id, "this host is shutting down".into(), true);
         }
         match self.check_submit(&submit, &body) {
-            Ok(places) => self.hand_to_scheduler(ValidRequest {
+            Ok(indices) => self.hand_to_scheduler(ValidRequest {
                 link,
                 submit,
                 body,
                 timeout_shortened,
-                places,
+                indices,
             }),
             Err(invalid) => self.refuse(link, submit.id, invalid.to_string(), false),
         }
     }
 
     /// Checks a request. Returns the indices of its volume and class in the configuration.
-    fn check_submit(&self, submit: &Submit, body: &Bytes) -> Result<RequestPlaces, InvalidRequest> {
+    fn check_submit(
+        &self,
+        submit: &Submit,
+        body: &Bytes,
+    ) -> Result<RequestIndices, InvalidRequest> {
         let deployment = &self.deployment;
         let figures = deployment.figures();
         let mut classes = deployment.request_classes.iter();
-        let Some(class_place) = classes.position(|class| class.name == submit.request_class) else {
+        let Some(class_index) = classes.position(|class| class.name == submit.request_class) else {
             return Err(InvalidRequest::UnknownClass(submit.request_class.clone()));
         };
-        let Some(volume_place) = deployment.volume_at(&submit.volume) else {
+        let Some(volume_index) = deployment.volume_at(&submit.volume) else {
             return Err(InvalidRequest::UnknownVolume(submit.volume.clone()));
         };
-        let volume = &deployment.volumes[volume_place];
+        let volume = &deployment.volumes[volume_index];
         if !volume.through(self.identity.host) {
             return Err(InvalidRequest::VolumeElsewhere(volume.name.clone()));
         }
@@ -123,19 +127,19 @@
         if submit.timeout_us <= figures.tick.times(MIN_TICKS_LEFT).micros() {
             return Err(InvalidRequest::DeadlineTooClose);
         }
-        if !deployment.request_classes[class_place].write {
+        if !deployment.request_classes[class_index].write {
             check_read(submit, body)?;
         }
-        Ok(RequestPlaces {
-            volume: volume_place,
-            request_class: class_place,
+        Ok(RequestIndices {
+            volume: volume_index,
+            request_class: class_index,
         })
     }
 
     /// Opens a valid request and hands it to the scheduler, which decides on it in the next step.
     fn hand_to_scheduler(&mut self, valid: ValidRequest) {
         let request = self.scheduler_request(&valid);
-        let write = self.deployment.request_classes[valid.places.request_class].write;
+        let write = self.deployment.request_classes[valid.indices.request_class].write;
         let id = self.requests.insert(OpenRequest {
             link: valid.link,
             submit: valid.submit,
@@ -155,9 +159,9 @@
     fn scheduler_request(&self, valid: &ValidRequest) -> Request {
         let deployment = &self.deployment;
         let submit = &valid.submit;
-        let volume = &deployment.volumes[valid.places.volume];
-        let class = RequestClassId(valid.places.request_class);
-        let class_deadline = deployment.request_classes[valid.places.request_class].deadline;
+        let volume = &deployment.volumes[valid.indices.volume];
+        let class = RequestClassId(valid.indices.request_class);
+        let class_deadline = deployment.request_classes[valid.indices.request_class].deadline;
         // An upper bound of the length of an attempt's frame.
         let names = submit.request_class.len() + submit.volume.len() + submit.mark.len();
         let bytes = ATTEMPT_HEAD_BYTES + names + valid.body.len();
@@ -171,7 +175,7 @@
             object: object(submit),
             timeout: Span::from_micros(submit.timeout_us).min(class_deadline),
             volume_hosts: volume.hosts.len() as u32,
-            pool: deployment.routes.pool(valid.places.volume, class),
+            pool: deployment.routes.pool(valid.indices.volume, class),
             bytes: bytes as f64,
         }
     }
@@ -204,7 +208,7 @@
     }
 
     /// Carries out one action of the scheduler.
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn carry_out(&mut self, action: Action) {
         match action {
             Action::StartAttempt { id, node, time_out } => self.start_attempt(id, node, time_out),
             Action::Reject { id, retry_after } => {
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -113,7 +113,7 @@
 
 impl Requests {
     /// Returns the body bytes of all open requests.
-    pub fn held(&self) -> usize {
+    pub fn body_bytes(&self) -> usize {
         self.held_bytes
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Returns the number of attempts that have not ended.
-    pub fn attempts_out(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Whether the client of this connection has an open request.
-    pub fn has_any(&self, link: LinkId) -> bool {
+    pub fn has_open(&self, link: LinkId) -> bool {
         self.by_client_id
             .range(ClientRequestKey::all_of(link))
             .next()
@@ -178,7 +178,7 @@
     }
 
     /// Returns the open requests of the client of this connection.
-    pub fn of_link(&self, link: LinkId) -> Vec<RequestId> {
+    pub fn of_client(&self, link: LinkId) -> Vec<RequestId> {
         self.by_client_id
             .range(ClientRequestKey::all_of(link))
             .map(|(_, id)| *id)
@@ -225,7 +225,7 @@
     }
 
     /// Returns the attempts in flight to a node, in the order in which they were started.
-    pub fn at_node(&self, node: NodeId) -> Vec<AttemptId> {
+    pub fn in_flight_to(&self, node: NodeId) -> Vec<AttemptId> {
         self.attempts
             .iter()
             .filter(|(_, attempt)| attempt.node == node)
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::input_output::Output;
-use super::maintenance::{CommandError, CommandOutcome, host_server, node_server};
+use super::maintenance::{CommandError, CommandOutcome, host_server_id, node_server_id};
 use super::nodes::NodeRecord;
 use super::timer_kind::TimerKind;
 use gullsail_configuration::number;
@@ -107,7 +107,7 @@
                 continue;
             };
             node.set_offline_or_unknown(change.offline_or_unknown);
-            entries.push(node.entry(change.node, node.newest_start().at));
+            entries.push(node.endpoint(change.node, node.newest_start().at));
             if change.offline_or_unknown {
                 unsent_attempts.extend(std::mem::take(&mut node.pending));
             }
@@ -138,7 +138,7 @@
             return Vec::new();
         };
         let changed = |(id, record): (NodeId, &NodeRecord)| {
-            let offline_or_unknown = !fleet.may_use(node_server(id), self.now);
+            let offline_or_unknown = !fleet.may_use(node_server_id(id), self.now);
             (record.offline_or_unknown != offline_or_unknown).then_some(NodeUseChange {
                 node: id,
                 offline_or_unknown,
@@ -157,7 +157,7 @@
             .filter_map(|(id, node)| Some((id, node.connection.link()?)))
             .collect();
         for (id, link) in connected {
-            if self.requests.at_node(id).is_empty() {
+            if self.requests.in_flight_to(id).is_empty() {
                 self.close_connection(link, "node offline for maintenance");
             }
         }
@@ -168,10 +168,10 @@
         let mut servers = Servers::new();
         let mut released = BTreeSet::new();
         for (id, node) in self.nodes.iter() {
-            servers.insert(node_server(id), self.observe_node(node));
+            servers.insert(node_server_id(id), self.observe_node(node));
             let disconnected = node.offline_or_unknown && node.connection.link().is_none();
-            if disconnected && self.requests.at_node(id).is_empty() {
-                released.insert(node_server(id));
+            if disconnected && self.requests.in_flight_to(id).is_empty() {
+                released.insert(node_server_id(id));
             }
         }
         for (place, host) in self.deployment.hosts.iter().enumerate() {
@@ -182,7 +182,7 @@
                 incarnation: 0,
                 up: Span::ZERO,
             };
-            servers.insert(host_server(&host.name), observation);
+            servers.insert(host_server_id(&host.name), observation);
         }
         self.notify_fleet(FleetEvent::ServersObserved { servers, released });
     }
--- a/crates/host/src/core/shutdown.rs
+++ b/crates/host/src/core/shutdown.rs
@@ -3,7 +3,7 @@
 //! answers or refuses every request on a connection until that connection ends.
 
 use super::Core;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::input_output::Output;
 use super::timer_kind::TimerKind;
@@ -21,7 +21,7 @@
     /// The shutdown has started: new connections and requests are refused.
     pub(super) requested: bool,
     /// When the shutdown stops waiting for the results of operator commands; `None`: it has not started.
-    commands_until: Option<Instant>,
+    command_deadline: Option<Instant>,
     /// Every request is answered, this host has left the fleet, and [`Output::Finished`] was put out.
     pub(super) complete: bool,
 }
@@ -38,27 +38,27 @@
     /// Stops listening and asks every client to disconnect.
     pub(super) fn begin_shutdown(&mut self) {
         self.shutdown.requested = true;
-        let commands_until = self.now + COMMAND_GRACE;
-        self.shutdown.commands_until = Some(commands_until);
-        self.set_timer(commands_until, TimerKind::Fleet);
+        let command_deadline = self.now + COMMAND_GRACE;
+        self.shutdown.command_deadline = Some(command_deadline);
+        self.set_timer(command_deadline, TimerKind::Fleet);
         self.outputs.push(Output::StopListening);
         for client in self.connections.clients() {
-            self.tell_to_go_away(client);
+            self.send_go_away(client);
         }
     }
 
     /// Asks a client to disconnect and to send no more requests here. Otherwise the client would learn of the
     /// shutdown from the end of its connection, which could cross a request that it sends.
-    pub(super) fn tell_to_go_away(&mut self, client: LinkId) {
+    pub(super) fn send_go_away(&mut self, client: LinkId) {
         self.send(client, Frame::from(GoAway {}));
     }
 
     /// Returns the connections of clients, and those whose other side has not identified itself.
-    pub fn client_links(&self) -> Vec<LinkId> {
+    pub fn client_connections(&self) -> Vec<LinkId> {
         self.connections.ids_where(|connection| {
             matches!(
-                connection.peer_kind,
-                PeerKind::Client | PeerKind::Unidentified { .. }
+                connection.remote_kind,
+                RemoteKind::Client | RemoteKind::Unidentified { .. }
             )
         })
     }
@@ -69,7 +69,7 @@
     pub(super) fn finish_if_answered(&mut self) {
         let grace_over = |until: Instant| until <= self.now;
         let commands_finished = self.maintenance.pending_commands.is_empty()
-            || self.shutdown.commands_until.is_some_and(grace_over);
+            || self.shutdown.command_deadline.is_some_and(grace_over);
         if !self.shutdown.requested
             || !commands_finished
             || self.requests.open() != 0
--- a/crates/host/src/core/size_metrics.rs
+++ b/crates/host/src/core/size_metrics.rs
@@ -2,14 +2,14 @@
 //! these numbers.
 
 use super::Core;
-use super::connection_table::{Connection, PeerKind};
+use super::connection_table::{Connection, RemoteKind};
 use super::nodes::NodeRecord;
 
 impl Core {
     /// Returns the number of entries in each collection, by name, those of the scheduler included.
     pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
         let requests = self.requests.size_metrics();
-        let (line, sent) = self.config_change.transition.size_metrics();
+        let (revisions, allocations) = self.config_change.transition.size_metrics();
         let mut all = self.scheduler.size_metrics();
         all.extend(self.connection_sizes());
         all.extend([
@@ -19,8 +19,8 @@
             ("core.timers", self.timers.pending()),
             ("core.account", self.zone_traffic.ledger.kept()),
             ("core.breaches", self.zone_traffic.overruns.kept()),
-            ("limits.line", line),
-            ("limits.told", sent),
+            ("limits.line", revisions),
+            ("limits.told", allocations),
         ]);
         all
     }
@@ -35,7 +35,7 @@
             ("core.links", connections.len()),
             ("core.labels_wait", reports),
             ("core.nodes", nodes().count()),
-            ("core.starts", nodes().map(NodeRecord::starts).sum()),
+            ("core.starts", nodes().map(NodeRecord::start_count).sum()),
             ("core.pending", nodes().map(|node| node.pending.len()).sum()),
             ("core.peers", self.peers.len()),
             ("core.peers_wait", frames),
@@ -45,8 +45,8 @@
 
 /// Returns the number of a peer's demand reports that wait for the offset of its clock.
 fn waiting_reports(connection: &Connection) -> usize {
-    match &connection.peer_kind {
-        PeerKind::IncomingPeer(peer) => peer.waiting.len(),
+    match &connection.remote_kind {
+        RemoteKind::IncomingPeer(peer) => peer.waiting.len(),
         _ => 0,
     }
 }
--- a/crates/host/src/core/timers.rs
+++ b/crates/host/src/core/timers.rs
@@ -1,7 +1,7 @@
 //! What happens when a timer of the core fires.
 
 use super::Core;
-use super::connection_table::{Connection, PeerKind};
+use super::connection_table::{Connection, RemoteKind};
 use super::reconnect::ConnectionState;
 use super::timer_kind::TimerKind;
 use gullsail_scheduler_api::{Event, HostId, Instant, NodeId, Span};
@@ -35,7 +35,7 @@
         let Some(record) = self.nodes.get(node) else {
             return;
         };
-        if matches!(record.connection.state, ConnectionState::Waiting(_)) {
+        if matches!(record.connection.state, ConnectionState::BackingOff(_)) {
             record.connection.state = ConnectionState::Idle;
             self.connect_nodes();
         }
@@ -45,14 +45,14 @@
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        if matches!(peer.connection.state, ConnectionState::Waiting(_)) {
+        if matches!(peer.connection.state, ConnectionState::BackingOff(_)) {
             peer.connection.state = ConnectionState::Idle;
         }
     }
 
     fn query_clocks(&mut self) {
         let is_incoming_peer =
-            |connection: &Connection| matches!(connection.peer_kind, PeerKind::IncomingPeer(_));
+            |connection: &Connection| matches!(connection.remote_kind, RemoteKind::IncomingPeer(_));
         for peer in self.connections.ids_where(is_incoming_peer) {
             self.query_clock(peer);
         }
@@ -62,7 +62,7 @@
 
     fn sweep(&mut self) {
         self.close_stalled_connections();
-        self.nodes.forget(self.now);
+        self.nodes.forget_gone(self.now);
         self.set_timer(self.now + SWEEP_INTERVAL, TimerKind::Sweep);
     }
 
@@ -77,7 +77,7 @@
             if let Some(connection) = self.connections.open.get(&id) {
                 warn!(
                     connection = id.0,
-                    role = connection.peer_kind.role(),
+                    role = connection.remote_kind.role(),
                     pending_bytes = connection.unsent_bytes,
                     stalled_ms = (now - connection.no_progress_since).millis(),
                     "connection closed: peer stopped reading"
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -2,7 +2,7 @@
 //! cross-zone budgets when the scheduler reports them. No decision depends on these counters.
 
 use super::Core;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use gullsail_protocol::{Frame, Message};
 use gullsail_scheduler_api::{
@@ -16,7 +16,7 @@
 
 /// The traffic of one flow between two zones, with the names of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Crossed {
+pub struct ZoneFlow {
     /// Name of the zone that the traffic left.
     pub from: String,
     /// Name of the zone that the traffic entered.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ZoneTraffic {
     /// Total of each flow between zones.
-    pub crossed: Vec<Crossed>,
+    pub crossed: Vec<ZoneFlow>,
     /// Overruns of cross-zone budgets.
     pub overruns: Vec<BudgetOverrun>,
 }
@@ -122,8 +122,13 @@
         }
     }
 
-    fn named_flow(&self, flow: &Flow, total: Total, volumes: &BTreeMap<VolumeId, &str>) -> Crossed {
-        let crossed = Crossed {
+    fn named_flow(
+        &self,
+        flow: &Flow,
+        total: Total,
+        volumes: &BTreeMap<VolumeId, &str>,
+    ) -> ZoneFlow {
+        let crossed = ZoneFlow {
             from: self.zone_name(flow.from),
             to: self.zone_name(flow.to),
             reason: flow.reason,
@@ -137,7 +142,7 @@
         };
         let volume = volumes.get(&of.volume).copied();
         let request_class = self.deployment.request_classes.get(of.request_class.0);
-        Crossed {
+        ZoneFlow {
             plan: self.plan_name(of.plan),
             volume: volume.unwrap_or_default().to_string(),
             request_class: request_class.map_or(String::new(), |class| class.name.clone()),
@@ -201,23 +206,23 @@
             .connections
             .open
             .get(&link)
-            .map(|connection| &connection.peer_kind)
+            .map(|connection| &connection.remote_kind)
         {
-            Some(PeerKind::Node(node)) => {
+            Some(RemoteKind::Node(node)) => {
                 let Some(there) = self.nodes.get(*node).map(|node| node.zone) else {
                     return;
                 };
                 if out {
-                    self.count_peer_bytes(here, there, frame.len());
+                    self.count_control_bytes(here, there, frame.len());
                 } else {
-                    self.count_peer_bytes(there, here, frame.len());
+                    self.count_control_bytes(there, here, frame.len());
                 }
             }
-            Some(PeerKind::OutgoingPeer(host)) if out => {
+            Some(RemoteKind::OutgoingPeer(host)) if out => {
                 let host = *host;
                 self.count_peer_frame(host, frame.len());
             }
-            Some(PeerKind::IncomingPeer(peer)) if out => {
+            Some(RemoteKind::IncomingPeer(peer)) if out => {
                 let host = peer.host;
                 self.count_peer_frame(host, frame.len());
             }
@@ -232,11 +237,11 @@
             .get(host.0 as usize)
             .map(|host| host.zone);
         if let Some((here, there)) = self.own_zone().zip(there) {
-            self.count_peer_bytes(here, there, bytes);
+            self.count_control_bytes(here, there, bytes);
         }
     }
 
-    fn count_peer_bytes(&mut self, from: ZoneId, to: ZoneId, bytes: usize) {
+    fn count_control_bytes(&mut self, from: ZoneId, to: ZoneId, bytes: usize) {
         let flow = Flow {
             from,
             to,
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -26,7 +26,7 @@
 use tokio::time::Instant;
 
 /// How long clients that were asked to disconnect may stay connected once every request is answered.
-const CLIENTS_LEAVE_TIME: Duration = Duration::from_secs(1);
+const CLIENT_DISCONNECT_GRACE: Duration = Duration::from_secs(1);
 /// The most events of connections that wait to be handled, most of them frames, over all connections. When the queue
 /// is full, sockets are not read. The read budget bounds the bytes of waiting frames; this bounds their number.
 const INBOX_FRAMES: usize = 1024;
@@ -50,7 +50,7 @@
 }
 
 /// What ended a wait of the event loop.
-enum Woken {
+enum WakeReason {
     Stop,
     Accepted(io::Result<TcpStream>),
     /// An attempt to connect ended; `None`: its task was cancelled.
@@ -70,7 +70,7 @@
     outputs: Vec<Output>,
     sockets: Sockets,
     requesters: Requesters,
-    stall: StallDetector,
+    stall_detector: StallDetector,
     /// When the last wait ended.
     woken_at: Instant,
     stop_requested: bool,
@@ -107,15 +107,15 @@
         let sockets = &mut runtime.sockets;
         let accept_from = sockets.accept_errors.accept_from();
         let woken = tokio::select! {
-            () = &mut stop, if !runtime.stop_requested => Woken::Stop,
-            accepted = sockets::accept(sockets.listener.as_ref(), accept_from) => Woken::Accepted(accepted),
+            () = &mut stop, if !runtime.stop_requested => WakeReason::Stop,
+            accepted = sockets::accept(sockets.listener.as_ref(), accept_from) => WakeReason::Accepted(accepted),
             connected = sockets.connecting.join_next(), if !sockets.connecting.is_empty() => {
-                Woken::Connected(connected.and_then(Result::ok))
+                WakeReason::Connected(connected.and_then(Result::ok))
             }
-            _ = inbox.recv_many(&mut batch, BATCH_FRAMES) => Woken::Frames,
-            Some(request) = loop_requests.recv() => Woken::Control(request),
-            () = tokio::time::sleep_until(wake_up_at) => Woken::Timer,
-            _ = sockets.tasks.join_next(), if !sockets.tasks.is_empty() => Woken::TaskEnded,
+            _ = inbox.recv_many(&mut batch, BATCH_FRAMES) => WakeReason::Frames,
+            Some(request) = loop_requests.recv() => WakeReason::Control(request),
+            () = tokio::time::sleep_until(wake_up_at) => WakeReason::Timer,
+            _ = sockets.tasks.join_next(), if !sockets.tasks.is_empty() => WakeReason::TaskEnded,
         };
         runtime.handle(woken, &mut batch);
     }
@@ -129,7 +129,7 @@
     ) -> Runtime {
         let now = Instant::now();
         let sockets = Sockets::new(&process.deployment, listener, sink, now);
-        let max_incoming_links = sockets::max_incoming_links(&process.deployment);
+        let max_incoming_connections = sockets::max_incoming_connections(&process.deployment);
         let clock = process.clock;
         let mut core = Core::new(
             process.deployment,
@@ -138,14 +138,14 @@
             process.incarnation,
             clock.now(),
         );
-        core.set_max_incoming_links(max_incoming_links);
+        core.set_max_incoming_connections(max_incoming_connections);
         Runtime {
             core,
             clock,
             outputs: Vec::new(),
             sockets,
             requesters: Requesters::default(),
-            stall: StallDetector::new(now),
+            stall_detector: StallDetector::new(now),
             woken_at: now,
             stop_requested: false,
             finished_at: None,
@@ -154,25 +154,25 @@
 
     /// Records how long the loop worked since the last wait. Returns when the next wait must end at the latest.
     fn wake_up_at(&mut self) -> Instant {
-        self.core.worked(to_span(self.woken_at.elapsed()));
+        self.core.record_step_time(to_span(self.woken_at.elapsed()));
         let requested = self.core.next_wake_up().map(|at| self.clock.at(at));
-        self.stall.next_turn(requested)
+        self.stall_detector.next_turn(requested)
     }
 
-    /// Whether the core's shutdown is complete, and all clients have disconnected or had [`CLIENTS_LEAVE_TIME`] to.
+    /// Whether the core's shutdown is complete, and all clients have disconnected or had [`CLIENT_DISCONNECT_GRACE`] to.
     fn may_exit(&self) -> bool {
         let Some(finished_at) = self.finished_at else {
             return false;
         };
         let elapsed = finished_at.elapsed();
-        let clients_left = self.core.client_links().is_empty();
-        clients_left || elapsed >= CLIENTS_LEAVE_TIME
+        let clients_left = self.core.client_connections().is_empty();
+        clients_left || elapsed >= CLIENT_DISCONNECT_GRACE
     }
 
     /// Closes all connections but those of clients. The core has left the fleet and no request is open, so frames
     /// from nodes and peers are of no use.
     fn keep_clients_only(&mut self) {
-        let clients: BTreeSet<LinkId> = self.core.client_links().into_iter().collect();
+        let clients: BTreeSet<LinkId> = self.core.client_connections().into_iter().collect();
         self.sockets.links.retain(|link, _| clients.contains(link));
         self.sockets.connecting.abort_all();
     }
@@ -198,12 +198,12 @@
 
     /// Lets the core advance and carries out its outputs. Returns the connections whose write queues are full.
     fn turn(&mut self, inbox_empty: bool) -> Vec<LinkId> {
-        if let Some(interval) = self.stall.turn(Instant::now(), inbox_empty) {
-            self.core.stalled(to_span(interval));
+        if let Some(interval) = self.stall_detector.record_turn(Instant::now(), inbox_empty) {
+            self.core.record_stall(to_span(interval));
         }
         // After a stall, everything that arrived during it is read first. The core must not decide by its state
         // before the stall.
-        if self.stall.settling() {
+        if self.stall_detector.settling() {
             return Vec::new();
         }
         self.core.advance(self.clock.now());
@@ -265,27 +265,27 @@
         }
     }
 
-    fn handle(&mut self, woken: Woken, batch: &mut Vec<(LinkId, LinkEvent)>) {
+    fn handle(&mut self, woken: WakeReason, batch: &mut Vec<(LinkId, LinkEvent)>) {
         self.woken_at = Instant::now();
         match woken {
-            Woken::Stop => {
+            WakeReason::Stop => {
                 self.stop_requested = true;
                 self.core.handle(self.clock.now(), Input::Stop);
             }
-            Woken::Accepted(accepted) => self.accepted(accepted),
-            Woken::Connected(connected) => self.connected(connected),
-            Woken::Frames => self.frames(batch),
-            Woken::Control(request) => self.control_request(request),
-            Woken::Timer | Woken::TaskEnded => {}
+            WakeReason::Accepted(accepted) => self.accepted(accepted),
+            WakeReason::Connected(connected) => self.connected(connected),
+            WakeReason::Frames => self.handle_frames(batch),
+            WakeReason::Control(request) => self.control_request(request),
+            WakeReason::Timer | WakeReason::TaskEnded => {}
         }
     }
 
-    fn frames(&mut self, batch: &mut Vec<(LinkId, LinkEvent)>) {
-        if let Some(interval) = self.stall.turn(self.woken_at, false) {
-            self.core.stalled(to_span(interval));
+    fn handle_frames(&mut self, batch: &mut Vec<(LinkId, LinkEvent)>) {
+        if let Some(interval) = self.stall_detector.record_turn(self.woken_at, false) {
+            self.core.record_stall(to_span(interval));
         }
         let now = self.clock.now();
-        let waited = self.stall.waited(self.woken_at).map(to_span);
+        let waited = self.stall_detector.max_wait(self.woken_at).map(to_span);
         for (id, event) in batch.drain(..) {
             let input = match event {
                 LinkEvent::Frame(frame) => {
--- a/crates/host/src/runtime/control_requests.rs
+++ b/crates/host/src/runtime/control_requests.rs
@@ -74,11 +74,11 @@
     let load = core.load();
     let zone_traffic = core.zone_traffic();
     State {
-        host: name(&core.me()).unwrap_or_default(),
+        host: name(&core.host_id()).unwrap_or_default(),
         revision: deployment.place.revision.0,
         behind: core.hosts_behind().iter().filter_map(name).collect(),
         open: load.open_requests,
-        attempts_out: load.attempts_out,
+        attempts_in_flight: load.attempts_in_flight,
         held_bytes: load.bytes,
         counts: core.counts().clone(),
         crossed: zone_traffic.crossed,
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -32,7 +32,7 @@
 /// Returns the most connections that others may have open. Two file descriptors are reserved for each node and peer
 /// and for the endpoint list, since a connection may be replaced while the old one closes. A quarter of all
 /// descriptors is left to incoming connections in any case.
-pub(super) fn max_incoming_links(deployment: &Deployment) -> usize {
+pub(super) fn max_incoming_connections(deployment: &Deployment) -> usize {
     let descriptors =
         getrlimit(Resource::RLIMIT_NOFILE).map_or(usize::MAX, |(soft, _)| soft as usize);
     let outgoing = deployment.nodes.len() + deployment.hosts.len() + 1;
--- a/crates/host/src/stall_detector.rs
+++ b/crates/host/src/stall_detector.rs
@@ -52,7 +52,7 @@
 
     /// Records a turn of the loop. Returns the length of the stall before it; `None`: there was none.
     /// `queue_empty`: no event of a connection waits to be handled.
-    pub fn turn(&mut self, now: Instant, queue_empty: bool) -> Option<Duration> {
+    pub fn record_turn(&mut self, now: Instant, queue_empty: bool) -> Option<Duration> {
         self.stall
             .take_if(|stall| queue_empty && now.duration_since(stall.ended) > SUSPECT_TIME);
         let before = std::mem::replace(&mut self.last_turn, now);
@@ -67,7 +67,7 @@
     }
 
     /// Returns how long a frame that is read now may have waited; `None`: the process was not stalled recently.
-    pub fn waited(&self, now: Instant) -> Option<Duration> {
+    pub fn max_wait(&self, now: Instant) -> Option<Duration> {
         self.stall.map(|stall| now.duration_since(stall.since))
     }
 
--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -1,4 +1,4 @@
-//! Another document while the host serves.
+//! Proposals of another configuration while the host serves.
 
 use crate::rig::{Rig, SentAttempt, document, ms, text_of};
 use gullsail_configuration::diff::diff;
@@ -12,7 +12,8 @@
 const START: Instant = Instant::from_micros(1_000_000_000);
 const FIRST: &str = "revision 1\nroute to=\"all\"\n";
 
-/// The rig's document with changes, after its first one or not.
+/// The rig's configuration with changes and these entries on revision and routes. It may name `first()` as its
+/// predecessor, `first.kdl`.
 fn after(change: &[(&str, &str)], revision: &str) -> Arc<Deployment> {
     let text = text_of(change) + revision;
     let first = text_of(&[]) + FIRST;
@@ -49,9 +50,9 @@
     reply
 }
 
-/// As a day goes on: from a document without a number to one that has it and changes limits.
+/// A configuration without a revision is followed by one that has a revision and changes limits.
 #[test]
-fn documents_get_their_first_numbers() {
+fn revision_1_follows_an_unnumbered_configuration() {
     let old = document(&[]);
     let numbered = |change: &[(&str, &str)], revision: &str| {
         let files = [
@@ -87,9 +88,9 @@
     }
 }
 
-/// While a host is not known to have followed, documents must go on naming what it may hold to.
+/// While another host may still follow an earlier revision, each new configuration must name that revision.
 #[test]
-fn what_others_may_hold_to_stays_named() {
+fn a_configuration_must_name_revisions_that_other_hosts_may_follow() {
     let old = first();
     let mut rig = Rig::new(&old, 0, START);
     let second = after(&[LIMIT], SECOND);
@@ -107,7 +108,7 @@
         }
         taken => panic!("{taken:?}"),
     }
-    // The other host says that it has followed.
+    // The other host reports that it follows revision 2.
     let link = rig.core.accept(rig.now).unwrap();
     rig.frame(
         link,
@@ -135,7 +136,7 @@
 const SECOND: &str = "revision 2 after=\"first.kdl\"\nroute to=\"all\"\n";
 const LIMIT: (&str, &str) = ("limit=\"40units/s\"", "limit=\"30units/s\"");
 
-/// A change of the first document, and why it is turned down, if it is.
+/// A change of the first configuration, and why it is rejected; `None`: it is applied.
 struct Case {
     change: (&'static str, &'static str),
     revision: &'static str,
@@ -144,7 +145,7 @@
 }
 
 impl Case {
-    fn taken(change: (&'static str, &'static str), revision: &'static str) -> Case {
+    fn applied(change: (&'static str, &'static str), revision: &'static str) -> Case {
         Case {
             change,
             revision,
@@ -160,7 +161,7 @@
     ) -> Case {
         Case {
             refusal: Some(refusal),
-            ..Case::taken(change, revision)
+            ..Case::applied(change, revision)
         }
     }
 
@@ -180,26 +181,26 @@
     }
 }
 
-/// Nothing is changed.
+/// No change.
 const NOTHING: (&str, &str) = ("", "");
-const HOST_LEAVES: (&str, &str) = (
+const HOST_REMOVED: (&str, &str) = (
     "volume \"w\" plan=\"held\"",
     "volume \"w\" plan=\"held\" { hosts \"h2\"; }",
 );
 const UNNUMBERED: &str = "route to=\"all\"\n";
-const UNLINKED: &str = "revision 2\nroute to=\"all\"\n";
+const WITHOUT_PREDECESSOR: &str = "revision 2\nroute to=\"all\"\n";
 
-fn taken_changes() -> Vec<Case> {
+fn applied_changes() -> Vec<Case> {
     let weight = ("slack=0", "slack=0 weight=3 price=2");
     let new_plan = ("plan \"held\"", "plan \"new\"\nplan \"held\"");
     let new_volume = ("volume \"w\"", "volume \"x\" plan=\"free\"\nvolume \"w\"");
     vec![
-        Case::taken(NOTHING, FIRST),
-        Case::taken(LIMIT, SECOND),
-        Case::taken(weight, FIRST),
-        Case::taken(new_plan, FIRST),
-        Case::taken(new_volume, SECOND),
-        Case::taken(HOST_LEAVES, SECOND).insisted(),
+        Case::applied(NOTHING, FIRST),
+        Case::applied(LIMIT, SECOND),
+        Case::applied(weight, FIRST),
+        Case::applied(new_plan, FIRST),
+        Case::applied(new_volume, SECOND),
+        Case::applied(HOST_REMOVED, SECOND).insisted(),
     ]
 }
 
@@ -212,18 +213,18 @@
     vec![
         Case::refused(LIMIT, FIRST, "this host runs revision 1 already"),
         Case::refused(LIMIT, UNNUMBERED, "not later than 1"),
-        Case::refused(LIMIT, UNLINKED, "this host runs 1"),
+        Case::refused(LIMIT, WITHOUT_PREDECESSOR, "this host runs 1"),
         Case::refused(tick, FIRST, tick_refusal).insisted(),
         Case::refused(slow_start, FIRST, "cold figures").insisted(),
         Case::refused(effect, FIRST, "not possible while serving").insisted(),
         Case::refused(address, FIRST, "host \"h2\" place").insisted(),
-        Case::refused(HOST_LEAVES, SECOND, "a host leaves its set"),
+        Case::refused(HOST_REMOVED, SECOND, "a host leaves its set"),
     ]
 }
 
 #[test]
-fn documents_are_taken_whole_or_not_at_all() {
-    let cases = taken_changes().into_iter().chain(refused_changes());
+fn configurations_are_applied_or_rejected_as_a_whole() {
+    let cases = applied_changes().into_iter().chain(refused_changes());
     for case in cases {
         let revision = case.revision;
         let why = case.refusal;
@@ -245,7 +246,7 @@
             rig.core.deployment(),
             if why.is_none() { &to } else { &old }
         ));
-        // What was under way goes on, and new requests are taken.
+        // The open request can still be answered, and new requests are accepted.
         rig.answer(n1, rig.attempts(n1)[0].attempt, AttemptResult::Succeeded);
         rig.submit(client, 6, "read");
         rig.answer(n1, rig.attempts(n1)[1].attempt, AttemptResult::Succeeded);
@@ -253,7 +254,7 @@
             (rig.outcomes(client, 5), rig.outcomes(client, 6)),
             (vec![Outcome::Succeeded], vec![Outcome::Succeeded])
         );
-        // What was compared with a document that is no longer served by is not taken.
+        // A proposal that was compared with a configuration that is no longer current is rejected.
         if why.is_none() {
             let stale = propose(&mut rig, &old, &after(&[], FIRST), true);
             assert!(
@@ -263,14 +264,14 @@
     }
 }
 
-/// Who no longer serves a volume answers what waits there at once, and turns its clients away with the
-/// reason; what was sent already ends as it ends.
+/// A host that no longer serves a volume rejects the volume's waiting requests at once and refuses new ones with the
+/// reason. Requests whose attempts were sent get the node's answer.
 #[test]
-fn a_volume_leaves_a_host() {
+fn requests_of_a_volume_that_leaves_the_host_are_rejected() {
     let old = first();
     let mut rig = Rig::new(&old, 0, START);
     let (client, (n1, _)) = (rig.client(), rig.nodes_up());
-    rig.pass(ms(2000.0));
+    rig.run_for(ms(2000.0));
     (1..=60).for_each(|id| rig.submit_to(client, id, "read", "w", 1));
     let sent = rig.attempts(n1).len() as u64;
     assert!((4..60).contains(&sent), "{sent}");
@@ -293,14 +294,14 @@
     assert!((1..=60).all(|id| rig.outcomes(client, id).len() == 1));
     rig.submit_to(client, 99, "read", "w", 1);
     assert_eq!(
-        rig.not_taken(client),
+        rig.refusals(client),
         ["volume \"w\" is not served through this host"]
     );
 }
 
-/// New objects go where the routes of the document lead, from the moment it is taken.
+/// New objects are placed by the routes of the current configuration, as soon as it is applied.
 #[test]
-fn routes_change_where_new_objects_go() {
+fn new_objects_follow_the_routes_of_the_applied_configuration() {
     let kinds = [
         ("node \"n1\" cell=1", "node \"n1\" cell=1 kind=\"disk\""),
         ("node \"n2\" cell=2", "node \"n2\" cell=2 kind=\"chip\""),
@@ -325,7 +326,7 @@
                 ..Submit::default()
             };
             rig.frame(client, s);
-            rig.pass(ms(5.0));
+            rig.run_for(ms(5.0));
             for SentAttempt { link, attempt, .. } in rig.new_attempts() {
                 rig.answer(link, attempt.attempt, AttemptResult::Succeeded);
             }
@@ -346,10 +347,10 @@
     assert_eq!(put(&mut rig, 200), [0, 12]);
 }
 
-/// Plans that stand in another order are the same plans: a volume keeps its own limit, and one without stays
+/// The order of plans in the configuration changes. A volume with a limit keeps it, and one without a limit stays
 /// without.
 #[test]
-fn plans_change_places() {
+fn reordered_plans_keep_the_limits_of_their_volumes() {
     let plans = (
         "plan \"free\"\nplan \"held\" limit=\"40units/s\" burst=64 slack=0",
         "plan \"held\" limit=\"40units/s\" burst=64 slack=0\nplan \"free\"",
@@ -360,13 +361,13 @@
             let old = first();
             let mut rig = Rig::new(&old, 0, START);
             let (client, (n1, _)) = (rig.client(), rig.nodes_up());
-            // The volume is known by its old place, and its bucket full.
+            // The scheduler knows the volume with the old index of its plan, and the bucket is full.
             rig.submit_to(client, 1, "read", volume, 1);
-            rig.pass(ms(20.0));
+            rig.run_for(ms(20.0));
             rig.attempts(n1)
                 .into_iter()
                 .for_each(|attempt| rig.answer(n1, attempt.attempt, AttemptResult::Succeeded));
-            rig.pass(ms(4000.0));
+            rig.run_for(ms(4000.0));
             assert!(matches!(
                 propose(&mut rig, &old, &after(&[change], FIRST), false),
                 ProposalOutcome::Taken { .. }
--- a/crates/host/tests/host/clocks.rs
+++ b/crates/host/tests/host/clocks.rs
@@ -1,8 +1,8 @@
-//! Hosts whose clocks differ: what is learned of a peer's clock is a bound, and limits hold over two hosts
-//! that lend to each other through demand reports which are late, lost, and timed by clocks a second apart.
+//! Hosts whose clocks differ. The bounds of a peer's clock offset contain the true offset. Limits hold over two hosts
+//! that lend to each other, although demand reports are late, lost, and timed by clocks that are a second apart.
 
 use crate::rig::{ConnectRequest, Rig, SentFrame, document, ms};
-use gullsail_host::core::clock::{ClockOffset, Learned, PeerClock};
+use gullsail_host::core::clock::{ClockUpdate, OffsetBounds, PeerClock};
 use gullsail_host::core::{Input, LinkId};
 use gullsail_protocol::{
     Attempt, AttemptAnswer, AttemptResult, ClockReply, DemandReport, Frame, Hello, Message, Role,
@@ -21,10 +21,10 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Whatever the ways there and back take, and within the drift allowed, the truth lies within the bounds,
-    /// and a demand report never looks fresher than it is.
+    /// For any delay of queries and replies and any permitted drift, the bounds contain the true offset, and a demand
+    /// report never looks fresher than it is.
     #[test]
-    fn the_truth_lies_within_the_bounds(
+    fn the_true_offset_lies_within_the_bounds(
         ahead in -2_000_000i64..2_000_000,
         drift in -400i64..400,
         asks in proptest::collection::vec((0i64..50_000, 0i64..50_000, 100_000i64..5_000_000), 1..20),
@@ -36,13 +36,13 @@
             let reading = theirs(now + there);
             let answered = now + there + back;
             let at = Instant::from_micros;
-            let learned = clock.learn(at(queried), at(reading), at(answered));
-            prop_assert!(matches!(learned, Learned::First | Learned::Narrowed), "{learned:?}");
+            let update = clock.record_reply(at(queried), at(reading), at(answered));
+            prop_assert!(matches!(update, ClockUpdate::First | ClockUpdate::Narrowed), "{update:?}");
             for later in [answered, answered + gap] {
-                let ClockOffset { least, most } = clock.bounds(at(later)).unwrap();
+                let OffsetBounds { lower, upper } = clock.bounds(at(later)).unwrap();
                 let truth = Span::from_micros(theirs(later) - later);
-                prop_assert!(least <= truth && truth <= most, "{least:?} {truth:?} {most:?}");
-                let earliest = at(theirs(later)) + clock.earliest(at(later)).unwrap();
+                prop_assert!(lower <= truth && truth <= upper, "{lower:?} {truth:?} {upper:?}");
+                let earliest = at(theirs(later)) + clock.to_earliest_local(at(later)).unwrap();
                 prop_assert!(earliest <= at(later));
             }
             now = answered + gap;
@@ -51,32 +51,36 @@
 }
 
 #[test]
-fn a_clock_that_is_set_is_learned_anew() {
+fn a_stepped_clock_replaces_the_earlier_bounds() {
     let at = |ms: f64| Instant::from_millis(ms);
     let mut clock = PeerClock::default();
-    assert_eq!(clock.learn(at(0.0), at(500.0), at(2.0)), Learned::First);
     assert_eq!(
-        clock.learn(at(1000.0), at(1500.5), at(1001.0)),
-        Learned::Narrowed
+        clock.record_reply(at(0.0), at(500.0), at(2.0)),
+        ClockUpdate::First
     );
     assert_eq!(
-        clock.learn(at(2000.0), at(1000.0), at(2001.0)),
-        Learned::Stepped
+        clock.record_reply(at(1000.0), at(1500.5), at(1001.0)),
+        ClockUpdate::Narrowed
     );
-    // Half a microsecond of drift within the exchange, rounded, and two for readings cut to whole ones.
+    assert_eq!(
+        clock.record_reply(at(2000.0), at(1000.0), at(2001.0)),
+        ClockUpdate::Stepped
+    );
+    // Half a microsecond of drift during the exchange, rounded up, and two microseconds for readings that are rounded
+    // down.
     assert_eq!(
         clock.bounds(at(2001.0)),
-        Some(ClockOffset {
-            least: ms(-1001.003),
-            most: ms(-999.997)
+        Some(OffsetBounds {
+            lower: ms(-1001.003),
+            upper: ms(-999.997)
         })
     );
     // An answer that took longer than a second narrows nothing.
     assert_eq!(
-        clock.learn(at(3000.0), at(9000.0), at(5000.0)),
-        Learned::Nothing
+        clock.record_reply(at(3000.0), at(9000.0), at(5000.0)),
+        ClockUpdate::Ignored
     );
-    let far = |clock: &PeerClock, apart: f64| clock.too_far(at(2001.0), ms(apart));
+    let far = |clock: &PeerClock, apart: f64| clock.exceeds(at(2001.0), ms(apart));
     assert!(far(&clock, 500.0) && !far(&clock, 1500.0));
 }
 
@@ -87,7 +91,7 @@
     link: LinkId,
 }
 
-/// An input on its way to a host.
+/// An input in transit to a host.
 struct Carried {
     at: Instant,
     host: usize,
@@ -105,19 +109,22 @@
     units: f64,
 }
 
-/// Two hosts, a node link for each and a way between them that delays, loses and repeats.
+/// Two hosts with connections to the nodes, and a network between the hosts that delays, loses and repeats demand
+/// reports.
 struct Pair {
     hosts: Vec<Rig>,
     ahead: Vec<Span>,
     /// The other end of each connection between the two.
     other_ends: BTreeMap<HostEnd, HostEnd>,
     carried: Vec<Carried>,
-    /// What was carried on already, by host.
+    /// Outputs that were handled, by host.
     seen: Vec<Seen>,
     rng: ChaCha8Rng,
+    /// The true time, which the first host's clock shows.
     now: Instant,
+    /// Probability that a demand report is lost.
     lose: f64,
-    /// First attempts, with their units.
+    /// The first attempt of each request.
     first: Vec<FirstAttempt>,
 }
 
@@ -148,7 +155,7 @@
         pair
     }
 
-    /// Carries on what each host sent since the last look.
+    /// Handles the connections that each host requested and the frames that it sent since the last call.
     fn carry(&mut self) {
         for from in 0..2 {
             let Seen { connects, sent } = self.seen[from];
@@ -184,7 +191,7 @@
             };
             self.other_ends.insert(here, there);
             self.other_ends.insert(there, here);
-            self.hosts[to].settle();
+            self.hosts[to].run_until_idle();
             self.hosts[from].handle(Input::Connected(request.link));
         }
     }
@@ -219,7 +226,7 @@
         });
     }
 
-    /// Demand reports are lost, repeated and late.
+    /// Delivers a frame to the other host after a delay. Demand reports may be lost or repeated.
     fn carry_between(&mut self, there: HostEnd, frame: &Frame) {
         let is_report = matches!(frame.message, Message::DemandReport(_));
         if is_report && self.rng.random_bool(self.lose) {
@@ -227,7 +234,7 @@
         }
         let repeated = is_report && self.rng.random_bool(0.1);
         for _ in 0..if repeated { 2 } else { 1 } {
-            // Mostly a few milliseconds, now and then long enough to be stale.
+            // Some frames are delayed for so long that a demand report is stale.
             let is_stale = self.rng.random_bool(0.1);
             let late = if is_stale { 1500.0 } else { 20.0 };
             let delay = ms(1.0 + self.rng.random_range(0.0..late));
@@ -239,12 +246,12 @@
         }
     }
 
-    fn pass(&mut self) {
+    fn run_one_ms(&mut self) {
         self.now = self.now + ms(1.0);
         for host in 0..2 {
             let until = self.now + self.ahead[host];
             let rest = until - self.hosts[host].now;
-            self.hosts[host].pass(rest);
+            self.hosts[host].run_for(rest);
         }
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.carried)
@@ -258,18 +265,19 @@
     }
 }
 
-/// What came of ten seconds.
+/// The result of ten seconds.
 struct TenSeconds {
-    /// Units that were sent.
+    /// Units of the first attempts that were sent.
     sent: f64,
-    /// The lowest level of the store.
+    /// The lowest level of the volume's token bucket.
     lowest: f64,
-    /// Demand reports that were handed on, and that were dropped.
+    /// Demand reports that were handed to the schedulers.
     received: u64,
+    /// Demand reports that were dropped by the hosts.
     dropped: u64,
 }
 
-/// Rule 7 over two hosts: one asks for far more than its share, the other little, and roles change.
+/// Rule 7 over two hosts: one needs far more than its share and the other little. After six seconds they change roles.
 fn ten_seconds(apart: f64, lose: f64) -> TenSeconds {
     let mut pair = Pair::new(ms(apart), lose, 7);
     let clients: Vec<_> = pair.hosts.iter_mut().map(Rig::client).collect();
@@ -281,7 +289,7 @@
         if i % 400 == 0 {
             pair.hosts[1 - busy].submit_to(clients[1 - busy], i + 1, "read", "w", 1);
         }
-        pair.pass();
+        pair.run_one_ms();
     }
     let mut level = 64.0f64;
     let mut lowest = 64.0f64;
@@ -302,14 +310,14 @@
 
 #[test]
 fn a_limit_holds_with_clocks_a_second_apart() {
-    // Too far apart, demand reports are dropped, and each host keeps to its even share.
+    // If the clocks are too far apart, demand reports are dropped and each host keeps to its even share.
     let TenSeconds {
         sent: alone,
         lowest,
         received,
         dropped,
     } = ten_seconds(5000.0, 0.0);
-    assert!(lowest >= -1e-6, "{lowest} below the store");
+    assert!(lowest >= -1e-6, "bucket overdrawn: {lowest}");
     assert!(
         received == 0 && dropped > 3,
         "{received} received, {dropped} dropped"
@@ -321,7 +329,7 @@
             ..
         } = ten_seconds(0.0, lose);
         println!("{lose} lost: {alike} units, {alone} with no demand reports at all");
-        assert!(lowest >= -1e-6, "{lose} lost: {lowest} below the store");
+        assert!(lowest >= -1e-6, "{lose} lost: bucket overdrawn: {lowest}");
         assert!(
             alike > alone * 1.15,
             "{lose} lost: {alike} units, {alone} with no demand reports at all"
@@ -335,7 +343,7 @@
             } = ten_seconds(apart, lose);
             assert!(
                 lowest >= -1e-6,
-                "{apart} ms apart, {lose} lost: {lowest} below the store"
+                "{apart} ms apart, {lose} lost: bucket overdrawn: {lowest}"
             );
             assert!(
                 (sent / alike - 1.0).abs() < 0.12,
@@ -349,10 +357,10 @@
     }
 }
 
-/// A reply that took so long that it says nothing of the peer's clock: reports that waited for it are of no use, and
-/// each is counted. They used to vanish without a trace.
+/// A clock reply that takes too long is not used. Demand reports that waited for it are stale, so they are dropped and
+/// each is counted. Guards against reports that are dropped without being counted.
 #[test]
-fn reports_that_wait_for_a_clock_are_counted_when_its_reply_comes_too_late() {
+fn reports_that_wait_for_a_late_clock_reply_are_counted_as_dropped() {
     let mut rig = Rig::new(&document(&[]), 0, Instant::from_millis(1000.0));
     let peer = rig.core.accept(rig.now).unwrap();
     let hello = Hello {
@@ -366,7 +374,7 @@
         rig.frame(peer, DemandReport { bytes: vec![1] });
     }
     assert_eq!(rig.core.counts().demand_reports_dropped, 0);
-    rig.pass(ms(1100.0));
+    rig.run_for(ms(1100.0));
     let reply = ClockReply {
         asked_us: queried.micros(),
         clock_us: queried.micros(),
--- a/crates/host/tests/host/control.rs
+++ b/crates/host/tests/host/control.rs
@@ -1,5 +1,5 @@
-//! The control socket while the host's loop is busy, holds an answer back or has ended. The test is the loop: nothing
-//! happens before it lets it.
+//! The control socket while the event loop is busy, delays an answer or has ended. The tests take the place of the loop
+//! and decide when it answers.
 
 use gullsail_host::control::{Control, ControlReply, ControlRequest, LoopRequest, State, ask};
 use gullsail_host::core::maintenance::{CommandError, CommandOutcome, OperatorCommand};
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
-/// Past any wait that these tests mean.
+/// Longer than any wait in these tests.
 const LONG: Duration = Duration::from_secs(60);
 
 /// A control socket, and the loop's side of it.
@@ -46,7 +46,7 @@
         tokio::spawn(async move { ask(&path, request, LONG).await })
     }
 
-    /// The next request is an operator's command, which is held.
+    /// Receives the next request, an operator's command. Returns the channel for its result.
     async fn held_command(&mut self) -> oneshot::Sender<CommandOutcome> {
         match self.requests.recv().await {
             Some(LoopRequest::OperatorCommand(_, reply)) => reply,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The loop ends; the socket is served until everybody has a reply.
-    async fn end(self) {
+    /// Ends the loop. The socket is served until every requester has a reply.
+    async fn end_loop(self) {
         drop(self.requests);
         self.serving.await.unwrap();
     }
@@ -82,7 +82,7 @@
     matches!(reply.unwrap(), ControlReply::Error { why } if why == "this host is leaving")
 }
 
-/// Guards against an operator who waits for a command and keeps everybody else from the socket.
+/// Guards against an operator who waits for the result of a command and blocks the socket for all others.
 #[test]
 fn a_status_is_answered_while_a_command_waits() {
     run(async {
@@ -102,62 +102,64 @@
     });
 }
 
-/// Guards against an answer that is given and never written, because the host ends at the same moment.
+/// Guards against an answer that is given but never written, because the host ends at the same moment.
 #[test]
-fn an_answer_given_before_the_end_is_written_whole() {
+fn an_answer_given_before_the_loop_ends_is_written() {
     run(async {
         let mut socket = Socket::bind(|| ());
         let waiting = socket.ask(command());
         let held = socket.held_command().await;
         held.send(Err(CommandError::ResultUnknown)).unwrap();
-        socket.end().await;
+        socket.end_loop().await;
         let reply = waiting.await.unwrap().unwrap();
         assert!(matches!(reply, ControlReply::CommandResultUnknown { .. }));
     });
 }
 
-/// Guards against an end of file for an operator whose command nobody answers any more.
+/// Guards against an end of file instead of a reply, for an operator whose command has no result when the host ends.
 #[test]
-fn a_command_without_an_answer_is_told_that_the_host_leaves() {
+fn a_command_without_a_result_is_told_that_the_host_leaves() {
     run(async {
         let mut socket = Socket::bind(|| ());
         let waiting = socket.ask(command());
         drop(socket.held_command().await);
-        socket.end().await;
+        socket.end_loop().await;
         assert!(is_leaving(waiting.await.unwrap()));
     });
 }
 
-/// Guards against an end of file for an operator who had connected, and was not served, when the host ended.
+/// Guards against an end of file instead of a reply, for an operator who had connected but was not served when the host
+/// ended.
 #[test]
 fn a_requester_in_the_backlog_is_told_that_the_host_leaves() {
     run(async {
         let socket = Socket::bind(|| ());
-        // The task that serves has not run yet: connections stay in the backlog until the loop has ended.
+        // The socket's task has not run yet, so connections stay in the backlog until the loop has ended.
         let mut waiting = connect(&socket.path);
-        waiting.write_all(&line(&command())).await.unwrap();
-        socket.end().await;
+        waiting.write_all(&request_line(&command())).await.unwrap();
+        socket.end_loop().await;
         let mut text = String::new();
         waiting.read_to_string(&mut text).await.unwrap();
         assert!(text.contains("this host is leaving"), "{text}");
     });
 }
 
-/// Guards against a silent requester that keeps a host from ending.
+/// Guards against a requester that sends nothing and keeps the host from ending.
 #[test]
-fn a_requester_that_sends_nothing_does_not_hold_up_the_end() {
+fn a_silent_requester_does_not_delay_the_shutdown() {
     run(async {
         let socket = Socket::bind(|| ());
         let _silent = connect(&socket.path);
         let path = socket.path.clone();
-        socket.end().await;
+        socket.end_loop().await;
         assert!(!path.exists(), "the socket's file is removed");
     });
 }
 
-/// Guards against an end of file for an operator whose configuration is being read when the host ends.
+/// Guards against an end of file instead of a reply, for an operator whose configuration is being read when the host
+/// ends.
 #[test]
-fn a_reload_that_is_being_read_is_told_that_the_host_leaves() {
+fn a_reload_in_progress_is_told_that_the_host_leaves() {
     run(async {
         let (started, has_started) = std::sync::mpsc::channel();
         let end_read = Arc::new(Barrier::new(2));
@@ -174,7 +176,7 @@
         assert!(reply.send(Arc::new(deployment)).is_ok());
         let wait = tokio::task::spawn_blocking(move || has_started.recv().unwrap());
         wait.await.unwrap();
-        socket.end().await;
+        socket.end_loop().await;
         assert!(is_leaving(waiting.await.unwrap()));
         end_read.wait();
     });
@@ -183,14 +185,14 @@
 const DOCUMENT: &str = "stream-type \"r\" effect=\"repeatable\" slo=\"1s\" expiry=\"2s\"\nplan \"p\"\n\
     host \"h1\" address=\"127.0.0.1:1\"\nvolume \"v\" plan=\"p\"\n";
 
-/// Connects at once, so that the connection is in the backlog when this returns.
+/// Connects without yielding to the runtime, so that the connection is in the backlog when this returns.
 fn connect(path: &Path) -> UnixStream {
     let stream = std::os::unix::net::UnixStream::connect(path).unwrap();
     stream.set_nonblocking(true).unwrap();
     UnixStream::from_std(stream).unwrap()
 }
 
-fn line(request: &ControlRequest) -> Vec<u8> {
+fn request_line(request: &ControlRequest) -> Vec<u8> {
     let mut text = serde_json::to_string(request).unwrap();
     text.push('\n');
     text.into_bytes()
--- a/crates/host/tests/host/control_compatibility.rs
+++ b/crates/host/tests/host/control_compatibility.rs
@@ -1,6 +1,6 @@
-//! Control sockets of different versions understand each other. The texts here were written down from the
-//! types of an earlier version, before their fields and variants were renamed; every field has a value of its
-//! own, so that one that is read into the wrong place shows.
+//! Compatibility of the control socket's messages between versions. The JSON texts were written by an earlier
+//! version, whose types had other names. Every field has a distinct value, so that one that is read into the wrong
+//! field is detected.
 
 use gullsail_host::control::{ControlReply, ControlRequest, State};
 use gullsail_host::core::Counts;
@@ -57,7 +57,7 @@
     assert_eq!((state.host.as_str(), state.revision), ("h1", 7));
     assert_eq!(state.behind, ["h2", "h3"]);
     assert_eq!(
-        (state.open, state.attempts_out, state.held_bytes),
+        (state.open, state.attempts_in_flight, state.held_bytes),
         (11, 12, 13)
     );
     check_counts(&state.counts);
@@ -160,7 +160,7 @@
     assert_eq!(order.hosts, ["h2"]);
 }
 
-/// What today's types write has the same keys and values, those of the fleet's status included.
+/// The current types write the same keys and values, those of the fleet's status included.
 #[test]
 fn a_state_is_written_with_the_keys_of_an_earlier_version() {
     let reply: ControlReply = serde_json::from_str(STATE).unwrap();
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -1,4 +1,4 @@
-//! The host's core against nodes, clients and peers that fail, in given time.
+//! The host's core with nodes, clients and peers that fail.
 
 use crate::rig::{Rig, document, ms};
 use bytes::Bytes;
@@ -18,13 +18,13 @@
 /// How the first attempt of a request ends.
 enum End {
     Answer(AttemptResult),
-    Break,
-    Silence,
+    ConnectionLost,
+    NoAnswer,
     NeverSent,
 }
 
-/// Submits request 5, whose first attempt ends so.
-fn submit_and_end(rig: &mut Rig, client: LinkId, request_class: &str, end: &End, place: usize) {
+/// Submits request 5, whose first attempt ends as given.
+fn submit_and_end(rig: &mut Rig, client: LinkId, request_class: &str, end: &End, case: usize) {
     let up = !matches!(end, End::NeverSent);
     let n = if up {
         rig.node_up("n1", 11, ms(1e7))
@@ -32,51 +32,51 @@
         LinkId(0)
     };
     rig.submit(client, 5, request_class);
-    assert_eq!(rig.attempts(n).len(), usize::from(up), "case {place}");
-    rig.pass(ms(10.0));
+    assert_eq!(rig.attempts(n).len(), usize::from(up), "case {case}");
+    rig.run_for(ms(10.0));
     match end {
         End::Answer(result) => rig.answer(n, rig.attempts(n)[0].attempt, *result),
-        End::Break => {
+        End::ConnectionLost => {
             rig.handle(Input::Closed(n, "reset".into()));
-            rig.pass(ms(30.0));
+            rig.run_for(ms(30.0));
             rig.node_up("n1", 11, ms(1e7));
         }
-        End::Silence | End::NeverSent => {}
+        End::NoAnswer | End::NeverSent => {}
     }
 }
 
-/// How a sent attempt ends, by request class: what the client is told, and how many attempts there are.
+/// The outcome and the number of attempts, by request class and by how the first attempt ends.
 #[test]
-fn what_may_have_run_is_repeated_only_as_its_effect_allows() {
+fn attempts_that_may_have_run_are_retried_only_if_the_request_class_allows() {
     use Outcome::{Failed, Rejected, Succeeded};
     // request class, how the first attempt ends, attempts in all, outcome
     let cases = [
         ("read", End::Answer(AttemptResult::Succeeded), 1, Succeeded),
         ("read", End::Answer(AttemptResult::Failed), 2, Rejected),
-        ("read", End::Silence, 1, Rejected),
+        ("read", End::NoAnswer, 1, Rejected),
         ("trip", End::Answer(AttemptResult::Failed), 1, Failed),
         ("trip", End::Answer(AttemptResult::Rejected), 2, Failed),
-        ("trip", End::Break, 1, Failed),
-        ("trip", End::Silence, 1, Failed),
-        // The connection never came about: it certainly did not run.
+        ("trip", End::ConnectionLost, 1, Failed),
+        ("trip", End::NoAnswer, 1, Failed),
+        // The connection was not established, so the attempt cannot have run.
         ("trip", End::NeverSent, 0, Rejected),
-        ("write", End::Silence, 1, Failed),
-        ("write", End::Break, 2, Failed),
+        ("write", End::NoAnswer, 1, Failed),
+        ("write", End::ConnectionLost, 2, Failed),
     ];
-    for (place, (request_class, end, attempts, outcome)) in cases.into_iter().enumerate() {
+    for (case, (request_class, end, attempts, outcome)) in cases.into_iter().enumerate() {
         let mut rig = new_rig();
         let client = rig.client();
-        submit_and_end(&mut rig, client, request_class, &end, place);
-        rig.pass(ms(3000.0));
+        submit_and_end(&mut rig, client, request_class, &end, case);
+        rig.run_for(ms(3000.0));
         let sent = rig.new_attempts();
         assert_eq!(
             (sent.len(), rig.outcomes(client, 5)),
             (attempts, vec![outcome]),
-            "case {place}"
+            "case {case}"
         );
         assert!(
             sent.iter().all(|sent| sent.attempt.mark == "m5"),
-            "a repeat is known by its mark"
+            "a retry has the mark of its request"
         );
         assert!(
             sent.iter()
@@ -87,27 +87,27 @@
 }
 
 #[test]
-fn a_late_answer_of_a_node_is_discarded_and_counted() {
+fn a_late_node_answer_is_discarded_and_counted() {
     let mut rig = new_rig();
     let (client, (n, _)) = (rig.client(), rig.nodes_up());
     rig.submit(client, 5, "read");
     let attempt = rig.attempts(n)[0].attempt;
-    rig.pass(ms(1000.0));
+    rig.run_for(ms(1000.0));
     assert!(
-        rig.on(n)
+        rig.frames_on(n)
             .any(|frame| frame.message == Message::Cancel(Cancel { attempt })),
-        "the node is told"
+        "the attempt is cancelled at the node"
     );
     assert_eq!(rig.outcomes(client, 5), [Outcome::Rejected]);
     rig.answer(n, attempt, AttemptResult::Succeeded);
-    // And answers to what was never asked, or was asked of another node.
+    // The node answers an attempt that was never sent.
     rig.answer(n, 999, AttemptResult::Succeeded);
     assert_eq!(rig.outcomes(client, 5), [Outcome::Rejected]);
     assert_eq!(rig.core.counts().late_node_answers, 2);
 }
 
 #[test]
-fn another_nodes_answer_ends_nothing() {
+fn an_answer_from_another_node_does_not_end_an_attempt() {
     let mut rig = new_rig();
     let (client, (n1, n2)) = (rig.client(), rig.nodes_up());
     rig.submit(client, 5, "read");
@@ -121,11 +121,11 @@
         Bytes::from_static(b"bytes"),
     );
     assert_eq!(rig.outcomes(client, 5), [Outcome::Succeeded]);
-    assert!(rig.on(client).any(|frame| frame.body == "bytes"));
+    assert!(rig.frames_on(client).any(|frame| frame.body == "bytes"));
 }
 
 #[test]
-fn a_stop_answers_all_that_is_held_and_takes_nothing_new() {
+fn a_shutdown_answers_open_requests_and_refuses_new_ones() {
     let deployment = document(&[("open=50", "open=2000"), ("4000B", "4MB")]);
     let mut rig = Rig::new(&deployment, 0, START);
     let (client, _) = (rig.client(), rig.nodes_up());
@@ -133,15 +133,15 @@
         rig.submit(client, id, ["read", "write", "trip"][id as usize % 3]);
     }
     rig.handle(Input::Stop);
-    assert!(!rig.finished, "a thousand are open");
+    assert!(!rig.finished, "a thousand requests are open");
     rig.submit(client, 5000, "read");
-    assert_eq!(rig.not_taken(client), ["this host is shutting down"]);
+    assert_eq!(rig.refusals(client), ["this host is shutting down"]);
     assert_eq!(rig.core.accept(rig.now), None);
-    rig.pass(ms(1500.0));
+    rig.run_for(ms(1500.0));
     assert!(rig.finished);
     assert!((0..1000).all(|id| rig.outcomes(client, id).len() == 1));
     let attempts = rig.sent.len();
-    rig.pass(ms(3000.0));
+    rig.run_for(ms(3000.0));
     let later = rig.sent[attempts..]
         .iter()
         .filter(|sent| matches!(sent.frame.message, Message::Attempt(_) | Message::Answer(_)));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn clients_that_leave_or_withdraw_get_nothing_more() {
+fn disconnected_clients_and_withdrawn_requests_get_no_answer() {
     let mut rig = new_rig();
     let (client, other, (n, _)) = (rig.client(), rig.client(), rig.nodes_up());
     rig.submit(client, 5, "read");
@@ -157,13 +157,13 @@
     rig.submit(other, 5, "read");
     rig.frame(client, Withdraw { id: 6 });
     rig.handle(Input::Closed(client, "gone".into()));
-    let before = rig.on(client).count();
+    let before = rig.frames_on(client).count();
     for attempt in rig.attempts(n) {
         rig.answer(n, attempt.attempt, AttemptResult::Succeeded);
     }
-    rig.pass(ms(2000.0));
+    rig.run_for(ms(2000.0));
     assert_eq!(
-        (rig.on(client).count(), rig.outcomes(other, 5)),
+        (rig.frames_on(client).count(), rig.outcomes(other, 5)),
         (before, vec![Outcome::Succeeded])
     );
     assert_eq!(
@@ -175,10 +175,10 @@
     );
 }
 
-/// A attempt fails and its client leaves before the decisions hear of either: they ask for one more attempt,
-/// which does not go out and must not stay in the node's window.
+/// An attempt fails and its client disconnects in the same step of the scheduler. The scheduler may start a retry,
+/// which is not sent and must not occupy the node's window.
 #[test]
-fn attempts_of_those_who_left_keep_no_room() {
+fn retries_of_disconnected_clients_do_not_occupy_the_node_window() {
     let mut rig = new_rig();
     let (stays, n) = (rig.client(), rig.node_up("n1", 11, ms(1e7)));
     for id in 0..40 {
@@ -193,16 +193,20 @@
         rig.core.handle(rig.now, Input::Frame(n, failed.into()));
         rig.core
             .handle(rig.now, Input::Closed(client, "gone".into()));
-        rig.settle();
-        // In between, the node serves well: its window does not fall for the failures alone.
+        rig.run_until_idle();
+        // In between the node succeeds, so that the failures alone do not shrink its window.
         for other in 0..4 {
             rig.submit(stays, 1000 + id * 4 + other, "read");
             let attempt = rig.attempts(n).last().unwrap().attempt;
             rig.answer(n, attempt, AttemptResult::Succeeded);
-            rig.pass(ms(20.0));
+            rig.run_for(ms(20.0));
         }
     }
-    assert_eq!(rig.core.load().attempts_out, 0, "no leg is out");
+    assert_eq!(
+        rig.core.load().attempts_in_flight,
+        0,
+        "no attempt is in flight"
+    );
     let done = (1000..1160)
         .filter(|id| rig.outcomes(stays, *id) == [Outcome::Succeeded])
         .count();
@@ -210,10 +214,10 @@
 }
 
 /// Makes a valid request invalid.
-type Spoil = fn(&mut Submit);
+type Invalidate = fn(&mut Submit);
 
 #[test]
-fn what_is_not_taken_has_its_reason() {
+fn a_refused_request_gets_the_reason() {
     let mut rig = new_rig();
     rig.nodes_up();
     let good = Submit {
@@ -222,12 +226,12 @@
             object: 1,
         }),
         timeout_us: 1_000_000,
-        ..rig.submitted("read", "v", 1)
+        ..rig.valid_submit("read", "v", 1)
     };
     let units = "units out of range: got";
     let deadline = "deadline passed or closer than 2 ticks";
-    // what is wrong with a request, and the reason that its client reads
-    let cases: [(Spoil, String); 8] = [
+    // change that makes the request invalid, reason that the client gets
+    let cases: [(Invalidate, String); 8] = [
         (
             |submit| submit.request_class = "raed".into(),
             "unknown request class \"raed\"".into(),
@@ -250,11 +254,11 @@
         (|submit| submit.handle = None, "needs the handle".into()),
     ];
     let client = rig.client();
-    for (spoil, reason) in cases {
+    for (invalidate, reason) in cases {
         let mut submit = good.clone();
-        spoil(&mut submit);
+        invalidate(&mut submit);
         rig.frame(client, submit);
-        let refusal = rig.not_taken(client).pop().unwrap();
+        let refusal = rig.refusals(client).pop().unwrap();
         assert!(refusal.contains(&reason), "{refusal}");
     }
     rig.frame(client, good);
@@ -262,9 +266,9 @@
     assert_eq!((counts.taken, counts.not_taken), (1, 8));
 }
 
-/// A frame that its sender may not send ends that link and no other.
+/// A frame that its sender may not send closes that connection and no other.
 #[test]
-fn misbehaviour_ends_one_link() {
+fn a_protocol_violation_closes_only_its_connection() {
     let attempt: Frame = Attempt::default().into();
     let demand_report: Frame = DemandReport { bytes: vec![1] }.into();
     for bad in [
@@ -282,12 +286,12 @@
         rig.answer(n, rig.attempts(n)[0].attempt, AttemptResult::Succeeded);
         assert_eq!(rig.outcomes(other, 5), [Outcome::Succeeded]);
     }
-    one_id_for_two_requests_ends_the_link();
-    a_newer_kind_is_skipped_and_strangers_are_closed();
+    a_reused_request_id_closes_the_connection();
+    newer_frame_kinds_are_skipped_and_wrong_identities_closed();
 }
 
-/// One id for two open requests can't be answered: that link ends too.
-fn one_id_for_two_requests_ends_the_link() {
+/// Answers to two open requests with one id could not be told apart, so the connection is closed.
+fn a_reused_request_id_closes_the_connection() {
     let mut rig = new_rig();
     let client = rig.client();
     rig.submit(client, 5, "read");
@@ -295,8 +299,8 @@
     assert_eq!(rig.closed, [client]);
 }
 
-fn a_newer_kind_is_skipped_and_strangers_are_closed() {
-    // A newer kind is skipped.
+fn newer_frame_kinds_are_skipped_and_wrong_identities_closed() {
+    // A frame of a kind that only a newer version defines is skipped.
     let mut rig = new_rig();
     let client = rig.client();
     rig.frame(
@@ -307,7 +311,7 @@
         },
     );
     assert_eq!(rig.closed, []);
-    // A stranger that says nothing, a node that answers at another's address.
+    // A connection without a first frame, and a node that identifies itself at another node's address.
     let stranger = rig.core.accept(rig.now).unwrap();
     let n = rig.connection_to("n1").unwrap();
     rig.handle(Input::Connected(n));
@@ -321,12 +325,12 @@
         },
     );
     assert_eq!(rig.closed, [n]);
-    rig.pass(ms(1000.0));
+    rig.run_for(ms(1000.0));
     assert!(rig.closed.contains(&stranger) && !rig.closed.contains(&client));
 }
 
 #[test]
-fn memory_is_bounded_and_clients_wait() {
+fn clients_are_not_read_while_too_many_requests_are_open() {
     let mut rig = new_rig();
     let client = rig.client();
     for id in 0..50 {
@@ -335,19 +339,20 @@
     assert_eq!(
         rig.reading.get(&client),
         Some(&false),
-        "as many as may be are open"
+        "the limit of open requests is reached"
     );
-    rig.pass(ms(3000.0));
-    assert_eq!(rig.reading.get(&client), Some(&true), "they are answered");
+    rig.run_for(ms(3000.0));
+    assert_eq!(rig.reading.get(&client), Some(&true), "all are answered");
     assert_eq!(rig.core.counts().back_pressure_events, 1);
 }
 
-/// One that takes none of its answers waits, alone, and is let go.
+/// The host stops reading from a client that does not read its answers, and closes its connection after
+/// `client-stall`. Other clients are read from throughout.
 #[test]
-fn a_client_that_reads_nothing_waits_alone() {
+fn a_client_that_reads_nothing_is_closed_without_affecting_others() {
     let mut rig = new_rig();
     let (client, slow, n) = (rig.client(), rig.client(), rig.node_up("n1", 11, ms(1e7)));
-    rig.stuck.insert(slow);
+    rig.unread.insert(slow);
     for id in 0..5 {
         rig.submit(slow, id, "read");
         let attempt = rig.attempts(n).last().unwrap().attempt;
@@ -362,29 +367,26 @@
         (rig.reading.get(&slow), rig.reading.get(&client)),
         (Some(&false), None)
     );
-    assert!(
-        rig.core.load().bytes >= 4000,
-        "what waits for it is counted"
-    );
-    rig.pass(ms(5000.0));
+    assert!(rig.core.load().bytes >= 4000, "unsent answers are counted");
+    rig.run_for(ms(5000.0));
     assert_eq!(
         (rig.closed.contains(&slow), rig.core.load().bytes),
         (true, 0)
     );
 }
 
-/// What waited while the process stood still has as much less time; what would have next to none is not
-/// taken.
+/// The timeout of a request that waited during a stall is shortened by that wait. A request with hardly any time left
+/// is refused.
 #[test]
-fn what_waited_while_the_process_stood_still_has_less_time() {
-    // ttl and wait in ms; whether it is taken, and the most of its time that an attempt of it has
+fn a_request_delayed_by_a_stall_has_a_shorter_timeout() {
+    // timeout and wait in ms, whether the request is accepted, longest timeout of its attempts in ms
     let cases = [
         (1500, 0, true, 400),
         (1500, 100, true, 300),
         (1500, 1470, false, 0),
         (300, 800, false, 0),
     ];
-    for (timeout, waited, taken, lasts) in cases {
+    for (timeout, waited, accepted, max_timeout) in cases {
         let mut rig = new_rig();
         let (client, (n, _)) = (rig.client(), rig.nodes_up());
         rig.submit(client, 1, "read");
@@ -392,7 +394,7 @@
             timeout_us: timeout * 1000,
             id: 9,
             mark: "m9".into(),
-            ..rig.submitted("read", "v", 1)
+            ..rig.valid_submit("read", "v", 1)
         };
         rig.handle(Input::DelayedFrame(
             client,
@@ -400,15 +402,15 @@
             ms(waited as f64),
         ));
         assert_eq!(
-            (rig.not_taken(client).is_empty(), rig.attempts(n).len()),
-            (taken, 1 + usize::from(taken)),
+            (rig.refusals(client).is_empty(), rig.attempts(n).len()),
+            (accepted, 1 + usize::from(accepted)),
             "{waited}"
         );
         assert!(
             rig.attempts(n)
                 .iter()
                 .skip(1)
-                .all(|attempt| attempt.time_out_us <= lasts * 1000),
+                .all(|attempt| attempt.time_out_us <= max_timeout * 1000),
             "{:?}",
             rig.attempts(n)
         );
--- a/crates/host/tests/host/main.rs
+++ b/crates/host/tests/host/main.rs
@@ -1,4 +1,4 @@
-//! The host without a socket, in given time.
+//! Tests of the host without sockets. Time is passed in by the tests, except in those of the control socket.
 
 mod bounds;
 mod changes;
--- a/crates/host/tests/host/model.rs
+++ b/crates/host/tests/host/model.rs
@@ -1,7 +1,7 @@
-//! Whole hosts beside the model of the rules, by their frames: what goes to clients and nodes is what was
-//! done, what comes from them is what was seen. Nodes are slow, err, reset, restart cold and drain; clients
-//! withdraw and leave; hosts are killed. Peers can't be reached, so every demand report is lost.
-//! `GULLSAIL_SEED=N` plays another world by hand.
+//! Checks two hosts against the reference model. The frames that hosts receive are reported to the model as events,
+//! the frames that they send as actions. Nodes are slow, fail, lose connections, restart cold and drain; clients
+//! withdraw requests; hosts are killed. Peers cannot be reached, so every demand report is lost.
+//! `GULLSAIL_SEED=N` runs one seed only.
 
 mod observations;
 mod surroundings;
@@ -11,7 +11,7 @@
 use world::World;
 
 #[test]
-fn whole_hosts_keep_the_rules() {
+fn hosts_keep_the_rules_of_the_reference_model() {
     let by_hand = std::env::var("GULLSAIL_SEED")
         .ok()
         .and_then(|seed| seed.parse::<u64>().ok());
@@ -26,16 +26,16 @@
             .iter_mut()
             .zip(world.model.tested)
             .for_each(|(sum, count)| *sum += count);
-        // Each has one answer at most, over the socket too.
-        for side in &world.hosts {
+        // Each request has at most one answer on the client's connection.
+        for host in &world.hosts {
             (1..=world.last).for_each(|id| {
-                assert!(side.rig.outcomes(side.client, id).len() <= 1, "seed {seed}")
+                assert!(host.rig.outcomes(host.client, id).len() <= 1, "seed {seed}")
             });
         }
     }
-    println!("put to the test: {tested:?}");
+    println!("checks per rule: {tested:?}");
     assert!(
         by_hand.is_some() || tested.iter().all(|count| *count >= 30),
-        "some rule was hardly tested: {tested:?}"
+        "too few checks of a rule: {tested:?}"
     );
 }
--- a/crates/host/tests/host/model/observations.rs
+++ b/crates/host/tests/host/model/observations.rs
@@ -1,6 +1,6 @@
-//! What a host did, as its frames show it, reported to the model of the rules; and what it is given.
+//! Passes inputs to the hosts, and reports to the reference model what the hosts receive and send.
 
-use super::world::{AttemptOut, NAMES, World};
+use super::world::{InFlightAttempt, NAMES, World};
 use crate::rig::SentFrame;
 use gullsail_host::core::{Input, LinkId};
 use gullsail_protocol::{Answer, Attempt, Message, Outcome};
@@ -10,18 +10,23 @@
 };
 
 impl World {
-    /// Hands an input over, then reports to the model what came of it.
+    /// Passes an input to a host, then reports to the model the frames that it sent.
     pub(super) fn handle(&mut self, host_index: usize, input: Input) {
         self.hosts[host_index].rig.now = self.now;
         self.hosts[host_index].rig.handle(input);
-        self.look(host_index);
+        self.report_sent_frames(host_index);
     }
 
-    pub(super) fn saw(&mut self, host_index: usize, event: &Event) {
+    pub(super) fn report_event(&mut self, host_index: usize, event: &Event) {
         self.model.saw(self.now, HostId(host_index as u32), event);
     }
 
-    pub(super) fn ended(&mut self, host_index: usize, attempt: u64, outcome: AttemptOutcome) {
+    pub(super) fn report_attempt_end(
+        &mut self,
+        host_index: usize,
+        attempt: u64,
+        outcome: AttemptOutcome,
+    ) {
         let Some(out) = self.hosts[host_index].out.remove(&attempt) else {
             return;
         };
@@ -36,25 +41,25 @@
             zone: ZoneId::default(),
             bytes: 0.0,
         };
-        self.saw(host_index, &Event::AttemptEnded(end));
+        self.report_event(host_index, &Event::AttemptEnded(end));
     }
 
-    /// Reports to the model what the host sent since the last look.
-    pub(super) fn look(&mut self, host_index: usize) {
-        while self.hosts[host_index].seen < self.hosts[host_index].rig.sent.len() {
-            let sent = self.hosts[host_index].rig.sent[self.hosts[host_index].seen].clone();
-            self.hosts[host_index].seen += 1;
-            let found = self.look_at(host_index, sent);
+    /// Reports to the model the frames that a host sent since the last call.
+    pub(super) fn report_sent_frames(&mut self, host_index: usize) {
+        while self.hosts[host_index].reported < self.hosts[host_index].rig.sent.len() {
+            let sent = self.hosts[host_index].rig.sent[self.hosts[host_index].reported].clone();
+            self.hosts[host_index].reported += 1;
+            let found = self.report_sent_frame(host_index, sent);
             self.breaches.extend(found.err());
         }
     }
 
-    fn look_at(&mut self, host_index: usize, sent: SentFrame) -> Result<(), Breach> {
+    fn report_sent_frame(&mut self, host_index: usize, sent: SentFrame) -> Result<(), Breach> {
         let SentFrame { at, link, frame } = sent;
         match frame.message {
             Message::Attempt(attempt) => self.attempt_sent(host_index, at, link, &attempt),
             Message::Cancel(cancel) => {
-                self.ended(host_index, cancel.attempt, AttemptOutcome::TimedOut);
+                self.report_attempt_end(host_index, cancel.attempt, AttemptOutcome::TimedOut);
                 Ok(())
             }
             Message::Answer(answer) => self.answer_sent(host_index, at, &answer),
@@ -73,7 +78,7 @@
         let mut links = self.hosts[host_index].links.iter();
         let n = links.position(|other| *other == Some(link)).unwrap();
         let count = self.hosts[host_index].attempts.entry(id).or_default();
-        let out = AttemptOut {
+        let out = InFlightAttempt {
             request: id,
             number: *count,
             link,
@@ -86,7 +91,7 @@
             time_out: None,
         };
         let found = self.model.did(at, HostId(host_index as u32), &action);
-        self.node_takes(host_index, n, link, sent);
+        self.node_receives(host_index, n, link, sent);
         found
     }
 
--- a/crates/host/tests/host/model/surroundings.rs
+++ b/crates/host/tests/host/model/surroundings.rs
@@ -1,6 +1,6 @@
-//! What is around the hosts: nodes that answer, connections that break, the endpoint list, and faults.
+//! The environment of the hosts: nodes that answer, connections that are lost, the endpoint list, and faults.
 
-use super::world::{CAN, Mail, NAMES, NodeState, World};
+use super::world::{NAMES, NODE_CAPACITY, NodeAnswer, NodeState, World};
 use crate::rig::{ConnectRequest, ms};
 use gullsail_host::core::{Input, LinkId};
 use gullsail_protocol::{
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 impl World {
-    pub(super) fn node_takes(
+    pub(super) fn node_receives(
         &mut self,
         host_index: usize,
         n: usize,
@@ -20,7 +20,7 @@
         let (now, node) = (self.now, &mut self.nodes[n]);
         let part = (0.2 + 0.8 * (now - node.started_at).secs() / 10.0).min(1.0);
         node.free_at = node.free_at.max(now)
-            + Span::from_millis(attempt.units / (CAN * part) * 1e3 * node.slowdown);
+            + Span::from_millis(attempt.units / (NODE_CAPACITY * part) * 1e3 * node.slowdown);
         let result = if self.rng.random_bool(node.error_rate) {
             if self.rng.random_bool(0.3) {
                 AttemptResult::Rejected
@@ -37,7 +37,7 @@
         };
         let at = answered_at + ms(2.0);
         let incarnation = self.hosts[host_index].incarnation;
-        self.mail.push(Mail {
+        self.answers.push(NodeAnswer {
             at,
             host: host_index,
             incarnation,
@@ -47,8 +47,8 @@
         });
     }
 
-    /// New connections: nodes and the list answer, peers do not.
-    pub(super) fn connects(&mut self, host_index: usize) {
+    /// Handles connections that a host requested: nodes and the endpoint list accept, peers refuse.
+    pub(super) fn handle_connects(&mut self, host_index: usize) {
         while self.hosts[host_index].connects < self.hosts[host_index].rig.connects.len() {
             let place = self.hosts[host_index].connects;
             let ConnectRequest { link, address, .. } =
@@ -56,16 +56,16 @@
             self.hosts[host_index].connects += 1;
             self.model.step();
             if address == "list" {
-                self.list_answers(host_index, link);
+                self.accept_at_list(host_index, link);
             } else if let Some(n) = NAMES.iter().position(|name| *name == address) {
-                self.node_answers(host_index, n, link);
+                self.accept_at_node(host_index, n, link);
             } else {
                 self.handle(host_index, Input::ConnectFailed(link, "refused".into()));
             }
         }
     }
 
-    fn list_answers(&mut self, host_index: usize, link: LinkId) {
+    fn accept_at_list(&mut self, host_index: usize, link: LinkId) {
         self.hosts[host_index].list = Some(link);
         self.handle(host_index, Input::Connected(link));
         let hello = Hello {
@@ -74,10 +74,10 @@
             ..Hello::default()
         };
         self.handle(host_index, Input::Frame(link, hello.into()));
-        (0..2).for_each(|n| self.list(host_index, n));
+        (0..2).for_each(|n| self.send_list_update(host_index, n));
     }
 
-    fn node_answers(&mut self, host_index: usize, n: usize, link: LinkId) {
+    fn accept_at_node(&mut self, host_index: usize, n: usize, link: LinkId) {
         self.hosts[host_index].links[n] = Some(link);
         self.handle(host_index, Input::Connected(link));
         let started_at = self.nodes[n].started_at;
@@ -93,11 +93,11 @@
             update_kind: UpdateKind::SelfReported,
             entries: vec![self.entry(n, state, Some(started_at))],
         };
-        self.saw(host_index, &event);
+        self.report_event(host_index, &event);
         self.handle(host_index, Input::Frame(link, hello.into()));
     }
 
-    pub(super) fn reset(&mut self, host_index: usize, n: usize) {
+    pub(super) fn reset_connection(&mut self, host_index: usize, n: usize) {
         let Some(link) = self.hosts[host_index].links[n].take() else {
             return;
         };
@@ -108,13 +108,13 @@
             .filter(|(_, out)| out.link == link)
             .map(|(attempt, _)| *attempt)
             .collect();
-        attempts
-            .into_iter()
-            .for_each(|attempt| self.ended(host_index, attempt, AttemptOutcome::ConnectionLost));
+        attempts.into_iter().for_each(|attempt| {
+            self.report_attempt_end(host_index, attempt, AttemptOutcome::ConnectionLost)
+        });
         self.handle(host_index, Input::Closed(link, "reset".into()));
     }
 
-    pub(super) fn list(&mut self, host_index: usize, n: usize) {
+    pub(super) fn send_list_update(&mut self, host_index: usize, n: usize) {
         let Some(link) = self.hosts[host_index].list else {
             return;
         };
@@ -139,7 +139,7 @@
             update_kind: UpdateKind::Delta,
             entries: vec![self.entry(n, state, Some(started_at))],
         };
-        self.saw(host_index, &event);
+        self.report_event(host_index, &event);
         let update = EndpointListUpdate {
             version: 1,
             whole: false,
@@ -148,7 +148,7 @@
         self.handle(host_index, Input::Frame(link, update.into()));
     }
 
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let (n, host_index) = (self.rng.random_range(0..2), self.rng.random_range(0..2));
         match self.rng.random_range(0..8) {
             0 | 1 => self.nodes[n].error_rate = self.rng.random_range(0.2..0.8),
@@ -159,22 +159,22 @@
                     node.slowdown = 1.0;
                 }
             }
-            4 => self.reset(host_index, n),
+            4 => self.reset_connection(host_index, n),
             5 => {
-                // Restarts, cold; connections break, the list says so.
+                // The node restarts cold: its connections are lost, and the endpoint list reports its new start.
                 let now = self.now;
                 self.nodes[n] = NodeState::ready(self.rng.random_range(100..u64::MAX), now, now);
                 for host_index in 0..2 {
-                    self.reset(host_index, n);
-                    self.list(host_index, n);
+                    self.reset_connection(host_index, n);
+                    self.send_list_update(host_index, n);
                 }
             }
             6 => {
                 self.nodes[n].state = ListedState::Draining;
-                (0..2).for_each(|host_index| self.list(host_index, n));
+                (0..2).for_each(|host_index| self.send_list_update(host_index, n));
             }
             _ => {
-                // A host is killed, and is back at once.
+                // A host is killed and restarts at once.
                 self.model.killed(self.now, HostId(host_index as u32));
                 let incarnation = self.hosts[host_index].incarnation + 1;
                 self.hosts[host_index] = self.start_host(host_index, incarnation);
--- a/crates/host/tests/host/model/traffic.rs
+++ b/crates/host/tests/host/model/traffic.rs
@@ -1,6 +1,6 @@
-//! Requests of clients, and answers of nodes on their way to a host.
+//! Requests of clients, and the delivery of nodes' answers.
 
-use super::world::{Mail, World};
+use super::world::{NodeAnswer, World};
 use gullsail_host::core::Input;
 use gullsail_protocol::{AttemptAnswer, AttemptResult, Handle, Submit};
 use gullsail_scheduler_api::{
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 impl World {
-    /// A client sends a request that is drawn.
+    /// A client sends a random request.
     pub(super) fn arrival(&mut self, host_index: usize) {
         self.last += 1;
         let id = self.last;
@@ -51,7 +51,7 @@
         self.request_arrives(host_index, request, submit);
     }
 
-    /// Mostly that of a first try; some are a next one, or impatient.
+    /// Draws a timeout. Some are shorter, as of a client that retries or is impatient.
     fn draw_timeout_us(&mut self) -> i64 {
         if self.rng.random_bool(0.8) {
             1_500_000
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Hands a request to a host, which must accept it.
+    /// Passes a request to a host, which must accept it.
     fn request_arrives(&mut self, host_index: usize, request: Request, submit: Submit) {
         self.model.step();
-        // By the host's own clock it came now; it is taken unless it says otherwise.
-        self.saw(host_index, &Event::RequestArrived(request));
+        // The model counts the request as accepted now, so the host must not refuse it.
+        self.report_event(host_index, &Event::RequestArrived(request));
         let client = self.hosts[host_index].client;
         let before = self.hosts[host_index].rig.core.counts().not_taken;
         self.handle(host_index, Input::Frame(client, submit.into()));
@@ -76,30 +76,35 @@
         );
     }
 
-    /// Answers of nodes that are due at a host.
-    pub(super) fn deliver_mail(&mut self, host_index: usize) {
-        let due: Vec<Mail> = self
-            .mail
-            .extract_if(.., |mail| mail.host == host_index && mail.at <= self.now)
+    /// Delivers the nodes' answers that are due at a host. Answers to an earlier incarnation of the host, or on a
+    /// connection that was lost, are dropped.
+    pub(super) fn deliver_answers(&mut self, host_index: usize) {
+        let due: Vec<NodeAnswer> = self
+            .answers
+            .extract_if(.., |node_answer| {
+                node_answer.host == host_index && node_answer.at <= self.now
+            })
             .collect();
-        for mail in due {
+        for node_answer in due {
             let host = &self.hosts[host_index];
-            if mail.incarnation != host.incarnation || !host.links.contains(&Some(mail.link)) {
+            if node_answer.incarnation != host.incarnation
+                || !host.links.contains(&Some(node_answer.link))
+            {
                 continue;
             }
             self.model.step();
-            let outcome = match mail.result {
+            let outcome = match node_answer.result {
                 AttemptResult::Succeeded => AttemptOutcome::Succeeded,
                 AttemptResult::Rejected => AttemptOutcome::Rejected,
                 _ => AttemptOutcome::Failed,
             };
-            self.ended(host_index, mail.attempt, outcome);
+            self.report_attempt_end(host_index, node_answer.attempt, outcome);
             let answer = AttemptAnswer {
-                attempt: mail.attempt,
-                result: mail.result as i32,
+                attempt: node_answer.attempt,
+                result: node_answer.result as i32,
                 ..AttemptAnswer::default()
             };
-            self.handle(host_index, Input::Frame(mail.link, answer.into()));
+            self.handle(host_index, Input::Frame(node_answer.link, answer.into()));
         }
     }
 }
--- a/crates/host/tests/host/model/world.rs
+++ b/crates/host/tests/host/model/world.rs
@@ -1,4 +1,4 @@
-//! Two hosts, two nodes and the model of the rules beside them.
+//! Two hosts and two nodes, with the reference model.
 
 use crate::rig::{Rig, document, ms};
 use gullsail_configuration::Deployment;
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 
 pub(super) const NAMES: [&str; 2] = ["n1", "n2"];
-/// How long a world is played, in milliseconds.
-const LASTS_MS: i64 = 6000;
-/// What a node can do, in units per second.
-pub(super) const CAN: f64 = 80.0;
+/// How long a world runs, in milliseconds.
+const RUN_MS: i64 = 6000;
+/// The throughput of a node, in units per second.
+pub(super) const NODE_CAPACITY: f64 = 80.0;
 
-/// What is on its way to a host, and for which incarnation.
-pub(super) struct Mail {
+/// A node's answer in transit to one incarnation of a host.
+pub(super) struct NodeAnswer {
     pub(super) at: Instant,
     pub(super) host: usize,
     pub(super) incarnation: u32,
@@ -29,25 +29,26 @@
     pub(super) result: AttemptResult,
 }
 
-/// An attempt that is out at a node.
+/// An attempt that a node has not answered.
 #[derive(Clone, Copy)]
-pub(super) struct AttemptOut {
+pub(super) struct InFlightAttempt {
     pub(super) request: RequestId,
-    /// Its place among the request's attempts.
+    /// How many attempts of the same request were sent before it.
     pub(super) number: u32,
     pub(super) link: LinkId,
 }
 
-/// A node as it is, whatever hosts know of it.
+/// The true state of a node. Hosts may have an older view.
 #[derive(Clone, Copy)]
 pub(super) struct NodeState {
     pub(super) incarnation: u64,
     pub(super) started_at: Instant,
     pub(super) state: ListedState,
-    /// Chance of an error.
+    /// Probability that an attempt fails.
     pub(super) error_rate: f64,
-    /// How many times as slow as it could be.
+    /// Factor by which each attempt takes longer than at full speed.
     pub(super) slowdown: f64,
+    /// When the node has finished all attempts that it received.
     pub(super) free_at: Instant,
 }
 
@@ -65,17 +66,21 @@
     }
 }
 
-pub(super) struct Side {
+pub(super) struct SimulatedHost {
     pub(super) rig: Rig,
     pub(super) incarnation: u32,
     pub(super) client: LinkId,
     pub(super) links: [Option<LinkId>; 2],
-    /// The nodes' states as its endpoint list reported them last.
+    /// The nodes' states that the endpoint list last reported to this host.
     pub(super) last_list_state: [ListedState; 2],
     pub(super) list: Option<LinkId>,
-    pub(super) seen: usize,
+    /// How many of the rig's sent frames were reported to the model.
+    pub(super) reported: usize,
+    /// How many of the rig's requested connections were handled.
     pub(super) connects: usize,
-    pub(super) out: BTreeMap<u64, AttemptOut>,
+    /// Attempts that are in flight, by id.
+    pub(super) out: BTreeMap<u64, InFlightAttempt>,
+    /// How many attempts of each request were sent.
     pub(super) attempts: BTreeMap<RequestId, u32>,
 }
 
@@ -84,9 +89,10 @@
     pub(super) deployment: Arc<Deployment>,
     pub(super) now: Instant,
     pub(super) model: Model,
-    pub(super) hosts: Vec<Side>,
-    pub(super) mail: Vec<Mail>,
+    pub(super) hosts: Vec<SimulatedHost>,
+    pub(super) answers: Vec<NodeAnswer>,
     pub(super) nodes: [NodeState; 2],
+    /// Id of the newest request; 0: there is none.
     pub(super) last: u64,
     pub(super) breaches: Vec<Breach>,
 }
@@ -110,7 +116,7 @@
             drain_grace: ms(0.0),
             slack: 0.0,
             multiple: 2.0,
-            can: CAN,
+            can: NODE_CAPACITY,
             answer_slack: ms(0.0),
         };
         let warm = start() - ms(1e6);
@@ -121,24 +127,24 @@
             now: start(),
             model: Model::new(stated),
             hosts: Vec::new(),
-            mail: Vec::new(),
+            answers: Vec::new(),
             nodes: [node(11), node(12)],
             last: 0,
             breaches: Vec::new(),
         };
         for host_index in 0..2 {
-            let side = world.start_host(host_index, 1);
-            world.hosts.push(side);
+            let host = world.start_host(host_index, 1);
+            world.hosts.push(host);
         }
         world
     }
 
-    pub(super) fn start_host(&mut self, host_index: usize, incarnation: u32) -> Side {
+    pub(super) fn start_host(&mut self, host_index: usize, incarnation: u32) -> SimulatedHost {
         let host = HostId(host_index as u32);
         self.model.step();
         self.model
             .host_started(self.now, host, &self.deployment.config(host));
-        // A newborn knows its document, and learns of drains from the list.
+        // A host that starts knows the nodes of its configuration. The endpoint list reports drains later.
         let entries = (0..2)
             .map(|n| self.entry(n, ListedState::Ready, None))
             .collect();
@@ -154,14 +160,14 @@
         let client = rig.client();
         let (out, attempts) = (BTreeMap::new(), BTreeMap::new());
         let last_list_state = [ListedState::Ready; 2];
-        Side {
+        SimulatedHost {
             rig,
             incarnation,
             client,
             links: [None; 2],
             last_list_state,
             list: None,
-            seen: 0,
+            reported: 0,
             connects: 0,
             out,
             attempts,
@@ -185,28 +191,28 @@
     }
 
     pub(super) fn run(&mut self) {
-        for passed in 1..=LASTS_MS {
+        for passed in 1..=RUN_MS {
             self.now = start() + ms(passed as f64);
             for host_index in 0..2 {
                 self.model.step();
                 let span = self.now - self.hosts[host_index].rig.now;
-                self.hosts[host_index].rig.pass(span);
-                self.look(host_index);
-                self.connects(host_index);
-                self.deliver_mail(host_index);
+                self.hosts[host_index].rig.run_for(span);
+                self.report_sent_frames(host_index);
+                self.handle_connects(host_index);
+                self.deliver_answers(host_index);
                 if self.rng.random_bool(0.08) {
                     self.arrival(host_index);
                 }
                 if self.rng.random_bool(0.002) {
-                    // The newest is withdrawn, whether it is open still or not.
+                    // A client withdraws the newest request, whether it is still open or not.
                     let (id, client) = (self.last, self.hosts[host_index].client);
                     self.model.step();
-                    self.saw(host_index, &Event::ClientDisconnected(RequestId(id)));
+                    self.report_event(host_index, &Event::ClientDisconnected(RequestId(id)));
                     self.handle(host_index, Input::Frame(client, Withdraw { id }.into()));
                 }
             }
             if self.rng.random_bool(0.004) {
-                self.fault();
+                self.inject_fault();
             }
             self.breaches.extend(self.model.passed(self.now).err());
         }
--- a/crates/host/tests/host/nodes.rs
+++ b/crates/host/tests/host/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes and the endpoint list, as a host's core connects to them and learns of their starts and drains.
+//! How a host's core connects to nodes and to the endpoint list, and handles starts and drains of nodes.
 
 use crate::rig::{ConnectRequest, Rig, document, ms};
 use gullsail_host::core::Input;
@@ -13,34 +13,38 @@
     Rig::new(&document(&[]), 0, START)
 }
 
-/// A connection that breaks and comes back to the same process is no restart; to another, it is, list or no
-/// list. What a node may be sent in its first seconds tells the difference.
+/// A node that reconnects as the same process did not restart; as another process it did, also without an update of
+/// the endpoint list. The number of attempts sent shows whether slow start applies.
 #[test]
 fn only_another_incarnation_is_a_restart() {
     for (incarnation, age, cold, restarts) in [(11, 1e7, false, 0), (99, 0.0, true, 1)] {
         let mut rig = new_rig();
         let client = rig.client();
         let n = rig.node_up("n1", 11, ms(1e7));
-        // With an attempt out, or the decisions hear nothing of the break.
+        // With an attempt in flight, the scheduler learns of the lost connection.
         rig.submit(client, 99, "trip");
         rig.handle(Input::Closed(n, "reset".into()));
         assert_eq!(rig.outcomes(client, 99), [Outcome::Failed]);
-        rig.pass(ms(50.0));
+        rig.run_for(ms(50.0));
         let n = rig.node_up("n1", incarnation, ms(age));
         for id in 0..40 {
             rig.submit(client, id, "read");
-            rig.pass(ms(5.0));
+            rig.run_for(ms(5.0));
             if let Some(attempt) = rig.attempts(n).last().cloned() {
                 rig.answer(n, attempt.attempt, AttemptResult::Succeeded);
             }
         }
         let sent = rig.attempts(n).len();
-        assert_eq!(sent < 20, cold, "{sent} legs to incarnation {incarnation}");
+        assert_eq!(
+            sent < 20,
+            cold,
+            "{sent} attempts to incarnation {incarnation}"
+        );
         assert_eq!(rig.core.counts().nodes_restarted, restarts);
     }
 }
 
-/// An update of the list that names the first node alone.
+/// Returns an update of the endpoint list that names only the first node.
 fn first_node_listed(state: ListedState, incarnation: u64, age_ms: i64) -> EndpointListUpdate {
     EndpointListUpdate {
         version: 1,
@@ -57,13 +61,13 @@
     }
 }
 
-/// Drains are kept through broken connections, late lists and the node's own word; only another start, told
-/// by the list as ready, takes one back.
+/// A drain lasts through lost connections, late updates of the endpoint list and the node's first frames. It ends only
+/// when the endpoint list reports the node as ready with a newer start.
 #[test]
-fn a_drain_is_taken_back_by_a_newer_start_only() {
+fn only_a_newer_start_ends_a_drain() {
     let entry = first_node_listed;
     use ListedState::*;
-    // what is told after the drain, and whether the node may be used then
+    // updates after the drain, whether the node may be used then
     let cases = [
         (vec![], false),
         (vec![entry(Ready, 11, 9_999_000)], false),
@@ -80,17 +84,17 @@
         let list = rig.list_up();
         rig.frame(list, entry(Draining, 11, 1_000_000));
         rig.handle(Input::Closed(n, "reset".into()));
-        rig.pass(ms(50.0));
+        rig.run_for(ms(50.0));
         rig.node_up("n1", 11, ms(1e7 + 50.0));
         news.into_iter().for_each(|n| rig.frame(list, n));
         rig.new_attempts();
         rig.submit(client, 5, "read");
-        rig.pass(ms(100.0));
+        rig.run_for(ms(100.0));
         assert_eq!(!rig.new_attempts().is_empty(), may, "case {place}");
     }
 }
 
-/// Connections to the first node are refused, or accepted and silent.
+/// For six seconds, connections to the first node are refused, or accepted without a first frame.
 fn six_seconds_without_the_node(rig: &mut Rig, refuses: bool) {
     let mut seen = 0;
     for _ in 0..6000 {
@@ -103,14 +107,14 @@
             }
         }
         seen = rig.connects.len();
-        rig.pass(ms(1.0));
+        rig.run_for(ms(1.0));
     }
 }
 
-/// A port that refuses, and one that accepts and stays silent: attempts end as certainly not run within the
-/// connect time-out, and tries come ever more seldom, with no end.
+/// The node's port refuses connections, or accepts them and sends nothing. The request is rejected after a bounded
+/// wait, and the host keeps trying to connect, with a growing backoff.
 #[test]
-fn nodes_that_cannot_be_reached_cost_a_bounded_wait() {
+fn requests_to_an_unreachable_node_wait_for_a_bounded_time() {
     for refuses in [true, false] {
         let mut rig = new_rig();
         let client = rig.client();
@@ -119,7 +123,7 @@
         assert_eq!(
             rig.outcomes(client, 5),
             [Outcome::Rejected],
-            "it never ran, and is told so"
+            "the request was not sent, so it is rejected and not failed"
         );
         let mut sent = rig.sent.iter();
         let answer = sent.find(|sent| matches!(sent.frame.message, Message::Answer(_)));
@@ -133,20 +137,20 @@
             .collect();
         assert!(
             (5..=40).contains(&connects.len()),
-            "{} tries in six seconds",
+            "{} attempts to connect in six seconds",
             connects.len()
         );
         let gaps: Vec<_> = connects.windows(2).map(|pair| pair[1] - pair[0]).collect();
         assert!(
             gaps.iter().all(|gap| *gap <= ms(500.0 + 1000.0)),
-            "no wait past the longest"
+            "no backoff is longer than the longest"
         );
-        assert!(gaps.last() > gaps.first(), "waits grow");
+        assert!(gaps.last() > gaps.first(), "the backoff grows");
     }
 }
 
 #[test]
-fn a_list_may_name_two_nodes_with_one_shard() {
+fn two_nodes_with_one_shard_both_get_reads() {
     let mut rig = new_rig();
     let (client, (n1, _)) = (rig.client(), rig.nodes_up());
     let list = rig.list_up();
@@ -166,7 +170,7 @@
             entries: vec![entry("n1", 11), entry("n9", 19)],
         },
     );
-    let n9 = rig.node_greets("n9", 19, Span::from_micros(1 << 40), 2);
+    let n9 = rig.node_identifies("n9", 19, Span::from_micros(1 << 40), 2);
     for id in 0..40 {
         rig.submit(client, id, "read");
     }
@@ -179,14 +183,14 @@
     }
     assert!(
         !rig.attempts(n1).is_empty() && !rig.attempts(n9).is_empty(),
-        "both serve the cell"
+        "both serve the shard"
     );
 }
 
-/// The list: a refusal, a silent service and a broken watch are each told to the decisions once, which ask
-/// again with growing waits.
+/// Each failure to connect to the endpoint list is reported to the scheduler once, which queries it again with a
+/// growing backoff.
 #[test]
-fn a_lost_list_is_asked_again() {
+fn an_unavailable_endpoint_list_is_queried_again_with_backoff() {
     let mut rig = new_rig();
     for _ in 0..20_000 {
         let newest = rig.connects.last().cloned();
@@ -196,13 +200,16 @@
         {
             rig.handle(Input::ConnectFailed(link, "refused".into()));
         }
-        rig.pass(ms(1.0));
+        rig.run_for(ms(1.0));
     }
     let tries = rig
         .connects
         .iter()
         .filter(|request| request.address == "list")
         .count();
-    assert!((4..=9).contains(&tries), "{tries} calls in twenty seconds");
+    assert!(
+        (4..=9).contains(&tries),
+        "{tries} attempts in twenty seconds"
+    );
     assert!(rig.core.counts().endpoint_list_losses as usize >= tries - 1);
 }
--- a/crates/host/tests/host/other_configurations.rs
+++ b/crates/host/tests/host/other_configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations that have little in common with the current one, or are cut off.
+//! Proposals of configurations that have little in common with the current one, or are truncated.
 
 use crate::changes::{first, propose};
 use crate::rig::{Rig, ms, text_of};
@@ -11,13 +11,13 @@
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
-/// A document with none of the plans and volumes that were, while requests wait and attempts are out.
+/// The new configuration has none of the current plans and volumes, while requests wait and attempts are in flight.
 #[test]
-fn a_document_with_other_plans_alone_is_borne() {
+fn a_configuration_without_the_current_plans_and_volumes_is_applied() {
     let old = first();
     let mut rig = Rig::new(&old, 0, START);
     let (client, (n, _)) = (rig.client(), rig.nodes_up());
-    rig.pass(ms(3000.0));
+    rig.run_for(ms(3000.0));
     (1..=3).for_each(|id| rig.submit_to(client, id, "read", ["v", "w"][id as usize % 2], 1));
     let others = |line: &&str| !line.starts_with("plan") && !line.starts_with("volume");
     let text = text_of(&[])
@@ -50,21 +50,22 @@
             },
         );
     }
-    rig.pass(ms(3000.0));
+    rig.run_for(ms(3000.0));
     assert!((1..=3).all(|id| rig.outcomes(client, id).len() == 1));
     rig.submit(client, 9, "read");
-    assert_eq!(rig.not_taken(client), ["unknown volume \"v\""]);
+    assert_eq!(rig.refusals(client), ["unknown volume \"v\""]);
 }
 
-/// What came of a document that was cut.
+/// The outcome for a truncated configuration.
 #[derive(PartialEq)]
 enum Cut {
-    /// It was served by as a whole.
-    Taken,
-    TurnedDown,
+    /// The remaining part was applied as a whole.
+    Applied,
+    Rejected,
 }
 
-/// Proposes these two files to a host that serves by the first document.
+/// Proposes a configuration of two files to a host that runs the first configuration. `what` names the case in
+/// failures.
 fn propose_files(main: &str, tail: &str, what: &str) -> Cut {
     let before = text_of(&[]) + "revision 1\nroute to=\"all\"\n";
     let files = [
@@ -74,7 +75,7 @@
     ];
     let files = files.map(|(name, text)| (name.to_string(), text.to_string()));
     let Ok((deployment, _)) = load(&Memory(files.into()), "new.kdl") else {
-        return Cut::TurnedDown;
+        return Cut::Rejected;
     };
     let old = first();
     let mut rig = Rig::new(&old, 0, START);
@@ -85,28 +86,31 @@
     let cut = match propose(&mut rig, &old, &new, false) {
         ProposalOutcome::Taken { revision } => {
             assert_eq!(revision.0, 2);
-            assert!(Arc::ptr_eq(rig.core.deployment(), &new), "whole");
+            assert!(
+                Arc::ptr_eq(rig.core.deployment(), &new),
+                "the new one is current"
+            );
             let safe = changes.iter().all(|change| change.class == Class::Safe);
             assert!(safe, "{what}: {changes:?}");
-            Cut::Taken
+            Cut::Applied
         }
         ProposalOutcome::TurnedDown(why) => {
             assert!(!why.is_empty());
             let unchanged = Arc::ptr_eq(rig.core.deployment(), &old);
-            assert!(unchanged, "the old one, whole");
-            Cut::TurnedDown
+            assert!(unchanged, "the old one stays current");
+            Cut::Rejected
         }
     };
-    rig.pass(ms(1600.0));
+    rig.run_for(ms(1600.0));
     assert_eq!(rig.outcomes(client, 1).len(), 1);
     cut
 }
 
-/// A document of two files cut at every byte, as if it were read half written: it is turned down, or what is
-/// left of it is sound, not dangerous, and served by whole. With its revision as the last line every cut of
-/// the first file is turned down.
+/// A configuration of two files is truncated at every byte, as if it were read while it is written. It is rejected, or
+/// the remaining part is valid, makes no dangerous change, and is applied as a whole. The first file ends with the
+/// revision, so it is rejected if more than its last line end is missing.
 #[test]
-fn half_written_documents_are_turned_down_or_whole() {
+fn a_truncated_configuration_is_rejected_or_applied_as_a_whole() {
     let whole = text_of(&[("limit=\"40units/s\"", "limit=\"50units/s\"")]);
     let (head, tail) = whole.split_at(whole.find("host \"h1\"").unwrap());
     let main =
@@ -117,16 +121,16 @@
     let cuts_of_tail =
         (0..tail.len()).map(|cut| propose_files(&main, &tail[..cut], &format!("cut {cut}")));
     let cuts_of_tail: Vec<Cut> = cuts_of_tail.collect();
-    let taken = |cuts: &[Cut]| cuts.iter().filter(|cut| **cut == Cut::Taken).count();
-    let taken_main = taken(&cuts_of_main);
-    let taken_tail = taken(&cuts_of_tail);
-    let down = cuts_of_main.len() + cuts_of_tail.len() - taken_main - taken_tail;
-    // Only the line end of its last line may lack: nothing is lost with that.
+    let applied = |cuts: &[Cut]| cuts.iter().filter(|cut| **cut == Cut::Applied).count();
+    let applied_main = applied(&cuts_of_main);
+    let applied_tail = applied(&cuts_of_tail);
+    let rejected = cuts_of_main.len() + cuts_of_tail.len() - applied_main - applied_tail;
+    // The first file may be applied without its last line end, with which nothing is lost.
     assert!(
-        taken_main <= 1 && down > 500,
-        "{taken_main} {taken_tail} {down}"
+        applied_main <= 1 && rejected > 500,
+        "{applied_main} {applied_tail} {rejected}"
     );
     println!(
-        "taken: {taken_main} cuts of the first file, {taken_tail} of the included one; turned down: {down}"
+        "applied: {applied_main} cuts of the first file, {applied_tail} of the included one; rejected: {rejected}"
     );
 }
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -1,4 +1,4 @@
-//! What may happen to a request at each stage of its path: its one answer, and that all it held is released.
+//! A request that ends, by stage and cause: it has one answer, and everything that it held is released.
 
 use crate::rig::{Rig, document, ms};
 use bytes::Bytes;
@@ -36,8 +36,8 @@
     );
 }
 
-/// What a request may hold anywhere: nothing of it is left.
-pub fn nothing_is_held(rig: &Rig, what: &str) {
+/// Checks that no collection holds anything of a request.
+pub fn assert_nothing_held(rig: &Rig, what: &str) {
     for name in [
         "core.open",
         "core.named",
@@ -53,8 +53,8 @@
     assert_eq!(rig.core.load(), HeldLoad::default(), "{what}");
 }
 
-/// The list is reached, and says how the first node stands.
-pub fn list_says(rig: &mut Rig, state: ListedState) {
+/// Connects to the endpoint list, which reports the state of the first node.
+pub fn list_reports(rig: &mut Rig, state: ListedState) {
     let list = rig.list_up();
     let entry = ListedEndpoint {
         name: "n1".into(),
@@ -87,45 +87,47 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Queued,
-    ForTokens,
-    ForItsTurn,
-    ForTheConnection,
-    InTheLink,
-    AtTheNode,
+    AwaitingTokens,
+    AwaitingOrder,
+    AwaitingConnection,
+    InWriteQueue,
+    AtNode,
     BetweenAttempts,
     Answered,
 }
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
     Withdrawn,
-    ClientGone,
+    ClientDisconnected,
     Deadline,
-    NodeBreaks,
+    NodeConnectionLost,
     Stop,
 }
 
-/// A request that something happens to at one stage.
+/// A request that ends in one stage.
 struct Case {
+    /// How far the request has come.
     stage: Stage,
+    /// Why the request ends.
     end: End,
-    /// What its client is answered.
+    /// The answers that the client gets.
     answers: &'static [Outcome],
-    /// Attempts that the node saw.
+    /// Number of attempts that are sent.
     attempts: usize,
-    /// Whether the node learns that nobody waits.
+    /// Whether the attempt is cancelled at the node.
     cancelled: bool,
 }
 
-struct Played {
+struct Setup {
     rig: Rig,
     client: LinkId,
     node: LinkId,
-    /// Other requests that are open.
-    others: usize,
+    /// Number of other requests that are open.
+    other_requests: usize,
 }
 
-/// A host that was brought to this stage of request 5.
-fn bring_to(stage: Stage) -> Played {
+/// Returns a host with request 5 in this stage.
+fn set_up(stage: Stage) -> Setup {
     let ordered = (
         "effect=\"unrepeatable\"",
         "effect=\"unrepeatable\" in-order=#true",
@@ -134,54 +136,54 @@
     let mut rig = Rig::new(&deployment, 0, START);
     let (client, other) = (rig.client(), rig.client());
     let mut n = LinkId(0);
-    if !matches!(stage, Stage::Queued | Stage::ForTheConnection) {
+    if !matches!(stage, Stage::Queued | Stage::AwaitingConnection) {
         n = rig.node_up("n1", 11, ms(1e7));
     }
-    let mut played = Played {
+    let mut setup = Setup {
         rig,
         client,
         node: n,
-        others: 0,
+        other_requests: 0,
     };
-    submit_for(&mut played, other, stage);
-    played
+    submit_and_block(&mut setup, other, stage);
+    setup
 }
 
-/// Submits request 5, and brings about what it waits for.
-fn submit_for(played: &mut Played, other: LinkId, stage: Stage) {
-    let rig = &mut played.rig;
-    let client = played.client;
-    let n = played.node;
+/// Submits request 5 so that it stops in this stage.
+fn submit_and_block(setup: &mut Setup, other: LinkId, stage: Stage) {
+    let rig = &mut setup.rig;
+    let client = setup.client;
+    let n = setup.node;
     match stage {
         Stage::Queued => {
-            // The list says that its node drains: it waits for a successor.
-            list_says(rig, ListedState::Draining);
+            // The endpoint list reports that the node drains, so the request waits for another node.
+            list_reports(rig, ListedState::Draining);
             write(rig, client, 5, "v", 100);
         }
-        // A newborn's bucket is empty.
-        Stage::ForTokens => write(rig, client, 5, "w", 100),
-        Stage::ForItsTurn => {
-            rig.pass(ms(2000.0));
+        // The bucket of a host that has just started is empty.
+        Stage::AwaitingTokens => write(rig, client, 5, "w", 100),
+        Stage::AwaitingOrder => {
+            rig.run_for(ms(2000.0));
             write(rig, other, 4, "w", 100);
             write(rig, client, 5, "w", 100);
-            played.others = 1;
+            setup.other_requests = 1;
         }
-        Stage::ForTheConnection => write(rig, client, 5, "v", 100),
-        Stage::InTheLink | Stage::AtTheNode => {
-            if stage == Stage::InTheLink {
-                rig.stuck.insert(n);
+        Stage::AwaitingConnection => write(rig, client, 5, "v", 100),
+        Stage::InWriteQueue | Stage::AtNode => {
+            if stage == Stage::InWriteQueue {
+                rig.unread.insert(n);
             }
             write(rig, client, 5, "v", 100);
         }
         Stage::BetweenAttempts => {
             write(rig, client, 5, "v", 100);
             let attempt = rig.attempts(n)[0].attempt;
-            // The node takes no more, so the further attempt waits in its line.
-            list_says(rig, ListedState::Draining);
+            // The node drains, so the retry waits for another node.
+            list_reports(rig, ListedState::Draining);
             rig.answer(n, attempt, AttemptResult::Rejected);
         }
         Stage::Answered => {
-            rig.stuck.insert(client);
+            rig.unread.insert(client);
             write(rig, client, 5, "v", 100);
             let attempt = rig.attempts(n)[0].attempt;
             rig.answer(n, attempt, AttemptResult::Succeeded);
@@ -189,43 +191,43 @@
     }
 }
 
-/// What happens to it there.
-fn apply(played: &mut Played, stage: Stage, end: End) {
-    let Played {
+/// Lets the cause of the end happen.
+fn apply(setup: &mut Setup, stage: Stage, end: End) {
+    let Setup {
         rig,
         client,
         node: n,
         ..
-    } = played;
+    } = setup;
     let (client, n) = (*client, *n);
     match end {
         End::Withdrawn => rig.frame(client, Withdraw { id: 5 }),
-        End::ClientGone => rig.handle(Input::Closed(client, "gone".into())),
+        End::ClientDisconnected => rig.handle(Input::Closed(client, "gone".into())),
         End::Deadline => {}
-        End::NodeBreaks => {
+        End::NodeConnectionLost => {
             let link = rig.connection_to("n1").unwrap();
             rig.handle(Input::Closed(link, "reset".into()));
         }
         End::Stop => rig.handle(Input::Stop),
     }
-    if stage == Stage::InTheLink && end != End::NodeBreaks {
-        // Its bytes go out at last.
-        rig.stuck.clear();
+    if stage == Stage::InWriteQueue && end != End::NodeConnectionLost {
+        // The attempt's bytes are written now.
+        rig.unread.clear();
         rig.handle(Input::Written(n, 10_000));
     }
-    if stage == Stage::Answered && end != End::ClientGone {
-        rig.stuck.clear();
+    if stage == Stage::Answered && end != End::ClientDisconnected {
+        rig.unread.clear();
         rig.handle(Input::Written(client, 10_000));
     }
 }
 
-/// Each stage of a request's path by what may happen to it there.
+/// Each stage with each cause of the end.
 fn cases() -> [Case; 40] {
-    use End::{ClientGone, Deadline, NodeBreaks, Stop, Withdrawn};
+    use End::{ClientDisconnected, Deadline, NodeConnectionLost, Stop, Withdrawn};
     use Outcome::{Failed, Rejected, Succeeded};
     use Stage::{
-        Answered, AtTheNode, BetweenAttempts, ForItsTurn, ForTheConnection, ForTokens, InTheLink,
-        Queued,
+        Answered, AtNode, AwaitingConnection, AwaitingOrder, AwaitingTokens, BetweenAttempts,
+        InWriteQueue, Queued,
     };
     let case = |stage, end, answers, attempts, cancelled| Case {
         stage,
@@ -236,73 +238,79 @@
     };
     [
         case(Queued, Withdrawn, &[], 0, false),
-        case(Queued, ClientGone, &[], 0, false),
+        case(Queued, ClientDisconnected, &[], 0, false),
         case(Queued, Deadline, &[Rejected], 0, false),
-        case(Queued, NodeBreaks, &[Rejected], 0, false),
+        case(Queued, NodeConnectionLost, &[Rejected], 0, false),
         case(Queued, Stop, &[Rejected], 0, false),
-        case(ForTokens, Withdrawn, &[], 0, false),
-        case(ForTokens, ClientGone, &[], 0, false),
-        case(ForTokens, Deadline, &[Rejected], 0, false),
-        case(ForTokens, NodeBreaks, &[Rejected], 0, false),
-        case(ForTokens, Stop, &[Rejected], 0, false),
-        case(ForItsTurn, Withdrawn, &[], 0, false),
-        case(ForItsTurn, ClientGone, &[], 0, false),
-        case(ForItsTurn, Deadline, &[Rejected], 0, false),
-        case(ForItsTurn, NodeBreaks, &[Rejected], 0, false),
-        case(ForItsTurn, Stop, &[Rejected], 0, false),
-        case(ForTheConnection, Withdrawn, &[], 0, false),
-        case(ForTheConnection, ClientGone, &[], 0, false),
-        case(ForTheConnection, Deadline, &[Rejected], 0, false),
-        case(ForTheConnection, NodeBreaks, &[Rejected], 0, false),
-        case(ForTheConnection, Stop, &[Rejected], 0, false),
-        // Its bytes are on their way: it may run, whatever comes.
-        case(InTheLink, Withdrawn, &[], 1, true),
-        case(InTheLink, ClientGone, &[], 1, true),
-        case(InTheLink, Deadline, &[Failed], 1, true),
-        case(InTheLink, NodeBreaks, &[Failed], 1, false),
-        case(InTheLink, Stop, &[Failed], 1, true),
-        case(AtTheNode, Withdrawn, &[], 1, true),
-        case(AtTheNode, ClientGone, &[], 1, true),
-        case(AtTheNode, Deadline, &[Failed], 1, true),
-        case(AtTheNode, NodeBreaks, &[Failed], 1, false),
-        case(AtTheNode, Stop, &[Failed], 1, true),
+        case(AwaitingTokens, Withdrawn, &[], 0, false),
+        case(AwaitingTokens, ClientDisconnected, &[], 0, false),
+        case(AwaitingTokens, Deadline, &[Rejected], 0, false),
+        case(AwaitingTokens, NodeConnectionLost, &[Rejected], 0, false),
+        case(AwaitingTokens, Stop, &[Rejected], 0, false),
+        case(AwaitingOrder, Withdrawn, &[], 0, false),
+        case(AwaitingOrder, ClientDisconnected, &[], 0, false),
+        case(AwaitingOrder, Deadline, &[Rejected], 0, false),
+        case(AwaitingOrder, NodeConnectionLost, &[Rejected], 0, false),
+        case(AwaitingOrder, Stop, &[Rejected], 0, false),
+        case(AwaitingConnection, Withdrawn, &[], 0, false),
+        case(AwaitingConnection, ClientDisconnected, &[], 0, false),
+        case(AwaitingConnection, Deadline, &[Rejected], 0, false),
+        case(
+            AwaitingConnection,
+            NodeConnectionLost,
+            &[Rejected],
+            0,
+            false,
+        ),
+        case(AwaitingConnection, Stop, &[Rejected], 0, false),
+        // The attempt was sent, so the node may run it in any case.
+        case(InWriteQueue, Withdrawn, &[], 1, true),
+        case(InWriteQueue, ClientDisconnected, &[], 1, true),
+        case(InWriteQueue, Deadline, &[Failed], 1, true),
+        case(InWriteQueue, NodeConnectionLost, &[Failed], 1, false),
+        case(InWriteQueue, Stop, &[Failed], 1, true),
+        case(AtNode, Withdrawn, &[], 1, true),
+        case(AtNode, ClientDisconnected, &[], 1, true),
+        case(AtNode, Deadline, &[Failed], 1, true),
+        case(AtNode, NodeConnectionLost, &[Failed], 1, false),
+        case(AtNode, Stop, &[Failed], 1, true),
         case(BetweenAttempts, Withdrawn, &[], 1, false),
-        case(BetweenAttempts, ClientGone, &[], 1, false),
+        case(BetweenAttempts, ClientDisconnected, &[], 1, false),
         case(BetweenAttempts, Deadline, &[Rejected], 1, false),
-        case(BetweenAttempts, NodeBreaks, &[Rejected], 1, false),
+        case(BetweenAttempts, NodeConnectionLost, &[Rejected], 1, false),
         case(BetweenAttempts, Stop, &[Rejected], 1, false),
         case(Answered, Withdrawn, &[Succeeded], 1, false),
-        case(Answered, ClientGone, &[Succeeded], 1, false),
+        case(Answered, ClientDisconnected, &[Succeeded], 1, false),
         case(Answered, Deadline, &[Succeeded], 1, false),
-        case(Answered, NodeBreaks, &[Succeeded], 1, false),
+        case(Answered, NodeConnectionLost, &[Succeeded], 1, false),
         case(Answered, Stop, &[Succeeded], 1, false),
     ]
 }
 
-/// Each stage of a request's path by what may happen to it there: the one answer, or none where the client
-/// left; what the node is told; and that all that was held is given back.
+/// In each stage, for each cause of the end: the client gets one answer, or none if it disconnected or withdrew the
+/// request; the attempt is cancelled at the node if need be; and everything that was held is released.
 #[test]
-fn a_request_may_end_at_each_stage() {
+fn a_request_that_ends_at_any_stage_releases_everything_it_held() {
     for case in &cases() {
         let Case { stage, end, .. } = *case;
         let what = format!("{stage:?} {end:?}");
-        let mut played = bring_to(stage);
-        let open = played.others + usize::from(stage != Stage::Answered);
+        let mut setup = set_up(stage);
+        let open = setup.other_requests + usize::from(stage != Stage::Answered);
         assert_eq!(
-            played.rig.core.load().open_requests,
+            setup.rig.core.load().open_requests,
             open,
-            "{what}: it stands there"
+            "{what}: the request is in the stage"
         );
-        apply(&mut played, stage, end);
-        check(played, case, &what);
+        apply(&mut setup, stage, end);
+        check(setup, case, &what);
     }
 }
 
-fn check(played: Played, case: &Case, what: &str) {
-    let Played {
+fn check(setup: Setup, case: &Case, what: &str) {
+    let Setup {
         mut rig, client, ..
-    } = played;
-    rig.pass(ms(1600.0));
+    } = setup;
+    rig.run_for(ms(1600.0));
     assert_eq!(rig.outcomes(client, 5), case.answers, "{what}");
     let seen: Vec<_> = rig
         .new_attempts()
@@ -311,7 +319,7 @@
         .collect();
     assert_eq!(seen.len(), case.attempts, "{what}");
     let cancelled = seen.iter().any(|sent| {
-        rig.on(sent.link).any(|frame| {
+        rig.frames_on(sent.link).any(|frame| {
             frame.message
                 == Message::Cancel(Cancel {
                     attempt: sent.attempt.attempt,
@@ -319,13 +327,13 @@
         })
     });
     assert_eq!(cancelled, case.cancelled, "{what}");
-    nothing_is_held(&rig, what);
+    assert_nothing_held(&rig, what);
     let counts = rig.core.counts();
     let ended = counts.done + counts.rejected + counts.failed + counts.clients_left;
     assert_eq!(counts.taken, ended, "{what}: {counts:?}");
-    // Nothing comes of it later, and a host that was not stopped still serves.
+    // There is no later answer, and only a host that was stopped has finished.
     let before = rig.outcomes(client, 5).len();
-    rig.pass(ms(1000.0));
+    rig.run_for(ms(1000.0));
     assert_eq!(rig.outcomes(client, 5).len(), before, "{what}");
     assert_eq!(rig.finished, case.end == End::Stop, "{what}");
 }
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -1,4 +1,4 @@
-//! One host's core without a socket: links are numbers, addresses are names, time passes when told to.
+//! Drives one host's core without sockets. Addresses are names, and time passes only when a test says so.
 
 use bytes::Bytes;
 use gullsail_configuration::{Deployment, parse};
@@ -32,6 +32,7 @@
 bounds open=50 unsent-bytes="4000B" client-stall="3s" connect="200ms" redial-first="20ms" redial-last="500ms"
 "#;
 
+/// Returns the test configuration with texts replaced.
 pub fn text_of(change: &[(&str, &str)]) -> String {
     change
         .iter()
@@ -73,23 +74,24 @@
     pub attempt: Attempt,
 }
 
-/// One host's core, and all that it put out.
+/// One host's core and the outputs that it produced.
 pub struct Rig {
     pub core: Core,
-    /// By this host's own clock.
+    /// The time by this host's clock.
     pub now: Instant,
     pub sent: Vec<SentFrame>,
     pub connects: Vec<ConnectRequest>,
     pub closed: Vec<LinkId>,
     pub reading: BTreeMap<LinkId, bool>,
-    /// Links whose other side takes nothing.
-    pub stuck: BTreeSet<LinkId>,
+    /// Connections whose other side reads nothing.
+    pub unread: BTreeSet<LinkId>,
     pub finished: bool,
-    /// Outcomes of proposals, by who waits for them.
+    /// Outcomes of proposals, with the id of the requester.
     pub proposals_decided: Vec<(u64, ProposalOutcome)>,
-    /// Results of operator commands, by who waits for them.
+    /// Results of operator commands, with the id of the requester.
     pub commands_finished: Vec<(u64, CommandOutcome)>,
-    taken: usize,
+    /// Length of `sent` at the last call of [`Rig::new_attempts`].
+    examined: usize,
 }
 
 impl Rig {
@@ -108,18 +110,18 @@
             connects: Vec::new(),
             closed: Vec::new(),
             reading: BTreeMap::new(),
-            stuck: BTreeSet::new(),
+            unread: BTreeSet::new(),
             finished: false,
             proposals_decided: Vec::new(),
             commands_finished: Vec::new(),
-            taken: 0,
+            examined: 0,
         };
-        rig.settle();
+        rig.run_until_idle();
         rig
     }
 
-    /// Advances the host until it sends nothing more. What it sends is written at once, except on stuck links.
-    pub fn settle(&mut self) {
+    /// Advances the host until it sends nothing more. Frames are written at once, except on `unread` connections.
+    pub fn run_until_idle(&mut self) {
         loop {
             self.core.advance(self.now);
             let outputs: Vec<_> = self.core.outputs().collect();
@@ -127,7 +129,7 @@
             outputs.into_iter().for_each(|output| self.record(output));
             let written: Vec<_> = self.sent[first_sent..]
                 .iter()
-                .filter(|sent| !self.stuck.contains(&sent.link))
+                .filter(|sent| !self.unread.contains(&sent.link))
                 .map(|sent| Input::Written(sent.link, sent.frame.len()))
                 .collect();
             if written.is_empty() {
@@ -161,21 +163,22 @@
 
     pub fn handle(&mut self, input: Input) {
         self.core.handle(self.now, input);
-        self.settle();
+        self.run_until_idle();
     }
 
     pub fn frame(&mut self, link: LinkId, frame: impl Into<Frame>) {
         self.handle(Input::Frame(link, frame.into()));
     }
 
-    pub fn pass(&mut self, span: Span) {
+    /// Lets this span pass. Timers fire when they are due.
+    pub fn run_for(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(next) = self.core.next_wake_up().filter(|refusal| *refusal <= end) {
+        while let Some(next) = self.core.next_wake_up().filter(|due| *due <= end) {
             self.now = self.now.max(next);
-            self.settle();
+            self.run_until_idle();
         }
         self.now = end;
-        self.settle();
+        self.run_until_idle();
     }
 
     pub fn client(&mut self) -> LinkId {
@@ -191,7 +194,7 @@
         link
     }
 
-    /// The newest connection that is asked for to this address.
+    /// Returns the newest connection that the host requested to this address.
     pub fn connection_to(&self, address: &str) -> Option<LinkId> {
         self.connects
             .iter()
@@ -200,7 +203,7 @@
             .map(|request| request.link)
     }
 
-    /// The endpoint list is reached, and identifies itself.
+    /// Establishes the connection to the endpoint list, which identifies itself.
     pub fn list_up(&mut self) -> LinkId {
         let list = self.connection_to("list").unwrap();
         self.handle(Input::Connected(list));
@@ -215,11 +218,11 @@
 
     pub fn node_up(&mut self, name: &str, incarnation: u64, age: Span) -> LinkId {
         let shard_plus_one = name[1..].parse::<i64>().unwrap() + 1;
-        self.node_greets(name, incarnation, age, shard_plus_one)
+        self.node_identifies(name, incarnation, age, shard_plus_one)
     }
 
-    /// A node is reached, and identifies itself.
-    pub fn node_greets(
+    /// Establishes the connection to a node, which identifies itself.
+    pub fn node_identifies(
         &mut self,
         name: &str,
         incarnation: u64,
@@ -239,7 +242,7 @@
         link
     }
 
-    /// Both nodes, warm.
+    /// Both nodes identify themselves. They have been running for long, so slow start is over.
     pub fn nodes_up(&mut self) -> (LinkId, LinkId) {
         (
             self.node_up("n1", 11, ms(1e7)),
@@ -260,17 +263,17 @@
         shard: i64,
     ) {
         let handle = Some(Handle { shard, object: id });
-        let sent = Submit {
+        let submit = Submit {
             id,
             handle,
             mark: format!("m{id}"),
-            ..self.submitted(request_class, volume, shard)
+            ..self.valid_submit(request_class, volume, shard)
         };
-        self.frame(link, sent);
+        self.frame(link, submit);
     }
 
-    /// What a client may hand over.
-    pub fn submitted(&self, request_class: &str, volume: &str, shard: i64) -> Submit {
+    /// Returns a valid request.
+    pub fn valid_submit(&self, request_class: &str, volume: &str, shard: i64) -> Submit {
         Submit {
             request_class: request_class.into(),
             volume: volume.into(),
@@ -281,7 +284,7 @@
         }
     }
 
-    pub fn on(&self, link: LinkId) -> impl Iterator<Item = &Frame> {
+    pub fn frames_on(&self, link: LinkId) -> impl Iterator<Item = &Frame> {
         self.sent
             .iter()
             .filter(move |sent| sent.link == link)
@@ -296,12 +299,12 @@
                 None
             }
         };
-        self.on(link).filter_map(attempt).collect()
+        self.frames_on(link).filter_map(attempt).collect()
     }
 
-    /// Those that were not seen by an earlier call, on whatever link.
+    /// Returns the attempts that were sent on any connection since the last call.
     pub fn new_attempts(&mut self) -> Vec<SentAttempt> {
-        let new = self.sent[self.taken..]
+        let new = self.sent[self.examined..]
             .iter()
             .filter_map(|sent| match &sent.frame.message {
                 Message::Attempt(attempt) => Some(SentAttempt {
@@ -312,7 +315,7 @@
                 _ => None,
             });
         let new = new.collect();
-        self.taken = self.sent.len();
+        self.examined = self.sent.len();
         new
     }
 
@@ -321,15 +324,15 @@
             Message::Answer(answer) if answer.id == id => Outcome::try_from(answer.outcome).ok(),
             _ => None,
         };
-        self.on(link).filter_map(outcome).collect()
+        self.frames_on(link).filter_map(outcome).collect()
     }
 
-    pub fn not_taken(&self, link: LinkId) -> Vec<String> {
+    pub fn refusals(&self, link: LinkId) -> Vec<String> {
         let reason = |frame: &Frame| match &frame.message {
             Message::NotTaken(refusal) => Some(refusal.reason.clone()),
             _ => None,
         };
-        self.on(link).filter_map(reason).collect()
+        self.frames_on(link).filter_map(reason).collect()
     }
 
     pub fn answer(&mut self, link: LinkId, attempt: u64, result: AttemptResult) {
--- a/crates/host/tests/host/shutdown_commands.rs
+++ b/crates/host/tests/host/shutdown_commands.rs
@@ -1,23 +1,24 @@
-//! Operators' commands while a host shuts down.
+//! Operator commands while a host shuts down.
 
 use crate::rig::{Rig, document, ms};
 use gullsail_host::core::Input;
 use gullsail_host::core::maintenance::{CommandError, CommandOutcome, OperatorCommand};
 use gullsail_scheduler_api::Instant;
 
-/// With another voter that is never there, so that no command has a result.
+/// A fleet whose other voter never answers, so that no command has a result.
 const FLEET: (&str, &str) = (
     "rules tick=\"20ms\"",
     "fleet \"f\" lease=\"1s\" drift=0.01 voters=2 floor=0.3\n\
      works at-once=1 keep=0.1 longest=\"1h\" watched=\"100ms\" blind=\"1s\"\nrules tick=\"20ms\"",
 );
-/// What a shutdown waits for results, and then for its departure to be known: a lease.
+/// The wait for results of commands, and then for the fleet to acknowledge the departure: a lease.
 const LONGEST_SHUTDOWN_MS: f64 = 3_000.0;
 const COMMAND_INTERVAL_MS: f64 = 50.0;
 
-/// Guards against operators who keep a host from ending: each command set the time anew for which its shutdown waits.
+/// Guards against a shutdown whose wait for results starts again with each command, so that operators who repeat
+/// commands could keep the host from ending.
 #[test]
-fn commands_that_go_on_do_not_hold_up_a_shutdown() {
+fn new_commands_do_not_delay_a_shutdown() {
     let mut rig = Rig::new(&document(&[FLEET]), 0, Instant::from_millis(1e9));
     let mut given = 1;
     let give = |rig: &mut Rig, number: u64| {
@@ -34,14 +35,14 @@
     while !rig.finished {
         given += 1;
         give(&mut rig, given);
-        rig.pass(ms(COMMAND_INTERVAL_MS));
+        rig.run_for(ms(COMMAND_INTERVAL_MS));
         let elapsed = (rig.now - stopped_at).millis();
         assert!(
             elapsed <= LONGEST_SHUTDOWN_MS + COMMAND_INTERVAL_MS,
             "{elapsed} ms"
         );
     }
-    rig.pass(ms(COMMAND_INTERVAL_MS));
+    rig.run_for(ms(COMMAND_INTERVAL_MS));
     let mut answered: Vec<u64> = rig.commands_finished.iter().map(|(of, _)| *of).collect();
     answered.sort_unstable();
     assert_eq!(answered, (1..=given).collect::<Vec<u64>>(), "each has one");
--- a/crates/host/tests/host/stall_detector.rs
+++ b/crates/host/tests/host/stall_detector.rs
@@ -1,21 +1,22 @@
-//! The detector of a process that stood still, by the times of the loop's turns.
+//! The detector of stalls of the process, with given times of the loop's turns.
 
 use gullsail_host::stall_detector::{MAX_TURN_INTERVAL, StallDetector};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One turn of the loop: at these milliseconds, and whether the queue is empty then.
+/// One turn of the loop: its time in milliseconds, and whether the queue is empty then.
 type Turn = (u64, bool);
 
-/// The turns; what the last of them reports, and how long a frame that is read at it may have waited.
 struct Case {
     turns: &'static [Turn],
+    /// Length of the stall that the last turn reports, in milliseconds.
     last: Option<u64>,
+    /// How long a frame that is read at the last turn may have waited, in milliseconds.
     waited: Option<u64>,
 }
 
 #[test]
-fn late_turns_show_that_the_process_stood_still() {
+fn late_turns_are_detected_as_stalls() {
     let case = |turns, last, waited| Case {
         turns,
         last,
@@ -25,13 +26,13 @@
         case(&[(20, true), (40, true), (60, true)], None, None),
         case(&[(20, true), (79, true)], None, None),
         case(&[(20, true), (3020, false)], Some(3000), Some(3000)),
-        // Twice in a row: what waits may have come in the first.
+        // Two stalls in a row: a frame may have arrived during the first.
         case(
             &[(20, true), (820, false), (1620, false)],
             Some(800),
             Some(1600),
         ),
-        // In doubt until the queue was empty, some time after.
+        // Frames may have waited until the queue is empty some time after the stall.
         case(
             &[(20, true), (820, false), (840, true), (980, false)],
             Some(140),
@@ -59,11 +60,11 @@
     let ms = Duration::from_millis;
     let reports = turns
         .iter()
-        .map(|(at, empty)| detector.turn(began + ms(*at), *empty));
+        .map(|(at, empty)| detector.record_turn(began + ms(*at), *empty));
     let reported = reports.last().flatten();
     let now = began + ms(turns[turns.len() - 1].0);
     assert_eq!(
-        (reported, detector.waited(now)),
+        (reported, detector.max_wait(now)),
         (last.map(ms), waited.map(ms)),
         "{turns:?}"
     );
