--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -22,7 +22,7 @@
 pub(super) struct AttemptReport {
     outcome: AttemptOutcome,
     /// The fraction of the volume's nominal rate that is in use over all hosts; `None`: the node does not report it.
-    used: Option<f64>,
+    used_fraction: Option<f64>,
     /// Bytes of the node's answer; 0 without an answer.
     answer_bytes: usize,
 }
@@ -31,7 +31,7 @@
     fn from(outcome: AttemptOutcome) -> AttemptReport {
         AttemptReport {
             outcome,
-            used: None,
+            used_fraction: None,
             answer_bytes: 0,
         }
     }
@@ -48,7 +48,7 @@
         let used_percent = answer.used_plus_one.checked_sub(1);
         AttemptReport {
             outcome,
-            used: used_percent.map(|percent| f64::from(percent) / 100.0),
+            used_fraction: used_percent.map(|percent| f64::from(percent) / 100.0),
             answer_bytes,
         }
     }
@@ -151,7 +151,7 @@
             outcome: report.outcome,
             latency: self.now - ended.sent_at.unwrap_or(ended.started_at),
             finished,
-            used: report.used,
+            used: report.used_fraction,
             zone,
             bytes: report.answer_bytes as f64,
         }));
--- a/crates/host/src/core/clock.rs
+++ b/crates/host/src/core/clock.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether the peer's clock certainly differs from this host's clock by more than `max_offset`.
-    pub fn exceeds(&self, now: Instant, max_offset: Span) -> bool {
+    pub fn offset_exceeds(&self, now: Instant, max_offset: Span) -> bool {
         self.bounds(now).is_some_and(|offset| {
             offset.lower > max_offset || offset.upper < Span::ZERO - max_offset
         })
--- a/crates/host/src/core/connection_table.rs
+++ b/crates/host/src/core/connection_table.rs
@@ -173,7 +173,8 @@
 }
 
 impl Core {
-    /// Requests that the caller opens a connection to an address.
+    /// Requests that the caller opens a connection. The address of a node comes from its record, all others from the
+    /// configuration.
     pub(super) fn connect(&mut self, remote_kind: RemoteKind, address: String) -> LinkId {
         let link = self.connections.insert(remote_kind, self.now);
         self.expect_response(link, 1.0);
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -85,7 +85,7 @@
             now,
         );
         let was_too_large = peer.clock_offset_too_large;
-        peer.clock_offset_too_large = peer.clock.exceeds(now, max_offset);
+        peer.clock_offset_too_large = peer.clock.offset_exceeds(now, max_offset);
         peer.log_clock(&update, was_too_large, now);
         let waiting = std::mem::take(&mut peer.waiting);
         if update == ClockUpdate::Ignored {
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -137,13 +137,13 @@
             request_class: String::new(),
             total,
         };
-        let Some(of) = flow.of else {
+        let Some(owner) = flow.of else {
             return crossed;
         };
-        let volume = volumes.get(&of.volume).copied();
-        let request_class = self.deployment.request_classes.get(of.request_class.0);
+        let volume = volumes.get(&owner.volume).copied();
+        let request_class = self.deployment.request_classes.get(owner.request_class.0);
         ZoneFlow {
-            plan: self.plan_name(of.plan),
+            plan: self.plan_name(owner.plan),
             volume: volume.unwrap_or_default().to_string(),
             request_class: request_class.map_or(String::new(), |class| class.name.clone()),
             ..crossed
@@ -326,11 +326,11 @@
         self.zone_traffic
             .ledger
             .count(self.now, flow, bytes, wasted);
-        self.record_cross_zone_demand(flow.from, flow.to, flow.of.map(|of| of.plan), bytes);
-        if let Some(of) = flow.of {
+        self.record_cross_zone_demand(flow.from, flow.to, flow.of.map(|owner| owner.plan), bytes);
+        if let Some(owner) = flow.of {
             self.zone_traffic
                 .overruns
-                .crossed(self.now, of.plan, bytes as f64);
+                .crossed(self.now, owner.plan, bytes as f64);
         }
     }
 
--- a/crates/host/tests/host/clocks.rs
+++ b/crates/host/tests/host/clocks.rs
@@ -80,7 +80,7 @@
         clock.record_reply(at(3000.0), at(9000.0), at(5000.0)),
         ClockUpdate::Ignored
     );
-    let far = |clock: &PeerClock, apart: f64| clock.exceeds(at(2001.0), ms(apart));
+    let far = |clock: &PeerClock, apart: f64| clock.offset_exceeds(at(2001.0), ms(apart));
     assert!(far(&clock, 500.0) && !far(&clock, 1500.0));
 }
 
