--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -116,7 +116,7 @@
             return Err(InvalidRequest::UnknownVolume(submit.volume.clone()));
         };
         let volume = &deployment.volumes[volume_index];
-        if !volume.through(self.identity.host) {
+        if !volume.is_served_by(self.identity.host) {
             return Err(InvalidRequest::VolumeElsewhere(volume.name.clone()));
         }
         let units = submit.units;
@@ -163,7 +163,7 @@
         let class = RequestClassId(valid.indices.request_class);
         let class_deadline = deployment.request_classes[valid.indices.request_class].deadline;
         // An upper bound of the length of an attempt's frame.
-        let names = submit.request_class.len() + submit.volume.len() + submit.mark.len();
+        let names = submit.request_class.len() + submit.volume.len() + submit.idempotency_key.len();
         let bytes = ATTEMPT_HEAD_BYTES + names + valid.body.len();
         Request {
             id: RequestId::default(),
--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -321,7 +321,7 @@
                 request_class,
                 volume,
                 units: 1.0,
-                mark,
+                idempotency_key: mark,
                 timeout_us: 1_500_000,
                 ..Submit::default()
             };
@@ -334,7 +334,7 @@
         [nodes.0, nodes.1].map(|n| {
             rig.attempts(n)
                 .iter()
-                .filter(|attempt| attempt.mark[1..].parse::<u64>().unwrap() >= first)
+                .filter(|attempt| attempt.idempotency_key[1..].parse::<u64>().unwrap() >= first)
                 .count()
         })
     };
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -75,8 +75,8 @@
             "case {case}"
         );
         assert!(
-            sent.iter().all(|sent| sent.attempt.mark == "m5"),
-            "a retry has the mark of its request"
+            sent.iter().all(|sent| sent.attempt.idempotency_key == "m5"),
+            "a retry has the idempotency key of its request"
         );
         assert!(
             sent.iter()
@@ -393,7 +393,7 @@
         let submit = Submit {
             timeout_us: timeout * 1000,
             id: 9,
-            mark: "m9".into(),
+            idempotency_key: "m9".into(),
             ..rig.valid_submit("read", "v", 1)
         };
         rig.handle(Input::DelayedFrame(
--- a/crates/host/tests/host/other_configurations.rs
+++ b/crates/host/tests/host/other_configurations.rs
@@ -45,7 +45,7 @@
             AttemptAnswer {
                 attempt: attempt.attempt,
                 result: AttemptResult::Succeeded as i32,
-                used_plus_one: 51,
+                usage_percent_plus_one: 51,
                 ..AttemptAnswer::default()
             },
         );
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -266,7 +266,7 @@
         let submit = Submit {
             id,
             handle,
-            mark: format!("m{id}"),
+            idempotency_key: format!("m{id}"),
             ..self.valid_submit(request_class, volume, shard)
         };
         self.frame(link, submit);
