--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -1,6 +1,6 @@
-//! Changing the configuration while serving. A proposed configuration is applied as a whole between two steps,
-//! or rejected as a whole with the reasons. [`gullsail_config_transition::ConfigTransition`] decides which
-//! limits hold until all hosts have it.
+//! Configuration changes while serving. A proposed configuration is applied as a whole between two steps, or
+//! rejected as a whole with the reasons. [`gullsail_config_transition::ConfigTransition`] decides which limits
+//! hold until all hosts follow the new configuration.
 
 use super::Core;
 use super::input_output::Output;
@@ -14,12 +14,13 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// The changes that cannot be made now, each with its reason.
+/// Returns one line for each change that cannot be made now, with the reason. `insist`: dangerous changes are made
+/// if they can be made while serving.
 fn refusals(changes: &[Change], insist: bool) -> Vec<String> {
     let refused = changes
         .iter()
         .filter(|change| !change.while_serving || (change.class == Class::Dangerous && !insist));
-    let line = |change: &Change| {
+    let describe = |change: &Change| {
         let need = match change.class {
             Class::Dangerous if change.while_serving => "dangerous, and not insisted on",
             Class::Dangerous => "dangerous, and not possible while serving",
@@ -30,13 +31,13 @@
             change.of, change.what, change.from, change.to, change.why
         )
     };
-    refused.map(line).collect()
+    refused.map(describe).collect()
 }
 
-/// The transition from one configuration to the next over all hosts.
+/// The state of the transition of all hosts from one configuration to the next.
 pub(super) struct ConfigChangeState {
     pub(super) transition: ConfigTransition,
-    /// When peers are sent revision notices next; `None`: nothing is due.
+    /// When the timer of the next round of revision notices fires; `None`: no timer is set.
     pub(super) next_round: Option<Instant>,
 }
 
@@ -54,9 +55,9 @@
         }
     }
 
-    /// When the next round of revision notices is due, if a timer must be set for it: none is set, or one that
-    /// is later.
-    fn round_without_timer(&self) -> Option<Instant> {
+    /// Returns when the next round of revision notices is due, if a timer must be set for it; `None`: no round is
+    /// due, or a timer is set that fires early enough.
+    fn round_to_schedule(&self) -> Option<Instant> {
         let due = self.transition.next()?;
         let covered = self.next_round.is_some_and(|set| set <= due);
         (!covered).then_some(due)
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// Reports changed allocations to the scheduler; with `always`, the plans even if no allocation changed.
+    /// Reports plans and changed allocations to the scheduler, if an allocation changed or `always` is set.
     fn report_config(&mut self, always: bool) {
         let allocations = self.config_change.transition.changed();
         if always || !allocations.is_empty() {
@@ -138,15 +139,15 @@
         }
     }
 
-    /// Reports the first allocations, which may differ from an equal share of each limit.
+    /// Reports the first allocations to the scheduler. They may differ from an equal share of each limit.
     pub(super) fn start_config_transition(&mut self) {
         self.report_config(false);
         self.schedule_revision_round();
     }
 
-    /// Sets the timer of the next round of revision notices, if one is due earlier than the timer that is set.
+    /// Sets a timer for the next round of revision notices, unless one is set that fires early enough.
     pub(super) fn schedule_revision_round(&mut self) {
-        let Some(at) = self.config_change.round_without_timer() else {
+        let Some(at) = self.config_change.round_to_schedule() else {
             return;
         };
         self.config_change.next_round = Some(at);
@@ -188,7 +189,7 @@
         );
     }
 
-    /// A peer reports which revisions hosts hold.
+    /// Handles a peer's notice of the revisions that hosts follow.
     pub(super) fn peer_revision(&mut self, from: HostId, reached: Reached) {
         let notice = RevisionNotice {
             held: Revision(reached.held),
@@ -217,17 +218,17 @@
         self.schedule_revision_round();
     }
 
-    /// Which host this is.
-    pub fn me(&self) -> HostId {
+    /// Returns the id of this host in the configuration.
+    pub fn host_id(&self) -> HostId {
         self.identity.host
     }
 
-    /// The configuration that this host serves by.
+    /// Returns the current configuration.
     pub fn deployment(&self) -> &Arc<Deployment> {
         &self.deployment
     }
 
-    /// Hosts that are not known to hold the current revision.
+    /// Returns the hosts that are not known to follow the current revision.
     pub fn hosts_behind(&self) -> Vec<HostId> {
         self.config_change.transition.missing().collect()
     }
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -1,8 +1,8 @@
 //! Connections to nodes. They are opened before they are needed. Attempts that wait for a connection are sent
-//! once it is up, or end with it.
+//! once the node has identified itself.
 
 use super::Core;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::nodes::{NodeProcess, NodeRecord};
 use super::reconnect::ConnectionState;
@@ -15,7 +15,7 @@
 
 impl Core {
     /// Opens connections to all usable nodes that have none. This is done before an attempt needs one, because
-    /// only a node's first frame says for certain how long the node has been running.
+    /// only a node's first frame states reliably how long the node has been running.
     pub(super) fn connect_nodes(&mut self) {
         let is_wanted = |node: &NodeRecord| {
             let usable = node.state != EndpointState::Gone && !node.offline_or_unknown;
@@ -30,10 +30,10 @@
             .collect();
         for (id, address) in wanted {
             let state = match self.may_connect(id) {
-                Ok(()) => ConnectionState::Connecting(self.connect(PeerKind::Node(id), address)),
+                Ok(()) => ConnectionState::Connecting(self.connect(RemoteKind::Node(id), address)),
                 Err(retry_at) => {
                     self.set_timer(retry_at, TimerKind::ReconnectNode(id));
-                    ConnectionState::Waiting(retry_at)
+                    ConnectionState::BackingOff(retry_at)
                 }
             };
             if let Some(node) = self.nodes.get(id) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Handles a node's first frame. It must come from the node that the endpoint list named.
+    /// Handles a node's first frame. Closes the connection if the frame does not come from the expected node.
     pub(super) fn node_hello(&mut self, id: LinkId, node: NodeId, hello: &Hello) {
         let Some(record) = self.nodes.get(node) else {
             return self.close_connection(id, "node no longer known");
@@ -64,20 +64,20 @@
         }
     }
 
-    /// Handles a node that identified itself. Its start is reported to the scheduler before anything is sent
-    /// to it.
+    /// Handles a node that identified itself. The scheduler's next step handles the node's start before it starts
+    /// attempts.
     fn node_up(&mut self, node: NodeId, link: LinkId, hello: &Hello) {
         let age = Span::from_micros(hello.age_us);
-        let Some(identified) = self
-            .nodes
-            .identified(node, hello.incarnation, age, self.now)
+        let Some(identified) =
+            self.nodes
+                .record_identification(node, hello.incarnation, age, self.now)
         else {
             return;
         };
         let Some(record) = self.nodes.get(node) else {
             return;
         };
-        record.connection.is_up(link);
+        record.connection.mark_up(link);
         let pending = std::mem::take(&mut record.pending);
         let name = &record.name;
         let incarnation = hello.incarnation;
@@ -93,9 +93,9 @@
             update_kind: UpdateKind::SelfReported,
             entries: vec![identified.endpoint],
         });
-        // The scheduler decided on the pending attempts for another process, or before the node's start was
-        // known. A node that warms up must not receive all of them at once, so they end as not sent, and the
-        // scheduler decides again. None of them ran.
+        // The scheduler decided on the pending attempts for another process of the node, or before the node's start
+        // was known. A node that warms up must not receive all of them at once, so they end as not sent, and the
+        // scheduler decides again.
         let warming_up = identified.process != NodeProcess::Same
             && age < self.deployment.figures().slow_start.ramp;
         for attempt in pending {
@@ -107,11 +107,12 @@
         }
     }
 
-    /// Handles the end of a node's connection, or an attempt to connect that failed. Attempts that were sent
-    /// may have run. The others wait for the next connection as long as they may, unless the node is gone.
+    /// Handles the end of a node's connection, or an attempt to connect that failed. Attempts that were sent end,
+    /// and the node may have run them. The others wait for the next connection until their timers fire, or end as
+    /// unreachable if the node is gone.
     pub(super) fn node_connection_lost(&mut self, node: NodeId, reason: &str) {
         let backoff = self.deployment.bounds.redial;
-        let attempts = self.requests.at_node(node);
+        let attempts = self.requests.in_flight_to(node);
         let Some(record) = self.nodes.get(node) else {
             return;
         };
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -1,17 +1,17 @@
-//! Peer hosts: the connection to each, frames that wait for it, and what is known of its clock. A demand
-//! report is handed to the scheduler only once the clock of the peer that sent it is known.
+//! Peer hosts: the connection to each, frames that wait for it, and the offset of its clock. A demand report is
+//! handed to the scheduler only once the clock offset of its sender is known.
 
 use super::Core;
-use super::clock::Learned;
-use super::connection_table::PeerKind;
+use super::clock::ClockUpdate;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::peer_state::IncomingPeer;
 use super::reconnect::ConnectionState;
 use gullsail_protocol::{ClockQuery, ClockReply, DemandReport, Frame, Hello, Role};
 use gullsail_scheduler_api::{Event, HostId, Instant, demand_report};
 
-/// The most frames that wait for one connection, and the most demand reports that wait for one clock. A demand report
-/// is of use for a tenth of a second only, so more of them would hold memory for nothing.
+/// The most frames that wait for a connection to a peer, and the most demand reports that wait for the clock offset of
+/// a peer. A demand report is of use for a tenth of a second only, so keeping more would waste memory.
 const MAX_WAITING_FRAMES: usize = 8;
 
 impl Core {
@@ -21,7 +21,8 @@
         self.send_to_peer(to, Frame::from(DemandReport { bytes }));
     }
 
-    /// Sends a frame to a peer, or keeps it until the connection is up. Opens the connection if there is none.
+    /// Sends a frame to a peer, or keeps it until the connection is up. Opens a connection if there is none. While
+    /// the reconnect backoff runs, the frame is only kept.
     pub(super) fn send_to_peer(&mut self, to: HostId, frame: Frame) {
         let Some(place) = self.deployment.hosts.get(to.0 as usize) else {
             return;
@@ -30,14 +31,14 @@
         if let Some(link) = peer.connection.up() {
             return self.send(link, frame);
         }
-        // The newest frames matter most: the older ones are stale by the time the connection is up.
+        // The oldest frame is dropped: it is stale by the time the connection is up.
         if peer.waiting.len() >= MAX_WAITING_FRAMES {
             peer.waiting.pop_front();
         }
         peer.waiting.push_back(frame);
         if peer.connection.state == ConnectionState::Idle {
             let address = place.address.clone();
-            let link = self.connect(PeerKind::OutgoingPeer(to), address);
+            let link = self.connect(RemoteKind::OutgoingPeer(to), address);
             self.peers.entry(to).or_default().connection.state = ConnectionState::Connecting(link);
         }
     }
@@ -63,7 +64,7 @@
         let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        peer.connection.is_up(id);
+        peer.connection.mark_up(id);
         let waiting = std::mem::take(&mut peer.waiting);
         self.connections.response_received(id);
         for frame in waiting {
@@ -71,24 +72,24 @@
         }
     }
 
-    /// A peer reports what its clock shows. Demand reports that waited for this are handed on.
+    /// Handles a peer's reply to a clock query. Demand reports that waited for it are handed to the scheduler.
     pub(super) fn clock_reply(&mut self, id: LinkId, reply: ClockReply) {
-        let max_apart = self.deployment.bounds.clock_apart;
+        let max_offset = self.deployment.bounds.clock_apart;
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
             return;
         };
-        let learned = peer.clock.learn(
+        let update = peer.clock.record_reply(
             Instant::from_micros(reply.asked_us),
             Instant::from_micros(reply.clock_us),
             now,
         );
-        let was_too_far = peer.clock_too_far;
-        peer.clock_too_far = peer.clock.too_far(now, max_apart);
-        peer.log_clock(&learned, was_too_far, now);
+        let was_too_large = peer.clock_offset_too_large;
+        peer.clock_offset_too_large = peer.clock.offset_exceeds(now, max_offset);
+        peer.log_clock(&update, was_too_large, now);
         let waiting = std::mem::take(&mut peer.waiting);
-        if learned == Learned::Nothing {
-            // The reply took too long. So did the reports, which are of use for a tenth of a second.
+        if update == ClockUpdate::Ignored {
+            // The reply took longer than a second. The reports waited as long, and are of use for a tenth of a second.
             self.counts.demand_reports_dropped += waiting.len() as u64;
             return;
         }
@@ -97,18 +98,18 @@
         }
     }
 
-    /// Hands a peer's demand report to the scheduler, with its times moved to this host's clock. A report
-    /// waits while the peer's clock is not known. It is dropped when that clock is too far off: something is
-    /// wrong there, and no limit is exceeded because of a lost report.
+    /// Hands a peer's demand report to the scheduler, with its times converted to this host's clock. A report
+    /// waits while the peer's clock offset is not known. It is dropped if the offset is too large, which is a fault
+    /// of one of the clocks: a lost report never causes a limit to be exceeded.
     pub(super) fn demand_report(&mut self, id: LinkId, bytes: Vec<u8>) {
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
             return;
         };
-        let offset = if peer.clock_too_far {
+        let offset = if peer.clock_offset_too_large {
             None
         } else {
-            peer.clock.earliest(now)
+            peer.clock.to_earliest_local(now)
         };
         let from = peer.host;
         if let Some(offset) = offset {
@@ -117,7 +118,7 @@
                 from,
                 bytes: demand_report::with_shifted_time(&bytes, offset),
             });
-        } else if peer.clock_too_far || peer.waiting.len() >= MAX_WAITING_FRAMES {
+        } else if peer.clock_offset_too_large || peer.waiting.len() >= MAX_WAITING_FRAMES {
             self.counts.demand_reports_dropped += 1;
         } else {
             peer.waiting.push_back(bytes);
@@ -129,9 +130,9 @@
             .connections
             .open
             .get_mut(&id)
-            .map(|connection| &mut connection.peer_kind)
+            .map(|connection| &mut connection.remote_kind)
         {
-            Some(PeerKind::IncomingPeer(peer)) => Some(peer),
+            Some(RemoteKind::IncomingPeer(peer)) => Some(peer),
             _ => None,
         }
     }
--- a/crates/host/src/core/shutdown.rs
+++ b/crates/host/src/core/shutdown.rs
@@ -1,9 +1,9 @@
-//! Shutdown: the host stops listening and tells its clients to go away. It accepts nothing new, answers what is open,
-//! reports the result of operator commands, leaves the fleet, and then asks its caller to end. Up to the end of a
-//! connection every request on it is answered.
+//! Shutdown. The host stops listening and asks its clients to disconnect. It refuses new requests, answers the open
+//! ones, reports the results of operator commands, leaves the fleet, and then lets its caller end the process. It
+//! answers or refuses every request on a connection until that connection ends.
 
 use super::Core;
-use super::connection_table::PeerKind;
+use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::input_output::Output;
 use super::timer_kind::TimerKind;
@@ -11,23 +11,23 @@
 use gullsail_scheduler_api::{Instant, Span};
 use tracing::info;
 
-/// How long a shutdown waits for the results of operator commands. While a majority of voters can be reached, a command
-/// has its result sooner.
+/// How long a shutdown waits for the results of operator commands: 2 s. A command has its result sooner if a majority
+/// of the voters can be reached.
 const COMMAND_GRACE: Span = Span::from_micros(2_000_000);
 
 /// How far this host's shutdown has come.
 #[derive(Debug, Default)]
 pub(super) struct ShutdownState {
-    /// Nothing new is accepted.
+    /// The shutdown has started: new connections and requests are refused.
     pub(super) requested: bool,
-    /// Until then the shutdown waits for the results of operator commands.
-    commands_until: Option<Instant>,
-    /// Everything is answered, and the caller knows that it may end this host.
+    /// When the shutdown stops waiting for the results of operator commands; `None`: it has not started.
+    command_deadline: Option<Instant>,
+    /// Every request is answered, this host has left the fleet, and [`Output::Finished`] was put out.
     pub(super) complete: bool,
 }
 
 impl Core {
-    /// Starts the shutdown; does nothing if it has started.
+    /// Starts the shutdown. Does nothing if it has started before.
     pub(super) fn stop(&mut self) {
         if !self.shutdown.requested {
             info!(open_requests = self.requests.open(), "shutdown started");
@@ -35,40 +35,41 @@
         }
     }
 
-    /// Stops listening and tells every client to go away.
+    /// Stops listening and asks every client to disconnect.
     pub(super) fn begin_shutdown(&mut self) {
         self.shutdown.requested = true;
-        let commands_until = self.now + COMMAND_GRACE;
-        self.shutdown.commands_until = Some(commands_until);
-        self.set_timer(commands_until, TimerKind::Fleet);
+        let command_deadline = self.now + COMMAND_GRACE;
+        self.shutdown.command_deadline = Some(command_deadline);
+        self.set_timer(command_deadline, TimerKind::Fleet);
         self.outputs.push(Output::StopListening);
         for client in self.connections.clients() {
-            self.tell_to_go_away(client);
+            self.send_go_away(client);
         }
     }
 
-    /// Without this, a client would learn of the shutdown by the end of its connection, which may cross a request
-    /// that it sends.
-    pub(super) fn tell_to_go_away(&mut self, client: LinkId) {
+    /// Asks a client to disconnect and to send no more requests here. Otherwise the client would learn of the
+    /// shutdown from the end of its connection, which could cross a request that it sends.
+    pub(super) fn send_go_away(&mut self, client: LinkId) {
         self.send(client, Frame::from(GoAway {}));
     }
 
-    /// The connections that clients opened, and those whose other side has not introduced itself.
-    pub fn client_links(&self) -> Vec<LinkId> {
+    /// Returns the connections of clients, and those whose other side has not identified itself.
+    pub fn client_connections(&self) -> Vec<LinkId> {
         self.connections.ids_where(|connection| {
             matches!(
-                connection.peer_kind,
-                PeerKind::Client | PeerKind::Unidentified { .. }
+                connection.remote_kind,
+                RemoteKind::Client | RemoteKind::Unidentified { .. }
             )
         })
     }
 
-    /// Completes the shutdown once everything is answered. The host waits a little longer for the results of
-    /// operator commands, however many come meanwhile: leaving the fleet answers those that are left.
+    /// Completes the shutdown once every request is answered and every operator command has its result. Commands
+    /// that have none after [`COMMAND_GRACE`] do not delay the shutdown, however many arrive meanwhile: leaving the
+    /// fleet ends them with an unknown result.
     pub(super) fn finish_if_answered(&mut self) {
         let grace_over = |until: Instant| until <= self.now;
         let commands_finished = self.maintenance.pending_commands.is_empty()
-            || self.shutdown.commands_until.is_some_and(grace_over);
+            || self.shutdown.command_deadline.is_some_and(grace_over);
         if !self.shutdown.requested
             || !commands_finished
             || self.requests.open() != 0
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -1,8 +1,8 @@
-//! The thin layer around the host's core: sockets, one timer, the clock. It passes whatever happens to [`Core`]
-//! and carries out the outputs in their order. Nothing is decided here.
+//! The event loop around the host's core, with sockets, one timer and the clock. It passes events to [`Core`] and
+//! carries out its outputs in their order. All decisions are made by the core.
 //!
-//! Each turn of the loop lets the core advance, carries out its outputs, waits for the next thing to happen,
-//! and passes that to the core.
+//! Each turn of the loop lets the core advance, carries out its outputs, waits for the next event, and passes that
+//! to the core.
 
 mod control_requests;
 mod sockets;
@@ -25,60 +25,61 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long clients that were told to go away may stay connected once everything is answered.
-const CLIENTS_LEAVE_TIME: Duration = Duration::from_secs(1);
-/// Frames that wait to be handled, over all connections. When there are more, sockets are not read. Their bytes
-/// are bounded by the read budget; this bounds the number of small ones.
+/// How long clients that were asked to disconnect may stay connected once every request is answered.
+const CLIENT_DISCONNECT_GRACE: Duration = Duration::from_secs(1);
+/// The most events of connections that wait to be handled, most of them frames, over all connections. When the queue
+/// is full, sockets are not read. The read budget bounds the bytes of waiting frames; this bounds their number.
 const INBOX_FRAMES: usize = 1024;
-/// Requests of the control socket that wait for the loop.
+/// The most requests of the control socket that wait for the loop.
 const LOOP_REQUESTS: usize = MAX_REQUESTERS;
-/// Frames that are handled together before anything is sent.
+/// The most events of connections that are handled in one turn, before anything is sent.
 const BATCH_FRAMES: usize = 256;
-/// Which host this is, and which process serves as it.
+/// What a host's process starts with: its configuration, its identity and its clock.
 #[derive(Clone, Debug)]
 pub struct HostProcess {
-    /// The configuration to begin with.
+    /// The configuration at the start.
     pub deployment: Arc<Deployment>,
-    /// Which of its hosts this is.
+    /// Id of this host in the configuration.
     pub me: HostId,
-    /// Seed of the scheduler's and the host's random choices.
+    /// Seed of the random generators of the scheduler and the host.
     pub seed: u64,
-    /// Differs for each process.
+    /// Differs between processes of the same host.
     pub incarnation: u64,
     /// The host's clock.
     pub clock: HostClock,
 }
 
-/// What ended a wait.
-enum Woken {
+/// What ended a wait of the event loop.
+enum WakeReason {
     Stop,
     Accepted(io::Result<TcpStream>),
-    /// A connection attempt ended.
+    /// An attempt to connect ended; `None`: its task was cancelled.
     Connected(Option<ConnectResult>),
-    /// Frames are in the batch.
+    /// Events of connections are in the batch.
     Frames,
     Control(LoopRequest),
     Timer,
     TaskEnded,
 }
 
-/// The loop's own state.
+/// The state of the event loop.
 struct Runtime {
     core: Core,
     clock: HostClock,
-    /// Empty between two turns.
+    /// Buffer for the core's outputs, kept for its capacity. It is empty between two turns.
     outputs: Vec<Output>,
     sockets: Sockets,
     requesters: Requesters,
-    stall: StallDetector,
+    stall_detector: StallDetector,
     /// When the last wait ended.
     woken_at: Instant,
     stop_requested: bool,
-    /// Everything is answered since then.
+    /// When the core's shutdown was complete; `None`: it is not.
     finished_at: Option<Instant>,
 }
 
-/// Serves until `stop` is ready and all that was accepted is answered.
+/// Runs a host. Once `stop` is ready, the host shuts down: it answers the requests that it accepted, and this returns
+/// the host's counters.
 pub async fn run(
     process: HostProcess,
     listener: TcpListener,
@@ -106,15 +107,15 @@
         let sockets = &mut runtime.sockets;
         let accept_from = sockets.accept_errors.accept_from();
         let woken = tokio::select! {
-            () = &mut stop, if !runtime.stop_requested => Woken::Stop,
-            accepted = sockets::accept(sockets.listener.as_ref(), accept_from) => Woken::Accepted(accepted),
+            () = &mut stop, if !runtime.stop_requested => WakeReason::Stop,
+            accepted = sockets::accept(sockets.listener.as_ref(), accept_from) => WakeReason::Accepted(accepted),
             connected = sockets.connecting.join_next(), if !sockets.connecting.is_empty() => {
-                Woken::Connected(connected.and_then(Result::ok))
+                WakeReason::Connected(connected.and_then(Result::ok))
             }
-            _ = inbox.recv_many(&mut batch, BATCH_FRAMES) => Woken::Frames,
-            Some(request) = loop_requests.recv() => Woken::Control(request),
-            () = tokio::time::sleep_until(wake_up_at) => Woken::Timer,
-            _ = sockets.tasks.join_next(), if !sockets.tasks.is_empty() => Woken::TaskEnded,
+            _ = inbox.recv_many(&mut batch, BATCH_FRAMES) => WakeReason::Frames,
+            Some(request) = loop_requests.recv() => WakeReason::Control(request),
+            () = tokio::time::sleep_until(wake_up_at) => WakeReason::Timer,
+            _ = sockets.tasks.join_next(), if !sockets.tasks.is_empty() => WakeReason::TaskEnded,
         };
         runtime.handle(woken, &mut batch);
     }
@@ -128,7 +129,7 @@
     ) -> Runtime {
         let now = Instant::now();
         let sockets = Sockets::new(&process.deployment, listener, sink, now);
-        let max_incoming_links = sockets::max_incoming_links(&process.deployment);
+        let max_incoming_connections = sockets::max_incoming_connections(&process.deployment);
         let clock = process.clock;
         let mut core = Core::new(
             process.deployment,
@@ -137,46 +138,46 @@
             process.incarnation,
             clock.now(),
         );
-        core.set_max_incoming_links(max_incoming_links);
+        core.set_max_incoming_connections(max_incoming_connections);
         Runtime {
             core,
             clock,
             outputs: Vec::new(),
             sockets,
             requesters: Requesters::default(),
-            stall: StallDetector::new(now),
+            stall_detector: StallDetector::new(now),
             woken_at: now,
             stop_requested: false,
             finished_at: None,
         }
     }
 
-    /// Records how long the loop worked since the last wait. Returns when the next wait ends at the latest.
+    /// Records how long the loop worked since the last wait. Returns when the next wait must end at the latest.
     fn wake_up_at(&mut self) -> Instant {
-        self.core.worked(to_span(self.woken_at.elapsed()));
+        self.core.record_step_time(to_span(self.woken_at.elapsed()));
         let requested = self.core.next_wake_up().map(|at| self.clock.at(at));
-        self.stall.next_turn(requested)
+        self.stall_detector.next_turn(requested)
     }
 
-    /// Whether everything is answered, and clients have left or had time to.
+    /// Whether the core's shutdown is complete, and all clients have disconnected or had [`CLIENT_DISCONNECT_GRACE`] to.
     fn may_exit(&self) -> bool {
         let Some(finished_at) = self.finished_at else {
             return false;
         };
         let elapsed = finished_at.elapsed();
-        let clients_left = self.core.client_links().is_empty();
-        clients_left || elapsed >= CLIENTS_LEAVE_TIME
+        let clients_left = self.core.client_connections().is_empty();
+        clients_left || elapsed >= CLIENT_DISCONNECT_GRACE
     }
 
-    /// Keeps only the connections of clients. The core has left the fleet and no request is open, so the frames of
-    /// others are of no use.
+    /// Closes all connections but those of clients. The core has left the fleet and no request is open, so frames
+    /// from nodes and peers are of no use.
     fn keep_clients_only(&mut self) {
-        let clients: BTreeSet<LinkId> = self.core.client_links().into_iter().collect();
+        let clients: BTreeSet<LinkId> = self.core.client_connections().into_iter().collect();
         self.sockets.links.retain(|link, _| clients.contains(link));
         self.sockets.connecting.abort_all();
     }
 
-    /// Answers the operators that still wait, writes what is queued and ends all tasks. Returns what was counted.
+    /// Answers the operators that still wait, writes queued frames, and ends all tasks. Returns the counters.
     async fn finish(mut self, mut loop_requests: mpsc::Receiver<LoopRequest>) -> Counts {
         loop_requests.close();
         while let Ok(request) = loop_requests.try_recv() {
@@ -189,20 +190,20 @@
             requesters,
             ..
         } = self;
-        // Who waits for a result that does not come any more is told that this host is leaving.
+        // A requester that still waits is told that this host is leaving.
         drop(requesters);
         sockets.finish().await;
         core.counts().clone()
     }
 
-    /// Lets the core advance and carries out its outputs. Returns connections whose write queues are full.
+    /// Lets the core advance and carries out its outputs. Returns the connections whose write queues are full.
     fn turn(&mut self, inbox_empty: bool) -> Vec<LinkId> {
-        if let Some(interval) = self.stall.turn(Instant::now(), inbox_empty) {
-            self.core.stalled(to_span(interval));
+        if let Some(interval) = self.stall_detector.record_turn(Instant::now(), inbox_empty) {
+            self.core.record_stall(to_span(interval));
         }
-        // After a stall, whatever arrived meanwhile is read first. The core must not decide by what it knew
+        // After a stall, everything that arrived during it is read first. The core must not decide by its state
         // before the stall.
-        if self.stall.settling() {
+        if self.stall_detector.settling() {
             return Vec::new();
         }
         self.core.advance(self.clock.now());
@@ -235,7 +236,7 @@
                     open.reading(on);
                 }
             }
-            // Once everything is answered, nobody needs a new connection.
+            // Once the shutdown is complete, a new connection is of no use.
             Output::Connect { .. } if self.finished_at.is_some() => {}
             Output::Connect { link, address } => self.sockets.connect(link, address),
             Output::Close { link } => self.sockets.close(link),
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Closes connections whose write queues are full, since the other side reads too slowly.
+    /// Closes connections whose write queues are full because the other side reads too slowly.
     fn close_overfull(&mut self, overfull: Vec<LinkId>) {
         for link in overfull {
             if self.sockets.links.remove(&link).is_some() {
@@ -264,27 +265,27 @@
         }
     }
 
-    fn handle(&mut self, woken: Woken, batch: &mut Vec<(LinkId, LinkEvent)>) {
+    fn handle(&mut self, woken: WakeReason, batch: &mut Vec<(LinkId, LinkEvent)>) {
         self.woken_at = Instant::now();
         match woken {
-            Woken::Stop => {
+            WakeReason::Stop => {
                 self.stop_requested = true;
                 self.core.handle(self.clock.now(), Input::Stop);
             }
-            Woken::Accepted(accepted) => self.accepted(accepted),
-            Woken::Connected(connected) => self.connected(connected),
-            Woken::Frames => self.frames(batch),
-            Woken::Control(request) => self.control_request(request),
-            Woken::Timer | Woken::TaskEnded => {}
+            WakeReason::Accepted(accepted) => self.accepted(accepted),
+            WakeReason::Connected(connected) => self.connected(connected),
+            WakeReason::Frames => self.handle_frames(batch),
+            WakeReason::Control(request) => self.control_request(request),
+            WakeReason::Timer | WakeReason::TaskEnded => {}
         }
     }
 
-    fn frames(&mut self, batch: &mut Vec<(LinkId, LinkEvent)>) {
-        if let Some(interval) = self.stall.turn(self.woken_at, false) {
-            self.core.stalled(to_span(interval));
+    fn handle_frames(&mut self, batch: &mut Vec<(LinkId, LinkEvent)>) {
+        if let Some(interval) = self.stall_detector.record_turn(self.woken_at, false) {
+            self.core.record_stall(to_span(interval));
         }
         let now = self.clock.now();
-        let waited = self.stall.waited(self.woken_at).map(to_span);
+        let waited = self.stall_detector.max_wait(self.woken_at).map(to_span);
         for (id, event) in batch.drain(..) {
             let input = match event {
                 LinkEvent::Frame(frame) => {
