--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,39 +1,43 @@
-//! The body of one message, delimited by its length or in chunks.
+//! Decodes the body of one message, which has a stated length or the chunked transfer coding.
 
 use crate::Fault;
 use crate::framing::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest accepted line of a chunk size or a trailer, in bytes. Bounds what a peer can make the decoder
-/// buffer without sending any data of the body.
+/// Longest accepted line with a chunk size or a trailer field, in bytes. It bounds what the decoder buffers while the
+/// peer sends no data of the body.
 const MAX_LINE_BYTES: usize = 256;
-/// Most trailer lines, the empty last one included. Trailers are ignored; without a bound a peer could send
-/// them for ever.
+/// Most trailer lines after a chunked body, the empty last line included. Trailer fields are ignored. Without a bound a
+/// peer could send them without end.
 const MAX_TRAILERS: u32 = 16;
 
+/// The part of the body that the decoder expects next.
 #[derive(Debug)]
 enum State {
-    /// A body with a stated length: this many bytes are missing.
+    /// This many bytes of a body with a stated length.
     FixedLength(usize),
-    /// The line with the size of the next chunk comes next.
+    /// The line with the size of the next chunk.
     ChunkSize,
-    /// This many bytes of the chunk are missing.
+    /// This many bytes of the data of the present chunk.
     ChunkData(usize),
-    /// The line end after the data of a chunk comes next.
+    /// The line end after the data of a chunk.
     ChunkEnd,
-    /// This many trailers were read.
+    /// A trailer field or the empty line at the end. This many trailer fields were read.
     Trailers(u32),
+    /// Nothing: the body is complete.
     Complete,
 }
 
-/// A body of which a part may have been received.
+/// A body that is being decoded.
 #[derive(Debug)]
 pub(crate) struct Body {
     state: State,
+    /// The decoded data of the body, without chunk sizes and trailers.
     received: BytesMut,
 }
 
 impl Body {
+    /// Starts to decode a body. Fails if its stated length exceeds `max_bytes`.
     pub(crate) fn new(framing: Framing, max_bytes: usize) -> Result<Body, Fault> {
         let state = match framing {
             Framing::Length(length) if length > max_bytes as u64 => return Err(Fault::BodyTooLong),
@@ -46,7 +50,7 @@
         })
     }
 
-    /// How many bytes of the body were received.
+    /// The number of bytes of the body that were decoded so far.
     pub(crate) fn received_bytes(&self) -> usize {
         self.received.len()
     }
@@ -55,7 +59,7 @@
         self.received.freeze()
     }
 
-    /// Takes the bytes that belong to the body from `unread`. Returns whether the body is complete.
+    /// Removes the bytes that belong to the body from the front of `unread`. Returns whether the body is complete.
     pub(crate) fn consume(
         &mut self,
         unread: &mut BytesMut,
@@ -85,7 +89,7 @@
         }
     }
 
-    /// The state after a line of the chunked coding.
+    /// Returns the state after a line of the chunked transfer coding.
     fn after_line(&self, line: &[u8], max_bytes: usize) -> Result<State, Fault> {
         match self.state {
             State::ChunkSize => {
@@ -109,8 +113,8 @@
     }
 }
 
-/// Takes one line without its end, which is CR LF and nothing else. Returns `None` while the line is
-/// incomplete.
+/// Removes one line from the front of `unread` and returns it without its end, which must be CR LF. Returns `None`
+/// while the line is incomplete.
 fn take_line(unread: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
     let line_feed = unread
         .iter()
@@ -135,7 +139,7 @@
     }
 }
 
-/// Parses hexadecimal digits; an extension after them is ignored.
+/// Parses the hexadecimal size of a chunk. Chunk extensions after it are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, Fault> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let well_formed =
--- a/crates/http/src/decoder.rs
+++ b/crates/http/src/decoder.rs
@@ -1,19 +1,18 @@
-//! Decodes messages from the bytes of one direction of a connection.
+//! Decodes messages from the bytes received on a connection.
 
 use crate::body::Body;
 use crate::framing::{Framing, framing};
-use crate::message::{Field, Found, Message, Start, find};
+use crate::message::{Field, Found, Message, StartLine, find};
 use crate::{Bounds, Fault};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Most header fields of a head. Bounds the array on the stack that `httparse` fills.
+/// Most header fields of a head. `httparse` stores them in an array of this size on the stack.
 const MAX_HEADERS: usize = 64;
-/// Up to this many bytes a head is parsed whenever bytes arrive, so that input that is no HTTP is reported at
-/// once. Beyond it a head is parsed only when a line has ended: a peer that sends a long head byte by byte
-/// would cost a parse of all of it for each byte.
+/// While at most this many bytes are buffered, each call of [`Decoder::feed`] leads to an attempt to parse the head, so
+/// that input that is not HTTP is reported at once. Beyond this, the head is parsed only after a line end. Otherwise a
+/// peer that sends a long head byte by byte would cause a parse of the whole head for each byte.
 const EAGER_PARSE_BYTES: usize = 256;
-/// Most 1xx responses before the final one. Without a bound a server could keep a request waiting with them
-/// for ever.
+/// Most 1xx responses before the final response. Without a bound a server could keep a request waiting without end.
 const MAX_INTERIM_RESPONSES: u32 = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,41 +21,47 @@
     Responses,
 }
 
-/// A message whose head is decoded, with the part of the body that was received.
+/// A message whose head is decoded and whose body is being decoded.
 #[derive(Debug)]
 struct PartialMessage {
+    /// The message with an empty body.
     message: Message,
     body: Body,
 }
 
-/// A head as `httparse` parses it.
+/// A head that `httparse` has parsed.
 struct ParsedHead {
+    /// The number of bytes of the head, with the empty line at its end.
     length: usize,
-    start: Start,
-    /// The minor version: HTTP/1.x.
+    start: StartLine,
+    /// The minor version of HTTP: 1 for HTTP/1.1.
     version: u8,
     fields: Vec<Field>,
 }
 
-/// Decodes what is received on one connection, in one direction. After a [`Fault`] it is of no further use.
+/// Decodes either the requests or the responses that are received on one connection. After a [`Fault`] it must not be
+/// used any more.
 #[derive(Debug)]
 pub struct Decoder {
     direction: Direction,
     bounds: Bounds,
+    /// Received bytes that are not decoded yet.
     unread: BytesMut,
+    /// The message whose body is being decoded, if any.
     partial: Option<PartialMessage>,
-    /// No line has ended since the head was last parsed, so it is still incomplete.
+    /// The head is incomplete, so it need not be parsed again yet. See [`EAGER_PARSE_BYTES`].
     head_incomplete: bool,
+    /// The number of 1xx responses since the last final response.
     interim_responses: u32,
 }
 
 impl Decoder {
-    /// Decodes requests, which clients send.
+    /// Creates a decoder for requests, which a server receives.
     pub fn requests(bounds: Bounds) -> Decoder {
         Decoder::new(Direction::Requests, bounds)
     }
 
-    /// Decodes responses, which servers send.
+    /// Creates a decoder for responses, which a client receives.
     pub fn responses(bounds: Bounds) -> Decoder {
         Decoder::new(Direction::Responses, bounds)
     }
@@ -74,13 +79,13 @@
 
     /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        // Input that is no HTTP is recognised by its first bytes. Waiting for the end of its first line could
-        // last until a timeout.
+        // Input that is not HTTP may contain no line end. Parsing its first bytes at once reports the fault without
+        // waiting for a timeout.
         self.head_incomplete &= !bytes.contains(&b'\n') && self.unread.len() > EAGER_PARSE_BYTES;
         self.unread.extend_from_slice(bytes);
     }
 
-    /// How many bytes are buffered: unread ones and those of an incomplete body.
+    /// The number of buffered bytes: those not decoded yet, and the decoded part of an incomplete body.
     pub fn buffered_bytes(&self) -> usize {
         self.unread.len()
             + self
@@ -89,20 +94,20 @@
                 .map_or(0, |partial| partial.body.received_bytes())
     }
 
-    /// Whether nothing is buffered: the connection is between two messages.
+    /// Whether nothing is buffered, that is, no message has been received in part.
     pub fn is_empty(&self) -> bool {
         self.unread.is_empty() && self.partial.is_none()
     }
 
-    /// Whether a head was decoded whose body is incomplete.
+    /// Whether the head of a message was decoded and its body is incomplete.
     pub fn in_body(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Takes the next complete message, if there is one.
+    /// Takes the next complete message. Returns `None` while it is incomplete. Skips 1xx responses.
     ///
     /// # Errors
-    /// The input is no message within the bounds. The connection is of no further use.
+    /// The input is not a valid message, or it exceeds the bounds. The connection cannot be used any more.
     pub fn take(&mut self) -> Result<Option<Message>, Fault> {
         loop {
             if self.partial.is_none() && !self.decode_head()? {
@@ -120,10 +125,10 @@
             message.body = body.into_bytes();
             self.head_incomplete = !self.unread.contains(&b'\n');
             if self.unread.is_empty() {
-                // A connection between two messages keeps no memory.
+                // Frees the buffer, so that an idle connection holds no memory.
                 self.unread = BytesMut::new();
             }
-            if let Start::Response { status: 100..=199 } = message.start {
+            if let StartLine::Response { status: 100..=199 } = message.start {
                 self.interim_responses += 1;
                 if self.interim_responses > MAX_INTERIM_RESPONSES {
                     return Err(Fault::TooManyInterimResponses);
@@ -194,7 +199,7 @@
     else {
         return Err(Fault::Malformed);
     };
-    let start = Start::Request {
+    let start = StartLine::Request {
         method: Bytes::copy_from_slice(method.as_bytes()),
         target: Bytes::copy_from_slice(target.as_bytes()),
     };
@@ -218,7 +223,7 @@
     let fields = copy_fields(response.headers);
     Ok(Some(ParsedHead {
         length,
-        start: Start::Response { status },
+        start: StartLine::Response { status },
         version,
         fields,
     }))
@@ -232,7 +237,7 @@
     headers.iter().map(copy).collect()
 }
 
-/// The length of a complete head, `None` for an incomplete one.
+/// The length of a complete head. `None` if the head is incomplete.
 fn parsed_length(parsed: httparse::Result<usize>) -> Result<Option<usize>, Fault> {
     match parsed {
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
@@ -243,7 +248,7 @@
     }
 }
 
-/// Whether a comma-separated list, the form of `Connection`, contains this option.
+/// Whether a comma-separated list, such as the value of `Connection`, contains this option in any case.
 fn lists_option(list: &[u8], option: &[u8]) -> bool {
     list.split(|byte| *byte == b',')
         .any(|item| item.trim_ascii().eq_ignore_ascii_case(option))
--- a/crates/http/src/encoder.rs
+++ b/crates/http/src/encoder.rs
@@ -1,15 +1,15 @@
-//! Encodes a message: head and body in one buffer.
+//! Encodes messages, each with head and body in one buffer.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt::Display;
 
-/// A message that is being encoded. Names and values are not checked: a value from outside may be used only if
-/// [`crate::Decoder`] decoded it, since that accepts no line end in a value.
+/// Encodes one message. It does not check names and values. A value from outside the process may be used only if
+/// [`crate::Decoder`] has decoded it: the decoder rejects values with line ends, which could inject header fields.
 #[derive(Debug)]
 pub struct Encoder(BytesMut);
 
 impl Encoder {
-    /// Begins a request.
+    /// Starts a request with its request line.
     pub fn request(method: &[u8], target: &[u8]) -> Encoder {
         let mut bytes = BytesMut::with_capacity(512);
         for part in [method, b" ", target, b" HTTP/1.1\r\n"] {
@@ -18,7 +18,7 @@
         Encoder(bytes)
     }
 
-    /// Begins a response.
+    /// Starts a response with its status line.
     pub fn response(status: u16, reason: &str) -> Encoder {
         let mut bytes = BytesMut::with_capacity(256);
         bytes.put_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
@@ -33,13 +33,13 @@
         self
     }
 
-    /// Adds a header field with a value that is formatted by its `Display`.
+    /// Adds a header field with a value that is formatted with `Display`.
     pub fn number(self, name: &str, value: impl Display) -> Encoder {
         let value = value.to_string();
         self.field(name, value.as_bytes())
     }
 
-    /// Ends the message with a body and states its length.
+    /// Ends the message with `Content-Length` and a body, and returns it.
     pub fn body(self, body: &[u8]) -> Bytes {
         let mut bytes = self.number("Content-Length", body.len()).0;
         bytes.put_slice(b"\r\n");
@@ -47,7 +47,7 @@
         bytes.freeze()
     }
 
-    /// Ends the message without a body and without a length.
+    /// Ends the message without a body and without `Content-Length`, and returns it.
     pub fn without_body(mut self) -> Bytes {
         self.0.put_slice(b"\r\n");
         self.0.freeze()
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,24 +1,25 @@
-//! Determines how the body of a message is delimited. Anything ambiguous is a fault: a proxy that reads a length
-//! differently from its neighbours allows request smuggling.
+//! Determines how the body of a message is delimited. An ambiguous length is a fault: if a proxy and its peers disagree
+//! about where a message ends, request smuggling is possible.
 
 use crate::Fault;
-use crate::message::{Field, Found, Start, find};
+use crate::message::{Field, Found, StartLine, find};
 
-/// How a body is delimited.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Framing {
+    /// The body has this many bytes.
     Length(u64),
     Chunked,
 }
 
-/// The framing, or `None` if a request states none and so has no body.
-pub(crate) fn framing(fields: &[Field], start: &Start) -> Result<Option<Framing>, Fault> {
+/// Returns the framing of the message. `None` if it is a request that states no framing, and so has no body.
+pub(crate) fn framing(fields: &[Field], start: &StartLine) -> Result<Option<Framing>, Fault> {
     let length = find(fields, "content-length");
     let coding = find(fields, "transfer-encoding");
-    let is_response = matches!(start, Start::Response { .. });
+    let is_response = matches!(start, StartLine::Response { .. });
     let never_has_body = matches!(
         start,
-        Start::Response {
+        StartLine::Response {
             status: 100..=199 | 204 | 304
         }
     );
@@ -38,12 +39,12 @@
     }
 }
 
-/// Parses decimal digits. A sign, a blank or a list is a fault.
+/// Parses the value of `Content-Length`. Anything but decimal digits is a fault, such as a sign, a space or a list.
 fn parse_length(digits: &[u8]) -> Result<u64, Fault> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(Fault::InvalidLength);
     }
-    // A number that overflows exceeds every bound.
+    // A number that does not fit into `u64` exceeds every bound.
     let digits = std::str::from_utf8(digits).map_err(|_| Fault::InvalidLength)?;
     Ok(digits.parse().unwrap_or(u64::MAX))
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,11 +1,10 @@
 //! A codec for HTTP/1.1 messages that does no I/O.
 //!
-//! [`Decoder`] takes received bytes and returns complete messages or the [`Fault`] that makes them unusable;
-//! [`Encoder`] encodes messages. The library `httparse` parses heads; this crate decides how a body is
-//! delimited and enforces the [`Bounds`]. The host on the users' platform uses it for clients, nodes and
-//! discovery.
+//! [`Decoder`] takes received bytes and returns complete messages, or a [`Fault`] if they cannot be decoded.
+//! [`Encoder`] encodes messages. The library `httparse` parses heads; this crate determines how a body is delimited and
+//! enforces the [`Bounds`]. The host on the users' platform uses it for clients, nodes and discovery.
 //!
-//! Read `decoder` first, then `framing` and `body`.
+//! Start reading with `decoder`, then `framing` and `body`.
 
 mod body;
 mod decoder;
@@ -17,9 +16,9 @@
 pub use decoder::Decoder;
 pub use encoder::Encoder;
 pub use fault::Fault;
-pub use message::{Found, Message, Start};
+pub use message::{Found, Message, StartLine};
 
-/// How large a message may be. A larger one is a [`Fault`].
+/// The largest accepted size of a message. Decoding a larger message returns a [`Fault`].
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Most bytes of the head.
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,15 +1,15 @@
-//! A complete message, as the decoder returns it.
+//! A decoded message.
 
 use bytes::Bytes;
 
-/// The first line.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// The request line.
     Request {
         /// The method, such as `GET`.
         method: Bytes,
-        /// The path with its query.
+        /// The request target as received: usually a path, with its query if there is one.
         target: Bytes,
     },
     /// The status line of a response.
@@ -19,7 +19,7 @@
     },
 }
 
-/// One header field.
+/// A header field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Field {
     pub(crate) name: Bytes,
@@ -29,25 +29,26 @@
 /// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
-    pub start: Start,
+    /// The request line or the status line.
+    pub start: StartLine,
     pub(crate) fields: Vec<Field>,
-    /// The body; empty if there is none.
+    /// The body, without chunk sizes and trailers. Empty if the message has none.
     pub body: Bytes,
-    /// Whether the head states a length or a transfer coding, even for an empty body.
+    /// Whether the length of the body is determined by `Content-Length`, `Transfer-Encoding` or the status. `false` for
+    /// a request without these fields.
     pub framed: bool,
-    /// Whether the connection carries further messages: the sender did not announce a close.
+    /// Whether the connection may carry further messages, that is, the sender did not announce a close.
     pub keep_alive: bool,
 }
 
-/// How often a header field occurs in a head.
+/// The result of looking up a header field by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found<'a> {
-    /// Not at all.
+    /// No field has this name.
     None,
-    /// Once, with this value.
+    /// One field has this name, with this value.
     One(&'a [u8]),
-    /// More than once.
+    /// More than one field has this name.
     Multiple,
 }
 
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,7 +1,7 @@
-//! Decoding of valid, fragmented and malformed messages, and encoding.
+//! Decoding of valid, fragmented and malformed messages, and encoding of messages.
 
 use bytes::Bytes;
-use gullsail_http::{Bounds, Decoder, Encoder, Fault, Found, Message, Start};
+use gullsail_http::{Bounds, Decoder, Encoder, Fault, Found, Message, StartLine};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRng, TestRunner};
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The messages that were decoded, and the fault after them.
+/// The messages decoded from an input, and the fault that ended the decoding, if any.
 #[derive(Debug, PartialEq)]
 struct Decoded {
     messages: Vec<Message>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Valid input and the bodies of the messages in it.
+/// Valid input with the expected bodies of its messages.
 struct ValidInput {
     direction: Direction,
     text: &'static str,
@@ -146,7 +146,7 @@
         bodies.iter().for_each(|_| _ = decoder.take());
         assert!(
             decoder.is_empty() && decoder.buffered_bytes() == 0,
-            "{text}: nothing is left"
+            "{text}: the buffer is empty"
         );
     }
 }
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn an_endless_head_is_a_fault_at_its_bound_and_not_before() {
+fn an_incomplete_head_is_a_fault_once_it_exceeds_its_bound() {
     let mut input = decoder(Request);
     input.feed(&[b'x'; 600]);
     assert_eq!(input.take(), Ok(None));
@@ -276,7 +276,7 @@
         (Found::One(b"1"), Found::Multiple, Found::None)
     );
     assert!(!message.keep_alive && !message.framed);
-    let start = Start::Request {
+    let start = StartLine::Request {
         method: Bytes::from("GET"),
         target: Bytes::from("/x?q"),
     };
@@ -302,7 +302,7 @@
         decode(Request, &[&Encoder::request(b"GET", b"/").without_body()]);
     assert!(!messages[0].framed);
     let Decoded { messages, .. } = decode(Response, &[&Encoder::response(503, "No").body(b"")]);
-    assert_eq!(messages[0].start, Start::Response { status: 503 });
+    assert_eq!(messages[0].start, StartLine::Response { status: 503 });
 }
 
 #[test]
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts, from the scheduler's action until their outcome is reported to it. An attempt takes an idle
-//! connection to its node or waits for one. After a wait the host checks again whether the attempt may still be
-//! sent.
+//! Attempts, from the scheduler's action that starts one until its outcome is reported to the scheduler. An attempt
+//! uses an idle connection to its node or waits for one. After the wait the host checks again whether the attempt may
+//! still be sent.
 //!
-//! Called by the scheduler's actions, by timers and by `node_connections`. Nothing here chooses a node.
+//! The scheduler's actions, timers and `node_connections` call this module. The scheduler chooses the nodes.
 
 use super::Core;
 use super::attempt_key::AttemptKey;
@@ -13,17 +13,17 @@
     AttemptEnd, AttemptOutcome, Event, Idempotency, Instant, NodeId, RequestId, Span,
 };
 
-/// Upper bound on the delay between the order to send a message and its first byte at the node, on a connection that
-/// works. A retry must reach the node before it forgets the idempotency key.
+/// Upper bound on the time from [`Output::Send`] until the node receives the first byte, on a working connection. A
+/// retry must reach the node before the node discards the idempotency key.
 const MAX_SEND_DELAY: Span = Span::from_micros(10_000);
 
-/// How far an attempt has come; its end removes it.
+/// The progress of an attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptProgress {
     WaitingForConnection,
-    /// Its message is being written.
+    /// The message is being written on this connection.
     Writing(ConnectionId),
-    /// The last byte was passed to the operating system at this time.
+    /// The operating system accepted the last byte of the message at this time.
     Written {
         conn: ConnectionId,
         at: Instant,
@@ -34,12 +34,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) node: NodeId,
-    /// When the scheduler decided on it.
+    /// When the scheduler decided on the attempt.
     pub(super) decided_at: Instant,
-    /// When it times out.
+    /// When the attempt times out.
     pub(super) deadline: Instant,
     pub(super) progress: AttemptProgress,
-    /// The node's start time when the attempt was decided.
+    /// The start time of the node's process, as known when the scheduler decided on the attempt. `None` if unknown.
     node_started: Option<Instant>,
 }
 
@@ -52,8 +52,7 @@
     ) {
         let now = self.context.now;
         let Some(open) = self.requests.get(id) else {
-            // The client disconnected in the batch in which the attempt was decided. The scheduler still expects
-            // an outcome.
+            // The client disconnected in the same batch of events. The scheduler still expects an outcome.
             return self.report_not_sent(id, node);
         };
         let time_left = open.deadline - now;
@@ -72,7 +71,7 @@
             node_started: self.nodes.started(node),
         };
         self.attempts.insert(key, attempt);
-        // Later events of the batch in which the attempt was decided may forbid it.
+        // An event in the same batch, such as a drain of the node, may forbid the attempt.
         if !self.may_still_send(key) {
             return self.end_attempt(key, AttemptOutcome::NotSent, None);
         }
@@ -81,7 +80,7 @@
         self.send_or_wait(key, node);
     }
 
-    /// Sends the attempt on an idle connection, or queues it for one.
+    /// Sends the attempt on an idle connection to the node, or queues it until there is one.
     pub(super) fn send_or_wait(&mut self, key: AttemptKey, node: NodeId) {
         if let Some(conn) = self.nodes.take_idle(node, &mut self.context) {
             self.send_attempt(key, conn);
@@ -90,8 +89,8 @@
         }
     }
 
-    /// Whether the attempt may be sent now. Since it was decided its node may have begun to drain or been
-    /// restarted, the request may have been answered, or its time may be over.
+    /// Whether the attempt may be sent now. Since the scheduler's decision the node may have started to drain or been
+    /// restarted, the request may have been answered, or the attempt may have timed out.
     pub(super) fn may_still_send(&mut self, key: AttemptKey) -> bool {
         let Some(attempt) = self.attempts.get(&key).copied() else {
             return false;
@@ -101,14 +100,14 @@
             return false;
         };
         let idempotency = self.settings.idempotency(open.request_class);
-        let wanted = open.client.is_some() && may_repeat(open, idempotency, now);
-        wanted
+        let request_allows = open.client.is_some() && may_repeat(open, idempotency, now);
+        request_allows
             && now < attempt.deadline
             && self.nodes.is_ready(attempt.node)
             && self.nodes.started(attempt.node) == attempt.node_started
     }
 
-    /// Sends the attempt on a connection that is established and free.
+    /// Sends the attempt on an established connection that carries no other attempt.
     pub(super) fn send_attempt(&mut self, key: AttemptKey, conn: ConnectionId) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -135,9 +134,9 @@
     pub(super) fn attempt_timed_out(&mut self, key: AttemptKey) {
         match self.attempts.get(&key).map(|attempt| attempt.progress) {
             Some(AttemptProgress::WaitingForConnection) => self.connection_wait_timed_out(key),
-            // The connection is closed first: no second attempt may be in flight beside this one. A message that
-            // the connection's task was ordered to send may have run until the task reports that it did not;
-            // that report may be on its way.
+            // Closing the connection first ensures that no second attempt runs while this one is in flight. An attempt
+            // in `Writing` may have run too: the task that writes the message may have written it without having
+            // reported that yet.
             Some(AttemptProgress::Writing(conn) | AttemptProgress::Written { conn, .. }) => {
                 self.nodes.close(conn, &mut self.context);
                 self.end_attempt(key, AttemptOutcome::TimedOut, None);
@@ -162,8 +161,8 @@
         self.end_attempt(key, outcome, None);
     }
 
-    /// For a request that is no longer in the table. The number is always 0: a request with an attempt in flight
-    /// stays in the table.
+    /// Reports to the scheduler that the first attempt of a request was not sent because the request is no longer in
+    /// the table. It is always the first attempt: a request with an attempt in flight stays in the table.
     fn report_not_sent(&mut self, id: RequestId, node: NodeId) {
         self.context.metrics.count_outcome(AttemptOutcome::NotSent);
         self.context
@@ -181,8 +180,9 @@
             }));
     }
 
-    /// Reports the outcome to the scheduler. The latency counts from the decision, so it includes the wait for a
-    /// connection.
+    /// Removes the attempt and reports its outcome to the scheduler. The latency counts from the scheduler's decision,
+    /// so it includes the wait for a connection. `used`: how much of the nominal rate of the volume all hosts together
+    /// use, as a fraction; `None` if the node did not report it.
     pub(super) fn end_attempt(
         &mut self,
         key: AttemptKey,
@@ -210,8 +210,9 @@
     }
 }
 
-/// Prevents a retry after the idempotency window has expired during the wait for a connection: the node would no
-/// longer recognise the key. That matters only where the window is about as short as that wait.
+/// Whether the request may be sent to a node although an earlier attempt may have run. Prevents a retry if the
+/// idempotency window has expired during the wait for a connection: the node would no longer recognise the key. This
+/// can happen only if the window is about as short as that wait.
 fn may_repeat(open: &OpenRequest, idempotency: Idempotency, now: Instant) -> bool {
     match (idempotency, open.unproven_execution) {
         (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/platform/src/core/bounds.rs
+++ b/crates/platform/src/core/bounds.rs
@@ -1,43 +1,44 @@
-//! How large messages may be, and how the descriptors and the memory of the process are divided.
+//! Bounds on the size of messages, and the division of the process's descriptors and memory.
 
 use crate::settings_document::Limits;
 use gullsail_http::Bounds;
 
-/// How large messages of clients and nodes may be. The platform's pages state these bounds; a larger message is
-/// answered with 431 or 413.
+/// Largest head and body of a message of a client or node, as the platform's documentation states them. A client's
+/// larger message is answered with 431 or 413.
 pub const BOUNDS: Bounds = Bounds {
     head: 16 << 10,
     body: 64 << 10,
 };
 
-/// Descriptors that neither clients nor nodes may hold: standard streams, the listener, UDP, the runtime's own, the
-/// settings document while it is read, and two connections to discovery.
+/// Descriptors reserved for other uses than connections to clients and nodes: standard streams, the listener, the UDP
+/// socket, the async runtime, the settings document during a reload, and two connections to discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Fewest descriptors shared by clients and nodes, whatever the limits say: without any, no request could be
-/// served.
+/// Fewest descriptors shared by clients and nodes, even if the configured limit is lower: without any, no request could
+/// be served.
 const MIN_SHARED_DESCRIPTORS: usize = 8;
-/// Fraction of the shared descriptors for clients; nodes have the rest.
+/// Fraction of the shared descriptors for client connections. Node connections get the others.
 const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
 /// Fraction of the memory limit that open requests may hold.
 const REQUEST_MEMORY_FRACTION: f64 = 0.2;
-/// Fraction of the memory limit that incomplete messages of clients may hold. Bounds what clients can make the
-/// host buffer without completing a request.
+/// Fraction of the memory limit that incomplete messages of clients may hold. It bounds the memory that clients can
+/// occupy without sending a complete request.
 const INPUT_MEMORY_FRACTION: f64 = 0.1;
 
-/// What each part of a host may hold.
+/// How many descriptors and how much memory each use may take.
 pub(super) struct ResourceBounds {
-    /// Descriptors of the process.
+    /// Most descriptors of the process, reserved ones included.
     pub(super) descriptors: usize,
     pub(super) client_connections: usize,
     pub(super) node_connections: usize,
-    /// Bytes of open requests.
+    /// Most bytes of memory that open requests may hold.
     pub(super) request_bytes: usize,
-    /// Bytes of incomplete messages of clients.
+    /// Most bytes of incomplete messages of clients that are buffered.
     pub(super) input_bytes: usize,
 }
 
 impl ResourceBounds {
-    /// Divides the limits of the document; `process_descriptors` is how many the process itself may hold.
+    /// Divides the limits of the settings document. `process_descriptors` is the process's limit on open descriptors;
+    /// the smaller of both limits holds.
     pub(super) fn divide(limits: Limits, process_descriptors: usize) -> ResourceBounds {
         let descriptors = limits
             .sockets
--- a/crates/platform/src/core/clients/capacity.rs
+++ b/crates/platform/src/core/clients/capacity.rs
@@ -1,5 +1,4 @@
-//! How many connections of clients there are: accepting, and closing those that are idle, slow or evicted in favour
-//! of new ones.
+//! The number of client connections: accepts new ones, and closes those that are idle, slow or evicted for new ones.
 
 use super::super::Core;
 use super::super::context::IDLE_CHECK_INTERVAL;
@@ -8,19 +7,18 @@
 use super::client::{ClientState, IDLE_TIMEOUT};
 use gullsail_scheduler_api::{Instant, Span};
 
-/// A message has to be complete this long after its first byte, the first one after connecting. The platform
-/// demands an error or a close within 3 s; the difference is for the interval of the check and for delays. The text
-/// of the 408 response names two seconds, which a client that keeps to it is never refused for.
+/// Longest time for receiving a message, from its first byte; for the first message of a connection, from the time of
+/// connecting. The platform requires an error or a close within 3 s; the difference covers the interval of the check
+/// and delays. The text of the 408 response states two seconds, so a client that keeps to it is never refused.
 const MESSAGE_TIMEOUT: Span = Span::from_micros(2_200_000);
 
 impl Core {
-    /// Whether a client that connects gets a slot. Otherwise it waits in the listener's backlog, which loses
-    /// nothing.
+    /// Whether there is a slot for a new client. Without one, new clients wait in the listener's backlog.
     pub fn can_accept(&self) -> bool {
         self.clients.has_slot()
     }
 
-    /// A client has connected.
+    /// Adds the connection of a client that has connected, and evicts another one if the soft limit is exceeded.
     pub fn accept(&mut self, now: Instant) -> ConnectionId {
         self.context.advance_clock(now);
         self.context.metrics.connections_accepted += 1;
@@ -31,13 +29,15 @@
         conn
     }
 
-    /// Closes connections in favour of so many new ones. Nothing that was read or answered on them is lost.
+    /// Closes connections until the soft limit leaves room for `new_connections`. Only connections without an open
+    /// request or an unwritten response are closed.
     fn evict_clients(&mut self, new_connections: usize) {
         while self.clients.exceeds_soft_limit(new_connections)
-            && let Some(ended) = self.clients.oldest_write_closed()
+            && let Some(write_closed) = self.clients.oldest_write_closed()
         {
             self.context.metrics.clients_evicted += 1;
-            self.clients.drop_connection(ended, &mut self.context);
+            self.clients
+                .drop_connection(write_closed, &mut self.context);
         }
         while self.clients.must_evict(new_connections) {
             let Some(evicted) = self.clients.next_to_evict(self.context.now) else {
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Refuses messages that were not complete in time, and closes connections that have been idle for too long.
     pub(in super::super) fn check_client_ages(&mut self) {
         let now = self.context.now;
         let mut slow = Vec::new();
@@ -85,14 +86,16 @@
         self.evict_clients(0);
     }
 
-    /// Nothing more is accepted: idle connections are closed, and incomplete messages get a response.
+    /// Ends client connections for the shutdown: closes idle ones, and refuses messages that are incomplete.
     pub(in super::super) fn end_clients(&mut self) {
         self.clients
             .close_idle_older_than(Span::ZERO, &mut self.context);
         let receiving: Vec<_> = self
             .clients
             .iter()
-            .filter(|(_, client)| client.state == ClientState::Reading && !client.closing)
+            .filter(|(_, client)| {
+                client.state == ClientState::Reading && !client.idle_close_ordered
+            })
             .map(|(conn, _)| conn)
             .collect();
         for conn in receiving {
--- a/crates/platform/src/core/clients/client.rs
+++ b/crates/platform/src/core/clients/client.rs
@@ -1,43 +1,44 @@
-//! One connection of a client: its state, and when it may be closed.
+//! The state of one client connection, and the conditions under which it may be closed.
 
 use super::super::bounds::BOUNDS;
 use super::arrival_times::ArrivalTimes;
 use gullsail_http::Decoder;
 use gullsail_scheduler_api::{Instant, RequestId, Span};
 
-/// A connection that is idle between messages for this long is closed: the shortest time that the platform's pages
-/// allow. Connecting anew costs little.
+/// A connection is closed after it has been idle between messages for this long. The platform's documentation allows
+/// no shorter time; a longer one would occupy slots, while reconnecting is cheap.
 pub(super) const IDLE_TIMEOUT: Span = Span::from_micros(2_000_000);
-/// A new connection whose first message is incomplete keeps its slot for at least this time when others need one.
+/// A connection whose first message is incomplete is not evicted before it has existed for this long.
 const MIN_FIRST_MESSAGE_TIME: Span = Span::from_micros(300_000);
 
 #[derive(Debug, PartialEq)]
 pub(super) enum ClientState {
-    /// Between messages, or receiving one.
+    /// The connection is idle or receives a message.
     Reading,
-    /// Its request is open.
+    /// A request of the client is open.
     Busy {
         request: RequestId,
+        /// The client may send further messages after this one.
         keep_alive: bool,
     },
-    /// Its response is being written; what was received behind the request is parsed after that.
+    /// A response is being written. Messages received meanwhile are decoded after that.
     Responding,
-    /// Its last response is with its task, which closes the connection after it, or keeps it open if more was received
-    /// meanwhile.
-    Ending,
-    /// Its last response is being written, and nothing more is read.
+    /// The connection's task was ordered to write the last response and close the connection. If the task finds that
+    /// the client has sent more, the connection stays open.
+    RespondingLast,
+    /// The last response is being written. Further input is ignored.
     Finishing,
-    /// Everything is written and this side's direction is closed; the client has not closed its own yet.
+    /// All responses are written and the host's direction is closed. The client has not closed its direction yet.
     WriteClosed,
 }
 
-/// The order in which connections are closed in favour of new ones:
-/// 1. those that never sent anything, however young: usual clients send at once, and silent connections may
-///    arrive faster than any minimum age would let them go;
-/// 2. idle ones after [`IDLE_TIMEOUT`];
-/// 3. those whose first message stays incomplete.
+/// The order in which connections are evicted for new ones:
+/// 1. connections on which the client never sent anything, without a minimum age: usual clients send at once, and
+///    silent clients may connect faster than a minimum age would allow to evict them;
+/// 2. connections that have been idle for [`IDLE_TIMEOUT`];
+/// 3. connections whose first message is still incomplete after [`MIN_FIRST_MESSAGE_TIME`].
 ///
-/// Many clients that send one request each and stay can therefore hold all slots for [`IDLE_TIMEOUT`].
+/// Many clients that send one request each and stay connected can therefore occupy all slots for [`IDLE_TIMEOUT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionRank {
     NeverSent,
@@ -45,15 +46,15 @@
     SlowFirstMessage,
 }
 
-/// What a client sent further ahead of its responses than is buffered. Its requests are counted, not held, and refused
-/// once the open one has its response.
+/// Pipelined input beyond the buffer. Its messages are counted but not stored, and each is refused after the response
+/// to the open request.
 #[derive(Debug, Default)]
 pub(super) struct InputOverflow {
-    /// Complete messages that wait for a refusal.
+    /// The number of complete messages that have to be refused.
     pub(super) refused: usize,
-    /// Bytes received since.
+    /// Bytes received since the overflow began.
     pub(super) bytes: usize,
-    /// Input is no longer decoded: it is too much, or no message.
+    /// Further input is discarded, since there was too much of it or it could not be decoded.
     pub(super) discarding: bool,
 }
 
@@ -61,19 +62,19 @@
 pub(super) struct Client {
     pub(super) decoder: Decoder,
     pub(super) state: ClientState,
-    /// When it connected, when its last message was answered, or when the first byte of the present message was
-    /// received.
+    /// The start of the present idle time or message: when the client connected, when its last message was answered or
+    /// the response written, or when the first byte of the present message was received.
     pub(super) since: Instant,
     pub(super) messages_answered: u64,
-    /// Bytes received and handled. An order to close the connection names them; it has no effect if the
-    /// connection's task has read more.
+    /// How many received bytes the core has handled. Orders to close the connection state this number and have no
+    /// effect if the connection's task has read more.
     pub(super) bytes_received: u64,
-    /// When the bytes were received that are buffered.
+    /// When the buffered bytes were received.
     pub(super) arrivals: ArrivalTimes,
-    /// More was received behind an open request than is buffered.
+    /// `None` unless the client has sent more behind an open request than the host buffers.
     pub(super) overflow: Option<InputOverflow>,
-    /// It is idle and ordered to close unless something was received meanwhile.
-    pub(super) closing: bool,
+    /// The connection was idle and its task was ordered to close it unless the client has sent more.
+    pub(super) idle_close_ordered: bool,
 }
 
 impl Client {
@@ -86,48 +87,48 @@
             bytes_received: 0,
             arrivals: ArrivalTimes::default(),
             overflow: None,
-            closing: false,
+            idle_close_ordered: false,
         }
     }
 
-    /// Its connection is about to end, and its slot becomes available then.
+    /// Whether the connection is about to end, so that its slot becomes free soon.
     pub(super) fn is_ending(&self) -> bool {
-        self.closing
+        self.idle_close_ordered
             || matches!(
                 self.state,
-                ClientState::Ending | ClientState::Finishing | ClientState::WriteClosed
+                ClientState::RespondingLast | ClientState::Finishing | ClientState::WriteClosed
             )
     }
 
-    /// A response is being prepared or written: what is received waits until it is written.
+    /// Whether a request is open or its response is being written. Input received meanwhile is buffered.
     pub(super) fn is_responding(&self) -> bool {
         matches!(
             self.state,
-            ClientState::Busy { .. } | ClientState::Responding | ClientState::Ending
+            ClientState::Busy { .. } | ClientState::Responding | ClientState::RespondingLast
         )
     }
 
-    /// At least one message was answered, and none is being received.
+    /// Whether at least one message was answered and no part of the next one was received.
     pub(super) fn is_between_messages(&self) -> bool {
         self.decoder.is_empty() && self.messages_answered > 0
     }
 
-    /// A message is being received.
+    /// Whether a part of a message was received while no request is open.
     pub(super) fn has_incomplete_message(&self) -> bool {
         self.state == ClientState::Reading && !self.decoder.is_empty()
     }
 
-    /// Nothing is received or answered on it. A connection on which nothing was answered yet counts only if it
-    /// has reached `min_age`: the first message of a younger one may be on its way.
+    /// Whether no message is being received or answered. A connection on which no message was answered yet is idle only
+    /// after `min_age`: before that, the first message may still be on its way.
     pub(super) fn is_idle(&self, min_age: Span, now: Instant) -> bool {
         self.state == ClientState::Reading
             && self.decoder.is_empty()
             && (self.messages_answered > 0 || now - self.since >= min_age)
     }
 
-    /// Its rank among those that may be closed in favour of a new connection, `None` if it may not.
+    /// The rank of the connection for eviction. `None` if it may not be evicted.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
-        if self.closing || self.state != ClientState::Reading {
+        if self.idle_close_ordered || self.state != ClientState::Reading {
             return None;
         }
         let age = now - self.since;
--- a/crates/platform/src/core/clients/input.rs
+++ b/crates/platform/src/core/clients/input.rs
@@ -1,4 +1,4 @@
-//! What is received on connections of clients, and their end.
+//! Handles input on client connections, and their end.
 
 use super::super::Core;
 use super::super::io::ConnectionId;
@@ -7,7 +7,7 @@
 use super::super::shutdown::Shutdown;
 use super::client::ClientState;
 use super::table::ReceivedMessage;
-use gullsail_http::{Fault, Message, Start};
+use gullsail_http::{Fault, Message, StartLine};
 use gullsail_scheduler_api::{Event, Span};
 
 impl Core {
@@ -16,7 +16,8 @@
             return;
         }
         self.read_messages(conn);
-        // Complete messages of usual clients arrive at once. So the message that has taken longest is refused.
+        // Usual clients send a message at once, so the message that has been incomplete for the longest time is
+        // refused.
         while self.clients.exceeds_buffer_limit() {
             let Some(slowest) = self.clients.slowest_message() else {
                 break;
@@ -25,13 +26,14 @@
         }
     }
 
-    /// The response is with the operating system: what was received behind its request is read.
+    /// Continues with the messages received meanwhile: the operating system has accepted the whole response.
     pub(in super::super) fn client_written(&mut self, conn: ConnectionId) {
         if self.clients.response_written(conn, self.context.now) {
             self.read_messages(conn);
         }
     }
 
+    /// Removes the connection. If a request is open on it, reports to the scheduler that the client has disconnected.
     pub(in super::super) fn client_closed(&mut self, conn: ConnectionId) {
         let Some(client) = self.clients.remove(conn) else {
             return;
@@ -45,10 +47,11 @@
         }
     }
 
+    /// Handles the buffered messages until one is being answered or none is complete.
     fn read_messages(&mut self, conn: ConnectionId) {
         let refused = self.clients.take_refused(conn);
         if refused > 0 {
-            return self.refuse_ahead(conn, refused);
+            return self.refuse_too_far_ahead(conn, refused);
         }
         loop {
             match self.clients.next_message(conn) {
@@ -59,6 +62,7 @@
         }
     }
 
+    /// Answers a health check. Opens a request for any other message, or refuses the message.
     fn handle_message(&mut self, conn: ConnectionId, received: &ReceivedMessage) {
         let message = &received.message;
         if is_health_check(message) {
@@ -79,8 +83,8 @@
         }
     }
 
-    /// Hands the request to the scheduler, or says why it is not accepted. `waited`: how long it waited behind another
-    /// one, while the time ran that its client gives it.
+    /// Passes the request to the scheduler, or returns why it is not accepted. `waited` is the time for which it was
+    /// buffered behind another request; its deadline is reduced by it.
     fn open_request(
         &mut self,
         conn: ConnectionId,
@@ -90,7 +94,7 @@
         let settings = &self.settings;
         let mut parsed =
             request_parser::parse(message, &settings.names, &settings.config, &settings.reach)?;
-        // Without any time left the scheduler rejects it at once.
+        // The scheduler rejects a request without time left at once.
         parsed.request.timeout = (parsed.request.timeout - waited).max(Span::ZERO);
         if self.shutdown == Shutdown::Flushing {
             return Err(RequestError::ShuttingDown);
@@ -129,9 +133,9 @@
 
 fn is_health_check(message: &Message) -> bool {
     match &message.start {
-        Start::Request { method, target } => {
+        StartLine::Request { method, target } => {
             method.as_ref() == b"GET" && target.as_ref() == b"/_health"
         }
-        Start::Response { .. } => false,
+        StartLine::Response { .. } => false,
     }
 }
--- a/crates/platform/src/core/clients/mod.rs
+++ b/crates/platform/src/core/clients/mod.rs
@@ -1,8 +1,9 @@
-//! Connections of clients. One message is served at a time on each; what is received meanwhile is buffered,
-//! unparsed and bounded.
+//! Client connections. Each serves one message at a time. Input received meanwhile is buffered up to a bound and
+//! decoded later.
 //!
-//! `client` holds the state of one connection, `table` all of them; `input` handles what is received on them,
-//! `responses` what they are sent, `capacity` which are closed when slots run out or time is over.
+//! `client` holds the state of one connection, `table` all connections. `input` handles received bytes, `responses`
+//! writes responses, `capacity` accepts connections and closes idle, slow and evicted ones. `arrival_times` records
+//! when buffered bytes were received.
 
 mod arrival_times;
 mod capacity;
--- a/crates/platform/src/core/clients/responses.rs
+++ b/crates/platform/src/core/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients. After each, the next message on the connection is served or the connection is closed.
+//! Responses to clients. After a response the host serves the next message on the connection or closes it.
 
 use super::super::Core;
 use super::super::io::{ConnectionId, Output};
@@ -8,18 +8,21 @@
 use gullsail_http::Encoder;
 use gullsail_scheduler_api::{RequestId, Span};
 
-/// One response in two forms.
+/// A response, encoded with and without the announcement that the connection is closed after it.
 struct EncodedResponse {
-    /// The connection stays open.
-    open: Bytes,
-    /// Announces the close.
+    /// Without `Connection: close`.
+    keep_open: Bytes,
+    /// With `Connection: close`.
     last: Bytes,
 }
 
 impl Core {
-    /// Writes a response on a connection and then keeps it open or closes it; `encode_rest` adds what follows
-    /// the `Connection` header. A connection that is being written to or closed gets none. `keep_alive`: the client
-    /// may send more. Whatever it has sent by then has its own response: the last one announces the close.
+    /// Writes a response on a connection, and closes the connection if the client does not keep it alive or the host
+    /// has to close it. `encode_rest` encodes the part of the response behind the `Connection` header. Nothing is
+    /// written if another response is being written or the connection is being closed.
+    ///
+    /// `keep_alive`: the client may send further messages. Messages that it has sent by then are answered too, and only
+    /// the last response announces the close.
     pub(super) fn write_response(
         &mut self,
         conn: ConnectionId,
@@ -28,9 +31,9 @@
         encode_rest: impl Fn(Encoder) -> Bytes,
     ) {
         let encoder = || Encoder::response(status.code, status.reason);
-        let open = encode_rest(encoder());
+        let keep_open = encode_rest(encoder());
         let last = encode_rest(encoder().field("Connection", b"close"));
-        self.write_encoded(conn, keep_alive, EncodedResponse { open, last });
+        self.write_encoded(conn, keep_alive, EncodedResponse { keep_open, last });
     }
 
     fn write_encoded(&mut self, conn: ConnectionId, keep_alive: bool, response: EncodedResponse) {
@@ -58,34 +61,35 @@
             self.context.outputs.push(Output::RespondLast {
                 conn,
                 bytes: response.last,
-                if_more: response.open,
+                if_more: response.keep_open,
                 bytes_handled: client.bytes_received,
             });
-            self.clients.end_unless_more(conn);
+            self.clients.mark_responding_last(conn);
         } else {
             client.state = ClientState::Responding;
-            let bytes = response.open;
+            let bytes = response.keep_open;
             self.context.outputs.push(Output::Respond { conn, bytes });
         }
     }
 
-    /// Refuses messages that were received too far ahead, each with a response of its own, in one write.
-    pub(super) fn refuse_ahead(&mut self, conn: ConnectionId, messages: usize) {
+    /// Refuses this number of messages that were received too far ahead. Each gets a response; all responses are
+    /// written at once.
+    pub(super) fn refuse_too_far_ahead(&mut self, conn: ConnectionId, messages: usize) {
         let error = RequestError::TooFarAhead;
         self.count_invalid(error, messages as u64);
         let encoder = || Encoder::response(error.status().code, error.status().reason);
-        let open = encode_invalid(encoder(), error);
+        let keep_open = encode_invalid(encoder(), error);
         let last = encode_invalid(encoder().field("Connection", b"close"), error);
-        let mut before = BytesMut::with_capacity(open.len() * messages);
-        (1..messages).for_each(|_| before.extend_from_slice(&open));
+        let mut earlier_responses = BytesMut::with_capacity(keep_open.len() * messages);
+        (1..messages).for_each(|_| earlier_responses.extend_from_slice(&keep_open));
         let response = EncodedResponse {
-            open: [&before[..], &open].concat().into(),
-            last: [&before[..], &last].concat().into(),
+            keep_open: [&earlier_responses[..], &keep_open].concat().into(),
+            last: [&earlier_responses[..], &last].concat().into(),
         };
         self.write_encoded(conn, true, response);
     }
 
-    /// Answers a message that is no request, or that the host does not accept now.
+    /// Refuses a message that is not a valid request, or that the host does not accept now.
     pub(super) fn respond_invalid(
         &mut self,
         conn: ConnectionId,
@@ -103,7 +107,8 @@
         *counts.entry(error).or_default() += messages;
     }
 
-    /// Gives a request its one response. Returns whether its client still waited for it.
+    /// Answers a request unless it was answered before. Returns whether a response was written: `false` if the client
+    /// has disconnected.
     fn respond_to_request(
         &mut self,
         id: RequestId,
@@ -124,13 +129,13 @@
         true
     }
 
-    /// 200 with the body of the node's response.
+    /// Answers a request with 200 and the body of the node's response.
     pub(in super::super) fn succeed(&mut self, id: RequestId, body: &[u8]) {
         let answered = self.respond_to_request(id, HttpStatus::OK, |encoder| encoder.body(body));
         self.context.metrics.requests_succeeded += u64::from(answered);
     }
 
-    /// 503, with `Retry-After` where the scheduler states a time.
+    /// Answers a request with 503, and with `Retry-After` if the scheduler states a delay.
     pub(in super::super) fn reject(&mut self, id: RequestId, retry_after: Option<Span>) {
         let answered =
             self.respond_to_request(id, HttpStatus::UNAVAILABLE, |encoder| match retry_after {
@@ -142,7 +147,7 @@
         self.context.metrics.requests_rejected += u64::from(answered);
     }
 
-    /// 500.
+    /// Answers a request with 500.
     pub(in super::super) fn fail(&mut self, id: RequestId) {
         let answered =
             self.respond_to_request(id, HttpStatus::INTERNAL_ERROR, |encoder| encoder.body(b""));
@@ -150,7 +155,7 @@
     }
 }
 
-/// What follows the `Connection` header of a response to a message that is no request, or is not accepted now.
+/// Encodes the part of a refusal that follows the `Connection` header.
 fn encode_invalid(mut encoder: Encoder, error: RequestError) -> Bytes {
     if error.states_never_ran() {
         encoder = encoder.field("X-Never-Ran", b"1");
--- a/crates/platform/src/core/clients/table.rs
+++ b/crates/platform/src/core/clients/table.rs
@@ -1,4 +1,4 @@
-//! The table of client connections. It decides nothing on requests.
+//! The table of client connections, with their buffered input. `input` handles the messages that it decodes.
 
 use super::super::bounds::BOUNDS;
 use super::super::context::Context;
@@ -8,19 +8,20 @@
 use gullsail_scheduler_api::{Instant, RequestId, Span};
 use std::collections::BTreeMap;
 
-/// Most slots that only new connections get, each closing an older one; at most an eighth of all slots.
+/// Most slots above the soft limit. Each new connection that takes one evicts an older connection. They are at most an
+/// eighth of all slots.
 const MAX_RESERVED_SLOTS: usize = 8;
-/// Most bytes buffered behind an open request. Clients send few messages at a time. Beyond this messages are decoded
-/// and counted, so that the client's close behind them is seen, and each is refused after the response of the open
-/// request.
+/// Most bytes buffered behind an open request. Usual clients pipeline few messages. Further input is still read and its
+/// messages are counted, so that the host detects when the client closes the connection. Each of these messages is
+/// refused after the response to the open request.
 const MAX_READ_AHEAD_BYTES: usize = 8 << 10;
-/// Most bytes decoded beyond [`MAX_READ_AHEAD_BYTES`]; what follows is discarded.
+/// Most bytes decoded beyond [`MAX_READ_AHEAD_BYTES`]. Further input is discarded.
 const MAX_REFUSED_AHEAD_BYTES: usize = 256 << 10;
 
-/// A complete message.
+/// A complete message of a client.
 pub(super) struct ReceivedMessage {
     pub(super) message: Message,
-    /// When its last byte was received.
+    /// When the last byte of the message was received. `None` if unknown.
     pub(super) received_at: Option<Instant>,
 }
 
@@ -28,10 +29,11 @@
 pub(in super::super) struct ClientTable {
     entries: BTreeMap<ConnectionId, Client>,
     max_connections: usize,
-    /// Above this number an older connection is closed for each new one.
+    /// Above this number of connections an older one is evicted for each new one.
     soft_limit: usize,
-    /// Bytes of incomplete messages.
+    /// Bytes buffered in the decoders of all connections.
     buffered_bytes: usize,
+    /// Bound on `buffered_bytes`.
     max_buffered_bytes: usize,
 }
 
@@ -55,7 +57,7 @@
         self.entries.contains_key(&conn)
     }
 
-    /// Bytes of incomplete messages.
+    /// Bytes that are buffered and not handled as complete messages yet, on all connections.
     pub(in super::super) fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
@@ -76,42 +78,43 @@
         self.entries.insert(conn, Client::new(now));
     }
 
-    /// Removes a connection, with what was buffered for it.
+    /// Removes a connection and its buffered input. Returns `None` if it does not exist.
     pub(super) fn remove(&mut self, conn: ConnectionId) -> Option<Client> {
         let client = self.entries.remove(&conn)?;
         self.buffered_bytes -= client.decoder.buffered_bytes();
         Some(client)
     }
 
-    /// Whether a new connection gets a slot, if need be that of a connection which only the client still has to
-    /// close.
+    /// Whether there is a slot for a new connection. A connection in [`ClientState::WriteClosed`] counts as free, since
+    /// it can be dropped.
     pub(super) fn has_slot(&self) -> bool {
         self.len() < self.max_connections || self.oldest_write_closed().is_some()
     }
 
-    /// Whether with so many new connections there are more than the soft limit, ending ones included.
+    /// Whether all connections and `new_connections` more exceed the soft limit.
     pub(super) fn exceeds_soft_limit(&self, new_connections: usize) -> bool {
         self.len() + new_connections > self.soft_limit
     }
 
-    /// Whether with so many new connections there are more than the soft limit that are not ending.
+    /// Whether the connections that are not ending and `new_connections` more exceed the soft limit.
     pub(super) fn must_evict(&self, new_connections: usize) -> bool {
-        self.staying() + new_connections > self.soft_limit
+        self.not_ending() + new_connections > self.soft_limit
     }
 
     pub(super) fn exceeds_buffer_limit(&self) -> bool {
         self.buffered_bytes > self.max_buffered_bytes
     }
 
-    /// How many there are without those that are ending.
-    fn staying(&self) -> usize {
+    /// The number of connections that are not ending.
+    fn not_ending(&self) -> usize {
         self.entries
             .values()
             .filter(|client| !client.is_ending())
             .count()
     }
 
-    /// The connection with the lowest rank, the oldest of several.
+    /// The connection with the lowest rank; of several, the one with the earliest `since`. Connections without a rank
+    /// are left out.
     fn lowest_ranked<R: Ord>(&self, rank: impl Fn(&Client) -> Option<R>) -> Option<ConnectionId> {
         self.entries
             .iter()
@@ -120,22 +123,22 @@
             .map(|(_, _, conn)| conn)
     }
 
-    /// The connection that is closed in favour of a new one.
+    /// The connection to evict for a new one. `None` if none may be evicted.
     pub(super) fn next_to_evict(&self, now: Instant) -> Option<ConnectionId> {
         self.lowest_ranked(|client| client.eviction_rank(now))
     }
 
-    /// The oldest connection that only the client still has to close.
+    /// The oldest connection in [`ClientState::WriteClosed`]: all responses are written, so dropping it loses nothing.
     pub(super) fn oldest_write_closed(&self) -> Option<ConnectionId> {
         self.lowest_ranked(|client| (client.state == ClientState::WriteClosed).then_some(()))
     }
 
-    /// The connection whose incomplete message has taken longest.
+    /// The connection whose message has been incomplete for the longest time.
     pub(super) fn slowest_message(&self) -> Option<ConnectionId> {
         self.lowest_ranked(|client| client.has_incomplete_message().then_some(()))
     }
 
-    /// Buffers what was received. Returns whether there may be a message to read.
+    /// Buffers received bytes. Returns whether there may be a complete message to handle.
     pub(super) fn buffer(
         &mut self,
         conn: ConnectionId,
@@ -153,7 +156,7 @@
             ClientState::Reading
             | ClientState::Busy { .. }
             | ClientState::Responding
-            | ClientState::Ending => {}
+            | ClientState::RespondingLast => {}
         }
         let too_far_ahead =
             client.is_responding() && buffered_before + bytes.len() > MAX_READ_AHEAD_BYTES;
@@ -161,18 +164,19 @@
             context.metrics.input_overflows += 1;
             client.overflow = Some(InputOverflow::default());
         }
-        client.closing = false;
+        client.idle_close_ordered = false;
         if client.overflow.is_some() {
             self.count_refused(conn, bytes, context);
             return false;
         }
         client.decoder.feed(bytes);
-        client.arrivals.received(client.bytes_received, context.now);
+        client.arrivals.record(client.bytes_received, context.now);
         self.buffered_bytes += client.decoder.buffered_bytes() - buffered_before;
         true
     }
 
-    /// Decodes what was received too far ahead and counts the complete messages. At most one incomplete message is held.
+    /// Decodes input that was received too far ahead, counts its complete messages and drops them. Only the last,
+    /// incomplete message stays buffered.
     fn count_refused(&mut self, conn: ConnectionId, bytes: &[u8], context: &mut Context) {
         let Some(client) = self.entries.get_mut(&conn) else {
             return;
@@ -194,7 +198,7 @@
             }
         };
         client.arrivals.clear();
-        client.arrivals.received(client.bytes_received, context.now);
+        client.arrivals.record(client.bytes_received, context.now);
         self.buffered_bytes -= buffered_before;
         self.buffered_bytes += client.decoder.buffered_bytes();
         let too_much = overflow.bytes > MAX_REFUSED_AHEAD_BYTES
@@ -207,8 +211,8 @@
         }
     }
 
-    /// Takes the number of messages that were received too far ahead and wait for a refusal. Afterwards what is received
-    /// is read as ever.
+    /// Takes the number of messages that have to be refused because they were received too far ahead. This ends the
+    /// overflow: further messages are served, unless the input is being discarded.
     pub(super) fn take_refused(&mut self, conn: ConnectionId) -> usize {
         let Some(client) = self.entries.get_mut(&conn) else {
             return 0;
@@ -222,7 +226,8 @@
         }
     }
 
-    /// The next complete message, unless another one is being served on the connection.
+    /// Takes the next complete message. Returns `Ok(None)` if there is none or another message is being served on the
+    /// connection.
     pub(super) fn next_message(
         &mut self,
         conn: ConnectionId,
@@ -240,8 +245,8 @@
         let Some(message) = message? else {
             return Ok(None);
         };
-        let end = client.bytes_received - buffered_after as u64;
-        let received_at = client.arrivals.read(end);
+        let end_offset = client.bytes_received - buffered_after as u64;
+        let received_at = client.arrivals.take_time_of(end_offset);
         if buffered_after == 0 {
             client.arrivals.clear();
         }
@@ -251,7 +256,7 @@
         }))
     }
 
-    /// The connection's request was handed to the scheduler.
+    /// Records that a request of the connection was passed to the scheduler.
     pub(super) fn request_opened(
         &mut self,
         conn: ConnectionId,
@@ -266,13 +271,16 @@
         }
     }
 
-    /// The response is written: what was received behind its request may be read. Returns whether the connection
-    /// stays open.
+    /// Records that the response is written, so that the next message may be handled. Returns whether the connection
+    /// exists and waited for that.
     pub(super) fn response_written(&mut self, conn: ConnectionId, now: Instant) -> bool {
         let Some(client) = self.entries.get_mut(&conn) else {
             return false;
         };
-        if !matches!(client.state, ClientState::Responding | ClientState::Ending) {
+        if !matches!(
+            client.state,
+            ClientState::Responding | ClientState::RespondingLast
+        ) {
             return false;
         }
         client.state = ClientState::Reading;
@@ -280,30 +288,30 @@
         true
     }
 
-    /// A last response was queued, which keeps the connection open if more was received before it is written.
-    pub(super) fn end_unless_more(&mut self, conn: ConnectionId) {
+    /// Records that the runtime was ordered to write the last response, unless the client has sent more.
+    pub(super) fn mark_responding_last(&mut self, conn: ConnectionId) {
         if let Some(client) = self.entries.get_mut(&conn) {
-            client.state = ClientState::Ending;
+            client.state = ClientState::RespondingLast;
         }
     }
 
-    /// The last response was queued: nothing more is read on the connection.
+    /// Closes the connection after its last response, which was ordered before. Further input is ignored.
     pub(super) fn finish(&mut self, conn: ConnectionId, context: &mut Context) {
         if self.stop_reading(conn, ClientState::Finishing) {
             context.outputs.push(Output::FinishAndClose { conn });
         }
     }
 
-    /// The last response is written and this side's direction is closed.
+    /// Records that the last response is written and the host's direction is closed.
     pub(in super::super) fn write_closed(&mut self, conn: ConnectionId) {
         if self.stop_reading(conn, ClientState::WriteClosed)
             && let Some(client) = self.entries.get_mut(&conn)
         {
-            client.closing = false;
+            client.idle_close_ordered = false;
         }
     }
 
-    /// Drops what is buffered for a connection. Returns whether it exists.
+    /// Sets the state of a connection and drops its buffered input. Returns whether the connection exists.
     fn stop_reading(&mut self, conn: ConnectionId, state: ClientState) -> bool {
         let Some(client) = self.entries.get_mut(&conn) else {
             return false;
@@ -314,13 +322,14 @@
         true
     }
 
-    /// Closes a connection unless something was received on it meanwhile.
+    /// Orders the runtime to close an idle connection, unless the client has sent more. Has no effect if that is
+    /// ordered already.
     pub(super) fn close_idle(&mut self, conn: ConnectionId, context: &mut Context) {
         let Some(client) = self.entries.get_mut(&conn) else {
             return;
         };
-        if !client.closing {
-            client.closing = true;
+        if !client.idle_close_ordered {
+            client.idle_close_ordered = true;
             context.outputs.push(Output::CloseIdle {
                 conn,
                 bytes_handled: client.bytes_received,
@@ -328,7 +337,8 @@
         }
     }
 
-    /// Closes every connection between messages, and those of `min_age` on which nothing was answered yet.
+    /// Closes idle connections: those between messages, and those of at least `min_age` on which no message was
+    /// answered yet.
     pub(in super::super) fn close_idle_older_than(&mut self, min_age: Span, context: &mut Context) {
         let now = context.now;
         let idle: Vec<_> = self
@@ -341,7 +351,7 @@
         }
     }
 
-    /// Closes a connection at once: all of its responses are written.
+    /// Closes a connection at once. All of its responses are written.
     pub(super) fn drop_connection(&mut self, conn: ConnectionId, context: &mut Context) {
         if self.remove(conn).is_some() {
             context.outputs.push(Output::Close { conn });
--- a/crates/platform/src/core/context.rs
+++ b/crates/platform/src/core/context.rs
@@ -1,5 +1,5 @@
-//! What every part of the core uses while it handles an event: the time, the timers, the counters, and the two
-//! ways out, to the scheduler and to the runtime.
+//! State that all modules of the core share while an event is handled: the time, the timers, the counters, and the
+//! queues of events for the scheduler and of outputs for the runtime.
 
 use super::io::{ConnectionId, Output};
 use super::metrics::Metrics;
@@ -7,19 +7,22 @@
 use gullsail_scheduler_api::{Event, Instant, Span};
 use gullsail_timers::Timers;
 
-/// Interval at which client connections and idle node connections are checked for their age.
+/// Interval between checks for client connections and idle node connections that have exceeded their age.
 pub(super) const IDLE_CHECK_INTERVAL: Span = Span::from_micros(200_000);
 
-/// Passed to the methods of every part.
+/// Passed by mutable reference to methods of the core's modules.
 pub(super) struct Context {
+    /// The time that the caller of the core passed last.
     pub(super) now: Instant,
-    /// What the scheduler is told with the next [`super::Core::advance`].
+    /// Events that the next [`super::Core::advance`] passes to the scheduler, in order.
     pub(super) scheduler_events: Vec<Event>,
-    /// What the runtime carries out, in this order.
+    /// Outputs that the runtime has not taken yet, in order.
     pub(super) outputs: Vec<Output>,
     pub(super) timers: Timers<TimerEvent>,
     pub(super) metrics: Metrics,
+    /// The number of the connection created last. 0 if there was none.
     last_connection: u64,
+    /// The timer of the idle check is set.
     idle_check_scheduled: bool,
 }
 
@@ -36,7 +39,7 @@
         }
     }
 
-    /// The time never runs back.
+    /// Sets the time. A time before the present one is ignored.
     pub(super) fn advance_clock(&mut self, now: Instant) {
         self.now = self.now.max(now);
     }
@@ -50,7 +53,8 @@
         ConnectionId(self.last_connection)
     }
 
-    /// Called whenever a connection is opened; the check is repeated for as long as there are connections.
+    /// Sets the timer of the idle check unless it is set. Called when a connection is opened, and after each check
+    /// while there are connections.
     pub(super) fn schedule_idle_check(&mut self) {
         if !self.idle_check_scheduled {
             self.idle_check_scheduled = true;
@@ -58,7 +62,7 @@
         }
     }
 
-    /// The timer of the idle check has fired.
+    /// Records that the timer of the idle check has fired, so that the next check can be scheduled.
     pub(super) fn idle_check_started(&mut self) {
         self.idle_check_scheduled = false;
     }
--- a/crates/platform/src/core/discovery/endpoint_list.rs
+++ b/crates/platform/src/core/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Pages of the endpoint list: which versions are applied, and how entries are parsed.
+//! Parses pages of the endpoint list, checks their versions and applies them.
 
 use super::super::Core;
 use super::super::context::Context;
@@ -6,22 +6,22 @@
 use super::super::node_connections::node::ListedNode;
 use super::state::{Discovery, DiscoveryResponse};
 use crate::settings_document::{EndpointEntry, Page, PageItem};
-use gullsail_http::{Message, Start};
+use gullsail_http::{Message, StartLine};
 use gullsail_scheduler_api::{
     Endpoint, EndpointState, Event, Instant, NodeId, ShardId, Span, UpdateKind,
 };
 use gullsail_scheduler_settings::hash;
 use tracing::{info, warn};
 
-/// An older version than the newest one is applied only if nothing newer is received for this long: as long as
-/// discovery may take to report a change.
+/// A version older than the newest one is applied only if nothing but older versions was received for this long. This
+/// is the longest time that discovery takes to report a change.
 const OLDER_LIST_TIMEOUT: Span = Span::from_micros(6_000_000);
 
 /// Why a response of discovery is not applied.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PageError {
     #[error("unexpected response, expected status 200: {0:?}")]
-    Status(Start),
+    Status(StartLine),
     #[error("malformed endpoint list: {0}")]
     Json(#[from] serde_json::Error),
     #[error("changes received, expected the complete list")]
@@ -57,18 +57,18 @@
     }
 
     fn handle_list(&mut self, conn: ConnectionId, message: &Message) -> Result<(), PageError> {
-        if message.start != (Start::Response { status: 200 }) {
+        if message.start != (StartLine::Response { status: 200 }) {
             return Err(PageError::Status(message.start.clone()));
         }
         let page: Page = serde_json::from_slice(&message.body)?;
         self.handle_page(conn, &page)
     }
 
-    /// Applies a page; of its entries those that can be parsed.
+    /// Applies the entries of a page that can be parsed, if the page's version may be applied.
     fn handle_page(&mut self, conn: ConnectionId, page: &Page) -> Result<(), PageError> {
         self.discovery.check_version(conn, page, self.context.now)?;
         let nodes = self.parse_entries(page);
-        if page.whole {
+        if page.is_complete {
             self.context.metrics.discovery_snapshots += 1;
         }
         self.context.metrics.discovery_entries += nodes.len() as u64;
@@ -77,8 +77,8 @@
             info!(nodes = nodes.len(), "endpoint list received");
         }
         self.ready = true;
-        if page.whole || !nodes.is_empty() {
-            let update_kind = if page.whole {
+        if page.is_complete || !nodes.is_empty() {
+            let update_kind = if page.is_complete {
                 UpdateKind::Snapshot
             } else {
                 UpdateKind::Delta
@@ -89,20 +89,21 @@
         Ok(())
     }
 
-    /// Applies the endpoints that this host knew when it last ran, perhaps long ago.
+    /// Applies the endpoints that were stored in an earlier run of this host and may be outdated.
     pub(in super::super) fn restore_endpoints(&mut self, page: &Page) {
         let nodes = self.parse_entries(page);
         self.apply_list(UpdateKind::StaleSnapshot, &nodes);
         self.discovery.restore(page.version);
     }
 
-    /// Parses the entries of a page. One that cannot be parsed changes nothing for its node, and in a complete list
-    /// the node stays as it is: one unknown word must not hide what the other entries say, drains above all.
+    /// Parses the entries of a page. An entry that cannot be parsed changes nothing for its node; in a complete list
+    /// the node's earlier entry takes its place. So one invalid entry does not prevent the others from being applied,
+    /// of which drains matter most.
     fn parse_entries(&mut self, page: &Page) -> Vec<ListedNode> {
         let mut nodes = Vec::with_capacity(page.entries.len());
         for item in &page.entries {
             let (name, parsed) = match item {
-                PageItem::Node(entry) => (Some(entry.host.as_str()), self.parse_entry(entry)),
+                PageItem::Node(entry) => (Some(entry.name.as_str()), self.parse_entry(entry)),
                 PageItem::Other(value) => (value.get("host").and_then(|host| host.as_str()), None),
             };
             if let Some(node) = parsed {
@@ -110,15 +111,16 @@
                 continue;
             }
             self.count_skipped_entry(name);
-            let known = name.and_then(|name| self.nodes.listed(NodeId(hash(name))));
-            if let (true, Some(known)) = (page.whole, known) {
-                nodes.push(known.clone());
+            let earlier = name.and_then(|name| self.nodes.listed(NodeId(hash(name))));
+            if let (true, Some(earlier)) = (page.is_complete, earlier) {
+                nodes.push(earlier.clone());
             }
         }
         nodes
     }
 
-    /// Only the first one is logged: a list of another form would repeat the line for each of its nodes.
+    /// Counts an entry that could not be parsed. Only the first one since the start is logged: a list in another format
+    /// would cause a log line for each node.
     fn count_skipped_entry(&mut self, node: Option<&str>) {
         if self.context.metrics.discovery_entries_skipped == 0 {
             warn!(
@@ -129,17 +131,18 @@
         self.context.metrics.discovery_entries_skipped += 1;
     }
 
+    /// Returns `None` if the state of the node is unknown.
     fn parse_entry(&self, entry: &EndpointEntry) -> Option<ListedNode> {
-        let state = match entry.health.as_str() {
+        let state = match entry.state.as_str() {
             "SERVING" => EndpointState::Ready,
             "DRAINING" => EndpointState::Draining,
             "DELETED" => EndpointState::Gone,
             _ => return None,
         };
         let endpoint = Endpoint {
-            node: NodeId(hash(&entry.host)),
-            shard: ShardId(entry.block),
-            zone: self.settings.names.zone(&entry.site),
+            node: NodeId(hash(&entry.name)),
+            shard: ShardId(entry.shard),
+            zone: self.settings.names.zone(&entry.zone),
             state,
             started: (entry.started_ms > 0.0).then_some(Instant::from_millis(entry.started_ms)),
             pools: Vec::new(),
@@ -150,11 +153,12 @@
         })
     }
 
+    /// Updates the nodes and passes the list to the scheduler. Nodes that a complete list does not contain are gone.
     fn apply_list(&mut self, update_kind: UpdateKind, listed: &[ListedNode]) {
         if update_kind != UpdateKind::Delta {
             let is_missing =
                 |node: &NodeId| listed.iter().all(|listed| listed.endpoint.node != *node);
-            let missing: Vec<_> = self.nodes.known_nodes().filter(is_missing).collect();
+            let missing: Vec<_> = self.nodes.node_ids().filter(is_missing).collect();
             for node in missing {
                 self.node_unlisted(node);
             }
@@ -174,6 +178,8 @@
 }
 
 impl Discovery {
+    /// Returns an error if the page must not be applied: it holds only changes although the complete list is needed, or
+    /// its version is older than the newest one.
     fn check_version(
         &mut self,
         conn: ConnectionId,
@@ -183,13 +189,17 @@
         let expects_snapshot = self
             .connection(conn)
             .is_some_and(|connection| connection.version.is_none());
-        if !page.whole && expects_snapshot {
+        if !page.is_complete && expects_snapshot {
             return Err(PageError::DeltaForSnapshot);
         }
-        if self.resume_from.is_some_and(|known| page.version < known) {
-            // The service has begun its versions anew: changes since a version of before mean nothing.
+        if self
+            .resume_from
+            .is_some_and(|version| page.version < version)
+        {
+            // Discovery has restarted its version numbers, so the next connection must not ask for the changes since an
+            // earlier version.
             self.resume_from = None;
-            if !page.whole {
+            if !page.is_complete {
                 return Err(PageError::OlderVersion {
                     version: page.version,
                     newest: self.newest_version,
@@ -209,7 +219,8 @@
         Ok(())
     }
 
-    /// Follows the connection on which a page was received, and closes the other one.
+    /// Makes the connection on which a page was received the current one, closes the other one, and records the
+    /// version.
     fn follow(&mut self, conn: ConnectionId, version: u64, context: &mut Context) {
         let suspect = self.suspect.take_if(|suspect| suspect.conn == conn);
         let other = match suspect {
@@ -224,6 +235,6 @@
         }
         self.failures_in_row = 0;
         self.last_response = Some(context.now);
-        self.version_known(version);
+        self.version_applied(version);
     }
 }
--- a/crates/platform/src/core/discovery/state.rs
+++ b/crates/platform/src/core/discovery/state.rs
@@ -1,4 +1,4 @@
-//! Connections to discovery, the polls on them, their timeouts and retries.
+//! Connections to discovery, with their polls, timeouts and retries.
 
 use super::super::bounds::BOUNDS;
 use super::super::context::Context;
@@ -10,47 +10,50 @@
 use rand_chacha::ChaCha8Rng;
 use tracing::warn;
 
-/// How long a poll waits for changes, in milliseconds.
+/// For how long discovery may hold a poll open until there are changes, in milliseconds.
 const POLL_WAIT_MS: u64 = 2_000;
-/// A response that is later than its wait by this much is overdue, and the next connection is opened beside this one.
-/// With the wait that is 3.5 s. What a silent connection misses counts as reported 6 s after it fell silent.
+/// Longest time for a response beyond the time for which the poll waits for changes. After both, 3.5 s, the host opens
+/// the next connection beside this one. A change that an unresponsive connection does not deliver counts as reported
+/// 6 s after the connection stopped responding, so the host has to receive it by then.
 const RESPONSE_TIMEOUT: Span = Span::from_micros(1_500_000);
-/// First backoff after a connection that ended or was refused. Doubles with each failure in a row.
+/// First backoff after a connection that ended or was refused. It doubles with each consecutive failure.
 const MIN_RETRY_DELAY: Span = Span::from_micros(50_000);
-/// Longest backoff: several of them lie within the 6 s after which a change counts as reported.
+/// Longest backoff. Several retries have to fit into the 6 s after which a change counts as reported.
 const MAX_RETRY_DELAY: Span = Span::from_micros(800_000);
-/// The part of a backoff that is drawn: hosts that were refused together do not come back together.
+/// The fraction of a backoff that is random, so that hosts that were refused together do not retry together.
 const RETRY_JITTER: f64 = 0.5;
-/// Where lists are pushed, discovery is an agent on this server: it responds at once or is silent, and what it holds
-/// counts as reported from that moment. A host that waits longer for it keeps sending to a draining node for as
-/// long; a quarter of a second is the shortest grace of a drain that was seen.
+/// Response timeout if lists are pushed. Discovery is then an agent on the same server: it responds at once or not at
+/// all, and its list counts as reported as soon as it has it. While the host waits for a response, it may send to a
+/// draining node. The shortest grace of a drain is taken to be 250 ms.
 const AGENT_RESPONSE_TIMEOUT: Span = Span::from_micros(150_000);
-/// Longest backoff towards an agent, for the same reason: two of them lie within the shortest grace.
+/// Longest backoff towards an agent. Two retries have to fit into the shortest grace of a drain.
 const AGENT_MAX_RETRY_DELAY: Span = Span::from_micros(100_000);
-/// A silent connection is closed in favour of a newer silent one after this time. Smaller than the time in which a
-/// service that many hosts poll at once sends a complete list: no connection would live to receive it.
+/// Shortest time for which an unresponsive connection stays open beside newer ones. A service that many hosts poll at
+/// once may take long to send a complete list; if this time were shorter, each connection would be closed before it
+/// receives the list.
 const SUSPECT_TIMEOUT: Span = Span::from_micros(5_000_000);
-/// Doublings of the backoff are counted up to this number; [`MAX_RETRY_DELAY`] is reached long before.
+/// Bound on the number of doublings of the backoff. [`MAX_RETRY_DELAY`] is reached with fewer.
 const MAX_DOUBLINGS: u32 = 10;
-/// How large a response of discovery may be. Lists may be indented and hold some thousand nodes, more than other
-/// bodies.
+/// Largest head and body of a response of discovery. Lists may be indented and hold some thousand nodes, so they may be
+/// larger than other bodies.
 const LIST_BOUNDS: Bounds = Bounds {
     head: BOUNDS.head,
     body: 1 << 20,
 };
 
-/// A connection to discovery and the one poll that is open on it.
+/// A connection to discovery, on which at most one poll is open.
 #[derive(Debug)]
 pub(super) struct DiscoveryConnection {
     pub(super) conn: ConnectionId,
     decoder: Decoder,
-    /// Bytes received and handled.
+    /// How many received bytes the core has handled.
     bytes_received: u64,
-    /// The version of the last page received on this connection.
+    /// The next poll asks for the changes since this version. `None`: it asks for the complete list.
     pub(super) version: Option<u64>,
-    /// The number of the open poll; the timer of an earlier one has no effect.
+    /// The number of the connection attempt or poll that waits for a response. The timer of an earlier one has no
+    /// effect.
     poll: u64,
-    /// When it was opened, or became suspect.
+    /// When the connection was opened, or when it became the suspect one.
     since: Instant,
 }
 
@@ -67,32 +70,33 @@
     }
 }
 
-/// How discovery is polled, by its kind.
+/// Timeouts and retries of polls, which depend on the kind of discovery.
 #[derive(Debug)]
 struct PollPolicy {
-    /// How long a response to a poll that waits for nothing may take.
-    response: Span,
+    /// Timeout for connecting, and for the response to a poll that does not wait for changes.
+    response_timeout: Span,
     max_retry_delay: Span,
-    /// A new connection asks for the changes since the version that is known. A remote service refuses complete lists
-    /// first when many hosts ask for them.
+    /// A new connection asks for the changes since the known version instead of the complete list. A remote service
+    /// that is overloaded by many hosts refuses requests for complete lists first.
     resumes: bool,
-    /// The part of a backoff that is drawn.
+    /// The fraction of a backoff that is random.
     jitter: f64,
 }
 
 impl PollPolicy {
-    /// `poll_endpoints`: the host polls a remote service; else an agent on this server has the list.
+    /// `poll_endpoints`: discovery is a remote service that hosts poll. Otherwise it is an agent on this server to
+    /// which lists are pushed.
     fn new(poll_endpoints: bool) -> PollPolicy {
         if poll_endpoints {
             PollPolicy {
-                response: RESPONSE_TIMEOUT,
+                response_timeout: RESPONSE_TIMEOUT,
                 max_retry_delay: MAX_RETRY_DELAY,
                 resumes: true,
                 jitter: RETRY_JITTER,
             }
         } else {
             PollPolicy {
-                response: AGENT_RESPONSE_TIMEOUT,
+                response_timeout: AGENT_RESPONSE_TIMEOUT,
                 max_retry_delay: AGENT_MAX_RETRY_DELAY,
                 resumes: false,
                 jitter: 0.0,
@@ -101,9 +105,10 @@
     }
 }
 
-/// A complete response of discovery, and whether the connection can carry the next poll.
+/// A complete response of discovery.
 pub(super) struct DiscoveryResponse {
     pub(super) message: Message,
+    /// Whether the connection can carry the next poll.
     pub(super) reusable: bool,
 }
 
@@ -112,18 +117,21 @@
     address: String,
     policy: PollPolicy,
     rng: ChaCha8Rng,
-    /// The connection that is followed.
+    /// The connection that is polled. `None` until the backoff after a failure is over.
     pub(super) current: Option<DiscoveryConnection>,
-    /// The one before it, which is silent.
+    /// An earlier connection whose poll timed out. It stays open since its response may still arrive.
     pub(super) suspect: Option<DiscoveryConnection>,
+    /// The number of the last connection attempt or poll. 0 if there was none.
     last_poll: u64,
     pub(super) failures_in_row: u32,
+    /// When the last page was applied. `None` if none was.
     pub(super) last_response: Option<Instant>,
-    /// The newest version from this address.
+    /// The version of the last page applied from this address.
     pub(super) newest_version: Option<u64>,
-    /// The version of the list that is known, if a new connection may ask for the changes since then.
+    /// The version of the list that the host has, if a new connection may ask for the changes since that version.
     pub(super) resume_from: Option<u64>,
-    /// Since when only older versions are received.
+    /// When the first of the pages was received that are older than `newest_version`. `None` if the last page was
+    /// applied.
     pub(super) older_since: Option<Instant>,
 }
 
@@ -162,12 +170,12 @@
             .find(|connection| connection.conn == conn)
     }
 
-    /// The time since its last response.
+    /// The time since the last page was applied. `None` if none was.
     pub(in super::super) fn age(&self, now: Instant) -> Option<Span> {
         self.last_response.map(|at| now - at)
     }
 
-    /// Connects, unless a connection is followed already.
+    /// Opens a connection, unless there is a current one.
     pub(in super::super) fn connect(&mut self, context: &mut Context) {
         if self.current.is_some() {
             return;
@@ -176,9 +184,10 @@
         self.current = Some(DiscoveryConnection::new(conn, context.now));
         let address = self.address.clone();
         context.outputs.push(Output::Connect { conn, address });
-        self.expect_response(conn, self.policy.response, context);
+        self.expect_response(conn, self.policy.response_timeout, context);
     }
 
+    /// Numbers the connection attempt or poll on this connection and sets the timer for its response.
     fn expect_response(&mut self, conn: ConnectionId, timeout: Span, context: &mut Context) {
         self.last_poll += 1;
         let poll = self.last_poll;
@@ -188,15 +197,15 @@
         }
     }
 
-    /// The list of this version is known from an earlier run of this host.
+    /// Records that the host has the list of this version from an earlier run.
     pub(super) fn restore(&mut self, version: u64) {
         if self.policy.resumes {
             self.resume_from = Some(version);
         }
     }
 
-    /// The list of this version is known.
-    pub(super) fn version_known(&mut self, version: u64) {
+    /// Records that the page of this version was applied.
+    pub(super) fn version_applied(&mut self, version: u64) {
         self.newest_version = Some(version);
         self.older_since = None;
         if self.policy.resumes {
@@ -204,10 +213,10 @@
         }
     }
 
-    /// Polls on a connection that is established, or whose last poll was answered.
+    /// Sends a poll on a connection that has just been established or whose last poll was answered.
     pub(in super::super) fn poll(&mut self, conn: ConnectionId, context: &mut Context) {
         let host = self.address.clone();
-        let list_timeout = self.policy.response;
+        let list_timeout = self.policy.response_timeout;
         let resume_from = self.resume_from;
         let Some(connection) = self.connection(conn) else {
             return;
@@ -240,7 +249,7 @@
         self.expect_response(conn, timeout, context);
     }
 
-    /// Decodes what was received. Returns `None` until a response is complete.
+    /// Decodes received bytes. Returns `None` while the response is incomplete.
     pub(super) fn receive(
         &mut self,
         conn: ConnectionId,
@@ -258,9 +267,10 @@
         Ok(Some(DiscoveryResponse { message, reusable }))
     }
 
-    /// A poll was not answered in time: the next connection is opened beside this one.
+    /// Opens another connection because the poll with this number was not answered in time. The unresponsive connection
+    /// becomes the suspect one, unless there is one that is younger than [`SUSPECT_TIMEOUT`].
     pub(in super::super) fn timed_out(&mut self, poll: u64, context: &mut Context) {
-        let Some(silent) = self.current.take_if(|connection| connection.poll == poll) else {
+        let Some(unresponsive) = self.current.take_if(|connection| connection.poll == poll) else {
             return;
         };
         self.report_lost("poll timed out", context);
@@ -269,11 +279,11 @@
             .suspect
             .take_if(|suspect| now - suspect.since >= SUSPECT_TIMEOUT);
         let closed = if self.suspect.is_some() {
-            Some(silent)
+            Some(unresponsive)
         } else {
             self.suspect = Some(DiscoveryConnection {
                 since: now,
-                ..silent
+                ..unresponsive
             });
             expired
         };
@@ -283,7 +293,8 @@
         self.connect(context);
     }
 
-    /// A connection is of no further use: another one is opened after a backoff. Known endpoints stay.
+    /// Closes a connection that has ended or cannot be used any more. If it was the current one, the host connects
+    /// again after a backoff and keeps its endpoints.
     pub(in super::super) fn connection_lost(
         &mut self,
         conn: ConnectionId,
@@ -304,14 +315,17 @@
         context.set_timer(delay, TimerEvent::DiscoveryRetry);
     }
 
+    /// The backoff before the next connection attempt.
     fn retry_delay(&mut self) -> Span {
-        let doublings = f64::from(1u32 << self.failures_in_row.min(MAX_DOUBLINGS));
+        let factor = f64::from(1u32 << self.failures_in_row.min(MAX_DOUBLINGS));
         let longest = MIN_RETRY_DELAY
-            .times(doublings)
+            .times(factor)
             .min(self.policy.max_retry_delay);
         longest.times(1.0 - self.policy.jitter * self.rng.random::<f64>())
     }
 
+    /// Counts the failure and reports to the scheduler that the list may be outdated. Only the first of several
+    /// failures in a row is logged.
     fn report_lost(&mut self, reason: &str, context: &mut Context) {
         context.metrics.discovery_lost += 1;
         if self.failures_in_row == 0 {
@@ -324,7 +338,7 @@
         context.scheduler_events.push(Event::EndpointListLost);
     }
 
-    /// Connects anew, perhaps to another address, for which no version is known.
+    /// Closes all connections and connects again. If the address has changed, versions from the old one do not count.
     pub(super) fn restart(&mut self, address: String, context: &mut Context) {
         let connections = self.current.take().into_iter().chain(self.suspect.take());
         for connection in connections {
@@ -332,10 +346,10 @@
                 conn: connection.conn,
             });
         }
-        let moved = self.address != address;
+        let address_changed = self.address != address;
         self.address = address;
         self.failures_in_row = 0;
-        if moved {
+        if address_changed {
             self.newest_version = None;
             self.resume_from = None;
             self.older_since = None;
--- a/crates/platform/src/core/io.rs
+++ b/crates/platform/src/core/io.rs
@@ -1,114 +1,120 @@
-//! What goes into and out of [`super::Core`]: events of sockets and signals, and orders to the runtime.
+//! The interface of [`super::Core`] to the runtime: inputs from sockets and signals, and outputs that the runtime
+//! carries out.
 
 use crate::settings_document::SettingsDocument;
 use bytes::Bytes;
 use std::net::SocketAddr;
 
-/// A connection, by a number that is never used again.
+/// Identifies a connection to a client, a node or discovery. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// An event of the sockets or the operator. [`Input::Closed`] is always the last one of its connection.
+/// An event of a socket, or a request of the operator. After [`Input::Closed`] a connection has no further events.
 #[derive(Debug)]
 pub enum Input {
     /// An outgoing connection is established.
     Connected(ConnectionId),
-    /// Bytes were read.
+    /// Bytes were read from the connection.
     Received(ConnectionId, Bytes),
-    /// The operating system has taken the whole message.
+    /// The operating system has accepted all bytes of the message of an [`Output::Send`], an [`Output::Respond`], or
+    /// the `if_more` of an [`Output::RespondLast`].
     Written(ConnectionId),
-    /// The connection was found closed before a byte of the message was written.
+    /// No byte of the message of an [`Output::Send`] was written, since the other side had closed the connection or
+    /// sent input that the core had not handled. The connection closes.
     NotWritten(ConnectionId),
-    /// Everything is written, and this side's direction is closed.
+    /// All responses are written, and the host has closed its direction of the connection.
     WriteClosed(ConnectionId),
     /// The connection has ended, or could not be established.
     Closed(ConnectionId),
-    /// After [`Output::StopAccepting`]: not all connections of the backlog could be accepted, for want of slots or
-    /// descriptors; they are accepted as these become free.
+    /// After [`Output::StopAccepting`]: the backlog may still hold connections, for want of slots or descriptors. The
+    /// runtime accepts them as these become free.
     BacklogWaits,
-    /// The backlog is empty and the listener closed, after [`Input::BacklogWaits`].
+    /// After [`Input::BacklogWaits`]: the backlog is empty, and the listener is closed.
     BacklogEmpty,
     /// A datagram from another host.
     Datagram(SocketAddr, Bytes),
-    /// A new settings document; only its discovery address takes effect while the host serves.
+    /// A new settings document. Only its discovery address takes effect while the host runs.
     Reload(Box<SettingsDocument>),
-    /// The first request to shut down.
+    /// The first signal to terminate: open requests are finished, then the process exits.
     Shutdown,
-    /// The second request: every open request is answered at once.
+    /// The second signal to terminate: all open requests are answered at once.
     ShutdownNow,
 }
 
-/// An order to the runtime.
+/// An operation that the runtime carries out for the core.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Open a connection.
     Connect {
-        /// The number by which the connection is known from now on.
+        /// The id that the new connection has in all later inputs and outputs.
         conn: ConnectionId,
-        /// An IP address and a port.
+        /// IP address and port, such as `10.2.0.1:8500`. Host names are not resolved.
         address: String,
     },
-    /// Write to a node or to discovery, unless there is unread input or more than `bytes_handled` bytes were read
-    /// before: either means that the other side has closed the connection.
+    /// Write a message to a node or to discovery. It is not written if input is unread, or if more than
+    /// `bytes_handled` bytes were read so far: no response is open on the connection, so any input makes it unusable.
     Send {
-        /// The connection.
+        /// The connection to the node or to discovery.
         conn: ConnectionId,
-        /// The whole message.
+        /// The complete message.
         bytes: Bytes,
-        /// How many received bytes the core has handled.
+        /// How many bytes received on this connection the core has handled.
         bytes_handled: u64,
     },
     /// Write a response to a client.
     Respond {
         /// The client's connection.
         conn: ConnectionId,
-        /// The whole message.
+        /// One or more complete responses.
         bytes: Bytes,
     },
     /// Write the last response to a client, which announces the close, and then close as with
-    /// [`Output::FinishAndClose`]. If there is unread input or more than `bytes_handled` bytes were read before, write
-    /// `if_more` instead, which keeps the connection open: the client has sent another request.
+    /// [`Output::FinishAndClose`]. If input is unread, or more than `bytes_handled` bytes were read so far, the client
+    /// has sent another request: `if_more` is written instead and the connection stays open.
     RespondLast {
         /// The client's connection.
         conn: ConnectionId,
-        /// The whole message.
+        /// The complete response with `Connection: close`.
         bytes: Bytes,
-        /// The same message without the announcement.
+        /// The same response without `Connection: close`.
         if_more: Bytes,
-        /// How many received bytes the core has handled.
+        /// How many bytes received on this connection the core has handled.
         bytes_handled: u64,
     },
-    /// Discard whatever is received from now on; only the end of the connection is reported.
+    /// Discard all further input of a connection. Only its end is still reported.
     DiscardInput {
-        /// The connection.
+        /// The client's connection.
         conn: ConnectionId,
     },
-    /// Write what is queued, close this side's direction, discard input for a while, then close.
+    /// Write the queued responses, close the host's direction of the connection, discard input for a bounded time and
+    /// then close the connection.
     FinishAndClose {
-        /// The connection.
+        /// The client's connection.
         conn: ConnectionId,
     },
-    /// The same, unless there is unread input or more than `bytes_handled` bytes were read before.
+    /// Close an idle connection as with [`Output::FinishAndClose`]. Nothing happens if input is unread, or if more than
+    /// `bytes_handled` bytes were read so far: the client has sent another request.
     CloseIdle {
-        /// The connection.
+        /// The client's connection.
         conn: ConnectionId,
-        /// How many received bytes the core has handled.
+        /// How many bytes received on this connection the core has handled.
         bytes_handled: u64,
     },
-    /// Close at once.
+    /// Close a connection at once. The runtime reports no further events of it.
     Close {
-        /// The connection.
+        /// The connection to a client, a node or discovery.
         conn: ConnectionId,
     },
     /// Send a datagram to another host.
     Datagram {
-        /// That host's address.
+        /// The address of the other host.
         to: SocketAddr,
         /// The payload.
         bytes: Bytes,
     },
-    /// Accept the connections that already wait in the backlog, then close the listener.
+    /// Accept the connections that wait in the backlog, then close the listener.
     StopAccepting,
-    /// Exit the process: everything is written and every client connection has ended, or no time is left for it.
+    /// Exit the process: all responses are written and all client connections have ended, or the time for that has
+    /// run out.
     Exit,
 }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -1,21 +1,22 @@
-//! A host on the platform as a state machine: [`Input`]s and the time go in, [`Output`]s come out. It has no
-//! socket, no clock and no random generator of its own, so tests run it at any speed.
+//! A host on the platform as a state machine: it takes [`Input`]s with their time and produces [`Output`]s. The core
+//! opens no sockets, reads no clock and seeds its random numbers from the settings document, so tests are
+//! deterministic and need no real time.
 //!
-//! A caller passes events to [`Core::handle`], any number of times, then calls [`Core::advance`] once and carries
-//! out [`Core::outputs`] in their order. [`Core::next_timer`] says when to call again at the latest.
+//! A caller passes any number of events to [`Core::handle`], then calls [`Core::advance`] once and carries out
+//! [`Core::outputs`] in order. [`Core::next_timer`] returns the latest time for the next call of `advance`.
 //!
-//! Each part owns its state and is passed the `context`: the time, the timers, the counters, and the events
-//! and outputs that the part adds. A step that needs several parts is a method of [`Core`], in the file of the part
-//! that begins it.
+//! Each module owns its state. Its methods receive the `context`, which holds the time, the timers and the counters,
+//! and collects the events and outputs of the module. A step that involves several modules is a method of [`Core`] in
+//! the file of the module that starts it.
 //!
-//! Where to read on, in the order of a request:
-//! 1. `clients`: connections of clients. `clients/input` decodes messages, [`request_parser`] says what a message
-//!    must hold, `requests` is the table of open requests.
-//! 2. This file tells the scheduler and carries out its actions.
-//! 3. `attempts` and `node_connections`: what goes to nodes and comes back.
-//! 4. `clients/responses`: the response, 200, 503 or 500 by the scheduler's action.
+//! Modules in the order in which a request passes through them:
+//! 1. `clients`: connections of clients. `clients/input` decodes messages, [`request_parser`] validates them,
+//!    `requests` is the table of open requests.
+//! 2. This file passes events to the scheduler and carries out the scheduler's actions.
+//! 3. `attempts` and `node_connections`: messages to nodes and their responses.
+//! 4. `clients/responses`: writes the response to the client: 200, 503 or 500.
 //!
-//! Beside these: `discovery` follows the endpoint list, `peers` exchanges datagrams with other hosts, `shutdown`
+//! Other modules: `discovery` polls for the endpoint list, `peers` exchanges datagrams with other hosts, `shutdown`
 //! ends the process in stages, `bounds` divides descriptors and memory.
 
 mod attempt_key;
@@ -61,7 +62,8 @@
 
 /// Interval between log lines with the metrics.
 const METRICS_INTERVAL: Span = Span::from_micros(5_000_000);
-/// Without a list from discovery the host reports itself ready after this time and serves with the stored endpoints.
+/// If discovery has not sent a list by this time after the start, health checks succeed all the same and the host
+/// serves with the stored endpoints.
 const READY_TIMEOUT: Span = Span::from_micros(1_000_000);
 
 /// The state machine of one host.
@@ -76,14 +78,16 @@
     discovery: Discovery,
     peers: Peers,
     shutdown: Shutdown,
-    /// Connections wait in the backlog of a listener that is to be closed.
+    /// The listener is being closed, and connections in its backlog are not accepted yet. The process must not exit
+    /// before they are served.
     backlog_waits: bool,
-    /// Health checks are answered with 200.
+    /// Health checks are answered with 200, otherwise with 500. Set by the first endpoint list or after
+    /// [`READY_TIMEOUT`].
     ready: bool,
 }
 
 impl Core {
-    /// A host that begins to connect to discovery; `descriptors` is how many the process itself may hold.
+    /// Creates a host and starts to connect to discovery. `descriptors` is the process's limit on open descriptors.
     pub fn new(document: SettingsDocument, descriptors: usize, now: Instant) -> Core {
         let bounds = ResourceBounds::divide(document.limits, descriptors);
         info!(
@@ -132,7 +136,7 @@
             .set_timer(METRICS_INTERVAL, TimerEvent::LogMetrics);
     }
 
-    /// Takes one event; what follows from it is decided in [`Core::advance`].
+    /// Applies one event to the state. The scheduler sees it with the next [`Core::advance`].
     pub fn handle(&mut self, now: Instant, input: Input) {
         self.context.advance_clock(now);
         match input {
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Runs the timers that are due, then the scheduler until it has no more actions at this time.
+    /// Runs the timers that are due. Then runs the scheduler, until carrying out its actions causes no more events.
     pub fn advance(&mut self, now: Instant) {
         self.context.advance_clock(now);
         while let Some(mut bucket) = self.context.timers.take(self.context.now) {
@@ -199,25 +203,25 @@
                 break;
             }
         }
-        self.exit_if_done();
+        self.exit_if_finished();
     }
 
-    /// The outputs since the last call, to be carried out in this order.
+    /// Takes the outputs since the last call, in the order in which the caller has to carry them out.
     pub fn outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.context.outputs)
     }
 
-    /// When [`Core::advance`] has to be called at the latest.
+    /// The time by which [`Core::advance`] has to be called again. `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Instant> {
         self.context.timers.next()
     }
 
-    /// The counters since the start.
+    /// The counters, which start at 0 when the host is created.
     pub fn metrics(&self) -> &Metrics {
         &self.context.metrics
     }
 
-    /// How much is held now, by name. None of these numbers may grow with the traffic that is over.
+    /// The present sizes of all tables and queues, by name. None of them may depend on the number of finished requests.
     pub fn size_metrics(&self) -> Vec<(&'static str, usize)> {
         let mut sizes = self.scheduler.size_metrics();
         sizes.extend([
@@ -265,8 +269,8 @@
         }
     }
 
-    /// Logs what is held now as fields, and the counters as one JSON object: some of them are maps by cause,
-    /// whose keys are not known beforehand.
+    /// Logs present sizes as fields, and the counters as one JSON object: some counters are maps by cause, and the
+    /// name of a log field has to be fixed at compile time.
     fn log_metrics(&self, event: &str) {
         let counters = serde_json::to_string(&self.context.metrics).unwrap_or_default();
         let list_age_ms = self
@@ -290,7 +294,7 @@
             Action::StartAttempt { id, node, time_out } => self.start_attempt(id, node, time_out),
             Action::Reject { id, retry_after } => self.reject(id, retry_after),
             Action::Fail { id } => self.fail(id),
-            // Discovery is followed all the time.
+            // Discovery is polled all the time.
             Action::WatchEndpoints => {}
             Action::SetTimer { id, at } => self.context.timers.set(at, TimerEvent::Scheduler(id)),
             // The platform has no budgets between zones.
--- a/crates/platform/src/core/node_connections/assignment.rs
+++ b/crates/platform/src/core/node_connections/assignment.rs
@@ -1,5 +1,4 @@
-//! Matches connections to nodes with the attempts that wait for one, and ends attempts whose connection or node is
-//! lost.
+//! Assigns connections to the attempts that wait for one, and ends attempts whose connection or node is lost.
 
 use super::super::Core;
 use super::super::attempt_key::AttemptKey;
@@ -10,34 +9,34 @@
 use gullsail_scheduler_api::{AttemptOutcome, Endpoint, EndpointState, NodeId};
 
 impl Core {
-    /// Discovery lists a node, for the first time or with changes.
+    /// Adds or updates a node that discovery lists.
     pub(in super::super) fn node_listed(&mut self, listed: &ListedNode) {
         let node = listed.endpoint.node;
-        let known = self
+        let node_state = self
             .nodes
             .nodes
             .entry(node)
             .or_insert_with(|| Node::new(listed.clone()));
-        if known.listed.endpoint.started != listed.endpoint.started {
-            known.unexplained_loss = None;
+        if node_state.listed.endpoint.started != listed.endpoint.started {
+            node_state.unexplained_loss = None;
         }
-        let moved = known.listed.address != listed.address;
-        known.listed = listed.clone();
-        if !known.is_ready() {
-            // Attempts that wait for a node which is not ready end at once.
-            let waiting = std::mem::take(&mut known.waiting);
+        let address_changed = node_state.listed.address != listed.address;
+        node_state.listed = listed.clone();
+        if !node_state.is_ready() {
+            // Attempts that wait for this node end at once, since nothing may be sent to it.
+            let waiting = std::mem::take(&mut node_state.waiting);
             for key in waiting {
                 self.end_attempt(key, AttemptOutcome::NotSent, None);
             }
-            self.nodes.retire(node, &mut self.context);
-        } else if moved {
-            // Attempts that wait connect to the new address.
-            self.nodes.retire(node, &mut self.context);
+            self.nodes.retire_connections(node, &mut self.context);
+        } else if address_changed {
+            // Closing the connections makes waiting attempts connect to the new address.
+            self.nodes.retire_connections(node, &mut self.context);
         }
-        self.nodes.forget_if_gone(node);
+        self.nodes.remove_if_gone(node);
     }
 
-    /// Discovery does not list the node any more.
+    /// Marks a node that discovery no longer lists as gone.
     pub(in super::super) fn node_unlisted(&mut self, node: NodeId) {
         let Some(listed) = self.nodes.listed(node).cloned() else {
             return;
@@ -55,8 +54,8 @@
         }
     }
 
-    /// A connection is free: it goes to the attempt that has waited longest and may still be sent, else it becomes
-    /// idle.
+    /// Sends the attempt that has waited longest and may still be sent on this free connection. Without such an attempt
+    /// the connection becomes idle.
     pub(super) fn assign_connection(&mut self, conn: ConnectionId, node: NodeId) {
         while let Some(key) = self.nodes.next_waiting(node) {
             if self.may_still_send(key) {
@@ -64,10 +63,11 @@
             }
             self.end_attempt(key, AttemptOutcome::NotSent, None);
         }
-        self.nodes.keep_or_close(conn, node, &mut self.context);
+        self.nodes.make_idle_or_close(conn, node, &mut self.context);
     }
 
-    /// The node had closed the connection before: nothing was written, so the attempt takes another one.
+    /// No byte of the attempt's message was written, since the node had closed the connection or sent unexpected input.
+    /// The attempt uses another connection.
     pub(in super::super) fn node_not_written(&mut self, conn: ConnectionId) {
         let Some(connection) = self.nodes.connections.get(&conn) else {
             return;
@@ -87,7 +87,7 @@
         self.send_or_wait(key, node);
     }
 
-    /// The node closed the connection, or it could not be established.
+    /// Removes a connection that has ended or could not be established.
     pub(in super::super) fn node_connection_closed(&mut self, conn: ConnectionId) {
         let Some(connection) = self.nodes.remove(conn) else {
             return;
@@ -104,6 +104,7 @@
         self.nodes.descriptor_freed(node, &mut self.context);
     }
 
+    /// Ends the attempt whose connection was lost. If its message was written completely, the node may have run it.
     fn connection_lost(&mut self, key: AttemptKey, node: NodeId) {
         let progress = self.attempts.get(&key).map(|attempt| attempt.progress);
         let was_written = matches!(progress, Some(AttemptProgress::Written { .. }));
@@ -116,6 +117,7 @@
         self.nodes.reconnect(node, &mut self.context);
     }
 
+    /// Ends the attempt that has waited longest for a connection to the node, since connecting failed.
     fn fail_first_waiting(&mut self, node: NodeId) {
         if let Some(key) = self.nodes.next_waiting(node) {
             self.end_attempt(key, AttemptOutcome::Unreachable, None);
--- a/crates/platform/src/core/node_connections/connection.rs
+++ b/crates/platform/src/core/node_connections/connection.rs
@@ -9,7 +9,7 @@
 pub(super) enum ConnectionState {
     Connecting,
     Idle,
-    /// It carries this attempt.
+    /// This attempt uses the connection, from the order to write its message until its response or its timeout.
     Busy(AttemptKey),
 }
 
@@ -17,15 +17,16 @@
 pub(super) struct NodeConnection {
     pub(super) node: NodeId,
     pub(super) state: ConnectionState,
+    /// When the connection was established; before that, when it was created.
     pub(super) established_at: Instant,
-    /// When it last became idle.
+    /// When the connection last became idle; before that, when it was created.
     pub(super) idle_since: Instant,
-    /// Bytes received and handled. An order to send names them; it has no effect if the connection's task has
-    /// read more.
+    /// How many received bytes the core has handled. An order to send states this number; nothing is sent if the
+    /// connection's task has read more.
     pub(super) bytes_received: u64,
-    /// Something was received before the message that it carries was written.
+    /// The node sent bytes before the message of the present attempt was written.
     pub(super) early_input: bool,
-    /// It must not be reused: its node's address has changed, or the node is not ready any more.
+    /// The connection must not be reused: the node's address has changed, or the node is not ready any more.
     pub(super) stale: bool,
     pub(super) decoder: Decoder,
 }
--- a/crates/platform/src/core/node_connections/node.rs
+++ b/crates/platform/src/core/node_connections/node.rs
@@ -1,36 +1,38 @@
-//! What the host knows of one node.
+//! The state of one node.
 
 use super::super::attempt_key::AttemptKey;
 use super::super::io::ConnectionId;
 use gullsail_scheduler_api::{Endpoint, EndpointState, Instant};
 use std::collections::VecDeque;
 
-/// A node as discovery lists it, with the address to connect to.
+/// A node as discovery lists it.
 #[derive(Clone, Debug)]
 pub(in super::super) struct ListedNode {
     pub(in super::super) endpoint: Endpoint,
+    /// IP address and port to connect to.
     pub(in super::super) address: String,
 }
 
-/// A connection was lost with an attempt in flight, and nothing has shown yet that the process was not restarted.
+/// The loss of a connection with an attempt in flight, for which a restart of the node's process is not ruled out yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnexplainedLoss {
-    pub(super) at: Instant,
-    /// The last sign of life before the loss.
+    pub(super) lost_at: Instant,
+    /// The last sign of life before the loss. `None` if there was none.
     pub(super) last_alive: Option<Instant>,
 }
 
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) listed: ListedNode,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections to the node. The one used most recently is last.
     pub(super) idle: Vec<ConnectionId>,
-    /// Attempts that wait for a connection, in order of arrival.
+    /// Attempts that wait for a connection to the node, in order of arrival.
     pub(super) waiting: VecDeque<AttemptKey>,
-    /// How many connections are being established.
+    /// The number of connections to the node that are being established.
     pub(super) connecting: usize,
-    /// The last sign of life: a connection was established, or a response was received.
+    /// When a connection to the node was established or a response was received last. `None` if never.
     pub(super) last_alive: Option<Instant>,
+    /// `None` if no connection was lost, or a restart was ruled out or reported since then.
     pub(super) unexplained_loss: Option<UnexplainedLoss>,
 }
 
@@ -50,7 +52,7 @@
         self.listed.endpoint.state == EndpointState::Ready
     }
 
-    /// More attempts wait than connections are being established.
+    /// Whether more attempts wait for a connection than connections are being established.
     pub(super) fn needs_connection(&self) -> bool {
         self.connecting < self.waiting.len()
     }
--- a/crates/platform/src/core/node_connections/responses.rs
+++ b/crates/platform/src/core/node_connections/responses.rs
@@ -1,15 +1,16 @@
-//! What is received on connections to nodes, and the reports on what was written there.
+//! Handles bytes received from nodes, and the runtime's reports that messages to nodes are written.
 
 use super::super::Core;
 use super::super::attempt_key::AttemptKey;
 use super::super::attempts::AttemptProgress;
 use super::super::io::ConnectionId;
 use super::connection::ConnectionState;
-use gullsail_http::{Fault, Found, Message, Start};
+use gullsail_http::{Fault, Found, Message, StartLine};
 use gullsail_scheduler_api::AttemptOutcome;
 use tracing::debug;
 
 impl Core {
+    /// Records that the message of an attempt is written. If the node sent bytes before that, the attempt fails.
     pub(in super::super) fn node_written(&mut self, conn: ConnectionId) {
         let Some(connection) = self.nodes.connections.get(&conn) else {
             return;
@@ -30,7 +31,7 @@
         };
         self.context.metrics.attempts_sent += 1;
         if early_input {
-            // A response received after the early input could belong to another message.
+            // The host cannot tell whether input that follows the early input is the response to this message.
             self.nodes.close(conn, &mut self.context);
             self.end_attempt(key, AttemptOutcome::Failed, None);
         }
@@ -42,8 +43,8 @@
         };
         connection.bytes_received += bytes.len() as u64;
         let ConnectionState::Busy(key) = connection.state else {
-            // No request is open on the connection. A response received behind this input would be taken for the
-            // response to a later message.
+            // No attempt uses the connection. If it were reused, this input would be taken for the response to the next
+            // message.
             self.context.metrics.unsolicited_input += 1;
             return self.nodes.close(conn, &mut self.context);
         };
@@ -52,8 +53,8 @@
             .get(&key)
             .is_some_and(|attempt| attempt.progress == AttemptProgress::Writing(conn));
         if being_written {
-            // The input was read before the message was written, so it is not part of the response. Whether the
-            // message was written is what the connection's task reports next.
+            // The input was read before the message was written, so it is not part of the response. The connection's
+            // task reports next whether it wrote the message.
             self.context.metrics.unsolicited_input += 1;
             connection.early_input = true;
             return;
@@ -73,7 +74,11 @@
             .malformed_responses
             .entry(fault.to_string())
             .or_default() += 1;
-        let node = self.nodes.connections.get(&conn).map(|known| known.node.0);
+        let node = self
+            .nodes
+            .connections
+            .get(&conn)
+            .map(|connection| connection.node.0);
         debug!(
             node,
             request = key.request.0,
@@ -86,7 +91,7 @@
     }
 
     fn handle_response(&mut self, conn: ConnectionId, key: AttemptKey, message: &Message) {
-        let Start::Response { status } = message.start else {
+        let StartLine::Response { status } = message.start else {
             return;
         };
         let Some(connection) = self.nodes.connections.get(&conn) else {
@@ -116,6 +121,7 @@
     }
 }
 
+/// The outcome of an attempt whose response has this status.
 fn outcome_of(status: u16, message: &Message) -> AttemptOutcome {
     let never_ran = message.field("X-Never-Ran") == Found::One(b"1");
     match status {
@@ -125,7 +131,8 @@
     }
 }
 
-/// What all hosts together used of the volume's usual rate, as a fraction; a malformed header is ignored.
+/// How much of the nominal rate of the volume all hosts together use, as a fraction, from the response header
+/// `X-Meter`, which states it in percent. `None` if the header is missing or malformed.
 fn used_fraction(message: &Message) -> Option<f64> {
     let Found::One(digits) = message.field("X-Meter") else {
         return None;
--- a/crates/platform/src/core/peers.rs
+++ b/crates/platform/src/core/peers.rs
@@ -1,15 +1,17 @@
-//! Datagrams between the hosts of the fleet.
+//! Demand reports between the hosts of the fleet, one per datagram.
 
 use super::context::Context;
 use super::io::Output;
 use gullsail_scheduler_api::{Event, HostId};
 use std::net::SocketAddr;
 
-/// Most bytes of a peer message. A longer datagram is not from a host of this version; it is counted as foreign.
+/// Most bytes of a peer message. Hosts of this version send none that is longer, so a longer datagram is counted as
+/// foreign.
 const MAX_PEER_MESSAGE_BYTES: usize = 256;
 
-/// The hosts of the fleet, this one included, by their numbers.
+/// The addresses of all hosts of the fleet.
 pub(super) struct Peers {
+    /// The address of the host with number `i` at index `i`, this host included.
     addresses: Vec<SocketAddr>,
 }
 
@@ -22,7 +24,8 @@
         &self.addresses
     }
 
-    /// Sends a message of the scheduler. A host without an address is skipped: the scheduler repeats its reports.
+    /// Sends a report of the scheduler to another host. Does nothing for a host without an address: the scheduler sends
+    /// reports periodically.
     pub(super) fn send(&self, to: HostId, bytes: Vec<u8>, context: &mut Context) {
         if let Some(address) = self.addresses.get(to.0 as usize) {
             context.metrics.reports_sent += 1;
@@ -33,6 +36,7 @@
         }
     }
 
+    /// Passes a report to the scheduler if its sender is a host of the fleet; otherwise counts it as foreign.
     pub(super) fn receive(&self, from: SocketAddr, bytes: &[u8], context: &mut Context) {
         match self.addresses.iter().position(|peer| *peer == from) {
             Some(host) if bytes.len() <= MAX_PEER_MESSAGE_BYTES => {
--- a/crates/platform/src/core/request_error.rs
+++ b/crates/platform/src/core/request_error.rs
@@ -1,45 +1,46 @@
-//! Why a client's message is not accepted as a request, with the HTTP status and body of the response.
+//! Reasons for which a client's message is not accepted as a request, with the HTTP status and body of the response.
 
-/// The reason; its serialized name is the key under which it is counted in the metrics.
+/// Why a client's message is not accepted as a request. The serialized name is the key under which the metrics count
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestError {
-    /// The message does not follow HTTP/1.1, or its length is ambiguous.
+    /// The message does not follow the syntax of HTTP/1.1, its length is ambiguous, or `Host` is missing.
     Malformed,
-    /// The head exceeds its bound.
+    /// The head of the message exceeds its bound, or it has too many header fields.
     HeadTooLong,
-    /// The body exceeds its bound.
+    /// The body of the message exceeds its bound.
     BodyTooLong,
-    /// The message was not complete in time.
+    /// The client did not send the complete message in time, or its slot was needed for another client.
     TooSlow,
     /// The path does not name a request class, a volume and an object.
     Path,
-    /// The method does not fit the request class.
+    /// The method does not match the request class: `GET` reads, `PUT` writes.
     Method,
-    /// The header of the request class is missing or differs from the path.
+    /// `X-Qos` is missing or names another request class than the path.
     RequestClass,
-    /// The plan is missing or unknown.
+    /// `X-Storage-Class` is missing or names no plan of the settings.
     Plan,
-    /// The trace id is missing or malformed.
+    /// `X-Trace-Id` is missing or malformed.
     TraceId,
-    /// The deadline is missing or out of range.
+    /// `X-Expires-In-Ms` is missing or out of range.
     Deadline,
-    /// Units, shard or host count are missing or out of range.
+    /// `X-Extent` is missing, or its units, shard or number of hosts are missing or out of range.
     UnitsShardOrHosts,
-    /// The idempotency key is missing or malformed.
+    /// `Idempotency-Key` is missing although the request class requires it, or it is empty, too long or repeated.
     IdempotencyKey,
-    /// A write without a length.
+    /// A write states neither `Content-Length` nor `Transfer-Encoding`.
     LengthRequired,
-    /// A read with a body.
+    /// A read has a body that is not empty.
     ReadWithBody,
     /// A request with the same trace id is open.
     DuplicateTraceId,
-    /// The bound on memory for requests is reached. Answered with 413, not 503: a 503 would tell the client when to
-    /// retry, which only the scheduler decides.
+    /// The bound on the memory of open requests or of incomplete messages is reached. Answered with 413, not 503: a 503
+    /// would mean that the client may retry, which only the scheduler decides.
     OutOfMemory,
-    /// The host is shutting down and serves no more requests.
+    /// The host is shutting down and accepts no more requests.
     ShuttingDown,
-    /// It was sent too far ahead of the responses to earlier requests on its connection.
+    /// The client sent the request too far ahead of the responses to earlier requests on the connection.
     TooFarAhead,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The status with which the message is answered.
     pub fn status(self) -> HttpStatus {
         match self {
             RequestError::Path => HttpStatus::new(404, "Not Found"),
@@ -87,8 +88,8 @@
         }
     }
 
-    /// The body of the response: what would have been accepted. Clients receive these texts, so they do not change
-    /// with the names in this program.
+    /// The body of the response: what the host would have accepted. Clients receive these texts, so they stay the same
+    /// when names in this program change.
     pub fn expected(self) -> &'static str {
         match self {
             RequestError::Malformed => "an HTTP/1.1 message with one sound length was meant",
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Whether the response states that the request never ran and may be sent again. Other errors ask for another
-    /// message.
+    /// Whether the response states with `X-Never-Ran` that the request never ran, so that the client may send the same
+    /// message again. For all other errors the client has to send a different message.
     pub(super) fn states_never_ran(self) -> bool {
         matches!(self, RequestError::ShuttingDown | RequestError::TooFarAhead)
     }
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -1,14 +1,13 @@
-//! Parses a client's message as a request, or says why it is none. Every header that matters must be present once
-//! and well-formed; other headers are ignored. `clients` calls it; it keeps no state.
+//! Parses a client's message as a request, or returns why it is not accepted. Every header that is evaluated must be
+//! present exactly once and well-formed. Other headers are ignored. `clients` calls this module, which has no state.
 //!
-//! A message that is rejected here never reaches the scheduler. The response to it is never 429 or 503, which would
-//! tell the client that the request did not run and when to retry. The one exception is a host that shuts down,
-//! where that is true.
+//! A message that is refused here never reaches the scheduler. Its response never has status 429 or 503, which would
+//! ask the client to retry the same message.
 
-use super::header_values::{hex, single, text, whole_number};
+use super::header_values::{as_utf8, parse_decimal, parse_hex_id, single_value};
 use super::request_error::RequestError;
 use bytes::Bytes;
-use gullsail_http::{Encoder, Found, Message, Start};
+use gullsail_http::{Encoder, Found, Message, StartLine};
 use gullsail_scheduler_api::{
     Idempotency, ObjectId, PlanId, PoolId, Request, RequestClassId, RequestId, SchedulerConfig,
     ShardId, Span, VolumeId,
@@ -22,25 +21,26 @@
 const EXTENT: &str = "X-Extent";
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 const RETRY_MARKER: &str = "X-Second-Try";
-/// Longest deadline, an hour: no client waits longer, and sums with it do not overflow.
+/// Longest accepted deadline, one hour. No client waits longer, and adding it to a time cannot overflow.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Longest idempotency key. Bounds the memory of an open request.
+/// Longest accepted idempotency key. It bounds the memory of an open request.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A valid request, before it has a [`RequestId`].
+/// A valid request to which no [`RequestId`] is assigned yet.
 #[derive(Clone, Debug)]
 pub struct ParsedRequest {
-    /// The id that the client gave it.
+    /// The id that the client assigned to the request.
     pub trace_id: u64,
-    /// What the scheduler is told; its id is not yet set.
+    /// The request in the form in which the scheduler receives it. Its id is 0 until the table of open requests assigns
+    /// one.
     pub request: Request,
-    /// The head of every attempt, without the deadline header.
+    /// The head of the messages that are sent to nodes for this request, without the deadline header.
     pub head: ForwardedHead,
     /// The body, which nodes receive unchanged.
     pub body: Bytes,
 }
 
-/// The part of the head that nodes receive unchanged.
+/// The head of a request as nodes receive it, except for the deadline header, which each attempt adds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedHead {
     method: Bytes,
@@ -65,7 +65,8 @@
 }
 
 impl ForwardedHead {
-    /// Encodes the message to a node. Its deadline header says how long this host waits for the response.
+    /// Encodes the message to a node. Its deadline header holds `time_left`, the time for which this host waits for the
+    /// response, in whole milliseconds and at least 1.
     pub fn message(&self, time_left: Span, body: &[u8]) -> Bytes {
         let mut encoder = Encoder::request(&self.method, &self.target);
         for field in &self.fields {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// How many bytes it holds.
+    /// The memory of the method, the target and the field values, in bytes.
     pub fn held_bytes(&self) -> usize {
         let fields = self
             .fields
@@ -90,17 +91,17 @@
     }
 }
 
-/// Parses one message.
+/// Parses and validates one message of a client.
 ///
 /// # Errors
-/// Why the message is not accepted as a request.
+/// The message is not accepted as a request, for the reason that the error states.
 pub fn parse(
     message: &Message,
     names: &Names,
     config: &SchedulerConfig,
     reach: &Reach,
 ) -> Result<ParsedRequest, RequestError> {
-    let Start::Request { method, target } = &message.start else {
+    let StartLine::Request { method, target } = &message.start else {
         return Err(RequestError::Malformed);
     };
     let path = Path::parse(target)?;
@@ -108,15 +109,15 @@
         .request_class(path.class_name)
         .map_err(|_| RequestError::Path)?;
     check_method(message, method, &path, request_class, reach)?;
-    let trace_id = single(message, TRACE_ID)
-        .and_then(hex)
+    let trace_id = single_value(message, TRACE_ID)
+        .and_then(parse_hex_id)
         .ok_or(RequestError::TraceId)?;
     let plan = Plan::parse(message, names)?;
     let timeout = timeout(message)?;
     let extent = Extent::parse(message, config, reach)?;
     let idempotency = config.request_classes[request_class.0].idempotency;
     let key = idempotency_key(message, idempotency)?;
-    let host = single(message, "Host").ok_or(RequestError::Malformed)?;
+    let host = single_value(message, "Host").ok_or(RequestError::Malformed)?;
     let fields = forwarded_fields(message, host, &path, &plan, key);
     let request = scheduler_request(&path, request_class, &plan, &extent, timeout);
     let head = ForwardedHead {
@@ -133,7 +134,7 @@
     })
 }
 
-/// What the scheduler is told of the request; the table of open requests numbers it.
+/// Builds the request for the scheduler. The table of open requests replaces its id.
 fn scheduler_request(
     path: &Path<'_>,
     request_class: RequestClassId,
@@ -156,10 +157,10 @@
     }
 }
 
-/// How long the client waits for the response.
+/// The time for which the client waits for the response, from the deadline header.
 fn timeout(message: &Message) -> Result<Span, RequestError> {
-    let timeout_ms = single(message, DEADLINE)
-        .and_then(whole_number)
+    let timeout_ms = single_value(message, DEADLINE)
+        .and_then(parse_decimal)
         .ok_or(RequestError::Deadline)?;
     if (1..=MAX_DEADLINE_MS).contains(&timeout_ms) {
         Ok(Span::from_millis(timeout_ms as f64))
@@ -168,7 +169,7 @@
     }
 }
 
-/// The header fields that nodes receive, in the order in which they are written.
+/// The header fields that nodes receive unchanged, in the order in which they are written.
 fn forwarded_fields(
     message: &Message,
     host: &[u8],
@@ -178,11 +179,11 @@
 ) -> Vec<ForwardedField> {
     let values = [
         ("Host", Some(host)),
-        (TRACE_ID, single(message, TRACE_ID)),
+        (TRACE_ID, single_value(message, TRACE_ID)),
         (REQUEST_CLASS, Some(path.class_name.as_bytes())),
         (PLAN, plan.name.map(str::as_bytes)),
-        (EXTENT, single(message, EXTENT)),
-        (RETRY_MARKER, single(message, RETRY_MARKER)),
+        (EXTENT, single_value(message, EXTENT)),
+        (RETRY_MARKER, single_value(message, RETRY_MARKER)),
         (IDEMPOTENCY_KEY, idempotency_key),
     ];
     values
@@ -191,7 +192,7 @@
         .collect()
 }
 
-/// `/class/volume/object`; a query after it is forwarded without being parsed.
+/// The segments of a path `/class/volume/object`. A query after the path is forwarded but not parsed.
 struct Path<'a> {
     class_name: &'a str,
     volume: &'a str,
@@ -214,11 +215,11 @@
         ) else {
             return Err(RequestError::Path);
         };
-        let (Some(_), Some(_)) = (hex(volume), hex(object)) else {
+        let (Some(_), Some(_)) = (parse_hex_id(volume), parse_hex_id(object)) else {
             return Err(RequestError::Path);
         };
         let (Some(class_name), Some(volume), Some(object)) =
-            (text(class), text(volume), text(object))
+            (as_utf8(class), as_utf8(volume), as_utf8(object))
         else {
             return Err(RequestError::Path);
         };
@@ -230,7 +231,7 @@
     }
 }
 
-/// Checks that the class header, the method and the body fit the class that the path names.
+/// Checks that the class header, the method and the body match the request class of the path.
 fn check_method(
     message: &Message,
     method: &[u8],
@@ -238,7 +239,7 @@
     request_class: RequestClassId,
     reach: &Reach,
 ) -> Result<(), RequestError> {
-    if single(message, REQUEST_CLASS) != Some(path.class_name.as_bytes()) {
+    if single_value(message, REQUEST_CLASS) != Some(path.class_name.as_bytes()) {
         return Err(RequestError::RequestClass);
     }
     let is_write = match method {
@@ -262,21 +263,22 @@
     Ok(())
 }
 
-/// The plan, with its name where the message states one.
+/// The plan of a request.
 struct Plan<'a> {
     id: PlanId,
+    /// The value of the plan header, which nodes receive too. `None` if the message has no such header.
     name: Option<&'a str>,
 }
 
 impl Plan<'_> {
-    /// Settings without plans allow a message without the header.
+    /// Parses the plan header. It may be missing only if the settings define no plans.
     fn parse<'a>(message: &'a Message, names: &Names) -> Result<Plan<'a>, RequestError> {
         let name = if names.plans.is_empty() && message.field(PLAN) == Found::None {
             None
         } else {
             Some(
-                single(message, PLAN)
-                    .and_then(text)
+                single_value(message, PLAN)
+                    .and_then(as_utf8)
                     .ok_or(RequestError::Plan)?,
             )
         };
@@ -287,14 +289,17 @@
     }
 }
 
-/// What the extent header states: the size of a request, its shard and the number of hosts that serve its volume.
+/// The parsed extent header.
 struct Extent {
+    /// The size of the request in units of work.
     units: f64,
+    /// The shard of the request. `None` if the request belongs to no shard.
     shard: Option<ShardId>,
+    /// How many hosts serve the volume of the request.
     hosts: u32,
 }
 
-/// The value of the header for a request that concerns no shard.
+/// The shard number in the extent header of a request that belongs to no shard.
 const NO_SHARD: i64 = -1;
 
 impl Extent {
@@ -303,7 +308,7 @@
         config: &SchedulerConfig,
         reach: &Reach,
     ) -> Result<Extent, RequestError> {
-        let extent = single(message, EXTENT)
+        let extent = single_value(message, EXTENT)
             .and_then(Extent::from_text)
             .ok_or(RequestError::UnitsShardOrHosts)?;
         let max_units = if config.max_units > 0.0 {
@@ -329,12 +334,13 @@
         }
     }
 
-    /// `units=1,shard=3,hosts=2`, in any order and each once; other names are ignored.
+    /// Parses a list such as `units=1,shard=3,hosts=2`. Each of the three names must occur once, in any order. Other
+    /// names are ignored.
     fn from_text(value: &[u8]) -> Option<Extent> {
         let mut units = None;
         let mut shard = None;
         let mut hosts = None;
-        for pair in text(value)?.split(',') {
+        for pair in as_utf8(value)?.split(',') {
             let (name, number) = pair.trim().split_once('=')?;
             match name {
                 "units" if units.is_none() => units = Some(number.parse::<f64>().ok()?),
@@ -353,7 +359,7 @@
     }
 }
 
-/// The key, which must be present if nodes recognise retries by it.
+/// The idempotency key of the message. It must be present if nodes recognise retries of the request class by it.
 fn idempotency_key(
     message: &Message,
     idempotency: Idempotency,
--- a/crates/platform/src/core/requests.rs
+++ b/crates/platform/src/core/requests.rs
@@ -1,5 +1,5 @@
-//! The table of open requests. An entry exists from the moment its request is handed to the scheduler until its one
-//! response is given and none of its attempts is in flight. The table decides nothing.
+//! The table of open requests. A request is added when it is passed to the scheduler. It is removed when it has been
+//! answered, or its client has disconnected, and none of its attempts is in flight.
 
 use super::attempt_key::AttemptKey;
 use super::io::ConnectionId;
@@ -8,42 +8,52 @@
 use gullsail_scheduler_api::{AttemptOutcome, Instant, Request, RequestClassId, RequestId};
 use std::collections::BTreeMap;
 
-/// Estimated memory of one entry beside its head and body. Too small: the host holds more memory than its bound.
-/// Too large: requests are refused earlier than necessary.
+/// Estimated memory of one entry in addition to its head and body. If the estimate is too small, the host exceeds its
+/// memory bound; if it is too large, requests are refused earlier than necessary.
 const ENTRY_OVERHEAD_BYTES: usize = 600;
 
-/// The first attempt that is not known to have been skipped by its node: it may have run.
+/// The first attempt of a request that was sent and may have run: nothing has shown that its node did not run it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnprovenExecution {
-    /// Its number within the request.
+    /// The number of the attempt within its request.
     pub(super) attempt: u32,
+    /// When the scheduler decided on the attempt.
     pub(super) decided_at: Instant,
 }
 
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// The connection that waits for the response. `None` if the response was given or the client disconnected.
+    /// The client connection that waits for the response. `None` if the request was answered or the client has
+    /// disconnected.
     pub(super) client: Option<ConnectionId>,
     pub(super) trace_id: u64,
     pub(super) request_class: RequestClassId,
     pub(super) head: ForwardedHead,
     pub(super) body: Bytes,
-    /// When its client stops waiting for the response.
+    /// When the client stops waiting for the response.
     pub(super) deadline: Instant,
+    /// How many attempts the scheduler has started. The next attempt has this number.
     pub(super) attempts_started: u32,
+    /// How many attempts have started and not ended, those that wait for a connection included.
     pub(super) attempts_in_flight: u32,
+    /// `None` if no attempt was sent, or if the attempt recorded here turned out not to have run.
     pub(super) unproven_execution: Option<UnprovenExecution>,
+    /// Estimated memory of the entry.
     held_bytes: usize,
 }
 
 #[derive(Debug)]
 pub(super) struct RequestTable {
     entries: BTreeMap<RequestId, OpenRequest>,
-    /// The entries by the trace ids that clients chose.
+    /// Maps the trace ids of open requests to their request ids.
     by_trace_id: BTreeMap<u64, RequestId>,
+    /// The id of the request added last. 0 if there was none.
     last_id: u64,
+    /// Estimated memory of all entries.
     held_bytes: usize,
+    /// Bound on `held_bytes`.
     max_held_bytes: usize,
+    /// How many entries have a client that waits for the response.
     awaiting_response: usize,
 }
 
@@ -63,7 +73,7 @@
         self.entries.len()
     }
 
-    /// How many have not been answered yet.
+    /// How many requests have a client that waits for the response.
     pub(super) fn awaiting_response(&self) -> usize {
         self.awaiting_response
     }
@@ -88,7 +98,7 @@
         self.entries.get_mut(&id)
     }
 
-    /// Adds an entry and numbers the request. Returns `None` if that would exceed the memory bound.
+    /// Adds a request and returns it with its id. Returns `None` if that would exceed the memory bound.
     pub(super) fn insert(
         &mut self,
         client: ConnectionId,
@@ -126,8 +136,8 @@
         Some(Request { id, ..request })
     }
 
-    /// Detaches the client connection, at most once per request: for the response, or because the client has
-    /// disconnected.
+    /// Takes the client connection from the request, to send the response or because the client has disconnected.
+    /// Returns `None` if it was taken before, so a request is answered at most once.
     pub(super) fn take_client(&mut self, id: RequestId) -> Option<ConnectionId> {
         let client = self.entries.get_mut(&id)?.client.take()?;
         self.awaiting_response -= 1;
@@ -135,7 +145,7 @@
         Some(client)
     }
 
-    /// One of the attempts has ended. Returns whether the request was answered before.
+    /// Records the end of an attempt. Returns whether no client waits for the response any more.
     pub(super) fn attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) -> bool {
         let Some(open) = self.entries.get_mut(&key.request) else {
             return true;
--- a/crates/platform/src/core/timer_event.rs
+++ b/crates/platform/src/core/timer_event.rs
@@ -1,31 +1,31 @@
-//! What the timers of a host are for.
+//! Timers of a host.
 
 use super::attempt_key::AttemptKey;
 use super::io::ConnectionId;
 use gullsail_scheduler_api::TimerId;
 
-/// What a timer is for.
+/// What happens when a timer expires.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerEvent {
-    /// A timer of the scheduler.
+    /// The scheduler set the timer with `Action::SetTimer` and receives `Event::Timer`.
     Scheduler(TimerId),
-    /// The attempt's time is over.
+    /// The attempt times out.
     AttemptTimeout(AttemptKey),
-    /// The attempt has waited for a connection for the connect timeout.
+    /// An attempt that still waits for a connection gives up after the connect timeout.
     ConnectionWaitTimeout(AttemptKey),
-    /// The connection was not established in time.
+    /// A node connection that is not established yet is closed.
     ConnectTimeout(ConnectionId),
-    /// Client and idle node connections are checked for their age.
+    /// Client connections and idle node connections that have exceeded their age are closed.
     IdleCheck,
-    /// Discovery has not answered the poll of this number.
+    /// Discovery has not responded to the poll with this number.
     DiscoveryTimeout(u64),
     /// The backoff after a lost connection to discovery is over.
     DiscoveryRetry,
-    /// The host serves with the stored endpoints although discovery has not answered.
+    /// Health checks succeed from now on, even if discovery has not responded.
     ReadyTimeout,
     LogMetrics,
-    /// The next stage of the shutdown.
+    /// The present stage of the shutdown ends.
     ShutdownStage,
-    /// The platform is about to kill the process.
+    /// The process exits: the platform is about to kill it.
     Exit,
 }
--- a/crates/platform/src/settings_document.rs
+++ b/crates/platform/src/settings_document.rs
@@ -1,6 +1,5 @@
-//! The settings of a host: one JSON document that is read at the start and at each reload.
-//! [`SettingsDocument::parse`] returns a complete, valid document or an error that says what is wrong, where, and what
-//! was expected.
+//! The settings document of a host: one JSON object that is read at the start and at each reload.
+//! [`SettingsDocument::parse`] returns a valid document, or an error with the place of the fault and what was expected.
 
 use gullsail_scheduler_api::SchedulerConfig;
 use gullsail_scheduler_settings::{Names, RawSettings, Reach, config, hash};
@@ -8,78 +7,83 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Fewest descriptors with which a host can serve: those that it keeps for itself, and a few for clients and nodes.
+/// Fewest descriptors with which a host can serve: the reserved ones, and a few for connections to clients and nodes.
 const MIN_DESCRIPTORS: usize = 32;
 
-/// An invalid document, with the place of the error in its text.
+/// Why a settings document is invalid.
 #[derive(Debug, thiserror::Error, Diagnostic)]
-#[error("{what}")]
+#[error("{message}")]
 pub struct DocumentError {
-    what: String,
+    message: String,
     #[help]
     help: String,
     #[source_code]
     text: NamedSource<String>,
+    /// The place of the fault in `text`. `None` if it cannot be pointed out.
     #[label("here")]
-    place: Option<SourceSpan>,
+    span: Option<SourceSpan>,
 }
 
-/// What the process may use of its server.
+/// The resources of the server that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// CPU cores.
+    /// The number of CPU cores. The host does not depend on it.
     pub cores: f64,
-    /// Megabytes of memory. The platform kills a process that uses more.
+    /// Memory in megabytes. The platform kills a process that uses more.
     pub memory_mb: f64,
-    /// File descriptors of the process.
+    /// The number of open file descriptors, sockets included.
     pub sockets: usize,
 }
 
 /// A node as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointEntry {
-    /// The node's name.
-    pub host: String,
-    /// Where to connect.
+    /// The node's name, from which its id is derived.
+    #[serde(rename = "host")]
+    pub name: String,
+    /// IP address and port to connect to.
     #[serde(rename = "dial")]
     pub address: String,
-    /// Its zone.
-    #[serde(default)]
-    pub site: String,
-    /// Its shard.
-    pub block: i64,
-    /// Its state, as a word of the platform.
-    pub health: String,
-    /// When its process started, in Unix time in milliseconds. 0 stands for an unknown time long ago.
+    /// The name of the zone in which the node is.
+    #[serde(rename = "site", default)]
+    pub zone: String,
+    /// The number of the shard that the node serves.
+    #[serde(rename = "block")]
+    pub shard: i64,
+    /// The node's state: `SERVING`, `DRAINING` or `DELETED`.
+    #[serde(rename = "health")]
+    pub state: String,
+    /// When the node's process started, as Unix time in milliseconds. 0 means an unknown time long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: f64,
 }
 
-/// An entry that can be parsed, or anything else, which is skipped: one malformed entry must not invalidate the page.
+/// An entry of a page. An entry that cannot be parsed must not make the whole page invalid.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum PageItem {
-    /// A node.
+    /// An entry that describes a node.
     Node(EndpointEntry),
-    /// Not parsed.
+    /// An entry in another format. It is skipped.
     Other(serde_json::Value),
 }
 
-/// The endpoint list, or what changed in it.
+/// The endpoint list, or changes of it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Page {
-    /// The version; newer lists have greater numbers.
+    /// The version of the list; newer lists have greater numbers.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether it holds all endpoints, or only changes.
-    pub whole: bool,
-    /// Its entries.
+    /// `true` if the page holds all endpoints, `false` if it holds those that have changed.
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
+    /// The nodes of the list, or those that have changed.
     #[serde(rename = "hosts", default)]
     pub entries: Vec<PageItem>,
 }
 
-/// The document as it is written, before its values are checked. Error texts contain the names of this type, of
-/// [`Limits`] and of [`Page`], so these names do not change.
+/// The document as deserialized, before its values are checked. Error texts contain the names of this type, of
+/// [`Limits`] and of [`Page`], so these types must not be renamed.
 #[derive(Deserialize)]
 struct Written {
     #[serde(default)]
@@ -97,39 +101,39 @@
     settings: RawSettings,
 }
 
-/// A valid document.
+/// A valid settings document.
 #[derive(Clone, Debug)]
 pub struct SettingsDocument {
-    /// The host's name.
+    /// The host's name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// The TCP address on which the host listens for clients.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// IP address and port of discovery.
     pub discovery: String,
-    /// Seed of the host's random generator, another one for each start.
+    /// Seed of the host's random numbers. It differs between starts.
     pub seed: u64,
-    /// What the process may use.
+    /// Limits on the resources of the process.
     pub limits: Limits,
-    /// Where peers send datagrams.
+    /// The UDP address on which the host receives datagrams of other hosts. `None` if it has no peers.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each host, by their numbers.
+    /// The UDP address of the host with number `i` at index `i`, this host included.
     pub peers: Vec<SocketAddr>,
-    /// The endpoint list as this host last had it, perhaps long ago.
+    /// The endpoint list that was stored in an earlier run of the host. It may be outdated.
     pub stored_endpoints: Option<Page>,
     /// The scheduler's configuration.
     pub config: SchedulerConfig,
-    /// Names of zones, plans and request classes.
+    /// Maps the names of zones, plans and request classes to their ids.
     pub names: Names,
-    /// The settings that concern connections and messages.
+    /// Settings for connections to nodes and for the validation of requests.
     pub reach: Reach,
 }
 
 impl SettingsDocument {
-    /// Reads a document; `file` names it in errors.
+    /// Parses a document. `file` is the name of the document in errors.
     ///
     /// # Errors
-    /// The text is no JSON, a value is missing or invalid, or settings contradict each other. The error names the
-    /// place and what was expected.
+    /// The text is not valid JSON, a value is missing or invalid, or settings contradict each other. The error states
+    /// the place and what was expected.
     pub fn parse(file: &str, text: &str) -> Result<SettingsDocument, Box<DocumentError>> {
         let source = Source { file, text };
         let raw = source.deserialize()?;
@@ -144,7 +148,7 @@
             name: raw.name,
             listen: raw.listen,
             discovery: raw.discovery,
-            // A seed of another form is hashed: it only has to differ from start to start.
+            // A seed that is not a hexadecimal number is hashed: it only has to differ between starts.
             seed: u64::from_str_radix(&raw.seed, 16).unwrap_or_else(|_| hash(&raw.seed)),
             limits: raw.limits,
             peer_listen: raw.peer_listen,
@@ -160,11 +164,11 @@
 /// A condition on a value of the document.
 struct Rule {
     is_broken: bool,
-    /// The place and what was expected there.
+    /// The path of the value and what was expected there.
     expected: &'static str,
 }
 
-/// The conditions that the types of the document do not express.
+/// Conditions that deserialization does not check.
 fn rules(raw: &Written, config: &SchedulerConfig, reach: &Reach) -> [Rule; 5] {
     let memory_mb = raw.limits.memory_mb;
     [
@@ -191,20 +195,20 @@
     ]
 }
 
-/// The text of a document, for errors that point into it.
+/// The text of a document and its name, for errors that point into the text.
 struct Source<'a> {
     file: &'a str,
     text: &'a str,
 }
 
 impl Source<'_> {
-    fn error(&self, what: String, help: &str, place: Option<SourceSpan>) -> Box<DocumentError> {
+    fn error(&self, message: String, help: &str, span: Option<SourceSpan>) -> Box<DocumentError> {
         let text = NamedSource::new(self.file, self.text.to_string()).with_language("json");
         Box::new(DocumentError {
-            what,
+            message,
             help: help.into(),
             text,
-            place,
+            span,
         })
     }
 
@@ -218,7 +222,7 @@
             self.error(
                 format!("{file}, {place}, at {path}: {error}"),
                 "expected a JSON object with listen, discovery, limits and settings",
-                Some(self.place_of(&error)),
+                Some(self.span_of(&error)),
             )
         })?;
         json.end().map_err(|error| {
@@ -226,12 +230,13 @@
             self.error(
                 format!("{file}, {place}: {error}"),
                 "expected one JSON object and nothing after it",
-                Some(self.place_of(&error)),
+                Some(self.span_of(&error)),
             )
         })?;
         Ok(raw)
     }
 
+    /// Checks the values of the document and that its settings do not contradict each other.
     fn validate(
         &self,
         raw: &Written,
@@ -248,14 +253,14 @@
             return Err(self.error(
                 format!("{file}, settings.{place}: {}", contradiction.meant),
                 "expected settings that agree with each other",
-                self.place_of_key(place),
+                self.span_of_key(place),
             ));
         }
         Ok(())
     }
 
-    /// The place at which the JSON parser stopped.
-    fn place_of(&self, error: &serde_json::Error) -> SourceSpan {
+    /// The place in the text at which the JSON parser stopped.
+    fn span_of(&self, error: &serde_json::Error) -> SourceSpan {
         let lines_before = self
             .text
             .split_inclusive('\n')
@@ -264,16 +269,17 @@
         SourceSpan::from((offset.min(self.text.len().saturating_sub(1)), 0))
     }
 
-    /// Finds the last key of a path such as `policies[1].limit` in the text, step by step.
-    fn place_of_key(&self, path: &str) -> Option<SourceSpan> {
+    /// The place of the last key of a path below `settings`, such as `policies[1].limit`. Searches the text for each
+    /// segment of the path in turn. `None` if one is not found.
+    fn span_of_key(&self, path: &str) -> Option<SourceSpan> {
         let mut offset = self.text.find("\"settings\"")?;
         let mut length = 0;
-        for step in path.split('.') {
-            let (name, index) = step.split_once('[').unwrap_or((step, "]"));
+        for segment in path.split('.') {
+            let (name, index) = segment.split_once('[').unwrap_or((segment, "]"));
             let quoted = format!("\"{name}\"");
             offset += self.text[offset..].find(&quoted)?;
             length = quoted.len();
-            // The element of a list begins with the opening brace of this number.
+            // The list element with this index begins at the opening brace with the same index.
             if let Ok(index) = index.trim_end_matches(']').parse::<usize>() {
                 offset += self.text[offset..].match_indices('{').nth(index)?.0;
             }
