--- a/crates/platform/src/runtime.rs
+++ b/crates/platform/src/runtime.rs
@@ -1,8 +1,8 @@
-//! The part of the platform's host that does I/O: sockets, one timer, signals, the clock. It passes every event to
-//! [`Core`] and carries out the outputs; it decides nothing.
+//! Does all I/O of the platform's host: sockets, a timer, signals and the clock. It passes events to [`Core`] and
+//! carries out the core's outputs.
 //!
-//! [`run`] is the event loop. Each connection is a task of its own ([`connection`]), which `sockets` owns and
-//! ends; `reload` reads the settings document while the loop goes on.
+//! [`run`] is the event loop. Each connection has a task ([`connection`]), which `sockets` starts and ends. `reload`
+//! reads the settings document in the background.
 
 pub mod connection;
 mod reload;
@@ -24,16 +24,16 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
-/// Most events of all connections that wait to be handled; when the queue is full, sockets are not read.
+/// Capacity of the queue of events of all connections. While it is full, connections are not read.
 const EVENT_QUEUE: usize = 64;
-/// Most events handled before the scheduler runs and outputs are carried out.
+/// Most events handled before the core advances and its outputs are carried out.
 const EVENT_BATCH: usize = 64;
-/// Bytes read of a datagram: one more than the longest peer message, so that a longer one is recognised.
+/// Most bytes read of a datagram: one more than the longest peer message, so that the core recognises a longer one.
 const DATAGRAM_BYTES: usize = 257;
-/// Largest settings document that is read, in bytes: bounds the memory that a wrong file can take.
+/// Largest settings document that is read, in bytes. It bounds the memory that a wrong file can occupy.
 const MAX_DOCUMENT_BYTES: u64 = 4 << 20;
 
-/// The signals of the process. They are registered before anything else: by default SIGHUP ends the process.
+/// Receives the signals of the process. It has to be registered first, since by default SIGHUP ends the process.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -44,7 +44,7 @@
     /// Registers handlers for SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// The operating system refuses, or no tokio runtime is running.
+    /// The operating system refuses a handler, or no tokio runtime is running.
     pub fn register() -> Result<Signals> {
         let register = |kind| {
             signal(kind)
@@ -62,7 +62,7 @@
 /// Reads a settings document from a file.
 ///
 /// # Errors
-/// The file cannot be read, or its content is invalid: the error names the place and what was expected.
+/// The file cannot be read, or its content is invalid. The error states the place and what was expected.
 pub fn read_settings(file: &Path) -> Result<SettingsDocument> {
     let name = file.display().to_string();
     let size = std::fs::metadata(file)
@@ -80,10 +80,11 @@
     SettingsDocument::parse(&name, &text).map_err(|error: Box<DocumentError>| Report::new(*error))
 }
 
-/// Serves until a signal ends it and all open requests are answered.
+/// Runs the host until a signal has ended it and all open requests are answered. Reads `file` again at each SIGHUP.
+/// Returns the final counters.
 ///
 /// # Errors
-/// An address of the document cannot be listened on.
+/// The host cannot listen on an address of the document.
 pub async fn run(
     file: PathBuf,
     document: SettingsDocument,
@@ -111,7 +112,7 @@
                 if sockets.core.can_accept() => sockets.handle_accepted(accepted),
             _ = events.recv_many(&mut batch, EVENT_BATCH) => sockets.handle_events(&mut batch),
             received = receive_datagram(sockets.peers.as_ref(), &mut datagram) => {
-                // A failed read concerns one datagram, which counts as lost.
+                // A failed read affects one datagram, which is treated as lost.
                 if let Ok(Datagram { length, from }) = received {
                     sockets.handle_datagram(from, &datagram[..length]);
                 }
@@ -123,7 +124,7 @@
     }
 }
 
-/// Listens for clients and peers, and begins to connect to discovery.
+/// Opens the sockets for clients and peers, and creates the core, which starts to connect to discovery.
 async fn open_sockets(
     document: SettingsDocument,
     clock: HostClock,
@@ -154,7 +155,7 @@
         .map(Some)
 }
 
-/// Accepts one connection, not before `from`; never completes once the listener is closed.
+/// Accepts one connection, but not before `from`. Never completes if `listener` is `None`, that is, closed.
 async fn accept(
     listener: Option<&TcpListener>,
     from: tokio::time::Instant,
@@ -168,7 +169,7 @@
     listener.accept().await.map(|(stream, _)| stream)
 }
 
-/// A datagram that was read into a buffer.
+/// The length and the sender of a datagram that was read into a buffer.
 struct Datagram {
     length: usize,
     from: SocketAddr,
@@ -186,7 +187,7 @@
     Ok(Datagram { length, from })
 }
 
-/// Never completes without a time.
+/// Sleeps until `time`. Never completes if it is `None`.
 async fn sleep_until(time: Option<tokio::time::Instant>) {
     match time {
         Some(time) => tokio::time::sleep_until(time).await,
--- a/crates/platform/src/runtime/connection.rs
+++ b/crates/platform/src/runtime/connection.rs
@@ -1,5 +1,5 @@
-//! One connection as a task: it reads, and carries out one order at a time. Its owner ends it by aborting the task;
-//! any other end is reported as the last event.
+//! The task of one connection. It reports received bytes and carries out one order at a time. Its owner may abort the
+//! task to close the connection at once; any other end is reported as the last event, [`SocketEvent::Closed`].
 
 use crate::core::ConnectionId;
 use bytes::Bytes;
@@ -13,86 +13,91 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Most bytes read at once, and so in one event.
+/// Most bytes read at once and reported in one event.
 const READ_BYTES: usize = 8 << 10;
-/// A connection is closed if its client has not read its response within this time.
+/// A connection is closed if a response cannot be written within this time, since the client does not read it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most bytes discarded after the last response. A close with unread bytes resets the connection, which destroys the
-/// response on its way; the bound keeps a client from sending for ever.
+/// Most bytes discarded after the last response. Input is discarded because closing a socket with unread bytes resets
+/// the connection, and the client loses the part of the response that it has not received. The bound disconnects a
+/// client that sends without end.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// How long input is discarded after the last response, for the same reason.
+/// Longest time for which input is discarded after the last response.
 const DISCARD_TIME: Duration = Duration::from_millis(700);
 
-/// An event of a connection.
+/// An event that a connection's task reports.
 #[derive(Debug)]
 pub enum SocketEvent {
     /// The connection is established.
     Connected,
-    /// Bytes were read.
+    /// Bytes were read from the connection.
     Received(Bytes),
-    /// The operating system has taken the whole message.
+    /// The operating system has accepted all bytes of the message.
     Written,
-    /// The connection was found closed before a byte of the message was written.
+    /// No byte of the message of an [`Order::Send`] was written, since the other side had closed the connection or sent
+    /// input that the owner had not handled. The connection closes.
     NotWritten,
-    /// This side's direction is closed.
+    /// The host's direction of the connection is closed.
     WriteClosed,
-    /// The connection has ended; this is its last event.
+    /// The connection has ended. This is the last event.
     Closed,
 }
 
-/// An event, with the connection that it belongs to.
+/// An event of one of several connections that report to the same owner.
 #[derive(Debug)]
 pub struct ConnectionEvent {
-    /// The connection.
+    /// The connection that reports the event.
     pub conn: ConnectionId,
-    /// What happened.
+    /// The reported event.
     pub event: SocketEvent,
 }
 
 /// An order to a connection's task.
 #[derive(Debug)]
 pub enum Order {
-    /// Write a message, unless more was reported than the owner has handled, or there is unread input.
+    /// Write a message. If the other side has closed the connection, or there is input that the owner has not handled,
+    /// report [`SocketEvent::NotWritten`] and close the connection instead.
     Send {
-        /// The whole message.
+        /// The complete message.
         bytes: Bytes,
-        /// How many received bytes the owner has handled.
+        /// How many bytes received on this connection the owner has handled.
         bytes_handled: u64,
     },
     /// Write a response.
     Respond(Bytes),
-    /// Write the last response, close this side's direction, discard input for a while, then close; or, if more was
-    /// reported than the owner has handled or there is unread input, write `if_more` and go on.
+    /// Write the last response and close the connection as with [`Order::FinishAndClose`]. If there is input that the
+    /// owner has not handled, write `if_more` instead and keep the connection open.
     RespondLast {
-        /// The response, which announces the close.
+        /// The response with `Connection: close`.
         bytes: Bytes,
-        /// The response without the announcement.
+        /// The response without `Connection: close`.
         if_more: Bytes,
-        /// How many received bytes the owner has handled.
+        /// How many bytes received on this connection the owner has handled.
         bytes_handled: u64,
     },
-    /// Discard all further input.
+    /// Discard all further input. Close the connection if it exceeds a bound.
     DiscardInput,
-    /// Close this side's direction, discard input for a while, then close.
+    /// Close the host's direction of the connection, discard input for a bounded time and then close the connection.
     FinishAndClose,
-    /// The same, under the condition of [`Order::Send`].
+    /// Close an idle connection as with [`Order::FinishAndClose`]. Do nothing if there is input that the owner has not
+    /// handled.
     CloseIdle {
-        /// How many received bytes the owner has handled.
+        /// How many bytes received on this connection the owner has handled.
         bytes_handled: u64,
     },
 }
 
-/// Where a connection's task reports its events.
+/// The queue into which connection tasks put their events.
 pub type EventSender = mpsc::Sender<ConnectionEvent>;
 
-/// Connects to an address, then serves the connection.
+/// Connects to an address and then serves the connection. An address that is not an IP address with a port counts as a
+/// connection that could not be established.
 pub async fn connect(
     conn: ConnectionId,
     address: String,
     orders: mpsc::Receiver<Order>,
     events: EventSender,
 ) {
-    // Names are not resolved: the platform has no name service.
+    // Host names are not resolved: the platform has no name service.
     if let Ok(address) = address.parse::<SocketAddr>()
         && let Ok(stream) = TcpStream::connect(address).await
         && events
@@ -110,7 +115,7 @@
 
 /// Reports the last event of a connection.
 async fn report_closed(conn: ConnectionId, events: &EventSender) {
-    // An owner that is gone needs no report.
+    // Sending fails only if the owner no longer receives events; then nothing has to be reported.
     let _ = events
         .send(ConnectionEvent {
             conn,
@@ -126,8 +131,8 @@
     mut orders: mpsc::Receiver<Order>,
     events: EventSender,
 ) {
-    // Without TCP_NODELAY a small message may wait for an acknowledgement. A socket that refuses the option has
-    // failed, which the next read reports.
+    // Without TCP_NODELAY a small message may be delayed until the other side acknowledges earlier data. If the socket
+    // rejects the option, it has failed, and the next read reports that.
     let _ = stream.set_nodelay(true);
     let mut connection = Connection {
         conn,
@@ -136,17 +141,17 @@
         bytes_reported: 0,
         discard_left: None,
     };
-    // An owner that is gone needs no result.
+    // The error means that the owner is gone; then nothing has to be reported.
     let _ = connection.run(&mut orders).await;
     let Connection { stream, events, .. } = connection;
     drop(stream);
     report_closed(conn, &events).await;
 }
 
-/// The owner does not read events any more.
+/// The owner no longer receives events.
 struct OwnerGone;
 
-/// Whether a connection goes on after an order or a read.
+/// Whether the connection stays open after an order or a read.
 #[derive(PartialEq)]
 enum Next {
     Continue,
@@ -157,8 +162,9 @@
     conn: ConnectionId,
     stream: TcpStream,
     events: EventSender,
+    /// How many received bytes were reported to the owner.
     bytes_reported: u64,
-    /// How many more bytes are discarded; `None` while input is reported.
+    /// How many more bytes may be discarded before the connection is closed. `None` while input is reported.
     discard_left: Option<usize>,
 }
 
@@ -196,7 +202,7 @@
                 bytes,
                 bytes_handled,
             } => {
-                if !self.no_unseen_input(bytes_handled) {
+                if !self.no_unhandled_input(bytes_handled) {
                     self.report(SocketEvent::NotWritten).await?;
                     return Ok(Next::Close);
                 }
@@ -210,14 +216,14 @@
                 if_more,
                 bytes_handled,
                 ..
-            } if !self.no_unseen_input(bytes_handled) => return self.respond(&if_more).await,
+            } if !self.no_unhandled_input(bytes_handled) => return self.respond(&if_more).await,
             Order::RespondLast { bytes, .. } => {
                 if self.write_response(&bytes).await {
                     self.linger().await?;
                 }
                 return Ok(Next::Close);
             }
-            Order::CloseIdle { bytes_handled } if !self.no_unseen_input(bytes_handled) => {}
+            Order::CloseIdle { bytes_handled } if !self.no_unhandled_input(bytes_handled) => {}
             Order::CloseIdle { .. } | Order::FinishAndClose => {
                 self.linger().await?;
                 return Ok(Next::Close);
@@ -226,7 +232,7 @@
         Ok(Next::Continue)
     }
 
-    /// Writes a response and reports so.
+    /// Writes a response and reports [`SocketEvent::Written`].
     async fn respond(&mut self, bytes: &Bytes) -> Result<Next, OwnerGone> {
         if !self.write_response(bytes).await {
             return Ok(Next::Close);
@@ -235,7 +241,7 @@
         Ok(Next::Continue)
     }
 
-    /// Whether the client has taken the whole response in time.
+    /// Writes a response. Returns whether all of it was written in time.
     async fn write_response(&mut self, bytes: &Bytes) -> bool {
         let written = timeout(WRITE_TIMEOUT, self.stream.write_all(bytes)).await;
         matches!(written, Ok(Ok(())))
@@ -258,17 +264,19 @@
         Ok(Next::Continue)
     }
 
-    /// Whether the owner has handled all input. Input that was reported but not handled counts, and so does input
-    /// that is still unread: the socket itself is peeked for that, since the runtime's readiness may be out of date.
-    fn no_unseen_input(&self, bytes_handled: u64) -> bool {
+    /// Whether the connection is open and the owner has handled all input. Checks both input that was reported but not
+    /// handled and input that is unread. To find unread input, it peeks at the socket, since the readiness state of the
+    /// async runtime may be out of date.
+    fn no_unhandled_input(&self, bytes_handled: u64) -> bool {
         let mut one_byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut one_byte);
         self.bytes_reported == bytes_handled
             && matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Closes this side's direction and discards further input, for a bounded time and size. An immediate close would
-    /// answer such input with a reset, which destroys what the other side has not read yet.
+    /// Closes the host's direction and discards further input up to a bounded time and size. After an immediate close,
+    /// the operating system would answer such input with a reset, and the other side would lose data that it has not
+    /// read yet.
     async fn linger(&mut self) -> Result<(), OwnerGone> {
         if self.stream.shutdown().await.is_err() {
             return Ok(());
@@ -287,7 +295,7 @@
     }
 }
 
-/// Reads what is there: `None` if nothing is, empty if the other side has closed its direction.
+/// Reads available bytes. Returns `None` if there are none, and empty bytes if the other side has closed its direction.
 fn read_available(stream: &TcpStream) -> io::Result<Option<Bytes>> {
     let mut buffer = [0; READ_BYTES];
     match stream.try_read(&mut buffer) {
--- a/crates/platform/src/runtime/reload.rs
+++ b/crates/platform/src/runtime/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings document again, on a thread of its own while the event loop goes on.
+//! Reads the settings document again, on a separate thread so that the event loop is not blocked.
 
 use super::read_settings;
 use crate::settings_document::SettingsDocument;
@@ -9,8 +9,9 @@
 /// Reads the settings document on request, one read at a time.
 pub(super) struct Reload {
     file: PathBuf,
+    /// The read in progress, if any.
     reading: Option<JoinHandle<Result<SettingsDocument>>>,
-    /// Requested while the file was being read, which may have changed since.
+    /// A reload was requested during the read in progress. The file may have changed since that read began.
     requested_again: bool,
 }
 
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Starts to read the file, or remembers to read it again when the present read is finished.
+    /// Starts to read the file. If a read is in progress, the file is read once more after it.
     pub(super) fn request(&mut self) {
         if self.reading.is_some() {
             self.requested_again = true;
@@ -37,7 +38,7 @@
         self.reading = Some(tokio::task::spawn_blocking(move || read_settings(&file)));
     }
 
-    /// Waits for the document; never completes while none is being read. Cancelling the wait loses nothing.
+    /// Waits for the read in progress and returns the document. Never completes if no read is in progress. Cancel-safe.
     pub(super) async fn finished(&mut self) -> Result<SettingsDocument> {
         let Some(reading) = &mut self.reading else {
             return std::future::pending().await;
--- a/crates/platform/src/runtime/sockets.rs
+++ b/crates/platform/src/runtime/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a host: the tasks of its connections, the listener and the UDP socket to its peers.
+//! The sockets of a host: the tasks of its connections, the listener, and the UDP socket for datagrams of peers.
 
 use super::connection::{self, ConnectionEvent, EventSender, Order, SocketEvent};
 use crate::core::{ConnectionId, Core, Input, Metrics, Output};
@@ -17,15 +17,15 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Most orders that wait at one connection. A connection has one message in flight, so a few suffice: a response, its
-/// end, and what belongs to them. A task whose queue is full does not follow its orders and is ended.
+/// Capacity of the queue of orders of one connection. A connection carries one message at a time, so few orders are
+/// queued. A task whose queue is full no longer makes progress and is aborted.
 const ORDER_QUEUE: usize = 8;
 
-/// Pause after a failure to accept, mostly for want of descriptors. Without it the loop would spin until one is
-/// free.
+/// Delay after accepting a connection failed, mostly for want of descriptors. Without it the event loop would retry
+/// without pause until a descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How the owner reaches the task of one connection.
+/// The queue and the task of one connection.
 struct ConnectionHandle {
     orders: mpsc::Sender<Order>,
     task: AbortHandle,
@@ -38,8 +38,9 @@
     pub(super) tasks: JoinSet<()>,
     event_sender: EventSender,
     pub(super) listener: Option<TcpListener>,
-    /// The listener while its backlog is emptied, after which it is closed.
-    backlog: Option<std::net::TcpListener>,
+    /// The listener during the shutdown, while connections in its backlog are still accepted. It is closed when the
+    /// backlog is empty.
+    closing_listener: Option<std::net::TcpListener>,
     pub(super) peers: Option<UdpSocket>,
     /// No connection is accepted before this time.
     pub(super) accept_from: Instant,
@@ -61,14 +62,14 @@
             tasks: JoinSet::new(),
             event_sender,
             listener: Some(listener),
-            backlog: None,
+            closing_listener: None,
             peers,
             accept_from: Instant::now(),
             shutting_down: false,
         }
     }
 
-    /// SIGTERM or SIGINT: after the first one open requests are finished, after the second they fail.
+    /// Handles SIGTERM or SIGINT. After the first signal open requests are finished, after the second they fail.
     pub(super) fn shut_down(&mut self) {
         let input = if self.shutting_down {
             Input::ShutdownNow
@@ -79,13 +80,13 @@
         self.core.handle(self.clock.now(), input);
     }
 
-    /// Ends all connections.
+    /// Aborts the tasks of all connections and returns the final counters.
     pub(super) async fn close(mut self) -> Metrics {
         self.tasks.shutdown().await;
         self.core.metrics().clone()
     }
 
-    /// Starts the task of a client connection.
+    /// Adds a client connection to the core and starts its task.
     fn add_client(&mut self, stream: TcpStream) {
         let conn = self.core.accept(self.clock.now());
         let (orders, queue) = mpsc::channel(ORDER_QUEUE);
@@ -111,7 +112,7 @@
             .insert(conn, ConnectionHandle { orders, task });
     }
 
-    /// A settings document was read again.
+    /// Passes a settings document that was read again to the core, or logs why it is rejected.
     pub(super) fn handle_document(&mut self, read: miette::Result<SettingsDocument>) {
         match read {
             Ok(document) => {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// A connection was accepted, or accepting failed.
+    /// Adds an accepted connection. After a failure, accepting is paused for [`ACCEPT_RETRY_DELAY`].
     pub(super) fn handle_accepted(&mut self, accepted: io::Result<TcpStream>) {
         match accepted {
             Ok(stream) => self.add_client(stream),
@@ -169,13 +170,13 @@
             if outputs.is_empty() {
                 return exiting;
             }
-            let mut stuck = Vec::new();
+            let mut full_queues = Vec::new();
             for output in outputs {
                 exiting |= output == Output::Exit;
-                stuck.extend(self.carry_out(output));
+                full_queues.extend(self.carry_out(output));
             }
-            // Their tasks do not follow their orders, so they are ended.
-            for conn in stuck {
+            // The tasks of these connections no longer make progress, so they are aborted.
+            for conn in full_queues {
                 if let Some(handle) = self.connections.remove(&conn) {
                     handle.task.abort();
                     self.core.handle(self.clock.now(), Input::Closed(conn));
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Returns the connection if its queue is full.
+    /// Carries out one output. Returns the connection if its queue of orders is full.
     fn carry_out(&mut self, output: Output) -> Option<ConnectionId> {
         match output {
             Output::Send {
@@ -232,47 +233,48 @@
         let handle = self.connections.get(&conn)?;
         match handle.orders.try_send(order) {
             Err(TrySendError::Full(_)) => Some(conn),
-            // A task that has ended reports so.
+            // A task that has ended has reported `SocketEvent::Closed`.
             Ok(()) | Err(TrySendError::Closed(_)) => None,
         }
     }
 
-    /// Ends the task of a connection, and with it the connection.
+    /// Aborts the task of a connection, which closes the connection.
     fn abort(&mut self, conn: ConnectionId) {
         if let Some(handle) = self.connections.remove(&conn) {
             handle.task.abort();
         }
     }
 
-    /// Sends without waiting.
+    /// Sends a datagram without waiting for the socket.
     fn send_datagram(&self, to: SocketAddr, bytes: &Bytes) {
         if let Some(peers) = &self.peers {
-            // A datagram that the socket does not take is lost, like one that the network loses: the next report
+            // If the socket does not accept a datagram, it is lost as if the network had lost it. The next report
             // replaces it.
             let _ = SockRef::from(peers).send_to(bytes, &to.into());
         }
     }
 
-    /// The listener is closed once its backlog is empty: the clients in it take their connections for established and may
-    /// have sent a request.
+    /// Closes the listener after the connections in its backlog have been accepted. To their clients these connections
+    /// are established, and they may have sent a request.
     fn stop_accepting(&mut self) {
         let Some(Ok(listener)) = self.listener.take().map(TcpListener::into_std) else {
             return;
         };
-        self.backlog = Some(listener);
+        self.closing_listener = Some(listener);
         self.accept_backlog();
-        if let Some(listener) = &self.backlog {
-            // From now on the operating system establishes no more connections than are accepted: clients that come later
-            // are refused once the listener is closed. Without this, those that connect again and again keep it open.
+        if let Some(listener) = &self.closing_listener {
+            // From now on the operating system establishes no more connections than the host accepts, so the backlog
+            // becomes empty. Otherwise clients that keep connecting would keep the listener open. Later clients are
+            // refused once it is closed.
             let _ = SockRef::from(listener).listen(0);
             self.core.handle(self.clock.now(), Input::BacklogWaits);
         }
     }
 
-    /// Accepts what waits in the backlog of the listener that is to be closed, as far as there are slots and descriptors.
-    /// Closes the listener when nothing waits.
+    /// Accepts connections from the backlog of the closing listener while there are slots and descriptors. Closes the
+    /// listener when the backlog is empty.
     pub(super) fn accept_backlog(&mut self) {
-        let Some(listener) = self.backlog.take() else {
+        let Some(listener) = self.closing_listener.take() else {
             return;
         };
         while self.core.can_accept() {
@@ -284,11 +286,11 @@
                     info!("listener closed");
                     return;
                 }
-                // Mostly for want of descriptors, which others release as they end.
+                // Mostly for want of descriptors, which become free as other connections end.
                 Err(_) => break,
             }
         }
-        self.backlog = Some(listener);
+        self.closing_listener = Some(listener);
     }
 
     fn add_backlog_client(&mut self, stream: std::net::TcpStream) {
@@ -300,9 +302,9 @@
         }
     }
 
-    /// When to try the backlog again, if some of it waits.
+    /// When to accept from the backlog again. `None` if there is no closing listener.
     pub(super) fn backlog_retry(&self) -> Option<Instant> {
-        let waits = self.backlog.is_some();
-        waits.then(|| Instant::now() + ACCEPT_RETRY_DELAY)
+        let is_closing = self.closing_listener.is_some();
+        is_closing.then(|| Instant::now() + ACCEPT_RETRY_DELAY)
     }
 }
