--- a/crates/platform/tests/platform/attempts.rs
+++ b/crates/platform/tests/platform/attempts.rs
@@ -1,26 +1,26 @@
-//! Every outcome of an attempt, and which connection may carry it.
+//! The outcomes of attempts, and the connections on which they are sent.
 
 use crate::rig::{NODES, PEER, Rig, page, request_text, response};
 use gullsail_platform::core::{Input, Output};
 
-/// The header by which a node says that it did not run the request.
+/// The header with which a node states that it did not run the request.
 const NEVER_RAN: &str = "X-Never-Ran: 1\r\n";
 
-/// What a node, or the network, does once the attempt is written.
+/// What happens on the connection after the message of an attempt is written.
 enum NodeBehaviour {
     Responds(String),
     Closes,
     Nothing,
 }
 
-/// An attempt of a request that must not run twice, how its node behaves, and what follows.
+/// How a node behaves towards an attempt of a request that is not idempotent, and the expected results.
 struct Outcome {
     behaviour: NodeBehaviour,
-    /// How the attempt ends.
+    /// The key under which the metrics count the attempt.
     outcome: &'static str,
-    /// What the client is answered.
+    /// The status of the response to the client.
     status: &'static str,
-    /// Whether the connection carries another message.
+    /// Whether the next attempt is sent on the same connection.
     reusable: bool,
 }
 
@@ -61,7 +61,7 @@
         assert_eq!(
             rig.size("requests"),
             rig.size("attempts"),
-            "{case}: the request is forgotten"
+            "{case}: the finished request is removed"
         );
     }
 }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn other_and_malformed_responses_fail() {
+fn responses_with_another_status_and_malformed_ones_fail() {
     let too_large = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx";
     let cases = [
         (response(500, "", ""), true),
@@ -136,7 +136,7 @@
     }
 }
 
-/// Why an attempt did not run.
+/// Why the node did not run an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum NeverRan {
     Rejected,
@@ -146,8 +146,8 @@
 }
 
 impl NeverRan {
-    /// Plays it on the first connection. Returns the outcome that is counted.
-    fn play(self, rig: &mut Rig) -> &'static str {
+    /// Simulates the cause on the first connection. Returns the outcome that the metrics count.
+    fn simulate(self, rig: &mut Rig) -> &'static str {
         let conn = rig.connections_to(NODES[0].1)[0];
         match self {
             NeverRan::Rejected => {
@@ -179,13 +179,13 @@
     ] {
         let mut rig = Rig::new();
         let client = rig.client_sending(&request_text("once", 7, 0));
-        let outcome = cause.play(&mut rig);
+        let outcome = cause.simulate(&mut rig);
         let outcomes = &rig.metrics().attempt_outcomes;
         assert_eq!(rig.outcome_count(outcome), 1, "{cause:?}: {outcomes:?}");
         rig.advance_time(100.0);
         assert!(
             rig.statuses(client).is_empty(),
-            "{cause:?}: it is still open"
+            "{cause:?}: the request is still open"
         );
         if cause != NeverRan::Rejected {
             rig.establish(0);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn forwarded_messages_are_unchanged_but_for_the_time_left() {
+fn forwarded_messages_differ_only_in_their_deadline() {
     let mut rig = Rig::new();
     rig.client_sending(&request_text("write", 0xab, 0));
     let conn = rig.establish(0);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_connection_found_closed_costs_the_attempt_nothing() {
+fn an_attempt_whose_idle_connection_was_closed_is_sent_on_a_new_one() {
     let mut rig = Rig::new();
     rig.client_sending(&request_text("once", 1, 0));
     let old = rig.establish(0);
@@ -263,8 +263,8 @@
 }
 
 #[test]
-fn an_attempt_that_waited_for_its_connection_is_checked_again() {
-    // The change of the list while it waits, and whether the attempt is still sent.
+fn after_the_wait_for_a_connection_an_attempt_is_sent_only_to_a_ready_node() {
+    // The change of the list during the wait, and whether the attempt is sent after it.
     let drains = page(2, false, &[(0, "DRAINING", 0.0)]);
     let other = page(2, false, &[(1, "DRAINING", 0.0)]);
     for (change, is_sent) in [(Some(&drains), false), (Some(&other), true), (None, true)] {
@@ -276,18 +276,18 @@
             rig.discovery_answers(change);
         }
         rig.input(Input::Connected(conn));
-        let first = usize::from(!rig.sent(conn).is_empty());
+        let sent_count = usize::from(!rig.sent(conn).is_empty());
         assert_eq!(
-            (first == 1, rig.outcome_count("not_sent")),
+            (sent_count == 1, rig.outcome_count("not_sent")),
             (is_sent, u64::from(!is_sent)),
             "{change:?}"
         );
     }
 }
 
-/// The attempt was decided for another process than the one that serves now, so it is decided again.
+/// The scheduler decided on the attempt when another process of the node was running, so it has to decide again.
 #[test]
-fn an_attempt_is_not_sent_to_a_node_that_was_restarted_meanwhile() {
+fn an_attempt_is_not_sent_to_a_node_that_was_restarted_during_the_wait() {
     let restarted = page(2, false, &[(0, "SERVING", 50.0)]);
     let mut rig = Rig::new();
     rig.client_sending(&request_text("read", 1, 0));
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_attempt_is_not_sent_for_a_client_that_disconnected_meanwhile() {
+fn an_attempt_is_not_sent_for_a_client_that_disconnected_during_the_wait() {
     let mut rig = Rig::new();
     let client = rig.client_sending(&request_text("read", 1, 0));
     let conn = rig.connections_to(NODES[0].1)[0];
@@ -309,21 +309,23 @@
     assert_eq!(rig.size("requests"), 0);
 }
 
-/// A connection is lost with an attempt in flight, and another sign of life follows.
+/// The loss of a connection with an attempt in flight, and the next sign of life of the node.
 #[derive(Debug)]
 struct Loss {
-    /// How long before the loss the node last showed a sign of life, in ms.
+    /// The time from the last sign of life before the loss to the loss, in ms.
     alive_before_ms: f64,
-    /// How long after the loss the next sign comes, in ms.
+    /// The time from the loss to the next sign of life, in ms.
     alive_after_ms: f64,
-    /// The sign comes on a connection that was established before the loss, else it is a new connection.
+    /// Whether the next sign of life is a response on a connection that was established before the loss. Otherwise it
+    /// is a new connection.
     on_older_connection: bool,
-    /// The signs show that the process is the same.
+    /// Whether the signs of life rule out a restart.
     same_process: bool,
 }
 
 impl Loss {
-    /// A host whose connections to the node were used once; one more than it will lose if another has to be older.
+    /// A host that has used each of its connections to the node once. There are two if the next sign of life is to come
+    /// on an older connection, otherwise one.
     fn rig(&self) -> Rig {
         let mut rig = Rig::new();
         let requests = 1 + u64::from(self.on_older_connection);
@@ -369,7 +371,7 @@
 }
 
 #[test]
-fn a_lost_connection_is_no_restart_where_the_sockets_prove_it() {
+fn signs_of_life_around_a_lost_connection_may_rule_out_a_restart() {
     let cases = [
         (10.0, 10.0, false, true),
         (10.0, 300.0, false, false),
@@ -388,9 +390,9 @@
     }
 }
 
-/// Discovery reports every start within six seconds, so a page after that without one is proof too.
+/// Discovery reports a restart within six seconds. A page that is received later without one rules out a restart.
 #[test]
-fn a_lost_connection_without_news_from_discovery_was_no_restart() {
+fn a_restart_that_discovery_does_not_report_within_six_seconds_is_ruled_out() {
     let mut rig = Rig::new();
     rig.client_sending(&request_text("once", 1, 0));
     let conn = rig.establish(0);
@@ -403,12 +405,12 @@
 }
 
 #[test]
-fn one_request_per_connection_and_the_last_used_first() {
+fn connections_carry_one_request_and_the_most_recently_used_is_reused_first() {
     let mut rig = Rig::new();
     let first = rig.client_sending(&request_text("read", 1, 0));
     let second = rig.client_sending(&request_text("read", 2, 0));
     let conns = rig.connections_to(NODES[0].1);
-    assert_eq!(conns.len(), 2, "each on a connection of its own");
+    assert_eq!(conns.len(), 2, "each request has a separate connection");
     for conn in &conns {
         rig.input(Input::Connected(*conn));
         rig.input(Input::Written(*conn));
@@ -425,7 +427,7 @@
 }
 
 #[test]
-fn peers_are_recognised_by_address() {
+fn datagrams_that_are_too_long_or_of_unknown_senders_are_foreign() {
     let mut rig = Rig::new();
     for (from, size) in [("10.3.0.9:7946", 10), (PEER, 257), (PEER, 10)] {
         rig.input(Input::Datagram(from.parse().unwrap(), vec![0; size].into()));
@@ -438,7 +440,7 @@
         (2, 1)
     );
     assert!(
-        rig.out
+        rig.outputs
             .iter()
             .all(|output| !matches!(output, Output::Datagram { .. }))
     );
--- a/crates/platform/tests/platform/clients.rs
+++ b/crates/platform/tests/platform/clients.rs
@@ -1,9 +1,9 @@
-//! Responses to requests and to invalid messages, and clients that disconnect at every stage.
+//! Responses to requests and to invalid messages, pipelined requests, and clients that disconnect.
 
 use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{ConnectionId, Input, Output};
 
-/// A change that makes a valid write request invalid, and the status that it is answered with.
+/// A replacement that makes a valid write request invalid, and the expected status of the response.
 struct Change {
     from: &'static str,
     to: &'static str,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_duplicate_trace_id_is_refused_and_the_first_request_goes_on() {
+fn a_duplicate_trace_id_is_refused_and_the_first_request_is_served() {
     let mut rig = Rig::new();
     let first = rig.client_sending(&request_text("read", 7, 0));
     let conn = rig.establish(0);
@@ -114,12 +114,12 @@
     );
     rig.receive(conn, &response(200, "", "b"));
     assert_eq!(rig.statuses(first), ["200"]);
-    // Once it is over, the id may come again.
+    // After the first request is answered, the id may be used again.
     rig.receive(first, &request_text("read", 7, 0));
     assert_eq!(rig.metrics().requests_accepted, 2);
 }
 
-/// When a client disconnects.
+/// The stage of a client's request at which the client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Connected,
@@ -131,8 +131,8 @@
 }
 
 impl Stage {
-    /// A client at this stage, and the connection that carries its attempt.
-    fn play(self, rig: &mut Rig) -> (ConnectionId, Option<ConnectionId>) {
+    /// Returns a client at this stage, and the connection on which its attempt was sent, if any.
+    fn simulate(self, rig: &mut Rig) -> (ConnectionId, Option<ConnectionId>) {
         let text = request_text("write", 7, 0);
         let sent_bytes = match self {
             Stage::Connected => 0,
@@ -161,13 +161,13 @@
         Stage::Answered,
     ] {
         let mut rig = Rig::new();
-        let (client, conn) = stage.play(&mut rig);
+        let (client, conn) = stage.simulate(&mut rig);
         rig.input(Input::Closed(client));
         let open = matches!(stage, Stage::AttemptWaits | Stage::AttemptInFlight);
         let disconnected = rig.metrics().clients_disconnected;
         assert_eq!(disconnected, u64::from(open), "{stage:?}");
         if let (Stage::AttemptInFlight, Some(conn)) = (stage, conn) {
-            // Its attempt runs to its end, and the connection goes on.
+            // The attempt is not cancelled, and its connection is reused.
             assert!(!rig.closed(conn) && rig.size("attempts") == 1);
             rig.receive(conn, &response(200, "", "b"));
             rig.client_sending(&request_text("read", 8, 0));
@@ -187,7 +187,11 @@
     let client = rig.client_sending(
         &(request_text("read", 1, 0) + &request_text("read", 2, 0) + &request_text("read", 3, 0)),
     );
-    assert_eq!(rig.metrics().requests_accepted, 1, "one at a time");
+    assert_eq!(
+        rig.metrics().requests_accepted,
+        1,
+        "the host serves one request at a time"
+    );
     for trace in 1..=3 {
         let conn = if trace == 1 {
             rig.establish(0)
@@ -208,16 +212,16 @@
 
 /// How often the input of a connection was ordered to be discarded.
 fn discard_orders(rig: &Rig, client: ConnectionId) -> usize {
-    rig.out
+    rig.outputs
         .iter()
         .filter(|output| **output == Output::DiscardInput { conn: client })
         .count()
 }
 
-/// What is received beyond the bound is counted and not held, so that the end of the connection behind it is seen; each
-/// request of it is refused, in order, and the connection serves on.
+/// Messages beyond the buffer are counted but not stored, so that the host detects the end of the connection behind
+/// them. Each of them is refused in order, and the connection stays usable.
 #[test]
-fn a_client_that_sends_too_much_ahead_gets_a_response_to_each_request() {
+fn each_request_pipelined_beyond_the_buffer_is_refused() {
     let mut rig = Rig::new();
     let client = rig.client_sending(&request_text("read", 1, 0));
     let conn = rig.establish(0);
@@ -237,17 +241,17 @@
     assert_eq!(
         rig.metrics().requests_accepted,
         1,
-        "what waited is not sent on"
+        "refused requests are not passed to the scheduler"
     );
     assert!(!rig.finished(client));
     rig.receive(client, &request_text("read", 3, 0));
     assert_eq!(rig.metrics().requests_accepted, 2);
 }
 
-/// A flood behind an open request, or bytes that are no message: what was whole before is refused, the rest is discarded,
-/// and the last response announces the close.
+/// Behind an open request a client sends too much, or bytes that are not HTTP. The complete messages before that are
+/// refused, further input is discarded, and the last response announces the close.
 #[test]
-fn a_flood_behind_an_open_request_is_bounded_and_ends_the_connection() {
+fn pipelined_input_beyond_the_bound_is_discarded_and_ends_the_connection() {
     let noise = "x".repeat(20 << 10);
     let messages = request_text("read", 3, 0).repeat(1500);
     for (flood, least_refused) in [(noise, 20), (messages, 1000)] {
@@ -269,7 +273,7 @@
 }
 
 #[test]
-fn a_close_behind_much_input_is_seen_and_no_attempt_is_sent() {
+fn a_disconnect_behind_pipelined_input_is_detected_and_no_attempt_is_sent() {
     let mut rig = Rig::new();
     let client = rig.client_sending(&request_text("read", 1, 0));
     rig.receive(client, &request_text("read", 2, 0).repeat(60));
@@ -280,11 +284,11 @@
     assert_eq!(rig.size("requests"), 0);
 }
 
-/// While a client does not read its response, its next message is not served: the client may be gone.
+/// While a client does not read its response, its next message is not served: the client may have disconnected.
 #[test]
-fn the_next_message_is_read_when_the_response_is_written() {
+fn a_pipelined_request_is_served_after_the_previous_response_is_written() {
     let mut rig = Rig::new();
-    rig.stuck = true;
+    rig.withhold_writes = true;
     let client = rig.client_sending(&(request_text("read", 1, 0) + &request_text("read", 2, 0)));
     let conn = rig.establish(0);
     rig.receive(conn, &response(200, "", "b"));
@@ -299,7 +303,7 @@
 }
 
 #[test]
-fn a_slow_message_gets_an_error_in_time() {
+fn an_incomplete_message_is_refused_with_408_within_three_seconds() {
     for sent_bytes in ["", "GET", &request_text("write", 7, 0)[..200]] {
         let mut rig = Rig::new();
         let client = rig.client();
@@ -318,7 +322,7 @@
 }
 
 #[test]
-fn a_rejected_request_is_answered_at_once_with_retry_after() {
+fn a_request_without_a_ready_node_is_rejected_with_retry_after_at_its_objective() {
     let mut rig = Rig::new();
     rig.discovery_answers(&page(2, true, &[(1, "SERVING", 0.0)]));
     let client = rig.client_sending(&request_text("read", 7, 0));
@@ -334,9 +338,9 @@
 }
 
 #[test]
-fn health_says_whether_the_endpoint_list_is_known() {
+fn health_checks_succeed_after_the_first_endpoint_list_or_the_ready_timeout() {
     let health = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
-    for (waits, listed, status) in [
+    for (wait_ms, listed, status) in [
         (0.0, false, "500"),
         (500.0, true, "200"),
         (1100.0, false, "200"),
@@ -351,33 +355,32 @@
         let mut rig = Rig {
             core,
             now,
-            out: Vec::new(),
-            stuck: false,
+            outputs: Vec::new(),
+            withhold_writes: false,
         };
         rig.advance();
         if listed {
             rig.discovery_answers(&page(1, true, &[(0, "SERVING", 0.0)]));
         }
-        rig.advance_time(waits);
+        rig.advance_time(wait_ms);
         let client = rig.client_sending(health);
-        assert_eq!(rig.statuses(client), [status], "{waits} {listed}");
+        assert_eq!(rig.statuses(client), [status], "{wait_ms} {listed}");
     }
 }
 
-/// The deadline that a message to a node states, in ms.
+/// The deadline header of a message to a node, in ms.
 fn stated_deadline(text: &str) -> f64 {
     let (_, rest) = text.split_once("X-Expires-In-Ms: ").unwrap();
     rest.lines().next().unwrap().parse().unwrap()
 }
 
-/// A request that waits behind another one on its connection has that much less time. Found by reading, with the requests
-/// behind a close: its time began when its turn came, so the node was told more time than the client had left, and the
-/// answer could come after the client's deadline.
+/// Guards against a deadline that counts only from the end of a pipelined request's wait: the node would be given more
+/// time than the client has left, and the answer could come after the client's deadline.
 #[test]
-fn a_request_behind_another_has_the_time_that_its_client_has_left() {
+fn the_wait_of_a_pipelined_request_reduces_its_deadline() {
     let document = settings_document(1024, 192, DISCOVERY)
         .replace("\"objective\":600.0", "\"objective\":1500.0");
-    let mut rig = Rig::with(&document);
+    let mut rig = Rig::with_settings(&document);
     let client = rig.client_sending(&request_text("read", 1, 0));
     let conn = rig.establish(0);
     rig.advance_time(100.0);
@@ -385,20 +388,23 @@
     rig.advance_time(200.0);
     rig.receive(client, &request_text("read", 3, 0));
     rig.advance_time(200.0);
-    // 500 ms after the first; the second waited for 400 ms, the third for 200 ms. Some ticks are kept for the answer.
-    for most in [1100.0, 1300.0] {
+    // The second request has waited for 400 ms, the third for 200 ms. The host reserves a few ticks for the answer.
+    for longest in [1100.0, 1300.0] {
         rig.receive(conn, &response(200, "", "b"));
         rig.input(Input::Written(conn));
         let stated = stated_deadline(rig.sent(conn).last().unwrap());
-        assert!((most - 20.0..=most).contains(&stated), "{most}: {stated}");
+        assert!(
+            (longest - 20.0..=longest).contains(&stated),
+            "{longest}: {stated}"
+        );
     }
     rig.receive(conn, &response(200, "", "b"));
     assert_eq!(rig.statuses(client), ["200"; 3]);
 }
 
-/// One that has no time left when its turn comes is rejected at once and never forwarded.
+/// A request whose deadline passes while it waits behind another one is rejected at once and never sent to a node.
 #[test]
-fn a_request_behind_another_whose_time_is_over_is_rejected() {
+fn a_pipelined_request_whose_deadline_has_passed_is_rejected() {
     let mut rig = Rig::new();
     let client = rig.client_sending(&request_text("once", 1, 0));
     let conn = rig.establish(0);
--- a/crates/platform/tests/platform/connection_task.rs
+++ b/crates/platform/tests/platform/connection_task.rs
@@ -1,5 +1,5 @@
-//! The task of a connection on real sockets. The test is its owner, so it decides when input is handled, and the other
-//! side, so it decides when bytes are sent. No test depends on a sleep.
+//! The task of a connection on real sockets. The test is both the owner of the task and the other side of the
+//! connection, so it decides when input counts as handled and when bytes are sent. No test depends on a sleep.
 
 use bytes::Bytes;
 use gullsail_platform::core::ConnectionId;
@@ -10,14 +10,14 @@
 use tokio::sync::mpsc;
 
 struct TaskUnderTest {
-    /// The other side.
+    /// The other side of the connection.
     peer: TcpStream,
     orders: mpsc::Sender<Order>,
     events: mpsc::Receiver<ConnectionEvent>,
 }
 
 impl TaskUnderTest {
-    /// With an established connection. `event_queue`: how many events may wait unread.
+    /// Starts the task of an established connection. `event_queue`: the capacity of its queue of events.
     async fn new(event_queue: usize) -> TaskUnderTest {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let peer = TcpStream::connect(listener.local_addr().unwrap())
@@ -38,7 +38,7 @@
         self.orders.send(order).await.unwrap();
     }
 
-    /// The next event, as text.
+    /// The next event as text: the received bytes, or the name of another event.
     async fn next_event(&mut self) -> String {
         match self.events.recv().await {
             Some(ConnectionEvent {
@@ -54,7 +54,7 @@
         self.peer.write_all(text).await.unwrap();
     }
 
-    /// Everything that its peer receives until the connection ends.
+    /// The bytes that the other side receives until the connection ends.
     async fn read_to_end(&mut self) -> Received {
         let mut bytes = Vec::new();
         let end = self.peer.read_to_end(&mut bytes).await;
@@ -68,12 +68,12 @@
 #[derive(Debug, PartialEq)]
 struct Received {
     text: String,
-    /// The connection ended without a reset.
+    /// Whether the connection ended without a reset.
     closed_in_order: bool,
 }
 
 impl Received {
-    /// The text, and an end in order.
+    /// This text, and then the end of the connection without a reset.
     fn in_order(text: &str) -> Received {
         Received {
             text: text.to_string(),
@@ -82,7 +82,8 @@
     }
 }
 
-fn runs(test: impl Future<Output = ()>) {
+/// Runs a test on a new async runtime. Fails after 20 s.
+fn run_async(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -92,12 +93,12 @@
         .unwrap();
 }
 
-/// The order to close races a message. A message that was reported keeps the connection open; one that is received after
-/// this side's direction is closed is discarded.
+/// The order to close an idle connection races a message of the client. A message that was reported before keeps the
+/// connection open. A message that is received after the host's direction is closed is discarded.
 #[test]
-fn a_close_loses_no_message() {
-    runs(async {
-        // The message was reported, but its owner had not handled it when it gave the order.
+fn an_idle_close_is_ignored_while_reported_input_is_unhandled() {
+    run_async(async {
+        // The second message is reported, but the owner gives the order before it handles the message.
         let mut task = TaskUnderTest::new(8).await;
         task.peer_sends(b"first").await;
         assert_eq!(task.next_event().await, "first");
@@ -110,27 +111,27 @@
         task.order(Order::Respond(Bytes::from_static(b"answer")))
             .await;
         assert_eq!(task.next_event().await, "Written");
-        // With all of it handled the order holds.
+        // All input is handled, so the order is carried out.
         task.order(Order::CloseIdle { bytes_handled: 11 }).await;
         assert_eq!(task.next_event().await, "WriteClosed");
         assert_eq!(task.read_to_end().await, Received::in_order("answer"));
-        // What is received after the close is discarded, without a reset.
+        // Input that is received after the close is discarded, without a reset.
         task.peer_sends(b"third").await;
         drop(task.peer.shutdown().await);
         assert_eq!(task.next_two_events().await, ["Closed", "nothing more"]);
     });
 }
 
-/// A last response races another message: one that was read, or is in the socket, keeps the connection open; without one
-/// the response announces the close, and the connection ends.
+/// The last response races another message of the client. A message that was read, or is unread in the socket, keeps
+/// the connection open. Without one the response announces the close, and the connection ends.
 #[test]
-fn a_last_response_is_not_the_last_if_more_was_received() {
+fn the_last_response_keeps_the_connection_open_if_more_was_received() {
     let last = |bytes_handled| Order::RespondLast {
         bytes: Bytes::from_static(b"last"),
         if_more: Bytes::from_static(b"open"),
         bytes_handled,
     };
-    runs(async {
+    run_async(async {
         let mut task = TaskUnderTest::new(8).await;
         task.peer_sends(b"first").await;
         assert_eq!(task.next_event().await, "first");
@@ -154,16 +155,16 @@
     }
 }
 
-/// The order states correctly what was handled, but more bytes are in the socket, because the queue of events is full.
+/// The owner has handled all reported input, but more input is unread because the queue of events is full.
 #[test]
-fn a_close_checks_the_socket_too() {
-    runs(async {
+fn an_idle_close_is_ignored_while_input_is_unread() {
+    run_async(async {
         let mut task = TaskUnderTest::new(1).await;
         task.peer_sends(b"first").await;
         while task.events.is_empty() {
             tokio::task::yield_now().await;
         }
-        // The queue is full: this message is read and waits in the task, or is still in the socket.
+        // The queue is full, so this message waits in the task or is unread in the socket.
         task.peer_sends(b"second").await;
         task.order(Order::CloseIdle { bytes_handled: 5 }).await;
         assert_eq!(task.next_event().await, "first");
@@ -177,7 +178,7 @@
     });
 }
 
-/// Reads 1 KiB at a time until the end of the connection, which must be in order. Returns the number of bytes.
+/// Reads 1 KiB at a time until the connection ends, which must be without a reset. Returns the number of bytes.
 async fn read_in_pieces(peer: &mut TcpStream) -> usize {
     let mut piece = [0; 1 << 10];
     let mut received = 0;
@@ -189,8 +190,9 @@
     }
 }
 
-/// A client receives the last response of its connection, perhaps slowly and while it sends more.
-async fn check_last_response(sends_on: bool, slow: bool) {
+/// A client receives the last response. It may read slowly through a small receive buffer, and may send more input
+/// meanwhile.
+async fn check_last_response(sends_more: bool, slow: bool) {
     let mut task = TaskUnderTest::new(64).await;
     if slow {
         SockRef::from(&task.peer)
@@ -200,17 +202,17 @@
     let body = vec![b'b'; 64 << 10];
     task.peer_sends(b"ask").await;
     assert_eq!(task.next_event().await, "ask");
-    if sends_on {
+    if sends_more {
         task.peer_sends(&[b'x'; 20_000]).await;
     }
     task.order(Order::Respond(body.clone().into())).await;
     task.order(Order::FinishAndClose).await;
-    if sends_on {
-        // As much as the task discards is taken without a reset, before and after the end.
+    if sends_more {
+        // The task discards this input, before and after it closes its direction, without a reset.
         task.peer_sends(&[b'y'; 20_000]).await;
     }
     let received = read_in_pieces(&mut task.peer).await;
-    assert_eq!(received, body.len(), "{sends_on} {slow}");
+    assert_eq!(received, body.len(), "{sends_more} {slow}");
     drop(task.peer);
     loop {
         match task
@@ -227,26 +229,26 @@
     }
 }
 
-/// The client gets all of it and no reset, also if it reads late and slowly through a small window.
+/// Guards against a reset that destroys the last response on its way to the client.
 #[test]
-fn a_last_response_arrives_whole_while_more_is_sent() {
-    for sends_on in [false, true] {
+fn a_client_that_sends_more_or_reads_slowly_receives_the_complete_last_response() {
+    for sends_more in [false, true] {
         for slow in [false, true] {
-            runs(check_last_response(sends_on, slow));
+            run_async(check_last_response(sends_more, slow));
         }
     }
 }
 
-/// The end of a connection is seen behind discarded input, in order and by a reset.
+/// The connection ends after discarded input, once by a close and once by a reset.
 #[test]
-fn a_close_is_seen_behind_unread_input() {
+fn the_end_of_a_connection_is_reported_behind_discarded_input() {
     for reset in [false, true] {
-        runs(async move {
+        run_async(async move {
             let mut task = TaskUnderTest::new(8).await;
             task.peer_sends(b"ask").await;
             assert_eq!(task.next_event().await, "ask");
             task.order(Order::DiscardInput).await;
-            // Nothing received from now on is reported: the next event is the close.
+            // Once the task has taken the order, input is not reported any more: the next event is the close.
             while task.orders.capacity() < task.orders.max_capacity() {
                 tokio::task::yield_now().await;
             }
@@ -278,10 +280,10 @@
     }
 }
 
-/// A client that sends without end behind an open request is disconnected at a bound.
+/// Guards against a client that sends without end behind an open request.
 #[test]
-fn discarded_input_has_a_bound() {
-    runs(async {
+fn a_connection_is_closed_when_discarded_input_exceeds_its_bound() {
+    run_async(async {
         let mut task = TaskUnderTest::new(8).await;
         task.order(Order::DiscardInput).await;
         while task.orders.capacity() < task.orders.max_capacity() {
@@ -290,7 +292,7 @@
         let mut sent = 0;
         while task.peer.write_all(&[b'x'; 8 << 10]).await.is_ok() {
             sent += 8 << 10;
-            assert!(sent < 64 << 20, "it never ends");
+            assert!(sent < 64 << 20, "the connection stays open");
         }
         assert_eq!(task.next_event().await, "Closed");
     });
@@ -303,10 +305,10 @@
     }
 }
 
-/// The input was read, but its owner had not handled it when it gave the order.
+/// The input is reported, but the owner gives the order before it handles the input.
 #[test]
-fn nothing_is_written_after_input_that_is_not_handled() {
-    runs(async {
+fn a_message_is_not_written_while_reported_input_is_unhandled() {
+    run_async(async {
         let mut task = TaskUnderTest::new(8).await;
         task.peer_sends(b"surplus").await;
         while task.events.is_empty() {
@@ -319,10 +321,10 @@
     });
 }
 
-/// The input is still in the socket, because the queue of events is full.
+/// The second input is unread because the queue of events is full.
 #[test]
-fn nothing_is_written_after_input_that_is_not_read() {
-    runs(async {
+fn a_message_is_not_written_while_input_is_unread() {
+    run_async(async {
         let mut task = TaskUnderTest::new(1).await;
         task.peer_sends(b"one").await;
         while task.events.is_empty() {
@@ -332,9 +334,9 @@
         task.order(message(3)).await;
         assert_eq!(task.next_event().await, "one");
         let [second, third] = task.next_two_events().await;
-        let order_first = second == "NotWritten";
+        let order_came_first = second == "NotWritten";
         assert!(
-            order_first || second == "two" && third == "NotWritten",
+            order_came_first || second == "two" && third == "NotWritten",
             "{second}, {third}"
         );
         assert_eq!(task.read_to_end().await.text, "");
@@ -342,8 +344,8 @@
 }
 
 #[test]
-fn a_message_is_written_where_nothing_was_received_before() {
-    runs(async {
+fn a_message_is_written_if_no_input_was_received() {
+    run_async(async {
         let mut task = TaskUnderTest::new(8).await;
         task.order(message(0)).await;
         assert_eq!(task.next_event().await, "Written");
@@ -355,16 +357,17 @@
     });
 }
 
-/// The node's close races a message to it: if it closed before, nothing is written, and the report says so.
+/// A node's close races the order to send a message. If the node closed first, no byte is written and the task does not
+/// report the message as written.
 #[test]
-fn a_close_before_the_message_prevents_it() {
-    runs(async {
+fn a_message_is_not_written_after_the_peer_has_closed() {
+    run_async(async {
         let mut task = TaskUnderTest::new(1).await;
         task.peer_sends(b"one").await;
         while task.events.is_empty() {
             tokio::task::yield_now().await;
         }
-        // The task waits for the queue, so the close and the order are both there when it goes on.
+        // The task is blocked on the full queue, so both the close and the order are pending when it continues.
         task.peer_sends(b"two").await;
         task.peer.shutdown().await.unwrap();
         task.order(Order::Send {
@@ -377,7 +380,7 @@
         loop {
             match task.next_event().await.as_str() {
                 "nothing more" => break,
-                written_report => reports.push(written_report.to_string()),
+                report => reports.push(report.to_string()),
             }
         }
         assert!(
--- a/crates/platform/tests/platform/discovery.rs
+++ b/crates/platform/tests/platform/discovery.rs
@@ -1,32 +1,32 @@
-//! Discovery: polls, pages that count, pages that change nothing, and reloads at every stage.
+//! Discovery: polls and their failures, pages that are applied or ignored, reloads, and invalid settings documents.
 
 use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{ConnectionId, Input};
 use gullsail_platform::settings_document::SettingsDocument;
 
 #[test]
-fn the_whole_list_then_the_next_poll_at_once() {
+fn after_each_page_the_next_poll_asks_for_the_changes_since_its_version() {
     let mut rig = Rig::new();
     let conn = rig.connections_to(DISCOVERY)[0];
     rig.discovery_answers(&page(41, false, &[(1, "DRAINING", 0.0)]));
-    let asked: Vec<_> = rig
+    let request_lines: Vec<_> = rig
         .sent(conn)
         .iter()
         .map(|text| text.lines().next().unwrap_or_default().to_string())
         .collect();
-    let watch = |seq| format!("GET /catalog/members?after={seq}&wait_ms=2000 HTTP/1.1");
+    let poll_for_changes = |seq| format!("GET /catalog/members?after={seq}&wait_ms=2000 HTTP/1.1");
     assert_eq!(
-        asked,
+        request_lines,
         [
             "GET /catalog/members HTTP/1.1".to_string(),
-            watch(1),
-            watch(41)
+            poll_for_changes(1),
+            poll_for_changes(41)
         ]
     );
 }
 
 #[test]
-fn a_malformed_page_changes_nothing_and_the_whole_list_is_requested() {
+fn a_malformed_page_changes_nothing_and_the_complete_list_is_requested() {
     let drains = page(2, false, &[(0, "DRAINING", 0.0)]);
     let cases = [
         response(200, "", "{\"seq\":2"),
@@ -59,13 +59,13 @@
     }
 }
 
-/// A change of the first entry of a page.
+/// A replacement in the first entry of a page, and its expected effects.
 struct EntryChange {
     from: &'static str,
     to: &'static str,
-    /// How many entries are skipped.
+    /// The number of entries that are skipped.
     skipped: u64,
-    /// What a read for the first shard is answered at once, if anything.
+    /// The status with which a read for the first shard is answered at once. `None` if it is not answered at once.
     answer: Option<&'static str>,
 }
 
@@ -101,7 +101,8 @@
     applied("\"block\":0", "\"block\":99", Some("503")),
 ];
 
-/// Applies a page and sends a read for each shard; `first_answer` is what the one for the first is answered at once.
+/// Applies a page and sends a read for each shard. `first_answer`: the status with which the read for the first shard
+/// is answered at once, if it is.
 fn check_page(text: &str, skipped: u64, first_answer: Option<&str>) {
     let mut rig = Rig::new();
     rig.discovery_answers(text);
@@ -113,18 +114,18 @@
         let answer = statuses.first().map(String::as_str);
         assert_eq!(answer, expected, "{text}: shard {shard}");
     }
-    // The second node drains in every page, so nothing is sent to it.
+    // Every page drains the second node or does not list it, so nothing is sent to it.
     assert_eq!(rig.connections_to(NODES[1].1).len(), 0, "{text}");
     let is_sent = first_answer.is_none() && !text.contains("[]");
     let connections = rig.connections_to(NODES[0].1).len();
     assert_eq!(connections, usize::from(is_sent), "{text}");
 }
 
-/// An entry that cannot be parsed is skipped: its node stays as it was, and the other entries are applied. Zones, shards
-/// and kinds of nodes that no settings name, or an empty list, end nothing; what no node serves is answered at
-/// once.
+/// An entry that cannot be parsed is skipped: its node keeps its earlier entry, and the other entries are applied.
+/// Unknown zones, shards and classes of nodes and empty lists are accepted. A request that no node serves is answered
+/// at once.
 #[test]
-fn a_malformed_entry_does_not_hide_the_others() {
+fn a_malformed_entry_is_skipped_and_the_others_are_applied() {
     let both = page(2, true, &[(0, "SERVING", 0.0), (1, "DRAINING", 0.0)]);
     for change in ENTRY_CHANGES {
         let text = both.replacen(change.from, change.to, 1);
@@ -134,26 +135,26 @@
 }
 
 #[test]
-fn a_host_that_knows_no_node_rejects_requests() {
+fn requests_are_rejected_while_the_endpoint_list_is_empty() {
     let none = settings_document(1024, 192, DISCOVERY).replace("\"known\":{", "\"old\":{");
-    let mut rig = Rig::with(&none);
+    let mut rig = Rig::with_settings(&none);
     rig.discovery_answers(&page(2, true, &[]));
     let client = rig.client_sending(&request_text("once", 1, 1));
     rig.advance_time(700.0);
     assert_eq!(rig.statuses(client), ["503"]);
 }
 
-/// Where lists are pushed, an agent answers at once and what it holds counts as reported: from loss to loss
-/// it is polled again well within a drain's grace of a quarter of a second, for as long as discovery may be
-/// down. Elsewhere retries cost the discovery service something, and are spaced. Either way a poll that is
-/// silent stays open beside the next one, for a service that is slow.
+/// In mode `push` an agent responds at once and its list counts as reported, so after each failure it is polled again
+/// well within the 250 ms of a drain's grace. In mode `ask` retries put load on the discovery service, so the delays
+/// between them are longer. In both modes an unanswered poll stays open beside the next one, since the service may be
+/// slow.
 #[test]
-fn silence_is_noticed_and_retries_are_spaced() {
-    // mode; the tries in each ten seconds of silence, and the longest between two of them in ms
-    for (mode, tries, between) in [("push", 60..70, 160.0), ("ask", 5..8, 1600.0)] {
+fn unanswered_polls_time_out_and_are_retried_at_bounded_intervals() {
+    // The mode, the number of polls in ten seconds without a response, and the longest time between two polls in ms.
+    for (mode, polls, max_interval_ms) in [("push", 60..70, 160.0), ("ask", 5..8, 1600.0)] {
         let text =
             settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
-        let mut rig = Rig::with(&text);
+        let mut rig = Rig::with_settings(&text);
         rig.advance_time(3_400.0);
         assert_eq!(rig.metrics().discovery_lost, 0, "{mode}");
         rig.advance_time(200.0);
@@ -165,19 +166,23 @@
         };
         for _ in 0..3 {
             let before = rig.connections_to(DISCOVERY).len();
-            for _ in 0..(10_000.0 / between) as usize {
+            for _ in 0..(10_000.0 / max_interval_ms) as usize {
                 let last = rig.connections_to(DISCOVERY).len();
-                rig.advance_time(between);
+                rig.advance_time(max_interval_ms);
                 assert!(rig.connections_to(DISCOVERY).len() > last, "{mode}");
-                assert_eq!(open(&rig), 2, "{mode}: the newest and the one in doubt");
+                assert_eq!(
+                    open(&rig),
+                    2,
+                    "{mode}: the newest connection and the suspect one"
+                );
             }
-            let tried = rig.connections_to(DISCOVERY).len() - before;
-            assert!(tries.contains(&tried), "{mode}: {tried}");
+            let polled = rig.connections_to(DISCOVERY).len() - before;
+            assert!(polls.contains(&polled), "{mode}: {polled}");
         }
     }
 }
 
-/// How a poll of discovery fails.
+/// A way in which a poll of discovery fails.
 #[derive(Clone, Copy, Debug)]
 enum PollFailure {
     Refused,
@@ -200,7 +205,7 @@
 ];
 
 impl PollFailure {
-    fn play(self, rig: &mut Rig, conn: ConnectionId) {
+    fn simulate(self, rig: &mut Rig, conn: ConnectionId) {
         let half_body = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,";
         match self {
             PollFailure::NeverConnected => return,
@@ -220,61 +225,62 @@
     }
 }
 
-/// Waits until there are more than `known` connections to discovery. Returns the newest.
-fn next_poll(rig: &mut Rig, known: usize, case: &str) -> ConnectionId {
-    let from = rig.now;
-    while rig.connections_to(DISCOVERY).len() == known {
+/// Advances the time until there are more than `count` connections to discovery. Returns the newest.
+fn next_poll(rig: &mut Rig, count: usize, case: &str) -> ConnectionId {
+    let start = rig.now;
+    while rig.connections_to(DISCOVERY).len() == count {
         rig.advance_time(10.0);
-        assert!((rig.now - from).millis() < 6_000.0, "{case}");
+        assert!((rig.now - start).millis() < 6_000.0, "{case}");
     }
     *rig.connections_to(DISCOVERY).last().unwrap()
 }
 
-/// Polls fail in these two ways in turn; then discovery can be reached, and the next poll reports a change.
-fn check_change_is_known(mode: &str, failures: [PollFailure; 2], max_delay_ms: f64) {
+/// Polls fail in these two ways alternately. Then discovery is available, and the response to the next poll drains a
+/// node.
+fn check_change_is_received(mode: &str, failures: [PollFailure; 2], max_delay_ms: f64) {
     let case = format!("{mode}: {failures:?}");
     let text = settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
-    let mut rig = Rig::with(&text);
+    let mut rig = Rig::with_settings(&text);
     let start = rig.now;
-    let mut known = rig.connections_to(DISCOVERY).len();
-    // Long enough for the backoff to reach its bound.
+    let mut connection_count = rig.connections_to(DISCOVERY).len();
+    // After 20 s the backoff has reached its bound.
     for failure in failures.into_iter().cycle() {
         if (rig.now - start).millis() >= 20_000.0 {
             break;
         }
-        let conn = next_poll(&mut rig, known, &case);
-        known = rig.connections_to(DISCOVERY).len();
-        failure.play(&mut rig, conn);
+        let conn = next_poll(&mut rig, connection_count, &case);
+        connection_count = rig.connections_to(DISCOVERY).len();
+        failure.simulate(&mut rig, conn);
     }
-    let reachable_at = rig.now;
-    let conn = next_poll(&mut rig, known, &case);
-    let delay_ms = (rig.now - reachable_at).millis();
+    let available_at = rig.now;
+    let conn = next_poll(&mut rig, connection_count, &case);
+    let delay_ms = (rig.now - available_at).millis();
     assert!(delay_ms <= max_delay_ms, "{case}: {delay_ms} ms");
     rig.input(Input::Connected(conn));
     let drains = page(9, true, &[(0, "DRAINING", 0.0), (1, "SERVING", 0.0)]);
     rig.receive(conn, &response(200, "", &drains));
     rig.client_sending(&request_text("read", 1, 0));
     let connections = rig.connections_to(NODES[0].1).len();
-    assert_eq!(connections, 0, "{case}: the change is known");
+    assert_eq!(connections, 0, "{case}: the node drains");
 }
 
-/// From the moment at which discovery can be reached, a change is known well within the 6 s after which it counts as
-/// reported, whatever failed before.
+/// When discovery is available again, the host receives a change well within the 6 s after which it counts as reported,
+/// whichever failures preceded.
 #[test]
-fn a_change_is_known_in_time_whatever_failed_before() {
+fn a_change_is_received_in_time_after_any_two_kinds_of_poll_failures() {
     for (mode, max_delay_ms) in [("push", 160.0), ("ask", 2_400.0)] {
         for first in POLL_FAILURES {
             for second in POLL_FAILURES {
-                check_change_is_known(mode, [first, second], max_delay_ms);
+                check_change_is_received(mode, [first, second], max_delay_ms);
             }
         }
     }
 }
 
-/// Whichever of two open polls is answered first is followed, and the other connection is closed; what it
-/// still sends is ignored.
+/// The host continues with the connection whose poll is answered first and closes the other one. Later input on the
+/// other connection is ignored.
 #[test]
-fn of_two_open_polls_the_first_answer_counts() {
+fn of_two_open_polls_the_first_response_is_applied() {
     let drains = response(
         200,
         "",
@@ -313,14 +319,14 @@
     }
 }
 
-/// A list that is older than one before it is ignored: nodes that it does not hold yet would be gone for
-/// good. Where nothing newer comes for long, the numbers have begun anew.
+/// A list with an older version than the newest one is ignored, since nodes that it does not contain yet would be
+/// treated as gone. If no newer version is received for 6 s, discovery has restarted its version numbers.
 #[test]
-fn an_older_list_is_ignored_unless_nothing_newer_comes() {
+fn an_older_list_is_applied_only_after_six_seconds_without_a_newer_one() {
     let mut rig = Rig::new();
     rig.discovery_answers(&page(9, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]));
     let older = page(8, true, &[(1, "SERVING", 0.0)]);
-    let mut requests = Vec::new();
+    let mut snapshot_counts = Vec::new();
     for _ in 0..80 {
         let conn = *rig.connections_to(DISCOVERY).last().unwrap();
         if rig.sent(conn).is_empty() {
@@ -329,18 +335,18 @@
         if !rig.closed(conn) {
             rig.receive(conn, &response(200, "", &older));
         }
-        requests.push((rig.now, rig.metrics().discovery_snapshots));
+        snapshot_counts.push((rig.now, rig.metrics().discovery_snapshots));
         rig.advance_time(100.0);
     }
-    let first = requests
+    let applied_after_ms = snapshot_counts
         .iter()
-        .find(|request| request.1 == 3)
-        .map(|request| (request.0 - requests[0].0).millis());
+        .find(|sample| sample.1 == 3)
+        .map(|sample| (sample.0 - snapshot_counts[0].0).millis());
     assert!(
-        first.is_some_and(|ms| (6_000.0..6_200.0).contains(&ms)),
-        "{first:?}"
+        applied_after_ms.is_some_and(|ms| (6_000.0..6_200.0).contains(&ms)),
+        "{applied_after_ms:?}"
     );
-    // A newer one in between: the older ones are counted anew.
+    // A newer version in between restarts the 6 s.
     let mut rig = Rig::new();
     rig.discovery_answers(&page(9, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]));
     for seq in [8, 9, 8] {
@@ -354,7 +360,11 @@
         }
     }
     rig.client_sending(&request_text("read", 1, 0));
-    assert_eq!(rig.connections_to(NODES[0].1).len(), 1, "it is still there");
+    assert_eq!(
+        rig.connections_to(NODES[0].1).len(),
+        1,
+        "the node is still listed"
+    );
 }
 
 /// The request line of the first poll on the newest connection to discovery.
@@ -367,23 +377,25 @@
     poll.lines().next().unwrap_or_default().to_string()
 }
 
+/// A host that polls a remote discovery service.
 fn polling_rig() -> Rig {
-    Rig::with(&settings_document(1024, 192, DISCOVERY).replace("\"push\"", "\"ask\""))
+    Rig::with_settings(&settings_document(1024, 192, DISCOVERY).replace("\"push\"", "\"ask\""))
 }
 
 const CHANGES_SINCE_41: &str = "GET /catalog/members?after=41&wait_ms=0 HTTP/1.1";
 
-/// Guards against hosts that are all refused and then ask for complete lists, of which a service that many hosts poll
-/// answers none: the changes since the known version are enough. An agent on the host's own server has no such limit.
+/// Guards against hosts that ask for the complete list after they were refused: a service that many hosts poll refuses
+/// complete lists under load. The changes since the known version are enough. An agent on the host's server has no such
+/// limit.
 #[test]
-fn a_refused_poll_goes_on_from_the_known_version() {
+fn after_a_refused_poll_a_remote_service_is_asked_for_the_changes() {
     for (mode, expected) in [
         ("ask", CHANGES_SINCE_41),
         ("push", "GET /catalog/members HTTP/1.1"),
     ] {
         let text =
             settings_document(1024, 192, DISCOVERY).replace("\"push\"", &format!("\"{mode}\""));
-        let mut rig = Rig::with(&text);
+        let mut rig = Rig::with_settings(&text);
         let conn = rig.connections_to(DISCOVERY)[0];
         rig.discovery_answers(&page(41, false, &[(1, "DRAINING", 0.0)]));
         rig.receive(conn, &response(503, "Connection: close\r\n", ""));
@@ -394,25 +406,25 @@
         if mode == "ask" {
             rig.receive(conn, &response(200, "", &changed));
             rig.client_sending(&request_text("read", 1, 0));
-            assert_eq!(rig.connections_to(NODES[0].1).len(), 0, "it drains");
+            assert_eq!(rig.connections_to(NODES[0].1).len(), 0, "the node drains");
         }
     }
 }
 
-/// Guards against a fleet whose hosts restart together and overload discovery with complete lists, of which each knows
-/// one from its last run.
+/// Guards against an overload of discovery by complete lists when all hosts of a fleet restart together. Each host has
+/// stored a list in its last run.
 #[test]
-fn a_host_with_a_stored_list_asks_for_the_changes_since() {
+fn a_host_with_a_stored_list_asks_for_the_changes_since_its_version() {
     let stored = settings_document(1024, 192, DISCOVERY)
         .replace("\"push\"", "\"ask\"")
         .replace("\"known\":{\"seq\":1,", "\"known\":{\"seq\":41,");
-    let mut rig = Rig::unanswered(&stored);
+    let mut rig = Rig::without_endpoint_list(&stored);
     assert_eq!(newest_poll(&mut rig), CHANGES_SINCE_41);
 }
 
-/// Guards against a service that has begun its versions anew and is asked for changes since one of before.
+/// Guards against polls for the changes since an earlier version after discovery has restarted its version numbers.
 #[test]
-fn versions_that_begin_anew_lead_to_the_complete_list() {
+fn the_complete_list_is_requested_after_discovery_restarts_its_versions() {
     let mut rig = polling_rig();
     let conn = rig.connections_to(DISCOVERY)[0];
     rig.discovery_answers(&page(41, false, &[(1, "DRAINING", 0.0)]));
@@ -427,33 +439,33 @@
     assert_eq!(newest_poll(&mut rig), "GET /catalog/members HTTP/1.1");
 }
 
-/// Guards against hosts that are refused at the same moment and come back at the same moment, again and again.
+/// Guards against hosts that are refused at the same time and then retry at the same times.
 #[test]
-fn hosts_that_are_refused_together_do_not_come_back_together() {
+fn hosts_that_are_refused_together_retry_at_different_times() {
     let connect_times = |seed: &str| {
         let text = settings_document(1024, 192, DISCOVERY)
             .replace("\"push\"", "\"ask\"")
             .replace("\"8c1f\"", &format!("\"{seed}\""));
-        let mut rig = Rig::with(&text);
-        let mut known = 0;
+        let mut rig = Rig::with_settings(&text);
+        let mut connection_count = 0;
         let mut times = Vec::new();
         for _ in 0..12 {
-            let conn = next_poll(&mut rig, known, seed);
-            known = rig.connections_to(DISCOVERY).len();
+            let conn = next_poll(&mut rig, connection_count, seed);
+            connection_count = rig.connections_to(DISCOVERY).len();
             times.push(rig.now);
             rig.input(Input::Closed(conn));
         }
         times
     };
     let (one, other) = (connect_times("1"), connect_times("2"));
-    let apart = one.iter().zip(&other).skip(6);
+    let late_retries = one.iter().zip(&other).skip(6);
     assert!(
-        apart.clone().all(|(one, other)| one != other),
+        late_retries.clone().all(|(one, other)| one != other),
         "{one:?} {other:?}"
     );
 }
 
-/// Lists may come indented, and long: other bodies may not.
+/// Endpoint lists may be larger than other bodies.
 #[test]
 fn an_indented_list_of_many_nodes_is_parsed() {
     let all: Vec<_> = (0..600).map(|_| (1, "SERVING", 0.0)).collect();
@@ -488,7 +500,7 @@
         rig.discovery_answers(&change);
         assert!(
             rig.closed(idle) && !rig.closed(busy),
-            "{change}: what is out goes on"
+            "{change}: the attempt in flight continues"
         );
         let client = rig.client_sending(&request_text("read", 3, 0));
         rig.advance_time(50.0);
@@ -506,7 +518,7 @@
 }
 
 #[test]
-fn a_node_that_moved_is_connected_to_at_its_new_address() {
+fn a_node_whose_address_changed_is_connected_to_at_the_new_one() {
     let mut rig = Rig::new();
     rig.discovery_answers(
         &page(2, false, &[(0, "SERVING", 0.0)]).replace(NODES[0].1, "10.9.9.9:1"),
@@ -521,7 +533,7 @@
     );
 }
 
-/// What a host is doing when its document is reloaded, in the order of a request's life.
+/// The stage of a request, or of the host, at which the settings document is reloaded.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum ReloadStage {
     WithinHead,
@@ -534,7 +546,7 @@
     page(3, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)])
 }
 
-fn check_reload(stage: ReloadStage, moved: &SettingsDocument) {
+fn check_reload(stage: ReloadStage, changed: &SettingsDocument) {
     let mut rig = Rig::new();
     let text = request_text("read", 1, 0);
     let client = rig.client();
@@ -551,8 +563,8 @@
         rig.input(Input::Shutdown);
     }
     let old = rig.connections_to(DISCOVERY)[0];
-    rig.input(Input::Reload(Box::new(moved.clone())));
-    rig.input(Input::Reload(Box::new(moved.clone())));
+    rig.input(Input::Reload(Box::new(changed.clone())));
+    rig.input(Input::Reload(Box::new(changed.clone())));
     let new = *rig.connections_to("10.2.0.9:8500").last().unwrap();
     assert!(rig.closed(old), "{stage:?}");
     rig.input(Input::Connected(new));
@@ -575,20 +587,20 @@
 }
 
 #[test]
-fn a_reload_moves_discovery_and_nothing_else() {
-    let moved = settings_document(1024, 192, "10.2.0.9:8500");
-    let moved = SettingsDocument::parse("d", &moved).unwrap();
+fn a_reload_changes_the_discovery_address_and_does_not_affect_requests() {
+    let changed = settings_document(1024, 192, "10.2.0.9:8500");
+    let changed = SettingsDocument::parse("d", &changed).unwrap();
     for stage in [
         ReloadStage::WithinHead,
         ReloadStage::AttemptWaits,
         ReloadStage::AttemptInFlight,
         ReloadStage::ShuttingDown,
     ] {
-        check_reload(stage, &moved);
+        check_reload(stage, &changed);
     }
 }
 
-/// A change that makes a valid document invalid, and what the error says.
+/// A replacement that makes a valid document invalid, and a text that the error contains.
 struct DocumentChange {
     from: &'static str,
     to: &'static str,
@@ -690,7 +702,7 @@
 }
 
 #[test]
-fn invalid_documents_say_where_and_what_was_expected() {
+fn errors_of_invalid_documents_state_the_place_and_what_was_expected() {
     let valid = settings_document(256, 32, DISCOVERY);
     assert_invalid(&valid[..valid.len() / 2], "line ");
     assert_invalid("", "EOF");
--- a/crates/platform/tests/platform/main.rs
+++ b/crates/platform/tests/platform/main.rs
@@ -1,4 +1,5 @@
-//! The platform's host without a socket, in given time.
+//! Tests of the platform's host: of the core without sockets and with simulated time, and of the connection task on
+//! real sockets.
 
 mod attempts;
 mod clients;
--- a/crates/platform/tests/platform/races.rs
+++ b/crates/platform/tests/platform/races.rs
@@ -1,11 +1,10 @@
-//! Two events that cross, in both orders, where the core decides what holds. docs/platform.md has a row for
-//! each.
+//! Races of two events, in both orders. docs/platform.md lists these races.
 
 use crate::rig::{DISCOVERY, NODES, Rig, page, request_text, response, settings_document};
 use gullsail_platform::core::{ConnectionId, Input, Output};
 
-/// Handled together, as one batch.
-fn together(rig: &mut Rig, inputs: Vec<Input>) {
+/// Passes the inputs to the core as one batch.
+fn handle_as_batch(rig: &mut Rig, inputs: Vec<Input>) {
     inputs.into_iter().for_each(|i| rig.core.handle(rig.now, i));
     rig.advance();
 }
@@ -14,10 +13,11 @@
     Input::Received(conn, text.as_bytes().to_vec().into())
 }
 
-/// A host that stops answers the last request on a connection and announces the close. A request that crosses this is
-/// read, so it has its own response, which announces the close instead; after the end nothing is read.
+/// During the shutdown the host announces the close with the last response on a connection. A request that crosses this
+/// response is served, and its response announces the close instead. After the host's direction is closed, requests are
+/// ignored.
 #[test]
-fn a_request_that_crosses_the_announced_close_has_its_response() {
+fn a_request_that_crosses_the_last_response_is_answered() {
     for crosses in [true, false] {
         let mut rig = Rig::new();
         let client = rig.client();
@@ -26,18 +26,18 @@
         rig.receive(client, &request_text("read", 1, 0));
         let conn = rig.establish(0);
         rig.receive(conn, &response(200, "", "b"));
-        let last = |rig: &Rig| {
-            rig.out
+        let last_responses = |rig: &Rig| {
+            rig.outputs
                 .iter()
                 .filter(
                     |output| matches!(output, Output::RespondLast { conn, .. } if *conn == client),
                 )
                 .count()
         };
-        assert_eq!(last(&rig), 1, "{crosses}");
+        assert_eq!(last_responses(&rig), 1, "{crosses}");
         if crosses {
-            // The task has read more, so it keeps the connection open and reports the response as written.
-            together(
+            // The task has read more, so it writes the response without the announcement and reports it as written.
+            handle_as_batch(
                 &mut rig,
                 vec![
                     received(client, &request_text("read", 2, 0)),
@@ -52,15 +52,15 @@
         }
         let served = 1 + usize::from(crosses);
         assert_eq!(rig.statuses(client), vec!["200"; served], "{crosses}");
-        assert_eq!(last(&rig), served, "{crosses}");
+        assert_eq!(last_responses(&rig), served, "{crosses}");
         assert_eq!(rig.metrics().requests_accepted, served as u64, "{crosses}");
     }
 }
 
-/// A connection over the limit is closed with its response, unless the client has sent more by then.
+/// Above the soft limit a connection is closed after its response, unless the client has pipelined another request.
 #[test]
-fn a_connection_over_the_limit_answers_what_was_sent_ahead() {
-    let mut rig = Rig::with(&settings_document(64, 32, DISCOVERY));
+fn a_connection_over_the_limit_stays_open_until_pipelined_requests_are_answered() {
+    let mut rig = Rig::with_settings(&settings_document(64, 32, DISCOVERY));
     let clients: Vec<_> = (0..24)
         .map(|n| rig.client_sending(&request_text("read", 100 + n, 0)))
         .collect();
@@ -72,10 +72,10 @@
     assert!(!responses[0].contains("Connection: close"));
 }
 
-/// The report that a message is written races the attempt's timeout: whichever comes first, the attempt may
-/// have run.
+/// The report that a message is written races the attempt's timeout. In both orders the node may have run the attempt,
+/// so a request that is not idempotent must not be sent again.
 #[test]
-fn a_message_handed_to_a_connection_may_have_run() {
+fn an_attempt_that_may_have_been_written_by_its_timeout_is_not_repeated() {
     for written_first in [true, false] {
         let mut rig = Rig::new();
         let client = rig.client_sending(&request_text("once", 7, 0));
@@ -103,20 +103,20 @@
             "{written_first}"
         );
         rig.advance_time(1000.0);
-        let again = rig
+        let connections_used = rig
             .connections_to(NODES[0].1)
             .into_iter()
             .filter(|conn| !rig.sent(*conn).is_empty())
             .count();
-        assert_eq!(again, 1, "{written_first}: not sent a second time");
+        assert_eq!(connections_used, 1, "{written_first}: sent only once");
     }
 }
 
-/// A connection's close races the message that it should carry: after the report that all was written the
-/// attempt may have run, without it it never did.
+/// The end of a connection races the report that the message is written. With the report the node may have run the
+/// attempt. Without it the node did not receive the complete message, so the attempt never ran.
 #[test]
-fn a_close_before_the_last_byte_proves_that_it_never_ran() {
-    for (written, outcome, goes_on) in [
+fn an_attempt_lost_before_its_last_byte_is_unreachable_and_may_be_repeated() {
+    for (written, outcome, stays_open) in [
         (false, "unreachable", true),
         (true, "connection_lost", false),
     ] {
@@ -125,7 +125,7 @@
         let conn = *rig.connections_to(NODES[0].1).last().unwrap();
         rig.input(Input::Connected(conn));
         let written_report = written.then_some(Input::Written(conn));
-        together(
+        handle_as_batch(
             &mut rig,
             written_report
                 .into_iter()
@@ -133,13 +133,13 @@
                 .collect(),
         );
         assert_eq!(rig.outcome_count(outcome), 1, "{written}");
-        assert_eq!(rig.statuses(client).is_empty(), goes_on, "{written}");
+        assert_eq!(rig.statuses(client).is_empty(), stays_open, "{written}");
     }
 }
 
-/// How many bytes were handled, as the last order to send on a connection states it.
+/// `bytes_handled` of the last order to send on a connection.
 fn last_bytes_handled(rig: &Rig, conn: ConnectionId) -> Option<u64> {
-    rig.out.iter().rev().find_map(|output| match output {
+    rig.outputs.iter().rev().find_map(|output| match output {
         Output::Send {
             conn: to,
             bytes_handled,
@@ -149,7 +149,7 @@
     })
 }
 
-/// Unsolicited input after a response, and the next message on that connection, which is written or not.
+/// A node sends unsolicited input after a response. The next message on that connection is written or not.
 fn check_unsolicited_input(input: &str, written: bool) {
     let case = format!("{} bytes, written: {written}", input.len());
     let (status, outcome) = if written {
@@ -183,10 +183,10 @@
     assert_eq!(served, !written, "{case}");
 }
 
-/// The connection's task may write only if it has read no more than is handled here. What is received before it reports
-/// that it wrote is no response to the message, nor the beginning of one.
+/// The connection's task writes a message only if the core has handled all input. Input that the task reports before it
+/// reports the message as written is not a part of the response to the message.
 #[test]
-fn a_second_response_does_not_become_part_of_the_next() {
+fn unsolicited_input_does_not_become_part_of_the_next_response() {
     let copy = response(200, "", "another's");
     for cut in [copy.len(), copy.len() - 1, 40, 17, 5, 1] {
         for written in [true, false] {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Two events in either order, each handled alone or both in one batch.
+/// The order of two events, and whether both are handled in one batch.
 #[derive(Clone, Copy, Debug)]
 struct Order {
     reversed: bool,
@@ -222,26 +222,26 @@
 ];
 
 impl Order {
-    fn play(self, rig: &mut Rig, mut inputs: Vec<Input>) {
+    fn simulate(self, rig: &mut Rig, mut inputs: Vec<Input>) {
         if self.reversed {
             inputs.reverse();
         }
         if self.batch {
-            together(rig, inputs);
+            handle_as_batch(rig, inputs);
         } else {
             inputs.into_iter().for_each(|input| rig.input(input));
         }
     }
 }
 
-/// What discovery reports of the first node.
+/// A change of the first node that discovery reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum NodeChange {
     Drains,
     Deleted,
     Unlisted,
     Restarted,
-    Moved,
+    AddressChanged,
 }
 
 impl NodeChange {
@@ -251,13 +251,13 @@
             NodeChange::Deleted => page(2, false, &[(0, "DELETED", 0.0)]),
             NodeChange::Unlisted => page(2, true, &[(1, "SERVING", 0.0)]),
             NodeChange::Restarted => page(2, false, &[(0, "SERVING", 50.0)]),
-            NodeChange::Moved => {
+            NodeChange::AddressChanged => {
                 page(2, false, &[(0, "SERVING", 0.0)]).replace(NODES[0].1, "10.9.9.9:1")
             }
         }
     }
 
-    /// The change is reported, and a connection to the node is established for an attempt that waits.
+    /// Discovery reports the change while a connection to the node is established for a waiting attempt.
     fn check(self, order: Order) {
         let case = format!("{self:?}, {order:?}");
         let restarted = self == NodeChange::Restarted;
@@ -268,14 +268,14 @@
         let conn = *rig.connections_to(NODES[0].1).last().unwrap();
         let discovery = *rig.connections_to(DISCOVERY).last().unwrap();
         let list = received(discovery, &response(200, "", &self.page()));
-        order.play(&mut rig, vec![list, Input::Connected(conn)]);
+        order.simulate(&mut rig, vec![list, Input::Connected(conn)]);
         if list_first {
-            // For a node that was restarted the request is decided anew, and may be sent.
+            // If the node was restarted, the scheduler decides again and may send the request to it.
             assert!(rig.sent(conn).is_empty() || restarted, "{case}");
             let ended = rig.outcome_count("not_sent") == 1;
-            assert_eq!(ended, self != NodeChange::Moved, "{case}");
+            assert_eq!(ended, self != NodeChange::AddressChanged, "{case}");
         } else {
-            // The attempt was sent before: it runs to its end, and the connection is not reused.
+            // The attempt was sent before the change, so it is not cancelled. Its connection is not reused.
             assert_eq!(rig.sent(conn).len(), 1, "{case}");
             rig.input(Input::Written(conn));
             rig.receive(conn, &response(200, "", "b"));
@@ -293,13 +293,13 @@
 }
 
 #[test]
-fn no_request_goes_to_a_node_that_the_list_excludes() {
+fn no_attempt_is_sent_to_a_node_that_the_list_excludes() {
     for change in [
         NodeChange::Drains,
         NodeChange::Deleted,
         NodeChange::Unlisted,
         NodeChange::Restarted,
-        NodeChange::Moved,
+        NodeChange::AddressChanged,
     ] {
         for order in ORDERS {
             change.check(order);
@@ -307,7 +307,7 @@
     }
 }
 
-/// A node that drains tells who waits for it at once, not when the wait for its connection is over.
+/// Attempts that wait for a connection to a node end when the node starts to drain, not at the connect timeout.
 #[test]
 fn attempts_waiting_for_a_draining_node_end_at_once() {
     let mut rig = Rig::new();
@@ -324,7 +324,7 @@
     );
 }
 
-/// What would send a client's request to a node.
+/// An event after which a request would be sent to a node if its client had not disconnected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Trigger {
     ConnectionEstablished,
@@ -334,10 +334,10 @@
     FirstAttemptUnreachable,
 }
 
-/// A trigger that is ready to be played.
+/// The input of a trigger whose preconditions are set up.
 struct PreparedTrigger {
     input: Input,
-    /// The connection that would carry the request.
+    /// The connection that would carry the request, if it is established or being established already.
     reused: Option<ConnectionId>,
 }
 
@@ -358,7 +358,7 @@
                 reused: None,
             },
             Trigger::ConnectionFree => {
-                // Its own connection is not established; that of another request becomes free.
+                // The connection for this request is not established; that of another request becomes free.
                 rig.client_sending(&request_text("read", 8, 0));
                 let conn = rig.establish(0);
                 rig.receive(client, &text);
@@ -383,7 +383,7 @@
         }
     }
 
-    /// How many attempts of the request were sent before the trigger.
+    /// The number of attempts of the request that were sent before the trigger.
     fn attempts_before(self) -> usize {
         usize::from(matches!(
             self,
@@ -391,16 +391,16 @@
         ))
     }
 
-    /// The client disconnects, and the trigger is played.
+    /// Simulates the client's disconnect and the trigger in this order.
     fn check(self, order: Order) {
         let case = format!("{self:?}, {order:?}");
         let mut rig = Rig::new();
         let client = rig.client();
         let PreparedTrigger { input, reused } = self.prepare(&mut rig, client);
         let attempts_before = rig.metrics().attempts_sent;
-        order.play(&mut rig, vec![Input::Closed(client), input]);
+        order.simulate(&mut rig, vec![Input::Closed(client), input]);
         let sent = send_count(&rig, b"");
-        // A connection that is established later carries nothing of the request.
+        // The request must not be sent on a connection that is established later.
         for conn in rig.connections_to(NODES[0].1) {
             if !rig.closed(conn) && Some(conn) != reused {
                 rig.input(Input::Connected(conn));
@@ -409,8 +409,8 @@
         rig.advance_time(100.0);
         assert_eq!(send_count(&rig, b""), sent, "{case}");
         if !order.reversed && self != Trigger::Decision {
-            let own = send_count(&rig, b"0000000000000001");
-            assert_eq!(own, self.attempts_before(), "{case}");
+            let sent_attempts = send_count(&rig, b"0000000000000001");
+            assert_eq!(sent_attempts, self.attempts_before(), "{case}");
             assert_eq!(rig.metrics().attempts_sent, attempts_before, "{case}");
         }
         rig.advance_time(3000.0);
@@ -425,7 +425,7 @@
     }
 }
 
-/// How many messages with this text were ordered to be sent; an empty text counts all.
+/// The number of messages that contain this text and were ordered to be sent. An empty text counts all messages.
 fn send_count(rig: &Rig, text: &[u8]) -> usize {
     let contains_text = |output: &&Output| match output {
         Output::Send { bytes, .. } => {
@@ -433,13 +433,13 @@
         }
         _ => false,
     };
-    rig.out.iter().filter(contains_text).count()
+    rig.outputs.iter().filter(contains_text).count()
 }
 
-/// In both orders and in one batch: nothing is sent once the disconnect is known, and the scheduler is told the outcome of
-/// every attempt that it decided.
+/// After the disconnect no attempt is sent, in both orders and in one batch. The scheduler receives the outcome of each
+/// attempt that it started.
 #[test]
-fn no_attempt_begins_for_a_disconnected_client() {
+fn no_attempt_is_sent_for_a_disconnected_client() {
     for trigger in [
         Trigger::ConnectionEstablished,
         Trigger::Decision,
@@ -453,33 +453,34 @@
     }
 }
 
-/// In one batch a request comes, the list changes and the client leaves: decisions know the new list, and the
-/// outcome of an attempt decided for a client that is gone is reported all the same.
+/// In one batch a request arrives, the endpoint list changes and the client disconnects. The scheduler decides with the
+/// new list, and the outcome of an attempt that it starts for the disconnected client is reported.
 #[test]
-fn a_batch_is_decided_with_all_its_events() {
+fn decisions_take_all_events_of_a_batch_into_account() {
     let drains = response(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
     let other = response(200, "", &page(2, false, &[(1, "DRAINING", 0.0)]));
     for (change, to_node) in [(&drains, false), (&other, true)] {
         for order in [[0, 1, 2], [1, 0, 2], [0, 2, 1]] {
-            for leaves in [false, true] {
+            for disconnects in [false, true] {
                 let mut rig = Rig::new();
                 let client = rig.client();
                 let discovery = *rig.connections_to(DISCOVERY).last().unwrap();
-                let inputs = order
-                    .into_iter()
-                    .filter(|i| leaves || *i != 2)
-                    .map(|i| match i {
-                        0 => received(client, &request_text("read", 1, 0)),
-                        1 => received(discovery, change),
-                        _ => Input::Closed(client),
-                    });
+                let inputs =
+                    order
+                        .into_iter()
+                        .filter(|i| disconnects || *i != 2)
+                        .map(|i| match i {
+                            0 => received(client, &request_text("read", 1, 0)),
+                            1 => received(discovery, change),
+                            _ => Input::Closed(client),
+                        });
                 let inputs: Vec<_> = inputs.collect();
-                together(&mut rig, inputs);
+                handle_as_batch(&mut rig, inputs);
                 let connections_to = rig.connections_to(NODES[0].1).len();
                 assert_eq!(
                     connections_to,
-                    usize::from(to_node && !leaves),
-                    "{order:?} {leaves}"
+                    usize::from(to_node && !disconnects),
+                    "{order:?} {disconnects}"
                 );
                 rig.advance_time(3000.0);
                 let size_metrics = [
@@ -489,22 +490,22 @@
                     "open_requests",
                 ]
                 .map(|name| rig.size(name));
-                assert_eq!(size_metrics, [0; 4], "{order:?} {leaves}");
+                assert_eq!(size_metrics, [0; 4], "{order:?} {disconnects}");
             }
         }
     }
 }
 
-/// A message on a connection that rests, and the order to close it. The order holds only for as much as was
-/// handled when it was given; a message that comes all the same is served as any other, and the connection
-/// may be closed again later.
+/// A message on an idle connection races the order to close the connection. The order states how many bytes the core
+/// has handled and has no effect if more were read. The message is served, and the connection may be closed again
+/// later.
 #[test]
-fn a_close_order_holds_only_for_the_input_handled_before() {
-    for leaving in [false, true] {
+fn input_that_crosses_the_close_of_an_idle_connection_is_served() {
+    for shutting_down in [false, true] {
         let mut rig = Rig::new();
         let health = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
         let client = rig.client_sending(health);
-        if leaving {
+        if shutting_down {
             rig.input(Input::Shutdown);
             rig.advance_time(1110.0);
         } else {
@@ -518,33 +519,36 @@
                 } if *conn == client => Some(*bytes_handled as usize),
                 _ => None,
             };
-            rig.out.iter().filter_map(bytes_handled).collect::<Vec<_>>()
+            rig.outputs
+                .iter()
+                .filter_map(bytes_handled)
+                .collect::<Vec<_>>()
         };
-        assert_eq!(orders(&rig), [health.len()], "{leaving}");
-        // It was read before the order reached the connection's task, which does nothing then.
+        assert_eq!(orders(&rig), [health.len()], "{shutting_down}");
+        // The message was read before the order reached the connection's task, so the order has no effect.
         let text = request_text("read", 1, 0);
         rig.receive(client, &text[..100]);
         rig.receive(client, &text[100..]);
         let conn = rig.establish(0);
         rig.receive(conn, &response(200, "", "b"));
-        assert_eq!(rig.statuses(client), ["200", "200"], "{leaving}");
+        assert_eq!(rig.statuses(client), ["200", "200"], "{shutting_down}");
         assert_eq!(
             (rig.finished(client), rig.closed(client)),
-            (leaving, false),
-            "{leaving}"
+            (shutting_down, false),
+            "{shutting_down}"
         );
-        if !leaving {
+        if !shutting_down {
             rig.advance_time(2300.0);
             assert_eq!(orders(&rig), [health.len(), health.len() + text.len()]);
         }
     }
 }
 
-/// A further attempt waits for its connection, and the time ends within which a repeat is known as one.
+/// The idempotency window may expire while the second attempt waits for a connection.
 #[test]
-fn a_request_with_a_key_is_not_repeated_outside_its_window() {
-    for (wait, goes) in [(100.0, true), (180.0, true), (195.0, false), (230.0, false)] {
-        let mut rig = Rig::with(
+fn a_request_with_an_idempotency_key_is_not_repeated_outside_its_window() {
+    for (wait, is_sent) in [(100.0, true), (180.0, true), (195.0, false), (230.0, false)] {
+        let mut rig = Rig::with_settings(
             &settings_document(1024, 192, DISCOVERY)
                 .replace("\"window\":5000.0", "\"window\":200.0"),
         );
@@ -555,24 +559,24 @@
         assert!(second != first && rig.outcome_count("connection_lost") == 1);
         rig.advance_time(wait);
         rig.input(Input::Connected(second));
-        assert_eq!(rig.sent(second).len(), usize::from(goes), "{wait}");
+        assert_eq!(rig.sent(second).len(), usize::from(is_sent), "{wait}");
         rig.advance_time(600.0);
-        assert!(!rig.statuses(client).is_empty() || goes, "{wait}");
+        assert!(!rig.statuses(client).is_empty() || is_sent, "{wait}");
     }
 }
 
-/// Another document comes while a list is being read: what the old address still sends is ignored.
+/// The discovery address changes while a list is being received. Input from the old address is ignored.
 #[test]
 fn a_list_from_the_old_address_is_ignored_after_a_reload() {
-    let moved = settings_document(1024, 192, "10.2.0.9:8500");
+    let changed = settings_document(1024, 192, "10.2.0.9:8500");
     for half in [0, 60] {
         let mut rig = Rig::new();
         let old = rig.connections_to(DISCOVERY)[0];
         let drains = response(200, "", &page(2, false, &[(0, "DRAINING", 0.0)]));
         rig.receive(old, &drains[..half]);
         let document =
-            gullsail_platform::settings_document::SettingsDocument::parse("d", &moved).unwrap();
-        together(
+            gullsail_platform::settings_document::SettingsDocument::parse("d", &changed).unwrap();
+        handle_as_batch(
             &mut rig,
             vec![
                 Input::Reload(Box::new(document)),
@@ -589,7 +593,7 @@
             (1, 0),
             "{half}"
         );
-        // What the new one says of an older number is its own.
+        // Versions from the old address do not count: the older version from the new address is applied.
         let new = *rig.connections_to("10.2.0.9:8500").last().unwrap();
         rig.input(Input::Connected(new));
         rig.receive(
--- a/crates/platform/tests/platform/rig.rs
+++ b/crates/platform/tests/platform/rig.rs
@@ -1,4 +1,5 @@
-//! A host with two nodes, discovery and clients, played by the test: bytes in, bytes out, the time as a number.
+//! The core of a host, with two nodes, discovery and clients that the test simulates. The test passes received bytes
+//! and the time to the core, and reads the core's outputs.
 
 use bytes::Bytes;
 use gullsail_platform::core::{ConnectionId, Core, Input, Metrics, Output};
@@ -10,7 +11,7 @@
 pub const PEER: &str = "10.3.0.2:7946";
 const START_MS: f64 = 1_000_000_000.0;
 
-/// What an operator writes; `limits` and discovery may be others.
+/// A settings document with these limits and this address of discovery.
 pub fn settings_document(sockets: usize, memory_mb: usize, discovery: &str) -> String {
     let profile = |name: &str, idempotency: &str| {
         format!(
@@ -38,7 +39,8 @@
     )
 }
 
-/// A page of the endpoint list: node, health and start in ms after the test's beginning (0: long ago).
+/// A page of the endpoint list. Each entry states the index of a node, its state, and the start time of its process in
+/// ms after the start of the test; 0 means long ago.
 pub fn page(seq: u64, whole: bool, entries: &[(usize, &str, f64)]) -> String {
     let entry = |(n, health, started_ms): &(usize, &str, f64)| {
         let (name, address) = NODES[*n];
@@ -59,7 +61,7 @@
     )
 }
 
-/// A message of this request class, by its id, for the shard of a node.
+/// A request of the class `kind` with this trace id, for this shard.
 pub fn request_text(kind: &str, trace: u64, shard: i64) -> String {
     let (method, rest) = match kind {
         "read" => ("GET", "\r\n"),
@@ -85,48 +87,50 @@
 pub struct Rig {
     pub core: Core,
     pub now: Instant,
-    pub out: Vec<Output>,
-    /// Clients do not read their responses, so these stay unwritten.
-    pub stuck: bool,
+    /// All outputs of the core so far, unless a test removed some.
+    pub outputs: Vec<Output>,
+    /// Responses are not reported as written, as if clients did not read them.
+    pub withhold_writes: bool,
 }
 
 impl Rig {
-    /// With an endpoint list: both nodes serve.
+    /// A host with the usual settings that has received an endpoint list with both nodes serving.
     pub fn new() -> Rig {
-        Rig::with(&settings_document(1024, 192, DISCOVERY))
+        Rig::with_settings(&settings_document(1024, 192, DISCOVERY))
     }
 
-    pub fn with(settings_document: &str) -> Rig {
-        let mut rig = Rig::unanswered(settings_document);
+    /// A host that has received an endpoint list with both nodes serving.
+    pub fn with_settings(settings_document: &str) -> Rig {
+        let mut rig = Rig::without_endpoint_list(settings_document);
         rig.discovery_answers(&page(1, true, &[(0, "SERVING", 0.0), (1, "SERVING", 0.0)]));
         rig
     }
 
-    /// Discovery has not answered yet.
-    pub fn unanswered(settings_document: &str) -> Rig {
+    /// A host to which discovery has not responded yet.
+    pub fn without_endpoint_list(settings_document: &str) -> Rig {
         let document = SettingsDocument::parse("test.json", settings_document).unwrap();
         let now = Instant::from_millis(START_MS);
         let mut rig = Rig {
             core: Core::new(document, 4096, now),
             now,
-            out: Vec::new(),
-            stuck: false,
+            outputs: Vec::new(),
+            withhold_writes: false,
         };
         rig.advance();
         rig
     }
 
-    /// Runs the core. Responses to clients are written at once, unless `stuck` is set.
+    /// Advances the core. Reports responses to clients as written, unless `withhold_writes` is set.
     pub fn advance(&mut self) {
         loop {
             self.core.advance(self.now);
-            let out = self.core.outputs();
-            let answered = out.iter().filter_map(|output| match output {
-                Output::Respond { conn, .. } if !self.stuck => Some(*conn),
+            let outputs = self.core.outputs();
+            let answered = outputs.iter().filter_map(|output| match output {
+                Output::Respond { conn, .. } if !self.withhold_writes => Some(*conn),
                 _ => None,
             });
             let answered: Vec<_> = answered.collect();
-            self.out.extend(out);
+            self.outputs.extend(outputs);
             if answered.is_empty() {
                 return;
             }
@@ -141,7 +145,7 @@
         self.advance();
     }
 
-    /// Lets time pass, with all that is due meanwhile.
+    /// Advances the time by `ms` and runs the timers that become due.
     pub fn advance_time(&mut self, ms: f64) {
         let end = self.now + Span::from_millis(ms);
         while let Some(at) = self.core.next_timer().filter(|at| *at <= end) {
@@ -164,14 +168,14 @@
         ));
     }
 
-    /// A new client that has sent this.
+    /// Connects a new client that sends this text.
     pub fn client_sending(&mut self, text: &str) -> ConnectionId {
         let conn = self.client();
         self.receive(conn, text);
         conn
     }
 
-    /// What a client was answered so far.
+    /// The responses to a client so far.
     pub fn responses(&self, client: ConnectionId) -> Vec<String> {
         let to = |output: &Output| match output {
             Output::Respond { conn, bytes } | Output::RespondLast { conn, bytes, .. }
@@ -181,7 +185,7 @@
             }
             _ => None,
         };
-        self.out.iter().filter_map(to).collect()
+        self.outputs.iter().filter_map(to).collect()
     }
 
     /// The status codes of these responses.
@@ -192,15 +196,16 @@
             .collect()
     }
 
-    /// All connections to an address, the newest last.
+    /// All connections that the core opened to an address, the newest last.
     pub fn connections_to(&self, to: &str) -> Vec<ConnectionId> {
         let address = |output: &Output| match output {
             Output::Connect { conn, address } if address == to => Some(*conn),
             _ => None,
         };
-        self.out.iter().filter_map(address).collect()
+        self.outputs.iter().filter_map(address).collect()
     }
 
+    /// The messages that the core ordered to send on a connection to a node or discovery.
     pub fn sent(&self, on: ConnectionId) -> Vec<String> {
         let to = |output: &Output| match output {
             Output::Send { conn, bytes, .. } if *conn == on => {
@@ -208,45 +213,46 @@
             }
             _ => None,
         };
-        self.out.iter().filter_map(to).collect()
+        self.outputs.iter().filter_map(to).collect()
     }
 
     pub fn closed(&self, which: ConnectionId) -> bool {
-        let over = |output: &Output| matches!(output, Output::Close { conn } if *conn == which);
-        self.out.iter().any(over)
+        let closes = |output: &Output| matches!(output, Output::Close { conn } if *conn == which);
+        self.outputs.iter().any(closes)
     }
 
     /// How often the connection was ordered to close while idle.
     pub fn close_idle_orders(&self, which: ConnectionId) -> usize {
-        let quiet =
+        let closes_idle =
             |output: &&Output| matches!(output, Output::CloseIdle { conn, .. } if *conn == which);
-        self.out.iter().filter(quiet).count()
+        self.outputs.iter().filter(closes_idle).count()
     }
 
-    /// The connections that were ordered to close while idle; the orders are removed.
+    /// The connections that were ordered to close while idle. Removes these orders from `outputs`.
     pub fn take_idle_closes(&mut self) -> Vec<ConnectionId> {
-        let closes = self.out.iter().filter_map(|output| match output {
+        let closes = self.outputs.iter().filter_map(|output| match output {
             Output::CloseIdle { conn, .. } => Some(*conn),
             _ => None,
         });
         let closes: Vec<_> = closes.collect();
-        self.out
+        self.outputs
             .retain(|output| !matches!(output, Output::CloseIdle { .. }));
         closes
     }
 
-    /// Whether the connection is neither closed nor ordered to close.
-    pub fn keeps(&self, conn: ConnectionId) -> bool {
+    /// Whether the connection was neither closed nor ordered to close.
+    pub fn stays_open(&self, conn: ConnectionId) -> bool {
         !self.closed(conn) && self.close_idle_orders(conn) == 0 && !self.finished(conn)
     }
 
+    /// Whether the last response of the connection was ordered.
     pub fn finished(&self, which: ConnectionId) -> bool {
-        self.out.iter().any(|output| {
+        self.outputs.iter().any(|output| {
             matches!(output, Output::FinishAndClose { conn } | Output::RespondLast { conn, .. } if *conn == which)
         })
     }
 
-    /// The newest connection to discovery answers its poll with this page.
+    /// Receives this page as the response to the poll on the newest connection to discovery.
     pub fn discovery_answers(&mut self, page: &str) {
         let conn = *self.connections_to(DISCOVERY).last().unwrap();
         if self.sent(conn).is_empty() {
@@ -255,7 +261,7 @@
         self.receive(conn, &response(200, "", page));
     }
 
-    /// The newest connection to a node comes up, and what is sent on it is written.
+    /// Establishes the newest connection to a node and reports the message sent on it as written.
     pub fn establish(&mut self, node: usize) -> ConnectionId {
         let conn = *self.connections_to(NODES[node].1).last().unwrap();
         self.input(Input::Connected(conn));
@@ -275,11 +281,12 @@
             .unwrap_or_default()
     }
 
-    pub fn size(&self, of: &str) -> usize {
+    /// The size metric with this name.
+    pub fn size(&self, name: &str) -> usize {
         self.core
             .size_metrics()
             .iter()
-            .find(|size| size.0 == of)
+            .find(|size| size.0 == name)
             .unwrap()
             .1
     }
--- a/crates/platform/tests/platform/serialized_names.rs
+++ b/crates/platform/tests/platform/serialized_names.rs
@@ -1,4 +1,5 @@
-//! Names that operators read: the keys of the metrics in the log and the texts of errors in settings documents.
+//! Names and texts that operators and clients see: the keys of the metrics in the log, errors of settings documents,
+//! and responses to invalid requests.
 
 use crate::rig::{DISCOVERY, settings_document};
 use gullsail_platform::core::{Metrics, RequestError};
@@ -53,7 +54,7 @@
     assert!(names.is_sorted_by_key(|(error, _)| *error));
 }
 
-/// Some of these texts name a type.
+/// These texts contain names of types, which therefore must not be renamed.
 #[test]
 fn document_errors_keep_their_texts() {
     let valid = settings_document(256, 32, DISCOVERY);
@@ -84,7 +85,7 @@
     }
 }
 
-/// The keys under which the log counts how attempts ended.
+/// The keys under which the metrics count the outcomes of attempts.
 #[test]
 fn attempt_outcomes_keep_their_keys() {
     let names = [
@@ -107,7 +108,7 @@
     }
 }
 
-/// The response to an invalid request.
+/// An error with the expected response to the invalid request.
 struct Response {
     error: RequestError,
     status: u16,
@@ -210,7 +211,7 @@
     ),
 ];
 
-/// The status and the body that a client receives: they are the platform's, whatever the names in this program.
+/// Clients depend on these statuses and bodies, so they must not change with the names in this program.
 #[test]
 fn responses_to_invalid_requests_keep_their_status_and_body() {
     for Response {
