--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -59,14 +59,14 @@
     #[error("frame has version 0, expected 1 or later")]
     Version,
     /// A part of the frame is longer than accepted.
-    #[error("{part} of {length} bytes is too long, at most {max_length} are accepted")]
+    #[error("{part} of {length} bytes is too long, at most {max} are accepted")]
     TooLong {
         /// The part: message, body, or a field of a message.
         part: &'static str,
         /// Its length in bytes.
         length: usize,
         /// The most bytes that are accepted.
-        max_length: usize,
+        max: usize,
     },
     /// The message is not valid protobuf of its kind.
     #[error("message of kind {kind} cannot be decoded: {why}")]
@@ -227,16 +227,12 @@
     }
     let kind = header.get_u16_le();
     let (message, body) = (header.get_u32_le() as usize, header.get_u32_le() as usize);
-    for (part, length, max_length) in [
+    for (part, length, max) in [
         ("message", message, bounds.message),
         ("body", body, bounds.body),
     ] {
-        if length > max_length {
-            return Err(Broken::TooLong {
-                part,
-                length,
-                max_length,
-            });
+        if length > max {
+            return Err(Broken::TooLong { part, length, max });
         }
     }
     let whole = HEADER_BYTES + message + body;
@@ -258,7 +254,7 @@
         return Err(Broken::TooLong {
             part: "demand report",
             length: report.bytes.len(),
-            max_length: MAX_DEMAND_REPORT_BYTES,
+            max: MAX_DEMAND_REPORT_BYTES,
         });
     }
     if let Message::Reached(notice) = &message
@@ -267,7 +263,7 @@
         return Err(Broken::TooLong {
             part: "revision notice",
             length: notice.hosts.len(),
-            max_length: MAX_DEMAND_REPORT_BYTES,
+            max: MAX_DEMAND_REPORT_BYTES,
         });
     }
     Ok(Some(Frame {
