--- a/crates/audit/src/history/reader.rs
+++ b/crates/audit/src/history/reader.rs
@@ -154,14 +154,12 @@
                 *history.reported_overruns.entry(budget).or_default() += bytes;
             }
             What::Parts {
-                lease_left_us,
-                shares,
-                ..
+                lease_us, shares, ..
             } => {
                 let seen = SharesSeen {
                     at,
                     line,
-                    lasts_us: lease_left_us,
+                    lasts_us: lease_us,
                     shares,
                 };
                 history.shares.entry(to).or_default().push(seen);
--- a/crates/audit/tests/planted/fleet.rs
+++ b/crates/audit/tests/planted/fleet.rs
@@ -70,7 +70,7 @@
                 What::Parts {
                     incarnation: 1,
                     epoch: 1,
-                    lease_left_us: lasts_us,
+                    lease_us: lasts_us,
                     shares: parts,
                 },
             );
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -61,12 +61,11 @@
         report: RenewalReport,
         now: Instant,
     ) {
-        let lease_and_blind =
-            |granted: Instant| granted + config.lease + maintenance.isolation_grace;
+        let lease_end = |granted: Instant| granted + config.lease + maintenance.isolation_grace;
         // One lease after this process had its first one, no other process of the host held any, whoever was
         // the coordinator.
         let member_for = report.member_for.times(1.0 - config.drift);
-        let earlier_until = lease_and_blind(now - member_for);
+        let earlier_until = lease_end(now - member_for);
         let unreported_host_may_send_until =
             self.unreported_host_may_send_until(config, maintenance);
         let first = HostUsage {
@@ -86,7 +85,7 @@
             let process_until = if usage.left {
                 now
             } else {
-                lease_and_blind(usage.granted_at)
+                lease_end(usage.granted_at)
             };
             *usage = HostUsage {
                 earlier_incarnations_until: usage.earlier_incarnations_until.max(process_until),
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -102,7 +102,7 @@
         epoch: u64,
         /// How long its lease lasts; -1: it holds none.
         #[serde(rename = "lasts_us")]
-        lease_left_us: i64,
+        lease_us: i64,
         /// Its share of each budget in millionths, by name.
         #[serde(rename = "parts")]
         shares: BTreeMap<String, u32>,
--- a/crates/scenario/src/run/allocations_log.rs
+++ b/crates/scenario/src/run/allocations_log.rs
@@ -66,7 +66,7 @@
                     let what = What::Parts {
                         incarnation: l.incarnation,
                         epoch: l.epoch,
-                        lease_left_us: l.lasts_us,
+                        lease_us: l.lasts_us,
                         shares: parts,
                     };
                     self.wire.record_at(host, when, what);
