--- a/src/scheduler/endpoint/health.rs
+++ b/src/scheduler/endpoint/health.rs
@@ -113,8 +113,8 @@
         self.mean_latency().times(0.5f64.powf(quiet_secs))
     }
 
-    /// Whether the oldest attempt in flight has taken far longer than the mean latency, without an answer to
-    /// any attempt since it was sent. False if no attempt is in flight.
+    /// Whether, for far longer than the mean latency, the oldest attempt has been in flight and no answer to any
+    /// attempt has arrived. False if no attempt is in flight.
     pub(crate) fn is_silent(&self, oldest_in_flight: Option<Instant>, now: Instant) -> bool {
         let silent_after = self.mean_latency().times(SILENT_AFTER_LATENCIES);
         oldest_in_flight.is_some_and(|sent_at| now - sent_at.max(self.last_response) > silent_after)
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -97,8 +97,8 @@
     pub(super) even_units: f64,
     /// Expected latency of an attempt.
     pub(super) latency: Span,
-    /// The oldest attempt in flight has taken far longer than the mean latency, and no answer to any attempt
-    /// has arrived since it was sent.
+    /// For far longer than the mean latency, an attempt has been in flight and no answer to any attempt has
+    /// arrived.
     pub(super) silent: bool,
     /// The endpoint is warming up, or its window was decreased within the last minute and is still small.
     pub(super) recently_degraded: bool,
--- a/src/scheduler/volume/reserve.rs
+++ b/src/scheduler/volume/reserve.rs
@@ -58,9 +58,9 @@
     plan_reserve: f64,
     own_demand: f64,
     fleet_demand: f64,
-    hosts: f64,
+    host_count: f64,
 ) -> f64 {
-    let min_fraction = 1.0 / hosts / 2.0;
+    let min_fraction = 1.0 / host_count / 2.0;
     let fraction = own_demand / fleet_demand.max(MIN_DIVISOR);
     plan_reserve * fraction.max(min_fraction)
 }
--- a/src/scheduler/volume/search.rs
+++ b/src/scheduler/volume/search.rs
@@ -34,13 +34,13 @@
 
     /// The directory host to ask, if a search is due; schedules the next search. Directory hosts are asked in
     /// turn.
-    pub(crate) fn next(&mut self, id: VolumeId, hosts: u32, now: Instant) -> Option<HostId> {
+    pub(crate) fn next(&mut self, id: VolumeId, host_count: u32, now: Instant) -> Option<HostId> {
         if now < self.next_at {
             return None;
         }
         let doublings = self.searches.min(MAX_SEARCH_DOUBLINGS);
         let turn = u64::from(self.searches % DIRECTORY_HOSTS);
-        let directory_host = (id.0 + turn) % u64::from(hosts.max(1));
+        let directory_host = (id.0 + turn) % u64::from(host_count.max(1));
         self.next_at = now + EPOCH.times(f64::from(1 << doublings));
         self.searches = self.searches.wrapping_add(1);
         Some(HostId(directory_host as u32))
--- a/src/scheduler/volume/share.rs
+++ b/src/scheduler/volume/share.rs
@@ -28,8 +28,8 @@
     pub(crate) fn host_share(&mut self, now: Instant, limit: &Limit) -> Limit {
         let held = self.bucket.held_units(now);
         let even = Limit {
-            rate: limit.rate / self.hosts,
-            burst: limit.burst / self.hosts,
+            rate: limit.rate / self.host_count,
+            burst: limit.burst / self.host_count,
         };
         let share = self.share.unwrap_or(even);
         Limit {
@@ -39,7 +39,7 @@
     }
 
     fn host_rate(&self, limit: &Limit) -> f64 {
-        let even_rate = limit.rate / self.hosts;
+        let even_rate = limit.rate / self.host_count;
         self.share.map_or(even_rate, |share| share.rate)
     }
 
@@ -68,8 +68,8 @@
         let wants_whole_limit =
             |peer: &&PeerDemand| peer.is_recent(now) && peer.demand >= limit.rate;
         let busy_peers = self.peers.demands().filter(wants_whole_limit).count();
-        let busy_hosts = busy_peers as f64 + 1.0;
-        let cannot_borrow = !config.peer_messages_enabled || busy_hosts >= self.hosts;
+        let busy_host_count = busy_peers as f64 + 1.0;
+        let cannot_borrow = !config.peer_messages_enabled || busy_host_count >= self.host_count;
         let expected = if cannot_borrow {
             rate * left_secs
         } else {
--- a/src/scheduler/volume/state.rs
+++ b/src/scheduler/volume/state.rs
@@ -33,7 +33,7 @@
     pub(super) kind: LimitKind,
     pub(super) plan: PlanId,
     /// Number of hosts that share the limit. Zero only until the first request or allocation of the volume.
-    pub(super) hosts: f64,
+    pub(super) host_count: f64,
     /// This host's allocated share of the limit; `None` for an even share.
     pub(super) share: Option<Limit>,
     /// The configuration has withdrawn the volume from this host.
@@ -66,14 +66,14 @@
         started_at: Instant,
         config: &SchedulerConfig,
     ) {
-        let hosts = match request.volume_hosts {
+        let host_count = match request.volume_hosts {
             0 => f64::from(config.host_count.max(1)),
-            hosts => f64::from(hosts),
+            host_count => f64::from(host_count),
         };
-        if hosts > self.hosts {
+        if host_count > self.host_count {
             // An earlier incarnation of this host may have spent the tokens, so the bucket starts empty.
             self.plan = request.plan;
-            self.hosts = hosts;
+            self.host_count = host_count;
             self.bucket.empty(started_at);
             self.search.restart(now);
         }
@@ -89,7 +89,7 @@
         config: &SchedulerConfig,
     ) -> bool {
         self.plan = allocation.plan;
-        self.hosts = f64::from(allocation.host_count.max(1));
+        self.host_count = f64::from(allocation.host_count.max(1));
         self.share = allocation.host_limit;
         self.withdrawn = allocation.host_count == 0;
         self.refill(now, config);
@@ -118,10 +118,10 @@
         let own_demand = self.demand.read(now, DEMAND_WINDOW);
         self.bucket.set_refilled(now);
         if let (LimitKind::Volume, Some(plan)) = (self.kind, config.plans.get(self.plan.0)) {
-            let extrapolated = own_demand * self.hosts;
+            let extrapolated = own_demand * self.host_count;
             let fleet_usage = self.fleet_usage.map(|usage| usage.max(own_demand));
             let fleet_demand = fleet_usage.unwrap_or(extrapolated);
-            let rate = reserve_rate(plan.reserve, own_demand, fleet_demand, self.hosts);
+            let rate = reserve_rate(plan.reserve, own_demand, fleet_demand, self.host_count);
             self.reserve.refill(rate, elapsed_secs, config.max_units);
         }
     }
@@ -199,7 +199,7 @@
         config: &SchedulerConfig,
     ) -> Option<HostId> {
         let is_shared =
-            self.limit(config).is_some() && self.hosts > 1.0 && config.peer_messages_enabled;
+            self.limit(config).is_some() && self.host_count > 1.0 && config.peer_messages_enabled;
         if !is_shared {
             return None;
         }
--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -141,7 +141,7 @@
             if let Some(position) = position(&id) {
                 volume.kind = LimitKind::CrossZoneBudget { position };
             }
-            volume.hosts = f64::from(budget.host_count);
+            volume.host_count = f64::from(budget.host_count);
         }
     }
 
--- a/src/scheduler/volume/token_bucket.rs
+++ b/src/scheduler/volume/token_bucket.rs
@@ -74,8 +74,13 @@
     }
 
     /// Lowers the burst by the units of an attempt until the attempt must have left this host.
-    pub(crate) fn hold_for_unsent_attempt(&mut self, units: f64, now: Instant, connect_wait: Span) {
-        self.hold(units, now + connect_wait + QUEUE_REVIEW_INTERVAL);
+    pub(crate) fn hold_for_unsent_attempt(
+        &mut self,
+        units: f64,
+        now: Instant,
+        max_connect_wait: Span,
+    ) {
+        self.hold(units, now + max_connect_wait + QUEUE_REVIEW_INTERVAL);
     }
 
     /// The units by which the burst is lowered now. Removes holds that have ended.
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -384,14 +384,14 @@
 }
 
 /// A configuration change that gives volume 7 this allocation.
-fn allocation(hosts: u32, part: Option<Limit>) -> Event {
+fn allocation(hosts: u32, share: Option<Limit>) -> Event {
     Event::ConfigChanged {
         plans: config().plans,
         allocations: vec![VolumeAllocation {
             volume: VolumeId(7),
             plan: PlanId(1),
             host_count: hosts,
-            host_limit: part,
+            host_limit: share,
         }],
         cross_zone_budgets: Vec::new(),
         fleet_membership: None,
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -488,11 +488,11 @@
 /// Rule 6: retries stay within the fixed number plus the fraction of the arrived requests.
 #[test]
 fn retries_stay_within_the_retry_budget() {
-    for (free, share, max_retries) in [(0.0, 0.0, 0), (3.0, 0.0, 3), (1.0, 0.1, 5)] {
+    for (fixed, per_request, max_retries) in [(0.0, 0.0, 0), (3.0, 0.0, 3), (1.0, 0.1, 5)] {
         let mut config = config();
         config.retry_budget = Some(RetryBudget {
-            fixed_retries: free,
-            retries_per_request: share,
+            fixed_retries: fixed,
+            retries_per_request: per_request,
             window: ms(5000),
         });
         let mut host = Host::new(config, vec![node(1, 0)], at(1000));
@@ -512,7 +512,7 @@
             .sum();
         assert!(
             retries <= max_retries && retries * 2 >= max_retries,
-            "{free} {share}: {retries}"
+            "{fixed} {per_request}: {retries}"
         );
     }
 }
