--- a/src/scheduler/demand_reports/directory.rs
+++ b/src/scheduler/demand_reports/directory.rs
@@ -31,7 +31,7 @@
     }
 
     /// Removes hosts that have not searched within `retention`.
-    pub(crate) fn forget_old(&mut self, now: Instant, retention: Span) {
+    pub(crate) fn remove_expired(&mut self, now: Instant, retention: Span) {
         for users in self.users.values_mut() {
             users.retain(|_, searched_at| now - *searched_at < retention);
         }
--- a/src/scheduler/demand_reports/epoch.rs
+++ b/src/scheduler/demand_reports/epoch.rs
@@ -18,11 +18,11 @@
         id: EPOCH_TIMER,
         at: Instant::from_micros(next_epoch * EPOCH.micros()),
     });
-    state.requests.forget_idle_objects(now);
-    state.endpoints.forget_old(now);
-    state.directory.forget_old(now, directory_retention());
+    state.requests.remove_idle_objects(now);
+    state.endpoints.remove_expired(now);
+    state.directory.remove_expired(now, directory_retention());
     let requests = &state.requests;
-    state.volumes.forget_unused(now, |volume| {
+    state.volumes.remove_unused(now, |volume| {
         requests.iter().any(|open| open.request().volume == volume)
     });
     let review = state.volumes.review(now, &state.config);
--- a/src/scheduler/endpoint/index.rs
+++ b/src/scheduler/endpoint/index.rs
@@ -154,7 +154,7 @@
     }
 
     /// Removes the destinations for which no replacement is expected any more.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
         self.last_unready_at
             .retain(|_, at| now - *at <= REPLACEMENT_WINDOW);
     }
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -115,7 +115,7 @@
             self.attempts.clear();
             return SlowStartUnits::UNLIMITED;
         };
-        self.forget_old(now, config);
+        self.remove_expired(now, config);
         let even_share = ramped_share(age, config);
         let sent: f64 = self
             .attempts
@@ -138,7 +138,7 @@
 
     /// Removes attempts that no longer count. An attempt may leave the host up to `max_connect_wait` after the
     /// decision to send it, so it counts for that much longer.
-    fn forget_old(&mut self, now: Instant, config: &SchedulerConfig) {
+    fn remove_expired(&mut self, now: Instant, config: &SchedulerConfig) {
         let window = config.slow_start.window.times(WINDOW_MARGIN) + config.max_connect_wait;
         self.attempts
             .retain(|attempt| now - attempt.sent_at <= window);
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -205,7 +205,7 @@
     }
 
     /// Removes the order of objects that have no open requests and are not blocked.
-    pub(super) fn forget_idle_objects(&mut self, now: Instant) {
+    pub(super) fn remove_idle_objects(&mut self, now: Instant) {
         self.object_orders
             .retain(|_, order| !order.requests.is_empty() || order.blocked_until > now);
     }
--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -114,7 +114,7 @@
     }
 
     /// Removes withdrawn volumes that have neither demand nor open requests.
-    pub(crate) fn forget_unused(&mut self, now: Instant, has_open: impl Fn(VolumeId) -> bool) {
+    pub(crate) fn remove_unused(&mut self, now: Instant, has_open: impl Fn(VolumeId) -> bool) {
         self.by_id
             .retain(|id, volume| !volume.is_unused(now) || has_open(*id));
     }
