--- a/src/scheduler/volume/table.rs
+++ b/src/scheduler/volume/table.rs
@@ -114,7 +114,7 @@
     }
 
     /// Removes withdrawn volumes that have neither demand nor open requests.
-    pub(crate) fn forget_unused(&mut self, now: Instant, has_open: impl Fn(VolumeId) -> bool) {
+    pub(crate) fn remove_unused(&mut self, now: Instant, has_open: impl Fn(VolumeId) -> bool) {
         self.by_id
             .retain(|id, volume| !volume.is_unused(now) || has_open(*id));
     }
@@ -141,7 +141,7 @@
             if let Some(position) = position(&id) {
                 volume.kind = LimitKind::CrossZoneBudget { position };
             }
-            volume.hosts = f64::from(budget.host_count);
+            volume.host_count = f64::from(budget.host_count);
         }
     }
 
