--- a/crates/platform/src/core/io.rs
+++ b/crates/platform/src/core/io.rs
@@ -26,8 +26,8 @@
     WriteClosed(ConnectionId),
     /// The connection has ended, or could not be established.
     Closed(ConnectionId),
-    /// After [`Output::StopAccepting`]: the backlog may still hold connections, for want of slots or descriptors. The
-    /// runtime accepts them as these become free.
+    /// After [`Output::StopAccepting`]: the backlog may still hold connections, as slots or descriptors are missing.
+    /// The runtime accepts them as these become free.
     BacklogWaits,
     /// After [`Input::BacklogWaits`]: the backlog is empty, and the listener is closed.
     BacklogEmpty,
--- a/crates/platform/src/core/metrics.rs
+++ b/crates/platform/src/core/metrics.rs
@@ -14,7 +14,7 @@
     pub connections_accepted: u64,
     /// New client connections above the soft limit for which no other connection could be closed.
     pub connection_limit_reached: u64,
-    /// Client connections closed in favour of new ones.
+    /// Client connections closed to free slots for new ones.
     pub clients_evicted: u64,
     /// How often a client sent more while its request was open than the host buffers.
     pub input_overflows: u64,
--- a/crates/platform/src/runtime/sockets.rs
+++ b/crates/platform/src/runtime/sockets.rs
@@ -21,8 +21,8 @@
 /// queued. A task whose queue is full no longer makes progress and is aborted.
 const ORDER_QUEUE: usize = 8;
 
-/// Delay after accepting a connection failed, mostly for want of descriptors. Without it the event loop would retry
-/// without pause until a descriptor is free.
+/// Delay after accepting a connection failed, mostly because no descriptor is free. Without it the event loop would
+/// retry without pause until a descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The queue and the task of one connection.
@@ -286,7 +286,7 @@
                     info!("listener closed");
                     return;
                 }
-                // Mostly for want of descriptors, which become free as other connections end.
+                // Mostly because no descriptor is free. Descriptors become free as other connections end.
                 Err(_) => break,
             }
         }
--- a/crates/platform/tests/platform/limits_and_shutdown.rs
+++ b/crates/platform/tests/platform/limits_and_shutdown.rs
@@ -239,7 +239,7 @@
     }
 }
 
-/// Guards against an exit while clients wait in the backlog for want of slots or descriptors: their connections are
+/// Guards against an exit while clients wait in the backlog until slots or descriptors are free: their connections are
 /// established, and the requests that they have sent would be lost.
 #[test]
 fn the_host_does_not_exit_before_its_backlog_is_empty() {
