--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -2,8 +2,8 @@
 //! present exactly once and well-formed. Other headers are ignored. `clients` calls this module, which has no state.
 //!
 //! A message that is refused here never reaches the scheduler. Its response never has status 429 or 503, which would
-//! tell the client that the request did not run and when to retry it. `clients` answers with 503 only requests that
-//! never ran and may be retried: during the shutdown, and those sent too far ahead.
+//! tell the client that the request did not run and when to retry it. Of the messages that never reach the scheduler,
+//! only those that `clients` refuses during the shutdown, or as sent too far ahead, get 503: they may be sent again.
 
 use super::header_values::{as_utf8, parse_decimal, parse_hex_id, single_value};
 use super::request_error::RequestError;
