--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -35,8 +35,9 @@
         for volume in &deployment.volumes {
             let plan = deployment.plans.get(volume.plan.0);
             if let Some(limit) = plan.and_then(|plan| plan.decisions.limit) {
-                let least = min_share(max_units, limit.burst);
-                let budget = self.shared_budget(volume.id, &volume.hosts, least, floor_share);
+                let smallest_share = min_share(max_units, limit.burst);
+                let budget =
+                    self.shared_budget(volume.id, &volume.hosts, smallest_share, floor_share);
                 budgets.insert(volume.id, budget);
             }
         }
@@ -48,27 +49,28 @@
         let configured = self.deployment.cross_zone_budgets.iter();
         configured
             .map(|budget| {
-                let least = min_share(max_bytes, budget.limit.burst);
-                let shared = self.shared_budget(budget.id, &budget.hosts, least, floor_share);
+                let smallest_share = min_share(max_bytes, budget.limit.burst);
+                let shared =
+                    self.shared_budget(budget.id, &budget.hosts, smallest_share, floor_share);
                 (budget.id, shared)
             })
             .collect()
     }
 
-    /// Builds a budget that these hosts share. `least`: the smallest share that holds the largest request.
+    /// Builds a budget that these hosts share. `smallest_share`: the smallest share that holds the largest request.
     /// `floor_share`: the fraction of the budget that the hosts may use without a lease.
     fn shared_budget(
         &self,
         id: VolumeId,
-        through: &Arc<[HostId]>,
-        least: u32,
+        sharing_hosts: &Arc<[HostId]>,
+        smallest_share: u32,
         floor_share: f64,
     ) -> Budget {
         Budget {
-            hosts: through.clone(),
-            floor: floor(floor_share, through.len()),
+            hosts: sharing_hosts.clone(),
+            floor: floor(floor_share, sharing_hosts.len()),
             lagging_hosts: self.lagging_hosts(id, floor_share),
-            min_share: least,
+            min_share: smallest_share,
         }
     }
 
@@ -82,10 +84,10 @@
     ) -> BTreeMap<VolumeId, Budget> {
         let figures = self.deployment.figures();
         let host_count = self.deployment.hosts.len() as u32;
-        let through: Arc<[HostId]> = (0..host_count).map(HostId).collect();
+        let sharing_hosts: Arc<[HostId]> = (0..host_count).map(HostId).collect();
         let slow_start = Budget {
-            floor: floor(floor_share, through.len()),
-            hosts: through,
+            floor: floor(floor_share, sharing_hosts.len()),
+            hosts: sharing_hosts,
             lagging_hosts: BTreeMap::new(),
             min_share: min_share(figures.max_units, figures.slow_start.units),
         };
--- a/crates/host/tests/host/changes.rs
+++ b/crates/host/tests/host/changes.rs
@@ -315,13 +315,13 @@
     let (client, nodes) = (rig.client(), rig.nodes_up());
     let put = |rig: &mut Rig, first: u64| {
         for id in first..first + 12 {
-            let (request_class, volume, mark) = ("write".into(), "v".into(), format!("m{id}"));
+            let (request_class, volume, key) = ("write".into(), "v".into(), format!("m{id}"));
             let s = Submit {
                 id,
                 request_class,
                 volume,
                 units: 1.0,
-                idempotency_key: mark,
+                idempotency_key: key,
                 timeout_us: 1_500_000,
                 ..Submit::default()
             };
