--- a/crates/scheduler-api/src/action.rs
+++ b/crates/scheduler-api/src/action.rs
@@ -1,4 +1,5 @@
-//! The scheduler's output, which its host carries out: attempts, final answers, timers, messages to other hosts.
+//! The actions that the scheduler returns and its host carries out: attempts, final answers, timers, messages to
+//! other hosts.
 
 use crate::{HostId, Instant, NodeId, RequestId, Span, TimerId, VolumeId};
 
@@ -20,39 +21,40 @@
 pub enum Action {
     /// Send the request to the node.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// The node.
+        /// The node that receives it.
         node: NodeId,
-        /// The attempt ends as timed out after this time; `None`: it runs until the request's deadline.
+        /// Time after which the host ends the attempt as timed out; `None`: the attempt runs until the request's
+        /// deadline.
         time_out: Option<Span>,
     },
-    /// Final answer: the request is rejected. A repeat by the client does no harm.
+    /// Final answer: the request is rejected. The client can safely repeat it.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// After what time the client may try again; `None`: the answer gives none.
+        /// Time after which the client may try again; `None`: the answer does not give one.
         retry_after: Option<Span>,
     },
-    /// Final answer: the request failed. It may have run, so a repeat may do harm.
+    /// Final answer: the request failed. It may have run, so a repeat may run it twice.
     Fail {
-        /// The request.
+        /// The failed request.
         id: RequestId,
     },
     /// Fetch the endpoint list and watch it for changes from now on.
     WatchEndpoints,
     /// Set a timer; [`Event::Timer`](crate::Event::Timer) reports it.
     SetTimer {
-        /// The timer, as in the event.
+        /// The id of the timer, which the event repeats.
         id: TimerId,
-        /// When it is due.
+        /// When the timer is due.
         at: Instant,
     },
     /// A request overran a cross-zone budget. For accounting: there is nothing to do.
     BudgetOverrun {
-        /// The request.
+        /// The request that overran the budget.
         id: RequestId,
-        /// The budget, as in [`CrossZoneBudget`](crate::CrossZoneBudget).
+        /// The budget, by [`CrossZoneBudget::id`](crate::CrossZoneBudget::id).
         cross_zone_budget: VolumeId,
         /// How many of the request's bytes were over the budget.
         bytes: f64,
@@ -61,9 +63,9 @@
     },
     /// Send a message of at most 256 bytes to another host.
     SendToPeer {
-        /// The receiver.
+        /// The host that receives the message.
         to: HostId,
-        /// The message, as in [`demand_report`](crate::demand_report).
+        /// The message, encoded as in [`demand_report`](crate::demand_report).
         bytes: Vec<u8>,
     },
 }
--- a/crates/scheduler-api/src/config.rs
+++ b/crates/scheduler-api/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::{HostId, PlanId, Span, VolumeId, ZoneId};
 
-/// Which nodes recognise the repeat of a request by its idempotency key.
+/// Which nodes recognise a repeated request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All nodes.
@@ -16,46 +16,46 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It may be sent again to nodes that know its idempotency key: they recognise the repeat.
+    /// The request may be sent again to nodes that know its idempotency key: they recognise the repeat.
     WithKey {
-        /// The nodes that share their knowledge of keys.
+        /// The nodes among which a key is known.
         scope: IdempotencyScope,
-        /// How long they keep a key.
+        /// How long these nodes remember a key.
         window: Span,
     },
-    /// It may be sent again only if it is certain that it did not run.
+    /// The request may be sent again only if it is certain that it did not run.
     NonIdempotent,
 }
 
-/// What requests of one class have in common.
+/// A request class: the settings of all its requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Whether its requests may run more than once.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// An answer within this time has its full value.
+    /// An answer within this time has the full priority weight.
     pub latency_objective: Span,
-    /// Value of a unit answered in time, relative to other classes.
+    /// Value of a unit of work that is answered in time, relative to other classes.
     pub priority_weight: f64,
     /// Fraction of the priority weight that an answer after the latency objective still has.
     pub late_weight: f64,
-    /// Its requests on one object run one at a time, in order of arrival.
+    /// Whether requests of the class on one object run one at a time, in order of arrival.
     pub in_order: bool,
 }
 
-/// What a volume was promised, over all hosts. Rates are in units a second.
+/// The service that a volume is promised, over all hosts together. Rates are in units a second.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The most that it may be sent; `None`: no limit.
+    /// The volume's limit; `None`: the volume has no limit.
     pub limit: Option<Limit>,
-    /// The rate that it gets however much other volumes ask for.
+    /// The reserved rate: the volume gets it whatever the demand of other volumes.
     pub reserve: f64,
-    /// The rate that it is expected to need.
+    /// The rate that the volume is expected to need.
     pub nominal_rate: f64,
-    /// Its weight, relative to other plans, in sharing what is left beyond the reserves.
+    /// Weight, relative to other plans, by which the capacity beyond all reserves is shared.
     pub weight: f64,
-    /// Factor on the priority weight of its requests.
+    /// Factor on the priority weight of the volume's requests.
     pub price: f64,
 }
 
@@ -64,23 +64,23 @@
 pub struct Limit {
     /// Tokens a second.
     pub rate: f64,
-    /// The most tokens that the bucket holds.
+    /// Capacity of the bucket in tokens.
     pub burst: f64,
 }
 
 /// A cross-zone budget: a limit on the bytes sent between zones, over all hosts together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CrossZoneBudget {
-    /// Its id in messages between hosts.
+    /// The budget's id, also in messages between hosts.
     pub id: VolumeId,
     /// The traffic that counts against it.
     pub scope: BudgetScope,
-    /// Rate and burst, in bytes.
+    /// Rate in bytes a second and burst in bytes.
     pub limit: Limit,
-    /// A new object never overruns it. A soft budget may be overrun where the host's zone has no node for the
-    /// object.
+    /// Whether the budget is hard: a new object never overruns it. A new object may overrun a soft budget if the
+    /// host's zone has no node for it.
     pub hard: bool,
-    /// How many hosts share it; 0: this host has no share.
+    /// Number of hosts that share the budget; 0: this host has no share of it.
     pub host_count: u32,
 }
 
@@ -93,10 +93,10 @@
     Plan(PlanId),
 }
 
-/// How many retries a host may send within a window: a fixed number, and a fraction of its requests.
+/// Limit on the retries that a host sends within a window: a fixed number plus a fraction of its requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries that are always allowed.
+    /// Retries allowed in a window whatever the number of requests.
     pub fixed_retries: f64,
     /// Retries allowed for each request that arrived in the window.
     pub retries_per_request: f64,
@@ -107,65 +107,66 @@
 /// What bounds the work sent to a node that has just started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Units that it can serve within `window` at its start, from all hosts together.
+    /// Units that the node can serve within `window` when it starts, from all hosts together.
     pub units: f64,
     /// The time over which the units are counted.
     pub window: Span,
-    /// Fraction of its capacity that it has at least when it starts.
+    /// Smallest fraction of its capacity that the node has when it starts.
     pub initial_fraction: f64,
-    /// Time after which it has its full capacity; until then capacity grows at least linearly.
+    /// Time after which the node has its full capacity; until then its capacity grows at least linearly.
     pub ramp: Span,
 }
 
 /// The configuration of a host's scheduler. It is one flat struct because it is made in one place from the
-/// operators' settings and read-only afterwards, but for [`SchedulerConfig::apply_change`].
+/// operators' settings and changes afterwards only by [`SchedulerConfig::apply_change`].
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
-    /// This host.
+    /// The host on which the scheduler runs.
     pub me: HostId,
-    /// How many hosts there are, running or not.
+    /// Number of hosts in the configuration, running or not.
     pub host_count: u32,
-    /// How late a timer may fire. Final answers are given two ticks before the client's deadline.
+    /// Longest delay with which a timer may fire. Final answers are given two ticks before the client's deadline.
     pub tick: Span,
-    /// By [`RequestClassId`](crate::RequestClassId).
+    /// The request classes, indexed by [`RequestClassId`](crate::RequestClassId).
     pub request_classes: Vec<RequestClass>,
-    /// By [`PlanId`].
+    /// The plans, indexed by [`PlanId`].
     pub plans: Vec<Plan>,
     /// What bounds the work sent to a node that has just started.
     pub slow_start: SlowStart,
-    /// This host's fraction of the slow-start budget, where the fleet assigns it; `None`: an even share.
+    /// This host's fraction of the slow-start budget, if the fleet assigns it; `None`: an even share.
     pub slow_start_share: Option<f64>,
-    /// Shortest interval between two attempts of this host to a node that does not answer, so that all hosts
-    /// together do not probe it too often; zero: no fleet-wide limit.
+    /// Shortest interval between two attempts of this host to a node that does not answer. It keeps all hosts
+    /// together from probing the node too often. Zero: no fleet-wide limit.
     pub probe_interval: Span,
-    /// `None`: retries are not limited over all requests.
+    /// The budget for the retries of all requests; `None`: there is no such budget.
     pub retry_budget: Option<RetryBudget>,
-    /// How long an attempt may wait for its connection before it goes out.
+    /// Longest time that an attempt may wait for its connection before it is sent.
     pub max_connect_wait: Span,
     /// How long the next request on an object waits after an attempt that may still run.
     pub order_settle: Span,
-    /// Attempts for one request, the first included.
+    /// Largest number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// The most units that one request has.
+    /// Largest number of units that one request has.
     pub max_units: f64,
     /// Fraction of the priority weight that units beyond the reserve have, within the fair share.
     pub within_share_value: f64,
     /// Fraction of the priority weight that units beyond the fair share have.
     pub beyond_share_value: f64,
-    /// The longest wait that a rejection tells the client; `None`: it tells none.
+    /// Longest time in [`Action::Reject`](crate::Action::Reject) after which a client may try again; `None`:
+    /// rejections give no time.
     pub max_retry_after: Option<Span>,
     /// Whether hosts can send each other messages.
     pub peer_messages_enabled: bool,
-    /// The endpoint list must be fetched; otherwise its updates come unasked.
+    /// Whether the scheduler polls for the endpoint list; otherwise its updates are pushed to the host.
     pub poll_endpoints: bool,
-    /// Longest interval between polls of the endpoint list. A host that polls less often is taken as informed
-    /// of what it missed.
+    /// Longest interval between polls of the endpoint list; `None`: the scheduler's default. A host that polls
+    /// less often is treated as if it had received the updates that it missed.
     pub max_poll_interval: Option<Span>,
     /// The zone of this host; `None`: zones are not taken into account.
     pub zone: Option<ZoneId>,
-    /// All cross-zone budgets, also those of which this host has no share.
+    /// All cross-zone budgets, including those of which this host has no share.
     pub cross_zone_budgets: Vec<CrossZoneBudget>,
-    /// The most bytes that one request sends.
+    /// Largest number of bytes that one request sends.
     pub max_bytes: f64,
 }
 
@@ -178,7 +179,8 @@
         }
     }
 
-    /// Replaces what may change while the host serves requests.
+    /// Replaces the settings that may change while the host serves requests. If `fleet_membership` is `None`, the
+    /// present membership stays.
     pub fn apply_change(
         &mut self,
         plans: Vec<Plan>,
@@ -195,26 +197,26 @@
     }
 }
 
-/// This host's part among the hosts of a fleet, where the fleet assigns it at run time.
+/// The settings that the fleet assigns to this host at run time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetMembership {
-    /// How many hosts there are, running or not.
+    /// Number of hosts in the configuration, running or not.
     pub host_count: u32,
-    /// As in [`SchedulerConfig`].
+    /// This host's fraction of the slow-start budget, as in [`SchedulerConfig::slow_start_share`].
     pub slow_start_share: Option<f64>,
-    /// As in [`SchedulerConfig`].
+    /// Shortest interval between probes, as in [`SchedulerConfig::probe_interval`].
     pub probe_interval: Span,
 }
 
-/// What this host may send for a volume from now on.
+/// This host's allocation for a volume from now on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VolumeAllocation {
-    /// The volume.
+    /// The volume that the allocation is for.
     pub volume: VolumeId,
     /// The plan of the volume from now on.
     pub plan: PlanId,
-    /// How many hosts serve the volume; 0: this host no longer does.
+    /// Number of hosts that serve the volume; 0: this host no longer serves it.
     pub host_count: u32,
-    /// This host's share of the limit, where it is not an even one.
+    /// This host's share of the plan's limit; `None`: an even share of it.
     pub host_limit: Option<Limit>,
 }
--- a/crates/scheduler-api/src/demand_report.rs
+++ b/crates/scheduler-api/src/demand_report.rs
@@ -1,14 +1,14 @@
 //! Messages between hosts about volumes, of at most 256 bytes each. A message has a tag byte and a kind byte.
 //! A demand report then has its time and twelve bytes for each volume; a search has six bytes for each volume;
-//! a list of users has ten bytes for each of a volume's hosts. Only schedulers pack and unpack messages; hosts
-//! carry the bytes and move the time of a report to the receiver's clock.
+//! a list of users has ten bytes for each of a volume's hosts. Only schedulers encode and decode messages; hosts
+//! pass the bytes on and convert the time of a report to the receiver's clock.
 
 use crate::{HostId, Instant, Span, VolumeId};
 
 /// One volume in a demand report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VolumeDemand {
-    /// The volume, as [`message_volume_id`].
+    /// The volume, by its [`message_volume_id`].
     pub volume: VolumeId,
     /// Demand at the sender, in units a second.
     pub demand: f64,
@@ -21,9 +21,9 @@
 /// A host that serves a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeUser {
-    /// The volume, as [`message_volume_id`].
+    /// The volume, by its [`message_volume_id`].
     pub volume: VolumeId,
-    /// The host.
+    /// A host that serves the volume.
     pub host: HostId,
 }
 
@@ -32,38 +32,38 @@
 pub enum PeerMessage {
     /// A demand report.
     Report {
-        /// When it was made, on the hosts' common clock.
+        /// When the report was made, on the hosts' common clock.
         made_at: Instant,
         /// The demand for each volume.
         volumes: Vec<VolumeDemand>,
     },
-    /// A search for the other hosts of these volumes.
+    /// A search for the other hosts that serve these volumes.
     Search(Vec<VolumeId>),
     /// Hosts that serve volumes: the answer to a search.
     Users(Vec<VolumeUser>),
 }
 
-/// First byte of each message. Anything else was not sent by a scheduler.
+/// First byte of each message. Bytes that start otherwise were not sent by a scheduler.
 const TAG: u8 = 0x67;
 const REPORT: u8 = 2;
 const SEARCH: u8 = 3;
 const USERS: u8 = 4;
-/// Bytes of a volume's id in a message.
+/// Length of a volume's id in a message.
 const ID_BYTES: usize = 6;
-/// Bytes for one volume of a demand report: its id and three figures of two bytes.
+/// Length of one volume's entry in a demand report: its id and three figures of two bytes.
 const DEMAND_BYTES: usize = 12;
-/// Bytes for one host in a list of users: the volume's id and the host's number of four bytes.
+/// Length of one entry in a list of users: the volume's id and the host's number of four bytes.
 const USER_BYTES: usize = 10;
-/// How many users fit into one message of 256 bytes.
+/// Number of users that fit into one message of 256 bytes.
 pub const USERS_PER_MESSAGE: usize = (256 - 2) / USER_BYTES;
 
-/// A volume's id as messages carry it: its low six bytes.
+/// A volume's id as messages hold it: its low six bytes.
 pub fn message_volume_id(volume: VolumeId) -> VolumeId {
     VolumeId(volume.0 & 0xffff_ffff_ffff)
 }
 
-/// A figure as the receiver will read it: encoded in two bytes, rounded down. A lender takes away exactly what
-/// the borrower will add.
+/// The value that the receiver of a figure reads: figures are encoded in two bytes and rounded down. A lender
+/// subtracts this value, so that it gives up exactly the tokens that the borrower adds.
 pub fn as_received(figure: f64) -> f64 {
     unpack_figure(pack_figure(figure))
 }
@@ -81,7 +81,7 @@
     [bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5]]
 }
 
-/// The bytes of a demand report.
+/// Encodes a demand report.
 pub fn pack_report(made_at: Instant, volumes: &[VolumeDemand]) -> Vec<u8> {
     let mut bytes = vec![TAG, REPORT];
     bytes.extend(made_at.micros().to_le_bytes());
@@ -94,12 +94,12 @@
     bytes
 }
 
-/// The bytes of a search for the other hosts of a volume.
+/// Encodes a search for the other hosts that serve a volume.
 pub fn pack_search(volume: VolumeId) -> Vec<u8> {
     [&[TAG, SEARCH], id_bytes(volume).as_slice()].concat()
 }
 
-/// The bytes that name users of volumes; at most [`USERS_PER_MESSAGE`] of them.
+/// Encodes a list of users of volumes. `users` must have at most [`USERS_PER_MESSAGE`] entries.
 pub fn pack_users(users: &[VolumeUser]) -> Vec<u8> {
     let mut bytes = vec![TAG, USERS];
     for user in users {
@@ -109,7 +109,7 @@
     bytes
 }
 
-/// Reads a message; `None`: it is cut off, or was not sent by a scheduler.
+/// Decodes a message; `None`: it is cut off, or was not sent by a scheduler.
 pub fn unpack(bytes: &[u8]) -> Option<PeerMessage> {
     match bytes {
         [TAG, REPORT, body @ ..] => {
@@ -168,13 +168,13 @@
     })
 }
 
-/// The same message with the time of a demand report moved by `by`, from the sender's clock to the receiver's.
-/// A message that is cut off, or is no demand report, is returned unchanged.
+/// The message with the time of its demand report shifted by `by`, from the sender's clock to the receiver's.
+/// A message that is cut off or is not a demand report is returned unchanged.
 pub fn with_shifted_time(bytes: &[u8], by: Span) -> Vec<u8> {
-    let mut moved = bytes.to_vec();
-    if let (true, Some(made_at)) = (bytes.starts_with(&[TAG, REPORT]), moved.get_mut(2..10)) {
+    let mut shifted = bytes.to_vec();
+    if let (true, Some(made_at)) = (bytes.starts_with(&[TAG, REPORT]), shifted.get_mut(2..10)) {
         let at = i64::from_le_bytes(made_at.try_into().unwrap_or_default());
         made_at.copy_from_slice(&at.saturating_add(by.micros()).to_le_bytes());
     }
-    moved
+    shifted
 }
--- a/crates/scheduler-api/src/lib.rs
+++ b/crates/scheduler-api/src/lib.rs
@@ -1,7 +1,7 @@
 //! The interface of gullsail's scheduler: events in, actions out, the ids in both, points in time, and the
-//! configuration. The crate holds data types only and decides nothing.
+//! configuration. The crate holds data types only; the scheduler's decisions are made elsewhere.
 //!
-//! Read [`Event`] and [`Action`] first, then [`SchedulerConfig`]; [`demand_report`] has the messages between
+//! Read [`Event`] and [`Action`] first, then [`SchedulerConfig`]. [`demand_report`] defines the messages between
 //! hosts.
 
 mod action;
--- a/crates/scheduler-api/src/time.rs
+++ b/crates/scheduler-api/src/time.rs
@@ -12,11 +12,11 @@
 pub struct Span(i64);
 
 impl Instant {
-    /// The point in time so many microseconds after the clock's zero.
+    /// The point in time that is `us` microseconds after the clock's zero.
     pub const fn from_micros(us: i64) -> Self {
         Instant(us)
     }
-    /// The point in time so many milliseconds after the clock's zero, rounded to a microsecond.
+    /// The point in time that is `ms` milliseconds after the clock's zero, rounded to a microsecond.
     pub fn from_millis(ms: f64) -> Self {
         Instant((ms * 1e3).round() as i64)
     }
@@ -34,11 +34,11 @@
     /// The zero duration.
     pub const ZERO: Span = Span(0);
 
-    /// A duration of so many microseconds.
+    /// A duration of `us` microseconds.
     pub const fn from_micros(us: i64) -> Self {
         Span(us)
     }
-    /// A duration of so many milliseconds, rounded to a microsecond.
+    /// A duration of `ms` milliseconds, rounded to a microsecond.
     pub fn from_millis(ms: f64) -> Self {
         Span((ms * 1e3).round() as i64)
     }
