--- a/crates/connections/src/close_reason.rs
+++ b/crates/connections/src/close_reason.rs
@@ -1,6 +1,6 @@
-//! Why a connection ended.
+//! The reasons for which a connection ends.
 
-use gullsail_protocol::Broken;
+use gullsail_protocol::FrameError;
 use std::fmt;
 use std::io;
 use std::time::Duration;
@@ -23,11 +23,11 @@
     StalledWithinFrame {
         /// Bytes of the frame that were received.
         received: usize,
-        /// How long nothing was received.
+        /// The time for which nothing was received.
         stall_limit: Duration,
     },
-    /// The bytes are not a frame, or the frame is too large.
-    InvalidFrame(Broken),
+    /// The bytes received violate the frame format, or the frame is too large.
+    InvalidFrame(FrameError),
     /// Reading failed.
     Read(io::Error),
     /// Writing failed.
@@ -51,7 +51,7 @@
                 formatter,
                 "incomplete frame: {received} bytes, and nothing more for {stall_limit:?}"
             ),
-            CloseReason::InvalidFrame(broken) => broken.fmt(formatter),
+            CloseReason::InvalidFrame(error) => error.fmt(formatter),
             CloseReason::Read(error) => write!(formatter, "read: {error}"),
             CloseReason::Write(error) => write!(formatter, "write: {error}"),
         }
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,7 +1,6 @@
-//! One TCP connection that carries frames: one task reads, one writes, each with a bounded queue. Nothing is
-//! decided here. Whoever opens a [`Link`] owns it and receives its events. Dropping a link writes what is
-//! queued, for at most [`LINGER`], and ends both tasks. The hosts' runtime, the simulator and the scenario
-//! runner open links.
+//! A TCP connection that carries frames: one task reads and one writes, each with a bounded queue. The opener of a
+//! [`Link`] owns it and receives its events. Dropping a link writes the queued frames, for at most [`LINGER`], and
+//! ends both tasks. The hosts' runtime, the simulator and the scenario runner open links.
 
 mod close_reason;
 mod read_budget;
@@ -23,33 +22,33 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How long a link that was dropped may go on writing what it holds: 500 ms. With less, last answers to slow
+/// How long a dropped link may continue to write its queued frames: 500 ms. With less, last answers to slow
 /// readers are lost; with more, a process with such readers exits later.
 pub const LINGER: Duration = Duration::from_millis(500);
 /// After this long without a byte, the system checks whether the other side still exists: 60 s. The check
 /// costs a packet for each idle connection; until it fails, a server that vanished keeps its connections.
 const KEEPALIVE: Duration = Duration::from_secs(60);
 
-/// What happened on a link.
+/// An event on a link, for its owner.
 #[derive(Debug)]
 pub enum LinkEvent {
     /// A frame was received.
     Frame(Frame),
-    /// This many queued bytes are with the operating system, or were dropped because their time had passed.
+    /// This many queued bytes were handed to the operating system, or dropped because their time had passed.
     Written(usize),
     /// The connection ended, with the reason. It is the last event of this link.
     Closed(String),
 }
 
-/// Where events go, with the key that the opener gave the link.
+/// The receiver of events. Each event comes with the key that the opener gave the link.
 pub type Sink<K> = mpsc::Sender<(K, LinkEvent)>;
 
-/// What may be read from a connection.
+/// Limits on what is read from a connection.
 #[derive(Clone, Debug)]
 pub struct ReadLimits {
-    /// The largest frame.
+    /// The largest frame that is accepted.
     pub bounds: Bounds,
-    /// For frames that wait to be handled; `None`: bounded by the queue alone.
+    /// The budget for frames that wait to be handled; `None`: only the length of the queue limits them.
     pub budget: Option<ReadBudget>,
 }
 
@@ -70,7 +69,7 @@
     read_bytes: Arc<AtomicU64>,
 }
 
-/// The queue to the other side is full, or the link has ended.
+/// The queue of frames to write is full, or the link has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Full;
 
@@ -98,8 +97,8 @@
         )
     }
 
-    /// The same with limits on what is read. A frame that was read takes its bytes from the budget, if there is
-    /// one, before it is handed over.
+    /// Opens a link as [`Link::open`] does, with limits on what is read. If there is a budget, a frame takes its
+    /// bytes from it before the owner receives the frame.
     pub fn open_within<K: Copy + Send + 'static>(
         stream: TcpStream,
         key: K,
@@ -132,7 +131,7 @@
         }
     }
 
-    /// The count of bytes that were read from the socket, whether or not their frames were handed over.
+    /// The count of bytes read from the socket, whether or not the owner has received their frames.
     pub fn read_bytes(&self) -> Arc<AtomicU64> {
         self.read_bytes.clone()
     }
@@ -163,7 +162,7 @@
         self.frames = None;
     }
 
-    /// Stops reading or resumes it, as back pressure for the other side.
+    /// Resumes reading (`on`) or stops it, as back pressure on the other side.
     pub fn reading(&self, on: bool) {
         self.reading
             .send_if_modified(|was| std::mem::replace(was, on) != on);
@@ -171,8 +170,8 @@
 }
 
 fn set_socket_options(stream: &TcpStream) {
-    // Small frames must not wait for each other. A socket that refuses an option is about to fail anyway, and
-    // its reader will report that.
+    // Nagle's algorithm would delay small frames. An error is ignored: a socket that refuses an option is about
+    // to fail anyway, and its reader reports that.
     let _ = stream.set_nodelay(true);
     // A server that vanished sends nothing more. Without keepalive, its connection would stay open forever.
     let keepalive = TcpKeepalive::new()
--- a/crates/connections/src/read_budget.rs
+++ b/crates/connections/src/read_budget.rs
@@ -1,11 +1,11 @@
-//! A budget in bytes for frames that were read and wait to be handled, shared by connections.
+//! A budget in bytes, shared by connections, for frames that were read and wait to be handled.
 
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A budget in bytes for frames that were read and wait to be handled. A queue that is bounded by the number of
-/// frames alone could fill with the largest bodies. Whoever handles a frame gives its bytes back.
+/// A budget in bytes for frames that were read and wait to be handled. A queue that is bounded only by the number
+/// of frames could fill with the largest bodies. The code that handles a frame gives its bytes back.
 #[derive(Clone, Debug)]
 pub struct ReadBudget {
     permits: Arc<Semaphore>,
@@ -22,7 +22,7 @@
 }
 
 impl ReadBudget {
-    /// A budget of this many bytes. A frame that is larger takes all of it.
+    /// A budget of this many bytes. A larger frame takes the whole budget.
     pub fn new(total_bytes: usize) -> ReadBudget {
         let total_bytes = total_bytes.clamp(1, u32::MAX as usize);
         ReadBudget {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The budget for connections that others open. It shares this budget and has as many bytes again for
-    /// frames longer than [`gullsail_protocol::MAX_RESERVED_BYTES`] of which a part was received. Each of these takes its
+    /// The budget for connections that others open. It shares this budget and has a second one of the same size
+    /// for partly received frames longer than [`gullsail_protocol::MAX_RESERVED_BYTES`]. Each of these takes its
     /// whole length before more of it is read, so that many slow senders cannot fill the memory. A connection
     /// that makes no progress within such a frame for `stall_limit` is closed.
     pub fn for_incoming(&self, stall_limit: Duration) -> ReadBudget {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The bytes that a frame takes of the budget.
+    /// The bytes that a frame takes from the budget.
     fn charge(&self, bytes: usize) -> u32 {
         bytes.min(self.total_bytes) as u32
     }
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Whether frames of which a part was received take bytes too.
+    /// Whether partly received frames take bytes from a budget too.
     pub(crate) fn bounds_partial_frames(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Takes the bytes of a frame of which a part was received, until the permit is dropped.
+    /// Takes the bytes of a partly received frame, until the permit is dropped.
     pub(crate) async fn take_partial(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let partial = self.partial.as_ref()?;
         // The semaphore is never closed.
@@ -77,12 +77,12 @@
             .ok()
     }
 
-    /// How long a frame of which a part was received may make no progress.
+    /// How long a partly received frame may make no progress.
     pub(crate) fn stall_limit(&self) -> Option<Duration> {
         self.partial.as_ref().map(|partial| partial.stall_limit)
     }
 
-    /// Gives the bytes of a frame back that was handled.
+    /// Gives back the bytes of a frame that was handled.
     pub fn give_back(&self, bytes: usize) {
         self.permits.add_permits(self.charge(bytes) as usize);
     }
--- a/crates/connections/src/reader.rs
+++ b/crates/connections/src/reader.rs
@@ -1,5 +1,5 @@
-//! The task that reads one connection. It turns bytes into frames while its owner lets it read and the read
-//! budget has room.
+//! The task that reads one connection. It decodes bytes to frames as long as the link's owner allows reading and
+//! the read budget has room.
 
 use crate::close_reason::CloseReason;
 use crate::{LinkEvent, ReadLimits, Sink};
@@ -13,8 +13,8 @@
 use tokio::sync::{OwnedSemaphorePermit, watch};
 use tokio::time::sleep;
 
-/// Bytes that are read at once at most: 32 KiB. A larger buffer costs memory on each connection, a smaller one
-/// more system calls for large bodies.
+/// Most bytes read at once: 32 KiB. A larger buffer costs memory on each connection, a smaller one more system
+/// calls for large bodies.
 const READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// The reading end of one connection.
@@ -23,24 +23,24 @@
     pub(crate) key: K,
     pub(crate) limits: ReadLimits,
     pub(crate) sink: Sink<K>,
-    /// Whether the owner wants it read. Its sender is gone when the link was dropped.
+    /// Whether the owner allows reading. The channel is closed when the link is dropped.
     pub(crate) may_read: watch::Receiver<bool>,
-    /// Held while a part of a large frame was received.
+    /// The budget of a partly received large frame.
     pub(crate) partial: Option<OwnedSemaphorePermit>,
-    /// Bytes that were read from the socket.
+    /// Count of bytes read from the socket.
     pub(crate) read_bytes: Arc<AtomicU64>,
 }
 
-/// What follows after the budget for a large frame was asked for.
+/// How reading continues after the budget for a large frame was requested.
 enum PartialFrame {
-    /// More may be read.
+    /// The budget was granted or is not needed: read on.
     Read,
-    /// The owner changed whether this connection is read, so frames are delivered first.
+    /// The owner stopped or resumed reading while the budget was awaited: deliver frames first.
     DeliverAgain,
 }
 
 impl<K: Copy> Reader<K> {
-    /// Reads until the connection ends. Returns why it did.
+    /// Reads until the connection ends. Returns the reason.
     pub(crate) async fn run(mut self) -> CloseReason {
         let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
         loop {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Hands over all frames that are complete. `Err`: why the connection ends.
+    /// Sends all complete frames to the owner. `Err`: the reason for which the connection ends.
     async fn deliver(&mut self, buffer: &mut BytesMut) -> Result<(), CloseReason> {
         loop {
             // The end of the owner's link ends this task too.
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Takes the budget for a large frame of which a part was received.
+    /// Takes the budget for a large frame that is partly received, if it needs one.
     async fn take_partial_budget(
         &mut self,
         buffer: &BytesMut,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Reads what was received, or waits until the owner changes whether this connection is read.
+    /// Reads the bytes received next. Returns early if the owner stops or resumes reading.
     async fn read(&mut self, buffer: &mut BytesMut) -> Result<(), CloseReason> {
         let budget = self.limits.budget.as_ref();
         let stall_limit = budget.and_then(|budget| budget.stall_limit());
--- a/crates/connections/src/writer.rs
+++ b/crates/connections/src/writer.rs
@@ -1,4 +1,4 @@
-//! The task that writes one connection.
+//! The task that writes to one connection.
 
 use crate::{LINGER, LinkEvent, QueuedFrame, Sink};
 use bytes::{Bytes, BytesMut};
@@ -8,11 +8,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep};
 
-/// Frames that are ready together are gathered into one write of about this size. A body longer than a quarter
-/// of it is written on its own, without a copy. A larger value copies more, a smaller one costs system calls.
+/// Queued frames are gathered into writes of about this size. A body longer than a quarter of it is written
+/// separately, without a copy. A larger value copies more, a smaller one costs system calls.
 const GATHER_BYTES: usize = 16 << 10;
 
-/// Writes queued frames until the queue ends. Frames that are ready together leave in one write.
+/// Writes queued frames until the queue is closed and empty.
 pub(crate) async fn write<K: Copy>(
     mut to: OwnedWriteHalf,
     key: K,
@@ -43,13 +43,14 @@
             next = queued.try_recv().ok();
         }
         write_all(&mut to, &gathered.split().freeze(), &mut gone).await?;
-        // The owner may have dropped its end: what is queued is still written.
+        // The owner may have dropped its end: the queued frames are still written.
         let _ = sink.send((key, LinkEvent::Written(bytes))).await;
     }
     to.shutdown().await
 }
 
-/// Writes all bytes, however long the other side takes. Once the link was dropped, for [`LINGER`] at most.
+/// Writes all bytes, however long the other side takes to read them. Once the link is dropped, it gives up after
+/// [`LINGER`].
 async fn write_all(
     to: &mut OwnedWriteHalf,
     bytes: &Bytes,
--- a/crates/connections/tests/read_budget.rs
+++ b/crates/connections/tests/read_budget.rs
@@ -1,5 +1,5 @@
-//! Frames that wait to be handled are bounded in bytes over all links. Whoever sends more waits, and goes on when
-//! the budget has room.
+//! The read budget bounds the bytes of frames that wait to be handled, over all links. A sender of more has to wait
+//! until the budget has room.
 
 use bytes::{Bytes, BytesMut};
 use gullsail_connections::{Link, LinkEvent, ReadBudget, ReadLimits};
@@ -27,19 +27,19 @@
 }
 
 #[test]
-fn frames_that_wait_are_bounded_in_bytes() {
+fn waiting_frames_stay_within_the_read_budget() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     runtime.block_on(async {
-        // budget in bytes, how many frames of each of two links may wait together
-        for (all, most) in [(1_000_000, 3), (BODY + 1000, 1), (1000, 1)] {
+        // The budget in bytes, and how many frames of both links together may wait within it.
+        for (budget_bytes, max_waiting) in [(1_000_000, 3), (BODY + 1000, 1), (1000, 1)] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (sink, mut inbox) = mpsc::channel(64);
             let mut tasks = JoinSet::new();
             let mut links = Vec::new();
-            let budget = ReadBudget::new(all);
+            let budget = ReadBudget::new(budget_bytes);
             for key in 0..2 {
                 let stream = TcpStream::connect(listener.local_addr().unwrap())
                     .await
@@ -55,7 +55,7 @@
             let mut waiting = Vec::new();
             let mut received = 0;
             while received < 20 {
-                // All that comes without bytes being given back, then one of them is handled.
+                // Receive as many frames as come while none is handled, then handle one.
                 while let Ok(Some((_, event))) =
                     timeout(Duration::from_millis(40), inbox.recv()).await
                 {
@@ -65,8 +65,8 @@
                     }
                 }
                 assert!(
-                    waiting.len() <= most,
-                    "{} wait in a budget of {all} bytes",
+                    waiting.len() <= max_waiting,
+                    "{} wait in a budget of {budget_bytes} bytes",
                     waiting.len()
                 );
                 let Some(bytes) = waiting.pop() else { continue };
@@ -77,8 +77,8 @@
                 .for_each(|bytes| budget.give_back(bytes));
             assert_eq!(
                 timeout(LONG, async { budget.free_bytes() }).await,
-                Ok(all),
-                "all of it is given back"
+                Ok(budget_bytes),
+                "all bytes are given back"
             );
         }
     });
--- a/crates/connections/tests/until.rs
+++ b/crates/connections/tests/until.rs
@@ -1,4 +1,4 @@
-//! What is of no use any more is not written.
+//! Frames with a time after which they are of no use.
 
 use gullsail_connections::{Link, LinkEvent};
 use gullsail_protocol::{Bounds, Frame, Message, Withdraw};
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_frame_is_not_written_after_its_time() {
+async fn a_frame_whose_time_has_passed_is_not_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let there = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -30,8 +30,8 @@
     for (frame, until) in frames.into_iter().zip(untils) {
         from.send_by(frame, until).unwrap();
     }
-    let (mut came, mut written) = (Vec::new(), 0);
-    while came.len() < 2 || written < all {
+    let (mut received, mut written) = (Vec::new(), 0);
+    while received.len() < 2 || written < all {
         match inbox.recv().await.unwrap() {
             (
                 _,
@@ -39,11 +39,11 @@
                     message: Message::Withdraw(w),
                     ..
                 }),
-            ) => came.push(w.id),
-            // It is off the sender's hands all the same.
+            ) => received.push(w.id),
+            // The bytes of the dropped frame are counted too.
             (_, LinkEvent::Written(bytes)) => written += bytes,
             (who, other) => panic!("{who}: {other:?}"),
         }
     }
-    assert_eq!((came, written), (vec![1, 3], all));
+    assert_eq!((received, written), (vec![1, 3], all));
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,16 +1,16 @@
-//! Frames between clients, hosts, storage nodes, the list service and other hosts. No I/O: bytes in, frames
-//! out. A frame is a header of twelve bytes, a message, and body bytes that nobody here looks at:
+//! Frames between clients, hosts, storage nodes and the list service. The crate does no I/O: it decodes bytes to
+//! frames and encodes frames to bytes. A frame is a header of twelve bytes, a message, and an opaque body:
 //!
-//! | bytes | holds |
+//! | bytes | content |
 //! | --- | --- |
 //! | 0 | the tag 0x9d |
-//! | 1 | the version of the sender |
+//! | 1 | the sender's version of the protocol |
 //! | 2, 3 | the kind of the message |
 //! | 4 to 7 | the message's length |
 //! | 8 to 11 | the body's length |
 //!
-//! Numbers are little-endian. A kind that is not known is skipped as a whole, a field that is not known is
-//! skipped by the serialization; all else that is not understood ends the connection ([`Broken`]).
+//! Numbers are little-endian. Messages of unknown kinds and unknown fields of messages are skipped. Every other
+//! violation of the format ends the connection ([`FrameError`]).
 
 pub mod message;
 pub mod record;
@@ -19,18 +19,20 @@
 pub use message::*;
 use prost::Message as _;
 
-/// Of this program. Raised when a message gets a field or a kind that older ones may skip; anything that
-/// they may not skip needs another tag.
+/// The version of the protocol that this program speaks. It is raised when a kind of message or a field is added
+/// that older versions may skip. A change that they must not skip needs another tag.
 pub const VERSION: u8 = 1;
-/// The longest demand report between hosts, as the design has it.
+/// Largest length of a demand report and of a revision notice between hosts.
 pub const MAX_DEMAND_REPORT_BYTES: usize = 256;
-/// The length of a frame's header, in bytes.
+/// Length of a frame's header.
 pub const HEADER_BYTES: usize = 12;
+/// First byte of each frame.
 const TAG: u8 = 0x9d;
-/// Room made for bytes that are announced and have not come: whole for all but the largest pieces.
+/// Most buffer space that is reserved for the rest of a frame before it is received. All but the largest frames
+/// fit into it.
 pub const MAX_RESERVED_BYTES: usize = 256 << 10;
 
-/// What one end of a connection accepts at most.
+/// The largest frame that one end of a connection accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The longest message, in bytes.
@@ -40,22 +42,23 @@
 }
 
 impl Bounds {
-    /// A message holds names and figures, or a list of some thousands of nodes; a body is one piece.
+    /// 1 MiB for a message, which is enough for a list of some thousands of nodes, and 16 MiB for a body, which is
+    /// the data of one request.
     pub const DEFAULT: Bounds = Bounds {
         message: 1 << 20,
         body: 16 << 20,
     };
 }
 
-/// Why a connection cannot go on.
+/// A violation of the frame format, which ends the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum FrameError {
     /// The first byte is not the tag.
     #[error(
         "frame starts with byte {0:#04x}, expected {TAG:#04x}: the peer is not gullsail, or frames are misaligned"
     )]
     Tag(u8),
-    /// The version is 0, which was never used.
+    /// The version is 0, which no sender uses.
     #[error("frame has version 0, expected 1 or later")]
     Version,
     /// A part of the frame is longer than accepted.
@@ -63,24 +66,24 @@
     TooLong {
         /// The part: message, body, or a field of a message.
         part: &'static str,
-        /// Its length in bytes.
+        /// The length of the part in bytes.
         length: usize,
-        /// The most bytes that are accepted.
+        /// The largest accepted length in bytes.
         max_length: usize,
     },
     /// The message is not valid protobuf of its kind.
-    #[error("message of kind {kind} cannot be decoded: {why}")]
+    #[error("message of kind {kind} cannot be decoded: {reason}")]
     Malformed {
         /// The kind of the message.
         kind: u16,
-        /// What the decoder reported.
-        why: String,
+        /// The decoder's error.
+        reason: String,
     },
 }
 
 macro_rules! messages {
     ($($kind:literal $name:ident as $recorded:literal;)*) => {
-        /// Any message; each has its kind number.
+        /// A message of any kind.
         #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
         pub enum Message {
             $(
@@ -88,7 +91,7 @@
                 #[serde(rename = $recorded)]
                 $name($name),
             )*
-            /// A message of a newer version, which is skipped.
+            /// A message of a kind that this version does not know. It is skipped.
             Newer {
                 /// The number of its kind.
                 kind: u16,
@@ -103,7 +106,7 @@
                     Message::Newer { kind } => *kind,
                 }
             }
-            /// The name as logs and recordings have it.
+            /// The message's name in logs and recordings.
             pub fn name(&self) -> &'static str {
                 match self {
                     $(Message::$name(_) => $recorded,)*
@@ -164,29 +167,29 @@
 /// A message and the bytes that follow it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The message.
+    /// The decoded message.
     pub message: Message,
-    /// The bytes that follow it, which are passed on as they are.
+    /// The bytes that follow the message. They are passed on unchanged.
     pub body: Bytes,
 }
 
 impl Frame {
-    /// The same message with this body.
+    /// The frame with its body replaced by `body`.
     pub fn with_body(self, body: Bytes) -> Frame {
         Frame { body, ..self }
     }
 
-    /// Bytes on the wire.
+    /// The length of the encoded frame in bytes.
     pub fn len(&self) -> usize {
         HEADER_BYTES + self.message.encoded_len() + self.body.len()
     }
 
-    /// Never: a frame has at least its header.
+    /// Always `false`: a frame has at least its header.
     pub fn is_empty(&self) -> bool {
         false
     }
 
-    /// Header and message; the body goes after it as it is, without a copy.
+    /// Appends the encoded header and message to `out`. The caller sends the body after them, without a copy.
     pub fn encode_head(&self, out: &mut BytesMut) {
         let message = self.message.encoded_len();
         out.reserve(HEADER_BYTES + message);
@@ -199,31 +202,31 @@
     }
 }
 
-/// How long the frame at the front is, header included, once its header has come. Its bounds are not judged
-/// here.
+/// The length in bytes of the frame at the front of the buffer, header included; `None`: its header has not been
+/// received completely. The length is not checked against any bounds.
 pub fn announced_frame_bytes(buf: &BytesMut) -> Option<usize> {
-    let mut size_metrics = buf.get(4..HEADER_BYTES)?;
-    Some(HEADER_BYTES + size_metrics.get_u32_le() as usize + size_metrics.get_u32_le() as usize)
+    let mut lengths = buf.get(4..HEADER_BYTES)?;
+    Some(HEADER_BYTES + lengths.get_u32_le() as usize + lengths.get_u32_le() as usize)
 }
 
-/// Takes the next frame off the front of what has been read; `None`: more must be read first. The body is a
-/// part of the same buffer. Lengths are judged before anything is set aside for them.
+/// Removes the next frame from the front of the bytes read so far; `None`: the frame is not complete. The frame's
+/// body shares the buffer's memory. Lengths are checked before memory is reserved for them.
 ///
 /// # Errors
-/// [`Broken`], after which the bytes that follow mean nothing.
-pub fn decode(buf: &mut BytesMut, bounds: Bounds) -> Result<Option<Frame>, Broken> {
+/// The bytes violate the frame format. The following bytes cannot be decoded.
+pub fn decode(buf: &mut BytesMut, bounds: Bounds) -> Result<Option<Frame>, FrameError> {
     let Some(tag) = buf.first() else {
         return Ok(None);
     };
     if *tag != TAG {
-        return Err(Broken::Tag(*tag));
+        return Err(FrameError::Tag(*tag));
     }
     let Some(mut header) = buf.get(..HEADER_BYTES) else {
         return Ok(None);
     };
     header.advance(1);
     if header.get_u8() == 0 {
-        return Err(Broken::Version);
+        return Err(FrameError::Version);
     }
     let kind = header.get_u16_le();
     let (message, body) = (header.get_u32_le() as usize, header.get_u32_le() as usize);
@@ -232,30 +235,30 @@
         ("body", body, bounds.body),
     ] {
         if length > max_length {
-            return Err(Broken::TooLong {
+            return Err(FrameError::TooLong {
                 part,
                 length,
                 max_length,
             });
         }
     }
-    let whole = HEADER_BYTES + message + body;
-    if buf.len() < whole {
-        // Not all at once: a header alone must not have its whole frame set aside.
-        buf.reserve((whole - buf.len()).min(MAX_RESERVED_BYTES));
+    let frame_bytes = HEADER_BYTES + message + body;
+    if buf.len() < frame_bytes {
+        // Not all at once: a sender must not make us reserve a large frame's memory by its header alone.
+        buf.reserve((frame_bytes - buf.len()).min(MAX_RESERVED_BYTES));
         return Ok(None);
     }
-    let mut frame = buf.split_to(whole).freeze();
+    let mut frame = buf.split_to(frame_bytes).freeze();
     frame.advance(HEADER_BYTES);
     let message =
-        Message::decode(kind, frame.split_to(message)).map_err(|error| Broken::Malformed {
+        Message::decode(kind, frame.split_to(message)).map_err(|error| FrameError::Malformed {
             kind,
-            why: error.to_string(),
+            reason: error.to_string(),
         })?;
     if let Message::DemandReport(report) = &message
         && report.bytes.len() > MAX_DEMAND_REPORT_BYTES
     {
-        return Err(Broken::TooLong {
+        return Err(FrameError::TooLong {
             part: "demand report",
             length: report.bytes.len(),
             max_length: MAX_DEMAND_REPORT_BYTES,
@@ -264,7 +267,7 @@
     if let Message::Reached(notice) = &message
         && notice.hosts.len() > MAX_DEMAND_REPORT_BYTES
     {
-        return Err(Broken::TooLong {
+        return Err(FrameError::TooLong {
             part: "revision notice",
             length: notice.hosts.len(),
             max_length: MAX_DEMAND_REPORT_BYTES,
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,7 +1,7 @@
-//! The messages, by who speaks to whom. Each is a protobuf message by `prost`: a field that a newer version
-//! adds is skipped by an older one. Spans travel in microseconds, and only spans: two processes never have to
-//! agree on a point in time, but for a demand report's, whose receiver corrects it by what it knows of the
-//! clocks.
+//! The messages, by sender and receiver. Each is a protobuf message encoded by `prost`: an older version skips the
+//! fields that a newer one adds. Messages hold durations in microseconds and no points in time, so processes need
+//! not agree on the time. The exception is the time of a demand report, which the receiver converts to its own
+//! clock.
 
 mod attempt;
 mod client;
--- a/crates/protocol/src/message/attempt.rs
+++ b/crates/protocol/src/message/attempt.rs
@@ -1,118 +1,120 @@
-//! Between hosts and storage nodes: an attempt of a request, its result, probes.
+//! Messages between hosts and storage nodes: attempts of requests, their results, and probes.
 
 use super::Handle;
 use prost::{Enumeration, Message};
 use serde::{Deserialize, Serialize};
 
-/// One attempt of a request, to a node; a write's bytes follow as the body.
+/// One attempt of a request, sent to a node. The body holds the data of a write.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Names it on this connection.
+    /// The attempt's number, unique on this connection.
     #[serde(rename = "leg")]
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// The name of the request class.
+    /// The name of the request's class.
     #[serde(rename = "stream_type")]
     #[prost(string, tag = "2")]
     pub request_class: String,
-    /// The name of the volume.
+    /// The name of the request's volume.
     #[prost(string, tag = "3")]
     pub volume: String,
     /// The work of the request in units.
     #[prost(double, tag = "4")]
     pub units: f64,
-    /// Whether it is a write.
+    /// Whether the request is a write.
     #[prost(bool, tag = "5")]
     pub write: bool,
-    /// The object; none: a new one, which the node names.
+    /// The object to read or write; `None`: a new object, whose handle the node chooses.
     #[prost(message, optional, tag = "6")]
     pub handle: Option<Handle>,
-    /// The same in every try of one request: a node recognises a repeat by it.
+    /// The request's idempotency key, by which a node recognises a repeat. It is the same in all attempts and all of
+    /// the client's tries.
     #[serde(rename = "mark")]
     #[prost(string, tag = "7")]
     pub idempotency_key: String,
-    /// Which of the client's tries this belongs to, from 0.
+    /// The number of the client's try that this attempt belongs to, from 0.
     #[prost(uint32, tag = "8")]
     pub repeat: u32,
-    /// Which attempt of that try this is, from 0.
+    /// The number of the attempt within that try, from 0.
     #[prost(uint32, tag = "9")]
     pub number: u32,
-    /// After this long nobody waits for its answer.
+    /// Time after which the host no longer waits for an answer.
     #[prost(int64, tag = "10")]
     pub time_out_us: i64,
 }
 
-/// What a node says of an attempt.
+/// The result of an attempt at a node.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
 pub enum AttemptResult {
-    /// Not a result that this version knows.
+    /// The value in the message is not a result that this version knows.
     Unknown = 0,
-    /// The node did the work.
+    /// The node completed the attempt.
     #[serde(rename = "Done")]
     Succeeded = 1,
-    /// It may have run.
+    /// The attempt failed. It may have run.
     Failed = 2,
-    /// Turned away unseen: it never ran.
+    /// The node rejected the attempt: it never ran.
     #[serde(rename = "TurnedAway")]
     Rejected = 3,
 }
 
-/// What came of an attempt; a read's bytes follow as the body.
+/// A node's answer to an attempt. The body holds the data of a read.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct AttemptAnswer {
-    /// The attempt.
+    /// The number of the attempt, as in [`Attempt`].
     #[serde(rename = "leg")]
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// An [`AttemptResult`].
+    /// The result, an [`AttemptResult`].
     #[prost(enumeration = "AttemptResult", tag = "2")]
     pub result: i32,
     /// The object that was read or written.
     #[prost(message, optional, tag = "3")]
     pub handle: Option<Handle>,
-    /// The volume's use through all hosts in a finished period, in percent of its usual rate, plus one;
-    /// 0: not told.
+    /// One more than the volume's usage over all hosts in a finished period, in percent of its nominal rate; 0: not
+    /// reported.
     #[serde(rename = "used_plus_one")]
     #[prost(uint32, tag = "4")]
     pub usage_percent_plus_one: u32,
-    /// It took effect now, and not in an earlier attempt whose mark it bears.
+    /// Whether this attempt took effect. `false`: it did not, or an earlier attempt with the same idempotency key
+    /// did.
     #[prost(bool, tag = "5")]
     pub ran: bool,
-    /// Why it failed, for people.
+    /// Why the attempt failed, for people.
     #[prost(string, tag = "6")]
     pub reason: String,
 }
 
-/// Nobody waits for this attempt any more.
+/// Cancels an attempt: the host no longer waits for its answer.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Cancel {
-    /// The attempt.
+    /// The number of the attempt, as in [`Attempt`].
     #[serde(rename = "leg")]
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
 }
 
-/// Asks a node how busy it is.
+/// Asks a node for its load.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Probe {
-    /// Comes back with the answer.
+    /// A number that the answer repeats.
     #[prost(uint64, tag = "1")]
     pub id: u64,
 }
 
-/// How many requests run at the node, and how many wait there.
+/// A node's answer to a probe: its load.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct ProbeAnswer {
-    /// Of the probe.
+    /// The number in the probe.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Requests that run.
+    /// Number of requests that the node is working on.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that wait at the node.
     #[prost(uint32, tag = "3")]
     pub queued: u32,
 }
--- a/crates/protocol/src/message/client.rs
+++ b/crates/protocol/src/message/client.rs
@@ -1,91 +1,92 @@
-//! Between clients and hosts: a request, its one final answer.
+//! Messages between clients and hosts: a request and its one final answer.
 
 use super::Handle;
 use prost::{Enumeration, Message};
 use serde::{Deserialize, Serialize};
 
-/// A client hands a request over; a write's bytes follow as the body.
+/// A client sends a request to a host. The body holds the data of a write.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Submit {
-    /// Names it on this connection, until it is answered.
+    /// The request's number, unique among the open requests of this connection.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The name of the request class.
+    /// The name of the request's class.
     #[serde(rename = "stream_type")]
     #[prost(string, tag = "2")]
     pub request_class: String,
-    /// The name of the volume.
+    /// The name of the request's volume.
     #[prost(string, tag = "3")]
     pub volume: String,
     /// The work of the request in units.
     #[prost(double, tag = "4")]
     pub units: f64,
-    /// Where its data lies; none: a new object.
+    /// The object to read or write; `None`: a new object.
     #[prost(message, optional, tag = "5")]
     pub handle: Option<Handle>,
-    /// Requests of a request class that keeps order take turns by this; empty: by the handle.
+    /// For a request class that keeps order: requests with the same key run one at a time. Empty: the handle is the
+    /// key.
     #[prost(string, tag = "6")]
     pub order_key: String,
-    /// The same in every try of what a client wants once: a repeat is known by it.
+    /// The request's idempotency key, by which a repeat is recognised. It is the same in all of the client's tries.
     #[serde(rename = "mark")]
     #[prost(string, tag = "7")]
     pub idempotency_key: String,
-    /// Which of the client's tries this is, from 0.
+    /// The number of the client's try, from 0.
     #[prost(uint32, tag = "8")]
     pub repeat: u32,
-    /// How long from now until the client gives up on this try.
+    /// Time after which the client gives up on this try.
     #[serde(rename = "ttl_us")]
     #[prost(int64, tag = "9")]
     pub timeout_us: i64,
 }
 
-/// What the one final answer says.
+/// The outcome of a request, in its final answer.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
 pub enum Outcome {
-    /// Not an outcome that this version knows.
+    /// The value in the message is not an outcome that this version knows.
     Unknown = 0,
-    /// The request was served.
+    /// The host served the request.
     #[serde(rename = "Done")]
     Succeeded = 1,
-    /// It may be sent again without harm.
+    /// The host rejected the request. The client can safely send it again.
     #[serde(rename = "Deferred")]
     Rejected = 2,
-    /// Promises nothing: it may have run.
+    /// The request failed. It may have run.
     #[serde(rename = "Abandoned")]
     Failed = 3,
 }
 
-/// The one final answer; a read's bytes follow as the body.
+/// The final answer to a request. The body holds the data of a read.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Answer {
-    /// The request.
+    /// The number of the request, as in [`Submit`].
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// An [`Outcome`].
+    /// The request's outcome, an [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "2")]
     pub outcome: i32,
-    /// Of a write that is done.
+    /// In the answer to a successful write: the object that was written.
     #[prost(message, optional, tag = "3")]
     pub handle: Option<Handle>,
-    /// Of a rejection: when to come back; 0: no advice.
+    /// In a rejection: time after which the client may send the request again; 0: not given.
     #[serde(rename = "come_back_us")]
     #[prost(int64, tag = "4")]
     pub retry_after_us: i64,
 }
 
-/// The request was not taken: nothing of it ran, and no answer follows.
+/// The host did not accept the request: nothing of it ran, and no [`Answer`] follows.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct NotTaken {
-    /// The request.
+    /// The number of the request, as in [`Submit`].
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Why, for people.
+    /// Why the host did not accept the request, for people.
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// The host goes away; another may take it.
+    /// Whether the reason is that the host shuts down, so that another host may accept the request.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
 }
@@ -95,10 +96,10 @@
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct GoAway {}
 
-/// The client no longer waits for this one.
+/// The client no longer waits for the answer to a request.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Withdraw {
-    /// The request.
+    /// The number of the request, as in [`Submit`].
     #[prost(uint64, tag = "1")]
     pub id: u64,
 }
--- a/crates/protocol/src/message/endpoint_list.rs
+++ b/crates/protocol/src/message/endpoint_list.rs
@@ -1,80 +1,81 @@
-//! Between hosts and the list service: the endpoint list and its changes.
+//! Messages between hosts and the list service: the endpoint list and its changes.
 
 use prost::{Enumeration, Message};
 use serde::{Deserialize, Serialize};
 
-/// Asks for the whole node list, and with `watch` for all changes from then on.
+/// Asks for the complete endpoint list, and for its later changes if `watch` is set.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct EndpointListQuery {
-    /// Whether all changes are to follow.
+    /// Whether the list service sends all later changes.
     #[prost(bool, tag = "1")]
     pub watch: bool,
 }
 
-/// What the list says of a node.
+/// The state of a node in the endpoint list.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
 pub enum ListedState {
-    /// It takes requests.
+    /// The node takes requests.
     Ready = 0,
-    /// It finishes what it has and takes nothing new.
+    /// The node finishes the requests it has and takes no new ones.
     Draining = 1,
-    /// It is no longer there.
+    /// The node no longer exists.
     Gone = 2,
 }
 
-/// One node of the list.
+/// One node of the endpoint list.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// The node's name, the same in all its incarnations and never used again for another shard.
+    /// The node's name. It is the same in all its incarnations and never reused for another shard.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Where it listens.
+    /// The address on which the node listens.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     #[serde(rename = "cell")]
     #[prost(int64, tag = "3")]
     pub shard: i64,
-    /// The zone's name.
+    /// The name of the node's zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// A [`ListedState`].
+    /// The node's state, a [`ListedState`].
     #[serde(rename = "standing")]
     #[prost(enumeration = "ListedState", tag = "5")]
     pub state: i32,
-    /// How long ago it last started; 0: not known.
+    /// Time since the node last started; 0: not known.
     #[prost(int64, tag = "6")]
     pub age_us: i64,
-    /// The incarnation of its last start; 0: not known.
+    /// The node's newest known incarnation; 0: not known.
     #[prost(fixed64, tag = "7")]
     pub incarnation: u64,
-    /// What sort of node it is, for the pools of a document; empty: none.
+    /// The node's kind, by which pools of the configuration select nodes; empty: it has none.
     #[prost(string, tag = "8")]
     #[serde(default)]
     pub kind: String,
 }
 
-/// The whole list, or what changed in it.
+/// The complete endpoint list, or the entries that changed.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct EndpointListUpdate {
-    /// The list's version, which only grows.
+    /// The version of the list, which only grows.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The whole list: who is not in it is gone. Else the entries that changed.
+    /// Whether `entries` is the complete list, so that nodes that are not in it are gone. Otherwise it has the
+    /// entries that changed.
     #[prost(bool, tag = "2")]
     pub whole: bool,
-    /// The entries.
+    /// The entries, one for each node.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<ListedEndpoint>,
 }
 
-/// The list service cannot answer now.
+/// The list service cannot answer at present.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct EndpointListRefused {
-    /// Why, for people.
+    /// Why the list service cannot answer, for people.
     #[prost(string, tag = "1")]
     pub reason: String,
 }
--- a/crates/protocol/src/message/fleet.rs
+++ b/crates/protocol/src/message/fleet.rs
@@ -1,263 +1,266 @@
-//! Between hosts, of who belongs to the fleet, what each may use, and servers in maintenance. What they mean
-//! is told in `crates/fleet`.
+//! Messages between hosts about the fleet: its members, their shares of budgets, and servers in maintenance.
+//! `crates/fleet` explains and handles them.
 
 use prost::{Enumeration, Message};
 use serde::{Deserialize, Serialize};
 
-/// What a message of the fleet is about.
+/// The kind of a [`FleetMessage`].
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration, Serialize, Deserialize,
 )]
 #[repr(i32)]
 pub enum FleetMessageKind {
-    /// Not a message that this version knows.
+    /// The value in the message is not a kind that this version knows.
     Unknown = 0,
-    /// To a voter: promise this ballot.
+    /// From a candidate to a voter: asks it to promise this ballot.
     Prepare = 1,
-    /// From a voter: promised, with the lease that is live there, if one is.
+    /// From a voter: the ballot is promised. If `number` is 1, it is not, because another process holds an unexpired
+    /// coordinator lease at that voter.
     Promise = 2,
-    /// To a voter: accept this process as coordinator by this ballot.
+    /// From a candidate to a voter: asks it to accept the sender as coordinator by this ballot.
     Propose = 3,
-    /// From a voter: accepted.
+    /// From a voter: the proposal is accepted.
     Accept = 4,
-    /// From a voter: a later ballot is promised.
+    /// Refuses a ballot, because the sender knows a later one.
     Refuse = 5,
-    /// To a voter: the lease is handed back before its end.
+    /// From the coordinator to a voter: gives up the coordinator lease before it expires.
     Release = 6,
-    /// From the coordinator to a host: send a renewal.
+    /// From the coordinator to a host: asks it to renew its member lease.
     Ask = 7,
-    /// From a member: renew its lease; with what it holds and its demand.
+    /// From a member: asks for a new member lease. Includes the shares that it holds and its demand.
     Renew = 8,
-    /// From the coordinator: the lease is renewed, with the shares under it.
+    /// From the coordinator: renews a member lease and grants the shares under it.
     Grant = 9,
-    /// From a member: it holds nothing any more and leaves.
+    /// From a member: it leaves the fleet and no longer uses its shares.
     Leave = 10,
-    /// From the coordinator: the departure is noted.
+    /// From the coordinator: acknowledges a departure.
     Left = 11,
-    /// To a process under whose name another process holds a lease.
+    /// From the coordinator to a process: another process holds the lease of its host.
     Fence = 12,
-    /// To the coordinator: an operator's command on servers.
+    /// From a host to the coordinator: an operator's command on servers in maintenance.
     #[serde(rename = "Word")]
     OperatorCommand = 13,
-    /// From the coordinator: the command's result.
+    /// From the coordinator: the result of an operator's command.
     Heard = 14,
 }
 
-/// What somebody may use of a budget, or asks of it.
+/// A host's share of a budget, its demand on it, or both.
 #[derive(Clone, Copy, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetShare {
-    /// The budget.
+    /// The budget's id.
     #[prost(fixed64, tag = "1")]
     pub budget: u64,
-    /// In millionths of the whole.
+    /// The share that is held or granted, in millionths of the budget.
     #[prost(uint32, tag = "2")]
     pub share: u32,
-    /// In the budget's own measure, a second.
+    /// The host's demand a second, in the unit in which the budget is counted.
     #[serde(rename = "asked")]
     #[prost(float, tag = "3")]
     pub demand: f32,
 }
 
-/// One member of the fleet, as the coordinator lists it.
+/// One member of the fleet, in the coordinator's list of members.
 #[derive(Clone, Copy, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetMember {
-    /// The host, by number.
+    /// The number of the member's host.
     #[prost(uint32, tag = "1")]
     pub host: u32,
-    /// The process that holds the lease.
+    /// The incarnation of the process that holds the member lease.
     #[serde(rename = "life")]
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The member's state, by number.
+    /// The number of the member's state.
     #[serde(rename = "standing")]
     #[prost(uint32, tag = "3")]
     pub state: u32,
 }
 
-/// From host to host, about membership and shares; `crates/fleet` explains what it means. All kinds share one message,
-/// whose fields are fixed by their protobuf tags.
+/// A message between hosts about the fleet. All kinds share one struct, so which fields are set depends on the kind.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetMessage {
-    /// The fleet, as a hash of its name.
+    /// The fleet's id, a hash of its name.
     #[prost(fixed64, tag = "1")]
     pub fleet: u64,
-    /// The version of the rules by which the message is written.
+    /// The version of the rules of coordination that the sender follows.
     #[prost(uint32, tag = "2")]
     pub rules: u32,
-    /// A [`FleetMessageKind`].
+    /// The kind, a [`FleetMessageKind`].
     #[serde(rename = "what")]
     #[prost(enumeration = "FleetMessageKind", tag = "3")]
     pub kind: i32,
-    /// The host that wrote it; another one may have passed it on.
+    /// The number of the sending host. Another host may have relayed the message.
     #[prost(uint32, tag = "4")]
     pub from: u32,
-    /// The process that wrote it.
+    /// The incarnation of the sending process.
     #[serde(rename = "from_life")]
     #[prost(fixed64, tag = "5")]
     pub from_incarnation: u64,
-    /// The host that it is for.
+    /// The number of the receiving host.
     #[prost(uint32, tag = "6")]
     pub to: u32,
-    /// The process that it is for; 0: any.
+    /// The incarnation of the receiving process; 0: any process of that host.
     #[serde(rename = "to_life")]
     #[prost(fixed64, tag = "7")]
     pub to_incarnation: u64,
     /// The round of a ballot.
     #[prost(uint64, tag = "8")]
     pub round: u64,
-    /// The host of a ballot, which breaks ties between equal rounds.
+    /// The candidate's host in a ballot, which orders ballots of the same round.
     #[prost(uint32, tag = "9")]
     pub by: u32,
-    /// The epoch of the membership that the sender knows.
+    /// The newest epoch of the membership that the sender knows.
     #[prost(uint64, tag = "10")]
     pub epoch: u64,
-    /// Of a request between hosts and of the reply to it.
+    /// The number by which a reply refers to its request.
     #[prost(uint64, tag = "11")]
     pub number: u64,
-    /// Of a grant: the coordinator counts them; of a renewal: the one that is held by.
+    /// In a grant: its serial number from the coordinator. In a renewal: the serial number of the grant that the member
+    /// holds.
     #[prost(uint64, tag = "12")]
     pub serial: u64,
-    /// Shares held or granted, and demand.
+    /// Shares of budgets that are held or granted, and the demand on the budgets.
     #[serde(rename = "parts")]
     #[prost(message, repeated, tag = "13")]
     pub shares: Vec<FleetShare>,
-    /// The members, where the receiver may not know them.
+    /// The members; empty if the receiver knows them.
     #[prost(message, repeated, tag = "14")]
     pub members: Vec<FleetMember>,
-    /// On servers in maintenance, where there are such orders.
+    /// The part about servers in maintenance; `None`: the message has no such part.
     #[serde(rename = "works")]
     #[prost(message, optional, boxed, tag = "15")]
     #[serde(default)]
     pub maintenance: Option<Box<FleetMaintenance>>,
 }
 
-/// What hosts tell each other of servers in maintenance.
+/// The part of a fleet message about servers in maintenance.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetMaintenance {
-    /// All orders, where the receiver may not know them.
+    /// The order book; `None`: the receiver knows it already, or the sender has none.
     #[serde(rename = "line")]
     #[prost(message, optional, tag = "1")]
     pub order_book: Option<FleetOrderBook>,
-    /// The version of the order book that the sender knows: the round of its ballot; 0: none.
+    /// In the version of the order book that the sender knows, the round of the ballot; 0: the sender knows none.
     #[prost(uint64, tag = "2")]
     pub round: u64,
-    /// The host of that ballot.
+    /// The host in that ballot.
     #[prost(uint32, tag = "3")]
     pub by: u32,
-    /// The changes under that ballot.
+    /// The number of changes of the order book under that ballot.
     #[prost(uint64, tag = "4")]
     pub count: u64,
-    /// Of a renewal: servers to which this host sends nothing any more.
+    /// In a renewal: the servers to which this host no longer sends.
     #[serde(rename = "let_go")]
     #[prost(fixed64, repeated, tag = "5")]
     pub released: Vec<u64>,
-    /// Of a renewal: for how long this process has been a member.
+    /// In a renewal: how long this process has been a member, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub member_for_ms: u64,
-    /// Of a renewal: units a second that it serves.
+    /// In a renewal: the rate that the host serves, in units a second.
     #[prost(float, tag = "7")]
     pub served: f32,
-    /// An operator's command, or its result.
+    /// An operator's command or its result; `None`: the message has neither.
     #[serde(rename = "word")]
     #[prost(message, optional, tag = "8")]
     pub command: Option<FleetCommand>,
 }
 
-/// One server's maintenance order, field by field as `crates/fleet` keeps it.
+/// The maintenance order of one server, with the fields of `Order` in `crates/fleet`.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetOrder {
-    /// The server.
+    /// The id of the server.
     #[serde(rename = "machine")]
     #[prost(fixed64, tag = "1")]
     pub server: u64,
     /// The order's number.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Its stage, by number.
+    /// The number of the order's stage.
     #[prost(uint32, tag = "3")]
     pub stage: u32,
-    /// Counts the changes of this order.
+    /// The count of the order book at which the stage began.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// How long it has been in this stage.
+    /// How long the order has been in this stage.
     #[prost(uint64, tag = "5")]
     pub age_ms: u64,
     /// How long the server may be offline.
     #[prost(uint64, tag = "6")]
     pub longest_ms: u64,
-    /// A shard may be left without a node.
+    /// Whether a shard may be without a node while the server is offline.
     #[serde(rename = "cell_away")]
     #[prost(bool, tag = "7")]
     pub shard_away: bool,
-    /// The order ends when the server has restarted.
+    /// Whether a restart of the server counts as its return.
     #[prost(bool, tag = "8")]
     pub returns: bool,
     /// The operator's reason.
     #[prost(string, tag = "9")]
     pub reason: String,
-    /// What it waits for, for people.
+    /// What the order waits for, for people.
     #[serde(rename = "waits")]
     #[prost(string, tag = "10")]
     pub waiting_for: String,
-    /// Hosts that still use the server, or whose lease was waited out.
+    /// The numbers of the hosts that still use the server while it drains. Once it is offline, the hosts that never
+    /// reported its release, so that their lease had to expire first.
     #[prost(uint32, repeated, tag = "11")]
     pub hosts: Vec<u32>,
-    /// How many later orders were approved before it.
+    /// Number of later orders that were approved before this one.
     #[prost(uint32, tag = "12")]
     pub passed: u32,
-    /// The process that is to stop; 0: any.
+    /// The incarnation of the process that is to stop; 0: not known.
     #[serde(rename = "life")]
     #[prost(fixed64, tag = "13")]
     pub incarnation: u64,
 }
 
-/// All orders, as of one change: by whose ballot, and its count.
+/// The order book: all orders, and the version of the book.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetOrderBook {
-    /// The round of the ballot under which it was changed last.
+    /// The round of the ballot under which the book was last changed.
     #[prost(uint64, tag = "1")]
     pub round: u64,
-    /// The host of that ballot.
+    /// The host in that ballot.
     #[prost(uint32, tag = "2")]
     pub by: u32,
-    /// The changes under that ballot.
+    /// The number of changes under that ballot.
     #[prost(uint64, tag = "3")]
     pub count: u64,
-    /// Not 0: it was started without a quorum that remembered an earlier one.
+    /// The round of the coordinator that started this book without a quorum of hosts that know an earlier one, so
+    /// earlier orders may be lost; 0: the book was never started without a quorum.
     #[prost(uint64, tag = "4")]
     pub anew: u64,
-    /// The orders.
+    /// The orders, one for each server.
     #[prost(message, repeated, tag = "5")]
     pub orders: Vec<FleetOrder>,
 }
 
-/// An operator's command on servers, and what it came to.
+/// An operator's command on servers in maintenance, or its result.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct FleetCommand {
-    /// 1: out, 2: back, 3: cancel.
+    /// 1: take the servers offline, 2: they are back, 3: cancel their orders.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The servers.
+    /// The ids of the servers.
     #[serde(rename = "machines")]
     #[prost(fixed64, repeated, tag = "2")]
     pub servers: Vec<u64>,
-    /// 0: as long as the document says.
+    /// How long the servers may be offline; 0: as long as the configuration says.
     #[prost(uint64, tag = "3")]
     pub longest_ms: u64,
-    /// A shard may be left without a node.
+    /// Whether a shard may be without a node while the servers are offline.
     #[serde(rename = "cell_away")]
     #[prost(bool, tag = "4")]
     pub shard_away: bool,
-    /// The order ends when the server has restarted.
+    /// Whether a restart of a server counts as its return.
     #[prost(bool, tag = "5")]
     pub returns: bool,
     /// The operator's reason.
     #[prost(string, tag = "6")]
     pub reason: String,
-    /// Of a result: the server for which it is refused.
+    /// In a result: the server for which the command is refused.
     #[prost(fixed64, tag = "7")]
     pub refused: u64,
-    /// Of a result: why it is refused; empty: it is accepted.
+    /// In a result: why the command is refused; empty: it is accepted.
     #[serde(rename = "why")]
     #[prost(string, tag = "8")]
     pub refusal: String,
--- a/crates/protocol/src/message/peer.rs
+++ b/crates/protocol/src/message/peer.rs
@@ -1,45 +1,45 @@
-//! Between hosts: demand reports, clocks, revisions.
+//! Messages between hosts: demand reports, clock readings and revision notices.
 
 use prost::Message;
 use serde::{Deserialize, Serialize};
 
-/// From host to host: bytes of the decisions' own, at most [`crate::MAX_DEMAND_REPORT_BYTES`].
+/// A message between the schedulers of two hosts, of at most [`crate::MAX_DEMAND_REPORT_BYTES`].
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// Packed by the scheduler's API.
+    /// The message, encoded as in `demand_report` of `crates/scheduler-api`.
     #[prost(bytes = "vec", tag = "1")]
     pub bytes: Vec<u8>,
 }
 
-/// What is your clock? `asked_us` is the asker's, and comes back as it was.
+/// Asks a peer for the reading of its clock.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct ClockQuery {
-    /// The asker's clock.
+    /// The reading of the sender's clock, which the reply repeats.
     #[prost(int64, tag = "1")]
     pub asked_us: i64,
 }
 
-/// What a peer's clock showed.
+/// The answer to a [`ClockQuery`].
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct ClockReply {
-    /// As in the query.
+    /// `asked_us` of the query.
     #[prost(int64, tag = "1")]
     pub asked_us: i64,
-    /// The clock of the one asked, between the question's arrival and this.
+    /// The reading of the replying host's clock, taken between the arrival of the query and this reply.
     #[prost(int64, tag = "2")]
     pub clock_us: i64,
 }
 
-/// Which hosts are known to hold to a document of this revision or a later one.
+/// A revision notice: which hosts are known to follow a revision of the configuration or a later one.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Reached {
-    /// What the sender holds to.
+    /// The revision that the sender follows.
     #[prost(uint64, tag = "1")]
     pub held: u64,
-    /// The revision that the bits are about.
+    /// The revision that `hosts` is about.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// One bit for each host, by number.
+    /// One bit for each host, by its number: whether it is known to follow `revision` or a later one.
     #[prost(bytes = "vec", tag = "3")]
     pub hosts: Vec<u8>,
 }
--- a/crates/protocol/src/message/simulation.rs
+++ b/crates/protocol/src/message/simulation.rs
@@ -1,31 +1,32 @@
-//! To simulated nodes and lists alone: what goes wrong with them.
+//! Faults and list entries for simulated nodes and list services.
 
 use super::ListedEndpoint;
 use prost::Message;
 use serde::{Deserialize, Serialize};
 
-/// To a simulated process alone, from the script of a scenario: what goes wrong with it, or what the list is
-/// to say.
+/// From a scenario to a simulated process: a fault that it has from now on, or entries for the endpoint list. Other
+/// processes ignore it.
 #[derive(Clone, PartialEq, Message, Serialize, Deserialize)]
 pub struct Order {
-    /// Of a node: `stall`, `slow`, `fail`, `costly`. Of the list: `late`, `refuse`.
+    /// For a node, the fault: `stall`, `slow`, `fail` or `costly`. For the list service, `refuse`: it refuses queries.
+    /// With any other kind, the list service publishes `entries`.
     #[serde(rename = "what")]
     #[prost(string, tag = "1")]
     pub kind: String,
-    /// How severe: a factor or a share.
+    /// Severity of the fault: a factor for `slow` and `costly`, the fraction of requests for `fail`.
     #[prost(double, tag = "2")]
     pub size: f64,
-    /// How long it lasts.
+    /// How long the fault lasts.
     #[serde(rename = "lasts_us")]
     #[prost(int64, tag = "3")]
     pub duration_us: i64,
-    /// Of the list: these entries are so from now on.
+    /// For the list service: entries to publish.
     #[prost(message, repeated, tag = "4")]
     pub entries: Vec<ListedEndpoint>,
-    /// The share of requests that is affected.
+    /// For `costly`: the fraction of requests that is affected.
     #[prost(double, tag = "5")]
     pub share: f64,
-    /// The request class that is affected; empty: all.
+    /// For `costly`: the request class that is affected; empty: all classes.
     #[serde(rename = "stream_type")]
     #[prost(string, tag = "6")]
     pub request_class: String,
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -1,39 +1,41 @@
-//! What a relay on a socket saw, one entry a line in JSON. Times are of the recorder's one clock, in
-//! microseconds since it began, so that entries of all links can be put in order.
+//! The format of recordings: what the recording proxies and the scenario runner saw, one entry a line in JSON. All
+//! times are in microseconds of one clock since the recording began, so that entries of all connections can be put
+//! in order.
 
 use crate::Message;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One line of a recording.
+/// One entry of a recording.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When the proxy had read it.
+    /// When the event happened; for a frame, when the proxy read it.
     pub at: i64,
-    /// When the other side was sent it.
+    /// For a frame, when the proxy sent it on; otherwise the same as `at`.
     #[serde(rename = "out")]
     pub sent_at: i64,
-    /// The connection.
+    /// The number of the connection.
     pub link: u64,
-    /// The process that sent it.
+    /// The name of the process that sent the frame, or that reports the event.
     pub from: String,
-    /// The process that it was sent to, or that the entry is about.
+    /// The name of the process that the frame was sent to, or that the entry is about.
     pub to: String,
-    /// What was seen.
+    /// The event.
     pub what: What,
-    /// Of an answer to a client: how many bytes its host had sent on this connection with its last byte. An earlier
-    /// version wrote none.
+    /// For an answer to a client: the number of bytes that its host had sent on this connection, up to and including
+    /// the answer's last byte. Earlier versions did not record it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream_end: Option<u64>,
-    /// Of an attempt: how many bytes of its host had come on each connection of a client by when the attempt was read,
-    /// read or unread, as the kernel counts them. A relay reads two connections of a process in any order, and late when
-    /// it is held up; what had come on the one when a frame of the other was read is known all the same.
+    /// For an attempt: the number of bytes received from its host on each client connection, by connection, when the
+    /// attempt was read. The kernel counts them, so bytes that the proxy had not read yet are included. The proxy reads
+    /// two connections of a process in any order, and late when it is delayed. These counts still tell what had been
+    /// received on one connection when a frame of the other was read.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub received: BTreeMap<u64, u64>,
 }
 
 impl Entry {
-    /// An entry that was passed on as it came, without counts of bytes.
+    /// An entry whose `sent_at` is `at`, without counts of bytes.
     pub fn new(at: i64, link: u64, from: &str, to: &str, what: What) -> Entry {
         Entry {
             at,
@@ -48,66 +50,66 @@
     }
 }
 
-/// What a line of a recording tells.
+/// An event in a recording.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum What {
-    /// A frame passed.
+    /// The proxy received a frame.
     Frame {
-        /// The message.
+        /// The message of the frame.
         message: Message,
-        /// The length of the body in bytes.
+        /// The length of the frame's body in bytes.
         body: usize,
-        /// What the proxy did with it.
+        /// What the proxy did with the frame.
         #[serde(rename = "fate")]
         delivery: Delivery,
     },
     /// A connection ended.
     Closed {
-        /// Why, for people.
+        /// Why the connection ended, for people.
         why: String,
     },
-    /// Somebody connects to the process called `to`, whether or not it accepts.
+    /// A connection to the process `to` is opened, whether or not the process accepts it.
     Came,
-    /// The scenario started, stopped or paused the process called `to`.
+    /// The scenario started, stopped or paused the process `to`.
     Process {
-        /// What happened to it.
+        /// What happened to the process.
         #[serde(rename = "life")]
         event: ProcessEvent,
     },
-    /// The scenario reloads the host called `to`, or the host now serves by the configuration.
+    /// The scenario reloads the configuration of the host `to`, or the host has put it in force.
     Document {
         /// The revision of the configuration.
         revision: u64,
-        /// The whole document, in the first entry of its revision.
+        /// The text of the configuration, in the first entry of its revision only.
         text: Option<String>,
-        /// The host serves by it now; else it is only asked to.
+        /// Whether the host serves by this configuration from now on. Otherwise it is only asked to reload.
         serves: bool,
     },
-    /// The host called `to` reported at its end bytes beyond a cross-zone budget.
+    /// At its end, the host `to` reported bytes that overran a cross-zone budget.
     #[serde(rename = "Past")]
     BudgetOverrun {
         /// The budget's name.
         budget: String,
-        /// Why bytes crossed, for people.
+        /// Why the bytes overran the budget, for people.
         cause: String,
-        /// How many bytes.
+        /// The number of bytes over the budget.
         bytes: u64,
     },
-    /// The host called `to` logged its shares of budgets.
+    /// The host `to` logged its shares of budgets.
     Parts {
         /// The host's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The epoch of the membership that it knew.
+        /// The newest epoch of the membership that the host knew.
         epoch: u64,
-        /// How long its lease lasts; -1: it holds none.
+        /// Time until the host's member lease expires; -1: it holds none.
         #[serde(rename = "lasts_us")]
         lease_left_us: i64,
-        /// Its share of each budget in millionths, by name.
+        /// The host's share of each budget, in millionths of the budget, by the budget's name.
         #[serde(rename = "parts")]
         shares: BTreeMap<String, u32>,
     },
-    /// The host called `to` logged the stage of a maintenance order.
+    /// The host `to` logged the stage of a maintenance order.
     Stage {
         /// The server's name.
         #[serde(rename = "machine")]
@@ -117,24 +119,24 @@
         /// The order's stage.
         stage: String,
     },
-    /// The process called `to` waited for a processor, as the kernel counts it. Samples that add no millisecond are left
-    /// out.
+    /// The process `to` waited for a processor, by the kernel's count. Samples with less than a millisecond of waiting
+    /// are left out.
     Waited {
-        /// When the sample before this one was taken.
+        /// When the previous sample was taken.
         since: i64,
-        /// How long the waits were that ended since then. One of them may have begun earlier.
+        /// Total length of the waits that ended since then. One of them may have begun earlier.
         waited_us: i64,
     },
-    /// So many bytes of the process called `to` had come on the connection of a client, as the kernel counts them, while
-    /// the relay had not yet read all of them.
+    /// The proxy had not yet read all bytes that the kernel had received from the process `to` on the connection of a
+    /// client.
     Unread {
-        /// Since the connection was established.
+        /// The number of bytes that the kernel had received since the connection was established.
         received: u64,
     },
-    /// For people: the scenario injected a fault, or a process started or stopped.
+    /// A note for people: the scenario injected a fault, or a process started or stopped.
     #[serde(rename = "Trouble")]
     Fault {
-        /// The description.
+        /// The text of the note.
         text: String,
     },
 }
@@ -142,34 +144,34 @@
 /// What the recording proxy did with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delivery {
-    /// Passed on as it was.
+    /// The proxy passed the frame on unchanged.
     Passed,
-    /// Lost on purpose.
+    /// The proxy dropped the frame, as an injected fault.
     Dropped,
-    /// Passed on as an error.
+    /// The proxy turned the answer into an error and passed that on, as an injected fault.
     Altered,
 }
 
 /// What happened to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessEvent {
-    /// It started.
+    /// The process started.
     Started {
-        /// Drawn anew at each start.
+        /// The incarnation of the process, a random number drawn at each start.
         incarnation: u64,
     },
-    /// It was killed.
+    /// The process was killed.
     Killed,
-    /// It exited by itself.
+    /// The process exited by itself.
     Ended,
-    /// It is paused and keeps its memory.
+    /// The process was paused. It keeps its memory.
     Paused,
-    /// It continues.
+    /// The process was resumed after a pause.
     Resumed,
 }
 
 impl ProcessEvent {
-    /// Whether the process is gone after it.
+    /// Whether the process has ended with this event.
     pub fn is_end(self) -> bool {
         matches!(self, ProcessEvent::Killed | ProcessEvent::Ended)
     }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! What the codec makes of good, split, foreign and hostile bytes.
+//! Decoding of valid, split, invalid and hostile bytes.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use gullsail_protocol::*;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn frames_come_whole_however_they_are_split() {
+fn frames_that_are_received_in_parts_are_decoded() {
     let frames = [
         submit(1, 0),
         Frame::from(Cancel { attempt: 4 }),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_is_not_understood_is_named() {
+fn invalid_bytes_are_rejected_with_their_cause() {
     let long = Frame::from(DemandReport {
         bytes: vec![0; MAX_DEMAND_REPORT_BYTES + 1],
     });
@@ -105,14 +105,14 @@
         assert!(decoded.contains(wanted), "{decoded}");
         assert!(
             bytes.capacity() <= before,
-            "nothing is set aside for a length that is refused"
+            "no memory is reserved for a length that is refused"
         );
     }
 }
 
 #[test]
-fn a_newer_version_is_understood_as_far_as_it_goes() {
-    // A kind from the future, with a body, is one frame that is skipped whole.
+fn kinds_and_fields_of_newer_versions_are_skipped() {
+    // A message of an unknown kind, with a body, is one frame.
     let mut buf = header(0x9d, 9, 777, 2, 3);
     buf.put_slice(&[1, 2, 3, 4, 5]);
     buf.put_slice(&wire(&submit(8, 0)));
@@ -122,7 +122,7 @@
         (Message::Newer { kind: 777 }, 3)
     );
     assert_eq!(decode(&mut buf, BOUNDS).unwrap(), Some(submit(8, 0)));
-    // A field from the future: number 200, a varint.
+    // An unknown field: number 200, a varint.
     let mut m = vec![0x08, 0x05];
     m.extend([0xc0, 0x0c, 0x2a]);
     let mut buf = header(0x9d, 9, 22, m.len() as u32, 0);
@@ -140,9 +140,9 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Whatever bytes come, decoding ends, and never takes more than the bounds allow.
+    /// Random bytes: decoding ends, and the buffer never grows beyond the bounds.
     #[test]
-    fn garbage_ends_or_waits(bytes in proptest::collection::vec(any::<u8>(), 0..200), tagged in any::<bool>()) {
+    fn random_bytes_stay_in_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..200), tagged in any::<bool>()) {
         let mut buf = BytesMut::from(bytes.as_slice());
         if tagged && !buf.is_empty() {
             buf[0] = 0x9d;
@@ -157,10 +157,10 @@
     }
 }
 
-/// A header that announces a frame as large as may be has little set aside for it; what has come grows with
-/// what came.
+/// A header that announces a very large frame reserves little memory: the buffer grows with the bytes received. A
+/// sender could otherwise take much memory with headers alone.
 #[test]
-fn a_header_alone_costs_little() {
+fn a_header_alone_reserves_little_memory() {
     let frame = Frame::from(Withdraw { id: 1 }).with_body(bytes::Bytes::from(vec![5; 8 << 20]));
     let mut wire = bytes::BytesMut::new();
     frame.encode_head(&mut wire);
@@ -168,15 +168,15 @@
     let mut buf = bytes::BytesMut::new();
     for part in wire.chunks(100_000) {
         buf.extend_from_slice(part);
-        let come = buf.len();
+        let received = buf.len();
         if let Some(found) = decode(&mut buf, Bounds::DEFAULT).unwrap() {
             return assert_eq!(found, frame);
         }
         assert!(
-            buf.capacity() <= 4 * come + (1 << 20),
-            "{} set aside for {come}",
+            buf.capacity() <= 4 * received + (1 << 20),
+            "{} bytes reserved after {received} bytes",
             buf.capacity()
         );
     }
-    panic!("the frame never came");
+    panic!("the frame was not decoded");
 }
