--- a/crates/benchlink/src/adapter.rs
+++ b/crates/benchlink/src/adapter.rs
@@ -14,18 +14,18 @@
 struct Instance {
     scheduler: Scheduler,
     names: Names,
-    /// Its events in the current batch.
+    /// The instance's events in the current batch.
     events: Vec<Event>,
-    /// It is stepped at the end of the current batch.
+    /// Whether the instance is stepped at the end of the current batch.
     pending: bool,
 }
 
-/// All instances of the process.
+/// All instances of the scheduler in this process.
 #[derive(Default)]
 pub struct Adapter {
-    /// By the bench's host numbers.
+    /// The instances by the bench's host numbers.
     instances: BTreeMap<u64, Instance>,
-    /// Endpoint lists, to which events refer by number.
+    /// The endpoint lists received so far, by the numbers by which events refer to them.
     pages: BTreeMap<u64, Vec<Entry>>,
 }
 
--- a/crates/benchlink/src/events.rs
+++ b/crates/benchlink/src/events.rs
@@ -12,7 +12,7 @@
 use gullsail_scheduler_settings::{RawSettings, hash};
 use std::collections::BTreeMap;
 
-/// The names behind the ids of one instance: those of its settings, and the nodes listed so far.
+/// The names that the ids of one instance stand for: those in its settings, and those of the nodes listed so far.
 #[derive(Default)]
 pub struct Names {
     /// Names of zones, plans and request classes.
@@ -27,7 +27,7 @@
     }
 }
 
-/// The configuration of an instance, with its names.
+/// Makes the configuration of an instance and its names.
 ///
 /// # Errors
 /// The settings are invalid.
@@ -43,7 +43,7 @@
     ))
 }
 
-/// The scheduler's event; `None`: the event does not concern the scheduler.
+/// Translates an event to the scheduler's; `None`: the event does not concern the scheduler.
 ///
 /// # Errors
 /// The event refers to an unknown endpoint list, or holds an unknown word or a malformed encoding.
@@ -102,7 +102,7 @@
     })
 }
 
-/// `None`: the event is not the end of an attempt.
+/// Reads the end of an attempt; `None`: the event is another one.
 fn attempt_end(event: WireEvent) -> Result<Option<AttemptEnd>, AdapterError> {
     let WireEvent::Resolved {
         id,
@@ -132,7 +132,7 @@
     }))
 }
 
-/// `None`: the event is not a request.
+/// Reads a request; `None`: the event is another one.
 fn request(event: WireEvent, names: &Names) -> Option<Request> {
     let WireEvent::Accept {
         id,
@@ -168,7 +168,7 @@
     })
 }
 
-/// `None`: the node's health is an unknown word, so its last known entry stays.
+/// Reads an entry of an endpoint list; `None`: the node's health is an unknown word, so its last known entry stays.
 fn endpoint(entry: &Entry, names: &mut Names) -> Option<Endpoint> {
     let node = NodeId(hash(&entry.node));
     names
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's protocol on standard input and output for many instances of the scheduler.
+//! Runs the bench's protocol on standard input and output for many instances of the scheduler.
 
 use gullsail_benchlink::adapter::Adapter;
 use gullsail_benchlink::error::AdapterError;
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -18,17 +18,17 @@
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Entry {
-    /// Its shard.
+    /// The shard that the node holds; -1: none.
     #[serde(default = "no_shard")]
     pub group: i64,
-    /// Its state.
+    /// The node's state: `Ready`, `Terminating` or `Gone`.
     pub health: String,
-    /// Its name.
+    /// The node's name.
     pub node: String,
-    /// Its zone.
+    /// The name of the node's zone.
     #[serde(default)]
     pub region_part: String,
-    /// When its process started, in milliseconds; 0: unknown.
+    /// When the node's process started, in milliseconds; 0: unknown.
     #[serde(default)]
     pub online_since: f64,
 }
@@ -40,87 +40,87 @@
     /// A host starts, with its settings.
     #[serde(rename = "Born", rename_all = "kebab-case")]
     Start {
-        /// The host.
+        /// The number of the host that starts.
         host: u64,
-        /// The seed of its random generator.
+        /// The seed of the scheduler's random generator.
         rng_seed: u64,
-        /// Its settings.
+        /// The host's settings.
         boot_info: Box<RawSettings>,
     },
     /// An endpoint list to which [`WireEvent::Fleet`] refers.
     Page {
         /// The number of the list.
         table: u64,
-        /// Its entries.
+        /// The entries of the list, one for each node.
         #[serde(default)]
         hosts: Vec<Entry>,
     },
-    /// An endpoint list for a host, or the loss of discovery.
+    /// An endpoint list for a host, or the loss of the list.
     Fleet {
-        /// The host.
+        /// The number of the host that receives the list.
         host: u64,
         /// The number of the list.
         #[serde(default)]
         table: u64,
-        /// What kind of list it is.
+        /// The kind of the update: `incr`, `total`, `warm_copy`, or `lost` if the list cannot be fetched.
         mode: String,
     },
-    /// A request.
+    /// A request arrived at a host.
     #[serde(rename_all = "kebab-case")]
     Accept {
-        /// The host.
+        /// The number of the host.
         host: u64,
-        /// The request.
+        /// The request's id.
         id: u64,
-        /// Its work, in units.
+        /// The work of the request, in units.
         quota_units: f64,
-        /// How long its client waits, in milliseconds.
+        /// How long the client waits for the answer, in milliseconds.
         #[serde(rename = "ttl")]
         timeout: f64,
-        /// Its plan.
+        /// The name of the volume's plan.
         #[serde(default)]
         grade: String,
-        /// Its request class.
+        /// The name of the request class.
         #[serde(default)]
         profile: String,
-        /// Its volume.
+        /// The name of the volume.
         #[serde(default)]
         store_user: String,
-        /// Its shard; negative: none.
+        /// The shard of the request's data; negative: a new object.
         #[serde(default = "no_shard")]
         lies_in: i64,
-        /// Its object.
+        /// The name of the object, if the request is about a named one.
         #[serde(default)]
         object: Option<String>,
-        /// How many hosts serve its volume.
+        /// Number of hosts that serve the volume; 0: unknown.
         #[serde(default)]
         mounts: u32,
     },
-    /// A timer of the scheduler.
+    /// A timer of the scheduler is due.
     Timer {
-        /// The host.
+        /// The number of the host.
         host: u64,
-        /// The timer.
+        /// The timer's id.
         name: u64,
     },
     /// A client disconnected.
     Dropped {
-        /// The host.
+        /// The number of the host.
         host: u64,
-        /// The request.
+        /// The id of the client's request.
         id: u64,
     },
     /// A host is killed.
     Detach {
-        /// The host.
+        /// The number of the host.
         host: u64,
     },
-    /// A peer message.
+    /// A host received a message of another host.
     #[serde(rename = "Heard")]
     PeerMessage {
-        /// The host.
+        /// The number of the receiving host.
         host: u64,
-        /// The sending host.
+        /// The number of the sending host.
         src: u32,
         /// The message, as base64.
         octets: String,
@@ -128,36 +128,36 @@
     /// An attempt ended.
     #[serde(rename_all = "kebab-case")]
     Resolved {
-        /// The host.
+        /// The number of the host.
         host: u64,
-        /// The request.
+        /// The id of the request.
         id: u64,
-        /// The latency in milliseconds.
+        /// The attempt's latency in milliseconds.
         #[serde(default)]
         spent: f64,
-        /// The attempt.
+        /// The number of the attempt within the request, from 0.
         #[serde(default)]
         attempt: u32,
-        /// Its outcome.
+        /// The outcome of the attempt, such as `delivered` or `expired`.
         state_code: String,
-        /// Its node.
+        /// The name of the node that the attempt was sent to.
         node: String,
-        /// The request is finished.
+        /// Whether the client has its final answer, so that the request is finished.
         #[serde(default)]
         complete: bool,
-        /// One more than the used percentage; 0: unknown.
+        /// One more than the volume's usage in percent of its nominal rate; 0: unknown.
         #[serde(default)]
         metered: u32,
     },
-    /// A response began.
+    /// The client received the beginning of a streamed response.
     AckFirst {
-        /// The host.
+        /// The number of the host.
         host: u64,
-        /// The request.
+        /// The id of the request.
         id: u64,
-        /// Its node.
+        /// The name of the node that responds.
         node: String,
-        /// The latency in milliseconds.
+        /// The attempt's latency so far, in milliseconds.
         #[serde(default)]
         spent: f64,
     },
@@ -166,7 +166,7 @@
     Unknown,
 }
 
-/// The number for "no shard".
+/// The value of a shard that is not given: no shard.
 fn no_shard() -> i64 {
     -1
 }
--- a/crates/benchlink/tests/same_config.rs
+++ b/crates/benchlink/tests/same_config.rs
@@ -1,4 +1,4 @@
-//! Both ways into the scheduler, the bench's and the platform's, agree.
+//! The bench's adapter and the platform give the scheduler the same configuration and requests.
 
 use gullsail_benchlink::events::{self, Names};
 use gullsail_benchlink::wire::WireEvent;
@@ -62,24 +62,25 @@
     }
 }
 
-/// The bench's adapter and the platform's host make the same configuration and ids of the same settings.
+/// Equal settings and an equal request give the same configuration, names and ids in the bench's adapter and in the
+/// platform's host.
 #[test]
-fn both_routes_make_the_same_config_and_ids() {
+fn the_bench_and_the_platform_make_the_same_config_and_ids() {
     let start = format!(r#"{{"type":"Born","host":1,"rng-seed":9,"boot-info":{SETTINGS}}}"#);
     let Ok(WireEvent::Start { boot_info, .. }) = serde_json::from_str(&start) else {
         panic!("{start}")
     };
-    let (here, mut names) = events::config(&boot_info).unwrap();
+    let (from_bench, mut names) = events::config(&boot_info).unwrap();
     let document = platform_document();
-    // An attempt can wait for its connection on sockets alone.
+    // Only on sockets can an attempt wait for its connection.
     assert_eq!(document.config.max_connect_wait, Span::from_millis(250.0));
-    let there = SchedulerConfig {
+    let from_platform = SchedulerConfig {
         max_connect_wait: Span::ZERO,
         ..document.config.clone()
     };
-    assert_eq!(format!("{here:?}"), format!("{there:?}"));
+    assert_eq!(format!("{from_bench:?}"), format!("{from_platform:?}"));
     assert_eq!(names.settings, document.names);
-    let here = request_from_bench(&mut names);
-    let there = request_from_platform(&document);
-    assert_eq!(format!("{here:?}"), format!("{there:?}"));
+    let from_bench = request_from_bench(&mut names);
+    let from_platform = request_from_platform(&document);
+    assert_eq!(format!("{from_bench:?}"), format!("{from_platform:?}"));
 }
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What the adapter does with good, odd and bad lines.
+//! The program's output and exit code for valid, unusual and malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -15,7 +15,7 @@
     format!(r#"{{"t":10.0,"arrivals":[{}]}}"#, events.join(",")).replace('\n', "") + "\n"
 }
 
-/// Exit code, standard output and standard error for what comes in.
+/// Runs the program on `input`. Returns its exit code, standard output and standard error.
 fn run(input: &str) -> (Option<i32>, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_gullsail-benchlink"))
         .stdin(Stdio::piped())
@@ -23,7 +23,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // It may stop reading at a bad line; what it says then is what counts.
+    // Writing may fail, since the program exits at a malformed line. The tests check its output.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     let out = child.wait_with_output().unwrap();
     let text = |b| String::from_utf8(b).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_request_goes_out_and_input_ends() {
+fn a_request_is_sent_to_the_listed_node() {
     let all = batch(&[]) + &batch(&[START, LIST, r#"{"type":"Novelty","host":3}"#, ACCEPT]);
     let (code, out, err) = run(&all);
     assert_eq!((code, err.as_str()), (Some(0), ""));
@@ -47,10 +47,10 @@
     }
 }
 
-/// What no settings state is answered at once and ends nothing: a plan, a request class, a node's health; a
-/// deployment may have no plans at all.
+/// Requests with a plan, a request class or a shard that is not known, and lists with an unknown health, do not
+/// end the program: the requests are answered at once. Settings without plans accept requests of any plan.
 #[test]
-fn what_nothing_defines_is_answered_at_once() {
+fn requests_with_unknown_names_are_answered_at_once() {
     let bare = START.replace(r#""policies":[{"name":"p"}],"#, "");
     let odd_list = LIST.replace("Ready", "Dreaming");
     let cases = [
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn events_for_the_dead_are_skipped_with_a_line() {
-    let dead = [
+fn events_for_hosts_that_do_not_run_are_ignored_with_a_warning() {
+    let inputs = [
         batch(&[ACCEPT]),
         batch(&[START, LIST, r#"{"type":"Detach","host":3}"#, ACCEPT]),
     ];
-    for input in dead {
+    for input in inputs {
         let (code, out, err) = run(&input);
         assert_eq!((code, out.as_str()), (Some(0), "{\"outbox\":[]}\n"));
         assert_eq!(err.lines().count(), 1, "{err}");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn malformed_input_ends_it_plainly() {
+fn malformed_input_ends_the_program_with_one_error_line() {
     let cases = [
         "not json\n".to_string(),
         "{\"t\":1.0}\n".to_string(),
--- a/crates/scheduler-settings/src/lib.rs
+++ b/crates/scheduler-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Translates the operators' settings into [`SchedulerConfig`]. The settings come with the simulator's first
-//! message and in a host's configuration file; both use this crate, so equal settings give equal
-//! configurations. Unknown keys are ignored.
+//! Translates the operators' settings to a [`SchedulerConfig`]. The settings are part of the simulator's first
+//! message and of a host's configuration file. Both use this crate, so equal settings give equal configurations.
+//! Unknown keys are ignored.
 //!
-//! [`config`] makes the configuration, [`Names`] has the names behind its ids, and `validation` finds settings
-//! that contradict each other.
+//! [`config`] makes the configuration, [`Names`] holds the names that its ids stand for, and `validation` finds
+//! settings that contradict each other.
 
 mod names;
 mod raw;
@@ -18,10 +18,10 @@
 pub use raw::{RawSettings, Reach};
 pub use validation::Contradiction;
 
-/// The configuration of a scheduler, and the names behind its ids.
+/// Makes the configuration of a scheduler, and the names that its ids stand for.
 ///
 /// # Errors
-/// A setting has an unknown word.
+/// The value of a setting is an unknown word.
 pub fn config(raw: &RawSettings) -> Result<(SchedulerConfig, Names), Problem> {
     let request_classes = raw.profiles.iter().map(request_class);
     let config = SchedulerConfig {
@@ -76,7 +76,7 @@
         .then(|| Span::from_millis(limits.max_retry_after))
 }
 
-/// The plans of the settings. If there are none, all volumes have one plan without limit and reserve.
+/// The plans of the settings. If the settings have none, all volumes have one plan without limit and reserve.
 fn plans(policies: &[Policy]) -> Vec<Plan> {
     if policies.is_empty() {
         return vec![Plan {
--- a/crates/scheduler-settings/src/names.rs
+++ b/crates/scheduler-settings/src/names.rs
@@ -1,44 +1,47 @@
-//! Names and ids: the names of zones, plans and request classes in the settings, and the hash that makes ids of
-//! other names.
+//! Names and ids: the names of zones, plans and request classes in the settings, and the hash from which the ids of
+//! other names are made.
 
 use gullsail_scheduler_api::{PlanId, RequestClassId, ZoneId};
 use std::hash::Hasher;
 
 /// A name or word that the settings do not define.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("unknown {what} '{found}'")]
+#[error("unknown {kind} '{found}'")]
 pub struct Problem {
-    what: &'static str,
+    /// The kind of name or word, such as `plan`, or the key of the setting.
+    kind: &'static str,
+    /// The unknown name or word.
     found: String,
 }
 
 impl Problem {
-    /// An unknown word `found` for `what`, cut to a length that fits into a log line.
-    pub fn unknown(what: &'static str, found: &str) -> Problem {
+    /// Reports an unknown name or word, cut to a length that fits into a log line.
+    pub fn unknown(kind: &'static str, found: &str) -> Problem {
         Problem {
-            what,
+            kind,
             found: found.chars().take(80).collect(),
         }
     }
 }
 
-/// Set in the id of each zone that the settings do not name: the highest bit, so that the id is no position.
+/// A bit in the id of each zone that the settings do not name. It is the highest bit, so no such id is the
+/// position of a named zone.
 const UNKNOWN_ZONE: usize = 1 << (usize::BITS - 1);
 
-/// The names in one host's settings, in the order of their ids.
+/// The names in one host's settings. The position of a name is its id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Zones, by `ZoneId`.
+    /// The zones, indexed by `ZoneId`.
     pub zones: Vec<String>,
-    /// Plans, by `PlanId`.
+    /// The plans, indexed by `PlanId`.
     pub plans: Vec<String>,
-    /// Request classes, by `RequestClassId`.
+    /// The request classes, indexed by `RequestClassId`.
     pub request_classes: Vec<String>,
 }
 
 impl Names {
-    /// The id of a plan. If the settings have no plans, every name stands for the one plan without limit and
-    /// reserve.
+    /// The id of a plan. If the settings have no plans, every name stands for the default plan, which has no limit
+    /// and no reserve.
     ///
     /// # Errors
     /// The settings have plans, but none of this name.
@@ -61,8 +64,8 @@
             .ok_or_else(|| Problem::unknown("request class", name))
     }
 
-    /// The id of a zone. A zone that the settings do not name gets an id of its own, above all positions: the
-    /// nodes of two such zones must not pass for one zone, whose nodes share their knowledge of idempotency
+    /// The id of a zone. Each zone that the settings do not name gets a different id, made of the hash of its name.
+    /// With one id for all of them, their nodes would count as nodes of one zone, which know the same idempotency
     /// keys.
     pub fn zone(&self, name: &str) -> ZoneId {
         let unknown = || hash(name) as usize | UNKNOWN_ZONE;
@@ -74,7 +77,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// The id for a name. Ids are hashes because they must be the same at every host and in every process.
+/// The id for a name. It is a hash, so that it is the same at every host and in every process.
 pub fn hash(name: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/scheduler-settings/src/raw.rs
+++ b/crates/scheduler-settings/src/raw.rs
@@ -1,4 +1,4 @@
-//! The settings as they are read, with the operators' keys, and the part that a host with sockets needs.
+//! The settings as they are read, under the operators' keys, and the part that a host with sockets needs.
 
 use gullsail_scheduler_api::Span;
 use serde::Deserialize;
@@ -20,7 +20,7 @@
     pub(crate) profiles: Vec<Profile>,
     pub(crate) rank: u32,
     pub(crate) rules: Rules,
-    /// The names of the tiers; `tier` is the position of this host's.
+    /// The names of the tiers; `tier` is the position of this host's tier.
     #[serde(default)]
     pub(crate) stages: Vec<String>,
     #[serde(default)]
@@ -76,17 +76,17 @@
     pub(crate) value_factor: f64,
 }
 
-/// A factor that changes nothing.
+/// The default of factors, which leaves the value unchanged.
 fn one() -> f64 {
     1.0
 }
 
-/// Milliseconds after which a connection attempt is given up, if the settings do not say.
+/// Default timeout for connecting to a node, in milliseconds.
 fn default_connect_timeout() -> f64 {
     250.0
 }
 
-/// Milliseconds for which idle connections are kept, if the settings do not say.
+/// Default time for which idle connections are kept, in milliseconds.
 fn default_keepalive() -> f64 {
     30_000.0
 }
@@ -126,22 +126,23 @@
     pub(crate) free_resends: Option<f64>,
     pub(crate) extra_per_request: Option<f64>,
     pub(crate) look_back: Option<f64>,
-    /// Longest interval between polls of the endpoint list; a host that polls less often counts as informed.
+    /// Longest interval between polls of the endpoint list. A host that polls less often is treated as if it had
+    /// received the updates that it missed.
     pub(crate) must_ask_in: Option<f64>,
 }
 
-/// What a host with sockets needs of the settings, beyond its scheduler's configuration.
+/// The settings that a host with sockets needs beyond its scheduler's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reach {
     /// Timeout for connecting to a node.
     pub connect_time_out: Span,
-    /// Idle connections to nodes are closed after this time.
+    /// Time after which idle connections to nodes are closed.
     pub keep_alive: Span,
     /// For each request class, whether its requests write.
     pub writes: Vec<bool>,
     /// The longest timeout and the longest latency objective of all request classes.
     pub longest: (Span, Span),
-    /// How many shards there are, numbered from 0; 0: unknown.
+    /// Number of shards, which are numbered from 0; 0: unknown.
     pub shards: i64,
 }
 
@@ -161,7 +162,7 @@
     }
 }
 
-/// The longest of some times in milliseconds; zero if there are none.
+/// The longest of the times, which are in milliseconds; zero if there are none.
 fn longest(times: impl Iterator<Item = f64>) -> Span {
     Span::from_millis(times.fold(0.0, f64::max))
 }
--- a/crates/scheduler-settings/src/validation.rs
+++ b/crates/scheduler-settings/src/validation.rs
@@ -1,15 +1,15 @@
-//! Finds settings that contradict each other or ask for the impossible. [`RawSettings::contradictions`] names
-//! the key of each and what was expected. Settings that are only unusual pass.
+//! Finds settings that are invalid or contradict each other. [`RawSettings::contradictions`] reports the key of
+//! each, and the expected value. Settings that are only unusual are accepted.
 
 use crate::raw::{Policy, RawSettings};
 
-/// A setting that cannot be as it is.
+/// A setting that is invalid or contradicts another one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {meant}")]
 pub struct Contradiction {
-    /// The path of its key, such as `policies[0].limit`.
+    /// The path of the setting's key, such as `policies[0].limit`.
     pub place: String,
-    /// What was expected, and what was found.
+    /// The expected value, and the value found.
     pub meant: String,
 }
 
--- a/crates/scheduler-settings/tests/names.rs
+++ b/crates/scheduler-settings/tests/names.rs
@@ -1,11 +1,12 @@
-//! Names and their numbers.
+//! Names in the settings and their ids.
 
 use gullsail_scheduler_api::ZoneId;
 use gullsail_scheduler_settings::Names;
 
-/// Rule 2: nodes of zones that no settings name are not of one zone because of it.
+/// Rule 2: zones that the settings do not name must not count as one zone, since the nodes of a zone know the same
+/// idempotency keys.
 #[test]
-fn unknown_zones_are_no_zone_together() {
+fn zones_missing_from_the_settings_get_different_ids() {
     let names = Names {
         zones: vec!["a".into()],
         ..Names::default()
--- a/crates/timers/src/clock.rs
+++ b/crates/timers/src/clock.rs
@@ -3,18 +3,20 @@
 use gullsail_scheduler_api::{Instant, Span};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A clock that starts from the wall clock and never runs back. Setting the server's clock while the host runs
-/// does not move it.
+/// A monotonic clock that starts from the wall clock. Setting the server's clock while the host runs does not
+/// affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct HostClock {
+    /// When the clock was started, by the runtime's clock.
     base: tokio::time::Instant,
+    /// The reading of this clock at its start.
     wall: Instant,
-    /// How fast it runs, relative to the server's clock.
+    /// The clock's rate relative to the server's clock.
     rate: f64,
 }
 
 impl HostClock {
-    /// Starts a clock. `ahead` of the wall clock is for tests of hosts whose clocks differ.
+    /// Starts a clock that is `ahead` of the wall clock, for tests of hosts whose clocks differ.
     pub fn start(ahead: Span) -> HostClock {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -27,8 +29,8 @@
         }
     }
 
-    /// The same clock, running faster by this fraction, or slower if it is negative. This is for tests of hosts
-    /// whose clocks drift.
+    /// The clock with a rate that is higher by the fraction `faster`, or lower if it is negative, for tests of
+    /// hosts whose clocks drift.
     pub fn running(self, faster: f64) -> HostClock {
         HostClock {
             rate: 1.0 + faster.clamp(-0.5, 0.5),
@@ -36,13 +38,13 @@
         }
     }
 
-    /// The time now.
+    /// The clock's present reading.
     pub fn now(&self) -> Instant {
         let elapsed_us = self.base.elapsed().as_micros() as f64 * self.rate;
         self.wall + Span::from_micros(elapsed_us as i64)
     }
 
-    /// The same point in time for tokio's timers.
+    /// Converts a reading of this clock to the runtime's clock, for tokio's timers.
     pub fn at(&self, at: Instant) -> tokio::time::Instant {
         let ahead_us = (at - self.wall).micros().max(0) as f64 / self.rate;
         self.base + Duration::from_micros(ahead_us as u64)
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -1,5 +1,5 @@
-//! A queue of timers ([`Timers`]) and a clock that never runs back ([`HostClock`]), shared by the host and the
-//! platform. Neither of them sleeps or wakes a task: the caller does.
+//! A queue of timers ([`Timers`]) and a monotonic clock ([`HostClock`]), shared by the host and the platform.
+//! Neither of them sleeps or wakes a task: the caller does.
 
 mod clock;
 mod timer_queue;
