--- a/crates/benchlink/src/error.rs
+++ b/crates/benchlink/src/error.rs
@@ -10,7 +10,7 @@
     /// Standard output failed.
     Output(std::io::Error),
     /// A line is not a batch of events.
-    Line(serde_json::Error),
+    MalformedLine(serde_json::Error),
     /// The settings of an instance are invalid, with the reason.
     Settings(String),
     /// An event refers to an endpoint list that was not received.
@@ -30,7 +30,7 @@
             AdapterError::Output(error) => {
                 write!(formatter, "cannot write to standard output: {error}")
             }
-            AdapterError::Line(error) => write!(formatter, "malformed line: {error}"),
+            AdapterError::MalformedLine(error) => write!(formatter, "malformed line: {error}"),
             AdapterError::Settings(reason) => formatter.write_str(reason),
             AdapterError::Page(table) => write!(
                 formatter,
@@ -50,7 +50,7 @@
 
 impl From<serde_json::Error> for AdapterError {
     fn from(error: serde_json::Error) -> AdapterError {
-        AdapterError::Line(error)
+        AdapterError::MalformedLine(error)
     }
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -244,7 +244,7 @@
     }
     let frame_bytes = HEADER_BYTES + message + body;
     if buf.len() < frame_bytes {
-        // Not all at once: a sender must not make us reserve a large frame's memory by its header alone.
+        // Not all at once: a sender must not cause a large reservation by a header alone.
         buf.reserve((frame_bytes - buf.len()).min(MAX_RESERVED_BYTES));
         return Ok(None);
     }
--- a/crates/scheduler-settings/src/raw.rs
+++ b/crates/scheduler-settings/src/raw.rs
@@ -72,12 +72,12 @@
     pub(crate) reserve: f64,
     #[serde(default)]
     pub(crate) nominal: f64,
-    #[serde(default = "one")]
+    #[serde(default = "neutral_factor")]
     pub(crate) value_factor: f64,
 }
 
 /// The default of factors, which leaves the value unchanged.
-fn one() -> f64 {
+fn neutral_factor() -> f64 {
     1.0
 }
 
@@ -106,7 +106,7 @@
     pub(crate) window: f64,
     #[serde(default)]
     pub(crate) late_value: f64,
-    #[serde(default = "one")]
+    #[serde(default = "neutral_factor")]
     pub(crate) worth: f64,
     #[serde(default)]
     pub(crate) serial_by_key: bool,
@@ -153,7 +153,7 @@
         let timeout = profiles().map(|profile| profile.give_up);
         let objective = profiles().map(|profile| profile.objective);
         Reach {
-            longest: (longest(timeout), longest(objective)),
+            longest: (longest_of(timeout), longest_of(objective)),
             connect_time_out: Span::from_millis(self.limits.connect_timeout),
             keep_alive: Span::from_millis(self.limits.keepalive),
             writes: self.family_info.writes.clone(),
@@ -163,6 +163,6 @@
 }
 
 /// The longest of the times, which are in milliseconds; zero if there are none.
-fn longest(times: impl Iterator<Item = f64>) -> Span {
+fn longest_of(times: impl Iterator<Item = f64>) -> Span {
     Span::from_millis(times.fold(0.0, f64::max))
 }
