--- a/crates/config-transition/src/notice.rs
+++ b/crates/config-transition/src/notice.rs
@@ -1,5 +1,5 @@
-//! Notices by which hosts report which revisions they and others follow. The host carries them in its own
-//! messages.
+//! Notices by which hosts report the revisions that they and other hosts follow. The host sends them as part of its
+//! messages to other hosts.
 
 use crate::revision_limits::Revision;
 use gullsail_scheduler_api::HostId;
@@ -7,26 +7,26 @@
 /// The most hosts that one notice can report on: one bit each, so that a notice stays within 256 bytes.
 pub const MOST_HOSTS: u32 = 1900;
 
-/// Which hosts are known to follow a revision or a later one.
+/// A report of the hosts that are known to follow a revision or a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisionNotice {
-    /// The revision that its sender follows.
+    /// The revision that the sender follows.
     pub held: Revision,
     /// The revision that `hosts` is about.
     pub revision: Revision,
-    /// One bit for each host, by number.
+    /// One bit for each host, by its number, lowest bit first: whether it is known to follow `revision` or a later one.
     pub hosts: Vec<u8>,
 }
 
 impl RevisionNotice {
-    /// Whether the host at this place is known to follow the revision or a later one.
-    pub(crate) fn includes(&self, place: usize) -> bool {
+    /// Whether the bit of the host with this number is set.
+    pub(crate) fn includes(&self, number: usize) -> bool {
         self.hosts
-            .get(place / 8)
-            .is_some_and(|byte| byte & (1 << (place % 8)) != 0)
+            .get(number / 8)
+            .is_some_and(|byte| byte & (1 << (number % 8)) != 0)
     }
 
-    /// Whether it reports on a host that the other does not.
+    /// Whether a bit is set here that is not set in `other`.
     pub(crate) fn has_more_than(&self, other: &RevisionNotice) -> bool {
         let others = other.hosts.iter().copied().chain(std::iter::repeat(0));
         self.hosts
@@ -36,37 +36,37 @@
     }
 }
 
-/// A notice that is to be sent.
+/// A notice with its addressee, for the caller to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedNotice {
-    /// The host to send it to.
+    /// The host to send the notice to.
     pub to: HostId,
-    /// The notice.
+    /// The notice to send.
     pub notice: RevisionNotice,
 }
 
-/// What a notice changed.
+/// The effect of a notice on what this host knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NoticeEffect {
-    /// Nothing new.
+    /// The notice reports nothing new.
     Nothing,
-    /// Some host follows a later revision than this host knew.
+    /// A host follows a later revision than was known here.
     News,
-    /// The sender follows an older revision than it did, unless this notice is late: limits may be exceeded
-    /// until it follows again.
+    /// The sender follows an older revision than it reported before, unless this notice is late. Limits may be exceeded
+    /// until the sender follows the later revision again.
     WentBack {
-        /// The revision that it followed.
+        /// The latest revision that the sender is known to have followed.
         from: Revision,
-        /// The revision that it follows now.
+        /// The revision that the sender follows by this notice.
         to: Revision,
     },
 }
 
-/// What handling a notice leads to.
+/// The result of handling a notice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NoticeOutcome {
-    /// What it changed.
+    /// The effect of the notice.
     pub effect: NoticeEffect,
-    /// The notice to send back, if this host knows more than the sender.
+    /// A notice to send back; `None`: this host knows no more than the sender.
     pub reply: Option<RevisionNotice>,
 }
--- a/crates/config-transition/src/revision_limits.rs
+++ b/crates/config-transition/src/revision_limits.rs
@@ -4,29 +4,30 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The number of a revision: a later one is larger. 0: the configuration states none.
+/// The number of a revision of the configuration; later revisions have larger numbers. 0: the configuration states no
+/// number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Revision(pub u64);
 
 /// A volume's limit, and the hosts that share it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SharedLimit {
-    /// By the configuration's own order of plans.
+    /// The volume's plan, by its position in the configuration of the same revision.
     pub plan: PlanId,
-    /// Over all hosts, in units; `None`: without a limit.
+    /// The limit over all hosts together, in units; `None`: the volume has no limit.
     pub limit: Option<Limit>,
-    /// In order of their numbers.
+    /// The hosts that serve the volume, sorted by number.
     pub hosts: Arc<[HostId]>,
 }
 
 impl SharedLimit {
-    /// Whether the volume is served through this host.
+    /// Whether this host serves the volume.
     pub fn through(&self, host: HostId) -> bool {
         self.hosts.binary_search(&host).is_ok()
     }
 
-    /// What that host may send by this revision alone: an even share, or the `share` that it was granted. A
-    /// host that does not serve the volume may send nothing. `None`: the volume has no limit.
+    /// Returns the limit of one host by this revision alone: the granted `share` of the limit, or an even share if there
+    /// is none. A host that does not serve the volume has a limit of 0. `None`: the volume has no limit.
     fn limit_for(&self, host: HostId, share: Option<f64>) -> Option<Limit> {
         let limit = self.limit?;
         let count = self.hosts.len().max(1) as f64;
@@ -45,14 +46,14 @@
 /// All limits of one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RevisionLimits {
-    /// Which revision.
+    /// The number of the revision.
     pub revision: Revision,
-    /// By volume.
+    /// The limit of each volume.
     pub volumes: BTreeMap<VolumeId, SharedLimit>,
 }
 
 impl RevisionLimits {
-    /// Whether both state the same limits over the same hosts. Places of plans may differ.
+    /// Whether both revisions have the same limits over the same hosts. Positions of plans may differ.
     pub(crate) fn same_limits_as(&self, other: &RevisionLimits) -> bool {
         let same = |ours: &SharedLimit, theirs: &SharedLimit| {
             ours.limit == theirs.limit && ours.hosts == theirs.hosts
@@ -62,14 +63,14 @@
             && pairs.all(|(ours, theirs)| ours.0 == theirs.0 && same(ours.1, theirs.1))
     }
 
-    /// What a host may send for a volume by this revision alone; `None`: no limit applies. For a volume that
-    /// is not in the revision, hosts that follow it send nothing and so take nothing from the others.
+    /// Returns the limit of one host for a volume by this revision alone; `None`: no limit applies. A volume that is not
+    /// in the revision needs no limit: hosts that follow the revision do not send for it.
     pub fn limit_for(&self, volume: VolumeId, host: HostId, share: Option<f64>) -> Option<Limit> {
         self.volumes.get(&volume)?.limit_for(host, share)
     }
 }
 
-/// The lower of two limits, rate and burst each by itself.
+/// Returns the lower rate and the lower burst of two limits; `None` is no limit.
 pub(crate) fn lower(one: Option<Limit>, other: Option<Limit>) -> Option<Limit> {
     match (one, other) {
         (Some(one), Some(other)) => Some(Limit {
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -1,17 +1,17 @@
-//! The transition from one revision of the configuration to the next, host by host. The host owns and calls
-//! it.
+//! The transition from one revision of the configuration to the next. Each host runs its own copy.
 //!
-//! **The rule.** A host keeps a chain of revisions: the one that it follows, and earlier ones back to the oldest
-//! that some host may still follow. For each volume it may send the lowest of its limits in the chain.
+//! **The rule.** A host keeps a chain of revisions: the one that it follows, and earlier ones back to the oldest that
+//! some host may still follow. Its limit for a volume is the lowest of its limits by the revisions of the chain.
 //!
 //! **Why the limit holds.** Let m be the oldest revision that any serving host follows now.
-//! 1. The host that follows m has not reported a later one, so no host knows that all have passed m.
-//! 2. So m is still in the chain of every host; it is not later than the host's own, since m is the oldest.
+//! 1. The host that follows m has not reported a later revision, so no host has recorded that all follow a later one.
+//! 2. So m is still in the chain of every host. It is not later than the revision that the host follows, since m is
+//!    the oldest.
 //! 3. So each host sends at most its limit by m, and these limits sum to the limit that revision m states.
 //!
-//! This holds at every moment, in whatever order hosts change. Notices may be lost, late or repeated: a lost
-//! notice only keeps a chain long. A host that is down sends nothing; the others keep its revision in their
-//! chains until it reports a later one.
+//! This holds at every moment, in whatever order hosts change. Notices may be lost, late or repeated: a lost notice
+//! only delays the removal of revisions from a chain. A host that is down sends nothing; the others keep its revision in
+//! their chains until it reports a later one.
 //!
 //! **Assumptions.** A host that starts is given a revision no older than the one that it last followed, and a
 //! chain that reaches back to the oldest revision that any host follows. Operators have to ensure both; a host
@@ -22,42 +22,44 @@
 use crate::error::TransitionError;
 use crate::revision_limits::{Revision, RevisionLimits, lower};
 use gullsail_scheduler_api::{HostId, Instant, Limit, PlanId, Span, VolumeAllocation, VolumeId};
-use notices::{FINAL_ROUNDS, FIRST_WAIT};
+use notices::{FINAL_ROUNDS, FIRST_BACKOFF};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A host that may still use a volume by an earlier revision than this host follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaggingHost {
-    /// The host.
+    /// The host that may lag behind.
     pub host: HostId,
-    /// How many hosts share the volume by that revision.
+    /// The number of hosts that share the volume by the earlier revision.
     pub sharing: usize,
 }
 
 /// Decides what this host may send for each volume, also while hosts follow different revisions.
 pub struct ConfigTransition {
     me: HostId,
-    /// Oldest first; never empty. The last is followed.
+    /// The revisions that limit this host, oldest first; never empty. This host follows the last one.
     chain: VecDeque<RevisionLimits>,
-    /// By host: the latest revision that it is known to follow; it may follow a later one.
+    /// By host number, the latest revision that the host is known to follow. It may follow a later one.
     reached: Vec<Revision>,
-    /// The allocations as they were last returned.
+    /// The allocations that the scheduler has, as they were last returned.
     reported: BTreeMap<VolumeId, VolumeAllocation>,
+    /// When the next round of notices is due.
     next_round: Instant,
-    wait: Span,
-    /// Rounds that are still sent once all hosts follow the same revision.
+    /// The backoff after the next round.
+    backoff: Span,
+    /// The number of rounds left to send while all hosts are known to follow this host's revision.
     final_rounds: u32,
-    /// By volume, the share that the fleet granted to this host; `None`: even shares by the configuration.
+    /// By volume, the share that the fleet granted to this host, from 0 to 1; `None`: even shares apply.
     shares: Option<BTreeMap<VolumeId, f64>>,
-    /// Hosts whose member lease has expired: they use at most their floor share.
+    /// Hosts whose member lease has expired. They use at most their floor shares.
     expired_members: BTreeSet<HostId>,
-    /// Revisions that only hosts with an expired lease may still follow.
+    /// Revisions that were dropped from the chain but that hosts with an expired lease may still follow.
     retained: Vec<RevisionLimits>,
 }
 
 impl ConfigTransition {
-    /// `chain` holds the revision to follow and the earlier ones; none of the `hosts` hosts follows one older
-    /// than the oldest of them. An empty chain states no limit.
+    /// Creates the state of host `me` of `hosts` hosts. `chain` has the revision to follow and earlier ones; no host may
+    /// follow a revision older than the oldest of them. An empty chain has no limits.
     pub fn new(
         me: HostId,
         hosts: u32,
@@ -75,14 +77,14 @@
             reached: vec![oldest; hosts as usize],
             reported: BTreeMap::new(),
             next_round: now,
-            wait: FIRST_WAIT,
+            backoff: FIRST_BACKOFF,
             final_rounds: FINAL_ROUNDS,
             shares: None,
             expired_members: BTreeSet::new(),
             retained: Vec::new(),
         };
         transition.activate_latest();
-        // The scheduler starts with even shares, so these count as reported.
+        // The scheduler starts with even shares, so these are not returned as changes.
         let volumes = transition.current().volumes.keys();
         transition.reported = volumes
             .map(|id| (*id, transition.even_allocation(*id)))
@@ -90,7 +92,7 @@
         transition
     }
 
-    /// How many revisions are in the chain, and how many volumes' allocations are remembered.
+    /// Returns the number of revisions in the chain and the number of allocations in memory, for metrics.
     pub fn size_metrics(&self) -> (usize, usize) {
         (self.chain.len(), self.reported.len())
     }
@@ -99,20 +101,21 @@
         self.chain.back().expect("the chain is never empty")
     }
 
-    /// The revision that this host follows.
+    /// Returns the revision that this host follows.
     pub fn revision(&self) -> Revision {
         self.current().revision
     }
 
-    /// Follows the last revision of the chain from now on.
+    /// Records that this host follows the last revision of the chain from now on.
     fn activate_latest(&mut self) {
         let revision = self.revision();
         self.reach(self.me, revision);
         self.drop_outdated();
     }
 
-    /// Drops revisions that all hosts have passed. A host whose lease has expired does not hold up the others:
-    /// it uses its floor share by the revision that it follows, which is retained apart.
+    /// Drops revisions from the chain that all hosts have left behind. A host whose lease has expired does not keep a
+    /// revision in the chain, since it uses only its floor share by the revision that it follows. Such a revision is
+    /// moved to `retained`.
     fn drop_outdated(&mut self) {
         let reached = || {
             self.reached
@@ -140,22 +143,22 @@
         self.retained.retain(|limits| limits.revision >= oldest);
     }
 
-    /// Adds hosts at the end of the configuration. They never followed an older revision.
+    /// Extends the number of hosts to `hosts`. The new hosts never followed an older revision than the current one.
     pub fn joined(&mut self, hosts: u32) {
         let revision = self.revision();
         let count = (hosts as usize).max(self.reached.len());
         self.reached.resize(count, revision);
     }
 
-    /// Sets what the fleet granted: this host's share of each volume, and the hosts whose lease has expired. The
-    /// limits by all revisions of the chain change with it.
+    /// Sets this host's granted share of each volume and the hosts whose member lease has expired. The shares apply to
+    /// the limits by all revisions of the chain.
     pub fn settle(&mut self, shares: BTreeMap<VolumeId, f64>, expired_members: BTreeSet<HostId>) {
         self.shares = Some(shares);
         self.expired_members = expired_members;
         self.drop_outdated();
     }
 
-    /// Hosts that may still use a volume by an earlier revision.
+    /// Returns the hosts that may still use a volume by an earlier revision than this host follows.
     pub fn lagging_hosts(&self, volume: VolumeId) -> impl Iterator<Item = LaggingHost> {
         let current = self.revision();
         let counted = self.retained.iter().chain(&self.chain);
@@ -180,18 +183,19 @@
             })
     }
 
+    /// Returns this host's granted share of a volume; `None`: the fleet has granted none, so even shares apply.
     fn share(&self, volume: VolumeId) -> Option<f64> {
         self.shares
             .as_ref()
             .map(|shares| shares.get(&volume).copied().unwrap_or_default())
     }
 
-    /// Applies the next revision, given with earlier ones, oldest first. A revision with the current number must
-    /// state the same limits; places of plans may differ.
+    /// Changes to the next revision: the last of `chain`, which has earlier ones before it, oldest first. A revision
+    /// with the current number must have the same limits; positions of plans may differ.
     ///
     /// # Errors
-    /// The chain does not continue from the current revision, or does not reach back to every revision that
-    /// other hosts may still follow. Nothing changes then.
+    /// The chain does not continue from the current revision, or does not reach back to every revision that other hosts
+    /// may still follow. The state is unchanged.
     pub fn go_on(
         &mut self,
         chain: Vec<RevisionLimits>,
@@ -208,7 +212,7 @@
         if next > current {
             self.activate_latest();
             self.next_round = now;
-            self.wait = FIRST_WAIT;
+            self.backoff = FIRST_BACKOFF;
             self.final_rounds = FINAL_ROUNDS;
         }
         Ok(())
@@ -247,7 +251,7 @@
                 });
             }
         }
-        // A host that starts with the new chain must keep every revision that this one keeps.
+        // A host that starts with the new chain must have every revision that is in this host's chain.
         let oldest = self.chain.front().map(|limits| limits.revision);
         match oldest.filter(|oldest| first.revision > *oldest) {
             Some(oldest) => Err(TransitionError::ChainTooShort(oldest)),
@@ -255,12 +259,13 @@
         }
     }
 
-    /// Whether every host is known to follow this host's revision.
-    pub fn settled(&self) -> bool {
+    /// Whether every host without an expired lease is known to follow this host's revision or a later one.
+    pub fn all_hosts_follow(&self) -> bool {
         self.missing().next().is_none()
     }
 
-    /// Hosts that are not known to follow this host's revision yet.
+    /// Returns the hosts that are not known to follow this host's revision or a later one. Hosts whose member lease has
+    /// expired are left out.
     pub fn missing(&self) -> impl Iterator<Item = HostId> {
         let revision = self.revision();
         let reached = self.reached.iter().zip(0..);
@@ -270,7 +275,7 @@
             .filter(|host| !self.expired_members.contains(host))
     }
 
-    /// What this host may send for a volume; `None`: no limit applies.
+    /// Returns this host's limit for a volume by the chain; `None`: no limit applies.
     pub fn limit_of(&self, volume: VolumeId) -> Option<Limit> {
         let share = self.share(volume);
         let limits = self
@@ -280,7 +285,7 @@
         limits.fold(None, lower)
     }
 
-    /// The allocation by the current revision alone, with an even share.
+    /// Returns the allocation of a volume by the current revision alone, with an even share.
     fn even_allocation(&self, id: VolumeId) -> VolumeAllocation {
         match self
             .current()
@@ -312,6 +317,7 @@
         }
     }
 
+    /// Returns the allocation of a volume by the chain and the granted share.
     fn allocation(&self, id: VolumeId) -> VolumeAllocation {
         let even = self.even_allocation(id);
         if even.hosts == 0 {
@@ -319,15 +325,15 @@
         }
         let limit = self.limit_of(id);
         let even_limit = self.current().limit_for(id, self.me, None);
-        // An even share is reported as such, so that rounding does not turn one limit into two.
+        // An even share is reported as no part, so that rounding does not produce two values for the same limit.
         VolumeAllocation {
             part: limit.filter(|_| limit != even_limit),
             ..even
         }
     }
 
-    /// The allocations that changed since this was last called, of all volumes of the chain and those served
-    /// before.
+    /// Returns the allocations that have changed since the last call, of all volumes in the chain and of volumes that
+    /// were served before.
     pub fn changed(&mut self) -> Vec<VolumeAllocation> {
         let mut ids: BTreeSet<VolumeId> = self.reported.keys().copied().collect();
         ids.extend(
@@ -341,7 +347,7 @@
         for allocation in &changed {
             self.reported.insert(allocation.volume, allocation.clone());
         }
-        // A volume that was reported as gone and is in no revision of the chain need not be remembered.
+        // A volume that this host does not serve and that is in no revision of the chain is not kept.
         let chain = &self.chain;
         let is_named = |id: &VolumeId| chain.iter().any(|limits| limits.volumes.contains_key(id));
         self.reported
--- a/crates/config-transition/src/transition/notices.rs
+++ b/crates/config-transition/src/transition/notices.rs
@@ -1,4 +1,4 @@
-//! Gossip about which host follows which revision: each round of notices goes to a few random hosts.
+//! Gossip about the revisions that hosts follow: each round sends notices to a few hosts drawn at random.
 
 use super::ConfigTransition;
 use crate::notice::{AddressedNotice, NoticeEffect, NoticeOutcome, RevisionNotice};
@@ -6,22 +6,21 @@
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use rand::Rng;
 
-/// How many hosts a round goes to. With three, all of two hundred hosts know after five or six rounds. Fewer
-/// need more rounds; more cost messages.
+/// The number of hosts that a round sends notices to. With three, the news reaches all of 200 hosts in five or six
+/// rounds. Fewer need more rounds; more cost more messages.
 const FANOUT: usize = 3;
-/// The first backoff between rounds after something new: some round trips. It doubles up to [`LONGEST_WAIT`]
-/// while nothing new comes. When it is larger, hosts learn later; when it is smaller, more notices repeat what
-/// is known.
-pub(super) const FIRST_WAIT: Span = Span::from_micros(100_000);
-/// The longest backoff between rounds: a host that was down waits for notices at most this long. When it is
-/// smaller, hosts that wait for one that is down send more.
-const LONGEST_WAIT: Span = Span::from_micros(6_400_000);
-/// How many rounds a host still sends once it knows that all hosts follow its revision, so that the last hosts
-/// learn it too. With fewer, the last ones wait for the longest backoff.
+/// The first backoff between rounds after news: some round trips. It doubles up to [`MAX_BACKOFF`] while there is no
+/// news. With a larger value news spreads more slowly; with a smaller one more notices repeat known facts.
+pub(super) const FIRST_BACKOFF: Span = Span::from_micros(100_000);
+/// The longest backoff between rounds. It bounds the wait for notices of a host that was down. With a smaller value,
+/// hosts send more notices while one of them is down.
+const MAX_BACKOFF: Span = Span::from_micros(6_400_000);
+/// The number of rounds that a host still sends once it knows that all hosts follow its revision, so that this reaches
+/// the last hosts too. With fewer rounds the last hosts may wait for the longest backoff.
 pub(super) const FINAL_ROUNDS: u32 = 3;
 
 impl ConfigTransition {
-    /// Notes that a host follows this revision or a later one; returns whether that is new.
+    /// Records that a host follows this revision or a later one; returns whether that is new.
     pub(super) fn reach(&mut self, host: HostId, revision: Revision) -> bool {
         match self.reached.get_mut(host.0 as usize) {
             Some(known) if *known < revision => {
@@ -32,11 +31,12 @@
         }
     }
 
+    /// Builds a notice of the hosts that are known to follow `revision` or a later one.
     fn notice(&self, revision: Revision) -> RevisionNotice {
         let mut hosts = vec![0u8; self.reached.len().div_ceil(8)];
-        for (place, reached) in self.reached.iter().enumerate() {
+        for (number, reached) in self.reached.iter().enumerate() {
             if *reached >= revision {
-                hosts[place / 8] |= 1 << (place % 8);
+                hosts[number / 8] |= 1 << (number % 8);
             }
         }
         RevisionNotice {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Handles a notice of another host.
+    /// Handles a notice of host `from`.
     pub fn handle_notice(
         &mut self,
         from: HostId,
@@ -61,11 +61,11 @@
             };
         };
         let went_back = notice.held < known;
-        let news = self.learn(from, notice);
+        let news = self.record_notice(from, notice);
         if news {
             self.drop_outdated();
-            self.next_round = self.next_round.min(now + FIRST_WAIT);
-            self.wait = FIRST_WAIT;
+            self.next_round = self.next_round.min(now + FIRST_BACKOFF);
+            self.backoff = FIRST_BACKOFF;
         }
         let ours = self.notice(notice.revision);
         let effect = if went_back {
@@ -86,44 +86,45 @@
         NoticeOutcome { effect, reply }
     }
 
-    /// Notes which hosts follow which revision; returns whether any of it is new.
-    fn learn(&mut self, from: HostId, notice: &RevisionNotice) -> bool {
+    /// Records the revisions that hosts follow by a notice; returns whether any of them is new.
+    fn record_notice(&mut self, from: HostId, notice: &RevisionNotice) -> bool {
         let mut news = self.reach(from, notice.held);
-        for place in 0..self.reached.len() {
-            if notice.includes(place) {
-                news |= self.reach(HostId(place as u32), notice.revision);
+        for number in 0..self.reached.len() {
+            if notice.includes(number) {
+                news |= self.reach(HostId(number as u32), notice.revision);
             }
         }
         news
     }
 
-    /// When to call [`ConfigTransition::due_notices`] at the latest; `None`: there is nothing to report.
+    /// Returns when to call [`ConfigTransition::due_notices`] at the latest; `None`: no notices are due at any time.
     pub fn next(&self) -> Option<Instant> {
-        let done = self.settled() && self.final_rounds == 0;
+        let finished = self.all_hosts_follow() && self.final_rounds == 0;
         let has_others = self.reached.len() > 1;
-        if done || self.revision() == Revision(0) || !has_others {
+        if finished || self.revision() == Revision(0) || !has_others {
             None
         } else {
             Some(self.next_round)
         }
     }
 
-    /// The notices to send now.
+    /// Returns the notices of the round that is due at `now`, if one is.
     pub fn due_notices(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<AddressedNotice> {
         if self.next().is_none_or(|at| now < at) {
             return Vec::new();
         }
-        if self.settled() {
+        if self.all_hosts_follow() {
             self.final_rounds -= 1;
         }
-        self.next_round = now + self.wait;
-        self.wait = self.wait.times(2.0).min(LONGEST_WAIT);
+        self.next_round = now + self.backoff;
+        self.backoff = self.backoff.times(2.0).min(MAX_BACKOFF);
         let notice = self.notice(self.revision());
         let others = self.reached.len() - 1;
         let me = self.me.0 as usize;
-        let places = rand::seq::index::sample(rng, others, FANOUT.min(others)).into_iter();
-        // The samples are places among the other hosts: from this host's own place on, each is one higher.
-        let hosts = places.map(|place| HostId((place + usize::from(place >= me)) as u32));
+        let positions = rand::seq::index::sample(rng, others, FANOUT.min(others)).into_iter();
+        // The samples are positions among the other hosts. Host numbers from this host's on are one higher.
+        let hosts =
+            positions.map(|position| HostId((position + usize::from(position >= me)) as u32));
         hosts
             .map(|to| AddressedNotice {
                 to,
--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -531,7 +531,7 @@
     run.pass(60_000, 0.0);
     let waiting = |run: &Run| {
         run.running()
-            .filter(|transition| !transition.settled())
+            .filter(|transition| !transition.all_hosts_follow())
             .count()
     };
     assert_eq!(waiting(&run), 199, "one that is down is waited for");
--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -1,29 +1,29 @@
-//! Computes the shares that the members should have of one budget. A pure function: of earlier grants it knows
-//! only what other hosts may still be using.
+//! Computes the share of one budget that each member should have. It is a pure function; its only input from
+//! earlier grants is the sum of shares that other hosts may still be using.
 
 use super::share::HostShare;
 use crate::config::{Budget, WHOLE};
 use gullsail_scheduler_api::HostId;
 
-/// The fraction of what is divided by demand that is divided evenly, so that a host without demand has a share when
-/// its first requests come.
-const EVEN_PART: f64 = 0.1;
+/// The fraction of the demand-based part of a budget that is divided evenly, so that a host without demand has a share
+/// when its first requests arrive.
+const EVEN_FRACTION: f64 = 0.1;
 
 /// The demand of one member's clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostDemand {
-    /// The member.
+    /// The member that the demand is for.
     pub host: HostId,
-    /// In any unit that is the same for all.
+    /// The demand, in any unit that is the same for all members; 0: none.
     pub demand: f64,
 }
 
-/// The share that each member should have of a budget: its floor share, then by demand. Where there is not
-/// enough for one largest request at each member with demand, members get it in turns.
+/// Returns the share of a budget that each member should have: its floor, plus a part by demand. If the budget
+/// cannot give each member with demand enough for one request of the largest size, members get that much in turns.
 ///
-/// `committed_elsewhere`: what hosts that are not in `demands` may be using. The results sum to at most the
-/// whole less `committed_elsewhere`, if the floors of these members do. `turn` selects who comes first where
-/// turns are taken.
+/// `committed_elsewhere` is the sum of shares that hosts not in `demands` may be using. The returned shares sum to
+/// at most the whole less `committed_elsewhere`, if the floors of these members do. `turn` selects which member
+/// comes first when members take turns.
 pub fn divide(
     budget: &Budget,
     demands: &[HostDemand],
@@ -33,21 +33,21 @@
     let floor = |host: HostId| u64::from(budget.floor(host));
     let mut shares: Vec<u64> = demands.iter().map(|member| floor(member.host)).collect();
     let floors: u64 = shares.iter().sum();
-    let mut rest = u64::from(WHOLE).saturating_sub(committed_elsewhere + floors);
+    let mut remaining = u64::from(WHOLE).saturating_sub(committed_elsewhere + floors);
     let shortfall =
-        |place: usize| u64::from(budget.least).saturating_sub(floor(demands[place].host));
-    let asking: Vec<usize> = (0..demands.len())
-        .filter(|place| demands[*place].demand > 0.0)
+        |index: usize| u64::from(budget.least).saturating_sub(floor(demands[index].host));
+    let with_demand: Vec<usize> = (0..demands.len())
+        .filter(|index| demands[*index].demand > 0.0)
         .collect();
-    let needed: u64 = asking.iter().map(|place| shortfall(*place)).sum();
-    if needed > rest {
-        take_turns(&mut shares, &asking, shortfall, rest, turn);
+    let total_shortfall: u64 = with_demand.iter().map(|index| shortfall(*index)).sum();
+    if total_shortfall > remaining {
+        take_turns(&mut shares, &with_demand, shortfall, remaining, turn);
     } else {
-        for place in &asking {
-            rest -= shortfall(*place);
-            shares[*place] += shortfall(*place);
+        for index in &with_demand {
+            remaining -= shortfall(*index);
+            shares[*index] += shortfall(*index);
         }
-        divide_by_demand(&mut shares, demands, rest);
+        divide_by_demand(&mut shares, demands, remaining);
     }
     let capped = shares
         .into_iter()
@@ -62,36 +62,42 @@
         .collect()
 }
 
-/// Gives one largest request's share to as many members as possible; the others get it in later turns.
+/// Gives as many members as possible the share that one request of the largest size needs. The others get it in
+/// later turns.
 fn take_turns(
     shares: &mut [u64],
-    asking: &[usize],
+    with_demand: &[usize],
     shortfall: impl Fn(usize) -> u64,
-    mut rest: u64,
+    mut remaining: u64,
     turn: u64,
 ) {
-    let first = (turn % asking.len() as u64) as usize;
-    for place in asking.iter().cycle().skip(first).take(asking.len()) {
-        let needed = shortfall(*place);
-        if needed <= rest {
-            rest -= needed;
-            shares[*place] += needed;
+    let first = (turn % with_demand.len() as u64) as usize;
+    for index in with_demand
+        .iter()
+        .cycle()
+        .skip(first)
+        .take(with_demand.len())
+    {
+        let needed = shortfall(*index);
+        if needed <= remaining {
+            remaining -= needed;
+            shares[*index] += needed;
         }
     }
-    // What remains holds no whole request for another member.
-    shares[asking[first]] += rest;
+    // The remainder is too small for a request of the largest size at another member.
+    shares[with_demand[first]] += remaining;
 }
 
-/// Divides by demand what is left after floor shares and largest requests.
-fn divide_by_demand(shares: &mut [u64], demands: &[HostDemand], rest: u64) {
+/// Divides the remainder by demand, after floors and the shares for one largest request each.
+fn divide_by_demand(shares: &mut [u64], demands: &[HostDemand], remaining: u64) {
     let total: f64 = demands.iter().map(|member| member.demand).sum();
-    let even = if total > 0.0 { EVEN_PART } else { 1.0 };
+    let even_fraction = if total > 0.0 { EVEN_FRACTION } else { 1.0 };
     for (share, member) in shares.iter_mut().zip(demands) {
         let by_demand = if total > 0.0 {
-            (1.0 - even) * member.demand / total
+            (1.0 - even_fraction) * member.demand / total
         } else {
             0.0
         };
-        *share += (rest as f64 * (even / demands.len() as f64 + by_demand)) as u64;
+        *share += (remaining as f64 * (even_fraction / demands.len() as f64 + by_demand)) as u64;
     }
 }
--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -1,13 +1,13 @@
-//! The coordinator's count of what each host may still be using of every budget. It never decides the
-//! size of a share.
+//! The coordinator's account of the share of every budget that each host may still be using. It does not decide
+//! the size of shares.
 
 use super::share::Shares;
 use crate::config::{Budget, FleetConfig, WHOLE};
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
 
-/// Grants remembered of one host: more than the renewals of one lease. Beyond it the two oldest are merged
-/// into one that covers both, so the count is never too low.
+/// The most grants kept for one host: more than the renewals of one lease. Beyond this number the two oldest are
+/// merged into one grant that covers both, so that the count is never too low.
 const MAX_GRANTS: usize = 16;
 
 #[derive(Clone, Debug)]
@@ -20,26 +20,28 @@
 #[derive(Clone, Debug, Default)]
 struct Entry {
     grants: Vec<Grant>,
-    /// The largest share of any grant, by budget; never below the floor.
-    most: Shares,
+    /// By budget, the largest share of any of these grants. Where the floor is larger, the floor counts instead.
+    largest: Shares,
 }
 
-/// What each host may still be using.
+/// The shares that each host may still be using.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
+    /// Hosts with grants that may be in use. All other hosts use at most their floors.
     hosts: BTreeMap<HostId, Entry>,
+    /// By budget, the largest total that all hosts together may be using.
     sums: BTreeMap<VolumeId, u64>,
 }
 
 impl Ledger {
-    /// A ledger in which every host has its floors alone.
+    /// Creates a ledger without grants: every host is counted with its floors.
     pub fn new(config: &FleetConfig) -> Ledger {
         let mut ledger = Ledger::default();
         ledger.config_changed(config);
         ledger
     }
 
-    /// Applies a new configuration with other floors or budgets.
+    /// Recomputes the sums for a new configuration, whose budgets or floors may differ.
     pub fn config_changed(&mut self, config: &FleetConfig) {
         self.sums = config
             .budgets
@@ -47,10 +49,10 @@
             .map(|(id, budget)| (*id, budget.floors()))
             .collect();
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
-        // Each entry is recounted, on top of the floor shares that the sums start with.
+        // The sums now hold floors alone. Clearing `largest` first makes `recount` add each host's grants to them.
         for host in hosts {
             if let Some(entry) = self.hosts.get_mut(&host) {
-                entry.most = Shares::new();
+                entry.largest = Shares::new();
             }
             self.recount(config, host);
         }
@@ -63,15 +65,15 @@
 
     /// The largest share of a budget that one host may be using.
     pub fn committed_share(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
-        let most = self
+        let largest = self
             .hosts
             .get(&host)
-            .and_then(|entry| entry.most.get(&id))
+            .and_then(|entry| entry.largest.get(&id))
             .copied();
-        most.unwrap_or_default().max(budget.floor(host))
+        largest.unwrap_or_default().max(budget.floor(host))
     }
 
-    /// Until when a host may use more than its floor shares; `None`: it does not.
+    /// Returns when a host's last grant expires, until when it may use more than its floors; `None`: it has no grant.
     pub fn until(&self, host: HostId) -> Option<Instant> {
         self.hosts
             .get(&host)?
@@ -86,19 +88,24 @@
         let Some(entry) = self.hosts.get_mut(&host) else {
             return;
         };
-        let mut most = Shares::new();
+        let mut largest = Shares::new();
         for grant in &entry.grants {
-            raise(&mut most, &grant.shares);
+            raise_to_max(&mut largest, &grant.shares);
         }
         for (id, budget) in &config.budgets {
             let floor = budget.floor(host);
-            let old = entry.most.get(id).copied().unwrap_or_default().max(floor);
-            let new = most.get(id).copied().unwrap_or_default().max(floor);
+            let old = entry
+                .largest
+                .get(id)
+                .copied()
+                .unwrap_or_default()
+                .max(floor);
+            let new = largest.get(id).copied().unwrap_or_default().max(floor);
             if let Some(sum) = self.sums.get_mut(id) {
                 *sum = sum.saturating_sub(u64::from(old)) + u64::from(new);
             }
         }
-        entry.most = most;
+        entry.largest = largest;
         if entry.grants.is_empty() {
             self.hosts.remove(&host);
         }
@@ -115,11 +122,11 @@
     ) {
         let entry = self.hosts.entry(host).or_default();
         if entry.grants.len() >= MAX_GRANTS {
-            // The two oldest become one grant that covers both.
+            // Merges the two oldest into one grant that covers both.
             let oldest = entry.grants.remove(0);
             let next = &mut entry.grants[0];
             next.expires_at = next.expires_at.max(oldest.expires_at);
-            raise(&mut next.shares, &oldest.shares);
+            raise_to_max(&mut next.shares, &oldest.shares);
         }
         entry.grants.push(Grant {
             serial,
@@ -129,7 +136,7 @@
         self.recount(config, host);
     }
 
-    /// The host holds the grant with this serial, and so none before it.
+    /// Drops a host's grants before `serial`, which is the grant that the host reports to hold.
     pub fn drop_grants_before(&mut self, config: &FleetConfig, host: HostId, serial: u64) {
         if let Some(entry) = self.hosts.get_mut(&host) {
             entry.grants.retain(|grant| grant.serial >= serial);
@@ -137,7 +144,7 @@
         }
     }
 
-    /// The host has reported that it holds nothing and takes no more grants.
+    /// Drops all grants of a host that has released them and accepts no more.
     pub fn drop_all_grants(&mut self, config: &FleetConfig, host: HostId) {
         self.drop_grants_before(config, host, u64::MAX);
     }
@@ -155,7 +162,8 @@
         }
     }
 
-    /// The largest share of a budget that may be granted to a host, beside what all others may be using.
+    /// Returns the largest share of a budget that can be granted to a host: the whole less what all other hosts may
+    /// be using.
     pub fn available(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let others = self
             .committed_total(id)
@@ -164,8 +172,8 @@
     }
 }
 
-/// Raises each share to the other one where that is larger.
-fn raise(shares: &mut Shares, others: &Shares) {
+/// Raises each of `shares` to the share in `others` where that is larger.
+fn raise_to_max(shares: &mut Shares, others: &Shares) {
     for (id, other) in others {
         let share = shares.entry(*id).or_default();
         *share = (*share).max(*other);
--- a/crates/fleet/src/allocation/share.rs
+++ b/crates/fleet/src/allocation/share.rs
@@ -1,16 +1,16 @@
-//! The unit in which budgets are divided. Every other module counts in it; this file depends on none of them.
+//! Shares of budgets, counted in millionths of the whole budget throughout this crate.
 
 use gullsail_scheduler_api::{HostId, VolumeId};
 use std::collections::BTreeMap;
 
-/// What a host may use of each budget, in millionths of the whole.
+/// A host's share of each budget, in millionths of the whole budget.
 pub type Shares = BTreeMap<VolumeId, u32>;
 
-/// What one host may use of some budget.
+/// One host's share of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostShare {
-    /// The host.
+    /// The host that may use the share.
     pub host: HostId,
-    /// In millionths of the whole.
+    /// The share, in millionths of the whole budget.
     pub share: u32,
 }
--- a/crates/fleet/src/ballot.rs
+++ b/crates/fleet/src/ballot.rs
@@ -1,10 +1,10 @@
-//! The ballot by which a coordinator is elected. Every module that has to tell a later coordinator from an
-//! earlier one compares ballots; this file depends on none of them.
+//! The ballot by which a coordinator is elected. Comparing two ballots shows which coordinator was elected
+//! later.
 
-/// Ordered by round, then by host: no two hosts ever use the same ballot.
+/// A candidate's attempt to be elected. Ballots are ordered by round, then by host; no two hosts use the same one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ballot {
-    /// Grows with every attempt to be elected.
+    /// A counter that grows with every attempt to be elected.
     pub round: u64,
     /// The number of the candidate's host.
     pub by: u32,
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,5 +1,5 @@
-//! The settings that all hosts of a fleet share, from the operators' configuration, and the lengths of leases
-//! on the granter's and the holder's side. Every other module reads them; none changes them.
+//! The settings that all hosts of a fleet share, from the operators' configuration, and the lengths of leases on the
+//! granter's and the holder's side.
 
 use crate::maintenance::config::MaintenanceConfig;
 use gullsail_scheduler_api::{HostId, Span, VolumeId};
@@ -9,27 +9,27 @@
 /// The whole of a budget, in the units in which shares are counted.
 pub const WHOLE: u32 = 1_000_000;
 
-/// A limit that holds over all hosts together, as the fleet divides it.
+/// A limit that applies to all hosts together and that the fleet divides into shares.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// The hosts through which it is used, in order of their numbers.
+    /// The hosts that may use the budget, sorted by number.
     pub through: Arc<[HostId]>,
-    /// What each of these hosts may use without a lease. All floors together are at most the whole.
+    /// The share that each of these hosts may use without a lease. All floors together are at most the whole.
     pub floor: u32,
-    /// Lagging hosts: those that may still use a larger floor, or one at all, by an earlier revision of the
-    /// configuration.
+    /// Hosts that may still apply an earlier revision of the configuration, with their floor by that revision. Such
+    /// a host may be missing from `through`, or its floor may be larger than `floor`.
     pub lagging_hosts: BTreeMap<HostId, u32>,
-    /// The smallest useful share: it holds one largest request.
+    /// The smallest useful share, in millionths: it holds one request of the largest size; 0: any share is useful.
     pub least: u32,
 }
 
 impl Budget {
     /// The share that a host may use without a lease.
     pub fn floor(&self, host: HostId) -> u32 {
-        let own = self.current_floor(host);
+        let current = self.current_floor(host);
         self.lagging_hosts
             .get(&host)
-            .map_or(own, |lagging| own.max(*lagging))
+            .map_or(current, |lagging| current.max(*lagging))
     }
 
     /// The floor by the current revision alone.
@@ -57,38 +57,37 @@
 pub struct FleetConfig {
     /// The fleet's name, as a number: messages of another fleet are dropped.
     pub fleet: u64,
-    /// How many hosts there are; they are numbered from 0.
+    /// The number of hosts in the configuration. Hosts are numbered from 0.
     pub hosts: u32,
-    /// A member lease as the coordinator that grants it counts it, by its own clock.
+    /// The length of a member lease at the coordinator that grants it, by its clock.
     pub lease: Span,
-    /// A second by any host's clock takes no less than 1 - drift and no more than 1 + drift seconds.
+    /// The largest clock drift: a second by any host's clock lasts 1 - drift to 1 + drift seconds of true time.
     pub drift: f64,
-    /// The first so many hosts elect the coordinator.
+    /// The number of voters: the hosts with the lowest numbers, which elect the coordinator.
     pub voters: u32,
     /// The budgets that are divided, by number.
     pub budgets: BTreeMap<VolumeId, Budget>,
-    /// How servers are taken offline; `None`: there are no such orders.
+    /// The settings of maintenance; `None`: operators cannot take servers offline.
     pub maintenance: Option<MaintenanceConfig>,
 }
 
 impl FleetConfig {
-    /// A member lease as its holder counts it, by its own clock, from when it sent the renewal: shorter than
-    /// `lease` by the clock drift.
+    /// The length of a member lease at its holder, by its clock, from when it sent the renewal. It is shorter than
+    /// `lease` to allow for clock drift, so that the lease expires at the member before it does at the coordinator.
     ///
-    /// It lasts at most `held_lease / (1 - drift)` of true time at the member, and `lease` at least
-    /// `lease / (1 + drift)` at the coordinator. These are equal, and the member starts counting earlier, so
-    /// the lease ends at the member first.
+    /// In true time it lasts at most `held_lease * (1 + drift)` at the member and at least `lease * (1 - drift)` at
+    /// the coordinator. These are equal, and the member starts to count earlier.
     pub fn held_lease(&self) -> Span {
         self.lease.times((1.0 - self.drift) / (1.0 + self.drift))
     }
 
-    /// How long the coordinator lease lasts for a voter. Half of a member's lease: the next coordinator is
-    /// elected before the members' leases are over, and finds them with the shares they held.
+    /// The length of the coordinator lease at a voter: half of a member lease. So the next coordinator is elected
+    /// before the members' leases expire, while the members still hold their shares.
     pub fn coordinator_lease(&self) -> Span {
         self.lease.times(0.5)
     }
 
-    /// How long the coordinator relies on its own lease.
+    /// The length of the coordinator lease at its holder, from when it sent the proposal.
     pub fn held_coordinator_lease(&self) -> Span {
         self.held_lease().times(0.5)
     }
@@ -98,12 +97,12 @@
         host.0 < self.voters.min(self.hosts)
     }
 
-    /// How many voters a candidate needs.
+    /// The number of voters that are a majority of all voters.
     pub fn majority(&self) -> usize {
         self.voters.min(self.hosts) as usize / 2 + 1
     }
 
-    /// How many hosts are a majority of all, voters or not.
+    /// The number of hosts that are a majority of all hosts, voters or not.
     pub fn majority_of_hosts(&self) -> usize {
         self.hosts as usize / 2 + 1
     }
@@ -119,14 +118,14 @@
     }
 }
 
-/// A host's floor: `part` of an even share over so many hosts. Rounded down, so that all floors together are
-/// never more than the whole.
+/// Returns a host's floor in millionths: the fraction `part` of an even share over `hosts` hosts. It is rounded down,
+/// so that all floors together are never more than the whole.
 pub fn floor(part: f64, hosts: usize) -> u32 {
     (f64::from(WHOLE) * part.clamp(0.0, 1.0) / hosts.max(1) as f64) as u32
 }
 
-/// The share that holds `largest` of what a token bucket of size `store` holds, rounded up; the whole where
-/// the bucket is smaller.
+/// Returns the smallest share, in millionths, of a token bucket of size `store` that holds a request of size
+/// `largest`. It is rounded up; if the bucket is smaller than the request it is the whole.
 pub fn least(largest: f64, store: f64) -> u32 {
     if largest < store {
         (f64::from(WHOLE) * largest / store).ceil() as u32
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -1,10 +1,10 @@
-//! The coordinator's side of member leases: who is a member, and what each member is granted. Called by `Fleet`
-//! with the renewals of members while this host holds the coordinator lease; it sends nothing itself.
+//! The coordinator's side of member leases: which hosts are members, and which shares each member is granted. `Fleet`
+//! passes it the members' renewals while this host holds the coordinator lease; it sends nothing itself.
 //!
-//! The coordinator owns no state that has to survive it: the holders know what they were granted. A new
-//! coordinator takes over by polling all hosts for what they hold. Until all have answered, or one member
-//! lease has passed, it grants each host only what that host reports. After one lease every grant of an
-//! earlier coordinator has expired, since it answered a renewal sent before this one was elected.
+//! **Takeover.** The coordinator's state need not survive it, since the members hold their grants. A new coordinator
+//! polls all hosts for the shares that they hold. Until all have answered, or one member lease has passed, it grants
+//! each host at most the shares that the host reported, or its floors. After one lease every grant of an earlier
+//! coordinator has expired: it answered a renewal that was sent before this coordinator was elected.
 
 mod member;
 mod renewal;
@@ -19,19 +19,19 @@
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
 
-/// How often shares are recomputed, in member leases, while the members stay the same.
+/// The interval between computations of the shares, in member leases, while membership does not change.
 const DIVIDE_INTERVAL_LEASES: f64 = 0.125;
-/// The low bits of a grant's serial count one coordinator's grants; the bits above are its round. A
-/// coordinator issues fewer grants than two to this power.
+/// The number of low bits of a serial that count one coordinator's grants; the bits above are its round. A coordinator
+/// issues fewer grants than two to this power.
 const SERIAL_BITS: u32 = 20;
-/// After how many member leases without a renewal a member is suspected. Renewals come four times in a lease, so two
-/// are missing.
+/// The time without a renewal after which a member is suspected, in member leases. Members renew about four times in
+/// a lease, so two renewals are missing by then.
 const SUSPECT_AFTER_LEASES: f64 = 0.5;
-/// A share that would change by less than this fraction is left as it is: a change makes its host check all
-/// its volumes.
+/// Shares are not changed if each would change by at most this fraction: a host checks all its volumes after a change
+/// of shares.
 const NEGLIGIBLE_CHANGE: f64 = 0.05;
-/// How long a turn lasts, in member leases, where a budget is too small for all hosts. A share that moves to
-/// another host is free only when its old lease is renewed or has expired.
+/// The length of a turn, in member leases, when a budget is too small for all members. A share becomes available to
+/// another host only after its last holder's lease was renewed without it or has expired.
 const TURN_LENGTH_LEASES: f64 = 2.0;
 
 /// Grants leases to the members of the fleet.
@@ -39,23 +39,27 @@
 pub struct Coordinator {
     /// The ballot by which the coordinator lease was last granted.
     pub ballot: Ballot,
-    /// Counts the changes of membership.
+    /// The epoch of the membership; it grows with every change.
     pub epoch: u64,
-    /// The first ballot of this term: a host that does not know it yet may still accept an earlier
-    /// coordinator's grants.
+    /// The ballot by which this coordinator was elected. A host that has not seen it may still accept grants of an
+    /// earlier coordinator.
     first_ballot: Ballot,
     elected_at: Instant,
+    /// Every grant of an earlier coordinator is in the ledger or has expired.
     takeover_complete: bool,
-    /// All hosts that have renewed here.
+    /// All hosts that have sent a renewal to this coordinator.
     pub members: BTreeMap<HostId, Member>,
     ledger: Ledger,
+    /// By budget, the share that each member should have, in millionths.
     targets: BTreeMap<VolumeId, BTreeMap<HostId, u32>>,
+    /// When the targets were last computed; `None`: they have to be computed at the next renewal.
     divided_at: Option<Instant>,
+    /// The serial of the last grant.
     serial: u64,
 }
 
 impl Coordinator {
-    /// A coordinator that has just been elected and knows no member yet.
+    /// Creates the state of a coordinator that has just been elected and has no members yet.
     pub fn new(config: &FleetConfig, ballot: Ballot, epoch: u64, now: Instant) -> Coordinator {
         Coordinator {
             ballot,
@@ -67,27 +71,27 @@
             ledger: Ledger::new(config),
             targets: BTreeMap::new(),
             divided_at: None,
-            // Above all serials of earlier coordinators: rounds only grow.
+            // Higher than all serials of earlier coordinators, since rounds only grow.
             serial: ballot.round << SERIAL_BITS,
         }
     }
 
-    /// Whether every grant of an earlier coordinator is known here or has expired.
+    /// Whether every grant of an earlier coordinator is in the ledger or has expired.
     pub fn takeover_complete(&self) -> bool {
         self.takeover_complete
     }
 
-    /// When every grant of an earlier coordinator has expired.
+    /// Returns the time at which all grants of earlier coordinators have expired.
     pub fn takeover_ends(&self, config: &FleetConfig) -> Instant {
         self.elected_at + config.lease
     }
 
-    /// The largest total that all hosts together may be using of a budget.
+    /// Returns the largest total that all hosts together may be using of a budget, in millionths.
     pub fn committed_total(&self, id: VolumeId) -> u64 {
         self.ledger.committed_total(id)
     }
 
-    /// What each host may be using of a budget, of the hosts that may use it.
+    /// Returns the largest share of a budget that each host with access to it may be using, sorted by host.
     pub fn shares_in_use(&self, id: VolumeId, budget: &Budget) -> Vec<HostShare> {
         let hosts = budget.through.iter().chain(budget.lagging_hosts.keys());
         let share = |host: &HostId| HostShare {
@@ -111,8 +115,8 @@
         self.divided_at = None;
     }
 
-    /// Updates the members' states: without renewals a member becomes suspected, then its lease expires.
-    /// Completes the takeover once every earlier grant is known or has expired.
+    /// Updates the members' states: a member without renewals becomes suspected, then its lease expires. Completes the
+    /// takeover once every grant of an earlier coordinator has been reported or has expired.
     pub fn advance(&mut self, config: &FleetConfig, now: Instant) -> MembershipTransitions {
         self.ledger.drop_expired_grants(config, now);
         let mut transitions = MembershipTransitions::default();
@@ -133,7 +137,7 @@
         if !transitions.expired.is_empty() {
             self.start_epoch();
         }
-        if !self.takeover_complete && self.earlier_grants_settled(config, now) {
+        if !self.takeover_complete && self.earlier_grants_accounted(config, now) {
             self.takeover_complete = true;
             self.divided_at = None;
             transitions.takeover_completed = true;
@@ -141,13 +145,13 @@
         transitions
     }
 
-    /// Whether every grant of an earlier coordinator is known here or has expired.
-    fn earlier_grants_settled(&self, config: &FleetConfig, now: Instant) -> bool {
+    /// Whether every grant of an earlier coordinator has been reported or has expired.
+    fn earlier_grants_accounted(&self, config: &FleetConfig, now: Instant) -> bool {
         now >= self.takeover_ends(config) || self.all_reported(config)
     }
 
-    /// Whether every host has reported what it holds. A host that reports nothing does not count: another
-    /// process of it may still hold a share.
+    /// Whether every host has reported the shares that it holds. A host that reported none does not count, since an
+    /// earlier process of it may still hold shares.
     fn all_reported(&self, config: &FleetConfig) -> bool {
         let complete = self.members.len() as u32 == config.hosts;
         complete
@@ -157,12 +161,12 @@
                 .all(|member| !member.shares_at_first_renewal.is_empty())
     }
 
-    /// Whether a message with this ballot was sent in this coordinator's term.
+    /// Whether the sender of a message with this ballot had seen this coordinator's election.
     pub fn is_current(&self, ballot: Ballot) -> bool {
         ballot >= self.first_ballot
     }
 
-    /// Answers a host that asks for a lease, or to renew it.
+    /// Decides on a host's request to obtain or renew a member lease.
     pub fn renew(
         &mut self,
         config: &FleetConfig,
@@ -170,15 +174,15 @@
         now: Instant,
     ) -> RenewalOutcome {
         let ProcessId { host, incarnation } = renewal.process;
-        // A renewal that was sent before the member knew of this term may arrive late, and the member may have
-        // accepted more from an earlier coordinator since. It costs the member one more message.
+        // A renewal that was sent before the member learned of this coordinator may arrive late. The member may have
+        // accepted a larger grant of an earlier coordinator since. The cost: it has to send another renewal.
         if !self.is_current(renewal.ballot) {
             return RenewalOutcome::StaleBallot;
         }
         let expires_at = now + config.lease;
         let active = self.members.get(&host).filter(|member| member.is_active());
-        // Two processes of one host must not both hold a lease. It may harm a host that is killed and restarts
-        // within its lease: it waits until the lease expires.
+        // Two processes of one host must not both hold a lease. The cost: a host that is killed and restarts within
+        // its lease has to wait until that lease expires.
         if active.is_some_and(|member| member.incarnation != incarnation && now < member.expires_at)
         {
             return RenewalOutcome::Fenced;
@@ -216,8 +220,8 @@
         }
     }
 
-    /// A host renews here for the first time, or after it was out: what it reports was granted by an earlier
-    /// coordinator, or it holds nothing.
+    /// Admits a host that sends its first renewal, or the first one since its lease expired or it left. The shares that
+    /// it reports were granted by an earlier coordinator.
     fn admit(&mut self, config: &FleetConfig, renewal: Renewal, expires_at: Instant, now: Instant) {
         let host = renewal.process.host;
         let member = Member {
@@ -237,7 +241,7 @@
         self.start_epoch();
     }
 
-    /// What is granted to a host now.
+    /// Returns the shares to grant to a host now.
     fn shares(&self, config: &FleetConfig, host: HostId) -> Shares {
         let budgets = config
             .budgets
@@ -266,14 +270,13 @@
                 .copied()
                 .unwrap_or_default()
         };
-        // Never below the floor, which the host uses again without a lease, and never more than the others
-        // leave.
+        // At most what other hosts leave available, but never below the floor, which the host may use without a lease.
         target
             .min(self.ledger.available(id, budget, host))
             .max(floor)
     }
 
-    /// Computes the shares that members should have, if it is time to.
+    /// Computes the members' targets if that is due and the takeover is complete.
     fn divide(&mut self, config: &FleetConfig, now: Instant) {
         let recent = self
             .divided_at
@@ -299,11 +302,14 @@
             })
         };
         let demands: Vec<HostDemand> = budget.through.iter().filter_map(demand_of).collect();
-        let own: u64 = demands
+        let committed_here: u64 = demands
             .iter()
             .map(|member| u64::from(self.ledger.committed_share(id, budget, member.host)))
             .sum();
-        let committed_elsewhere = self.ledger.committed_total(id).saturating_sub(own);
+        let committed_elsewhere = self
+            .ledger
+            .committed_total(id)
+            .saturating_sub(committed_here);
         let new = divide(budget, &demands, committed_elsewhere, turn);
         let old = self.targets.entry(id).or_default();
         let negligible = |new: &HostShare| {
@@ -315,7 +321,7 @@
         }
     }
 
-    /// A host has released everything and leaves.
+    /// Handles the departure of a process that has released all its shares.
     pub fn leave(&mut self, config: &FleetConfig, process: ProcessId) {
         let member = self.members.get_mut(&process.host);
         if let Some(member) = member.filter(|member| member.incarnation == process.incarnation) {
@@ -325,7 +331,7 @@
         }
     }
 
-    /// Hosts that are not active members: they are polled.
+    /// Returns the hosts that are not active members, which are to be polled.
     pub fn missing_hosts(&self, config: &FleetConfig) -> Vec<HostId> {
         let is_active = |host: &HostId| self.members.get(host).is_some_and(Member::is_active);
         config.all_hosts().filter(|host| !is_active(host)).collect()
--- a/crates/fleet/src/coordinator/member.rs
+++ b/crates/fleet/src/coordinator/member.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of one host, and the states that a host goes through.
+//! The coordinator's record of one host, and the states of a host in the fleet.
 
 use crate::allocation::Shares;
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
@@ -10,18 +10,18 @@
 #[serde(rename_all = "kebab-case")]
 #[repr(u32)]
 pub enum MemberState {
-    /// It renews its lease.
+    /// The host is a member and renews its lease.
     Member = 1,
-    /// No renewal for half a lease; it is polled through other hosts.
+    /// The coordinator received no renewal for half a lease and polls the host through relays.
     Suspected = 2,
-    /// Its lease has expired by the coordinator's clock, so also by its own: it uses floor shares only.
+    /// The host's lease has expired by the coordinator's clock, so also by its own. It uses floor shares only.
     Out = 3,
-    /// It announced that it leaves.
+    /// The host announced that it leaves the fleet.
     Left = 4,
 }
 
 impl MemberState {
-    /// The state with this number in a message.
+    /// Returns the state with this number in a message; `None`: there is none.
     pub fn from_number(number: u32) -> Option<MemberState> {
         [
             MemberState::Member,
@@ -33,13 +33,13 @@
         .find(|state| *state as u32 == number)
     }
 
-    /// It may hold a lease.
+    /// Whether a host in this state may hold a lease.
     pub fn is_active(self) -> bool {
         matches!(self, MemberState::Member | MemberState::Suspected)
     }
 }
 
-/// What changed as time passed, for the log and for polls.
+/// Changes of membership that are due to elapsed time, for the log and for polls.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipTransitions {
     /// Members that are suspected from now on.
@@ -50,27 +50,27 @@
     pub takeover_completed: bool,
 }
 
-/// What the coordinator knows of one host.
+/// The coordinator's record of one host.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The process that renews under the host's name.
+    /// The incarnation of the process that renews the host's lease.
     pub incarnation: u64,
-    /// Its state.
+    /// The host's state.
     pub state: MemberState,
-    /// When its last renewal came.
+    /// When the coordinator received the host's last renewal.
     pub last_renewal: Instant,
-    /// The relay of its last renewal, if that did not come directly.
+    /// The relay of the last renewal; `None`: it came directly.
     pub via: Option<HostId>,
-    /// When its newest lease expires by the coordinator's clock. The ledger's grants expire one by one.
+    /// When the newest lease expires by the coordinator's clock. The ledger tracks the expiry of each grant.
     pub expires_at: Instant,
-    /// What its clients ask for, by budget.
+    /// The demand of the host's clients for each budget, in units a second.
     pub(super) demand: BTreeMap<VolumeId, f64>,
-    /// What it held with its first renewal here.
+    /// The shares that the host reported to hold with its first renewal to this coordinator.
     pub(super) shares_at_first_renewal: Shares,
 }
 
 impl Member {
-    /// It may hold a lease.
+    /// Whether the host may hold a lease.
     pub fn is_active(&self) -> bool {
         self.state.is_active()
     }
--- a/crates/fleet/src/coordinator/renewal.rs
+++ b/crates/fleet/src/coordinator/renewal.rs
@@ -1,4 +1,4 @@
-//! What a member asks of the coordinator, and what it is answered.
+//! A member's renewal of its lease, and the coordinator's decision on it.
 
 use crate::allocation::Shares;
 use crate::ballot::Ballot;
@@ -8,31 +8,31 @@
 
 /// A member's request to renew its lease.
 pub struct Renewal {
-    /// Who renews.
+    /// The process that sent the renewal.
     pub process: ProcessId,
-    /// The ballot of the coordinator that it followed when it wrote this.
+    /// The newest ballot that the process had seen from a coordinator when it sent the renewal.
     pub ballot: Ballot,
-    /// The host that passed it on, if any.
+    /// The host that relayed the renewal; `None`: it came directly.
     pub via: Option<HostId>,
-    /// The serial of the grant that it holds; 0: none.
+    /// The serial of the grant that the process holds; 0: it holds none.
     pub serial: u64,
-    /// What its clients ask for, by budget.
+    /// The demand of the host's clients for each budget, in units a second.
     pub demand: BTreeMap<VolumeId, f64>,
-    /// What it holds.
+    /// The shares that the process holds under its lease.
     pub held: Shares,
 }
 
-/// What a renewal leads to.
+/// The coordinator's decision on a renewal.
 pub enum RenewalOutcome {
-    /// It was written before the member knew of this coordinator: it is to be asked again.
+    /// The member sent the renewal before it learned of this coordinator, so it has to be polled again.
     StaleBallot,
     /// The lease is renewed.
     Granted {
-        /// Counts the grants of this coordinator.
+        /// The serial of the new grant.
         serial: u64,
-        /// What may be used under it.
+        /// The shares that the member may use under the lease.
         shares: Shares,
     },
-    /// Another process holds a lease under that host's name.
+    /// Another process of the host holds a lease, so this one gets none.
     Fenced,
 }
--- a/crates/fleet/src/coordinator_lease/acceptor.rs
+++ b/crates/fleet/src/coordinator_lease/acceptor.rs
@@ -1,17 +1,17 @@
-//! The voter's side of the coordinator lease: what it has promised and accepted. Called by `Fleet` for each
-//! prepare, propose and release message; it sends nothing itself.
+//! The voter's side of the coordinator lease: the ballot that it has promised and the lease that it has accepted.
+//! `Fleet` calls it for each prepare, propose and release message; it sends nothing itself.
 
 use crate::ballot::Ballot;
 use crate::config::FleetConfig;
 use crate::process_id::ProcessId;
 use gullsail_scheduler_api::Instant;
 
-/// How long an acceptor that has just started answers nothing, in coordinator leases. A ballot that its earlier
-/// incarnation promised is proposed for at most one lease and relied upon for one more; sooner, two hosts could be the
-/// coordinator at once.
+/// How long an acceptor sends no replies after its start, in coordinator leases. A ballot that its earlier incarnation
+/// promised may be proposed for up to one lease, and the lease that this obtains lasts for up to one more. With a
+/// shorter time two hosts could be the coordinator at once.
 const RECOVERY_COORDINATOR_LEASES: f64 = 2.0;
 
-/// A voter's memory of ballots.
+/// A voter's state: the latest promise and the latest accepted lease.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     promised: Promise,
@@ -31,7 +31,7 @@
     expires_at: Instant,
 }
 
-/// A coordinator lease that has not expired yet, as an acceptor knows it.
+/// A coordinator lease that an acceptor has accepted and that has not expired yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedCoordinatorLease {
     /// The process that holds it.
@@ -43,21 +43,21 @@
 /// How an acceptor replies to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptorReply {
-    /// It has just started and does not know what its earlier incarnation promised: it sends no answer.
+    /// The acceptor has just started and does not know what its earlier incarnation promised. No reply is sent.
     Recovering,
-    /// It has promised this later ballot.
+    /// The acceptor refuses the ballot, since it has promised this later one.
     Refused(Ballot),
-    /// Promised.
+    /// The acceptor promises the ballot, unless `held_by_other` is set.
     Promised {
-        /// Another process holds a live lease here, so this does not count as a promise.
-        taken: bool,
+        /// Another process holds an unexpired lease at this acceptor, so the reply does not count as a promise.
+        held_by_other: bool,
     },
-    /// The proposal is accepted, and the lease counts from now.
+    /// The acceptor accepts the proposal and counts the lease from now.
     Accepted,
 }
 
 impl Acceptor {
-    /// An acceptor that starts now, with nothing remembered.
+    /// Creates an acceptor that starts now and has no state of an earlier incarnation.
     pub fn new(config: &FleetConfig, now: Instant) -> Acceptor {
         Acceptor {
             promised: Promise::default(),
@@ -69,13 +69,13 @@
         }
     }
 
-    /// The acceptor answers no candidate before this time.
+    /// Returns the time before which the acceptor replies to no candidate.
     pub fn recovering_until(&self) -> Instant {
         self.recovering_until
     }
 
-    /// The lease that is live here, if there is one.
-    pub fn live(&self, now: Instant) -> Option<AcceptedCoordinatorLease> {
+    /// Returns the accepted lease if it has not expired.
+    pub fn unexpired(&self, now: Instant) -> Option<AcceptedCoordinatorLease> {
         let accepted = self.accepted.filter(|accepted| now < accepted.expires_at)?;
         Some(AcceptedCoordinatorLease {
             holder: accepted.holder,
@@ -83,35 +83,43 @@
         })
     }
 
-    /// Whether a later ballot is promised, or the same one to another incarnation.
+    /// Whether a later ballot is promised, or the same ballot to another incarnation of the candidate's host.
     fn is_superseded(&self, ballot: Ballot, incarnation: u64) -> bool {
         let same_ballot = ballot == self.promised.ballot;
         ballot < self.promised.ballot || (same_ballot && incarnation != self.promised.incarnation)
     }
 
-    /// A candidate asks for a promise.
+    /// Handles a candidate's request for a promise.
     pub fn prepare(&mut self, ballot: Ballot, process: ProcessId, now: Instant) -> AcceptorReply {
-        // A promise of the earlier incarnation is forgotten: without this, a proposal that it had ruled out
-        // could be accepted. It may harm where most voters start at once: no host is elected for two leases.
+        // The promises of the earlier incarnation are lost. Without this check the acceptor could accept a proposal
+        // that such a promise ruled out. The cost: when a majority of voters restarts at once, no host is elected
+        // for two leases.
         if now < self.recovering_until {
             return AcceptorReply::Recovering;
         }
         if self.is_superseded(ballot, process.incarnation) {
             return AcceptorReply::Refused(self.promised.ballot);
         }
-        // The candidate does not count this as a promise, so it need not be one: otherwise a host that
-        // receives no messages could take the holder's ballot away again and again.
-        if self.live(now).is_some_and(|lease| lease.holder != process) {
-            return AcceptorReply::Promised { taken: true };
+        // The candidate does not count this reply as a promise, so the ballot is not recorded. If it were, a host
+        // that can send but not receive would force the holder to prepare a higher ballot again and again.
+        if self
+            .unexpired(now)
+            .is_some_and(|lease| lease.holder != process)
+        {
+            return AcceptorReply::Promised {
+                held_by_other: true,
+            };
         }
         self.promised = Promise {
             ballot,
             incarnation: process.incarnation,
         };
-        AcceptorReply::Promised { taken: false }
+        AcceptorReply::Promised {
+            held_by_other: false,
+        }
     }
 
-    /// A candidate proposes itself as the holder of the lease.
+    /// Handles the proposal of a candidate to become the holder of the lease or to renew it.
     pub fn propose(
         &mut self,
         config: &FleetConfig,
@@ -136,7 +144,7 @@
         AcceptorReply::Accepted
     }
 
-    /// The holder releases the lease. Nothing changes if another process holds it.
+    /// Drops the accepted lease if `process` holds it; does nothing if another process does.
     pub fn release(&mut self, process: ProcessId) {
         self.accepted.take_if(|accepted| accepted.holder == process);
     }
--- a/crates/fleet/src/coordinator_lease/candidate.rs
+++ b/crates/fleet/src/coordinator_lease/candidate.rs
@@ -1,5 +1,5 @@
-//! The candidate's side of the coordinator lease: seeks and renews it. Called by `Fleet` with the time and the
-//! acceptors' replies; it sends nothing itself and returns what to ask the voters.
+//! The candidate's side of the coordinator lease: seeks and renews it. `Fleet` passes it the time and the acceptors'
+//! replies; it returns the requests to send to the voters and sends nothing itself.
 
 use crate::ballot::Ballot;
 use crate::config::FleetConfig;
@@ -8,14 +8,14 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// When the holder renews, in coordinator leases: early enough that two rounds may be lost.
+/// The interval between renewals, in coordinator leases: short enough that the messages of two renewals may be lost.
 const RENEWAL_INTERVAL_COORDINATOR_LEASES: f64 = 0.25;
-/// How long a candidate waits between attempts, in coordinator leases: long compared with a round trip, short
-/// compared with the lease that a takeover may have to wait for. Random, so that two candidates do not refuse
-/// each other again and again.
+/// The wait of a candidate between attempts, in coordinator leases: long compared with a round trip, short compared
+/// with the lease that a takeover may have to wait for. It is random, so that two candidates do not make each other
+/// fail again and again.
 const RETRY_COORDINATOR_LEASES: Range<f64> = 0.1..0.5;
 
-/// How often the holder must look at its lease while nothing happens.
+/// Returns the interval at which the holder must check its lease while no event occurs.
 pub fn renewal_check_interval(config: &FleetConfig) -> Span {
     config
         .coordinator_lease()
@@ -29,8 +29,8 @@
         ballot: Ballot,
         sent_at: Instant,
         promised_by: BTreeSet<HostId>,
-        /// Voters at which another process holds a live lease.
-        refused_by_holder_at: BTreeSet<HostId>,
+        /// Voters at which another process holds an unexpired lease.
+        held_by_other_at: BTreeSet<HostId>,
     },
     Proposing {
         proposal: Proposal,
@@ -39,30 +39,30 @@
     },
 }
 
-/// A proposal, numbered: an acceptance counts only for the proposal that it answers.
+/// A proposal with a number, so that an acceptance counts only for the proposal that it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// The ballot that was prepared for it.
+    /// The prepared ballot under which the lease is proposed.
     pub ballot: Ballot,
-    /// Counts the proposals of one process.
+    /// The proposal's number; it counts the proposals of one process.
     pub number: u64,
 }
 
-/// What all voters are to be asked.
+/// A request that the candidate makes to all voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateRequest {
-    /// To promise this ballot.
+    /// A request to promise this ballot.
     Prepare(Ballot),
-    /// To accept this proposal.
+    /// A request to accept this proposal.
     Propose(Proposal),
 }
 
-/// The coordinator lease as its holder relies on it.
+/// The coordinator lease at its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldCoordinatorLease {
-    /// The ballot by which it was last granted.
+    /// The ballot by which the lease was last granted or renewed.
     pub ballot: Ballot,
-    /// When it expires, by the holder's clock.
+    /// When the lease expires, by the holder's clock.
     pub expires_at: Instant,
 }
 
@@ -72,84 +72,88 @@
     me: HostId,
     phase: Phase,
     held: Option<HeldCoordinatorLease>,
-    /// The highest round seen so far, of any host.
-    round: u64,
-    next: Instant,
+    /// The highest round that this host has seen in any ballot.
+    highest_round: u64,
+    /// When the next attempt or renewal is due.
+    next_attempt_at: Instant,
+    /// The number of proposals made so far.
     proposals: u64,
 }
 
 impl LeaseCandidate {
-    /// `round`: where to begin, in most cases above the rounds of earlier incarnations. Nothing is sought
-    /// before `from`.
-    pub fn new(me: HostId, round: u64, from: Instant) -> LeaseCandidate {
+    /// Creates a candidate that first seeks the lease at `first_attempt_at`. Its first ballot has the round after
+    /// `highest_round`, which should be at least as high as the rounds of earlier incarnations.
+    pub fn new(me: HostId, highest_round: u64, first_attempt_at: Instant) -> LeaseCandidate {
         LeaseCandidate {
             me,
             phase: Phase::Idle,
             held: None,
-            round,
-            next: from,
+            highest_round,
+            next_attempt_at: first_attempt_at,
             proposals: 0,
         }
     }
 
-    /// The lease, while it is held.
+    /// Returns the lease if this host holds it at `now`.
     pub fn held(&self, now: Instant) -> Option<HeldCoordinatorLease> {
         self.held.filter(|lease| now < lease.expires_at)
     }
 
-    /// When [`LeaseCandidate::advance`] is due at the latest.
+    /// Returns when to call [`LeaseCandidate::advance`] at the latest.
     pub fn next(&self) -> Instant {
-        self.held
-            .map_or(self.next, |lease| lease.expires_at.min(self.next))
+        self.held.map_or(self.next_attempt_at, |lease| {
+            lease.expires_at.min(self.next_attempt_at)
+        })
     }
 
-    /// Releases the lease.
+    /// Drops the lease and ends any attempt to obtain it.
     pub fn resign(&mut self) {
         self.held = None;
         self.phase = Phase::Idle;
     }
 
-    /// Does what is due. `taken_until`: when the live lease of another process expires, as far as this host
-    /// knows.
+    /// Drops the lease if it has expired, and makes the next attempt or renewal if it is due. Returns the request to
+    /// send to all voters. `held_by_other_until` is when the lease of another process expires, as far as this host
+    /// knows; `None`: no other process is known to hold it.
     pub fn advance(
         &mut self,
         config: &FleetConfig,
-        taken_until: Option<Instant>,
+        held_by_other_until: Option<Instant>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<CandidateRequest> {
         self.held.take_if(|lease| now >= lease.expires_at);
-        if now < self.next {
+        if now < self.next_attempt_at {
             return None;
         }
         if let Some(lease) = self.held {
-            self.next = now
+            self.next_attempt_at = now
                 + config
                     .coordinator_lease()
                     .times(RENEWAL_INTERVAL_COORDINATOR_LEASES);
-            // After a refusal the renewal needs a higher ballot, which has to be prepared first.
+            // After a refusal the holder can renew only by a higher ballot, which it has to prepare first.
             if let Phase::Preparing { .. } = self.phase {
                 return Some(self.prepare(now));
             }
             return Some(self.propose(lease.ballot, now));
         }
-        // Spread at random: two candidates at the same moment would refuse each other.
+        // The wait is random, since two candidates that start at the same time make each other fail.
         let wait = config
             .coordinator_lease()
             .times(rng.random_range(RETRY_COORDINATOR_LEASES));
-        if let Some(until) = taken_until.filter(|until| *until > now) {
+        if let Some(until) = held_by_other_until.filter(|until| *until > now) {
             self.phase = Phase::Idle;
-            self.next = until + wait;
+            self.next_attempt_at = until + wait;
             return None;
         }
-        self.next = now + wait;
+        self.next_attempt_at = now + wait;
         Some(self.prepare(now))
     }
 
     fn prepare(&mut self, now: Instant) -> CandidateRequest {
-        self.round += 1;
+        self.highest_round += 1;
         let ballot = Ballot {
-            round: self.round,
+            round: self.highest_round,
             by: self.me.0,
         };
         self.start_preparing(ballot, now);
@@ -161,36 +165,37 @@
             ballot,
             sent_at: now,
             promised_by: BTreeSet::new(),
-            refused_by_holder_at: BTreeSet::new(),
+            held_by_other_at: BTreeSet::new(),
         };
     }
 
-    /// Counts a voter's promise. `taken`: another process holds a live lease there, so it is no promise.
+    /// Handles a voter's reply to a prepare request. `held_by_other`: another process holds an unexpired lease at
+    /// that voter, so the reply is no promise. Once a majority has promised, returns the proposal to send.
     pub fn promised(
         &mut self,
         config: &FleetConfig,
         from: HostId,
         promised: Ballot,
-        taken: bool,
+        held_by_other: bool,
         now: Instant,
     ) -> Option<CandidateRequest> {
         let Phase::Preparing {
             ballot,
             sent_at,
             promised_by,
-            refused_by_holder_at,
+            held_by_other_at,
         } = &mut self.phase
         else {
             return None;
         };
-        // A ballot must not be proposed long after it was prepared: a voter that has restarted since may have
-        // forgotten that it promised a later one. It may harm when a round trip takes a
-        // lease: then no host is elected.
+        // A ballot must be proposed within one lease of its preparation. A voter that has restarted since may have
+        // lost its promise of a later ballot, and recovers only for as long as this bound requires. The cost: if
+        // round trips take as long as a lease, no host is elected.
         if promised != *ballot || now - *sent_at >= config.held_coordinator_lease() {
             return None;
         }
-        let voters = if taken {
-            refused_by_holder_at
+        let voters = if held_by_other {
+            held_by_other_at
         } else {
             &mut *promised_by
         };
@@ -216,7 +221,7 @@
         CandidateRequest::Propose(proposal)
     }
 
-    /// Counts a voter's acceptance; returns whether it granted or renewed the lease.
+    /// Handles a voter's acceptance; returns whether it completes a majority and so grants or renews the lease.
     pub fn accepted(
         &mut self,
         config: &FleetConfig,
@@ -233,8 +238,9 @@
             return false;
         };
         let expires_at = *sent_at + config.held_coordinator_lease();
-        // Late acceptances do not count: a lease is renewed by the same ballot, and an acceptance of an
-        // earlier proposal would extend the holder's belief beyond the voters', so two hosts could be the coordinator.
+        // Renewals propose under the same ballot, so the proposal's number has to match too. An acceptance of an
+        // earlier proposal would extend the lease at the holder beyond its end at the voters, and two hosts could be
+        // the coordinator at once.
         if accepted != *proposal || now >= expires_at {
             return false;
         }
@@ -247,7 +253,7 @@
             expires_at,
         };
         if self.held.is_none() {
-            self.next = now
+            self.next_attempt_at = now
                 + config
                     .coordinator_lease()
                     .times(RENEWAL_INTERVAL_COORDINATOR_LEASES);
@@ -257,29 +263,29 @@
         true
     }
 
-    /// A voter has promised a later ballot, or a member knows of one.
+    /// Handles a refusal by a voter that has promised the ballot `later`, or by a member that follows it.
     pub fn refused(&mut self, later: Ballot, now: Instant) {
         self.observe(later);
-        let own = match (&self.phase, &self.held) {
+        let current = match (&self.phase, &self.held) {
             (Phase::Preparing { ballot, .. }, _) => *ballot,
             (Phase::Proposing { proposal, .. }, _) => proposal.ballot,
             (Phase::Idle, Some(lease)) => lease.ballot,
             (Phase::Idle, None) => return,
         };
-        if later <= own {
+        if later <= current {
             return;
         }
-        // The holder retries at once with a higher ballot; other candidates wait.
+        // The holder retries at once with a higher ballot; other candidates wait for their next attempt.
         if self.held.is_some() {
-            self.next = now;
-            self.start_preparing(own, now);
+            self.next_attempt_at = now;
+            self.start_preparing(current, now);
         } else {
             self.phase = Phase::Idle;
         }
     }
 
-    /// Notes a ballot that exists: this host's next one is above it.
+    /// Records a ballot of any host, so that this host's next ballot is higher.
     pub fn observe(&mut self, ballot: Ballot) {
-        self.round = self.round.max(ballot.round);
+        self.highest_round = self.highest_round.max(ballot.round);
     }
 }
--- a/crates/fleet/src/delayed_increase.rs
+++ b/crates/fleet/src/delayed_increase.rs
@@ -1,6 +1,6 @@
-//! A share of a limit that is counted within a window. The host that gives up a share may have used it just
-//! now, so the host that gains it may use it only one window later; a decrease applies at once. The host uses
-//! it for its slow-start share. Token buckets do not need it.
+//! Delays increases of a host's share of a limit that is counted over a sliding window. A host that loses a share may
+//! have used it within the last window, so the host that gains it has to wait for one window; a decrease applies at
+//! once. Used for slow-start shares. Shares of token buckets need no delay.
 
 use gullsail_scheduler_api::{Instant, Span};
 use std::collections::VecDeque;
@@ -11,16 +11,16 @@
     share: u32,
 }
 
-/// The least share held at any moment of the last window.
+/// Yields the smallest share that was held at any time of the last window.
 #[derive(Clone, Debug)]
 pub struct DelayedIncrease {
     window: Span,
-    /// The shares held, as far back as they count; each is larger than those before it.
+    /// The shares that may still be the smallest of the window, oldest first; each is larger than the one before.
     held: VecDeque<HeldSince>,
 }
 
 impl DelayedIncrease {
-    /// `window`: how long an increase is delayed.
+    /// Creates a state without a share; increases are delayed by `window`.
     pub fn new(window: Span) -> DelayedIncrease {
         DelayedIncrease {
             window,
@@ -28,13 +28,14 @@
         }
     }
 
-    /// Holds `share` from now on. Returns the share that may be used now, and when that grows next.
+    /// Records that the host holds `share` from now on. Returns the share that it may use now, and when that grows
+    /// next; `None`: no increase is pending.
     pub fn hold(&mut self, share: u32, now: Instant) -> (u32, Option<Instant>) {
         if self.held.back().is_none_or(|last| last.share != share) {
             while self.held.pop_back_if(|last| last.share >= share).is_some() {}
             self.held.push_back(HeldSince { at: now, share });
         }
-        // The first counts until the next has been held for a window.
+        // The oldest share applies until the next one has been held for a window.
         while self
             .held
             .get(1)
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,15 +1,15 @@
-//! The demand of this host's clients, by budget, as decaying sums: the share of a host that becomes idle shrinks
-//! within seconds. `Fleet` fills it and reads it for each renewal.
+//! The demand of this host's clients, by budget, as exponentially decaying sums, so that the share of a host that
+//! becomes idle shrinks within seconds. `Fleet` updates it and reports it with each renewal.
 
 use gullsail_scheduler_api::{Instant, Span, VolumeId};
 use std::collections::BTreeMap;
 
-/// A request counts half after this time.
+/// The half-life of the decay: a request counts half after this time.
 const HALF_LIFE: Span = Span::from_micros(1_000_000);
-/// A rate below this many units a second counts as no demand, so that its budget is forgotten.
+/// A demand below this many units a second counts as none, and its budget is dropped from the map.
 const MIN_RATE: f64 = 1e-3;
-/// A sum is decayed at most once in this fraction of a half-life: computing a power for each request would cost more
-/// than everything else here.
+/// The shortest time between two decays of a sum, as a fraction of the half-life. Computing a power for each request
+/// would cost more than the rest of this module.
 const DECAY_STEP: f64 = 0.01;
 
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
     }
 }
 
-/// Demand by budget.
+/// The demand for each budget.
 #[derive(Clone, Debug, Default)]
 pub struct Demand(BTreeMap<VolumeId, DecayingSum>);
 
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,15 +1,15 @@
-//! The state machine that each host of a fleet runs. [`Fleet::handle`] takes an event, [`Fleet::advance`]
-//! does what is due at a time, and [`Fleet::outputs`] yields the messages to send. It does no I/O, reads no
-//! clock and draws random numbers from its own seed alone. [`Fleet::share`] returns what the host may use;
-//! [`Fleet::changed`] tells whether that may have changed.
+//! The state machine that each host of a fleet runs. [`Fleet::handle`] takes an event, [`Fleet::advance`] runs the
+//! timed actions that are due, and [`Fleet::outputs`] yields the messages to send. It does no I/O, reads no clock and
+//! draws random numbers only from its own seeded generator. [`Fleet::share`] returns the share of a budget that the
+//! host may use; [`Fleet::changed`] returns whether shares may have changed.
 //!
-//! One concern a file:
+//! Files:
 //! - `event`: the events and outputs;
 //! - `messages`: validates each message and dispatches it;
 //! - `election`: seeks and renews the coordinator lease;
 //! - `membership`: renews this host's member lease, and leaves the fleet;
 //! - `coordination`: grants member leases while this host is the coordinator;
-//! - `maintenance_participant`, `maintenance_coordination`: the same two sides for servers taken offline;
+//! - `maintenance_participant`, `maintenance_coordination`: a host's and the coordinator's side of maintenance;
 //! - `operator_commands`: sends operators' commands to the coordinator;
 //! - `status_report`: builds the view for operators.
 
@@ -53,18 +53,18 @@
     /// When the next timed action is due.
     due: Instant,
     election: Election,
-    /// While this host is the coordinator.
+    /// The coordinator's state; `None`: this host is not the coordinator.
     coordinator_role: Option<CoordinatorRole>,
     membership: Membership,
     maintenance: MaintenanceState,
     outbox: Outbox,
     statistics: Statistics,
-    /// Shares, members or orders may have changed since [`Fleet::changed`] was last called.
+    /// Whether shares, members or orders may have changed since [`Fleet::changed`] was last called.
     changed: bool,
 }
 
 impl Fleet {
-    /// `incarnation` and `seed` are drawn at random each time a host starts.
+    /// Creates the state of host `me` at its start. The caller draws `incarnation` and `seed` at random.
     pub fn new(
         config: Arc<FleetConfig>,
         me: HostId,
@@ -93,27 +93,27 @@
         }
     }
 
-    /// What may be used of a budget now, in millionths of the whole.
+    /// Returns the share of a budget that this host may use as of the last event, in millionths of the whole.
     pub fn share(&self, budget: VolumeId) -> u32 {
         self.share_at(budget, self.now)
     }
 
-    /// The same, at a point that may be later than the last event.
+    /// Returns the share of a budget that this host may use at `now`, which may be later than the last event.
     pub fn share_at(&self, budget: VolumeId, now: Instant) -> u32 {
         self.membership
             .share(&self.config, self.process.host, budget, now)
     }
 
-    /// The share of each budget that may be used now, and how long the member lease still lasts; `None`: this
-    /// host holds no lease.
+    /// Returns the share of each budget that this host may use, in millionths, and the time until its member lease
+    /// expires; `None`: it holds no lease.
     pub fn parts(&self) -> (impl Iterator<Item = (VolumeId, u32)>, Option<Span>) {
         let shares = self.config.budgets.keys().map(|id| (*id, self.share(*id)));
-        let lasts = self
+        let remaining = self
             .membership
             .lease_holder
             .expires_at()
             .map(|until| until - self.now);
-        (shares, lasts)
+        (shares, remaining)
     }
 
     /// Whether shares, members or orders may have changed since this was last called.
@@ -121,29 +121,29 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether this host is the coordinator at that time.
+    /// Whether this host is the coordinator at `now`.
     pub fn decides(&self, now: Instant) -> bool {
         self.coordinator_role.is_some() && self.election.candidate.held(now).is_some()
     }
 
-    /// Counts the changes of membership.
+    /// Returns the epoch of the membership that this host knows; it grows with every change of membership.
     pub fn epoch(&self) -> u64 {
         self.membership.epoch
     }
 
-    /// Hosts whose lease has expired or that have left, by the coordinator's newest message. They use at most
-    /// their floor share.
+    /// Returns the hosts whose lease has expired or that have left, by the coordinator's newest message. They use at
+    /// most their floor shares.
     pub fn out(&self) -> impl Iterator<Item = HostId> {
         self.membership.inactive_hosts()
     }
 
-    /// Whether this host has left: the coordinator has acknowledged it, or none did in time.
+    /// Whether this host has left the fleet: a coordinator acknowledged the departure, or the wait for that timed out.
     pub fn has_left(&self) -> bool {
         self.membership.departure == Departure::Complete
     }
 
-    /// Handles an event. Messages that follow from it are in [`Fleet::outputs`]; a change of shares is reported
-    /// by [`Fleet::changed`].
+    /// Handles an event. The resulting messages are in [`Fleet::outputs`]; [`Fleet::changed`] reports a change of
+    /// shares.
     pub fn handle(&mut self, now: Instant, event: Event) {
         self.drop_expired_leases(now);
         if !matches!(
@@ -192,7 +192,7 @@
         self.changed = true;
     }
 
-    /// Does what is due. Returns at once if nothing is.
+    /// Runs the timed actions that are due at `now`, if any.
     pub fn advance(&mut self, now: Instant) {
         self.drop_expired_leases(now);
         if now < self.due {
@@ -218,12 +218,12 @@
         self.due = self.next_due();
     }
 
-    /// The messages to send.
+    /// Drains the messages to send.
     pub fn outputs(&mut self) -> std::vec::Drain<'_, Output> {
         self.outbox.outputs.drain(..)
     }
 
-    /// When to call [`Fleet::advance`] at the latest.
+    /// Returns when to call [`Fleet::advance`] at the latest.
     pub fn next(&self) -> Instant {
         self.due
     }
@@ -242,8 +242,8 @@
         self.maintenance_due().map_or(next, |due| next.min(due))
     }
 
-    /// Drops the leases that have expired by the local clock. Runs before every event, so that a process that
-    /// was paused cannot act on an expired lease.
+    /// Drops the leases that have expired by the local clock. It runs before every event, so that a process that was
+    /// suspended does not act on an expired lease when it resumes.
     fn drop_expired_leases(&mut self, now: Instant) {
         self.now = self.now.max(now);
         if self.membership.lease_holder.drop_expired_lease(self.now) {
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -1,5 +1,5 @@
-//! The coordinator's side of membership, while this host holds the coordinator lease: it polls hosts, answers
-//! renewals and publishes the list of members. `Coordinator` decides what is granted.
+//! The coordinator's side of membership, used while this host holds the coordinator lease: polls hosts, answers
+//! renewals and publishes the list of members. `Coordinator` decides which shares are granted.
 
 use super::{Fleet, messages};
 use crate::allocation::Shares;
@@ -17,25 +17,26 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// How often hosts that are not members are polled, in leases.
+/// The interval between polls of hosts that are not active members, in member leases.
 const POLL_INTERVAL_LEASES: f64 = 0.5;
-/// How many other hosts are asked to relay a message. With one, a single broken link may stop it; each more
-/// costs one message.
+/// The number of hosts that are asked to relay a message. With one relay, a single broken link can lose the message;
+/// each further relay costs one more message.
 const RELAYS_PER_MESSAGE: usize = 2;
 
-/// What a host holds while it is the coordinator.
+/// The state of a host while it is the coordinator.
 #[derive(Clone, Debug)]
 pub(super) struct CoordinatorRole {
-    /// Who is a member, and which shares each one holds.
+    /// The members and the shares granted to them.
     pub(super) shares: Coordinator,
-    /// Which servers are in maintenance.
+    /// The orders for servers in maintenance.
     pub(super) maintenance: MaintenanceCoordinator,
-    /// When hosts that are not members are polled again.
+    /// When hosts that are not active members are polled next.
     next_poll: Instant,
 }
 
 impl CoordinatorRole {
-    /// The role of a host that has just been elected. `order_book`: the one that it knows, if it knows one.
+    /// Creates the state of a host that has just been elected. `order_book` is its copy of the order book, if it has
+    /// one.
     pub(super) fn new(
         config: &FleetConfig,
         ballot: Ballot,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The hosts to poll now, if a poll is due.
+    /// Returns the hosts to poll now: those in `missing` if a poll is due, otherwise none.
     fn hosts_to_poll(
         &mut self,
         config: &FleetConfig,
@@ -73,8 +74,8 @@
         self.shares.members.iter().map(to_message).collect()
     }
 
-    /// How many members are in a state.
-    fn count(&self, state: MemberState) -> usize {
+    /// Returns the number of hosts in a state.
+    fn count_in_state(&self, state: MemberState) -> usize {
         let in_state = |member: &&Member| member.state == state;
         self.shares.members.values().filter(in_state).count()
     }
@@ -91,7 +92,7 @@
         let missing = role.hosts_to_poll(&self.config, missing, self.now);
         self.log_transitions(&transitions);
         for host in transitions.suspected {
-            // Only the link between the two hosts may be broken.
+            // The host may still run and only the link to it be broken, so the poll is also sent through relays.
             for relay in self.relays(host) {
                 self.poll(host, ballot, Some(relay));
             }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Other members, drawn at random each time, that may reach a host that this one does not.
+    /// Draws other members at random to relay a message to `host`, in case this host's link to it is broken.
     pub(super) fn relays(&mut self, host: HostId) -> Vec<HostId> {
         let me = self.process.host;
         let is_member = |member: &&FleetMember| {
@@ -150,7 +151,7 @@
             .choose_multiple(&mut self.rng, RELAYS_PER_MESSAGE)
     }
 
-    /// Asks a host to renew its lease.
+    /// Polls a host: asks it to send a renewal. `via`: the relay to send the poll through.
     pub(super) fn poll(&mut self, host: HostId, ballot: Ballot, via: Option<HostId>) {
         let message = self.new_message(FleetWhat::Ask, host, 0);
         self.send(
@@ -163,7 +164,7 @@
         );
     }
 
-    /// Takes over the members from this host's own coordinator role.
+    /// Updates this host's copy of the membership from its coordinator role.
     fn publish_membership(&mut self) {
         let Some(role) = &self.coordinator_role else {
             return;
@@ -176,16 +177,16 @@
             info!(
                 coordinator = self.process.host.0,
                 epoch = self.membership.epoch,
-                members = role.count(MemberState::Member),
-                suspected = role.count(MemberState::Suspected),
-                expired = role.count(MemberState::Out),
-                left = role.count(MemberState::Left),
+                members = role.count_in_state(MemberState::Member),
+                suspected = role.count_in_state(MemberState::Suspected),
+                expired = role.count_in_state(MemberState::Out),
+                left = role.count_in_state(MemberState::Left),
                 "membership changed"
             );
         }
     }
 
-    /// Answers a member's renewal.
+    /// Handles a member's renewal and answers it if this host is the coordinator.
     pub(super) fn renewal_received(&mut self, message: &FleetMessage, link: HostId) {
         let process = messages::sender(message);
         if self.coordinator_role.is_some() && !self.may_join(process) {
@@ -226,7 +227,7 @@
         self.send(answer, Some(link));
     }
 
-    /// The answer to a renewal that was granted.
+    /// Builds the answer to a renewal that is granted.
     fn grant(
         &mut self,
         renewal: &FleetMessage,
@@ -236,12 +237,12 @@
     ) -> FleetMessage {
         self.statistics.counts.granted += 1;
         let maintenance = self.maintenance_renewed(renewal);
-        let part = |(id, share): (&VolumeId, &u32)| FleetPart {
+        let to_part = |(id, share): (&VolumeId, &u32)| FleetPart {
             budget: id.0,
             share: *share,
             asked: 0.0,
         };
-        // The members are sent to hosts that do not know them yet.
+        // The list of members is sent only to hosts that do not know the current epoch.
         let members = if renewal.epoch == self.membership.epoch {
             Vec::new()
         } else {
@@ -249,14 +250,14 @@
         };
         FleetMessage {
             serial,
-            parts: shares.iter().map(part).collect(),
+            parts: shares.iter().map(to_part).collect(),
             members,
             maintenance,
             ..self.new_message(FleetWhat::Grant, process.host, process.incarnation)
         }
     }
 
-    /// A member has announced that it leaves.
+    /// Handles a member's announcement that it leaves, and acknowledges it.
     pub(super) fn departure_received(&mut self, message: &FleetMessage, link: HostId) {
         let Some(role) = &mut self.coordinator_role else {
             return;
@@ -264,8 +265,8 @@
         let coordinator = &mut role.shares;
         let process = messages::sender(message);
         coordinator.leave(&self.config, process);
-        // A departure that was announced to an earlier coordinator may be older than what another process
-        // under its name has learned since.
+        // A departure that was announced to an earlier coordinator may be older than what a later process of the same
+        // host has learned since.
         let is_current = coordinator.is_current(messages::ballot(message));
         self.maintenance_member_left(message, is_current);
         self.publish_membership();
@@ -287,7 +288,7 @@
             .parts
             .iter()
             .filter(is_held)
-            .map(messages::part)
+            .map(messages::budget_share)
             .collect(),
     }
 }
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -1,5 +1,5 @@
-//! Seeks and renews the coordinator lease: carries messages between this host's `LeaseCandidate` and the
-//! voters' acceptors.
+//! Seeks and renews the coordinator lease: exchanges messages between this host's `LeaseCandidate` and the voters'
+//! acceptors, and between this host's `Acceptor` and other candidates.
 
 use super::coordination::CoordinatorRole;
 use super::{Fleet, messages};
@@ -15,12 +15,12 @@
 use std::ops::Range;
 use tracing::info;
 
-/// How long a host waits after its acceptor has recovered before it first seeks the coordinator lease, in
-/// coordinator leases. Random, so that hosts that start together do not all compete at once: two candidates
-/// at the same moment refuse each other. A wider range delays the first election.
+/// The wait of a host between the recovery of its acceptor and its first attempt to obtain the coordinator lease, in
+/// coordinator leases. It is random, so that hosts that start together do not all make an attempt at once: candidates
+/// that start at the same time make each other fail. A wider range delays the first election.
 const FIRST_ATTEMPT_COORDINATOR_LEASES: Range<f64> = 0.0..0.5;
 
-/// This host in elections: as a voter, and as a candidate.
+/// This host's state in elections, as a voter and as a candidate.
 #[derive(Clone, Debug)]
 pub(super) struct Election {
     pub(super) acceptor: Acceptor,
@@ -30,7 +30,7 @@
 impl Election {
     pub(super) fn new(
         config: &FleetConfig,
-        own: HostId,
+        me: HostId,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Election {
@@ -38,34 +38,36 @@
         let wait = config
             .coordinator_lease()
             .times(rng.random_range(FIRST_ATTEMPT_COORDINATOR_LEASES));
-        // Rounds begin at the clock's milliseconds: above those of earlier incarnations, unless clocks are
-        // far apart. Safety does not depend on it: an acceptor accepts a ballot from one incarnation only.
+        // Rounds start at the clock's milliseconds, which is higher than the rounds of earlier incarnations unless
+        // clocks are far apart. Safety does not depend on this: an acceptor accepts a ballot from one incarnation
+        // only.
         let round = (now.micros() / 1000).max(0) as u64;
-        let candidate = LeaseCandidate::new(own, round, acceptor.recovering_until() + wait);
+        let candidate = LeaseCandidate::new(me, round, acceptor.recovering_until() + wait);
         Election {
             acceptor,
             candidate,
         }
     }
 
-    /// Seeks or renews the coordinator lease, if that is due. Returns what to ask the voters.
+    /// Seeks or renews the coordinator lease if that is due. Returns the request to send to the voters.
     fn advance(
         &mut self,
         config: &FleetConfig,
-        own: ProcessId,
+        process: ProcessId,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<CandidateRequest> {
-        let accepted = self.acceptor.live(now);
-        let held_by_other = accepted.filter(|lease| lease.holder != own);
-        let taken_until = held_by_other.map(|lease| lease.expires_at);
-        self.candidate.advance(config, taken_until, now, rng)
+        let accepted = self.acceptor.unexpired(now);
+        let held_by_other = accepted.filter(|lease| lease.holder != process);
+        let held_by_other_until = held_by_other.map(|lease| lease.expires_at);
+        self.candidate
+            .advance(config, held_by_other_until, now, rng)
     }
 }
 
 impl Fleet {
     pub(super) fn advance_candidate(&mut self) {
-        // A host that goes into maintenance resigns first and does not seek the lease again.
+        // A host that drains for maintenance has resigned and does not seek the lease again.
         let recovering = self.now < self.election.acceptor.recovering_until();
         if !self.config.is_voter(self.process.host) || recovering || self.going_offline() {
             return;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// A candidate asks this host's acceptor.
+    /// Handles a candidate's prepare or propose request with this host's acceptor, and replies.
     pub(super) fn answer_candidate(&mut self, request: &FleetMessage, link: HostId) {
         let ballot = messages::ballot(request);
         let process = messages::sender(request);
@@ -112,7 +114,9 @@
         let (what, ballot, number) = match reply {
             AcceptorReply::Recovering => return,
             AcceptorReply::Refused(later) => (FleetWhat::Refuse, later, 0),
-            AcceptorReply::Promised { taken } => (FleetWhat::Promise, ballot, u64::from(taken)),
+            AcceptorReply::Promised { held_by_other } => {
+                (FleetWhat::Promise, ballot, u64::from(held_by_other))
+            }
             AcceptorReply::Accepted => (FleetWhat::Accept, ballot, request.number),
         };
         let message = self.new_message(what, process.host, process.incarnation);
@@ -129,11 +133,11 @@
         self.membership.epoch = self.membership.epoch.max(promise.epoch);
         let from = HostId(promise.from);
         let ballot = messages::ballot(promise);
-        let taken = promise.number > 0;
-        let request = self
-            .election
-            .candidate
-            .promised(&self.config, from, ballot, taken, self.now);
+        let held_by_other = promise.number > 0;
+        let request =
+            self.election
+                .candidate
+                .promised(&self.config, from, ballot, held_by_other, self.now);
         if let Some(request) = request {
             self.ask_voters(request);
         }
@@ -161,8 +165,8 @@
 
     fn become_coordinator(&mut self, ballot: Ballot) {
         self.statistics.counts.elected += 1;
-        // Above every epoch that this host or its voters know. Where all have forgotten it, the round still is:
-        // rounds begin at the clock's milliseconds.
+        // The epoch must be higher than every earlier one. If all voters have restarted and lost it, the ballot's
+        // round still is higher, since rounds start at the clock's milliseconds.
         self.membership.epoch = (self.membership.epoch + 1).max(ballot.round);
         info!(
             member = self.process.host.0,
@@ -177,8 +181,8 @@
         self.advance_coordinator();
     }
 
-    /// Releases the coordinator lease, if this host holds it; returns whether it did. Member leases that it
-    /// granted stay valid, and the next coordinator polls their holders.
+    /// Releases the coordinator lease if this host holds it; returns whether it did. Member leases that it granted
+    /// remain valid, and the next coordinator polls their holders.
     pub(super) fn resign(&mut self) -> bool {
         let Some(lease) = self.election.candidate.held(self.now) else {
             return false;
@@ -200,8 +204,8 @@
             };
             self.send(message, None);
         }
-        let own = self.process;
-        self.election.acceptor.release(own);
+        let process = self.process;
+        self.election.acceptor.release(process);
         true
     }
 }
--- a/crates/fleet/src/fleet/event.rs
+++ b/crates/fleet/src/fleet/event.rs
@@ -7,61 +7,60 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What happens to a host.
+/// An event for the state machine of a host.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message came.
+    /// A message of another host was received.
     Message {
-        /// The host whose connection it came on.
+        /// The host whose connection the message came on: the sender or a relay.
         link: HostId,
-        /// The message.
+        /// The received message.
         message: FleetMessage,
     },
-    /// Clients ask for units of a budget.
+    /// A client's request needs units of a budget.
     DemandObserved {
-        /// Which budget.
+        /// The budget that the units count against.
         budget: VolumeId,
-        /// How much.
+        /// The number of units.
         units: f64,
     },
-    /// A new configuration applies from now on.
+    /// A new configuration replaces the current one.
     Config(Arc<FleetConfig>),
-    /// The host shuts down: all its requests are answered.
+    /// The host shuts down gracefully and leaves the fleet; all its requests have been answered.
     Leave,
     /// The servers as this host observes them.
     ServersObserved {
-        /// All of them.
+        /// All servers that the host observes.
         servers: Servers,
-        /// Those that it has released: no attempt, no connection.
+        /// Servers that the host has released: it has no attempt and no connection to them.
         released: BTreeSet<ServerId>,
     },
-    /// An operator's command; its result is among [`Fleet::answers`](crate::Fleet::answers) under this
-    /// number.
+    /// An operator gives a command to this host. [`Fleet::answers`](crate::Fleet::answers) yields the result.
     OperatorCommand {
-        /// Chosen by the caller.
+        /// A number chosen by the caller, which the result repeats.
         number: u64,
-        /// The command.
+        /// The operator's command.
         command: FleetCommand,
     },
 }
 
-/// A message to be sent.
+/// A message for the host to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// The host to send it to: the addressee or a relay.
+    /// The host to send the message to: its addressee or a relay.
     pub to: HostId,
-    /// The message.
+    /// The message with its addressee.
     pub message: FleetMessage,
 }
 
-/// How far leaving the fleet has come.
+/// The progress of this host's departure from the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Departure {
-    /// The host stays.
+    /// The host has not announced a departure.
     None,
-    /// It has announced that it leaves, and waits for an acknowledgement.
+    /// The host has announced its departure and waits for an acknowledgement.
     Announced {
-        /// When it leaves without one.
+        /// When the host leaves without an acknowledgement.
         give_up_at: Instant,
     },
     /// The departure is acknowledged, or the wait has timed out.
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -1,4 +1,4 @@
-//! The coordinator's side of maintenance, while this host holds the coordinator lease: takes members' reports,
+//! The coordinator's side of maintenance, used while this host holds the coordinator lease: handles members' reports,
 //! sends them the newest order book and answers operators' commands.
 
 use super::maintenance_participant::version;
@@ -16,7 +16,7 @@
 const SECONDS_A_DAY: i64 = 86_400;
 
 impl Fleet {
-    /// Whether the orders for its server let this process be a member.
+    /// Whether this process may be a member of the fleet, by the order for its server.
     pub(super) fn may_join(&self, process: ProcessId) -> bool {
         if self.config.maintenance.is_none() {
             return true;
@@ -28,21 +28,21 @@
         server.is_none_or(|server| role.maintenance.may_join(server, process.incarnation))
     }
 
-    /// A member has renewed its lease: takes what it reports of maintenance. Returns the newest version, and
-    /// the order book where the member does not know it.
+    /// Handles the maintenance report of a renewal that is granted. Returns the version of the newest order book for the
+    /// answer, with the order book itself if the member has another version.
     pub(super) fn maintenance_renewed(
         &mut self,
         renewal: &FleetMessage,
     ) -> Option<Box<FleetMaintenance>> {
-        self.take_maintenance_report(renewal)?;
+        self.apply_maintenance_report(renewal)?;
         let coordinator = &mut self.coordinator_role.as_mut()?.maintenance;
         coordinator.lease_granted(HostId(renewal.from), self.now);
-        let known = version(renewal.maintenance.as_ref()?);
+        let known_version = version(renewal.maintenance.as_ref()?);
         let order_book = coordinator.order_book();
         let newest = order_book
             .map(|order_book| order_book.version)
             .unwrap_or_default();
-        let unknown = order_book.filter(|order_book| order_book.version != known);
+        let unknown = order_book.filter(|order_book| order_book.version != known_version);
         Some(Box::new(FleetMaintenance {
             line: unknown.map(|order_book| order_book.to_message(self.now)),
             round: newest.ballot.round,
@@ -52,32 +52,32 @@
         }))
     }
 
-    /// A member leaves: takes what it reports of maintenance, if the report is current, and counts on it that
-    /// the member uses no server any more.
+    /// Handles the departure of a member: from now on it counts as using no server. Its maintenance report is applied
+    /// only if it is current and of the process that reported last.
     pub(super) fn maintenance_member_left(&mut self, departure: &FleetMessage, is_current: bool) {
         let process = messages::sender(departure);
         let Some(role) = &self.coordinator_role else {
             return;
         };
         if is_current && role.maintenance.may_report(process) {
-            self.take_maintenance_report(departure);
+            self.apply_maintenance_report(departure);
         }
         if let Some(role) = &mut self.coordinator_role {
             role.maintenance.member_left(process);
         }
     }
 
-    /// Takes what a message reports of maintenance; `None`: there is nothing.
-    fn take_maintenance_report(&mut self, from_member: &FleetMessage) -> Option<()> {
+    /// Applies the maintenance report in a member's message; `None`: there is no report, or no maintenance.
+    fn apply_maintenance_report(&mut self, from_member: &FleetMessage) -> Option<()> {
         let config = self.config.clone();
         let maintenance = config.maintenance.as_ref()?;
         let coordinator = &mut self.coordinator_role.as_mut()?.maintenance;
         let message = from_member.maintenance.as_ref()?;
-        let known = version(message);
+        let known_version = version(message);
         let report = RenewalReport {
             host: HostId(from_member.from),
             incarnation: from_member.from_incarnation,
-            known: Some(known).filter(|known| known.count > 0),
+            known_version: Some(known_version).filter(|version| version.count > 0),
             released: message
                 .let_go
                 .iter()
@@ -90,7 +90,7 @@
         let reported = message
             .line
             .as_ref()
-            .and_then(|line| OrderBook::from_message(line, self.now));
+            .and_then(|order_book| OrderBook::from_message(order_book, self.now));
         if let Some(order_book) = reported {
             coordinator.order_book_reported(order_book);
         }
@@ -132,8 +132,8 @@
         );
     }
 
-    /// The servers as this host observes them. For hosts, the coordinator fills in the incarnation and whether
-    /// they are members.
+    /// Returns the servers as this host observes them. For hosts it adds their incarnation and whether they are active
+    /// members.
     fn servers_with_hosts(&self) -> Servers {
         let Some(role) = &self.coordinator_role else {
             return Servers::new();
@@ -149,7 +149,7 @@
         servers
     }
 
-    /// Answers an operator's command that another host, or this one, has sent.
+    /// Handles an operator's command that was sent by another host or by this one, and answers it once it is decided.
     pub(super) fn command_received(&mut self, message: &FleetMessage, link: HostId) {
         let config = self.config.clone();
         let command = message
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -1,5 +1,5 @@
-//! The part of a single host in maintenance: the order book that it knows, which servers it may send to, and
-//! what it reports with its renewals. The coordinator's side is `maintenance_coordination`.
+//! A host's side of maintenance: its copy of the order book, the servers that it may send to, and the report that it
+//! adds to its renewals. The coordinator's side is in `maintenance_coordination`.
 
 use super::operator_commands::PendingCommands;
 use super::{Fleet, messages};
@@ -13,25 +13,28 @@
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-/// What one host knows of servers that are taken offline.
+/// One host's state of maintenance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MaintenanceState {
+    /// The copy of the order book; `None`: this host has not received one since its start.
     pub(super) order_book: Option<OrderBook>,
-    /// The end of the last lease that came with the confirmation that this order book is the coordinator's
-    /// newest.
+    /// When the last lease expires whose grant confirmed that this copy is the coordinator's newest order book; `None`:
+    /// there was no such grant yet.
     confirmed_until: Option<Instant>,
-    /// `confirmed_until` has passed.
+    /// Whether `confirmed_until` has passed.
     confirmation_expired: bool,
-    /// It passed longer ago than the isolation grace (`blind`): this host sends to no server.
+    /// Whether the isolation grace (`blind`) after `confirmed_until` has passed, so that this host sends to no server.
     isolated: bool,
+    /// The servers as this host observes them.
     pub(super) servers: Servers,
-    /// Servers that this host no longer uses.
+    /// Servers that this host no longer uses: it has no attempt and no connection to them.
     pub(super) released: BTreeSet<ServerId>,
+    /// When this process was first granted a lease.
     first_lease_at: Option<Instant>,
     pub(super) commands: PendingCommands,
 }
 
-/// The version of the order book that a message speaks of.
+/// Returns the version of the order book that a message states.
 pub(super) fn version(maintenance: &FleetMaintenance) -> OrderBookVersion {
     let ballot = Ballot {
         round: maintenance.round,
@@ -44,7 +47,7 @@
 }
 
 impl Fleet {
-    /// Whether this host may send to a server at that time. Always true without maintenance.
+    /// Whether this host may send to a server at `now`. Always true if maintenance is not configured.
     pub fn may_use(&self, server: ServerId, now: Instant) -> bool {
         let Some(config) = &self.config.maintenance else {
             return true;
@@ -55,23 +58,23 @@
         let Some(until) = self.maintenance.confirmed_until else {
             return false;
         };
-        let lost = Some(until).filter(|until| now >= *until);
+        let unconfirmed_since = Some(until).filter(|until| now >= *until);
         may_use(
             self.maintenance.order_book.as_ref(),
             config,
             self.config.drift,
-            lost,
+            unconfirmed_since,
             server,
             now,
         )
     }
 
-    /// The order book as it is known here, from the coordinator's newest message.
+    /// Returns this host's copy of the order book; `None`: it has not received one since its start.
     pub fn line(&self) -> Option<&OrderBook> {
         self.maintenance.order_book.as_ref()
     }
 
-    /// Each order as it is known here, for operators.
+    /// Returns the orders in this host's copy of the order book, for operators.
     pub fn orders(&self) -> impl Iterator<Item = &Order> {
         self.maintenance
             .order_book
@@ -79,11 +82,13 @@
             .flat_map(|order_book| &order_book.orders)
     }
 
-    /// Whether this host itself is draining: it accepts no new requests, and leaves once all are answered.
+    /// Whether this process is draining for maintenance: it accepts no new requests, and leaves the fleet once all are
+    /// answered.
     pub fn going_offline(&self) -> bool {
-        let own = self.server_of(self.process.host);
-        let order = own.and_then(|server| self.maintenance.order_book.as_ref()?.order(server));
-        // A process that has started since is not the one that drains.
+        let this_server = self.server_of(self.process.host);
+        let order =
+            this_server.and_then(|server| self.maintenance.order_book.as_ref()?.order(server));
+        // A process that started after the host drained is not the one that the order drains.
         order.is_some_and(|order| {
             let is_this_process =
                 order.incarnation == self.process.incarnation || order.incarnation == 0;
@@ -99,7 +104,8 @@
             .map(|(server, _)| *server)
     }
 
-    /// Notes that the confirmation has expired, and that the isolation grace has passed after it.
+    /// Updates whether the confirmation of the order book has expired, and whether the isolation grace after it has
+    /// passed.
     pub(super) fn update_isolation(&mut self) {
         let (Some(config), Some(until)) =
             (&self.config.maintenance, self.maintenance.confirmed_until)
@@ -122,23 +128,24 @@
         self.maintenance.isolated = isolated;
     }
 
-    /// When the next timed action of maintenance is due.
+    /// Returns when the next timed action of maintenance is due; `None`: there is none.
     pub(super) fn maintenance_due(&self) -> Option<Instant> {
         let config = self.config.maintenance.as_ref()?;
         let state = &self.maintenance;
-        let lost = state
+        let confirmation_ends = state
             .confirmed_until
             .filter(|_| !state.confirmation_expired);
-        let blind = state.confirmed_until.filter(|_| !state.isolated);
-        let blind = blind.map(|until| until + config.blind_held(self.config.drift));
-        [state.commands.next(), lost, blind]
+        let before_isolation = state.confirmed_until.filter(|_| !state.isolated);
+        let isolation_starts =
+            before_isolation.map(|until| until + config.blind_held(self.config.drift));
+        [state.commands.next(), confirmation_ends, isolation_starts]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// Adds to a renewal or a departure what this host reports of maintenance. The message's ballot is that
-    /// of the coordinator that it goes to.
+    /// Adds this host's maintenance report to a renewal or a departure. The message's ballot is that of the coordinator
+    /// that receives it.
     pub(super) fn add_maintenance_report(&mut self, message: FleetMessage) -> FleetMessage {
         if self.config.maintenance.is_none() {
             return message;
@@ -154,7 +161,7 @@
         let version = order_book
             .map(|order_book| order_book.version)
             .unwrap_or_default();
-        // A coordinator elected since may not know it.
+        // A coordinator with another ballot may not have this order book, so the report includes it.
         let coordinator = messages::ballot(&message);
         let earlier = order_book.filter(|book| book.version.ballot != coordinator);
         let member_for = state
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Takes what a grant says of maintenance.
+    /// Applies the maintenance part of a grant: updates the order book and whether it is confirmed.
     pub(super) fn maintenance_granted(&mut self, grant: &FleetMessage) {
         self.maintenance.first_lease_at.get_or_insert(self.now);
         if self.config.maintenance.is_none() {
@@ -185,10 +192,10 @@
         let Some(report) = grant.maintenance.as_ref() else {
             return;
         };
-        self.follow_order_book(report);
-        // A coordinator that has not adopted an order book yet may grant a lease to a host whose copy is stale;
-        // without this check that host could send to a server that is offline. It may harm hosts whose coordinator
-        // finds no majority with an order book.
+        self.update_order_book(report);
+        // A coordinator that has not adopted an order book yet may grant a lease to a host whose copy is stale.
+        // Without this check such a host could send to a server that is offline. The cost: hosts become isolated if
+        // the coordinator cannot adopt an order book.
         let newest = version(report);
         let confirmed = self
             .maintenance
@@ -209,8 +216,8 @@
         }
     }
 
-    /// Replaces the order book by a newer one.
-    fn follow_order_book(&mut self, report: &FleetMaintenance) {
+    /// Replaces the order book if the message has a newer one.
+    fn update_order_book(&mut self, report: &FleetMaintenance) {
         let message = report.line.as_ref();
         let Some(newer) = message.and_then(|message| OrderBook::from_message(message, self.now))
         else {
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -14,17 +14,17 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// This host as a member of the fleet.
+/// This host's state as a member of the fleet.
 #[derive(Clone, Debug)]
 pub(super) struct Membership {
     pub(super) lease_holder: MemberLeaseHolder,
     pub(super) demand: Demand,
-    /// Counts the changes of membership.
+    /// The epoch of the membership that this host knows; it grows with every change.
     pub(super) epoch: u64,
-    /// The members, by the coordinator's newest message.
+    /// All hosts that the coordinator knows, by its newest message.
     pub(super) members: Vec<FleetMember>,
-    /// A coordinator reported that another process holds the lease of this host. This process uses nothing
-    /// until a lease is granted to it.
+    /// Whether a coordinator reported that another process holds the lease of this host. If so, this process uses no
+    /// share until a lease is granted to it.
     pub(super) fenced: bool,
     pub(super) departure: Departure,
 }
@@ -45,12 +45,12 @@
         self.departure != Departure::None
     }
 
-    /// What this host, number `own`, may use of a budget, in millionths of the whole. Without a lease: the
-    /// floor share only.
+    /// Returns the share of a budget that this host, `me`, may use, in millionths of the whole. Without a lease it is
+    /// the floor.
     pub(super) fn share(
         &self,
         config: &FleetConfig,
-        own: HostId,
+        me: HostId,
         budget: VolumeId,
         now: Instant,
     ) -> u32 {
@@ -60,11 +60,11 @@
         let floor_share = config
             .budgets
             .get(&budget)
-            .map_or(0, |budget| budget.floor(own));
+            .map_or(0, |budget| budget.floor(me));
         self.lease_holder.share(budget, now).unwrap_or(floor_share)
     }
 
-    /// Hosts whose lease has expired or that have left.
+    /// Returns the hosts whose lease has expired or that have left.
     pub(super) fn inactive_hosts(&self) -> impl Iterator<Item = HostId> {
         let is_inactive = |member: &&FleetMember| {
             let state = MemberState::from_number(member.state);
@@ -76,7 +76,7 @@
             .map(|member| HostId(member.host))
     }
 
-    /// The shares that this host holds, and the demand of its clients, by budget.
+    /// Returns the shares that this host holds and the demand of its clients, by budget, for a renewal.
     fn renewal_parts(&mut self, config: &FleetConfig, now: Instant) -> Vec<FleetPart> {
         let mut parts: BTreeMap<VolumeId, FleetPart> = BTreeMap::new();
         let new_part = |id: VolumeId| FleetPart {
@@ -96,8 +96,8 @@
         parts.into_values().collect()
     }
 
-    /// Takes the epoch and the members from a grant; returns whether they may have changed.
-    fn take_members(&mut self, grant: &FleetMessage) -> bool {
+    /// Applies the epoch and the members in a grant; returns whether they may have changed.
+    fn update_members(&mut self, grant: &FleetMessage) -> bool {
         if grant.epoch <= self.epoch && grant.members.is_empty() {
             return false;
         }
@@ -138,7 +138,7 @@
         self.send(message, None);
     }
 
-    /// A coordinator asks this host to renew its lease.
+    /// Handles a coordinator's poll: answers with a renewal, or with a refusal if a later coordinator is known.
     pub(super) fn poll_received(&mut self, poll: &FleetMessage, link: HostId) {
         let ballot = messages::ballot(poll);
         if !self
@@ -146,8 +146,8 @@
             .lease_holder
             .accept_poll(HostId(poll.from), ballot, self.now)
         {
-            // It may have been elected by voters that have all forgotten later ballots. It retries above the
-            // ballot that is reported here.
+            // The voters that elected it may all have restarted and lost later ballots. The refusal reports the newest
+            // ballot, so that the coordinator prepares a higher one.
             let known = self.membership.lease_holder.ballot();
             let message =
                 self.new_message(FleetWhat::Refuse, HostId(poll.from), poll.from_incarnation);
@@ -168,9 +168,9 @@
         });
     }
 
-    /// A coordinator grants a lease.
+    /// Handles a coordinator's grant of a lease.
     pub(super) fn grant_received(&mut self, message: &FleetMessage) {
-        let shares: Shares = message.parts.iter().map(messages::part).collect();
+        let shares: Shares = message.parts.iter().map(messages::budget_share).collect();
         let grant = GrantId {
             ballot: messages::ballot(message),
             serial: message.serial,
@@ -194,12 +194,12 @@
         self.log_grant(message, had_lease);
         self.membership.fenced = false;
         self.maintenance_granted(message);
-        self.changed |= self.membership.take_members(message);
+        self.changed |= self.membership.update_members(message);
         let after = self.config.budgets.keys().map(|id| self.share(*id));
         self.changed |= !before.into_iter().eq(after);
     }
 
-    /// Logs a grant that changes this host's state; most grants only renew it.
+    /// Logs a grant to a host that held no lease or was fenced; other grants only renew a lease.
     fn log_grant(&self, grant: &FleetMessage, had_lease: bool) {
         if !had_lease {
             info!(
@@ -220,7 +220,7 @@
         }
     }
 
-    /// A coordinator reports that another process of this host holds its lease.
+    /// Handles a coordinator's report that another process of this host holds its lease.
     pub(super) fn fence_received(&mut self) {
         warn!(
             member = self.process.host.0,
@@ -233,9 +233,10 @@
         self.changed = true;
     }
 
+    /// Drops all leases and announces the departure to the coordinator, if another host is known to be it.
     pub(super) fn announce_departure(&mut self) {
         self.membership.lease_holder.drop_lease();
-        // A host that was the coordinator announces its departure to the next one, when that polls it within a
+        // A host that was the coordinator announces its departure to the next coordinator, when that polls it within a
         // lease.
         if self.resign() || self.membership.lease_holder.coordinator() == Some(self.process.host) {
             return;
@@ -252,8 +253,8 @@
         }
     }
 
-    /// Tells the coordinator with this ballot that this host leaves. A coordinator that has just been elected
-    /// may learn only from this message which orders an earlier one has moved on.
+    /// Announces to the coordinator with this ballot that this host leaves. The message includes the maintenance report,
+    /// since a coordinator that has just been elected may receive the newest order book from no other host.
     pub(super) fn send_departure(
         &mut self,
         coordinator: ProcessId,
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts: sends them, drops invalid ones with their cause, and dispatches the others.
+//! Messages between hosts: sends messages, counts and drops invalid ones by cause, and dispatches the others.
 
 use super::Fleet;
 use super::event::{Departure, Output};
@@ -10,10 +10,10 @@
 use gullsail_scheduler_api::{HostId, VolumeId};
 use std::collections::VecDeque;
 
-/// The version of the protocol. Messages of another version are dropped and counted.
+/// The version of the fleet protocol. Messages of another version are dropped and counted.
 pub const RULES: u32 = 1;
 
-/// The ballot in a message.
+/// Returns the ballot in a message's `round` and `by` fields.
 pub(super) fn ballot(message: &FleetMessage) -> Ballot {
     Ballot {
         round: message.round,
@@ -21,7 +21,7 @@
     }
 }
 
-/// The process that sent a message.
+/// Returns the process that sent a message.
 pub(super) fn sender(message: &FleetMessage) -> ProcessId {
     ProcessId {
         host: HostId(message.from),
@@ -29,22 +29,22 @@
     }
 }
 
-/// The budget and share in a part of a message.
-pub(super) fn part(part: &FleetPart) -> (VolumeId, u32) {
+/// Returns the budget and the share in one entry of a message's `parts`.
+pub(super) fn budget_share(part: &FleetPart) -> (VolumeId, u32) {
     (VolumeId(part.budget), part.share)
 }
 
-/// Messages that this host sends.
+/// Messages that wait to be sent or handled.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
-    /// To other hosts.
+    /// Messages to other hosts.
     pub(super) outputs: Vec<Output>,
-    /// To itself, handled in the same step.
+    /// Messages of this host to itself, handled in the same step.
     loopback: VecDeque<FleetMessage>,
 }
 
 impl Fleet {
-    /// An empty message of this host. `to_incarnation` 0: to any process of that host.
+    /// Creates a message of this host without content. `to_incarnation` 0: for any process of the host `to`.
     pub(super) fn new_message(
         &self,
         what: FleetWhat,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends a message, through the relay `via` if there is one.
+    /// Queues a message, to be sent through the relay `via` if there is one.
     pub(super) fn send(&mut self, message: FleetMessage, via: Option<HostId>) {
         if message.to == self.process.host.0 {
             return self.outbox.loopback.push_back(message);
@@ -76,20 +76,19 @@
         self.outbox.outputs.push(Output { to, message });
     }
 
-    /// Handles messages of this host to itself in the same step. Each answer is one phase further in its
-    /// exchange, so the loop ends.
+    /// Handles the messages of this host to itself. Each answer is a later phase of its exchange, so the loop ends.
     pub(super) fn handle_loopback(&mut self) {
         while let Some(message) = self.outbox.loopback.pop_front() {
             self.dispatch(self.process.host, message);
         }
     }
 
-    /// Counts a message that is dropped, by cause.
+    /// Counts a dropped message under its cause.
     pub(super) fn count_dropped(&mut self, cause: &'static str) {
         self.statistics.count_dropped(cause);
     }
 
-    /// A message has come from another host.
+    /// Handles a message from another host: drops it if it is invalid, relays it, or dispatches it.
     pub(super) fn receive(&mut self, link: HostId, message: FleetMessage) {
         if let Some(cause) = self.defect(link, &message) {
             return self.count_dropped(cause);
@@ -103,11 +102,11 @@
         self.dispatch(link, message);
     }
 
-    /// Why a message is invalid; `None`: it is valid. The causes are keys in the status JSON, so they stay.
+    /// Returns why a message is invalid; `None`: it is valid. The causes are keys of the status JSON and stable.
     fn defect(&self, link: HostId, message: &FleetMessage) -> Option<&'static str> {
         let is_known = |host: u32| host < self.config.hosts;
-        let maintenance_is_sound = match message.maintenance.as_deref() {
-            Some(maintenance) => self.is_sound(maintenance),
+        let maintenance_is_valid = match message.maintenance.as_deref() {
+            Some(maintenance) => self.is_valid_maintenance(maintenance),
             None => true,
         };
         if message.rules != RULES {
@@ -118,21 +117,21 @@
             Some("of an unknown host")
         } else if message.from == self.process.host.0 {
             Some("of another process with this host's name")
-        } else if !message.parts.iter().all(part_is_sound) || !maintenance_is_sound {
+        } else if !message.parts.iter().all(is_valid_part) || !maintenance_is_valid {
             Some("with figures that make no sense")
         } else {
             None
         }
     }
 
-    fn is_sound(&self, maintenance: &FleetMaintenance) -> bool {
+    fn is_valid_maintenance(&self, maintenance: &FleetMaintenance) -> bool {
         let order_book = maintenance.line.as_ref();
         let readable =
             order_book.is_none_or(|book| OrderBook::from_message(book, self.now).is_some());
         readable && maintenance.served.is_finite() && maintenance.served >= 0.0
     }
 
-    /// Relays a message. Only messages that come directly from their sender are relayed, so none circulates.
+    /// Relays a message. It must come directly from its sender, so that messages do not circulate.
     fn relay(&mut self, link: HostId, message: FleetMessage) {
         if link.0 != message.from {
             return self.count_dropped("passed on twice");
@@ -144,7 +143,7 @@
         });
     }
 
-    /// Dispatches a message by its kind.
+    /// Calls the handler for a message's kind.
     fn dispatch(&mut self, link: HostId, message: FleetMessage) {
         let is_voter = self.config.is_voter(self.process.host);
         let stays = !self.membership.is_leaving();
@@ -158,7 +157,7 @@
             FleetWhat::Accept => self.acceptance_received(&message),
             FleetWhat::Refuse => self.election.candidate.refused(ballot(&message), self.now),
             FleetWhat::Ask if stays => self.poll_received(&message, link),
-            // The departure message was lost, or there was no coordinator when it was due.
+            // The departure message was lost, or no coordinator was known when the departure was announced.
             FleetWhat::Ask if announced => {
                 let coordinator = sender(&message);
                 self.send_departure(coordinator, ballot(&message), Some(link));
@@ -178,6 +177,6 @@
     }
 }
 
-fn part_is_sound(part: &FleetPart) -> bool {
+fn is_valid_part(part: &FleetPart) -> bool {
     part.share <= WHOLE && part.asked.is_finite() && part.asked >= 0.0
 }
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands that this host was given. Each is sent to the coordinator until it is answered or times
+//! Commands that operators gave to this host. Each is sent to the coordinator repeatedly until it is answered or times
 //! out.
 
 use super::Fleet;
@@ -8,46 +8,47 @@
 use gullsail_scheduler_api::Instant;
 use std::collections::BTreeMap;
 
-/// Commands that may be pending at one host; more are refused. A bound on memory and on messages sent again.
+/// The most commands pending at one host; further ones are refused. This bounds memory and the number of messages.
 const MAX_COMMANDS: usize = 32;
-/// How often a pending command is sent again, in leases.
+/// The interval at which a pending command is sent again, in member leases.
 const RESEND_INTERVAL_LEASES: f64 = 0.125;
-/// When a pending command times out, in leases: long enough for two takeovers.
+/// The time after which a pending command times out, in member leases: long enough for two takeovers.
 const GIVE_UP_AFTER_LEASES: f64 = 6.0;
 
 /// The answer to an operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandAnswer {
-    /// The command's number.
+    /// The number that the caller gave to the command.
     pub number: u64,
-    /// What became of it.
+    /// The result of the command.
     pub result: CommandResult,
 }
 
-/// What became of an operator's command.
+/// The result of an operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandResult {
-    /// A majority of the hosts knows it.
+    /// The command takes effect, and a majority of hosts has the order book with its result.
     Accepted,
-    /// It has no effect.
+    /// The command has no effect.
     Refused {
-        /// The server that it is refused for.
+        /// The server that is the cause of the refusal.
         server: ServerId,
-        /// Why, for the operator.
+        /// The reason of the refusal, for the operator.
         reason: String,
     },
-    /// This process left the fleet before the coordinator answered. It may take effect.
+    /// This process left the fleet before the coordinator answered. The command may still take effect.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
 struct PendingCommand {
     command: FleetCommand,
-    next: Instant,
-    gives_up_at: Instant,
+    /// When the command is sent next.
+    resend_at: Instant,
+    times_out_at: Instant,
 }
 
-/// Commands that wait for an answer, and results that the host has not taken yet.
+/// Commands without an answer, and answers that the host has not read yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingCommands {
     pending: BTreeMap<u64, PendingCommand>,
@@ -55,9 +56,9 @@
 }
 
 impl PendingCommands {
-    /// When the next command is due to be sent again.
+    /// Returns when the next command is due to be sent; `None`: none is pending.
     pub(super) fn next(&self) -> Option<Instant> {
-        self.pending.values().map(|command| command.next).min()
+        self.pending.values().map(|command| command.resend_at).min()
     }
 
     fn refuse(&mut self, number: u64, command: &FleetCommand, refusal: CommandRefusal) {
@@ -71,12 +72,12 @@
 }
 
 impl Fleet {
-    /// The results of operators' commands, each once.
+    /// Drains the answers to operators' commands.
     pub fn answers(&mut self) -> std::vec::Drain<'_, CommandAnswer> {
         self.maintenance.commands.answers.drain(..)
     }
 
-    /// An operator gives a command to this host.
+    /// Accepts or refuses a command that an operator gives to this host.
     pub(super) fn accept_command(&mut self, number: u64, command: FleetCommand) {
         let commands = &mut self.maintenance.commands;
         if self.config.maintenance.is_none() {
@@ -88,26 +89,26 @@
         if commands.pending.len() >= MAX_COMMANDS {
             return commands.refuse(number, &command, CommandRefusal::TooManyCommands);
         }
-        let gives_up_at = self.now + self.config.lease.times(GIVE_UP_AFTER_LEASES);
+        let times_out_at = self.now + self.config.lease.times(GIVE_UP_AFTER_LEASES);
         commands.pending.insert(
             number,
             PendingCommand {
                 command,
-                next: self.now,
-                gives_up_at,
+                resend_at: self.now,
+                times_out_at,
             },
         );
         self.send_commands();
     }
 
-    /// Sends the commands that are due to the coordinator, and refuses those that timed out.
+    /// Sends the commands that are due to the coordinator, and refuses those that have timed out.
     pub(super) fn send_commands(&mut self) {
         let now = self.now;
         let resend_at = now + self.config.lease.times(RESEND_INTERVAL_LEASES);
         let mut due = Vec::new();
         for (number, command) in &mut self.maintenance.commands.pending {
-            if command.next <= now {
-                command.next = resend_at;
+            if command.resend_at <= now {
+                command.resend_at = resend_at;
                 due.push((*number, command.clone()));
             }
         }
@@ -115,12 +116,12 @@
             number,
             PendingCommand {
                 command,
-                gives_up_at,
+                times_out_at,
                 ..
             },
         ) in due
         {
-            if now >= gives_up_at {
+            if now >= times_out_at {
                 let commands = &mut self.maintenance.commands;
                 commands.pending.remove(&number);
                 commands.refuse(number, &command, CommandRefusal::Unanswered);
@@ -149,7 +150,7 @@
         self.send(message, None);
     }
 
-    /// The coordinator has answered a command.
+    /// Handles the coordinator's answer to a command.
     pub(super) fn command_answered(&mut self, message: &FleetMessage) {
         let maintenance = message.maintenance.as_ref();
         let Some(result) = maintenance.and_then(|maintenance| maintenance.command.as_ref()) else {
@@ -170,16 +171,17 @@
         }
     }
 
-    /// Accepts the pending commands that take this host offline, once it drains: an order that drains is known to a
-    /// majority. The coordinator's own answer may not come any more, since that may be this host, which steps down.
+    /// Answers the pending commands that take this host offline as accepted, once the host drains: a majority of hosts
+    /// then has the order. The coordinator's answer may never arrive, since the coordinator may be this host, which
+    /// resigns.
     pub(super) fn accept_commands_that_drain_this_host(&mut self) {
-        let own = self.server_of(self.process.host);
-        let Some(own) = own.filter(|_| self.going_offline()) else {
+        let this_server = self.server_of(self.process.host);
+        let Some(this_server) = this_server.filter(|_| self.going_offline()) else {
             return;
         };
         let commands = &mut self.maintenance.commands;
         let drains_this_host = |command: &FleetCommand| {
-            command.kind == CommandKind::TakeOffline as u32 && command.servers == [own.0]
+            command.kind == CommandKind::TakeOffline as u32 && command.servers == [this_server.0]
         };
         let accepted = commands
             .pending
@@ -191,7 +193,8 @@
         commands.answers.extend(answers);
     }
 
-    /// This process leaves: nobody would receive the coordinator's answers to the commands that are pending.
+    /// Answers all pending commands because this process leaves the fleet and will not receive the coordinator's
+    /// answers.
     pub(super) fn end_pending_commands(&mut self) {
         self.accept_commands_that_drain_this_host();
         let commands = &mut self.maintenance.commands;
--- a/crates/fleet/src/fleet/status_report.rs
+++ b/crates/fleet/src/fleet/status_report.rs
@@ -1,4 +1,4 @@
-//! Builds the status of the fleet that operators see. It reads all parts of `Fleet` and changes none.
+//! Builds the status of the fleet for operators.
 
 use super::Fleet;
 use crate::config::Budget;
@@ -8,12 +8,12 @@
 use gullsail_scheduler_api::{HostId, Instant, Span, VolumeId};
 
 impl Fleet {
-    /// The fleet as this host sees it.
+    /// Returns the status of the fleet as this host sees it.
     pub fn status(&self) -> Status {
         let coordinator = self.coordinator();
         let held = coordinator.and(self.election.candidate.held(self.now));
-        let takes_over = coordinator.filter(|coordinator| !coordinator.takeover_complete());
-        let takeover_ends = takes_over.map(|coordinator| coordinator.takeover_ends(&self.config));
+        let taking_over = coordinator.filter(|coordinator| !coordinator.takeover_complete());
+        let takeover_ends = taking_over.map(|coordinator| coordinator.takeover_ends(&self.config));
         let recovers_at = self.election.acceptor.recovering_until();
         let recovering_until = Some(recovers_at).filter(|until| *until > self.now);
         let lease_holder = &self.membership.lease_holder;
@@ -60,15 +60,15 @@
 
     fn member_status(&self, member: &FleetMember) -> Option<MemberStatus> {
         let coordinator = self.coordinator();
-        let known =
+        let record =
             coordinator.and_then(|coordinator| coordinator.members.get(&HostId(member.host)));
         Some(MemberStatus {
             host: member.host,
             incarnation: member.incarnation,
             state: MemberState::from_number(member.state)?,
-            last_renewal_ms: known.map(|known| (self.now - known.last_renewal).millis()),
-            via: known.and_then(|known| known.via).map(|via| via.0),
-            over_ms: known.map(|known| self.millis_until(known.expires_at)),
+            last_renewal_ms: record.map(|record| (self.now - record.last_renewal).millis()),
+            via: record.and_then(|record| record.via).map(|via| via.0),
+            over_ms: record.map(|record| self.millis_until(record.expires_at)),
         })
     }
 
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -1,22 +1,22 @@
-//! How servers are taken offline for maintenance: which goes next, when, and when it may be switched off.
+//! Takes servers offline for maintenance: selects which server drains next, and decides when it may be switched off.
 //!
-//! - [`order_book`]: the orders that all hosts know alike, with a version that one coordinator at a time
-//!   counts on;
-//! - [`selection`] and [`blockers`]: which server may go next;
+//! - [`order_book`]: the list of orders that the coordinator changes and all hosts copy, with a version;
+//! - [`selection`] and [`blockers`]: which server may drain next;
 //! - [`coordinator`]: the coordinator's side;
 //! - [`may_use`]: which servers a host may send to.
 //!
-//! The whole argument is in docs/maintenance.md.
+//! docs/maintenance.md has the full safety argument.
 //!
 //! **Why nothing is sent to a server that is offline.**
-//! 1. A host sends to a server only while it knows an order book, and either holds a lease and knows no order
-//!    by which the server is draining or offline, or lost its lease less than the isolation grace (`blind`) ago
-//!    and knows no order for it at all.
-//! 2. `Offline` is decided only when every host of the configuration has reported, in its present
-//!    incarnation, that it released the server; or has left; or its last lease has expired, plus `blind` unless
-//!    it had reported that it knows the order.
-//! 3. A majority of all hosts must have reported that they know that the server is drained. A later
-//!    coordinator adopts the newest order book that a majority remembers, so it knows too.
+//! 1. A host sends to a server only while it has a copy of the order book. If it holds a lease that confirmed the copy,
+//!    the copy must have no order by which the server is draining or offline. If that lease expired less than the
+//!    isolation grace (`blind`) ago, the copy must have no open order for the server at all.
+//! 2. The order for a node becomes `Drained` only when no host of the configuration can send to the node any more: the
+//!    host's present process has reported that it released the node, or it has left, or its last lease has expired.
+//!    After an expired lease the coordinator also waits for `blind`, unless the host had reported an order book with
+//!    the order. The coordinator waits for the leases of earlier processes of the host as well.
+//! 3. An order becomes `Offline` only when a majority of all hosts has reported an order book in which it is
+//!    `Drained`. A later coordinator adopts the newest order book of enough hosts to include one of that majority.
 
 pub mod access;
 pub mod blockers;
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -1,5 +1,5 @@
-//! Why one approved order cannot start to drain now. Called by the selection of the next server; it changes
-//! nothing.
+//! Checks whether an approved order can start to drain now, and if not, why. Called by the selection of the next
+//! server; it changes no state.
 
 use super::config::MaintenanceConfig;
 use super::order::{Order, Stage};
@@ -8,11 +8,12 @@
 use super::snapshot::{CAPACITY_TOLERANCE, FleetSnapshot};
 use std::collections::BTreeSet;
 
-/// What an order waits for.
+/// The reason why an order cannot start to drain now.
 pub struct Blocker {
-    /// The order waits for servers that are away. A later order must not take a place that becomes free.
+    /// Whether the order waits for servers that are away or for load to fall. If so, a later order may have to leave the
+    /// capacity that becomes free to this order.
     pub by_others: bool,
-    /// For operators.
+    /// The reason, for operators.
     pub reason: String,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// Why an order cannot go now; `None`: it can.
+/// Returns why an order cannot start to drain now; `None`: it can.
 pub fn blocker(
     order_book: &OrderBook,
     config: &MaintenanceConfig,
@@ -52,7 +53,7 @@
     };
     check
         .quiet_hours()
-        .or_else(|| check.coordinator_goes_last())
+        .or_else(|| check.coordinator_drains_last())
         .or_else(|| check.too_many_away())
         .or_else(|| match seen.what {
             ServerRole::Host(host) => check.quorum(host),
@@ -62,27 +63,31 @@
         })
 }
 
-/// One order, with everything it is judged by.
+/// An order and the state that it is checked against.
 struct Check<'a> {
     order_book: &'a OrderBook,
     config: &'a MaintenanceConfig,
     snapshot: &'a FleetSnapshot<'a>,
     order: &'a Order,
+    /// The observation of the order's server.
     seen: &'a ServerObservation,
-    /// The server has failed already, so taking it offline removes nothing.
+    /// Whether the server has failed already, so that taking it offline removes no capacity.
     failed: bool,
 }
 
-/// A storage node, as it counts for the capacity.
+/// A storage node in the sums of capacities.
 struct Node {
     shard: i64,
+    /// In units a second.
     capacity: f64,
+    /// Whether the node counts at all; see [`exists`].
     exists: bool,
+    /// Whether the node would be in service while the order's server is offline.
     stays: bool,
 }
 
 impl Check<'_> {
-    /// Another server is away by its order.
+    /// Whether a server other than the order's is away by its order.
     fn is_ordered_away(&self, server: ServerId) -> bool {
         server != self.order.server
             && self
@@ -91,7 +96,7 @@
                 .is_some_and(|other| other.stage.away())
     }
 
-    /// Another server is away, by its order or since it failed.
+    /// Whether a server other than the order's is away, by its order or because it failed.
     fn is_away(&self, server: ServerId, seen: &ServerObservation) -> bool {
         self.is_ordered_away(server)
             || (server != self.order.server && !self.snapshot.is_well(seen))
@@ -105,24 +110,24 @@
             .iter()
             .find(|(from, to)| is_within(*from, *to, second))?;
         Blocker::by_itself(format!(
-            "quiet hours: no server goes between {} and {}",
-            clock(*from),
-            clock(*to)
+            "quiet hours: no server starts to drain between {} and {}",
+            clock_time(*from),
+            clock_time(*to)
         ))
     }
 
-    fn coordinator_goes_last(&self) -> Option<Blocker> {
+    fn coordinator_drains_last(&self) -> Option<Blocker> {
         let is_coordinator = self.seen.what == ServerRole::Host(self.snapshot.coordinator);
         let is_ahead =
             |other: &Order| other.server != self.order.server && other.stage <= Stage::Draining;
         if is_coordinator && self.order_book.open().any(is_ahead) {
-            return Blocker::by_itself("this host is the coordinator and goes last");
+            return Blocker::by_itself("this host is the coordinator, which drains last");
         }
         None
     }
 
-    /// Servers that are away count towards the limits. For a server that has failed, which is away already,
-    /// others that have failed do not count, but those under maintenance do.
+    /// Whether a server counts towards the limits of servers away. If the order's server has failed, it is away already,
+    /// so only servers away by their orders count, not others that failed.
     fn counts_as_away(&self, server: ServerId, seen: &ServerObservation) -> bool {
         if self.failed {
             self.is_ordered_away(server)
@@ -167,22 +172,23 @@
         Blocker::by_others(format!("{count} of {most} away {scope}"))
     }
 
-    /// Without a majority of voters no coordinator is elected; without a majority of hosts no order book is
-    /// adopted.
-    fn quorum(&self, me: u32) -> Option<Blocker> {
+    /// Checks that majorities would remain without `host`. Without a majority of voters no coordinator is elected;
+    /// without a majority of hosts no order takes effect.
+    fn quorum(&self, host: u32) -> Option<Blocker> {
         if self.failed {
             return None;
         }
-        let going = self
+        let ordered_away = self
             .snapshot
             .servers
             .iter()
             .filter(|(server, _)| self.is_ordered_away(**server));
-        let going: BTreeSet<u32> = going.filter_map(|(_, seen)| host_of(seen)).collect();
+        let ordered_away: BTreeSet<u32> =
+            ordered_away.filter_map(|(_, seen)| host_of(seen)).collect();
         let members = self.snapshot.members.iter();
         let staying: Vec<u32> = members
             .copied()
-            .filter(|host| *host != me && !going.contains(host))
+            .filter(|member| *member != host && !ordered_away.contains(member))
             .collect();
         let voters = staying
             .iter()
@@ -210,6 +216,7 @@
         })
     }
 
+    /// Checks that enough capacity of the shard's holders would remain.
     fn shard(&self, shard: i64) -> Option<Blocker> {
         if self.order.shard_away {
             return None;
@@ -219,17 +226,18 @@
                 .filter(|node| node.shard == shard && node.exists)
         };
         let all: f64 = holders().map(|node| node.capacity).sum();
-        let rest: f64 = holders()
+        let remaining: f64 = holders()
             .filter(|node| node.stays)
             .map(|node| node.capacity)
             .sum();
-        if rest < (self.config.keep_shard * all).max(f64::MIN_POSITIVE) {
+        if remaining < (self.config.keep_shard * all).max(f64::MIN_POSITIVE) {
             return Blocker::by_itself(format!("shard {shard} would have too few holders left"));
         }
         None
     }
 
-    fn capacity(&self, needed: f64) -> Option<Blocker> {
+    /// Checks that enough capacity of all nodes would remain without `removed` units a second, also for the present load.
+    fn capacity(&self, removed: f64) -> Option<Blocker> {
         if self.failed {
             return None;
         }
@@ -238,38 +246,38 @@
             .filter(|node| node.exists)
             .map(|node| node.capacity)
             .sum();
-        let rest: f64 = self
+        let remaining: f64 = self
             .nodes()
             .filter(|node| node.stays)
             .map(|node| node.capacity)
             .sum();
         let keep = self.config.keep;
-        if rest < keep * all - CAPACITY_TOLERANCE {
-            let stays = rest / all * 100.0;
+        if remaining < keep * all - CAPACITY_TOLERANCE {
+            let stays = remaining / all * 100.0;
             return Blocker::by_others(format!(
-                "{stays:.0}% of the capacity would remain, {:.0}% must",
+                "{stays:.0}% of the capacity would remain, {:.0}% is required",
                 keep * 100.0
             ));
         }
         let served = self.snapshot.served;
-        if served > self.config.busy * rest {
+        if served > self.config.busy * remaining {
             return Blocker::by_others(format!(
-                "{served:.0} units/s are served now, too much for the remaining capacity of {rest:.0} units/s \
-                 (this server has {needed:.0})"
+                "{served:.0} units/s are served now, too much for the remaining capacity of {remaining:.0} units/s \
+                 (this server has {removed:.0})"
             ));
         }
         None
     }
 }
 
-/// How many servers may be away in some scope, and how many are.
+/// A limit on the number of servers away in some scope, and their present number.
 struct Limit {
     most: u32,
     count: usize,
     scope: &'static str,
 }
 
-/// Whether a server counts at all. A spare node that never ran has not failed.
+/// Whether a server counts for limits and capacities. A spare node that has never run does not count as failed.
 fn exists(seen: &ServerObservation) -> bool {
     seen.well || seen.incarnation != 0 || matches!(seen.what, ServerRole::Host(_))
 }
@@ -290,7 +298,7 @@
     }
 }
 
-/// Whether a second of the day lies in a range that may go beyond midnight.
+/// Whether a second of the day lies in a range, which may extend past midnight.
 fn is_within(from: u32, to: u32, second: u32) -> bool {
     if from <= to {
         (from..to).contains(&second)
@@ -299,6 +307,7 @@
     }
 }
 
-fn clock(second: u32) -> String {
+/// Formats a second of the day as hours and minutes.
+fn clock_time(second: u32) -> String {
     format!("{:02}:{:02}", second / 3600, second / 60 % 60)
 }
--- a/crates/fleet/src/maintenance/config.rs
+++ b/crates/fleet/src/maintenance/config.rs
@@ -1,36 +1,35 @@
-//! The settings of maintenance: the limits within which servers go offline. Part of `FleetConfig`; it depends on
-//! no other module of this crate.
+//! The settings of maintenance: the limits within which servers are taken offline. Part of `FleetConfig`.
 
 use gullsail_scheduler_api::Span;
 
-/// The configuration's `works` entry.
+/// The settings in the configuration's `works` entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaintenanceConfig {
-    /// The most servers away at the same time, in all. A server that failed counts.
+    /// The most servers that may be away at the same time in all, including failed ones.
     pub at_once: u32,
-    /// The same, in one zone.
+    /// The most servers that may be away at the same time in one zone.
     pub in_zone: u32,
-    /// The same, in one pool.
+    /// The most servers that may be away at the same time in one pool; all hosts count as one pool.
     pub in_pool: u32,
-    /// The fraction of the nodes' capacity that must remain.
+    /// The fraction of the capacity of all nodes that must remain.
     pub keep: f64,
     /// The fraction of the capacity of a shard's holders that must remain.
     pub keep_shard: f64,
-    /// The largest fraction of the remaining capacity that the present load may take up.
+    /// The largest fraction of the remaining capacity that the present load may use.
     pub busy: f64,
-    /// How long a server may be away, unless its order gives another time.
+    /// How long a server may be offline before its order is overdue, unless the order states another time.
     pub longest: Span,
-    /// How long a server that has returned is watched before its order is done and frees its place.
+    /// How long a server that has returned is watched before its order is done and it no longer counts as away.
     pub watched: Span,
-    /// The isolation grace: how long a host whose confirmed lease has ended keeps sending to servers that it knows
-    /// no order for.
+    /// The isolation grace: after the lease that confirmed a host's order book has expired, the host may send for this
+    /// time to servers that have no open order in it.
     pub blind: Span,
-    /// Quiet hours in which no server starts to drain: from and to, in seconds from midnight UTC.
+    /// Quiet hours, in which no server starts to drain: pairs of start and end, in seconds from midnight UTC.
     pub rests: Vec<(u32, u32)>,
 }
 
 impl MaintenanceConfig {
-    /// The isolation grace as a host counts it: shortened by the drift of clocks.
+    /// Returns the isolation grace at a host, which is shorter than `blind` to allow for clock drift.
     pub fn blind_held(&self, drift: f64) -> Span {
         self.blind.times((1.0 - drift) / (1.0 + drift))
     }
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -1,7 +1,7 @@
-//! The coordinator's side of maintenance. It adopts the newest order book that a majority knows, learns from
-//! renewals which host has released which server, and moves each order from stage to stage. Called by
-//! `Fleet` while this host is the coordinator; it sends nothing itself. It owns no state that has to survive
-//! it: other hosts hold copies of the order book.
+//! The coordinator's side of maintenance. It adopts the newest order book that a majority of hosts has, records from
+//! renewals which host has released which server, and moves orders from stage to stage. Called by `Fleet` while this
+//! host is the coordinator; it sends nothing itself. Its state need not survive it, since other hosts have copies of
+//! the order book.
 
 mod commands;
 mod stages;
@@ -23,10 +23,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use usage::HostUsage;
 
-/// How often changed wait reasons are published while no order moves, in leases. Each publication is a new
-/// version that is sent to all hosts; when it is larger, operators see older reasons.
+/// The interval between publications of changed wait reasons while no order changes its stage, in member leases. Each
+/// publication is a new version that is sent to all hosts. With a longer interval operators see older reasons.
 const PUBLISH_INTERVAL_LEASES: f64 = 0.5;
-/// How long a finished order is still shown to operators.
+/// How long a done or cancelled order is kept in the order book for operators.
 const SHOWN_AFTER_END: Span = Span::from_micros(120_000_000);
 
 /// Moves orders from stage to stage.
@@ -34,43 +34,48 @@
 pub struct MaintenanceCoordinator {
     elected_at: Instant,
     ballot: Ballot,
-    /// The order book's count when it first had this ballot: a host that knows that version knows all before
-    /// it.
+    /// The order book's count when it first had this ballot. A host that has that version has all earlier changes.
     first_count: u64,
-    /// `None`: not known yet, since no majority that remembers one has reported.
+    /// The adopted order book; `None`: none is adopted yet, since too few hosts have reported.
     order_book: Option<OrderBook>,
-    /// The newest of those that were reported.
+    /// The newest order book that a host has reported.
     newest_reported: Option<OrderBook>,
     usage: BTreeMap<HostId, HostUsage>,
-    /// Hosts that have reported the version that they know.
-    informed: BTreeSet<HostId>,
-    /// Hosts that have reported that they know none.
-    uninformed: BTreeSet<HostId>,
+    /// Hosts that have reported to have an order book.
+    with_order_book: BTreeSet<HostId>,
+    /// Hosts that have reported to have no order book.
+    without_order_book: BTreeSet<HostId>,
+    /// When wait reasons were last published.
     published_at: Instant,
 }
 
 impl MaintenanceCoordinator {
-    /// `own`: the order book that this host knows, if it knows one.
-    pub fn new(ballot: Ballot, own: Option<OrderBook>, now: Instant) -> MaintenanceCoordinator {
+    /// Creates the state of a coordinator that was elected at `now`. `host_copy` is its host's copy of the order book,
+    /// if it has one.
+    pub fn new(
+        ballot: Ballot,
+        host_copy: Option<OrderBook>,
+        now: Instant,
+    ) -> MaintenanceCoordinator {
         MaintenanceCoordinator {
             elected_at: now,
             ballot,
             first_count: 0,
             order_book: None,
-            newest_reported: own,
+            newest_reported: host_copy,
             usage: BTreeMap::new(),
-            informed: BTreeSet::new(),
-            uninformed: BTreeSet::new(),
+            with_order_book: BTreeSet::new(),
+            without_order_book: BTreeSet::new(),
             published_at: now,
         }
     }
 
-    /// The order book, once it is taken over.
+    /// Returns the order book; `None`: none is adopted yet.
     pub fn order_book(&self) -> Option<&OrderBook> {
         self.order_book.as_ref()
     }
 
-    /// A member reports its order book to a coordinator that may not know it.
+    /// Records an order book that a member reports, if it is the newest reported so far.
     pub fn order_book_reported(&mut self, order_book: OrderBook) {
         if self
             .newest_reported
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Counts a change of the order book. Returns the new count; `None`: there is no order book yet.
+    /// Starts a new version of the order book. Returns its count; `None`: no order book is adopted yet.
     fn count_change(&mut self) -> Option<u64> {
         let order_book = self.order_book.as_mut()?;
         let count = order_book.version.count + 1;
@@ -106,7 +111,7 @@
         }
     }
 
-    /// The coordinator lease was renewed by a later ballot: the order book's next version has it.
+    /// Starts a version with the ballot of the coordinator lease, if the lease was renewed by another ballot.
     fn follow_ballot(&mut self, ballot: Ballot) {
         if self.ballot != ballot {
             self.ballot = ballot;
@@ -114,20 +119,20 @@
         }
     }
 
-    /// Takes over the newest order book that a majority knows, once enough hosts have reported.
+    /// Adopts the newest reported order book, once enough hosts have reported.
     fn adopt(&mut self, config: &FleetConfig, takeover_complete: bool) {
         if self.order_book.is_some() || !takeover_complete {
             return;
         }
-        // Any set of `enough` hosts contains one of every majority, so it knows what any majority knew. If too
-        // many hosts report that they know none, that quorum can never be reached.
+        // Any `enough` hosts include a host of every majority, so one of them has every order book that a majority
+        // had. If too many hosts report to have none, so many reports can never arrive.
         let enough = config.hosts as usize + 1 - config.majority_of_hosts();
-        let never_enough = self.uninformed.len() + enough > config.hosts as usize;
-        if self.informed.len() < enough && !never_enough {
+        let never_enough = self.without_order_book.len() + enough > config.hosts as usize;
+        if self.with_order_book.len() < enough && !never_enough {
             return;
         }
         let mut order_book = self.newest_reported.take().unwrap_or_default();
-        if self.informed.len() < enough {
+        if self.with_order_book.len() < enough {
             order_book.anew = self.ballot.round;
         }
         order_book.version = OrderBookVersion {
@@ -135,14 +140,15 @@
             count: order_book.version.count + 1,
         };
         self.first_count = order_book.version.count;
-        // A host that knows this version knows the stages of all orders in it.
+        // A host that has this version has the stages of all orders in it.
         for order in &mut order_book.orders {
             order.version = self.first_count;
         }
         self.order_book = Some(order_book);
     }
 
-    /// Does what is due. `takeover_complete`: no grant of an earlier coordinator is in force any more.
+    /// Adopts the order book if that is possible, and moves orders to their next stages. `takeover_complete`: every
+    /// grant of an earlier coordinator has been reported or has expired.
     pub fn advance(
         &mut self,
         config: &FleetConfig,
@@ -163,30 +169,29 @@
             self.plan_order(config, maintenance, now, snapshot, order, &mut plan);
         }
         let restarted = restarted_hosts(order_book, snapshot);
-        let is_forgotten =
-            |order: &&Order| order.stage.over() && order.aged(now) >= SHOWN_AFTER_END;
-        let forgotten: Vec<u64> = order_book
+        let is_outdated = |order: &&Order| order.stage.over() && order.aged(now) >= SHOWN_AFTER_END;
+        let outdated: Vec<u64> = order_book
             .orders
             .iter()
-            .filter(is_forgotten)
+            .filter(is_outdated)
             .map(|order| order.number)
             .collect();
         for change in &plan.changes {
             self.set_stage(change.server, change.stage, now);
         }
-        self.follow_restarts(&restarted);
-        self.forget(&forgotten);
+        self.update_incarnations(&restarted);
+        self.remove_orders(&outdated);
         let mut updates = plan.updates;
         updates.extend(self.start_next(maintenance, now, snapshot));
-        let moved = self
+        let stages_changed = self
             .order_book
             .as_ref()
             .is_some_and(|book| book.version.count != count_before);
-        self.publish_waits(updates, moved, config, now);
+        self.publish_waits(updates, stages_changed, config, now);
     }
 
-    /// Removes orders that have been over for long.
-    fn forget(&mut self, numbers: &[u64]) {
+    /// Removes the orders with these numbers from the order book.
+    fn remove_orders(&mut self, numbers: &[u64]) {
         if numbers.is_empty() {
             return;
         }
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Starts to drain the next server, if one may go. Returns what the others wait for.
+    /// Starts to drain the next server, if one can drain now. Returns the wait reasons of the other approved orders.
     fn start_next(
         &mut self,
         maintenance: &MaintenanceConfig,
@@ -218,7 +223,7 @@
                 .map_or(0, |seen| seen.incarnation);
             for order in self.order_book.iter_mut().flat_map(|book| &mut book.orders) {
                 if order.stage == Stage::Approved && order.number < number {
-                    order.passed += 1;
+                    order.times_overtaken += 1;
                 }
                 if order.server == server {
                     order.incarnation = incarnation;
@@ -231,17 +236,18 @@
             .collect()
     }
 
-    /// Writes wait reasons into the order book. When only they change, a new version is published less often:
-    /// each version is sent to all hosts, and hundreds of hosts that release a server one by one would cause
-    /// one at each of their renewals.
+    /// Writes wait reasons into the order book. If no stage has changed, it does so only after the publish interval: each
+    /// version is sent to all hosts, and hundreds of hosts that release a server one by one would cause a version with
+    /// each of their renewals.
     fn publish_waits(
         &mut self,
         updates: Vec<WaitUpdate>,
-        moved: bool,
+        stages_changed: bool,
         config: &FleetConfig,
         now: Instant,
     ) {
-        if !moved && now - self.published_at < config.lease.times(PUBLISH_INTERVAL_LEASES) {
+        if !stages_changed && now - self.published_at < config.lease.times(PUBLISH_INTERVAL_LEASES)
+        {
             return;
         }
         self.published_at = now;
@@ -264,15 +270,17 @@
         }
     }
 
-    /// Whether this process of a host may be a member. A draining host may, since it must learn that it drains.
-    /// Once it has left, only another process may join, and only if the order returns on a restart.
+    /// Whether this process of a host may be a member. A draining host may, since it must receive the order. Once it has
+    /// left, only another process may join, and only if a restart counts as the return.
     pub fn may_join(&self, server: ServerId, incarnation: u64) -> bool {
         let Some(order) = self.order_book.as_ref().and_then(|book| book.order(server)) else {
             return true;
         };
         match order.stage {
             Stage::Draining => true,
-            stage => !stage.barred() || order.returns && order.incarnation != incarnation,
+            stage => {
+                !stage.barred() || order.returns_on_restart && order.incarnation != incarnation
+            }
         }
     }
 }
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands and the coordinator's decisions on them.
+//! The coordinator's decisions on operators' commands.
 
 use super::MaintenanceCoordinator;
 use crate::config::FleetConfig;
@@ -12,35 +12,35 @@
 use gullsail_protocol::FleetCommand;
 use gullsail_scheduler_api::{Instant, Span};
 
-/// What the coordinator decides on an operator's command.
+/// The coordinator's decision on an operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandDecision {
-    /// A majority of hosts knows the change, so it stays in effect under any later coordinator.
+    /// The command is applied and a majority of hosts has the change, so it stays in effect under any later coordinator.
     Accepted,
-    /// Nothing of it is done.
+    /// The command is not applied to any server.
     Refused {
-        /// The server that is the cause.
+        /// The server that is the cause of the refusal.
         server: ServerId,
-        /// Why.
+        /// The reason of the refusal.
         refusal: CommandRefusal,
     },
-    /// Not decided yet: the sender repeats the command.
+    /// The command is not decided yet, or a majority of hosts does not have the change yet. The sender repeats it.
     Pending,
 }
 
 /// The kind of an operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandKind {
-    /// To take them offline.
+    /// Takes the servers offline.
     TakeOffline = 1,
-    /// To put them back into service.
+    /// Returns the servers to service.
     Return = 2,
-    /// To withdraw their orders.
+    /// Cancels the servers' orders.
     Cancel = 3,
 }
 
 impl CommandKind {
-    /// The kind with this number in a message.
+    /// Returns the kind with this number in a message; `None`: there is none.
     pub fn from_number(number: u32) -> Option<CommandKind> {
         [
             CommandKind::TakeOffline,
@@ -53,8 +53,8 @@
 }
 
 impl MaintenanceCoordinator {
-    /// Decides on a command. It is atomic (for all its servers or none) and idempotent, through whichever host
-    /// it comes.
+    /// Applies or refuses a command. A command is atomic: it applies to all its servers or none. It is idempotent, also
+    /// if it arrives through several hosts.
     pub fn command(
         &mut self,
         config: &FleetConfig,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Does what a command wants of one server, unless it is done already.
+    /// Applies a command to one server, unless that is done already.
     fn apply(
         &mut self,
         maintenance: &MaintenanceConfig,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The count that a majority must know before a command on this server counts; 0: any. An order that has
-    /// gone beyond its request is known to a majority already.
+    /// Returns the count of the order book that a majority must have before a command on this server is accepted; 0: no
+    /// need to wait. An order that is past `Requested` is in the order book of a majority already.
     fn version_to_commit(&self, kind: CommandKind, server: ServerId) -> u64 {
         let order = self
             .order_book
@@ -140,6 +140,7 @@
         order.filter(relevant).map_or(0, |order| order.version)
     }
 
+    /// Adds an order for a server to the order book.
     fn request(
         &mut self,
         maintenance: &MaintenanceConfig,
@@ -153,7 +154,7 @@
         let Some(order_book) = &mut self.order_book else {
             return;
         };
-        // A finished order of the server is replaced.
+        // The new order replaces a done or cancelled one of the same server.
         order_book.orders.retain(|order| order.server != server);
         let longest = if command.longest_ms == 0 {
             maintenance.longest
@@ -162,7 +163,7 @@
         };
         order_book.orders.push(Order {
             server,
-            // The round is part of the number: a later coordinator that does not know this one's last changes may
+            // The number includes the round, since a later coordinator that does not have this one's last changes may
             // reach the same count.
             number: self.ballot.round << COUNT_BITS | version,
             stage: Stage::Requested,
@@ -171,11 +172,11 @@
             as_of: now,
             longest,
             shard_away: command.shard_away,
-            returns: command.returns,
+            returns_on_restart: command.returns,
             reason: truncate(&command.reason),
             waits: String::new(),
             hosts: Vec::new(),
-            passed: 0,
+            times_overtaken: 0,
             incarnation: 0,
         });
     }
@@ -185,7 +186,7 @@
     order_book.order(server).filter(|order| order.stage.open())
 }
 
-/// Why a command on one server is refused; `None`: it is not.
+/// Returns why a command is refused for one server; `None`: it is not refused.
 fn refusal(
     order_book: &OrderBook,
     maintenance: &MaintenanceConfig,
@@ -218,7 +219,8 @@
     }
 }
 
-/// There is no open order. That is as the command wants it where the last one ended in this stage.
+/// Returns the refusal of a command on a server without an open order. If the last order ended in `stage`, the command
+/// has no more effect and is not refused, so that it can be repeated.
 fn refusal_unless_last(
     order_book: &OrderBook,
     server: ServerId,
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -1,4 +1,4 @@
-//! Decides which orders move to their next stage, and what the others wait for.
+//! Decides which orders move to their next stage, and determines the wait reasons of the others.
 
 use super::MaintenanceCoordinator;
 use crate::config::FleetConfig;
@@ -9,19 +9,20 @@
 use crate::maintenance::snapshot::FleetSnapshot;
 use gullsail_scheduler_api::{HostId, Instant};
 
-const MOST_HOSTS_UNINFORMED: &str = "a majority of hosts does not know the order yet";
+const NO_MAJORITY_HAS_ORDER: &str = "no majority of hosts has the order yet";
 
-/// An order moves to another stage.
+/// A change of an order's stage.
 pub(super) struct StageChange {
     pub(super) server: ServerId,
     pub(super) stage: Stage,
 }
 
-/// What an order waits for from now on.
+/// A new wait reason of an order.
 pub(super) struct WaitUpdate {
     pub(super) server: ServerId,
+    /// What the order waits for; empty: it does not wait.
     pub(super) waits: String,
-    /// The hosts that it waits for, or did not wait for.
+    /// The new value of [`Order::hosts`].
     pub(super) hosts: Vec<u32>,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// What is to be done with the open orders.
+/// The changes to make to the open orders.
 #[derive(Default)]
 pub(super) struct StagePlan {
     pub(super) changes: Vec<StageChange>,
@@ -59,13 +60,15 @@
     }
 }
 
-/// A host that runs another process than the one that was to drain.
+/// A host that runs another process than the one that its order drains.
 pub(super) struct RestartedHost {
+    /// The number of the order.
     order: u64,
+    /// The incarnation of the process that runs now.
     incarnation: u64,
 }
 
-/// Hosts that died while they drained and have restarted: they have to drain again.
+/// Returns the hosts that crashed while draining and have restarted. Their new process has to drain.
 pub(super) fn restarted_hosts(
     order_book: &OrderBook,
     snapshot: &FleetSnapshot,
@@ -84,7 +87,7 @@
 }
 
 impl MaintenanceCoordinator {
-    /// Decides what is to be done with one open order.
+    /// Adds the changes to one open order to `plan`.
     pub(super) fn plan_order(
         &self,
         config: &FleetConfig,
@@ -99,13 +102,13 @@
             Stage::Requested if self.is_committed(config, order.version) => {
                 plan.change(order, Stage::Approved);
             }
-            Stage::Requested => plan.wait(order, MOST_HOSTS_UNINFORMED, Vec::new()),
+            Stage::Requested => plan.wait(order, NO_MAJORITY_HAS_ORDER, Vec::new()),
             Stage::Draining => self.plan_draining(config, maintenance, now, seen, order, plan),
             Stage::Drained if self.is_committed(config, order.version) => {
                 plan.change(order, Stage::Offline);
                 plan.wait(order, "", order.hosts.clone());
             }
-            Stage::Drained => plan.wait(order, MOST_HOSTS_UNINFORMED, order.hosts.clone()),
+            Stage::Drained => plan.wait(order, NO_MAJORITY_HAS_ORDER, order.hosts.clone()),
             Stage::Offline | Stage::Overdue => plan_offline(now, snapshot, seen, order, plan),
             Stage::Returning if order.aged(now) >= maintenance.watched => {
                 if seen.is_some_and(|seen| snapshot.is_well(seen)) {
@@ -122,7 +125,8 @@
         }
     }
 
-    /// A draining host is done once it has left or released itself; a node must be released by all hosts.
+    /// Moves a draining order on once the server is not in use: a host once it has left or released itself, a node once
+    /// no host can send to it.
     fn plan_draining(
         &self,
         config: &FleetConfig,
@@ -141,7 +145,7 @@
         if !using.is_empty() {
             return plan.wait(order, "hosts still use this server", using);
         }
-        // Hosts whose process never reported that it released the server, and whose lease was waited for.
+        // Hosts that never reported the release of the server, so that the coordinator waited for their lease to expire.
         let unreported = users
             .iter()
             .filter(|host| !self.has_released(**host, order));
@@ -149,7 +153,8 @@
         plan.wait(order, "", unreported.map(|host| host.0).collect());
     }
 
-    pub(super) fn follow_restarts(&mut self, restarted: &[RestartedHost]) {
+    /// Sets the incarnation to drain in the orders of hosts that have restarted.
+    pub(super) fn update_incarnations(&mut self, restarted: &[RestartedHost]) {
         if restarted.is_empty() {
             return;
         }
@@ -166,6 +171,7 @@
     }
 }
 
+/// Moves an offline order on once the server has returned or is overdue.
 fn plan_offline(
     now: Instant,
     snapshot: &FleetSnapshot,
@@ -173,8 +179,8 @@
     order: &Order,
     plan: &mut StagePlan,
 ) {
-    // A process that started before the server went offline is not a return, even if the coordinator learns of
-    // it only now.
+    // A process that started before the server went offline does not count as its return, even if the coordinator
+    // observes it only now.
     let offline_for = if order.stage == Stage::Offline {
         order.aged(now)
     } else {
@@ -184,7 +190,7 @@
         let restarted = seen.incarnation != 0 && seen.incarnation != order.incarnation;
         restarted && seen.up < offline_for && snapshot.is_well(seen)
     });
-    if order.returns && has_returned {
+    if order.returns_on_restart && has_returned {
         plan.change(order, Stage::Returning);
     } else if order.stage == Stage::Offline && order.aged(now) >= order.longest {
         plan.change(order, Stage::Overdue);
