--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows about which host may still send to which server.
+//! Tracks which hosts may still send to a server, from their reports and leases.
 
 use super::MaintenanceCoordinator;
 use crate::config::FleetConfig;
@@ -11,40 +11,41 @@
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::BTreeSet;
 
-/// What one host reported last, all of one process; `earlier_incarnations_until` covers the processes before
-/// it.
+/// The last report of one host's newest process. `earlier_incarnations_until` covers its earlier processes.
 #[derive(Clone, Debug)]
 pub(super) struct HostUsage {
     incarnation: u64,
-    /// When it was last granted a lease, by the coordinator's clock.
+    /// When the process was last granted a lease, by the coordinator's clock.
     granted_at: Instant,
-    known: Option<OrderBookVersion>,
+    known_version: Option<OrderBookVersion>,
     released: BTreeSet<ServerId>,
+    /// Whether the process has left the fleet.
     left: bool,
+    /// The load that the host serves, in units a second.
     served: f64,
-    /// Until when other processes of this host may send.
+    /// Until when earlier processes of this host may send to servers.
     earlier_incarnations_until: Instant,
 }
 
-/// What a host reports of maintenance with its renewal.
+/// A host's maintenance report, sent with its renewal.
 pub struct RenewalReport {
-    /// Who reports.
+    /// The host that reports.
     pub host: HostId,
-    /// Its process.
+    /// The incarnation of the process that reports.
     pub incarnation: u64,
-    /// The version of the order book that it knows; `None`: none.
-    pub known: Option<OrderBookVersion>,
-    /// Servers that it no longer uses: no attempt, no connection.
+    /// The version of the host's copy of the order book; `None`: it has no copy.
+    pub known_version: Option<OrderBookVersion>,
+    /// Servers that the host no longer uses: it has no attempt and no connection to them.
     pub released: BTreeSet<ServerId>,
-    /// For how long it has been a member, by its own clock.
+    /// The time since the process was first granted a lease, by the host's clock.
     pub member_for: Span,
-    /// Units a second that it serves.
+    /// The load that the host serves, in units a second.
     pub served: f64,
 }
 
 impl MaintenanceCoordinator {
-    /// Until when a host that has not reported may send: it may have been granted a lease by an earlier
-    /// coordinator just before this one was elected.
+    /// Returns until when a host that has not reported may send to servers. An earlier coordinator may have granted it a
+    /// lease just before this one was elected.
     fn unreported_host_may_send_until(
         &self,
         config: &FleetConfig,
@@ -53,7 +54,7 @@
         self.elected_at + config.lease + maintenance.blind
     }
 
-    /// A member renews its lease.
+    /// Records the maintenance report of a member's renewal.
     pub fn renewal_reported(
         &mut self,
         config: &FleetConfig,
@@ -62,8 +63,8 @@
         now: Instant,
     ) {
         let lease_and_blind = |granted: Instant| granted + config.lease + maintenance.blind;
-        // One lease after this process had its first one, no other process of the host held any, whoever was
-        // the coordinator.
+        // Other processes of the host held no lease any more when one lease had passed since this process was granted
+        // its first one, whichever host was the coordinator.
         let member_for = report.member_for.times(1.0 - config.drift);
         let earlier_until = lease_and_blind(now - member_for);
         let unreported_host_may_send_until =
@@ -71,7 +72,7 @@
         let first = HostUsage {
             incarnation: report.incarnation,
             granted_at: now,
-            known: None,
+            known_version: None,
             released: BTreeSet::new(),
             left: false,
             served: 0.0,
@@ -92,33 +93,33 @@
                 ..first
             };
         }
-        usage.known = report.known;
+        usage.known_version = report.known_version;
         usage.released = report.released;
         usage.left = false;
         usage.served = report.served;
-        if report.known.is_some() {
-            self.informed.insert(report.host);
-            self.uninformed.remove(&report.host);
+        if report.known_version.is_some() {
+            self.with_order_book.insert(report.host);
+            self.without_order_book.remove(&report.host);
         } else {
-            self.uninformed.insert(report.host);
-            self.informed.remove(&report.host);
+            self.without_order_book.insert(report.host);
+            self.with_order_book.remove(&report.host);
         }
     }
 
-    /// A member is granted a lease.
+    /// Records that a member is granted a lease now.
     pub fn lease_granted(&mut self, host: HostId, now: Instant) {
         if let Some(usage) = self.usage.get_mut(&host) {
             usage.granted_at = now;
         }
     }
 
-    /// Whether a report of this process is taken: no other process has reported under its name.
+    /// Whether to apply a report of this process: not if the last report was of another process of the host.
     pub fn may_report(&self, process: ProcessId) -> bool {
-        let known = self.usage.get(&process.host);
-        known.is_none_or(|usage| usage.incarnation == process.incarnation)
+        let usage = self.usage.get(&process.host);
+        usage.is_none_or(|usage| usage.incarnation == process.incarnation)
     }
 
-    /// A member has left. A departure that comes late does not count for a later process under its name.
+    /// Records that a process has left. A late departure does not affect a later process of the host.
     pub fn member_left(&mut self, process: ProcessId) {
         let usage = self.usage.get_mut(&process.host);
         if let Some(usage) = usage.filter(|usage| usage.incarnation == process.incarnation) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Units a second, by all hosts that renewed within a lease.
+    /// Returns the load that all hosts with a current lease serve, in units a second.
     pub fn served(&self, config: &FleetConfig, now: Instant) -> f64 {
         let is_current = |usage: &&HostUsage| !usage.left && now - usage.granted_at < config.lease;
         self.usage
@@ -136,14 +137,15 @@
             .sum()
     }
 
-    /// Whether a majority of all hosts knows the version of the order book with this count, or a later one.
+    /// Whether a majority of all hosts has the order book with this count, or a later one.
     pub(super) fn is_committed(&self, config: &FleetConfig, count: u64) -> bool {
         let version = OrderBookVersion {
             ballot: self.ballot,
             count,
         };
-        let knows = |usage: &&HostUsage| usage.known.is_some_and(|known| known >= version);
-        self.usage.values().filter(knows).count() >= config.majority_of_hosts()
+        let has_version =
+            |usage: &&HostUsage| usage.known_version.is_some_and(|known| known >= version);
+        self.usage.values().filter(has_version).count() >= config.majority_of_hosts()
     }
 
     /// Whether a host has reported that it released an order's server.
@@ -153,17 +155,18 @@
             .is_some_and(|usage| self.is_released(usage, order))
     }
 
-    /// A report made with an older order book does not count: the host may have used the server since.
+    /// Whether a host has released an order's server. A report made with an order book before the server started to
+    /// drain does not count, since the host may have used the server after it.
     fn is_released(&self, usage: &HostUsage, order: &Order) -> bool {
         let draining = OrderBookVersion {
             ballot: self.ballot,
             count: order.version,
         };
-        let knows = usage.known.is_some_and(|known| known >= draining);
-        usage.left || knows && usage.released.contains(&order.server)
+        let has_version = usage.known_version.is_some_and(|known| known >= draining);
+        usage.left || has_version && usage.released.contains(&order.server)
     }
 
-    /// Until when a host may still send to the server of a draining order.
+    /// Returns until when a host may still send to the server of a draining order.
     pub(super) fn may_send_until(
         &self,
         config: &FleetConfig,
@@ -174,26 +177,31 @@
         let Some(usage) = self.usage.get(&host) else {
             return self.unreported_host_may_send_until(config, maintenance);
         };
-        // An earlier process of this host may not have known the order.
+        // The release counts for the present process only. Earlier processes may not have received the order.
         if self.is_released(usage, order) {
             return usage.earlier_incarnations_until;
         }
-        // A host that knows this order sends to the server only while it holds a lease.
+        // Without a lease, a host that has the order does not send to the server. Other hosts may for the isolation
+        // grace.
         let requested = OrderBookVersion {
             ballot: self.ballot,
-            count: self.count_with(order),
+            count: self.first_count_with(order),
+        };
+        let has_order = usage.known_version.is_some_and(|known| known >= requested);
+        let blind = if has_order {
+            Span::ZERO
+        } else {
+            maintenance.blind
         };
-        let knows = usage.known.is_some_and(|known| known >= requested);
-        let blind = if knows { Span::ZERO } else { maintenance.blind };
         usage
             .earlier_incarnations_until
             .max(usage.granted_at + config.lease + blind)
     }
 
-    /// The count of this coordinator's first version of the order book that has an order in it.
-    fn count_with(&self, order: &Order) -> u64 {
-        let own = order.number >> COUNT_BITS == self.ballot.round;
-        let count = if own {
+    /// Returns the count of this coordinator's first version of the order book that contains the order.
+    fn first_count_with(&self, order: &Order) -> u64 {
+        let requested_here = order.number >> COUNT_BITS == self.ballot.round;
+        let count = if requested_here {
             order.number & ((1 << COUNT_BITS) - 1)
         } else {
             0
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -1,36 +1,35 @@
-//! One server's order and the stages that it goes through. Changed by the coordinator alone; known to all
-//! hosts.
+//! The order to take one server offline, and its stages. Only the coordinator changes orders; all hosts have copies.
 
 use super::server::ServerId;
 use gullsail_scheduler_api::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-/// The low bits of an order's number are the order book's count at its request; the bits above are the
-/// coordinator's round. A coordinator makes fewer changes of the order book than two to this power.
+/// The number of low bits of an order's number that hold the order book's count at the order's request. The bits above
+/// hold the coordinator's round. A coordinator makes fewer changes of the order book than two to this power.
 pub(super) const COUNT_BITS: u32 = 20;
 
-/// The stages of an order, in sequence. It can be cancelled in any stage before `Drained`.
+/// The stages of an order, in sequence. An order can be cancelled in any stage before `Drained`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[repr(u32)]
 pub enum Stage {
-    /// Requested by an operator; a majority of the hosts may not know it yet.
+    /// An operator has requested the order; it is not yet confirmed that a majority of hosts has it.
     #[serde(rename = "asked")]
     Requested = 1,
-    /// Known by a majority of the hosts. It starts to drain when the limits allow.
+    /// A majority of hosts has the order. The server starts to drain when the limits allow.
     #[serde(rename = "cleared")]
     Approved = 2,
     /// No host may start an attempt to the server; earlier attempts may still run.
     #[serde(rename = "leaving")]
     Draining = 3,
-    /// No host sends to the server. It is reported as offline only once a majority knows that, so that every
-    /// later coordinator knows it too.
+    /// No host sends to the server. The order becomes `Offline` once a majority of hosts has this stage, so that every
+    /// later coordinator adopts it.
     #[serde(rename = "let-go")]
     Drained = 4,
     /// The server may be switched off.
     #[serde(rename = "out")]
     Offline = 5,
-    /// Offline for longer than the order allows.
+    /// The server has been offline for longer than the order allows.
     Overdue = 6,
     /// The server is in service again and is watched.
     #[serde(rename = "back")]
@@ -42,7 +41,7 @@
 }
 
 impl Stage {
-    /// All stages, in sequence.
+    /// All stages, in the sequence of their numbers.
     pub const ALL: [Stage; 9] = [
         Stage::Requested,
         Stage::Approved,
@@ -55,12 +54,12 @@
         Stage::Cancelled,
     ];
 
-    /// The stage with this number in a message.
+    /// Returns the stage with this number in a message; `None`: there is none.
     pub(super) fn from_number(number: u32) -> Option<Stage> {
         Stage::ALL.into_iter().find(|stage| *stage as u32 == number)
     }
 
-    /// No host may send to the server.
+    /// Whether no host may start an attempt to the server in this stage.
     pub fn barred(self) -> bool {
         matches!(
             self,
@@ -68,60 +67,61 @@
         )
     }
 
-    /// The server counts as away for maintenance.
+    /// Whether the server counts as away for maintenance in this stage.
     pub fn away(self) -> bool {
         self.barred() || self == Stage::Returning
     }
 
-    /// The order is neither done nor cancelled.
+    /// Whether the order is neither done nor cancelled.
     pub fn open(self) -> bool {
         !self.over()
     }
 
-    /// The order is done or cancelled.
+    /// Whether the order is done or cancelled.
     pub fn over(self) -> bool {
         matches!(self, Stage::Done | Stage::Cancelled)
     }
 }
 
-/// One server's order.
+/// The order to take one server offline.
 ///
-/// It has more than twelve fields because it is the record that hosts send each other and keep as a whole.
+/// It has more than twelve fields because hosts send and store it as one record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     /// The server that is to go offline.
     pub server: ServerId,
-    /// Given by the coordinator that accepted the order: its place in the queue.
+    /// The order's number, given by the coordinator that accepted it. Lower numbers are earlier in the queue.
     pub number: u64,
-    /// How far it has come.
+    /// The order's stage.
     pub stage: Stage,
-    /// The order book's count at which this stage began.
+    /// The order book's count when the order entered this stage.
     pub version: u64,
-    /// How long before `as_of` this stage began.
+    /// The time that the order had been in this stage as of `as_of`.
     pub age: Span,
-    /// When `age` was taken, by the clock of the host that holds this copy.
+    /// The time that `age` refers to, by the clock of the host that holds this copy.
     pub as_of: Instant,
-    /// How long the server may be offline.
+    /// How long the server may be offline before the order is overdue.
     pub longest: Span,
-    /// Whether its shard may be without a holder meanwhile.
+    /// Whether the server's shard may have too few holders, or none, while the server is offline.
     pub shard_away: bool,
-    /// Whether a restart counts as its return; otherwise an operator has to command it.
-    pub returns: bool,
-    /// The operator's reason.
+    /// Whether a restart of the server counts as its return. If not, an operator has to command the return.
+    pub returns_on_restart: bool,
+    /// The reason that the operator gave for the order.
     pub reason: String,
-    /// What the order waits for, for operators.
+    /// What the order waits for, as text for operators; empty: it does not wait.
     pub waits: String,
-    /// While it drains, the hosts that still use the server. Once it is offline, the hosts that never reported
-    /// its release, so that their lease had to be waited out.
+    /// While the server drains, the hosts that still use it. After that, the hosts that never reported its release, so
+    /// that the coordinator waited for their leases to expire.
     pub hosts: Vec<u32>,
-    /// How many later orders have overtaken it.
-    pub passed: u32,
-    /// The process that was to drain. If another one runs, the server has restarted; 0: not known.
+    /// The number of later orders that started to drain before this one.
+    pub times_overtaken: u32,
+    /// The incarnation of the process that was running when the server started to drain; 0: not known. If another one
+    /// runs, the server has restarted.
     pub incarnation: u64,
 }
 
 impl Order {
-    /// How long it has been in its stage.
+    /// Returns how long the order has been in its stage at `now`.
     pub fn aged(&self, now: Instant) -> Span {
         self.age + (now - self.as_of).max(Span::ZERO)
     }
--- a/crates/fleet/src/maintenance/order_book.rs
+++ b/crates/fleet/src/maintenance/order_book.rs
@@ -1,5 +1,5 @@
-//! All orders as of one change, and how they are written to and read from messages. Changed by the
-//! coordinator alone; the other hosts replace the copy that they know by a newer one.
+//! The order book: all orders in one version, with its encoding in messages. Only the coordinator changes it; other
+//! hosts replace their copy by a newer version.
 
 use super::order::{Order, Stage};
 use super::server::ServerId;
@@ -7,36 +7,36 @@
 use gullsail_protocol::{FleetLine, FleetOrder};
 use gullsail_scheduler_api::{Instant, Span};
 
-/// The most open orders: a message with all of them stays below the limit of a frame.
+/// The most open orders, so that a message with all of them fits into a frame.
 pub const MAX_ORDERS: usize = 1024;
-/// Characters of a text for operators.
+/// The most characters in a text for operators.
 const MAX_TEXT: usize = 200;
 /// Times in messages are limited to this many milliseconds (35 years), so that sums of them do not overflow.
 const MAX_MILLIS: u64 = 1 << 40;
 
-/// Which order book: by whose ballot it was changed, and its count of changes. Ordered by time.
+/// The version of an order book. Later versions compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderBookVersion {
     /// The ballot of the coordinator that made the change.
     pub ballot: Ballot,
-    /// Counts the changes.
+    /// The number of changes; it continues from the order book that a coordinator adopts.
     pub count: u64,
 }
 
-/// All orders, as of one change.
+/// All orders in one version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderBook {
-    /// Which change.
+    /// The version of this order book.
     pub version: OrderBookVersion,
-    /// In the order in which they were taken.
+    /// The orders, in the sequence in which they were requested.
     pub orders: Vec<Order>,
-    /// The round of the coordinator that started this order book without a quorum of hosts that remember an
-    /// earlier one, so earlier orders may be lost; 0: it was never started without a quorum.
+    /// The round of the coordinator that started this order book without reports of earlier order books from enough
+    /// hosts, so that earlier orders may be lost; 0: there was no such start.
     pub anew: u64,
 }
 
 impl OrderBook {
-    /// The newest order for a server.
+    /// Returns the newest order for a server.
     pub fn order(&self, server: ServerId) -> Option<&Order> {
         self.orders
             .iter()
@@ -44,7 +44,7 @@
             .find(|order| order.server == server)
     }
 
-    /// The newest order for a server, to be changed.
+    /// Returns the newest order for a server, for changes.
     pub(super) fn order_mut(&mut self, server: ServerId) -> Option<&mut Order> {
         self.orders
             .iter_mut()
@@ -52,7 +52,7 @@
             .find(|order| order.server == server)
     }
 
-    /// Orders that are neither done nor cancelled.
+    /// Returns the orders that are neither done nor cancelled.
     pub fn open(&self) -> impl Iterator<Item = &Order> {
         self.orders.iter().filter(|order| order.stage.open())
     }
@@ -107,11 +107,11 @@
         age_ms: to_millis(order.aged(now)),
         longest_ms: to_millis(order.longest),
         shard_away: order.shard_away,
-        returns: order.returns,
+        returns: order.returns_on_restart,
         reason: order.reason.clone(),
         waits: order.waits.clone(),
         hosts: order.hosts.clone(),
-        passed: order.passed,
+        passed: order.times_overtaken,
         incarnation: order.incarnation,
     }
 }
@@ -126,16 +126,16 @@
         as_of: now,
         longest: from_millis(order.longest_ms),
         shard_away: order.shard_away,
-        returns: order.returns,
+        returns_on_restart: order.returns,
         reason: truncate(&order.reason),
         waits: truncate(&order.waits),
         hosts: order.hosts.clone(),
-        passed: order.passed,
+        times_overtaken: order.passed,
         incarnation: order.incarnation,
     })
 }
 
-/// A text for operators, cut to its limit.
+/// Cuts a text for operators to its limit.
 pub(super) fn truncate(text: &str) -> String {
     text.chars().take(MAX_TEXT).collect()
 }
--- a/crates/fleet/src/maintenance/refusal.rs
+++ b/crates/fleet/src/maintenance/refusal.rs
@@ -6,28 +6,28 @@
 /// Why an operator's command is refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandRefusal {
-    /// The coordinator does not know the server.
+    /// The coordinator's configuration does not have the server.
     UnknownServer,
-    /// Too little capacity would stay, however long it waits.
+    /// Too little capacity would remain, however long the order waits.
     TooLittleCapacity {
-        /// The part of the capacity that would stay.
+        /// The fraction of the capacity that would remain.
         remaining: f64,
-        /// The part that has to stay.
+        /// The fraction of the capacity that must remain.
         keep: f64,
     },
-    /// Nothing to cancel, and nothing to return from.
+    /// The server has no open order, so there is nothing to cancel or to return from.
     NoOrder,
-    /// The server has not gone offline yet, so it cannot return.
+    /// The server is not offline yet, so it cannot return.
     NotOffline,
     /// The server is offline, so its order can no longer be cancelled.
     AlreadyOffline,
-    /// A host that drains gives up its membership, so its order can no longer be cancelled.
+    /// The server is a host that drains and so leaves the fleet. Its order can no longer be cancelled.
     HostIsDraining,
-    /// The order book is full.
+    /// The order book has no room for more open orders.
     TooManyOrders,
-    /// The fleet's configuration has no maintenance.
+    /// The configuration has no settings of maintenance.
     NoMaintenance,
-    /// Too many commands of this host wait for an answer.
+    /// This host has too many commands without an answer.
     TooManyCommands,
     /// No coordinator answered in time.
     Unanswered,
@@ -38,7 +38,9 @@
 impl fmt::Display for CommandRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            CommandRefusal::UnknownServer => "the coordinator knows no server of that name",
+            CommandRefusal::UnknownServer => {
+                "the coordinator's configuration has no server of that name"
+            }
             CommandRefusal::TooLittleCapacity { remaining, keep } => {
                 let percent = remaining * 100.0;
                 return write!(
@@ -48,7 +50,9 @@
             }
             CommandRefusal::NoOrder => "there is no order for it",
             CommandRefusal::NotOffline => "it is not offline yet: `cancel` withdraws its order",
-            CommandRefusal::AlreadyOffline => "it is out already: `back` says that it is back",
+            CommandRefusal::AlreadyOffline => {
+                "it is out already: use `back` to return it to service"
+            }
             CommandRefusal::HostIsDraining => {
                 "this host is already draining: its order can no longer be withdrawn"
             }
--- a/crates/fleet/src/maintenance/selection.rs
+++ b/crates/fleet/src/maintenance/selection.rs
@@ -1,5 +1,5 @@
-//! Which server goes next: a function of the order book, the servers and the settings alone, so that every
-//! host can repeat it. Called by the coordinator; it changes nothing.
+//! Selects the server that drains next. It is a pure function of the order book, the servers and the settings, called
+//! by the coordinator.
 
 use super::blockers::blocker;
 use super::config::MaintenanceConfig;
@@ -9,32 +9,32 @@
 use super::server::{ServerId, ServerObservation, ServerRole, Servers};
 use super::snapshot::{CAPACITY_TOLERANCE, FleetSnapshot};
 
-/// An order that later ones have overtaken this often is protected: no later order that shares its limits may start
-/// before it.
+/// The number of times that an order may be overtaken. An order that was overtaken this often and waits for others is
+/// protected: no order that shares its limits may start before it.
 const MAX_OVERTAKEN: u32 = 4;
 
-/// What an approved order waits for.
+/// The reason why an approved order does not start to drain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitReason {
     /// The server whose order waits.
     pub server: ServerId,
-    /// For operators.
+    /// The reason, for operators.
     pub reason: String,
 }
 
-/// The server that goes next, and what the other approved orders wait for.
+/// The result of a selection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selection {
-    /// `None`: none can go now.
+    /// The server that starts to drain; `None`: none can now.
     pub next: Option<ServerId>,
-    /// Of each approved order that does not go.
+    /// The reason of each approved order that does not start to drain.
     pub waiting: Vec<WaitReason>,
 }
 
-/// Selects the next of the approved orders.
+/// Selects the approved order that starts to drain next.
 ///
-/// An order that cannot go does not hold up others, unless it was overtaken too often. Failed servers go
-/// first, since they count as away already.
+/// An order that cannot start does not delay others, unless it was overtaken too often. Failed servers come first,
+/// since they count as away already.
 pub fn select_next(
     order_book: &OrderBook,
     config: &MaintenanceConfig,
@@ -42,7 +42,7 @@
 ) -> Selection {
     let mut waiting = Vec::new();
     let mut next = None;
-    // The first order that was overtaken too often: the capacity it waits for is kept for it.
+    // The first order that waits for others and was overtaken too often. Orders that share its limits yield to it.
     let mut protected: Option<ServerId> = None;
     for order in approved_in_sequence(order_book, snapshot) {
         let server = order.server;
@@ -53,10 +53,13 @@
                     next = Some(server);
                     continue;
                 }
-                "another server goes first".to_string()
+                "another server drains first".to_string()
             }
             Some(blocker) => {
-                if order.passed >= MAX_OVERTAKEN && blocker.by_others && protected.is_none() {
+                if order.times_overtaken >= MAX_OVERTAKEN
+                    && blocker.by_others
+                    && protected.is_none()
+                {
                     protected = Some(server);
                 }
                 blocker.reason
@@ -67,7 +70,8 @@
     Selection { next, waiting }
 }
 
-/// Orders that were overtaken too often first, then failed servers, then by age.
+/// Returns the approved orders in the sequence of selection: orders that were overtaken too often, then those for
+/// failed servers, then the others; each group by number.
 fn approved_in_sequence<'a>(order_book: &'a OrderBook, snapshot: &FleetSnapshot) -> Vec<&'a Order> {
     let approved = order_book
         .orders
@@ -80,11 +84,17 @@
             .get(&order.server)
             .is_none_or(|seen| snapshot.is_well(seen))
     };
-    approved.sort_by_key(|order| (order.passed < MAX_OVERTAKEN, is_well(order), order.number));
+    approved.sort_by_key(|order| {
+        (
+            order.times_overtaken < MAX_OVERTAKEN,
+            is_well(order),
+            order.number,
+        )
+    });
     approved
 }
 
-/// Why a server can never go, however long it waits; `None`: it can at some time.
+/// Returns why a server can never be taken offline, however long its order waits; `None`: it may become possible.
 pub fn permanent_blocker(
     config: &MaintenanceConfig,
     servers: &Servers,
@@ -98,10 +108,10 @@
         ServerRole::Host(_) => None,
     };
     let all: f64 = servers.values().filter_map(capacity).sum();
-    let rest = all - can;
-    let too_little = rest < config.keep * all - CAPACITY_TOLERANCE;
+    let remaining = all - can;
+    let too_little = remaining < config.keep * all - CAPACITY_TOLERANCE;
     too_little.then(|| CommandRefusal::TooLittleCapacity {
-        remaining: rest / all,
+        remaining: remaining / all,
         keep: config.keep,
     })
 }
--- a/crates/fleet/src/maintenance/server.rs
+++ b/crates/fleet/src/maintenance/server.rs
@@ -1,49 +1,49 @@
-//! What a host observes of each server. The host fills it in; the coordinator selects the next server by it.
+//! A host's observation of each server. The host provides it; the coordinator selects the next server by it.
 
 use gullsail_scheduler_api::{Span, VolumeId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The number under which units served are counted among the demands.
+/// The pseudo budget under which `Fleet` records the units that this host serves, along with the demand for budgets.
 pub const SERVED: VolumeId = VolumeId(u64::MAX - 3);
 
-/// A storage node or a host, by its name's number.
+/// Identifies a storage node or a host by a number derived from its name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ServerId(pub u64);
 
-/// What one host observes of a server.
+/// One host's observation of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerObservation {
-    /// Node or host.
+    /// The role of the server: a node or a host.
     pub what: ServerRole,
-    /// Its zone's number.
+    /// The number of the server's zone.
     pub zone: u32,
-    /// Whether it serves: the endpoint list names it ready, and this host is connected to it. For a host the
-    /// coordinator fills this in.
+    /// Whether the server is in service. A node is if the endpoint list has it as ready and this host is connected to
+    /// it. For a host the coordinator sets this to whether it is an active member.
     pub well: bool,
-    /// The process that runs there; 0: not known.
+    /// The incarnation of the process that runs on the server; 0: not known.
     pub incarnation: u64,
-    /// Of a node: how long that process has run.
+    /// How long the process on a node has run.
     pub up: Span,
 }
 
-/// What a server does.
+/// The role of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerRole {
     /// A storage node.
     Node {
-        /// The shard that it holds.
+        /// The number of the shard that the node holds.
         shard: i64,
-        /// The pool (its kind) that it is in.
+        /// The number of the node's pool.
         pool: u64,
-        /// Its capacity, in units a second.
+        /// The node's capacity, in units a second.
         can: f64,
     },
-    /// A host of the fleet, by its number.
+    /// A host of the fleet, with its number.
     Host(u32),
 }
 
-/// All servers that a host observes.
+/// A host's observations of all servers.
 pub type Servers = BTreeMap<ServerId, ServerObservation>;
--- a/crates/fleet/src/member_lease.rs
+++ b/crates/fleet/src/member_lease.rs
@@ -1,5 +1,5 @@
-//! The member's side of member leases: which shares this host holds, from which coordinator, and until when by
-//! its own clock. Called by `Fleet` with the time and with the coordinator's messages; it sends nothing
+//! The member's side of member leases: the shares that this host holds, the coordinator that granted them, and when
+//! the lease expires by this host's clock. `Fleet` passes it the time and the coordinator's messages; it sends nothing
 //! itself. The lease that makes a host the coordinator is in `coordinator_lease`.
 
 use crate::allocation::Shares;
@@ -10,43 +10,44 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// Renewals remembered: more than are sent within a lease. An answer to a forgotten one is dropped.
+/// The most renewals kept that may still be answered: more than are sent within a lease. A grant that answers a dropped
+/// renewal is ignored.
 const MAX_RENEWALS: usize = 16;
-/// The interval between renewals, in member leases: four in a lease, so that some may be lost. It is random so that
-/// the hosts' renewals spread out.
+/// The interval between renewals, in member leases: about four in a lease, so that some may be lost. It is random so
+/// that the hosts' renewals spread out.
 const RENEWAL_INTERVAL_LEASES: Range<f64> = 0.2..0.3;
-/// After how many member leases without an answer the renewal is also sent through relays.
+/// The time without a message of the coordinator after which renewals are also sent through relays, in member leases.
 const RELAY_AFTER_LEASES: f64 = 0.5;
-/// After how many member leases without a message the coordinator counts as unknown. By then its own lease has
-/// expired and its successor has polled all hosts that it reaches.
+/// The time without a message of the coordinator after which this host no longer sends it renewals, in member leases.
+/// By then the coordinator lease has expired, and its successor has polled all hosts that it reaches.
 const FORGET_COORDINATOR_AFTER_LEASES: f64 = 2.0;
 
-/// A member lease: what the member may use, and until when.
+/// A member lease: the shares that the member may use, and until when.
 #[derive(Clone, Debug)]
 pub struct MemberLease {
-    /// The serial of the grant.
+    /// The serial of the grant that created this lease.
     pub serial: u64,
-    /// When it expires, by this host's clock.
+    /// When the lease expires, by this host's clock.
     pub expires_at: Instant,
-    /// What may be used under it.
+    /// The shares that the member may use under the lease.
     pub shares: Shares,
 }
 
-/// Identifies a grant: by a coordinator, the serial it gave. Ordered by time.
+/// Identifies a grant by its coordinator's ballot and its serial. Later grants compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GrantId {
     /// The coordinator's ballot.
     pub ballot: Ballot,
-    /// Counts the coordinator's grants.
+    /// The number of the grant among the coordinator's grants.
     pub serial: u64,
 }
 
-/// A renewal that is to be sent.
+/// A renewal for the caller to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RenewalRequest {
-    /// Its number, by which it is answered.
+    /// The renewal's number, which the coordinator's answer repeats.
     pub number: u64,
-    /// Whether to send it through relays too, since the coordinator does not answer.
+    /// Whether to send the renewal through relays as well, since the coordinator does not answer.
     pub use_relays: bool,
 }
 
@@ -56,44 +57,47 @@
     sent_at: Instant,
 }
 
-/// Holds a member's lease and says when to renew it.
+/// The state of a member's lease, and when to renew it.
 #[derive(Clone, Debug)]
 pub struct MemberLeaseHolder {
-    /// Of the newest coordinator known: messages of earlier ones are ignored.
+    /// The newest ballot seen from a coordinator. Messages with an earlier ballot are ignored.
     ballot: Ballot,
+    /// The host to send renewals to; `None`: no coordinator is known, or it has not sent a message for too long.
     coordinator: Option<HostId>,
     lease: Option<MemberLease>,
-    /// The newest grant ever accepted.
-    newest: GrantId,
+    /// The newest grant that was ever accepted.
+    newest_grant: GrantId,
     /// Renewals that may still be answered, oldest first.
     sent: VecDeque<SentRenewal>,
-    number: u64,
+    /// The number of the last renewal.
+    last_number: u64,
     /// When the coordinator's last message came.
     last_contact: Instant,
-    next: Instant,
+    /// When the next renewal is due.
+    next_renewal_at: Instant,
 }
 
 impl MemberLeaseHolder {
-    /// A member that knows no coordinator and holds nothing.
+    /// Creates the state of a host that knows no coordinator and holds no lease.
     pub fn new(now: Instant) -> MemberLeaseHolder {
         MemberLeaseHolder {
             ballot: Ballot::default(),
             coordinator: None,
             lease: None,
-            newest: GrantId::default(),
+            newest_grant: GrantId::default(),
             sent: VecDeque::new(),
-            number: 0,
+            last_number: 0,
             last_contact: now,
-            next: now,
+            next_renewal_at: now,
         }
     }
 
-    /// The newest coordinator known.
+    /// Returns the coordinator that this host sends renewals to; `None`: none is known.
     pub fn coordinator(&self) -> Option<HostId> {
         self.coordinator
     }
 
-    /// The ballot of the newest coordinator known.
+    /// Returns the newest ballot seen from a coordinator.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
@@ -105,46 +109,47 @@
             .is_some()
     }
 
-    /// When the lease expires, if there is one.
+    /// Returns when the lease expires; `None`: there is no lease.
     pub fn expires_at(&self) -> Option<Instant> {
         self.lease.as_ref().map(|lease| lease.expires_at)
     }
 
-    /// The share of a budget under the lease; `None`: there is no lease, so the floor share applies.
+    /// Returns the share of a budget under the lease; `None`: there is no lease, so the floor applies.
     pub fn share(&self, id: VolumeId, now: Instant) -> Option<u32> {
         let lease = self.lease.as_ref().filter(|lease| now < lease.expires_at)?;
         Some(lease.shares.get(&id).copied().unwrap_or_default())
     }
 
-    /// The lease, if there is one.
+    /// Returns the lease; `None`: there is none.
     pub fn lease(&self) -> Option<&MemberLease> {
         self.lease.as_ref()
     }
 
-    /// A host polls as the coordinator. Returns whether to answer it.
+    /// Handles a poll of `from` as the coordinator with `ballot`. Returns whether to answer with a renewal: not if a
+    /// later ballot is known.
     pub fn accept_poll(&mut self, from: HostId, ballot: Ballot, now: Instant) -> bool {
         if ballot < self.ballot {
             return false;
         }
-        // From now on no grant of an earlier coordinator is accepted, so the next renewal reports everything that
-        // this host holds.
+        // From now on grants of earlier coordinators are refused, so the next renewal reports everything that this
+        // host may use.
         self.ballot = ballot;
         self.coordinator = Some(from);
         self.last_contact = now;
         true
     }
 
-    /// The next renewal, if it is time for one.
+    /// Returns the next renewal if it is due. Drops a coordinator that has not sent a message for too long.
     pub fn next_renewal(
         &mut self,
         config: &FleetConfig,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<RenewalRequest> {
-        if now < self.next {
+        if now < self.next_renewal_at {
             return None;
         }
-        self.next = now
+        self.next_renewal_at = now
             + config
                 .lease
                 .times(rng.random_range(RENEWAL_INTERVAL_LEASES));
@@ -161,21 +166,21 @@
         })
     }
 
-    /// A renewal is sent now. Returns its number.
+    /// Records that a renewal is sent now, and returns its number.
     pub fn register_renewal(&mut self, now: Instant) -> u64 {
-        self.number += 1;
+        self.last_number += 1;
         if self.sent.len() >= MAX_RENEWALS {
             self.sent.pop_front();
         }
         self.sent.push_back(SentRenewal {
-            number: self.number,
+            number: self.last_number,
             sent_at: now,
         });
-        self.number
+        self.last_number
     }
 
-    /// Accepts a grant in place of the current one, if it is valid; returns whether it is. The lease counts
-    /// from when the renewal was sent.
+    /// Replaces the lease by a grant if the grant is valid; returns whether it is. `renewal` is the number of the
+    /// renewal that it answers; the lease counts from when that was sent.
     pub fn accept_grant(
         &mut self,
         config: &FleetConfig,
@@ -188,20 +193,20 @@
             return false;
         };
         let expires_at = sent.sent_at + config.held_lease();
-        // The grant was delayed, or comes from an earlier coordinator. It may harm when a round trip takes a
-        // lease: then no grant is ever valid.
+        // The lease has expired already, or the grant is of an earlier coordinator. If round trips take as long as a
+        // lease, no grant is ever valid.
         if now >= expires_at || grant.ballot < self.ballot {
             return false;
         }
-        // An older grant may arrive after the lease of a newer one has expired, where renewals overtook each
-        // other. The coordinator dropped the older one when it learned of the newer, so both together could
-        // exceed the budget.
-        if self.newest >= grant {
+        // Renewals can overtake each other, so an older grant may arrive after the lease of a newer one has expired.
+        // The coordinator dropped the older grant when this host reported the newer one, and may have granted its
+        // share to other hosts. Using it could exceed the budget.
+        if self.newest_grant >= grant {
             return false;
         }
         self.ballot = grant.ballot;
         self.last_contact = now;
-        self.newest = grant;
+        self.newest_grant = grant;
         self.lease = Some(MemberLease {
             serial: grant.serial,
             expires_at,
@@ -210,14 +215,16 @@
         true
     }
 
-    /// Drops the lease.
+    /// Drops the lease, so that the floors apply.
     pub fn drop_lease(&mut self) {
         self.lease = None;
     }
 
-    /// When to look at the lease again at the latest.
+    /// Returns when the lease expires or the next renewal is due, whichever is first.
     pub fn next(&self) -> Instant {
         self.expires_at()
-            .map_or(self.next, |expires_at| expires_at.min(self.next))
+            .map_or(self.next_renewal_at, |expires_at| {
+                expires_at.min(self.next_renewal_at)
+            })
     }
 }
--- a/crates/fleet/src/process_id.rs
+++ b/crates/fleet/src/process_id.rs
@@ -1,8 +1,8 @@
-//! Identifies one process among those that run, one after the other, as the same host.
+//! Identifies a process of a host. A host that restarts runs as another process.
 
 use gullsail_scheduler_api::HostId;
 
-/// A host in one of its incarnations.
+/// One process of a host, told from earlier and later ones by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     /// The host that the process runs as.
--- a/crates/fleet/src/rate_pacer.rs
+++ b/crates/fleet/src/rate_pacer.rs
@@ -1,33 +1,34 @@
-//! Spaces out operations of all hosts on one node that have a common rate limit, such as opening connections.
-//! Each host paces its own at its share of the rate. Over any span one host starts at most one operation more
-//! than its share allows, so all together exceed the rate by at most one for each host. Each host starts at a
-//! random point, so hosts that lose the same node at once return to it one after the other. The host has one
-//! pacer for each node and kind of operation.
+//! Paces operations on a node, such as opening connections, that all hosts together may start only at a limited rate.
+//! Each host paces its operations at its share of the rate. Over any time span one host starts at most one operation
+//! more than its share allows, so all hosts together exceed the rate by at most one operation for each host. Each
+//! host starts at a random point, so that hosts that lose a node at the same time do not reconnect to it all at once.
+//! A host has one pacer for each node and kind of operation.
 
 use gullsail_scheduler_api::{Instant, Span};
 use rand::Rng;
 
-/// After so many intervals without a call the node counts as idle, and the credit is drawn at random. A caller
-/// that waits for its turn asks again after one interval at the latest, so it never counts as idle.
+/// The number of intervals without a call after which the pacer counts as idle and draws its credit at random. A
+/// caller that has to wait asks again after one interval at the latest, so its pacer does not become idle.
 const IDLE_INTERVALS: f64 = 2.0;
-/// A credit that is this close to one operation counts as one, since instants are rounded to microseconds.
+/// A credit that is less than one operation by at most this much counts as one, since instants are rounded to
+/// microseconds.
 const ROUNDING: f64 = 1e-3;
-/// The shortest wait that a caller is told, so that it does not ask again at once.
+/// The shortest wait that is returned to a caller, so that it does not ask again at once.
 const MIN_WAIT: Span = Span::from_micros(1000);
 
 /// The credit towards the next operation.
 #[derive(Clone, Copy, Debug)]
 struct Credit {
-    /// In operations; negative after one that started early.
+    /// The credit in operations. It is slightly negative after an operation that rounding let start early.
     amount: f64,
     as_of: Instant,
-    /// The interval between two operations at that time.
+    /// The interval between two operations as of that time.
     interval: Span,
 }
 
 impl Credit {
-    /// The credit gained since then. A share that grew counts from now on: another host may have had it until
-    /// now.
+    /// Returns the credit gained since `as_of`. It is computed with the longer of the two intervals: if this host's
+    /// share has grown, another host may have used the difference until now.
     fn gained(&self, interval: Span, now: Instant) -> f64 {
         (now - self.as_of).secs().max(0.0) / interval.max(self.interval).secs()
     }
@@ -36,19 +37,20 @@
 /// Paces the operations of one host on one node.
 #[derive(Clone, Debug, Default)]
 pub struct RatePacer {
-    /// `None`: there was no operation yet.
+    /// The credit as of the last call; `None`: there was no call yet.
     credit: Option<Credit>,
 }
 
 impl RatePacer {
-    /// Asks to start an operation now. `interval`: the time between two operations by this host's share.
+    /// Asks to start an operation now. `interval` is the time between two operations at this host's share of the
+    /// rate; 0: the rate is not limited.
     ///
-    /// Credit that has been unused for long is drawn at random, below one operation: otherwise all hosts could
-    /// start one in the same instant. It may harm a host that is the only one to need the node: it waits for
-    /// half an interval on average.
+    /// After an idle time the credit is drawn at random, below one operation. Otherwise all hosts could start an
+    /// operation at the same instant. The cost: a host that alone needs the node waits for half an interval on
+    /// average.
     ///
     /// # Errors
-    /// It is not this host's turn. The error is when to ask again.
+    /// The host has no credit for an operation yet. The error is the time at which to ask again.
     pub fn take(
         &mut self,
         interval: Span,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,40 +1,43 @@
-//! The status of the fleet as one host sees it, for operators. Built by `Fleet::status`; serialized for the
-//! control socket.
+//! The status of the fleet as one host sees it, for operators. `Fleet::status` builds it; the control socket returns
+//! it as JSON.
 
 use crate::coordinator::MemberState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One host's view of the fleet. Hosts are numbered by their place in the configuration; the command line
-/// shows their names. Fields that another version does not write are empty when read.
+/// One host's view of the fleet. Hosts are numbered by their position in the configuration; the command line shows
+/// their names. A field that another version did not write has its default when read.
 ///
-/// It has more than twelve fields because it is the control socket's JSON object, whose keys stay.
+/// It has more than twelve fields because it is a JSON object of the control socket, whose keys are stable.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
-    /// The host whose view this is.
+    /// The number of the host whose view this is.
     pub me: u32,
-    /// Counts the changes of membership.
+    /// The epoch of the membership that this host knows; it grows with every change of membership.
     pub epoch: u64,
-    /// The highest round that this host has seen of a coordinator.
+    /// The round of the newest ballot that this host has seen from a coordinator.
     pub round: u64,
-    /// The newest coordinator known.
+    /// The coordinator's number; `None`: this host knows no coordinator.
     pub coordinator: Option<u32>,
-    /// This host is the coordinator; for how long at least, unless it renews its lease.
+    /// The time until this host's coordinator lease expires unless renewed, in milliseconds; `None`: this host is not
+    /// the coordinator.
     pub decides_for_ms: Option<f64>,
-    /// Of a coordinator that takes over: the longest time until the earlier one's grants have expired. No share
-    /// grows until then.
+    /// The longest time until the takeover from an earlier coordinator completes, in milliseconds. No share grows until
+    /// then. `None`: this host is not the coordinator, or the takeover is complete.
     pub takes_over_ms: Option<f64>,
-    /// How long this host's member lease lasts, unless renewed; `None`: it has none and uses floor shares.
+    /// The time until this host's member lease expires unless renewed, in milliseconds; `None`: it has no lease and
+    /// uses floor shares.
     pub lease_ms: Option<f64>,
-    /// How long this host's acceptor is still recovering from a start, and answers no candidate.
+    /// The time until this host's acceptor has recovered from its start and replies to candidates, in milliseconds;
+    /// `None`: it has recovered.
     #[serde(rename = "mute_ms")]
     pub recovering_ms: Option<f64>,
-    /// Another process holds a lease under this host's name.
+    /// Whether another process holds the member lease of this host.
     pub fenced: bool,
-    /// All hosts that the coordinator knows.
+    /// All hosts that have renewed a lease at the coordinator.
     pub members: Vec<MemberStatus>,
-    /// All budgets.
+    /// This host's share of each budget.
     pub budgets: Vec<BudgetStatus>,
     /// Messages that were dropped, by cause.
     pub dropped: BTreeMap<String, u64>,
@@ -42,40 +45,42 @@
     pub counts: Counts,
 }
 
-/// One host, as it is shown to an operator.
+/// The state of one host, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its number.
+    /// The host's number.
     pub host: u32,
-    /// The process that runs under its name.
+    /// The incarnation of the process that runs as the host.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Its state.
+    /// The host's state as the coordinator sees it.
     #[serde(rename = "standing")]
     pub state: MemberState,
-    /// Of the coordinator's own view: how long ago its last renewal came.
+    /// The time since the host's last renewal, in milliseconds; `None`: the reporting host is not the coordinator.
     #[serde(rename = "heard_ms")]
     pub last_renewal_ms: Option<f64>,
-    /// Of the coordinator's own view: the host that passes its renewals on.
+    /// The relay of the host's last renewal; `None`: it came directly, or the reporting host is not the coordinator.
     pub via: Option<u32>,
-    /// Of the coordinator's own view: the time until its lease expires.
+    /// The time until the host's lease expires, in milliseconds; `None`: the reporting host is not the coordinator.
     pub over_ms: Option<f64>,
 }
 
-/// One budget, as it is shown to an operator.
+/// The state of one budget, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Its number.
+    /// The budget's number.
     pub budget: u64,
-    /// What this host may use now, in millionths of the whole.
+    /// The share that this host may use now, in millionths of the whole.
     pub share: u32,
-    /// Of the coordinator's own view: what may be in use over all hosts.
+    /// The largest total that all hosts together may be using, in millionths; `None`: the reporting host is not the
+    /// coordinator.
     pub counted: Option<u64>,
-    /// Of the coordinator's own view: what may be in use by each host, as pairs of host and share.
+    /// The largest share that each host may be using, as pairs of host and share in millionths; empty if the reporting
+    /// host is not the coordinator.
     pub parts: Vec<(u32, u32)>,
 }
 
-/// What a host counts, for its status.
+/// The counters of a host, for its status.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Statistics {
     /// Messages that were dropped, by cause.
@@ -84,7 +89,7 @@
 }
 
 impl Statistics {
-    /// The dropped messages, as the status shows them.
+    /// Returns the counts of dropped messages with owned keys, for the status.
     pub(crate) fn dropped_by_cause(&self) -> BTreeMap<String, u64> {
         let dropped = self.dropped.iter();
         dropped
@@ -92,7 +97,7 @@
             .collect()
     }
 
-    /// Counts a message that is dropped, by cause.
+    /// Counts a dropped message under its cause.
     pub(crate) fn count_dropped(&mut self, cause: &'static str) {
         *self.dropped.entry(cause).or_default() += 1;
     }
@@ -108,12 +113,12 @@
     /// Messages that came from other hosts.
     #[serde(rename = "notes_in")]
     pub messages_in: u64,
-    /// Messages relayed between two other hosts.
+    /// Messages that this host relayed between two other hosts.
     pub passed_on: u64,
-    /// How often this host was elected coordinator.
+    /// The number of times this host was elected coordinator.
     pub elected: u64,
-    /// How often this host's member lease expired.
+    /// The number of times this host's member lease expired.
     pub leases_lost: u64,
-    /// Leases granted as the coordinator.
+    /// Member leases that this host granted as the coordinator.
     pub granted: u64,
 }
--- a/crates/fleet/tests/coordinator_lease.rs
+++ b/crates/fleet/tests/coordinator_lease.rs
@@ -66,8 +66,12 @@
     let first = process(1, 21);
     let restarted = process(1, 22);
     let second = process(2, 31);
-    let taken = Promised { taken: true };
-    let promised = Promised { taken: false };
+    let held_by_other = Promised {
+        held_by_other: true,
+    };
+    let promised = Promised {
+        held_by_other: false,
+    };
     [
         // For two leases a promise of the acceptor's earlier incarnation may be in force.
         step(Prepare, ballot(9, 1), first, 1999, Recovering),
@@ -84,9 +88,9 @@
         ),
         step(Propose, ballot(9, 1), first, 2002, Accepted),
         // Live for a lease: another candidate is told so, and takes no ballot away by asking.
-        step(Prepare, ballot(12, 2), second, 3001, taken),
+        step(Prepare, ballot(12, 2), second, 3001, held_by_other),
         step(Propose, ballot(9, 1), first, 3001, Accepted),
-        step(Prepare, ballot(12, 2), second, 4000, taken),
+        step(Prepare, ballot(12, 2), second, 4000, held_by_other),
         step(Prepare, ballot(12, 2), second, 4001, promised),
     ]
 }
@@ -113,11 +117,11 @@
     acceptor.propose(&config, ballot(12, 2), second, ms(4003));
     acceptor.release(first);
     assert!(
-        acceptor.live(ms(4004)).is_some(),
+        acceptor.unexpired(ms(4004)).is_some(),
         "only the holder releases the lease"
     );
     acceptor.release(second);
-    assert!(acceptor.live(ms(4004)).is_none());
+    assert!(acceptor.unexpired(ms(4004)).is_none());
 }
 
 /// Promises that come a lease after they were asked for are worth nothing: a voter that has restarted since
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -74,7 +74,7 @@
     (1..=6).map(node).chain((0..5).map(host)).collect()
 }
 
-pub fn order(server: u64, stage: Stage, passed: u32) -> Order {
+pub fn order(server: u64, stage: Stage, times_overtaken: u32) -> Order {
     Order {
         server: ServerId(server),
         number: server,
@@ -84,11 +84,11 @@
         as_of: Instant::from_micros(0),
         longest: Span::from_millis(1000.0),
         shard_away: false,
-        returns: false,
+        returns_on_restart: false,
         reason: String::new(),
         waits: String::new(),
         hosts: Vec::new(),
-        passed,
+        times_overtaken,
         incarnation: 1,
     }
 }
@@ -192,7 +192,7 @@
     RenewalReport {
         host: HostId(host),
         incarnation: 1,
-        known,
+        known_version: known,
         released: BTreeSet::new(),
         member_for: Span::from_millis(60_000.0),
         served: 0.0,
--- a/crates/fleet/tests/maintenance/selection.rs
+++ b/crates/fleet/tests/maintenance/selection.rs
@@ -34,7 +34,7 @@
     Case {
         orders: &[(1, Approved, 0), (2, Approved, 0)],
         next: Some(1),
-        waiting: &[(2, "another server goes first")],
+        waiting: &[(2, "another server drains first")],
         ..CASE
     },
     // Requested is not approved; one in its zone is away; a place that is free goes to a server that can have
@@ -78,7 +78,7 @@
         orders: &[(1, Approved, 0), (4, Approved, 0)],
         failed: &[4],
         next: Some(4),
-        waiting: &[(1, "another server goes first")],
+        waiting: &[(1, "another server drains first")],
         ..CASE
     },
     Case {
@@ -111,7 +111,10 @@
     Case {
         orders: &[(1, Approved, 0)],
         second_of_day: 80_000,
-        waiting: &[(1, "quiet hours: no server goes between 22:00 and 06:00")],
+        waiting: &[(
+            1,
+            "quiet hours: no server starts to drain between 22:00 and 06:00",
+        )],
         ..CASE
     },
     Case {
@@ -124,7 +127,7 @@
     Case {
         orders: &[(11, Approved, 0), (1, Approved, 0)],
         next: Some(1),
-        waiting: &[(11, "this host is the coordinator and goes last")],
+        waiting: &[(11, "this host is the coordinator, which drains last")],
         ..CASE
     },
     Case {
@@ -150,7 +153,7 @@
     let Case { orders, failed, .. } = case;
     let listed = orders
         .iter()
-        .map(|(server, stage, passed)| order(*server, *stage, *passed));
+        .map(|(server, stage, overtaken)| order(*server, *stage, *overtaken));
     let order_book = OrderBook {
         orders: listed.collect(),
         ..OrderBook::default()
