--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -1,6 +1,5 @@
-//! Hosts that go from revision to revision in any order, die and restart, and receive some notices late,
-//! twice or not at all: what they may send never sums to more than the limit of the oldest revision that one
-//! of them follows.
+//! Hosts change from revision to revision in any order, crash and restart, and receive notices late, twice or not at all.
+//! Their limits never sum to more than the limit of the oldest revision that one of them follows.
 
 use gullsail_config_transition::{
     ConfigTransition, NoticeEffect, Revision, RevisionLimits, RevisionNotice, SharedLimit,
@@ -34,7 +33,7 @@
     }
 }
 
-/// Some revisions of two volumes that follow each other.
+/// Consecutive revisions with random limits and hosts of two volumes.
 fn random_revisions(rng: &mut ChaCha8Rng, hosts: u32, count: u64) -> Vec<RevisionLimits> {
     let limits = |revision| {
         let mut volumes = Vec::new();
@@ -57,9 +56,9 @@
 }
 
 struct Host {
-    /// What it starts with: a place among the revisions.
+    /// The revision in the host's configuration file, as an index into the revisions.
     file: usize,
-    /// While it runs.
+    /// The state of the host; `None`: it is down.
     transition: Option<ConfigTransition>,
 }
 
@@ -76,12 +75,13 @@
     in_flight: Vec<InFlight>,
     rng: ChaCha8Rng,
     now: Instant,
-    /// Moments at which hosts that follow their own revision alone would have exceeded a limit.
-    needed: u32,
+    /// The number of checks at which the limit would have been exceeded if each host applied only the revision that it
+    /// follows.
+    prevented: u32,
 }
 
 impl Run {
-    /// All hosts are down, with the first revision in their files.
+    /// Creates a run in which all hosts are down, with the first revision in their files.
     fn new(hosts: usize, revisions: Vec<RevisionLimits>, rng: ChaCha8Rng) -> Run {
         let hosts = (0..hosts)
             .map(|_| Host {
@@ -95,11 +95,11 @@
             in_flight: Vec::new(),
             rng,
             now: at(0),
-            needed: 0,
+            prevented: 0,
         }
     }
 
-    /// What is given with a revision: all before it, back to the oldest that any host has in its file.
+    /// The chain given with a revision: all revisions back to the oldest that any host has in its file.
     fn chain(&self, last: usize) -> Vec<RevisionLimits> {
         let oldest = self
             .hosts
@@ -121,8 +121,8 @@
         ));
     }
 
-    fn go_on(&mut self, host: usize, to: usize) {
-        // Hosts know later than the operator who has followed: all that may be counted is given.
+    fn change_revision(&mut self, host: usize, to: usize) {
+        // Hosts may not know yet which revisions all hosts have left behind, so the chain has all revisions.
         let chain = self.revisions[..=to].to_vec();
         let host = &mut self.hosts[host];
         if let Some(transition) = &mut host.transition {
@@ -131,7 +131,7 @@
         }
     }
 
-    fn pass(&mut self, ms: i64, lost: f64) {
+    fn run_for(&mut self, ms: i64, lost: f64) {
         for _ in 0..ms / 20 {
             self.now = self.now + Span::from_micros(20_000);
             self.send_due(lost);
@@ -194,7 +194,7 @@
             .filter_map(|host| host.transition.as_ref())
     }
 
-    /// Whether every volume's limit by the oldest revision holds over all hosts.
+    /// Checks that the limits of all hosts sum to at most each volume's limit by the oldest revision.
     fn check(&mut self) {
         let Some(oldest) = self.running().map(ConfigTransition::revision).min() else {
             return;
@@ -203,27 +203,27 @@
             rate: 1e9,
             burst: 1e9,
         };
-        let mut needed = 0;
+        let mut prevented = 0;
         for (id, shared) in &self.revisions[oldest.0 as usize - 1].volumes {
             let Some(limit) = shared.limit else { continue };
             let mut rate = 0.0;
             let mut burst = 0.0;
             for transition in self.running() {
-                let own = transition.limit_of(*id).unwrap_or(unlimited);
-                rate += own.rate;
-                burst += own.burst;
+                let host_limit = transition.limit_of(*id).unwrap_or(unlimited);
+                rate += host_limit.rate;
+                burst += host_limit.burst;
             }
             assert!(
                 rate <= limit.rate + 1e-9 && burst <= limit.burst + 1e-9,
                 "{rate} of {limit:?}"
             );
-            needed += u32::from(self.rate_by_own_revisions(*id) > limit.rate + 1e-9);
+            prevented += u32::from(self.rate_by_followed_revisions(*id) > limit.rate + 1e-9);
         }
-        self.needed += needed;
+        self.prevented += prevented;
     }
 
-    /// What all hosts would send if each followed its own revision alone.
-    fn rate_by_own_revisions(&self, id: VolumeId) -> f64 {
+    /// The sum of the rates of all hosts if each applied only the revision that it follows.
+    fn rate_by_followed_revisions(&self, id: VolumeId) -> f64 {
         let rates = self.hosts.iter().zip(0..).filter_map(|(host, number)| {
             let revision = host.transition.as_ref()?.revision();
             let limits = &self.revisions[revision.0 as usize - 1];
@@ -236,7 +236,7 @@
         rates.sum()
     }
 
-    /// One host is killed, starts or goes on, by chance.
+    /// Kills, starts or changes the revision of a random host.
     fn change_one(&mut self) {
         let host = self.rng.random_range(0..self.hosts.len());
         let file = self.hosts[host].file;
@@ -254,29 +254,29 @@
                 self.hosts[host].file = changed.unwrap_or(file);
                 self.start(host);
             }
-            (1, true, Some(to)) => self.go_on(host, *to),
+            (1, true, Some(to)) => self.change_revision(host, *to),
             _ => {}
         }
     }
 
-    /// All come to the last revision, and receive each other's notices again.
-    fn settle(&mut self) {
+    /// Changes all hosts to the last revision, and runs without lost notices.
+    fn finish(&mut self) {
         let last = self.revisions.len() - 1;
         for host in 0..self.hosts.len() {
             if self.hosts[host].transition.is_none() {
                 self.start(host);
             }
             if self.hosts[host].file < last {
-                self.go_on(host, last);
+                self.change_revision(host, last);
             }
             self.check();
         }
-        self.pass(20_000, 0.0);
+        self.run_for(20_000, 0.0);
     }
 }
 
-/// Returns how often a limit would have been exceeded without the rule.
-fn play(seed: u64, count: u32) -> u32 {
+/// Runs random changes; returns how often a limit would have been exceeded without the rule.
+fn run_random_changes(seed: u64, count: u32) -> u32 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let revisions = random_revisions(&mut rng, count, 4);
     let mut run = Run::new(count as usize, revisions, rng);
@@ -286,16 +286,16 @@
         run.check();
         let ms = run.rng.random_range(0..800);
         let lost = run.rng.random_range(0.0..0.9);
-        run.pass(ms, lost);
+        run.run_for(ms, lost);
         run.check();
     }
-    run.settle();
+    run.finish();
     let last = run.revisions.last().unwrap();
     for (number, transition) in (0..).zip(run.running()) {
         assert_eq!(
             transition.missing().collect::<Vec<_>>(),
             [],
-            "host {number} waits"
+            "host {number} does not know that all hosts follow"
         );
         for id in [VolumeId(0), VolumeId(1)] {
             assert_eq!(
@@ -305,7 +305,7 @@
         }
     }
     assert_eq!(run.running().count(), count as usize);
-    run.needed
+    run.prevented
 }
 
 #[test]
@@ -315,22 +315,22 @@
         rng_seed: RngSeed::Fixed(11),
         ..Config::default()
     });
-    let needed = std::cell::Cell::new(0);
+    let prevented = std::cell::Cell::new(0);
     let cases = (any::<u64>(), 2..7u32);
     let result = runner.run(&cases, |(seed, hosts)| {
-        needed.set(needed.get() + play(seed, hosts));
+        prevented.set(prevented.get() + run_random_changes(seed, hosts));
         Ok(())
     });
     result.unwrap();
-    // The runs would show a host that follows its own revision only.
-    assert!(needed.get() > 100, "{}", needed.get());
+    // Without the rule, limits would be exceeded in these runs.
+    assert!(prevented.get() > 100, "{}", prevented.get());
 }
 
 fn rate(transition: &ConfigTransition) -> Option<f64> {
     transition.limit_of(VolumeId(7)).map(|limit| limit.rate)
 }
 
-/// Eight rounds of notices among some hosts, none lost.
+/// Runs eight rounds of notices among hosts without losses.
 fn exchange_notices(hosts: &mut [ConfigTransition]) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for round in 0..8 {
@@ -343,17 +343,17 @@
     }
 }
 
-/// One volume over hosts 0 and 1, then over all three with another limit.
+/// A volume is shared by hosts 0 and 1, then by all three hosts with another limit.
 struct LimitCase {
     limit_after: Option<f64>,
-    /// What hosts 0 and 2 may send once both have changed and host 1 has not.
+    /// The rates of hosts 0 and 2 once both have changed and host 1 has not.
     during: [f64; 2],
-    /// What they may send once all have changed and know it.
+    /// The rates of hosts 0 and 2 once all hosts have changed and know that.
     after: [f64; 2],
 }
 
 #[test]
-fn limits_during_a_transition() {
+fn limits_are_the_lowest_of_both_revisions_during_a_transition() {
     let case = |limit_after, during, after| LimitCase {
         limit_after: Some(limit_after),
         during,
@@ -387,15 +387,19 @@
     hosts[1].go_on(chain, at(1)).unwrap();
     exchange_notices(&mut hosts);
     assert_eq!([rate(&hosts[0]), rate(&hosts[2])], case.after.map(Some));
-    // Reported once, as an even share again.
+    // The change back to an even share is reported once.
     let changed = hosts[2].changed();
     assert_eq!(changed.len(), 1);
     assert_eq!(changed[0].part, None);
     assert_eq!(hosts[2].changed(), []);
-    assert_eq!(hosts[0].next(), None, "all know: nothing more is sent");
+    assert_eq!(
+        hosts[0].next(),
+        None,
+        "all hosts know: no more notices are sent"
+    );
 }
 
-/// A chain that is given to a host.
+/// A chain given to a host, and the expected result.
 struct ChainCase {
     /// The revisions in the host's chain; it follows the last.
     current: &'static [u64],
@@ -472,7 +476,7 @@
             (Ok(()), None) => assert_eq!(Some(transition.revision()), last),
             (Err(error), Some(why)) => {
                 assert!(error.to_string().contains(why), "{error}");
-                assert_eq!(transition.revision(), revision_before, "nothing changes");
+                assert_eq!(transition.revision(), revision_before, "the revision stays");
                 assert_eq!(transition.limit_of(VolumeId(7)), limit_before);
             }
             (result, _) => panic!("{held:?}: {result:?}"),
@@ -480,9 +484,9 @@
     }
 }
 
-/// Notices of unknown hosts, cut off, of hosts that went back, and of more hosts than there are.
+/// Notices from unknown hosts, truncated ones, ones from a host that went back, and ones on more hosts than there are.
 #[test]
-fn invalid_and_unusual_notices() {
+fn effects_of_invalid_and_unusual_notices() {
     let notice = |held, revision, hosts: &[u8]| RevisionNotice {
         held: Revision(held),
         revision: Revision(revision),
@@ -516,9 +520,10 @@
     }
 }
 
-/// Notices for two hundred hosts are small, and all know after a few rounds though one was down for long.
+/// Notices for 200 hosts are small. All hosts know that all follow a revision soon after a host that was down for long
+/// has started.
 #[test]
-fn two_hundred_hosts_learn_of_a_revision() {
+fn a_revision_spreads_to_200_hosts() {
     let count = 200;
     let revisions = vec![
         revision_limits(1, &[(0, Some(10.0), &[0, 1])]),
@@ -526,15 +531,19 @@
     ];
     let mut run = Run::new(count, revisions, ChaCha8Rng::seed_from_u64(3));
     (0..count).for_each(|host| run.start(host));
-    (1..count).for_each(|host| run.go_on(host, 1));
+    (1..count).for_each(|host| run.change_revision(host, 1));
     run.hosts[0].transition = None;
-    run.pass(60_000, 0.0);
+    run.run_for(60_000, 0.0);
     let waiting = |run: &Run| {
         run.running()
             .filter(|transition| !transition.all_hosts_follow())
             .count()
     };
-    assert_eq!(waiting(&run), 199, "one that is down is waited for");
+    assert_eq!(
+        waiting(&run),
+        199,
+        "all running hosts wait for the one that is down"
+    );
     assert!(
         run.running()
             .all(|transition| transition.missing().collect::<Vec<_>>() == [HostId(0)])
@@ -549,6 +558,6 @@
     assert!(notices[0].notice.hosts.len() <= 25);
     run.hosts[0].file = 1;
     run.start(0);
-    run.pass(15_000, 0.0);
+    run.run_for(15_000, 0.0);
     assert_eq!(waiting(&run), 0);
 }
--- a/crates/fleet/tests/coordinator_lease.rs
+++ b/crates/fleet/tests/coordinator_lease.rs
@@ -1,4 +1,4 @@
-//! The two sides of the coordinator lease, each by itself: an acceptor and a candidate.
+//! The acceptor and the candidate of the coordinator lease, each tested alone.
 
 use gullsail_fleet::FleetConfig;
 use gullsail_fleet::ballot::Ballot;
@@ -28,14 +28,14 @@
     }
 }
 
-/// What a candidate asks of an acceptor.
+/// The kind of a candidate's request.
 #[derive(Clone, Copy, Debug)]
 enum Request {
     Prepare,
     Propose,
 }
 
-/// A request to an acceptor, and the reply that is expected.
+/// A request to an acceptor, and the expected reply.
 struct AcceptorStep {
     request: Request,
     ballot: Ballot,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Two candidates, the first of which restarts, ask an acceptor that has just started.
+/// Requests of two candidates, the first of which restarts, to an acceptor that has just started.
 fn acceptor_steps() -> [AcceptorStep; 11] {
     use AcceptorReply::{Accepted, Promised, Recovering, Refused};
     use Request::{Prepare, Propose};
@@ -73,7 +73,7 @@
         held_by_other: false,
     };
     [
-        // For two leases a promise of the acceptor's earlier incarnation may be in force.
+        // For two leases a promise of the acceptor's earlier incarnation may still matter.
         step(Prepare, ballot(9, 1), first, 1999, Recovering),
         step(Propose, ballot(9, 1), first, 1999, Recovering),
         step(Prepare, ballot(9, 1), first, 2000, promised),
@@ -87,7 +87,7 @@
             Refused(ballot(9, 1)),
         ),
         step(Propose, ballot(9, 1), first, 2002, Accepted),
-        // Live for a lease: another candidate is told so, and takes no ballot away by asking.
+        // Until the lease expires, another candidate gets no promise, and the holder's ballot stays valid.
         step(Prepare, ballot(12, 2), second, 3001, held_by_other),
         step(Propose, ballot(9, 1), first, 3001, Accepted),
         step(Prepare, ballot(12, 2), second, 4000, held_by_other),
@@ -96,16 +96,16 @@
 }
 
 #[test]
-fn an_acceptor_is_bound_by_earlier_replies_and_silent_while_it_recovers() {
+fn an_acceptor_keeps_its_promises_and_sends_no_replies_while_recovering() {
     let config = slow_config();
     let mut acceptor = Acceptor::new(&config, ms(0));
-    for (place, step) in acceptor_steps().into_iter().enumerate() {
+    for (index, step) in acceptor_steps().into_iter().enumerate() {
         let at = ms(step.at);
         let reply = match step.request {
             Request::Prepare => acceptor.prepare(step.ballot, step.process, at),
             Request::Propose => acceptor.propose(&config, step.ballot, step.process, at),
         };
-        assert_eq!(reply, step.expected, "step {place}, {:?}", step.request);
+        assert_eq!(reply, step.expected, "step {index}, {:?}", step.request);
     }
     let first = process(1, 21);
     let second = process(2, 31);
@@ -124,13 +124,13 @@
     assert!(acceptor.unexpired(ms(4004)).is_none());
 }
 
-/// Promises that come a lease after they were asked for are worth nothing: a voter that has restarted since
-/// may have promised another ballot.
+/// Promises that arrive a lease or more after the request do not count: a voter that has restarted since may have
+/// promised another ballot.
 #[test]
-fn a_ballot_is_given_up_after_a_lease() {
+fn promises_count_only_within_a_lease_of_the_request() {
     let config = slow_config();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    for (late, goes_on) in [(500, true), (997, true), (999, false), (1500, false)] {
+    for (late, proposes) in [(500, true), (997, true), (999, false), (1500, false)] {
         let mut candidate = LeaseCandidate::new(HostId(0), 5, ms(0));
         let request = candidate.advance(&config, None, ms(0), &mut rng);
         let Some(CandidateRequest::Prepare(ballot)) = request else {
@@ -142,14 +142,14 @@
             "one of three is no majority"
         );
         let request = candidate.promised(&config, HostId(1), ballot, false, ms(late));
-        assert_eq!(request.is_some(), goes_on, "{late}");
+        assert_eq!(request.is_some(), proposes, "{late}");
         if let Some(CandidateRequest::Propose(proposal)) = request {
             check_held_from_proposal(&mut candidate, &config, proposal, late);
         }
     }
 }
 
-/// The candidate relies on its lease from when it proposed, not from when it was accepted.
+/// Checks that the lease counts from the proposal, not from the acceptances.
 fn check_held_from_proposal(
     candidate: &mut LeaseCandidate,
     config: &FleetConfig,
--- a/crates/fleet/tests/delayed_increase.rs
+++ b/crates/fleet/tests/delayed_increase.rs
@@ -1,14 +1,14 @@
-//! A share whose increase counts a window later.
+//! Shares whose increases are delayed by one window.
 
 use gullsail_fleet::delayed_increase::DelayedIncrease;
 use gullsail_scheduler_api::{Instant, Span};
 
-/// A share that is held from some time on, in milliseconds.
+/// A share that the host holds from `at` on, in milliseconds, and the expected result.
 struct Step {
     at: i64,
     held: u32,
     usable: u32,
-    /// When the usable share changes next.
+    /// When the usable share grows next; `None`: no increase is pending.
     next: Option<i64>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_increase_counts_a_window_later_and_a_decrease_at_once() {
+fn an_increase_applies_after_a_window_and_a_decrease_at_once() {
     let ms = |ms: i64| Instant::from_micros(ms * 1000);
     let mut delayed_increase = DelayedIncrease::new(Span::from_millis(1000.0));
     for step in steps() {
--- a/crates/fleet/tests/exploration.rs
+++ b/crates/fleet/tests/exploration.rs
@@ -1,7 +1,7 @@
-//! Explores all orders of events, some steps deep, in fleets of three hosts and one budget. A message in flight
-//! is delivered, lost or repeated; time passes; a host fails, restarts, is paused or continues. It starts
-//! before a coordinator is elected, while shares move, and after the coordinator failed or was paused.
-//! `FLEET_DEPTH` sets the number of steps.
+//! Explores all sequences of a few events in a fleet of three hosts with one budget. A message in flight is delivered,
+//! lost or repeated; time passes; a host crashes, starts, is paused or resumes. The exploration starts from four states:
+//! before a coordinator is elected, while shares move, and after the coordinator has crashed or was paused.
+//! `FLEET_DEPTH` sets the number of events.
 
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
 use gullsail_protocol::FleetMessage;
@@ -13,7 +13,7 @@
 const LEASE: i64 = 1_000_000;
 const DRIFT: f64 = 0.01;
 const BUDGET: VolumeId = VolumeId(1);
-/// By how much clocks differ: as much as is allowed.
+/// The rates of the hosts' clocks, which differ as much as the drift allows.
 const CLOCK_RATES: [f64; 3] = [1.0, 1.0 + DRIFT, 1.0 - DRIFT];
 
 #[derive(Clone, Debug)]
@@ -27,9 +27,9 @@
 struct State {
     now: i64,
     hosts: Vec<Option<Fleet>>,
-    still: [bool; 3],
+    paused: [bool; 3],
     incarnations: u64,
-    /// In the order they were sent.
+    /// Messages in flight, in the order in which they were sent.
     in_flight: Vec<InFlight>,
     faults: u32,
 }
@@ -40,10 +40,10 @@
     Lost(usize),
     Repeated(usize),
     TimePasses(i64),
-    Dies(u32),
+    Crashes(u32),
     Starts(u32),
-    StandsStill(u32),
-    GoesOn(u32),
+    IsPaused(u32),
+    Resumes(u32),
 }
 
 fn fleet_config() -> Arc<FleetConfig> {
@@ -71,7 +71,7 @@
         let mut state = State {
             now: 0,
             hosts: vec![None, None, None],
-            still: [false; 3],
+            paused: [false; 3],
             incarnations: 0,
             in_flight: vec![],
             faults: 0,
@@ -94,14 +94,14 @@
             u64::from(host),
             self.clock(host),
         ));
-        self.still[host as usize] = false;
+        self.paused[host as usize] = false;
     }
 
     fn turn(&mut self, host: u32) {
         let now = self.clock(host);
         let Some(fleet) = self.hosts[host as usize]
             .as_mut()
-            .filter(|_| !self.still[host as usize])
+            .filter(|_| !self.paused[host as usize])
         else {
             return;
         };
@@ -114,15 +114,15 @@
         self.in_flight.extend(sent);
     }
 
-    fn deliver(&mut self, place: usize, stays: bool) {
-        let InFlight { from, to, message } = self.in_flight[place].clone();
-        if !stays {
-            self.in_flight.remove(place);
+    fn deliver(&mut self, index: usize, is_repeated: bool) {
+        let InFlight { from, to, message } = self.in_flight[index].clone();
+        if !is_repeated {
+            self.in_flight.remove(index);
         }
         let now = self.clock(to);
         if let Some(fleet) = self.hosts[to as usize]
             .as_mut()
-            .filter(|_| !self.still[to as usize])
+            .filter(|_| !self.paused[to as usize])
         {
             fleet.handle(
                 now,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Everything is delivered at once, for so long: how a point is reached from which to explore.
-    fn calm(&mut self, span: i64) {
+    /// Runs without faults for a time and delivers all messages at once, to reach a state from which to explore.
+    fn run_without_faults(&mut self, span: i64) {
         let end = self.now + span;
         while self.now < end {
             self.now += 20_000;
@@ -161,7 +161,7 @@
     }
 
     fn steps(&self) -> Vec<Step> {
-        // Of many in flight the oldest few: the others are as good as not sent yet.
+        // Only the oldest messages in flight are candidates; to handle the others later is the same as to send them later.
         let in_flight = 0..self.in_flight.len().min(4);
         let mut all: Vec<Step> = in_flight.clone().map(Step::Delivered).collect();
         all.extend([LEASE / 8, LEASE / 2, LEASE * 11 / 10].map(Step::TimePasses));
@@ -173,44 +173,44 @@
                     .chain(in_flight.map(Step::Repeated)),
             );
             for host in 0..3 {
-                match (&self.hosts[host as usize], self.still[host as usize]) {
+                match (&self.hosts[host as usize], self.paused[host as usize]) {
                     (None, _) => all.push(Step::Starts(host)),
-                    (Some(_), false) => all.extend([Step::Dies(host), Step::StandsStill(host)]),
+                    (Some(_), false) => all.extend([Step::Crashes(host), Step::IsPaused(host)]),
                     _ => {}
                 }
             }
         }
-        let still = (0..3).filter(|host| self.still[*host as usize]);
-        all.extend(still.map(Step::GoesOn));
+        let paused = (0..3).filter(|host| self.paused[*host as usize]);
+        all.extend(paused.map(Step::Resumes));
         all
     }
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Delivered(place) => return self.deliver(place, false),
+            Step::Delivered(index) => return self.deliver(index, false),
             Step::TimePasses(span) => {
                 self.now += span;
                 return (0..3).for_each(|host| self.turn(host));
             }
-            Step::GoesOn(host) => {
-                self.still[host as usize] = false;
+            Step::Resumes(host) => {
+                self.paused[host as usize] = false;
                 return self.turn(host);
             }
-            Step::Lost(place) => _ = self.in_flight.remove(place),
-            Step::Repeated(place) => self.deliver(place, true),
-            Step::Dies(host) => self.hosts[host as usize] = None,
+            Step::Lost(index) => _ = self.in_flight.remove(index),
+            Step::Repeated(index) => self.deliver(index, true),
+            Step::Crashes(host) => self.hosts[host as usize] = None,
             Step::Starts(host) => {
                 self.start(host);
                 self.turn(host);
             }
-            Step::StandsStill(host) => self.still[host as usize] = true,
+            Step::IsPaused(host) => self.paused[host as usize] = true,
         }
         self.faults += 1;
     }
 
-    /// What does not hold now, if anything; of the hosts that run and do not stand still.
+    /// Returns the invariant that running hosts violate now: shares exceed the budget, or two hosts are coordinator.
     fn violation(&self) -> Option<String> {
-        let runs = (0..3).filter(|host| !self.still[*host as usize]);
+        let runs = (0..3).filter(|host| !self.paused[*host as usize]);
         let runs: Vec<_> = runs
             .filter_map(|host| Some((host, self.hosts[host as usize].as_ref()?)))
             .collect();
@@ -223,14 +223,14 @@
             .filter(|(host, fleet)| fleet.decides(self.clock(*host)))
             .count();
         let sum: u32 = shares.iter().map(|(_, share)| share).sum();
-        (sum > WHOLE || deciding > 1).then(|| format!("{shares:?} in use, {deciding} decide"))
+        (sum > WHOLE || deciding > 1).then(|| format!("{shares:?} in use, {deciding} coordinators"))
     }
 
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!(
             "{:?}{:?}{:?}{}",
-            self.hosts, self.in_flight, self.still, self.now
+            self.hosts, self.in_flight, self.paused, self.now
         )
         .hash(&mut hasher);
         hasher.finish()
@@ -245,8 +245,8 @@
         let mut next = state.clone();
         next.apply(step);
         path.push(step);
-        if let Some(what) = next.violation() {
-            panic!("{what} after {path:?}");
+        if let Some(violation) = next.violation() {
+            panic!("{violation} after {path:?}");
         }
         explore(&next, depth - 1, seen, path);
         path.pop();
@@ -260,29 +260,29 @@
         .and_then(|depth| depth.parse().ok())
         .unwrap_or(5);
     let mut starting = State::new();
-    starting.calm(LEASE - 20_000);
+    starting.run_without_faults(LEASE - 20_000);
     starting.now += LEASE / 4;
-    // All have their shares, and the demand moves from one host to another.
+    // All hosts hold shares, and the demand moves from one host to another.
     let mut moving = State::new();
     moving.set_demand(0, 100.0);
-    moving.calm(6 * LEASE);
+    moving.run_without_faults(6 * LEASE);
     moving.set_demand(2, 1000.0);
     (0..3).for_each(|host| moving.turn(host));
-    let mut coordinator_died = moving.clone();
+    let mut coordinator_crashed = moving.clone();
     let coordinator = (0..3).find(|host| {
-        coordinator_died.hosts[*host as usize]
+        coordinator_crashed.hosts[*host as usize]
             .as_ref()
-            .is_some_and(|fleet| fleet.decides(coordinator_died.clock(*host)))
+            .is_some_and(|fleet| fleet.decides(coordinator_crashed.clock(*host)))
     });
     let coordinator = coordinator.expect("a coordinator is elected by now");
-    coordinator_died.hosts[coordinator as usize] = None;
-    coordinator_died.now += LEASE * 9 / 10;
-    // The coordinator stands still, and goes on when its lease is just over.
-    let mut coordinator_still = moving.clone();
-    coordinator_still.still[coordinator as usize] = true;
-    coordinator_still.now += LEASE;
+    coordinator_crashed.hosts[coordinator as usize] = None;
+    coordinator_crashed.now += LEASE * 9 / 10;
+    // The coordinator is paused until its lease has just expired.
+    let mut coordinator_paused = moving.clone();
+    coordinator_paused.paused[coordinator as usize] = true;
+    coordinator_paused.now += LEASE;
     let mut states = 0;
-    for state in [starting, moving, coordinator_died, coordinator_still] {
+    for state in [starting, moving, coordinator_crashed, coordinator_paused] {
         let mut seen = HashSet::new();
         explore(&state, depth, &mut seen, &mut Vec::new());
         states += seen.len();
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -1,4 +1,4 @@
-//! The two sides of a grant, each by itself, and how a budget is divided.
+//! The member's and the coordinator's side of grants, each tested alone, and the division of a budget.
 
 use gullsail_fleet::allocation::{HostDemand, divide};
 use gullsail_fleet::ballot::Ballot;
@@ -50,17 +50,17 @@
     }
 }
 
-/// A member that was polled by a coordinator of round 5.
+/// A member that was polled by the coordinator of round 5.
 fn polled_member() -> MemberLeaseHolder {
     let mut holder = MemberLeaseHolder::new(ms(0));
     assert!(holder.accept_poll(HostId(0), ballot(5), ms(0)));
     holder
 }
 
-/// Two renewals overtook each other: the first was answered last. Its lease ends first, and the answer to the
-/// second, late or repeated, is no more than was released since.
+/// Two renewals overtook each other, so the older grant answers the later renewal. It arrives after the lease of the
+/// newer grant has expired. The coordinator may have granted its share to other hosts by then.
 #[test]
-fn an_older_grant_is_not_accepted_after_the_newer_ones_lease() {
+fn an_older_grant_is_refused_after_the_newer_lease_expired() {
     let config = fleet_config(2);
     let mut holder = polled_member();
     let first = holder.register_renewal(ms(0));
@@ -71,7 +71,7 @@
     assert!(holder.drop_expired_lease(ms(990)));
     assert!(!holder.accept_grant(&config, grant_id(5, 1), second, shares(900), ms(1000)));
     assert_eq!(holder.share(BUDGET, ms(1000)), None);
-    // The next one is.
+    // A newer grant is accepted.
     assert!(holder.accept_grant(&config, grant_id(5, 3), second, shares(400), ms(1000)));
 }
 
@@ -82,11 +82,11 @@
     renewal: u64,
     at: i64,
     accepted: bool,
-    /// What may be used afterwards.
+    /// The member's share afterwards; `None`: it holds no lease.
     share: Option<u32>,
 }
 
-/// Grants that come to a member one after the other, in several cases.
+/// Several cases of grants that a member receives one after the other.
 fn grant_sequences() -> [Vec<Grant>; 6] {
     let grant = |round, serial, renewal, at, accepted, share| Grant {
         round,
@@ -98,19 +98,19 @@
     };
     [
         vec![grant(5, 1, 1, 100, true, Some(1))],
-        // A lease less the drift after the renewal was sent it is over.
+        // The lease expires one lease, less the clock drift, after the renewal was sent.
         vec![
             grant(5, 1, 1, 979, true, Some(1)),
             grant(5, 2, 1, 981, false, None),
         ],
-        // An older grant, a repeated one, one for a renewal that was never sent.
+        // An older grant, a repeated grant, and a grant for a renewal that was never sent.
         vec![
             grant(5, 2, 1, 100, true, Some(2)),
             grant(5, 1, 2, 200, false, Some(2)),
             grant(5, 2, 2, 200, false, Some(2)),
         ],
         vec![grant(5, 1, 9, 100, false, None)],
-        // Of a coordinator before the one that polled since.
+        // Grants of a coordinator before the newest one.
         vec![grant(4, 7, 1, 100, false, None)],
         vec![
             grant(5, 1, 1, 100, true, Some(1)),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_grant_counts_from_its_renewal_and_only_forwards() {
+fn a_lease_counts_from_its_renewal_and_stale_grants_are_refused() {
     let config = fleet_config(2);
     for (case, grants) in grant_sequences().iter().enumerate() {
         let mut holder = polled_member();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_member_renews_four_times_a_lease_and_through_others_when_nobody_answers() {
+fn a_member_renews_four_times_a_lease_and_uses_relays_without_an_answer() {
     let config = fleet_config(2);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut holder = MemberLeaseHolder::new(ms(0));
@@ -158,7 +158,7 @@
             renewals.push((at, renewal.use_relays));
         }
     }
-    // For two leases, then it knows of no coordinator any more.
+    // It renews for two leases without an answer. After that the coordinator counts as unknown.
     assert!((7..=10).contains(&renewals.len()), "{renewals:?}");
     assert!(
         renewals
@@ -195,19 +195,19 @@
     }
 }
 
-/// A new coordinator grants what each host reports it holds, and more only when all have reported or one
-/// lease is over.
+/// A new coordinator grants each host the shares that the host reports. It grants more only once all hosts have reported
+/// or one lease has passed.
 #[test]
-fn a_takeover_asks_waits_and_goes_on() {
+fn shares_grow_in_a_takeover_only_after_all_reports_or_one_lease() {
     let config = fleet_config(2);
-    // what the other host reports it holds, and when; when this one renews, and what it is granted
+    // share that the other host reports, and when; time at which this host renews, and its expected share
     let cases = [
         (None, 0, 900, 300_000),
         (None, 0, 1001, 950_000),
         (Some(600_000), 10, 20, 400_000),
-        // All have reported, and no more is counted of the other than its own.
+        // All hosts have reported, so the other host is counted with the share that it reported.
         (Some(200_000), 10, 300, 450_000),
-        // A host that holds nothing may be another process of its name.
+        // A host that reports no share may be a new process; its earlier process may still hold one.
         (Some(0), 10, 300, 300_000),
     ];
     for (other, reported_at, at, expected) in cases {
@@ -230,16 +230,16 @@
             "{other:?} at {at}: {share}, {expected} expected"
         );
     }
-    // What was written before its sender knew of this term says nothing of what is held now.
+    // A renewal sent before the member learned of this coordinator does not show which shares it holds now.
     let mut coordinator = Coordinator::new(&config, ballot(9), 1, ms(0));
     let outcome = coordinator.renew(&config, renewal(1, 8, 5, 300_000), ms(1));
     assert!(matches!(outcome, RenewalOutcome::StaleBallot));
     assert!(coordinator.members.is_empty());
 }
 
-/// A share grows only after the others are known to have released theirs, or their lease is over.
+/// A share grows only after other hosts have confirmed smaller shares or their leases have expired.
 #[test]
-fn shares_shrink_first() {
+fn a_share_grows_only_after_other_shares_are_released() {
     let config = fleet_config(2);
     let mut coordinator = Coordinator::new(&config, ballot(9), 1, ms(0));
     let asking = |host: u32, serial: u64, demand: f64| Renewal {
@@ -256,8 +256,8 @@
     let first = granted(coordinator.renew(&config, asking(0, 0, 100.0), ms(1010))).unwrap();
     let mut held = 0;
     assert!(first > 900_000);
-    // The other asks for nearly all: it gets what is free, and the first one's share is smaller from its next
-    // renewal on.
+    // The other host's demand is nearly all. It gets the available share; the first host's share shrinks with its next
+    // renewal.
     for at in (1100..1900).step_by(100) {
         held = granted(coordinator.renew(&config, asking(1, 0, 10_000.0), ms(at))).unwrap();
         assert!(held <= 1_000_000 - first, "{held}");
@@ -267,7 +267,10 @@
     let small = granted(shrunk).unwrap();
     assert!(small < 200_000, "{small}");
     let unchanged = granted(coordinator.renew(&config, asking(1, 0, 10_000.0), ms(1950))).unwrap();
-    assert_eq!(unchanged, held, "the first one has not confirmed it");
+    assert_eq!(
+        unchanged, held,
+        "the first host has not confirmed its smaller share"
+    );
     coordinator.renew(&config, asking(0, serial, 100.0), ms(2000));
     let grown = granted(coordinator.renew(&config, asking(1, 0, 10_000.0), ms(2050))).unwrap();
     assert!(grown > 800_000);
@@ -277,14 +280,14 @@
 /// A thousandth of the whole: the unit of the table below.
 const THOUSANDTH: u32 = WHOLE / 1000;
 
-/// How a budget is divided among four members.
+/// A division of a budget among four members.
 struct DivisionCase {
     demands: [f64; 4],
     committed_elsewhere: u64,
-    /// The share that holds one largest request.
+    /// The share that holds one request of the largest size.
     least: u32,
     turn: u64,
-    /// The share of each member, within a tolerance.
+    /// The share of each member, compared within a tolerance.
     expected: [u32; 4],
 }
 
@@ -306,9 +309,9 @@
         case([10.0, 0.0, 0.0, 0.0], 0, [790, 70, 70, 70]),
         case([30.0, 10.0, 0.0, 0.0], 0, [610, 250, 70, 70]),
         case([10.0, 10.0, 0.0, 0.0], 600_000, [145, 145, 55, 55]),
-        // One largest request for each member with demand comes first.
+        // Each member with demand first gets the share for one request of the largest size.
         large_requests([99.0, 1.0, 0.0, 0.0], 200, 0, [650, 210, 70, 70]),
-        // Two of four at a time.
+        // The budget holds such a share for two of four members at a time.
         large_requests([1.0, 1.0, 1.0, 1.0], 400, 0, [500, 400, 50, 50]),
         large_requests([1.0, 1.0, 1.0, 1.0], 400, 1, [50, 500, 400, 50]),
         large_requests([1.0, 1.0, 1.0, 1.0], 400, 3, [400, 50, 50, 500]),
@@ -316,7 +319,7 @@
 }
 
 #[test]
-fn budgets_go_by_demand_over_floors_and_in_turns_where_they_are_small() {
+fn budgets_are_divided_by_demand_above_floors_or_in_turns_if_small() {
     for case in division_cases() {
         let DivisionCase {
             demands,
--- a/crates/fleet/tests/maintenance/access.rs
+++ b/crates/fleet/tests/maintenance/access.rs
@@ -1,13 +1,13 @@
-//! What a host may send to, by its order book and its lease.
+//! The servers that a host may send to, by its order book and its lease.
 
 use crate::fixtures::{SERVER, maintenance_config, order};
 use gullsail_fleet::maintenance::{OrderBook, Stage, may_use};
 use gullsail_scheduler_api::Instant;
 
 struct Case {
-    /// Of the order for the server; `None`: there is no order.
+    /// The stage of the order for the server; `None`: there is no order.
     stage: Option<Stage>,
-    /// Since when the host holds no lease; `None`: it holds one.
+    /// When the lease that confirmed the order book expired; `None`: it has not expired.
     lease_lost: Option<i64>,
     now: i64,
     may: bool,
@@ -30,8 +30,7 @@
         case(Some(Overdue), None, 0, false),
         case(Some(Returning), None, 0, true),
         case(Some(Cancelled), None, 0, true),
-        // Without a lease: servers with an open order are released at once, all others after the
-        // isolation grace.
+        // Without a lease, a host may not send to servers with an open order, nor to others after the isolation grace.
         case(None, Some(100), 200, true),
         case(None, Some(100), 3000, true),
         case(None, Some(100), 3100, false),
@@ -42,7 +41,7 @@
 }
 
 #[test]
-fn what_a_host_may_send_to_goes_by_its_order_book_and_its_lease() {
+fn access_to_a_server_follows_the_order_book_and_the_lease() {
     let at = |ms: i64| Instant::from_micros(ms * 1000);
     let config = maintenance_config();
     for Case {
@@ -72,6 +71,6 @@
     }
     assert!(
         !may_use(None, &config, 0.0, None, SERVER, at(0)),
-        "a host that knows no order book"
+        "a host without an order book"
     );
 }
--- a/crates/fleet/tests/maintenance/coordinator.rs
+++ b/crates/fleet/tests/maintenance/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator's side: when a server counts as released and as offline, and how an order book is taken
-//! over.
+//! The coordinator's side of maintenance: when a server counts as released and as offline, and the adoption of an order
+//! book.
 
 use crate::fixtures::{Driver, SERVER, ms, order, report};
 use gullsail_fleet::ballot::Ballot;
@@ -18,8 +18,7 @@
     }
 }
 
-/// All three hosts renew. Host 0 is last known in its first incarnation at 2000, and from then on in this
-/// one.
+/// All three hosts renew. Host 0 renews in its first incarnation until 2000, and after that in `incarnation`.
 fn renew_all(driver: &mut Driver, incarnation: u64, at: i64, released: bool) {
     for host in 0..3 {
         let later = host == 0 && at > 2000;
@@ -43,11 +42,11 @@
     driver.advance(ms(at), true);
 }
 
-/// A host that died and has restarted reports that it released the server; the process before may live on,
-/// cut off, with a lease and then the blind time: the server is not drained before that process is surely
-/// over. With a host that was a member all the while nothing is waited for.
+/// A host that has restarted reports that it released the server. Its earlier process may still run without a connection
+/// to the coordinator, and may use the server for a lease plus the isolation grace, so the coordinator waits for that
+/// long. For a host that did not restart it does not wait.
 #[test]
-fn a_process_that_may_live_on_under_a_name_is_waited_out() {
+fn a_server_is_drained_only_after_leases_of_earlier_processes_expired() {
     for (incarnation, drained_at) in [(1, 2500), (2, 6000)] {
         let mut driver = Driver::new(3, 2, None, ms(-20_000));
         renew_all(&mut driver, incarnation, 0, false);
@@ -64,21 +63,20 @@
             CommandDecision::Accepted
         );
         assert_eq!(driver.stage(), Some(Stage::Draining));
-        let mut went_at = None;
+        let mut drained = None;
         for at in (2500..12_000).step_by(500) {
             renew_all(&mut driver, incarnation, at, true);
-            if went_at.is_none() && driver.stage() > Some(Stage::Draining) {
-                went_at = Some(at);
+            if drained.is_none() && driver.stage() > Some(Stage::Draining) {
+                drained = Some(at);
             }
         }
-        // 2000 and a lease and the blind time, or the first report that it released the server and knows the
-        // order.
-        assert_eq!(went_at, Some(drained_at), "incarnation {incarnation}");
+        // 2000 plus a lease and the isolation grace, or the first report of the release by a host that has the order.
+        assert_eq!(drained, Some(drained_at), "incarnation {incarnation}");
     }
 }
 
-/// Host 0 has restarted and still uses the server, the other hosts have released it. The departure of host 0's
-/// earlier process comes late and does not stand for the process that runs now.
+/// Host 0 has restarted and still uses the server; the other hosts have released it. The departure of host 0's earlier
+/// process arrives late and must not count for the process that runs now.
 #[test]
 fn a_late_departure_of_an_earlier_process_does_not_count() {
     for (departed, expected) in [(1, Stage::Draining), (2, Stage::Drained)] {
@@ -89,7 +87,7 @@
             ..command(CommandKind::TakeOffline)
         };
         driver.command(&command, ms(0));
-        // Beyond 6000, when the earlier process may have used the server last.
+        // Past 6000, until when the earlier process may use the server.
         for at in (500..=6500).step_by(500) {
             renew_all(&mut driver, 2, at, false);
         }
@@ -122,33 +120,33 @@
     }
 }
 
-/// What is taken over: the stage of the order, and whether the order book was begun anew.
+/// The adopted order book: the stage of its order, and whether it was started without a quorum.
 #[derive(Debug, PartialEq)]
-struct TakenOver {
+struct Adopted {
     stage: Option<Stage>,
     anew: bool,
 }
 
-/// A new coordinator takes over the newest order book among so many informed hosts that any majority has one
-/// of them; where too many hosts have just started for that ever to be, it begins anew and says so.
+/// A new coordinator adopts the newest order book once so many hosts have reported theirs that every majority includes one
+/// of them. If too many hosts have just started for that, it starts an order book without a quorum and marks it.
 #[test]
-fn an_order_book_is_taken_over_from_enough_hosts_or_begun_anew() {
-    let taken = |stage, anew| {
-        Some(TakenOver {
+fn an_order_book_is_adopted_from_enough_hosts_or_started_without_a_quorum() {
+    let adopts = |stage, anew| {
+        Some(Adopted {
             stage: Some(stage),
             anew,
         })
     };
-    // what each host that reports remembers, by round (0: nothing); what is taken over
-    type Case = (&'static [u64], Option<TakenOver>);
+    // round of the order book that each host reports (0: it has none); the adopted order book
+    type Case = (&'static [u64], Option<Adopted>);
     let cases: [Case; 6] = [
-        // Its own order book alone, or with one more: a majority of others may know a later one.
+        // One or two of five hosts have reported an order book: the other three may have a later one.
         (&[4], None),
         (&[4, 4], None),
         (&[4, 4, 0, 0], None),
-        (&[4, 4, 6], taken(Stage::Overdue, false)),
-        (&[4, 4, 4], taken(Stage::Approved, false)),
-        (&[4, 0, 0, 0], taken(Stage::Approved, true)),
+        (&[4, 4, 6], adopts(Stage::Overdue, false)),
+        (&[4, 4, 4], adopts(Stage::Approved, false)),
+        (&[4, 0, 0, 0], adopts(Stage::Approved, true)),
     ];
     for (rounds, expected) in cases {
         let mut driver = Driver::new(5, 0, Some(order_book(4, Stage::Approved)), ms(0));
@@ -168,14 +166,14 @@
         assert_eq!(
             driver.coordinator.order_book(),
             None,
-            "{rounds:?}: before earlier grants are over"
+            "{rounds:?}: before earlier grants have expired"
         );
         driver.advance(ms(1000), true);
-        assert_eq!(taken_over(&driver), expected, "{rounds:?}");
+        assert_eq!(adopted(&driver), expected, "{rounds:?}");
     }
 }
 
-fn taken_over(driver: &Driver) -> Option<TakenOver> {
+fn adopted(driver: &Driver) -> Option<Adopted> {
     // An approved order may start to drain in the same step.
     let stage = driver.stage().map(|stage| {
         if stage == Stage::Draining {
@@ -185,14 +183,14 @@
         }
     });
     let order_book = driver.coordinator.order_book()?;
-    Some(TakenOver {
+    Some(Adopted {
         stage,
         anew: order_book.anew != 0,
     })
 }
 
-/// All five hosts renew and have released the server. The first `informed` know the newest order book, the
-/// others `old`.
+/// All five hosts renew and report that they released the server. The first `informed` hosts have the newest order book,
+/// the others have version `old`.
 fn all_released(
     driver: &mut Driver,
     at: i64,
@@ -215,26 +213,26 @@
     driver.stage()
 }
 
-/// All hosts have released the server, but it is offline only when most know that; from then on no
-/// cancellation is accepted, whoever is coordinator.
+/// All hosts have released the server, but its order becomes offline only once a majority of hosts has the drained order.
+/// A drained or offline order cannot be cancelled.
 #[test]
-fn a_server_is_offline_when_most_hosts_know_that_all_released_it_and_that_is_final() {
+fn a_server_is_offline_once_a_majority_has_the_drained_order() {
     let before = order_book(9, Stage::Draining);
     let mut driver = Driver::new(5, 4, Some(before.clone()), ms(0));
     assert_eq!(
         all_released(&mut driver, 0, 0, Some(before.version)),
         Some(Stage::Draining),
-        "nobody knows the order book that was taken over"
+        "no host has the adopted order book"
     );
-    let taken_over = driver.version();
+    let adopted_version = driver.version();
     assert_eq!(
-        all_released(&mut driver, 100, 5, taken_over),
+        all_released(&mut driver, 100, 5, adopted_version),
         Some(Stage::Drained)
     );
     assert_eq!(
-        all_released(&mut driver, 200, 2, taken_over),
+        all_released(&mut driver, 200, 2, adopted_version),
         Some(Stage::Drained),
-        "two of five know"
+        "two of five have the order book"
     );
     let decision = driver.command(&command(CommandKind::Cancel), ms(200));
     let CommandDecision::Refused { refusal, .. } = decision else {
@@ -242,7 +240,7 @@
     };
     assert!(refusal.to_string().contains("out already"));
     assert_eq!(
-        all_released(&mut driver, 300, 3, taken_over),
+        all_released(&mut driver, 300, 3, adopted_version),
         Some(Stage::Offline)
     );
     let decision = driver.command(&command(CommandKind::Cancel), ms(300));
@@ -252,7 +250,7 @@
         CommandDecision::Pending
     );
     assert_eq!(
-        all_released(&mut driver, 350, 3, taken_over),
+        all_released(&mut driver, 350, 3, adopted_version),
         Some(Stage::Returning)
     );
 }
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -1,5 +1,4 @@
-//! Settings, servers and orders that the tests share, and a coordinator that is driven by reports of its
-//! hosts.
+//! Settings, servers and orders that the tests share, and a driver for a maintenance coordinator.
 
 use gullsail_fleet::FleetConfig;
 use gullsail_fleet::ballot::Ballot;
@@ -14,7 +13,7 @@
 use gullsail_scheduler_api::{HostId, Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// By a clock that began long ago.
+/// Returns the time `ms` milliseconds after a reference time. Earlier times can be expressed too.
 pub fn ms(ms: i64) -> Instant {
     Instant::from_micros(1_000_000_000 + ms * 1000)
 }
@@ -34,7 +33,7 @@
     }
 }
 
-/// A lease of one second, clocks alike.
+/// Settings with a lease of one second and no clock drift.
 fn fleet_config(hosts: u32) -> FleetConfig {
     FleetConfig {
         fleet: 7,
@@ -47,8 +46,8 @@
     }
 }
 
-/// Nodes 1 to 6: two for each shard, odd ones in zone 0, with a capacity of 100 each; servers 11 to 15 are
-/// hosts 0 to 4, each in a zone of its own from 2 on.
+/// Servers 1 to 6 are nodes: two for each shard, odd ones in zone 1 and even ones in zone 0, with a capacity of 100 each.
+/// Servers 11 to 15 are hosts 0 to 4, in zones 2 to 6.
 pub fn servers() -> Servers {
     let observation = |what, zone| ServerObservation {
         what,
@@ -93,7 +92,7 @@
     }
 }
 
-/// At eleven o'clock, with three voters and nothing served.
+/// A snapshot at about eleven o'clock, with three voters and no load.
 pub fn snapshot<'a>(
     servers: &'a Servers,
     members: &'a BTreeSet<u32>,
@@ -111,10 +110,10 @@
     }
 }
 
-/// What the tests ask of the coordinator, all about server 1.
+/// The server that all orders and commands of the driver are for.
 pub const SERVER: ServerId = ServerId(1);
 
-/// A coordinator of maintenance, and the hosts that report to it.
+/// A maintenance coordinator, with the settings and servers that it works on.
 pub struct Driver {
     pub coordinator: MaintenanceCoordinator,
     pub ballot: Ballot,
@@ -128,11 +127,11 @@
 }
 
 impl Driver {
-    /// Elected by round 9 at `since`; host `me`, which knows `own`.
-    pub fn new(hosts: u32, me: u32, own: Option<OrderBook>, since: Instant) -> Driver {
+    /// Host `me`, elected at `elected_at` by a ballot of round 9, with this copy of the order book.
+    pub fn new(hosts: u32, me: u32, host_copy: Option<OrderBook>, elected_at: Instant) -> Driver {
         let ballot = Ballot { round: 9, by: 0 };
         Driver {
-            coordinator: MaintenanceCoordinator::new(ballot, own, since),
+            coordinator: MaintenanceCoordinator::new(ballot, host_copy, elected_at),
             ballot,
             config: fleet_config(hosts),
             maintenance: maintenance_config(),
@@ -148,7 +147,7 @@
             .renewal_reported(&self.config, &self.maintenance, report, now);
     }
 
-    /// The report, and the lease that answers it.
+    /// Handles a report and grants a lease in answer.
     pub fn renew(&mut self, report: RenewalReport, now: Instant) {
         let host = report.host;
         self.report(report, now);
@@ -187,12 +186,12 @@
     }
 }
 
-/// Of a host in its first incarnation that has been a member for a minute and released nothing.
-pub fn report(host: u32, known: Option<OrderBookVersion>) -> RenewalReport {
+/// The report of a host in its first incarnation that has been a member for a minute and released no server.
+pub fn report(host: u32, known_version: Option<OrderBookVersion>) -> RenewalReport {
     RenewalReport {
         host: HostId(host),
         incarnation: 1,
-        known_version: known,
+        known_version,
         released: BTreeSet::new(),
         member_for: Span::from_millis(60_000.0),
         served: 0.0,
--- a/crates/fleet/tests/maintenance/main.rs
+++ b/crates/fleet/tests/maintenance/main.rs
@@ -1,4 +1,4 @@
-//! Servers taken offline, without a fleet around them: which goes next, what a host may send to, and the
+//! The modules of maintenance tested without a fleet: selection of the next server, access to servers, and the
 //! coordinator's side.
 
 mod access;
--- a/crates/fleet/tests/maintenance/selection.rs
+++ b/crates/fleet/tests/maintenance/selection.rs
@@ -1,4 +1,4 @@
-//! Which server goes next, by tables: a function of the order book, the servers and the settings alone.
+//! Table tests of the selection of the next server.
 
 use crate::fixtures::{maintenance_config, order, servers, snapshot};
 use gullsail_fleet::maintenance::Stage::{Approved, Done, Draining, Offline, Requested, Returning};
@@ -7,16 +7,16 @@
 use std::collections::BTreeSet;
 
 struct Case {
-    /// Server, stage, and how often it was overtaken.
+    /// Server, stage, and how often the order was overtaken.
     orders: &'static [(u64, Stage, u32)],
-    /// Servers that do not work.
+    /// Servers that have failed.
     failed: &'static [u64],
     members: &'static [u32],
     served: f64,
     second_of_day: u32,
-    /// The server that goes.
+    /// The server that is selected.
     next: Option<u64>,
-    /// Servers that wait, and a part of the reason.
+    /// Servers that wait, and a part of the reason for each.
     waiting: &'static [(u64, &'static str)],
 }
 
@@ -37,8 +37,7 @@
         waiting: &[(2, "another server drains first")],
         ..CASE
     },
-    // Requested is not approved; one in its zone is away; a place that is free goes to a server that can have
-    // it.
+    // A requested order is not approved yet. An order that is blocked by its zone's limit does not delay a later one.
     Case {
         orders: &[(1, Requested, 0)],
         ..CASE
@@ -60,7 +59,7 @@
         next: Some(3),
         ..CASE
     },
-    // The other holder of its shard is away, or failed by itself.
+    // The other holder of the shard is away by its order, or has failed.
     Case {
         orders: &[(1, Offline, 0), (2, Approved, 0)],
         waiting: &[(2, "shard 1 would have too few holders left")],
@@ -72,8 +71,8 @@
         waiting: &[(1, "shard 1 would have too few holders left")],
         ..CASE
     },
-    // A failed one goes first, and takes nothing away by going; but no more are under maintenance than may
-    // be.
+    // A failed server comes first, since taking it offline removes no capacity. The limit of servers under maintenance
+    // still applies.
     Case {
         orders: &[(1, Approved, 0), (4, Approved, 0)],
         failed: &[4],
@@ -87,14 +86,14 @@
         waiting: &[(4, "2 of 2 away in all")],
         ..CASE
     },
-    // Three of six would stay, of which half must; two of six would not do.
+    // Two servers have failed, so a healthy one cannot go: the limit of servers away is reached.
     Case {
         orders: &[(1, Approved, 0)],
         failed: &[4, 6],
         waiting: &[(1, "2 of 2 away in all")],
         ..CASE
     },
-    // What is served now must fit: five do 500 units, nine tenths of that may be busy.
+    // The present load must fit: five nodes have a capacity of 500 units, of which nine tenths may be used.
     Case {
         orders: &[(1, Approved, 0)],
         served: 449.0,
@@ -107,7 +106,7 @@
         waiting: &[(1, "too much for the remaining capacity of")],
         ..CASE
     },
-    // None goes at night.
+    // No server starts to drain in quiet hours.
     Case {
         orders: &[(1, Approved, 0)],
         second_of_day: 80_000,
@@ -123,7 +122,7 @@
         next: Some(1),
         ..CASE
     },
-    // The coordinator (host 0) goes last; most hosts and voters (the first three) must be left.
+    // The coordinator (host 0) drains last. Hosts that are not members count as away.
     Case {
         orders: &[(11, Approved, 0), (1, Approved, 0)],
         next: Some(1),
@@ -136,7 +135,7 @@
         waiting: &[(11, "2 of 2 away in all")],
         ..CASE
     },
-    // Overtaken too often, it goes before those that would take its place: the next is not 5.
+    // An order that was overtaken too often is protected: server 5 may not start before it.
     Case {
         orders: &[(2, Offline, 0), (4, Approved, 4), (5, Approved, 0)],
         waiting: &[(4, "1 of 1 away in its zone"), (5, "another")],
@@ -145,7 +144,7 @@
 ];
 
 #[test]
-fn the_order_keeps_the_limits_and_holds_nobody_up() {
+fn selection_keeps_the_limits_and_skips_blocked_orders() {
     CASES.iter().for_each(check);
 }
 
@@ -189,7 +188,7 @@
 }
 
 #[test]
-fn too_few_voters_and_capacity_hold_it_up() {
+fn too_small_a_quorum_or_capacity_blocks_an_order() {
     let mut config = MaintenanceConfig {
         at_once: 9,
         in_zone: 9,
@@ -198,16 +197,16 @@
     };
     let servers = servers();
     let members: BTreeSet<u32> = (0..5).collect();
-    // offline, next, whether it goes
+    // offline, next, whether it is selected
     let cases: [(&[u64], u64, bool); 6] = [
         (&[12], 14, true),
         (&[12], 13, false),     // two of three voters would be away
-        (&[14, 15], 12, false), // three of five hosts
-        (&[1, 3], 5, true),     // half of all capacity stays
+        (&[14, 15], 12, false), // three of five hosts would be away
+        (&[1, 3], 5, true),     // half of all capacity would remain
         (&[1, 3, 5], 2, false),
         (&[14], 11, true),
     ];
-    for (offline, server, goes) in cases {
+    for (offline, server, selected) in cases {
         let mut orders: Vec<_> = offline
             .iter()
             .map(|server| order(*server, Offline, 0))
@@ -220,7 +219,7 @@
         let selection = select_next(&order_book, &config, &snapshot(&servers, &members, 5, 9));
         assert_eq!(
             selection.next == Some(ServerId(server)),
-            goes,
+            selected,
             "{offline:?}, then {server}"
         );
     }
--- a/crates/fleet/tests/messages.rs
+++ b/crates/fleet/tests/messages.rs
@@ -1,5 +1,5 @@
-//! Messages from other hosts, and what a fleet of two or three hosts does with them: bad messages change
-//! nothing and are counted by cause; one name is one process.
+//! Messages from other hosts to one host: invalid messages are dropped and counted by cause, and only one process of a
+//! host holds a lease.
 
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
 use gullsail_protocol::{FleetMessage, FleetPart, FleetWhat};
@@ -31,7 +31,7 @@
     Instant::from_micros(1_000_000_000 + at * 1000)
 }
 
-/// The only voter of two hosts, after it was elected coordinator.
+/// The only voter of two hosts, elected coordinator.
 fn coordinator() -> Fleet {
     let mut fleet = Fleet::new(fleet_config(2, 1), HostId(0), 11, 1, ms(0));
     (0..3000).step_by(10).for_each(|at| fleet.advance(ms(at)));
@@ -40,7 +40,7 @@
     fleet
 }
 
-/// A renewal of the other host, in this incarnation, with the newest ballot that it was asked with.
+/// A renewal of the other host in this incarnation, with the ballot of the newest poll.
 fn renewal(fleet: &mut Fleet, incarnation: u64, at: i64) -> FleetMessage {
     fleet.advance(ms(at));
     let polls = fleet
@@ -61,8 +61,9 @@
     }
 }
 
+/// Delivers a message from host 1 at this time, and returns the kinds of the messages sent to that host in reply.
 fn answers(fleet: &mut Fleet, message: FleetMessage, at: i64) -> Vec<FleetWhat> {
-    // Time has gone on meanwhile; a point before the last one changes nothing.
+    // The fleet advances through the last second; times before the last event have no effect.
     (at - 1000..at)
         .step_by(10)
         .for_each(|at| fleet.advance(ms(at)));
@@ -81,7 +82,7 @@
         .collect()
 }
 
-/// A message that is damaged, and the cause under which it is counted.
+/// A change that makes a message invalid, and the cause under which the message is counted.
 struct DamagedMessage {
     damage: fn(&mut FleetMessage),
     cause: &'static str,
@@ -119,8 +120,8 @@
 }
 
 #[test]
-fn bad_messages_change_nothing_and_are_counted_by_cause() {
-    for (place, DamagedMessage { damage, cause }) in damaged_messages().into_iter().enumerate() {
+fn invalid_messages_are_dropped_and_counted_by_cause() {
+    for (index, DamagedMessage { damage, cause }) in damaged_messages().into_iter().enumerate() {
         let mut fleet = coordinator();
         let mut message = renewal(&mut fleet, 21, 3500);
         message.parts = vec![FleetPart {
@@ -132,18 +133,18 @@
         let epoch = fleet.epoch();
         let share = fleet.share(VolumeId(1));
         let members = fleet.status().members.len();
-        assert_eq!(answers(&mut fleet, message, 3501), [], "case {place}");
-        assert_eq!(fleet.epoch(), epoch, "case {place}");
-        assert_eq!(fleet.share(VolumeId(1)), share, "case {place}");
-        assert_eq!(fleet.status().members.len(), members, "case {place}");
+        assert_eq!(answers(&mut fleet, message, 3501), [], "case {index}");
+        assert_eq!(fleet.epoch(), epoch, "case {index}");
+        assert_eq!(fleet.share(VolumeId(1)), share, "case {index}");
+        assert_eq!(fleet.status().members.len(), members, "case {index}");
         let dropped = fleet.status().dropped;
-        assert_eq!(dropped.get(cause), Some(&1), "case {place}: {dropped:?}");
+        assert_eq!(dropped.get(cause), Some(&1), "case {index}: {dropped:?}");
     }
 }
 
-/// Two processes under one name: the first that renews holds it for as long as it renews; then the other may.
+/// Two processes of one host must not both hold a lease: the second is fenced until the lease of the first expires.
 #[test]
-fn one_name_is_one_process() {
+fn a_second_process_of_a_host_is_fenced_until_the_lease_expires() {
     let mut fleet = coordinator();
     let first = renewal(&mut fleet, 21, 3500);
     assert_eq!(answers(&mut fleet, first.clone(), 3501), [FleetWhat::Grant]);
@@ -159,13 +160,13 @@
     assert_eq!(
         answers(&mut fleet, second.clone(), 4700),
         [FleetWhat::Fence],
-        "the first one's lease is not over"
+        "the lease of the first process has not expired"
     );
     assert_eq!(
         answers(&mut fleet, second.clone(), 4801),
         [FleetWhat::Grant]
     );
-    // And a host that learns so uses nothing, not even its floor.
+    // A fenced process uses no share, not even its floor.
     let mut other = Fleet::new(fleet_config(2, 1), HostId(1), 22, 1, ms(0));
     assert!(other.share(VolumeId(1)) > 0);
     let fence = FleetMessage {
@@ -186,10 +187,9 @@
     assert_eq!((other.share(VolumeId(1)), other.status().fenced), (0, true));
 }
 
-/// A third host passes a message on once, to the host that it is for; what was passed on is not passed on
-/// again.
+/// A host relays a message that comes directly from its sender, but not one that was relayed already.
 #[test]
-fn messages_are_passed_on_once() {
+fn a_message_is_relayed_only_once() {
     let mut fleet = Fleet::new(fleet_config(3, 3), HostId(0), 11, 1, ms(0));
     let message = FleetMessage {
         fleet: 7,
@@ -224,10 +224,10 @@
     assert_eq!(fleet.status().dropped.get("passed on twice"), Some(&1));
 }
 
-/// The fields of a message that are drawn.
+/// The fields of a random message.
 type Fields = (i32, u32, u32, u64, u32, u64, Vec<(u64, u32, f32)>);
 
-fn fields() -> impl Strategy<Value = Fields> {
+fn random_fields() -> impl Strategy<Value = Fields> {
     let part = (0u64..3, any::<u32>(), any::<f32>());
     let parts = prop::collection::vec(part, 0..3);
     (
@@ -241,7 +241,7 @@
     )
 }
 
-fn drawn_message((what, from, to, round, by, number, parts): Fields) -> FleetMessage {
+fn random_message((what, from, to, round, by, number, parts): Fields) -> FleetMessage {
     let part = |(budget, share, asked)| FleetPart {
         budget,
         share,
@@ -274,15 +274,15 @@
 proptest! {
     #![proptest_config(proptest_config())]
 
-    /// Any messages whatever: nothing panics, no share exceeds the whole, the epoch only grows.
+    /// Random messages cause no panic, no share above the whole and no decrease of the epoch.
     #[test]
-    fn any_messages_are_survived(messages in prop::collection::vec(fields(), 1..40)) {
+    fn random_messages_keep_shares_and_epochs_valid(messages in prop::collection::vec(random_fields(), 1..40)) {
         let mut fleet = coordinator();
         let mut at = 3000;
         let mut epoch = fleet.epoch();
         for fields in messages {
             at += 37;
-            let message = drawn_message(fields);
+            let message = random_message(fields);
             let link = HostId(message.from % 2);
             fleet.handle(ms(at), Event::Message { link, message });
             fleet.advance(ms(at));
--- a/crates/fleet/tests/rate_pacer.rs
+++ b/crates/fleet/tests/rate_pacer.rs
@@ -1,4 +1,4 @@
-//! What all hosts together do to one node at a limited rate.
+//! The rate of operations of all hosts together on one node.
 
 use gullsail_fleet::rate_pacer::RatePacer;
 use gullsail_scheduler_api::{Instant, Span};
@@ -9,8 +9,8 @@
     Instant::from_micros(ms * 1000)
 }
 
-/// When each host begins an operation, in seconds from 0 to `until_s`; each has `interval_ms` between two by
-/// its share, and asks again whenever it is told to.
+/// Returns the times at which hosts start operations until `until_s`, in seconds. By its share each host has
+/// `interval_ms` between two operations; it asks again at the time that its pacer returns.
 fn operations(hosts: u64, interval_ms: f64, until_s: f64) -> Vec<f64> {
     let mut all = Vec::new();
     for seed in 0..hosts {
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn hosts_together_keep_to_the_rate_and_one_each() {
-    // hosts, and the interval of one host in ms: ten a second over all of them, in each case
+fn all_hosts_together_exceed_the_rate_by_at_most_one_operation_each() {
+    // hosts, interval of one host in ms; the rate of all hosts together is ten operations a second in each case
     for (hosts, interval_ms) in [(1, 100.0), (24, 2400.0), (300, 30_000.0)] {
         let all = operations(hosts, interval_ms, 60.0);
-        for (place, from) in all.iter().enumerate() {
-            for (more, to) in all[place..].iter().enumerate() {
+        for (index, from) in all.iter().enumerate() {
+            for (more, to) in all[index..].iter().enumerate() {
                 let most = 10.0 * (to - from) + hosts as f64 + 1.0;
                 assert!(
                     (more + 1) as f64 <= most,
@@ -48,13 +48,13 @@
             "{hosts} hosts: {} in all",
             all.len()
         );
-        // Not all at the beginning, as they would be with one each to spend.
+        // Hosts do not all start an operation at once, as they would if each began with full credit.
         let first = all.iter().filter(|at| **at < 1.0).count();
         assert!(first <= 25, "{hosts} hosts: {first} in the first second");
     }
 }
 
-/// Draws the lowest value each time, so that a pacer begins without credit.
+/// A random generator that yields the lowest value, so that a pacer starts without credit.
 struct LowestDraw;
 
 impl RngCore for LowestDraw {
@@ -72,25 +72,25 @@
 }
 
 #[test]
-fn a_share_that_grows_or_shrinks_counts_from_then_on() {
+fn a_changed_share_applies_to_later_credit_only() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut rate_pacer = RatePacer::default();
-    // Without credit at 0, with a second between two.
+    // No credit at 0, and an interval of one second.
     let first = rate_pacer.take(Span::from_millis(1000.0), ms(0), &mut LowestDraw);
     assert_eq!(first, Err(ms(1000)));
-    // at, interval, whether it may
+    // time, interval, whether the operation may start
     let cases = [
-        (100, 1000.0, false), // a tenth
-        (200, 500.0, false),  // and one more: it was not this host's before
-        (590, 500.0, false),  // and 0.78
+        (100, 1000.0, false), // credit 0.1
+        (200, 500.0, false),  // plus 0.1: the earlier, longer interval counts
+        (590, 500.0, false),  // plus 0.78
         (600, 500.0, true),
-        (650, 100.0, false), // a tenth, at the slower
+        (650, 100.0, false), // credit 0.1, by the longer interval
         (741, 100.0, true),
-        (750, 0.0, true), // no rate: as often as wanted
+        (750, 0.0, true), // the rate is not limited
         (760, 1e6, false),
     ];
     for (at, interval_ms, may) in cases {
-        let taken = rate_pacer.take(Span::from_millis(interval_ms), ms(at), &mut rng);
-        assert_eq!(taken.is_ok(), may, "at {at}: {taken:?}");
+        let result = rate_pacer.take(Span::from_millis(interval_ms), ms(at), &mut rng);
+        assert_eq!(result.is_ok(), may, "at {at}: {result:?}");
     }
 }
--- a/crates/fleet/tests/world/commands.rs
+++ b/crates/fleet/tests/world/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands while coordinators step down, die and hosts leave: each has one answer.
+//! Operators' commands while coordinators resign or crash and hosts leave: each command has one answer.
 
 use crate::harness::{DRIFT, FIRST_NODE, LEASE, World};
 use crate::maintenance::maintenance_config;
@@ -23,7 +23,7 @@
     ServerId(u64::from(number) + 1)
 }
 
-/// A fleet in which nothing is owed to an earlier process of any host.
+/// A fleet that has run for so long that no lease of an earlier process has to be waited for.
 fn settled_fleet(seed: u64) -> World {
     let mut w = World::with_drift(HOSTS, seed, 10_000, DRIFT, Some(maintenance_config()));
     w.run(8 * LEASE);
@@ -43,7 +43,7 @@
     answers.map(|answer| answer.result.clone()).collect()
 }
 
-/// Guards against a coordinator that takes its own server offline, steps down and leaves without an answer.
+/// Guards against a coordinator that takes its own server offline, resigns and leaves without answering the command.
 #[test]
 fn a_coordinator_that_takes_itself_offline_answers_the_command() {
     for seed in seeds(60) {
@@ -60,9 +60,9 @@
     }
 }
 
-/// Guards against a host that leaves with a command that the coordinator has not answered.
+/// Guards against a host that leaves the fleet without an answer to a command that the coordinator has not answered.
 #[test]
-fn a_host_that_leaves_answers_commands_whose_result_it_does_not_know() {
+fn a_host_that_leaves_answers_commands_with_an_unknown_result() {
     for seed in seeds(10) {
         let mut w = settled_fleet(seed);
         let leaving = (coordinator(&w) + 1) % HOSTS;
@@ -87,9 +87,9 @@
     }
 }
 
-/// Guards against a command that is lost with its coordinator, whether no member, one or a majority knows the order.
+/// Guards against the loss of a command when the coordinator crashes, whether no host, one or a majority has the order.
 #[test]
-fn a_command_outlives_a_coordinator_that_is_killed_at_any_moment() {
+fn a_command_survives_a_crash_of_the_coordinator_at_any_time() {
     for seed in seeds(60) {
         let mut w = settled_fleet(seed);
         let killed = coordinator(&w);
--- a/crates/fleet/tests/world/faults.rs
+++ b/crates/fleet/tests/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a world, and how all of it is mended.
+//! Faults in a simulated fleet, and the repair of all of them.
 
 use crate::harness::{LEASE, SECOND, Scheduled, World};
 use gullsail_fleet::Event;
@@ -13,13 +13,13 @@
         self.turn(host);
     }
 
-    pub fn stand_still(&mut self, host: u32, span: i64) {
+    pub fn pause(&mut self, host: u32, span: i64) {
         let until = self.now + span;
-        self.hosts[host as usize].still_until = until;
+        self.hosts[host as usize].paused_until = until;
         self.set_timer(host, until);
     }
 
-    /// From now on a fault comes every so often, until then, and this part of the messages is lost.
+    /// Schedules random faults until `until` and sets the fraction of messages that are lost.
     pub fn faults(&mut self, until: i64, loss: f64) {
         self.loss = loss;
         let mut at = self.now + SECOND;
@@ -36,14 +36,14 @@
         match self.rng.random_range(0..9) {
             0 | 1 => self.kill(host),
             2 | 3 => self.start_all(),
-            4 => self.stand_still(host, span),
+            4 => self.pause(host, span),
             5 => {
                 for other in (0..hosts).filter(|other| *other != host) {
                     self.cut(host, other, span);
                 }
             }
             6 => self.split(span),
-            7 => self.leave_unless_still(host),
+            7 => self.leave_unless_paused(host),
             _ => {
                 let idle = self.rng.random_bool(0.3);
                 let units = if idle {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Hosts that are down start.
+    /// Starts all hosts that are down.
     fn start_all(&mut self) {
         for host in 0..self.hosts.len() as u32 {
             if self.hosts[host as usize].fleet.is_none() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Two groups by chance, cut off from each other one way or both.
+    /// Splits the hosts into two random groups and breaks the links between them in one or both directions.
     fn split(&mut self, span: i64) {
         let hosts = self.hosts.len() as u32;
         let first_group: Vec<bool> = (0..hosts).map(|_| self.rng.random_bool(0.5)).collect();
@@ -79,21 +79,25 @@
         }
     }
 
-    fn leave_unless_still(&mut self, number: u32) {
+    fn leave_unless_paused(&mut self, number: u32) {
         let now = self.clock(number, self.now);
         let host = &mut self.hosts[number as usize];
-        if let Some(fleet) = host.fleet.as_mut().filter(|_| host.still_until <= self.now) {
+        if let Some(fleet) = host
+            .fleet
+            .as_mut()
+            .filter(|_| host.paused_until <= self.now)
+        {
             fleet.handle(now, Event::Leave);
         }
         self.turn(number);
     }
 
-    /// Nothing is lost any more, and all hosts run.
+    /// Repairs all faults: no message is lost any more, and all hosts run.
     pub fn heal(&mut self) {
         self.loss = 0.0;
         self.cuts.clear();
         for host in 0..self.hosts.len() as u32 {
-            self.hosts[host as usize].still_until = 0;
+            self.hosts[host as usize].paused_until = 0;
             if self.hosts[host as usize].fleet.is_none() {
                 self.start(host);
             }
--- a/crates/fleet/tests/world/harness.rs
+++ b/crates/fleet/tests/world/harness.rs
@@ -1,6 +1,5 @@
-//! A whole fleet in simulated time: hosts with clocks of their own, and messages that are late, lost,
-//! repeated or out of order. After each event the invariants are checked. A failure names its seed, and
-//! `FLEET_SEEDS=from..to` runs others.
+//! A whole fleet in simulated time: hosts have separate clocks, and messages are delayed, lost, repeated or reordered.
+//! After each event the invariants are checked. A failure reports its seed; `FLEET_SEEDS=from..to` selects other seeds.
 
 use crate::network::Cut;
 use crate::servers::OrderHistory;
@@ -20,9 +19,9 @@
 pub const DRIFT: f64 = 0.005;
 pub const SECOND: i64 = 1_000_000;
 
-/// Nodes, two for each shard, all with the same capacity.
+/// The default number of nodes, two for each shard, all with the same capacity.
 pub const NODES: u64 = 6;
-/// The number of the first node; hosts are numbered from 1 as servers.
+/// The server id of the first node. The server ids of hosts start at 1.
 pub const FIRST_NODE: u64 = 10_000;
 
 fn fleet_config(hosts: u32, least: u32, drift: f64) -> FleetConfig {
@@ -52,7 +51,7 @@
     }
 }
 
-/// Something that is to happen at some time.
+/// An event that is scheduled for some time.
 pub enum Scheduled {
     Message {
         to: u32,
@@ -66,33 +65,34 @@
 }
 
 pub struct Host {
-    /// `None` while it is down.
+    /// The state machine; `None`: the host is down.
     pub fleet: Option<Fleet>,
-    /// Its clock against the true one.
+    /// How much the host's clock is ahead of simulated time at time 0, in microseconds.
     ahead: i64,
+    /// The rate of the host's clock.
     rate: f64,
-    /// It stands still until then, as a stopped process does.
-    pub still_until: i64,
-    /// When its timer is due; timers planned before are void.
+    /// The host is paused until this time, like a suspended process.
+    pub paused_until: i64,
+    /// When the host's timer is due. Timers that were scheduled before for an earlier time are ignored.
     timer_at: i64,
-    /// What it was sent while it stood still.
+    /// Messages that arrived while the host was paused, with the sender.
     waiting: Vec<(u32, FleetMessage)>,
     pub demand: f64,
     pub incarnations: u64,
-    /// With its incarnation: an epoch only grows within one.
+    /// The incarnation and its epoch after the last event.
     pub epoch: (u64, u64),
-    /// When it may have sent to each node last.
+    /// By node, the last time at which the host was allowed to send to it.
     pub used_at: Vec<i64>,
 }
 
 impl Host {
-    /// A host that is down, with a clock that may be ahead and run fast or slow.
+    /// A host that is down, with a random offset and rate of its clock.
     fn random(rng: &mut ChaCha8Rng, drift: f64) -> Host {
         Host {
             fleet: None,
             ahead: rng.random_range(0..100 * SECOND),
             rate: 1.0 + rng.random_range(-drift..drift),
-            still_until: 0,
+            paused_until: 0,
             timer_at: 0,
             waiting: Vec::new(),
             demand: 0.0,
@@ -116,21 +116,21 @@
     pub now: i64,
     pub config: Arc<FleetConfig>,
     pub hosts: Vec<Host>,
-    /// When, and which of `scheduled`.
+    /// The times of scheduled events, with their keys in `scheduled`.
     queue: BinaryHeap<Reverse<(i64, u64)>>,
     scheduled: BTreeMap<u64, Scheduled>,
     last_scheduled: u64,
     pub cuts: Vec<Cut>,
-    /// The part of messages that is lost.
+    /// The fraction of messages that are lost.
     pub loss: f64,
-    /// Messages sent, by host.
+    /// The number of messages sent, by host.
     pub messages: Vec<u64>,
     /// The largest sum of shares in use so far.
     pub largest_sum: u64,
-    /// How often each host was seen to be the coordinator.
+    /// For each host, after how many events it was the coordinator.
     pub coordinators: BTreeMap<u32, u64>,
     pub nodes: Vec<Node>,
-    /// For how long each node has run, as hosts see it.
+    /// How long the process on each node has run, as hosts observe it.
     pub up: Span,
     pub orders: OrderHistory,
     pub answers: Vec<CommandAnswer>,
@@ -142,7 +142,7 @@
         World::with_drift(hosts, seed, least, DRIFT, None)
     }
 
-    /// With clocks that run apart by up to twice this part.
+    /// Creates a world in which the rates of clocks differ by up to twice `drift`.
     pub fn with_drift(
         hosts: u32,
         seed: u64,
@@ -182,7 +182,7 @@
         world
     }
 
-    /// With so many nodes, two for each shard.
+    /// Replaces the nodes by `nodes` new ones, two for each shard.
     pub fn with_nodes(mut self, nodes: u64) -> World {
         self.nodes = first_nodes(nodes);
         for host in &mut self.hosts {
@@ -212,7 +212,7 @@
         let now = self.clock(number, self.now);
         let host = &mut self.hosts[number as usize];
         host.incarnations += 1;
-        host.still_until = 0;
+        host.paused_until = 0;
         host.waiting.clear();
         let incarnation = (u64::from(number) + 1) << 32 | host.incarnations;
         host.fleet = Some(Fleet::new(
@@ -233,13 +233,13 @@
         self.hosts[host as usize].demand = units;
     }
 
-    /// An operator's command, given to a host.
+    /// Gives an operator's command to a host; returns the command's number.
     pub fn command(
         &mut self,
         host: u32,
         kind: CommandKind,
         servers: &[ServerId],
-        more: FleetCommand,
+        options: FleetCommand,
     ) -> u64 {
         self.last_command += 1;
         let number = self.last_command;
@@ -248,7 +248,7 @@
         let command = FleetCommand {
             kind: kind as u32,
             servers,
-            ..more
+            ..options
         };
         if let Some(fleet) = &mut self.hosts[host as usize].fleet {
             fleet.handle(now, Event::OperatorCommand { number, command });
@@ -257,7 +257,7 @@
         number
     }
 
-    /// Carries out what a host wants, and sets its timer anew.
+    /// Advances a host, sends its messages and sets its timer.
     pub fn turn(&mut self, host: u32) {
         let now = self.clock(host, self.now);
         let Some(fleet) = &mut self.hosts[host as usize].fleet else {
@@ -265,7 +265,7 @@
         };
         fleet.advance(now);
         if fleet.going_offline() {
-            // All requests that it took are answered at once.
+            // Hosts in this simulation have no requests left to answer, so they leave at once.
             fleet.handle(now, Event::Leave);
         }
         if fleet.has_left() {
@@ -311,7 +311,7 @@
                     if host.fleet.is_none() {
                         continue;
                     }
-                    if host.still_until > at {
+                    if host.paused_until > at {
                         host.waiting.push((link, message));
                         continue;
                     }
@@ -329,8 +329,8 @@
         if host.fleet.is_none() {
             return;
         }
-        if host.still_until > self.now {
-            let until = host.still_until;
+        if host.paused_until > self.now {
+            let until = host.paused_until;
             return self.set_timer(number, until);
         }
         let units = host.demand;
@@ -353,7 +353,7 @@
         self.turn(number);
     }
 
-    /// What is in use of a budget, by the hosts that run.
+    /// The sum of the shares of a budget that running hosts use.
     pub fn in_use(&self, budget: u64) -> u64 {
         (0..self.hosts.len() as u32)
             .map(|host| u64::from(self.share(host, budget)))
@@ -370,8 +370,8 @@
 
 fn first_nodes(count: u64) -> Vec<Node> {
     (0..count)
-        .map(|place| Node {
-            incarnation: place + 1,
+        .map(|index| Node {
+            incarnation: index + 1,
             well: true,
         })
         .collect()
--- a/crates/fleet/tests/world/invariants.rs
+++ b/crates/fleet/tests/world/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in a world after each event, of all hosts that run and do not stand still.
+//! The invariants that running hosts must keep after each event. Hosts that are down or paused are not checked.
 
 use crate::harness::{FIRST_NODE, World};
 use gullsail_fleet::maintenance::{ServerId, Stage};
@@ -10,7 +10,7 @@
         let all: Vec<u32> = (0..self.hosts.len() as u32).collect();
         let is_running = |host: &&u32| {
             let host = &self.hosts[**host as usize];
-            host.fleet.is_some() && host.still_until <= self.now
+            host.fleet.is_some() && host.paused_until <= self.now
         };
         let running: Vec<u32> = all.iter().filter(is_running).copied().collect();
         self.check_shares(&running);
@@ -23,7 +23,7 @@
         self.hosts[host as usize].fleet.as_ref()
     }
 
-    /// No more than the whole of any budget is in use.
+    /// Checks that the shares in use of each budget sum to at most the whole.
     fn check_shares(&mut self, running: &[u32]) {
         for budget in self.config.budgets.keys() {
             let shares: Vec<(u32, u32)> = running
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Nothing is sent to a server that is offline, and no more servers are away than may be, by the orders
-    /// that any host knew at any time.
+    /// Checks that no host sends to an offline server and that the limit of servers away holds, by the latest stage of each
+    /// order in any host's order book.
     fn check_maintenance(&self, running: &[u32]) {
         let Some(maintenance) = &self.config.maintenance else {
             return;
@@ -80,18 +80,18 @@
             );
             return;
         }
-        // The host may have restarted, and not know its order yet: then it does not leave.
+        // If the host has restarted and does not have its order yet, it does not leave and is not checked.
         let fleet = self.fleet(server.0 as u32 - 1);
         let old_process_runs =
             fleet.is_some_and(|fleet| fleet.share(VolumeId(1)) > 0 && fleet.going_offline());
         assert!(
             !old_process_runs,
-            "seed {}, at {}: host {server:?} is offline and uses what it held",
+            "seed {}, at {}: host {server:?} is offline and uses its share",
             self.seed, self.now
         );
     }
 
-    /// At most one host is the coordinator.
+    /// Checks that at most one host is the coordinator.
     fn check_coordinators(&mut self, running: &[u32]) {
         let decides = |host: &&u32| {
             let clock = self.clock(**host, self.now);
@@ -100,7 +100,7 @@
         let deciding: Vec<u32> = running.iter().filter(decides).copied().collect();
         assert!(
             deciding.len() <= 1,
-            "seed {}, at {}: {deciding:?} decide",
+            "seed {}, at {}: coordinators {deciding:?}",
             self.seed,
             self.now
         );
@@ -109,7 +109,7 @@
         }
     }
 
-    /// An epoch only grows within an incarnation.
+    /// Checks that the epoch of a process never decreases.
     fn check_epochs(&mut self) {
         for host in &mut self.hosts {
             let Some(fleet) = &host.fleet else { continue };
--- a/crates/fleet/tests/world/main.rs
+++ b/crates/fleet/tests/world/main.rs
@@ -1,5 +1,5 @@
-//! Whole fleets in simulated time, by `harness`; servers taken offline in `maintenance`. A failure names its
-//! seed, and `FLEET_SEEDS=from..to` runs others.
+//! Tests of whole fleets in simulated time, run by `harness`; tests of maintenance are in `maintenance`. A failure reports
+//! its seed; `FLEET_SEEDS=from..to` selects other seeds.
 
 mod commands;
 mod faults;
@@ -14,7 +14,8 @@
 use harness::{DRIFT, LEASE, SECOND, World};
 use std::collections::BTreeMap;
 
-/// What it costs and how long it takes, by size: for docs/results.md, by hand.
+/// Prints the number of messages and the time to recover from failures, by the number of hosts, for docs/results.md. It
+/// is run manually.
 #[test]
 #[ignore = "figures, not a verdict: cargo test -p gullsail-fleet --release --test world -- --ignored --nocapture"]
 fn figures_by_size() {
@@ -29,8 +30,8 @@
         let most = messages.last().copied().unwrap_or_default();
         let median = messages[messages.len() / 2];
         let used = w.in_use(1);
-        // Seven of fifteen die at once, two voters of five among them; the coordinator is one of those at
-        // every other size.
+        // Seven of fifteen hosts crash at once, including two of five voters. At every other size the coordinator is
+        // one of them.
         let coordinator = (0..5).find(|host| {
             let fleet = w.hosts[*host as usize].fleet.as_ref();
             fleet.is_some_and(|fleet| fleet.decides(w.clock(*host, w.now)))
@@ -59,7 +60,7 @@
     }
 }
 
-/// The seeds to play: those of `FLEET_SEEDS`, or the first few.
+/// The seeds to run: those of `FLEET_SEEDS`, or `few` seeds from 0 on.
 pub fn seeds(few: u64) -> std::ops::Range<u64> {
     let text = std::env::var("FLEET_SEEDS").unwrap_or_default();
     match text
@@ -71,10 +72,9 @@
     }
 }
 
-/// Everything goes wrong at once; afterwards there is one coordinator again, and nearly all of every budget
-/// is in use.
+/// Random faults of all kinds occur. Shares never exceed the budget, and after the faults nearly all of it is in use.
 #[test]
-fn shares_hold_through_random_worlds_and_recover() {
+fn shares_stay_within_budgets_through_random_faults_and_recover() {
     let mut coordinators = BTreeMap::new();
     for seed in seeds(60) {
         let hosts = [3, 4, 5, 8][seed as usize % 4];
@@ -85,12 +85,12 @@
         w.faults(w.now + 30 * SECOND, loss);
         w.run(30 * SECOND);
         w.heal();
-        // Hosts that were leaving have gone by then.
+        // Hosts that were leaving have left by then and are started by the second call.
         w.run(2 * LEASE);
         w.heal();
         (0..hosts).for_each(|host| w.set_demand(host, 1.0));
         w.run(8 * LEASE);
-        // Shares that go in turns are between two hosts at some moments.
+        // When members take turns, a share is in use at no host while it moves, so the largest sum counts.
         let mut used = 0;
         for _ in 0..20 {
             w.run(LEASE / 10);
@@ -99,7 +99,7 @@
         let shares: Vec<_> = (0..hosts).map(|host| w.share(host, 1)).collect();
         assert!(
             used > 900_000,
-            "seed {seed}: {used} in use after all is well: {shares:?}"
+            "seed {seed}: {used} in use after the faults: {shares:?}"
         );
         for (host, count) in w.coordinators {
             *coordinators.entry(host).or_insert(0u64) += count;
@@ -108,19 +108,19 @@
     let few = seeds(60).count() < 10;
     assert!(
         few || coordinators.len() >= 3,
-        "many hosts have been coordinator: {coordinators:?}"
+        "too few hosts were coordinator: {coordinators:?}"
     );
 }
 
-/// What is done to a fleet, and which host must have more than its floor three leases later.
+/// A fault in a fleet, and the host that must have more than its floor four leases later.
 struct HardCase {
     name: &'static str,
     fault: fn(&mut World),
-    /// `None`: whichever.
+    /// The host that must have more than its floor; `None`: no particular host.
     served: Option<u32>,
-    /// So many more hosts exist that do not run at first.
+    /// The number of additional hosts that do not run at first.
     spare_hosts: u32,
-    /// The part of the hosts that uses no more than its floor afterwards; `None`: those that are down.
+    /// The fraction of the hosts that use at most their floor afterwards; `None`: the hosts that are down.
     idle: Option<f64>,
 }
 
@@ -188,7 +188,7 @@
         ),
         case("half fail within a second", None, every_second_host_fails),
         case("all fail and restart", None, all_fail_and_restart),
-        // The served host has all five voters on its side.
+        // The group of host 5 includes all five voters.
         HardCase {
             idle: Some(6.0 / 12.0),
             ..case("two groups for twenty leases", Some(5), split_in_two_halves)
@@ -202,11 +202,11 @@
     ]
 }
 
-/// Cases that operators name, each over three seeds: the invariants are checked after each event, and twelve
-/// leases later nearly all is in use again by the hosts that run.
+/// Fault cases that operators expect, each with three seeds. The invariants are checked after each event, and twelve
+/// leases later the running hosts use nearly all of the budget again.
 #[test]
 fn hard_cases_keep_the_invariants_and_recover() {
-    // Clocks up to 3% apart in rate; in the second world of each case a tenth of the messages is lost.
+    // Clock rates differ by up to 3%; with the second seed of each case a tenth of the messages is lost.
     for case in hard_cases() {
         for (seed, drift, loss) in [(1, DRIFT, 0.0), (2, 0.015, 0.1), (3, 0.015, 0.0)] {
             run_hard_case(&case, seed, drift, loss);
@@ -228,7 +228,7 @@
         let floor = w.config.budgets[&VolumeId(1)].floor;
         assert!(
             w.share(host, 1) > floor,
-            "{name}, seed {seed}: h{host} has its floor alone"
+            "{name}, seed {seed}: host {host} has only its floor"
         );
     }
     w.run(8 * LEASE);
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -1,5 +1,5 @@
-//! Servers taken offline, in random worlds and in cases by name: whatever breaks, nothing is sent to a server
-//! that is offline, no more servers are away than may be, and all orders come to an end.
+//! Maintenance in whole fleets, with random faults and in single cases: nothing is sent to a server that is offline, the
+//! limits of servers away hold, and all orders end.
 
 use crate::harness::{DRIFT, FIRST_NODE, Host, LEASE, NODES, Node, SECOND, World};
 use crate::seeds;
@@ -26,8 +26,8 @@
     }
 }
 
-fn node(place: u64) -> ServerId {
-    ServerId(FIRST_NODE + place)
+fn node(index: u64) -> ServerId {
+    ServerId(FIRST_NODE + index)
 }
 
 fn host(number: u32) -> ServerId {
@@ -35,13 +35,17 @@
 }
 
 fn stage(w: &World, server: ServerId) -> Option<Stage> {
-    let stages = w.orders.stages.iter().filter(|((of, _), _)| *of == server);
+    let stages = w
+        .orders
+        .stages
+        .iter()
+        .filter(|((ordered, _), _)| *ordered == server);
     stages
         .max_by_key(|((_, number), _)| *number)
         .map(|(_, stage)| *stage)
 }
 
-fn away(returns: bool) -> FleetCommand {
+fn take_offline(returns: bool) -> FleetCommand {
     FleetCommand {
         shard_away: true,
         returns,
@@ -49,19 +53,18 @@
     }
 }
 
-/// What operators do meanwhile: a server that is offline is switched off, started anew after a while, and
-/// reported as back.
-fn work(w: &mut World, span: i64) {
+/// Runs for a time and acts as the operators: restarts each server that is shown as offline and commands its return.
+fn run_with_operators(w: &mut World, span: i64) {
     let end = w.now + span;
     while w.now < end {
         w.run(100_000);
-        // As any host shows it: a `back` that only few hosts know may be lost with the coordinator, and is
-        // given again.
+        // A return that only few hosts have may be lost with the coordinator. Some host then still shows the server as
+        // offline, and the command is repeated.
         for server in shown_offline(w) {
             if server.0 >= FIRST_NODE {
-                let place = (server.0 - FIRST_NODE) as usize;
-                w.nodes[place] = Node {
-                    incarnation: w.nodes[place].incarnation + 1,
+                let index = (server.0 - FIRST_NODE) as usize;
+                w.nodes[index] = Node {
+                    incarnation: w.nodes[index].incarnation + 1,
                     well: true,
                 };
             } else {
@@ -80,7 +83,7 @@
     }
 }
 
-/// Servers that are offline as any host shows them.
+/// The servers that are offline by the order book of any host.
 fn shown_offline(w: &World) -> BTreeSet<ServerId> {
     let fleets = w.hosts.iter().filter_map(|host| host.fleet.as_ref());
     let orders = fleets.flat_map(|fleet| fleet.orders());
@@ -88,8 +91,8 @@
     offline.map(|order| order.server).collect()
 }
 
-/// What each host knows, for a failure's message.
-fn known_orders(w: &World) -> String {
+/// Describes the orders in each host's order book, for a failure message.
+fn describe_orders(w: &World) -> String {
     let one = |host: &Host| {
         let Some(fleet) = &host.fleet else {
             return "down".to_string();
@@ -104,7 +107,7 @@
         let orders: Vec<String> = orders.collect();
         let version = fleet.line().map(|order_book| order_book.version);
         format!(
-            "coordinator {:?}, lease {:?}, goes {}, {version:?} {orders:?}",
+            "coordinator {:?}, lease {:?}, draining {}, {version:?} {orders:?}",
             status.coordinator,
             status.lease_ms,
             fleet.going_offline()
@@ -113,7 +116,7 @@
     w.hosts.iter().map(one).collect::<Vec<_>>().join("\n")
 }
 
-/// How many orders are open, by the host that knows of most; 1 where no host knows an order book.
+/// The largest number of open orders in any host's order book; 1 if no host has an order book.
 fn open_orders(w: &World) -> usize {
     let fleets = w.hosts.iter().filter_map(|host| host.fleet.as_ref());
     fleets
@@ -126,7 +129,7 @@
         .unwrap_or(1)
 }
 
-/// A command for a random server, some given twice, some withdrawn.
+/// Gives a random command for a random server, once or twice.
 fn random_command(w: &mut World, hosts: u32) {
     let server = if w.rng.random_bool(0.7) {
         node(w.rng.random_range(0..NODES))
@@ -141,13 +144,13 @@
     for _ in 0..w.rng.random_range(1..3) {
         let through = w.rng.random_range(0..hosts);
         let returns = w.rng.random_bool(0.5);
-        w.command(through, kind, &[server], away(returns));
+        w.command(through, kind, &[server], take_offline(returns));
     }
 }
 
-/// Faults of all kinds, and commands through any host.
-/// Random faults and commands for thirty seconds. Then all orders are to come to an end.
-fn play_orders(seed: u64) -> World {
+/// Runs a fleet for thirty seconds with random faults and with commands through random hosts, then without faults until
+/// all orders have ended or the rounds are used up.
+fn run_with_random_orders(seed: u64) -> World {
     let hosts = [3, 5, 5, 8][seed as usize % 4];
     let mut w = World::with_drift(hosts, seed, 10_000, DRIFT, Some(maintenance_config()));
     w.run(4 * LEASE);
@@ -156,18 +159,18 @@
     while w.now < end {
         random_command(&mut w, hosts);
         let span = w.rng.random_range(0..2 * SECOND);
-        work(&mut w, span);
+        run_with_operators(&mut w, span);
     }
     w.heal();
-    work(&mut w, 3 * LEASE);
+    run_with_operators(&mut w, 3 * LEASE);
     w.heal();
-    // All orders have their turn: two at once, each some leases. Of orders that only few hosts knew of
-    // when the coordinator died, nothing may be left.
+    // Two orders at a time drain, each for some leases. Orders that only few hosts had when the coordinator crashed must
+    // not remain open.
     let mut rounds = 0;
     while open_orders(&w) > 0 && rounds < 60 {
-        work(&mut w, 2 * LEASE);
+        run_with_operators(&mut w, 2 * LEASE);
         rounds += 1;
-        // Hosts that left and are not known to be offline are started in the end.
+        // Starts hosts that have left but are not shown as offline.
         if rounds % 10 == 0 {
             w.heal();
         }
@@ -176,13 +179,13 @@
 }
 
 #[test]
-fn maintenance_keeps_its_invariants_through_random_worlds() {
+fn maintenance_keeps_its_invariants_through_random_faults() {
     let mut orders = 0;
     let mut done = 0;
     let mut anew = 0;
     for seed in seeds(60) {
-        let w = play_orders(seed);
-        assert_eq!(open_orders(&w), 0, "seed {seed}: {}", known_orders(&w));
+        let w = run_with_random_orders(seed);
+        assert_eq!(open_orders(&w), 0, "seed {seed}: {}", describe_orders(&w));
         let stages = &w.orders.stages;
         orders += stages.len();
         done += stages
@@ -194,7 +197,7 @@
     if seeds(60).count() >= 60 {
         assert!(
             orders > 200 && done > orders / 2 && anew > 10,
-            "{orders} orders, {done} done, {anew} times anew"
+            "{orders} orders, {done} done, {anew} starts without a quorum"
         );
     }
 }
@@ -204,9 +207,19 @@
     for returns in [false, true] {
         let mut w = World::with_drift(5, 1, 10_000, DRIFT, Some(maintenance_config()));
         w.run(4 * LEASE);
-        // Twice, through two hosts: one order.
-        w.command(3, CommandKind::TakeOffline, &[node(0)], away(returns));
-        w.command(1, CommandKind::TakeOffline, &[node(0)], away(returns));
+        // The same command through two hosts results in one order.
+        w.command(
+            3,
+            CommandKind::TakeOffline,
+            &[node(0)],
+            take_offline(returns),
+        );
+        w.command(
+            1,
+            CommandKind::TakeOffline,
+            &[node(0)],
+            take_offline(returns),
+        );
         w.run(2 * LEASE);
         assert_eq!(stage(&w, node(0)), Some(Stage::Offline));
         assert_eq!(w.orders.stages.len(), 1);
@@ -215,7 +228,7 @@
             .iter()
             .filter(|answer| answer.result == CommandResult::Accepted);
         assert_eq!(accepted.count(), 2, "{:?}", w.answers);
-        // Known late: it had started before it was offline.
+        // A process that started before the server went offline does not count as its return.
         w.nodes[0].incarnation = 98;
         w.up = Span::from_millis(60_000.0);
         w.run(2 * LEASE);
@@ -236,17 +249,17 @@
             let fleet = w.hosts[host as usize].fleet.as_ref();
             fleet.is_some_and(|fleet| fleet.may_use(node(0), w.clock(host, w.now)))
         });
-        assert!(all_use, "all send to it again");
+        assert!(all_use, "all hosts may send to the node again");
     }
 }
 
-/// The coordinator takes its own server offline: it resigns and leaves before most hosts know that the order
-/// drains. The next coordinator learns that from the host itself and does not wait for its lease to expire.
+/// The coordinator takes its own server offline: it resigns and leaves before a majority of hosts has the draining order.
+/// The next coordinator gets the order from the leaving host and does not wait for its lease to expire.
 #[test]
 fn the_coordinators_own_server_goes_offline_without_waiting_for_its_lease() {
     for (hosts, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (5, 5), (8, 6)] {
         let mut w = World::with_drift(hosts, seed, 10_000, DRIFT, Some(maintenance_config()));
-        // Longer than the isolation grace: nothing is owed to an earlier process of any host.
+        // Longer than the isolation grace, so that no lease of an earlier process has to be waited for.
         w.run(8 * LEASE);
         let is_coordinator = |number: &u32| {
             let fleet = w.hosts[*number as usize].fleet.as_ref();
@@ -258,7 +271,7 @@
             through,
             CommandKind::TakeOffline,
             &[host(coordinator)],
-            away(false),
+            take_offline(false),
         );
         w.run(4 * LEASE);
         let fleet = w.hosts[through as usize].fleet.as_ref().unwrap();
@@ -266,22 +279,23 @@
             .orders()
             .find(|order| order.server == host(coordinator));
         let order = order.unwrap();
-        let known = known_orders(&w);
-        assert_eq!(order.stage, Stage::Offline, "seed {seed}: {known}");
-        assert!(order.hosts.is_empty(), "seed {seed}: {known}");
+        let described = describe_orders(&w);
+        assert_eq!(order.stage, Stage::Offline, "seed {seed}: {described}");
+        assert!(order.hosts.is_empty(), "seed {seed}: {described}");
         assert!(w.hosts[coordinator as usize].fleet.is_none());
         assert_eq!(
             w.orders.anew.len(),
             1,
-            "seed {seed}: orders were lost: {known}"
+            "seed {seed}: orders were lost: {described}"
         );
     }
 }
 
-/// How long all orders take and what that costs, by size: for docs/results.md, by hand.
+/// Prints the time that all orders take and the number of messages, by the number of hosts, for docs/results.md. It is run
+/// manually.
 #[test]
-#[ignore = "figures, not a verdict: cargo test -p gullsail-fleet --release --test world line_by_size -- --ignored --nocapture"]
-fn line_by_size() {
+#[ignore = "figures, not a verdict: cargo test -p gullsail-fleet --release --test world orders_by_size -- --ignored --nocapture"]
+fn orders_by_size() {
     for (hosts, nodes) in [(24, 24), (100, 60), (300, 200)] {
         let config = MaintenanceConfig {
             at_once: 4,
@@ -296,7 +310,7 @@
         w.run(5 * LEASE);
         let mut calm = std::mem::take(&mut w.messages);
         w.messages = vec![0; hosts as usize];
-        // One of each two that hold a shard, up to forty.
+        // One of the two holders of each shard, up to forty servers.
         let servers: Vec<ServerId> = (0..nodes).step_by(2).take(40).map(node).collect();
         let at = w.now;
         take_offline_and_restart(&mut w, hosts / 2, &servers);
@@ -311,8 +325,8 @@
     }
 }
 
-/// Takes servers offline through a host, and restarts each one once it is, until all are done or ten minutes
-/// have passed.
+/// Takes servers offline by a command through a host and restarts each one once it is offline, until all orders are done
+/// or ten minutes have passed.
 fn take_offline_and_restart(w: &mut World, through: u32, servers: &[ServerId]) {
     let at = w.now;
     let command = FleetCommand {
@@ -333,9 +347,9 @@
             if !restarted.insert(server) {
                 continue;
             }
-            let place = (server.0 - FIRST_NODE) as usize;
-            w.nodes[place] = Node {
-                incarnation: w.nodes[place].incarnation + 1000,
+            let index = (server.0 - FIRST_NODE) as usize;
+            w.nodes[index] = Node {
+                incarnation: w.nodes[index].incarnation + 1000,
                 well: true,
             };
         }
--- a/crates/fleet/tests/world/network.rs
+++ b/crates/fleet/tests/world/network.rs
@@ -1,4 +1,4 @@
-//! How messages come from one host to another: late, lost, repeated or out of order.
+//! The simulated network: messages between hosts are delayed, lost, repeated or reordered.
 
 use crate::harness::{LEASE, Scheduled, World};
 use gullsail_fleet::Event;
@@ -6,7 +6,7 @@
 use gullsail_scheduler_api::HostId;
 use rand::Rng;
 
-/// Messages from one host to another are lost until then.
+/// A broken link: messages from one host to another are lost until `until`.
 pub struct Cut {
     from: u32,
     to: u32,
@@ -27,7 +27,7 @@
         self.cut(other, one, span);
     }
 
-    /// Loses, repeats and delays a message by chance.
+    /// Sends a message, which may be lost, repeated or delayed at random.
     pub fn transmit(&mut self, from: u32, to: u32, message: &FleetMessage) {
         let now = self.now;
         self.cuts.retain(|cut| cut.until > now);
@@ -41,7 +41,7 @@
             1
         };
         for _ in 0..copies {
-            // Mostly fast; some take a good part of a lease, so that messages overtake each other.
+            // Most messages are fast. Some take up to two leases, so that later messages overtake them.
             let slow = self.loss > 0.0 && self.rng.random_bool(0.03);
             let delay = self
                 .rng
--- a/crates/fleet/tests/world/servers.rs
+++ b/crates/fleet/tests/world/servers.rs
@@ -1,4 +1,4 @@
-//! What hosts observe of servers, and what they know of orders.
+//! The servers as hosts observe them, and the history of orders in the hosts' order books.
 
 use crate::harness::{FIRST_NODE, Node, World};
 use gullsail_fleet::Event;
@@ -8,20 +8,19 @@
 use gullsail_scheduler_api::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Attempts to a node have ended this long after the last one began, in microseconds.
+/// The longest time that an attempt to a node takes, in microseconds.
 const ATTEMPT: i64 = 30_000;
 
 impl World {
-    /// Tells a host what it observes of servers and which of them it has released, and takes what it knows of
-    /// orders.
+    /// Passes the servers and the set of released ones to a host, and records its answers to commands and its order book.
     pub fn observe_servers(&mut self, number: u32, now: Instant) {
         let at = self.now;
         let servers = self.servers();
         let host = &mut self.hosts[number as usize];
         let Some(fleet) = &mut host.fleet else { return };
         let mut released = BTreeSet::new();
-        for (used_at, place) in host.used_at.iter_mut().zip(0..) {
-            let server = ServerId(FIRST_NODE + place);
+        for (used_at, index) in host.used_at.iter_mut().zip(0..) {
+            let server = ServerId(FIRST_NODE + index);
             if fleet.may_use(server, now) {
                 *used_at = at;
             } else if at - *used_at > ATTEMPT {
@@ -36,19 +35,19 @@
     }
 
     fn servers(&self) -> Servers {
-        let node = |(place, node): (usize, &Node)| {
+        let node = |(index, node): (usize, &Node)| {
             let seen = ServerObservation {
                 what: ServerRole::Node {
-                    shard: place as i64 / 2,
+                    shard: index as i64 / 2,
                     pool: 0,
                     can: 100.0,
                 },
-                zone: place as u32 % 2,
+                zone: index as u32 % 2,
                 well: node.well,
                 incarnation: node.incarnation,
                 up: self.up,
             };
-            (ServerId(FIRST_NODE + place as u64), seen)
+            (ServerId(FIRST_NODE + index as u64), seen)
         };
         let host = |number: u32| {
             let seen = ServerObservation {
@@ -69,21 +68,21 @@
     }
 }
 
-/// What hosts know of orders, all taken together.
+/// The history of orders in the order books of all hosts.
 #[derive(Default)]
 pub struct OrderHistory {
-    /// By server and number, the furthest stage.
+    /// By server and order number, the latest stage in any order book.
     pub stages: BTreeMap<(ServerId, u64), Stage>,
-    /// Rounds at which order books were begun anew.
+    /// The rounds of coordinators that started an order book without a quorum.
     pub anew: BTreeSet<u64>,
-    /// The last of them.
+    /// The last round in `anew`; 0: there is none.
     lineage: u64,
 }
 
 impl OrderHistory {
     fn follow(&mut self, order_book: &OrderBook) {
-        // What most hosts forgot is lost, as the order book says that begins then; a host that still knows it
-        // counts no more.
+        // An order book that was started without a quorum replaces the earlier ones. Hosts that still have an earlier one
+        // are ignored.
         if order_book.anew != 0 && self.anew.insert(order_book.anew) {
             self.stages.clear();
             self.lineage = order_book.anew;
@@ -97,7 +96,7 @@
                 .entry((order.server, order.number))
                 .or_insert(order.stage);
             *stage = order.stage.max(*stage);
-            // A newer order is taken only once the one before it is over.
+            // A newer order is accepted only once the one before it is done or cancelled.
             let before = self
                 .stages
                 .range_mut((order.server, 0)..(order.server, order.number));
