--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -35,7 +35,7 @@
     let floors: u64 = shares.iter().sum();
     let mut remaining = u64::from(WHOLE).saturating_sub(committed_elsewhere + floors);
     let shortfall =
-        |index: usize| u64::from(budget.least).saturating_sub(floor(demands[index].host));
+        |index: usize| u64::from(budget.min_share).saturating_sub(floor(demands[index].host));
     let with_demand: Vec<usize> = (0..demands.len())
         .filter(|index| demands[*index].demand > 0.0)
         .collect();
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -11,7 +11,7 @@
 use crate::maintenance::OrderBook;
 use crate::maintenance::coordinator::MaintenanceCoordinator;
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
+use gullsail_protocol::{FleetMember, FleetMessage, FleetMessageKind, FleetShare};
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
 
     /// Polls a host: asks it to send a renewal. `via`: the relay to send the poll through.
     pub(super) fn poll(&mut self, host: HostId, ballot: Ballot, via: Option<HostId>) {
-        let message = self.new_message(FleetWhat::Ask, host, 0);
+        let message = self.new_message(FleetMessageKind::Ask, host, 0);
         self.send(
             FleetMessage {
                 round: ballot.round,
@@ -212,7 +212,7 @@
                     epoch = self.membership.epoch,
                     "renewal fenced: another incarnation holds the lease of this host"
                 );
-                self.new_message(FleetWhat::Fence, process.host, incarnation)
+                self.new_message(FleetMessageKind::Fence, process.host, incarnation)
             }
             RenewalOutcome::Granted { serial, shares } => {
                 self.grant(message, process, serial, &shares)
@@ -237,10 +237,10 @@
     ) -> FleetMessage {
         self.statistics.counts.granted += 1;
         let maintenance = self.maintenance_renewed(renewal);
-        let to_part = |(id, share): (&VolumeId, &u32)| FleetPart {
+        let to_share = |(id, share): (&VolumeId, &u32)| FleetShare {
             budget: id.0,
             share: *share,
-            asked: 0.0,
+            demand: 0.0,
         };
         // The list of members is sent only to hosts that do not know the current epoch.
         let members = if renewal.epoch == self.membership.epoch {
@@ -250,10 +250,10 @@
         };
         FleetMessage {
             serial,
-            parts: shares.iter().map(to_part).collect(),
+            shares: shares.iter().map(to_share).collect(),
             members,
             maintenance,
-            ..self.new_message(FleetWhat::Grant, process.host, process.incarnation)
+            ..self.new_message(FleetMessageKind::Grant, process.host, process.incarnation)
         }
     }
 
@@ -270,22 +270,26 @@
         let is_current = coordinator.is_current(messages::ballot(message));
         self.maintenance_member_left(message, is_current);
         self.publish_membership();
-        let message = self.new_message(FleetWhat::Left, process.host, process.incarnation);
+        let message = self.new_message(FleetMessageKind::Left, process.host, process.incarnation);
         self.send(message, Some(link));
     }
 }
 
 fn read_renewal(message: &FleetMessage, via: Option<HostId>) -> Renewal {
-    let is_held = |part: &&FleetPart| message.serial > 0 && part.share > 0;
-    let demand = |part: &FleetPart| (VolumeId(part.budget), f64::from(part.asked));
+    let is_held = |part: &&FleetShare| message.serial > 0 && part.share > 0;
+    let demand = |part: &FleetShare| (VolumeId(part.budget), f64::from(part.demand));
     Renewal {
         process: messages::sender(message),
         ballot: messages::ballot(message),
         via,
         serial: message.serial,
-        demand: message.parts.iter().map(demand).collect::<BTreeMap<_, _>>(),
+        demand: message
+            .shares
+            .iter()
+            .map(demand)
+            .collect::<BTreeMap<_, _>>(),
         held: message
-            .parts
+            .shares
             .iter()
             .filter(is_held)
             .map(messages::budget_share)
--- a/crates/fleet/src/fleet/election.rs
+++ b/crates/fleet/src/fleet/election.rs
@@ -9,7 +9,7 @@
     Acceptor, AcceptorReply, CandidateRequest, LeaseCandidate, Proposal,
 };
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMessage, FleetWhat};
+use gullsail_protocol::{FleetMessage, FleetMessageKind};
 use gullsail_scheduler_api::{HostId, Instant};
 use rand::Rng;
 use std::ops::Range;
@@ -81,14 +81,14 @@
     }
 
     pub(super) fn ask_voters(&mut self, request: CandidateRequest) {
-        let (what, ballot, number) = match request {
-            CandidateRequest::Prepare(ballot) => (FleetWhat::Prepare, ballot, 0),
+        let (kind, ballot, number) = match request {
+            CandidateRequest::Prepare(ballot) => (FleetMessageKind::Prepare, ballot, 0),
             CandidateRequest::Propose(proposal) => {
-                (FleetWhat::Propose, proposal.ballot, proposal.number)
+                (FleetMessageKind::Propose, proposal.ballot, proposal.number)
             }
         };
         for voter in self.config.voters().collect::<Vec<_>>() {
-            let message = self.new_message(what, voter, 0);
+            let message = self.new_message(kind, voter, 0);
             let message = FleetMessage {
                 number,
                 round: ballot.round,
@@ -104,22 +104,22 @@
         let ballot = messages::ballot(request);
         let process = messages::sender(request);
         self.election.candidate.observe(ballot);
-        let reply = if request.what() == FleetWhat::Prepare {
+        let reply = if request.kind() == FleetMessageKind::Prepare {
             self.election.acceptor.prepare(ballot, process, self.now)
         } else {
             self.election
                 .acceptor
                 .propose(&self.config, ballot, process, self.now)
         };
-        let (what, ballot, number) = match reply {
+        let (kind, ballot, number) = match reply {
             AcceptorReply::Recovering => return,
-            AcceptorReply::Refused(later) => (FleetWhat::Refuse, later, 0),
+            AcceptorReply::Refused(later) => (FleetMessageKind::Refuse, later, 0),
             AcceptorReply::Promised { held_by_other } => {
-                (FleetWhat::Promise, ballot, u64::from(held_by_other))
+                (FleetMessageKind::Promise, ballot, u64::from(held_by_other))
             }
-            AcceptorReply::Accepted => (FleetWhat::Accept, ballot, request.number),
+            AcceptorReply::Accepted => (FleetMessageKind::Accept, ballot, request.number),
         };
-        let message = self.new_message(what, process.host, process.incarnation);
+        let message = self.new_message(kind, process.host, process.incarnation);
         let message = FleetMessage {
             round: ballot.round,
             by: ballot.by,
@@ -196,7 +196,7 @@
             .filter(|voter| *voter != me)
             .collect::<Vec<_>>()
         {
-            let message = self.new_message(FleetWhat::Release, voter, 0);
+            let message = self.new_message(FleetMessageKind::Release, voter, 0);
             let message = FleetMessage {
                 round: lease.ballot.round,
                 by: lease.ballot.by,
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -23,7 +23,7 @@
     confirmed_until: Option<Instant>,
     /// Whether `confirmed_until` has passed.
     confirmation_expired: bool,
-    /// Whether the isolation grace (`blind`) after `confirmed_until` has passed, so that this host sends to no server.
+    /// Whether the isolation grace after `confirmed_until` has passed, so that this host sends to no server.
     isolated: bool,
     /// The servers as this host observes them.
     pub(super) servers: Servers,
@@ -114,7 +114,7 @@
         };
         let since = self.now - until;
         let confirmation_expired = since >= Span::ZERO;
-        let isolated = since >= config.blind_held(self.config.drift);
+        let isolated = since >= config.isolation_grace_held(self.config.drift);
         self.changed |= confirmation_expired != self.maintenance.confirmation_expired
             || isolated != self.maintenance.isolated;
         if isolated && !self.maintenance.isolated {
@@ -137,7 +137,7 @@
             .filter(|_| !state.confirmation_expired);
         let before_isolation = state.confirmed_until.filter(|_| !state.isolated);
         let isolation_starts =
-            before_isolation.map(|until| until + config.blind_held(self.config.drift));
+            before_isolation.map(|until| until + config.isolation_grace_held(self.config.drift));
         [state.commands.next(), confirmation_ends, isolation_starts]
             .into_iter()
             .flatten()
@@ -168,11 +168,11 @@
             .first_lease_at
             .map_or(0.0, |at| (self.now - at).millis());
         let report = FleetMaintenance {
-            line: earlier.map(|order_book| order_book.to_message(self.now)),
+            order_book: earlier.map(|order_book| order_book.to_message(self.now)),
             round: version.ballot.round,
             by: version.ballot.by,
             count: version.count,
-            let_go: state.released.iter().map(|server| server.0).collect(),
+            released: state.released.iter().map(|server| server.0).collect(),
             member_for_ms: member_for.max(0.0) as u64,
             served: served as f32,
             command: None,
@@ -218,7 +218,7 @@
 
     /// Replaces the order book if the message has a newer one.
     fn update_order_book(&mut self, report: &FleetMaintenance) {
-        let message = report.line.as_ref();
+        let message = report.order_book.as_ref();
         let Some(newer) = message.and_then(|message| OrderBook::from_message(message, self.now))
         else {
             return;
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -9,7 +9,7 @@
 use crate::demand::Demand;
 use crate::member_lease::{GrantId, MemberLeaseHolder, RenewalRequest};
 use crate::process_id::ProcessId;
-use gullsail_protocol::{FleetMember, FleetMessage, FleetPart, FleetWhat};
+use gullsail_protocol::{FleetMember, FleetMessage, FleetMessageKind, FleetShare};
 use gullsail_scheduler_api::{HostId, Instant, VolumeId};
 use std::collections::BTreeMap;
 use tracing::{info, warn};
@@ -77,23 +77,23 @@
     }
 
     /// Returns the shares that this host holds and the demand of its clients, by budget, for a renewal.
-    fn renewal_parts(&mut self, config: &FleetConfig, now: Instant) -> Vec<FleetPart> {
-        let mut parts: BTreeMap<VolumeId, FleetPart> = BTreeMap::new();
-        let new_part = |id: VolumeId| FleetPart {
+    fn renewal_shares(&mut self, config: &FleetConfig, now: Instant) -> Vec<FleetShare> {
+        let mut shares: BTreeMap<VolumeId, FleetShare> = BTreeMap::new();
+        let new_share = |id: VolumeId| FleetShare {
             budget: id.0,
-            ..FleetPart::default()
+            ..FleetShare::default()
         };
         if let Some(lease) = self.lease_holder.lease() {
             for (id, share) in &lease.shares {
-                parts.entry(*id).or_insert_with(|| new_part(*id)).share = *share;
+                shares.entry(*id).or_insert_with(|| new_share(*id)).share = *share;
             }
         }
         for (id, rate) in self.demand.rates(now) {
             if config.budgets.contains_key(&id) {
-                parts.entry(id).or_insert_with(|| new_part(id)).asked = rate as f32;
+                shares.entry(id).or_insert_with(|| new_share(id)).demand = rate as f32;
             }
         }
-        parts.into_values().collect()
+        shares.into_values().collect()
     }
 
     /// Applies the epoch and the members in a grant; returns whether they may have changed.
@@ -119,15 +119,15 @@
             .lease_holder
             .lease()
             .map_or(0, |lease| lease.serial);
-        let parts = self.membership.renewal_parts(&self.config, self.now);
+        let shares = self.membership.renewal_shares(&self.config, self.now);
         let ballot = self.membership.lease_holder.ballot();
         let message = FleetMessage {
             number: renewal.number,
             serial,
             round: ballot.round,
             by: ballot.by,
-            parts,
-            ..self.new_message(FleetWhat::Renew, coordinator, 0)
+            shares,
+            ..self.new_message(FleetMessageKind::Renew, coordinator, 0)
         };
         let message = self.add_maintenance_report(message);
         if renewal.use_relays {
@@ -149,8 +149,11 @@
             // The voters that elected it may all have restarted and lost later ballots. The refusal reports the newest
             // ballot, so that the coordinator prepares a higher one.
             let known = self.membership.lease_holder.ballot();
-            let message =
-                self.new_message(FleetWhat::Refuse, HostId(poll.from), poll.from_incarnation);
+            let message = self.new_message(
+                FleetMessageKind::Refuse,
+                HostId(poll.from),
+                poll.from_incarnation,
+            );
             self.send(
                 FleetMessage {
                     round: known.round,
@@ -170,7 +173,7 @@
 
     /// Handles a coordinator's grant of a lease.
     pub(super) fn grant_received(&mut self, message: &FleetMessage) {
-        let shares: Shares = message.parts.iter().map(messages::budget_share).collect();
+        let shares: Shares = message.shares.iter().map(messages::budget_share).collect();
         let grant = GrantId {
             ballot: messages::ballot(message),
             serial: message.serial,
@@ -264,7 +267,11 @@
         let message = FleetMessage {
             round: ballot.round,
             by: ballot.by,
-            ..self.new_message(FleetWhat::Leave, coordinator.host, coordinator.incarnation)
+            ..self.new_message(
+                FleetMessageKind::Leave,
+                coordinator.host,
+                coordinator.incarnation,
+            )
         };
         let message = self.add_maintenance_report(message);
         self.send(message, via);
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -10,10 +10,10 @@
 //! **Why nothing is sent to a server that is offline.**
 //! 1. A host sends to a server only while it has a copy of the order book. If it holds a lease that confirmed the copy,
 //!    the copy must have no order by which the server is draining or offline. If that lease expired less than the
-//!    isolation grace (`blind`) ago, the copy must have no open order for the server at all.
+//!    isolation grace ago, the copy must have no open order for the server at all.
 //! 2. The order for a node becomes `Drained` only when no host of the configuration can send to the node any more: the
 //!    host's present process has reported that it released the node, or it has left, or its last lease has expired.
-//!    After an expired lease the coordinator also waits for `blind`, unless the host had reported an order book with
+//!    After an expired lease the coordinator also waits for the isolation grace, unless the host had reported an order book with
 //!    the order. The coordinator waits for the leases of earlier processes of the host as well.
 //! 3. An order becomes `Offline` only when a majority of all hosts has reported an order book in which it is
 //!    `Drained`. A later coordinator adopts the newest order book of enough hosts to include one of that majority.
--- a/crates/fleet/src/maintenance/access.rs
+++ b/crates/fleet/src/maintenance/access.rs
@@ -29,6 +29,6 @@
         None => stage.is_none_or(|stage| !stage.barred()),
         // There may be newer orders than in the copy, so after the isolation grace this host sends to no server. The
         // cost: when the fleet has no coordinator for that long, no host serves.
-        Some(since) => stage.is_none() && now - since < config.blind_held(drift),
+        Some(since) => stage.is_none() && now - since < config.isolation_grace_held(drift),
     }
 }
--- a/crates/fleet/src/maintenance/config.rs
+++ b/crates/fleet/src/maintenance/config.rs
@@ -23,14 +23,14 @@
     pub watched: Span,
     /// The isolation grace: after the lease that confirmed a host's order book has expired, the host may send for this
     /// time to servers that have no open order in it.
-    pub blind: Span,
+    pub isolation_grace: Span,
     /// Quiet hours, in which no server starts to drain: pairs of start and end, in seconds from midnight UTC.
-    pub rests: Vec<(u32, u32)>,
+    pub quiet_hours: Vec<(u32, u32)>,
 }
 
 impl MaintenanceConfig {
-    /// Returns the isolation grace at a host, which is shorter than `blind` to allow for clock drift.
-    pub fn blind_held(&self, drift: f64) -> Span {
-        self.blind.times((1.0 - drift) / (1.0 + drift))
+    /// Returns the isolation grace at a host, which is shorter than `isolation_grace` to allow for clock drift.
+    pub fn isolation_grace_held(&self, drift: f64) -> Span {
+        self.isolation_grace.times((1.0 - drift) / (1.0 + drift))
     }
 }
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -107,7 +107,7 @@
             order.version = count;
             order.age = Span::ZERO;
             order.as_of = now;
-            order.waits.clear();
+            order.waiting_for.clear();
         }
     }
 
@@ -254,14 +254,14 @@
         let mut changed = false;
         for WaitUpdate {
             server,
-            waits,
+            reason,
             hosts,
         } in updates
         {
             let order_book = self.order_book.as_mut();
             if let Some(order) = order_book.and_then(|order_book| order_book.order_mut(server)) {
-                changed |= order.waits != waits || order.hosts != hosts;
-                order.waits = truncate(&waits);
+                changed |= order.waiting_for != reason || order.hosts != hosts;
+                order.waiting_for = truncate(&reason);
                 order.hosts = hosts;
             }
         }
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -174,7 +174,7 @@
             shard_away: command.shard_away,
             returns_on_restart: command.returns,
             reason: truncate(&command.reason),
-            waits: String::new(),
+            waiting_for: String::new(),
             hosts: Vec::new(),
             times_overtaken: 0,
             incarnation: 0,
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -21,16 +21,16 @@
 pub(super) struct WaitUpdate {
     pub(super) server: ServerId,
     /// What the order waits for; empty: it does not wait.
-    pub(super) waits: String,
+    pub(super) reason: String,
     /// The new value of [`Order::hosts`].
     pub(super) hosts: Vec<u32>,
 }
 
 impl WaitUpdate {
-    pub(super) fn new(server: ServerId, waits: impl Into<String>) -> WaitUpdate {
+    pub(super) fn new(server: ServerId, reason: impl Into<String>) -> WaitUpdate {
         WaitUpdate {
             server,
-            waits: waits.into(),
+            reason: reason.into(),
             hosts: Vec::new(),
         }
     }
@@ -51,10 +51,10 @@
         });
     }
 
-    fn wait(&mut self, order: &Order, waits: &str, hosts: Vec<u32>) {
+    fn wait(&mut self, order: &Order, reason: &str, hosts: Vec<u32>) {
         self.updates.push(WaitUpdate {
             server: order.server,
-            waits: waits.into(),
+            reason: reason.into(),
             hosts,
         });
     }
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -51,7 +51,7 @@
         config: &FleetConfig,
         maintenance: &MaintenanceConfig,
     ) -> Instant {
-        self.elected_at + config.lease + maintenance.blind
+        self.elected_at + config.lease + maintenance.isolation_grace
     }
 
     /// Records the maintenance report of a member's renewal.
@@ -62,11 +62,12 @@
         report: RenewalReport,
         now: Instant,
     ) {
-        let lease_and_blind = |granted: Instant| granted + config.lease + maintenance.blind;
+        let lease_and_grace =
+            |granted: Instant| granted + config.lease + maintenance.isolation_grace;
         // Other processes of the host held no lease any more when one lease had passed since this process was granted
         // its first one, whichever host was the coordinator.
         let member_for = report.member_for.times(1.0 - config.drift);
-        let earlier_until = lease_and_blind(now - member_for);
+        let earlier_until = lease_and_grace(now - member_for);
         let unreported_host_may_send_until =
             self.unreported_host_may_send_until(config, maintenance);
         let first = HostUsage {
@@ -86,7 +87,7 @@
             let process_until = if usage.left {
                 now
             } else {
-                lease_and_blind(usage.granted_at)
+                lease_and_grace(usage.granted_at)
             };
             *usage = HostUsage {
                 earlier_incarnations_until: usage.earlier_incarnations_until.max(process_until),
@@ -188,14 +189,14 @@
             count: self.first_count_with(order),
         };
         let has_order = usage.known_version.is_some_and(|known| known >= requested);
-        let blind = if has_order {
+        let grace = if has_order {
             Span::ZERO
         } else {
-            maintenance.blind
+            maintenance.isolation_grace
         };
         usage
             .earlier_incarnations_until
-            .max(usage.granted_at + config.lease + blind)
+            .max(usage.granted_at + config.lease + grace)
     }
 
     /// Returns the count of this coordinator's first version of the order book that contains the order.
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -109,7 +109,7 @@
     /// The reason that the operator gave for the order.
     pub reason: String,
     /// What the order waits for, as text for operators; empty: it does not wait.
-    pub waits: String,
+    pub waiting_for: String,
     /// While the server drains, the hosts that still use it. After that, the hosts that never reported its release, so
     /// that the coordinator waited for their leases to expire.
     pub hosts: Vec<u32>,
