--- a/crates/config-transition/src/revision_limits.rs
+++ b/crates/config-transition/src/revision_limits.rs
@@ -22,16 +22,16 @@
 
 impl SharedLimit {
     /// Whether this host serves the volume.
-    pub fn through(&self, host: HostId) -> bool {
+    pub fn is_served_by(&self, host: HostId) -> bool {
         self.hosts.binary_search(&host).is_ok()
     }
 
-    /// Returns the limit of one host by this revision alone: the granted `share` of the limit, or an even share if there
-    /// is none. A host that does not serve the volume has a limit of 0. `None`: the volume has no limit.
+    /// Returns the limit of one host by this revision alone: the granted `share` of the limit, or an even share if
+    /// there is none. A host that does not serve the volume has a limit of 0. `None`: the volume has no limit.
     fn limit_for(&self, host: HostId, share: Option<f64>) -> Option<Limit> {
         let limit = self.limit?;
         let count = self.hosts.len().max(1) as f64;
-        let share = if self.through(host) {
+        let share = if self.is_served_by(host) {
             share.unwrap_or(1.0 / count)
         } else {
             0.0
@@ -63,8 +63,8 @@
             && pairs.all(|(ours, theirs)| ours.0 == theirs.0 && same(ours.1, theirs.1))
     }
 
-    /// Returns the limit of one host for a volume by this revision alone; `None`: no limit applies. A volume that is not
-    /// in the revision needs no limit: hosts that follow the revision do not send for it.
+    /// Returns the limit of one host for a volume by this revision alone; `None`: no limit applies. A volume that is
+    /// not in the revision needs no limit: hosts that follow the revision do not send for it.
     pub fn limit_for(&self, volume: VolumeId, host: HostId, share: Option<f64>) -> Option<Limit> {
         self.volumes.get(&volume)?.limit_for(host, share)
     }
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -10,8 +10,8 @@
 //! 3. So each host sends at most its limit by m, and these limits sum to the limit that revision m states.
 //!
 //! This holds at every moment, in whatever order hosts change. Notices may be lost, late or repeated: a lost notice
-//! only delays the removal of revisions from a chain. A host that is down sends nothing; the others keep its revision in
-//! their chains until it reports a later one.
+//! only delays the removal of revisions from a chain. A host that is down sends nothing; the others keep its revision
+//! in their chains until it reports a later one.
 //!
 //! **Assumptions.** A host that starts is given a revision no older than the one that it last followed, and a
 //! chain that reaches back to the oldest revision that any host follows. Operators have to ensure both; a host
@@ -58,8 +58,8 @@
 }
 
 impl ConfigTransition {
-    /// Creates the state of host `me` of `hosts` hosts. `chain` has the revision to follow and earlier ones; no host may
-    /// follow a revision older than the oldest of them. An empty chain has no limits.
+    /// Creates the state of host `me` of `hosts` hosts. `chain` has the revision to follow and earlier ones; no host
+    /// may follow a revision older than the oldest of them. An empty chain has no limits.
     pub fn new(
         me: HostId,
         hosts: u32,
@@ -291,7 +291,7 @@
             .current()
             .volumes
             .get(&id)
-            .filter(|shared| shared.through(self.me))
+            .filter(|shared| shared.is_served_by(self.me))
         {
             Some(shared) => {
                 let hosts = shared.hosts.len() as u32;
--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -1,5 +1,5 @@
-//! Hosts change from revision to revision in any order, crash and restart, and receive notices late, twice or not at all.
-//! Their limits never sum to more than the limit of the oldest revision that one of them follows.
+//! Hosts change from revision to revision in any order, crash and restart, and receive notices late, twice or not at
+//! all. Their limits never sum to more than the limit of the oldest revision that one of them follows.
 
 use gullsail_config_transition::{
     ConfigTransition, NoticeEffect, Revision, RevisionLimits, RevisionNotice, SharedLimit,
@@ -41,9 +41,9 @@
             let limit = rng
                 .random_bool(0.85)
                 .then(|| f64::from(rng.random_range(1..100u32)));
-            let through: Vec<u32> = (0..hosts).filter(|_| rng.random_bool(0.6)).collect();
-            if rng.random_bool(0.9) && !through.is_empty() {
-                volumes.push((id, limit, through));
+            let serving: Vec<u32> = (0..hosts).filter(|_| rng.random_bool(0.6)).collect();
+            if rng.random_bool(0.9) && !serving.is_empty() {
+                volumes.push((id, limit, serving));
             }
         }
         let volumes: Vec<_> = volumes
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -28,8 +28,8 @@
         server.is_none_or(|server| role.maintenance.may_join(server, process.incarnation))
     }
 
-    /// Handles the maintenance report of a renewal that is granted. Returns the version of the newest order book for the
-    /// answer, with the order book itself if the member has another version.
+    /// Handles the maintenance report of a renewal that is granted. Returns the version of the newest order book for
+    /// the answer, with the order book itself if the member has another version.
     pub(super) fn maintenance_renewed(
         &mut self,
         renewal: &FleetMessage,
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -119,14 +119,14 @@
             .lease_holder
             .lease()
             .map_or(0, |lease| lease.serial);
-        let shares = self.membership.renewal_shares(&self.config, self.now);
+        let entries = self.membership.renewal_shares(&self.config, self.now);
         let ballot = self.membership.lease_holder.ballot();
         let message = FleetMessage {
             number: renewal.number,
             serial,
             round: ballot.round,
             by: ballot.by,
-            shares,
+            shares: entries,
             ..self.new_message(FleetMessageKind::Renew, coordinator, 0)
         };
         let message = self.add_maintenance_report(message);
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Announces to the coordinator with this ballot that this host leaves. The message includes the maintenance report,
-    /// since a coordinator that has just been elected may receive the newest order book from no other host.
+    /// Announces to the coordinator with this ballot that this host leaves. The message includes the maintenance
+    /// report, since a coordinator that has just been elected may receive the newest order book from no other host.
     pub(super) fn send_departure(
         &mut self,
         coordinator: ProcessId,
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -13,8 +13,8 @@
 //!    isolation grace ago, the copy must have no open order for the server at all.
 //! 2. The order for a node becomes `Drained` only when no host of the configuration can send to the node any more: the
 //!    host's present process has reported that it released the node, or it has left, or its last lease has expired.
-//!    After an expired lease the coordinator also waits for the isolation grace, unless the host had reported an order book with
-//!    the order. The coordinator waits for the leases of earlier processes of the host as well.
+//!    After an expired lease the coordinator also waits for the isolation grace, unless the host had reported an order
+//!    book with the order. The coordinator waits for the leases of earlier processes of the host as well.
 //! 3. An order becomes `Offline` only when a majority of all hosts has reported an order book in which it is
 //!    `Drained`. A later coordinator adopts the newest order book of enough hosts to include one of that majority.
 
--- a/crates/fleet/src/maintenance/access.rs
+++ b/crates/fleet/src/maintenance/access.rs
@@ -26,7 +26,7 @@
         .map(|order| order.stage)
         .filter(|stage| stage.open());
     match unconfirmed_since {
-        None => stage.is_none_or(|stage| !stage.barred()),
+        None => stage.is_none_or(|stage| !stage.blocks_attempts()),
         // There may be newer orders than in the copy, so after the isolation grace this host sends to no server. The
         // cost: when the fleet has no coordinator for that long, no host serves.
         Some(since) => stage.is_none() && now - since < config.isolation_grace_held(drift),
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -10,8 +10,8 @@
 
 /// The reason why an order cannot start to drain now.
 pub struct Blocker {
-    /// Whether the order waits for servers that are away or for load to fall. If so, a later order may have to leave the
-    /// capacity that becomes free to this order.
+    /// Whether the order waits for servers that are away or for load to fall. If so, a later order may have to leave
+    /// the capacity that becomes free to this order.
     pub by_others: bool,
     /// The reason, for operators.
     pub reason: String,
@@ -93,7 +93,7 @@
             && self
                 .order_book
                 .order(server)
-                .is_some_and(|other| other.stage.away())
+                .is_some_and(|other| other.stage.is_away())
     }
 
     /// Whether a server other than the order's is away, by its order or because it failed.
@@ -126,8 +126,8 @@
         None
     }
 
-    /// Whether a server counts towards the limits of servers away. If the order's server has failed, it is away already,
-    /// so only servers away by their orders count, not others that failed.
+    /// Whether a server counts towards the limits of servers away. If the order's server has failed, it is away
+    /// already, so only servers away by their orders count, not others that failed.
     fn counts_as_away(&self, server: ServerId, seen: &ServerObservation) -> bool {
         if self.failed {
             self.is_ordered_away(server)
@@ -236,7 +236,8 @@
         None
     }
 
-    /// Checks that enough capacity of all nodes would remain without `removed` units a second, also for the present load.
+    /// Checks that enough capacity of all nodes would remain without `removed` units a second, also for the present
+    /// load.
     fn capacity(&self, removed: f64) -> Option<Blocker> {
         if self.failed {
             return None;
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -236,9 +236,9 @@
             .collect()
     }
 
-    /// Writes wait reasons into the order book. If no stage has changed, it does so only after the publish interval: each
-    /// version is sent to all hosts, and hundreds of hosts that release a server one by one would cause a version with
-    /// each of their renewals.
+    /// Writes wait reasons into the order book. If no stage has changed, it does so only after the publish interval:
+    /// each version is sent to all hosts, and hundreds of hosts that release a server one by one would cause a version
+    /// with each of their renewals.
     fn publish_waits(
         &mut self,
         updates: Vec<WaitUpdate>,
@@ -270,8 +270,8 @@
         }
     }
 
-    /// Whether this process of a host may be a member. A draining host may, since it must receive the order. Once it has
-    /// left, only another process may join, and only if a restart counts as the return.
+    /// Whether this process of a host may be a member. A draining host may, since it must receive the order. Once it
+    /// has left, only another process may join, and only if a restart counts as the return.
     pub fn may_join(&self, server: ServerId, incarnation: u64) -> bool {
         let Some(order) = self.order_book.as_ref().and_then(|book| book.order(server)) else {
             return true;
@@ -279,7 +279,8 @@
         match order.stage {
             Stage::Draining => true,
             stage => {
-                !stage.barred() || order.returns_on_restart && order.incarnation != incarnation
+                !stage.blocks_attempts()
+                    || order.returns_on_restart && order.incarnation != incarnation
             }
         }
     }
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -15,7 +15,8 @@
 /// The coordinator's decision on an operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandDecision {
-    /// The command is applied and a majority of hosts has the change, so it stays in effect under any later coordinator.
+    /// The command is applied and a majority of hosts has the change, so it stays in effect under any later
+    /// coordinator.
     Accepted,
     /// The command is not applied to any server.
     Refused {
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -145,7 +145,8 @@
         if !using.is_empty() {
             return plan.wait(order, "hosts still use this server", using);
         }
-        // Hosts that never reported the release of the server, so that the coordinator waited for their lease to expire.
+        // Hosts that never reported the release of the server, so that the coordinator waited for their lease to
+        // expire.
         let unreported = users
             .iter()
             .filter(|host| !self.has_released(**host, order));
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -44,8 +44,8 @@
 }
 
 impl MaintenanceCoordinator {
-    /// Returns until when a host that has not reported may send to servers. An earlier coordinator may have granted it a
-    /// lease just before this one was elected.
+    /// Returns until when a host that has not reported may send to servers. An earlier coordinator may have granted it
+    /// a lease just before this one was elected.
     fn unreported_host_may_send_until(
         &self,
         config: &FleetConfig,
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether no host may start an attempt to the server in this stage.
-    pub fn barred(self) -> bool {
+    pub fn blocks_attempts(self) -> bool {
         matches!(
             self,
             Stage::Draining | Stage::Drained | Stage::Offline | Stage::Overdue
@@ -68,8 +68,8 @@
     }
 
     /// Whether the server counts as away for maintenance in this stage.
-    pub fn away(self) -> bool {
-        self.barred() || self == Stage::Returning
+    pub fn is_away(self) -> bool {
+        self.blocks_attempts() || self == Stage::Returning
     }
 
     /// Whether the order is neither done nor cancelled.
--- a/crates/fleet/src/maintenance/snapshot.rs
+++ b/crates/fleet/src/maintenance/snapshot.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Whether two servers are both nodes or both hosts, so that taking one offline counts against limits that the other
-    /// needs.
+    /// Whether two servers are both nodes or both hosts, so that taking one offline counts against limits that the
+    /// other needs.
     pub(super) fn share_limits(&self, one: ServerId, other: ServerId) -> bool {
         let is_host = |server: ServerId| {
             self.servers
--- a/crates/fleet/src/process_id.rs
+++ b/crates/fleet/src/process_id.rs
@@ -2,7 +2,7 @@
 
 use gullsail_scheduler_api::HostId;
 
-/// One process of a host, told from earlier and later ones by its incarnation.
+/// One process of a host, distinguished from earlier and later ones by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     /// The host that the process runs as.
--- a/crates/fleet/tests/exploration.rs
+++ b/crates/fleet/tests/exploration.rs
@@ -1,6 +1,6 @@
 //! Explores all sequences of a few events in a fleet of three hosts with one budget. A message in flight is delivered,
-//! lost or repeated; time passes; a host crashes, starts, is paused or resumes. The exploration starts from four states:
-//! before a coordinator is elected, while shares move, and after the coordinator has crashed or was paused.
+//! lost or repeated; time passes; a host crashes, starts, is paused or resumes. The exploration starts from four
+//! states: before a coordinator is elected, while shares move, and after the coordinator has crashed or was paused.
 //! `FLEET_DEPTH` sets the number of events.
 
 use gullsail_fleet::{Budget, Event, Fleet, FleetConfig, WHOLE};
@@ -47,9 +47,9 @@
 }
 
 fn fleet_config() -> Arc<FleetConfig> {
-    let through = (0..3).map(HostId).collect();
+    let budget_hosts = (0..3).map(HostId).collect();
     let budget = Budget {
-        hosts: through,
+        hosts: budget_hosts,
         floor: 100_000,
         lagging_hosts: BTreeMap::new(),
         min_share: 1000,
@@ -161,7 +161,8 @@
     }
 
     fn steps(&self) -> Vec<Step> {
-        // Only the oldest messages in flight are candidates; to handle the others later is the same as to send them later.
+        // Only the oldest messages in flight are candidates; to handle the others later is the same as to send them
+        // later.
         let in_flight = 0..self.in_flight.len().min(4);
         let mut all: Vec<Step> = in_flight.clone().map(Step::Delivered).collect();
         all.extend([LEASE / 8, LEASE / 2, LEASE * 11 / 10].map(Step::TimePasses));
--- a/crates/fleet/tests/grants.rs
+++ b/crates/fleet/tests/grants.rs
@@ -13,12 +13,12 @@
 
 const BUDGET: VolumeId = VolumeId(1);
 
-fn budget(hosts: u32, floor: u32, least: u32) -> Budget {
+fn budget(hosts: u32, floor: u32, smallest_share: u32) -> Budget {
     Budget {
         hosts: (0..hosts).map(HostId).collect(),
         floor,
         lagging_hosts: BTreeMap::new(),
-        min_share: least,
+        min_share: smallest_share,
     }
 }
 
@@ -195,8 +195,8 @@
     }
 }
 
-/// A new coordinator grants each host the shares that the host reports. It grants more only once all hosts have reported
-/// or one lease has passed.
+/// A new coordinator grants each host the shares that the host reports. It grants more only once all hosts have
+/// reported or one lease has passed.
 #[test]
 fn shares_grow_in_a_takeover_only_after_all_reports_or_one_lease() {
     let config = fleet_config(2);
@@ -285,7 +285,7 @@
     demands: [f64; 4],
     committed_elsewhere: u64,
     /// The share that holds one request of the largest size.
-    least: u32,
+    smallest_share: u32,
     turn: u64,
     /// The share of each member, compared within a tolerance.
     expected: [u32; 4],
@@ -295,12 +295,12 @@
     let case = |demands, committed_elsewhere, expected: [u32; 4]| DivisionCase {
         demands,
         committed_elsewhere,
-        least: 1,
+        smallest_share: 1,
         turn: 0,
         expected: expected.map(|share| share * THOUSANDTH),
     };
-    let large_requests = |demands, least, turn, expected| DivisionCase {
-        least: least * THOUSANDTH,
+    let large_requests = |demands, smallest_share, turn, expected| DivisionCase {
+        smallest_share: smallest_share * THOUSANDTH,
         turn,
         ..case(demands, 0, expected)
     };
@@ -324,11 +324,11 @@
         let DivisionCase {
             demands,
             committed_elsewhere,
-            least,
+            smallest_share,
             turn,
             expected,
         } = case;
-        let budget = budget(4, 50 * THOUSANDTH, least);
+        let budget = budget(4, 50 * THOUSANDTH, smallest_share);
         let members = demands.iter().enumerate();
         let members = members.map(|(host, demand)| HostDemand {
             host: HostId(host as u32),
@@ -349,7 +349,7 @@
             .all(|(share, expected)| share.abs_diff(expected) <= 50 * THOUSANDTH);
         assert!(
             near,
-            "{demands:?} {committed_elsewhere} {least} {turn}: {shares:?}, {expected:?} expected"
+            "{demands:?} {committed_elsewhere} {smallest_share} {turn}: {shares:?}, {expected:?} expected"
         );
     }
 }
--- a/crates/fleet/tests/maintenance/coordinator.rs
+++ b/crates/fleet/tests/maintenance/coordinator.rs
@@ -42,9 +42,9 @@
     driver.advance(ms(at), true);
 }
 
-/// A host that has restarted reports that it released the server. Its earlier process may still run without a connection
-/// to the coordinator, and may use the server for a lease plus the isolation grace, so the coordinator waits for that
-/// long. For a host that did not restart it does not wait.
+/// A host that has restarted reports that it released the server. Its earlier process may still run without a
+/// connection to the coordinator, and may use the server for a lease plus the isolation grace, so the coordinator waits
+/// for that long. For a host that did not restart it does not wait.
 #[test]
 fn a_server_is_drained_only_after_leases_of_earlier_processes_expired() {
     for (incarnation, drained_at) in [(1, 2500), (2, 6000)] {
@@ -127,8 +127,8 @@
     anew: bool,
 }
 
-/// A new coordinator adopts the newest order book once so many hosts have reported theirs that every majority includes one
-/// of them. If too many hosts have just started for that, it starts an order book without a quorum and marks it.
+/// A new coordinator adopts the newest order book once so many hosts have reported theirs that every majority includes
+/// one of them. If too many hosts have just started for that, it starts an order book without a quorum and marks it.
 #[test]
 fn an_order_book_is_adopted_from_enough_hosts_or_started_without_a_quorum() {
     let adopts = |stage, anew| {
@@ -189,8 +189,8 @@
     })
 }
 
-/// All five hosts renew and report that they released the server. The first `informed` hosts have the newest order book,
-/// the others have version `old`.
+/// All five hosts renew and report that they released the server. The first `informed` hosts have the newest order
+/// book, the others have version `old`.
 fn all_released(
     driver: &mut Driver,
     at: i64,
@@ -213,8 +213,8 @@
     driver.stage()
 }
 
-/// All hosts have released the server, but its order becomes offline only once a majority of hosts has the drained order.
-/// A drained or offline order cannot be cancelled.
+/// All hosts have released the server, but its order becomes offline only once a majority of hosts has the drained
+/// order. A drained or offline order cannot be cancelled.
 #[test]
 fn a_server_is_offline_once_a_majority_has_the_drained_order() {
     let before = order_book(9, Stage::Draining);
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Servers 1 to 6 are nodes: two for each shard, odd ones in zone 1 and even ones in zone 0, with a capacity of 100 each.
-/// Servers 11 to 15 are hosts 0 to 4, in zones 2 to 6.
+/// Servers 1 to 6 are nodes: two for each shard, odd ones in zone 1 and even ones in zone 0, with a capacity of 100
+/// each. Servers 11 to 15 are hosts 0 to 4, in zones 2 to 6.
 pub fn servers() -> Servers {
     let observation = |what, zone| ServerObservation {
         what,
--- a/crates/fleet/tests/world/commands.rs
+++ b/crates/fleet/tests/world/commands.rs
@@ -93,8 +93,8 @@
     for seed in seeds(60) {
         let mut w = settled_fleet(seed);
         let killed = coordinator(&w);
-        let through = (killed + 1) % HOSTS;
-        let command = w.command(through, CommandKind::TakeOffline, &[NODE], away());
+        let receiver = (killed + 1) % HOSTS;
+        let command = w.command(receiver, CommandKind::TakeOffline, &[NODE], away());
         let moment = w.rng.random_range(0..LEASE / 2);
         w.run(moment);
         w.kill(killed);
--- a/crates/fleet/tests/world/harness.rs
+++ b/crates/fleet/tests/world/harness.rs
@@ -24,20 +24,20 @@
 /// The server id of the first node. The server ids of hosts start at 1.
 pub const FIRST_NODE: u64 = 10_000;
 
-fn fleet_config(hosts: u32, least: u32, drift: f64) -> FleetConfig {
-    let budget = |through: Vec<u32>, least| {
-        let floor = WHOLE * 3 / 10 / through.len() as u32;
-        let through = through.into_iter().map(HostId).collect();
+fn fleet_config(hosts: u32, smallest_share: u32, drift: f64) -> FleetConfig {
+    let budget = |budget_hosts: Vec<u32>, smallest_share| {
+        let floor = WHOLE * 3 / 10 / budget_hosts.len() as u32;
+        let budget_hosts = budget_hosts.into_iter().map(HostId).collect();
         Budget {
-            hosts: through,
+            hosts: budget_hosts,
             floor,
             lagging_hosts: BTreeMap::new(),
-            min_share: least,
+            min_share: smallest_share,
         }
     };
     let some = (0..hosts).filter(|host| host % 2 == 0).collect();
     let budgets = [
-        (VolumeId(1), budget((0..hosts).collect(), least)),
+        (VolumeId(1), budget((0..hosts).collect(), smallest_share)),
         (VolumeId(2), budget(some, 1000)),
     ];
     FleetConfig {
@@ -138,22 +138,22 @@
 }
 
 impl World {
-    pub fn new(hosts: u32, seed: u64, least: u32) -> World {
-        World::with_drift(hosts, seed, least, DRIFT, None)
+    pub fn new(hosts: u32, seed: u64, smallest_share: u32) -> World {
+        World::with_drift(hosts, seed, smallest_share, DRIFT, None)
     }
 
     /// Creates a world in which the rates of clocks differ by up to twice `drift`.
     pub fn with_drift(
         hosts: u32,
         seed: u64,
-        least: u32,
+        smallest_share: u32,
         drift: f64,
         maintenance: Option<MaintenanceConfig>,
     ) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let config = Arc::new(FleetConfig {
             maintenance,
-            ..fleet_config(hosts, least, drift)
+            ..fleet_config(hosts, smallest_share, drift)
         });
         let all: Vec<Host> = (0..hosts).map(|_| Host::random(&mut rng, drift)).collect();
         let mut world = World {
--- a/crates/fleet/tests/world/invariants.rs
+++ b/crates/fleet/tests/world/invariants.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Checks that no host sends to an offline server and that the limit of servers away holds, by the latest stage of each
-    /// order in any host's order book.
+    /// Checks that no host sends to an offline server and that the limit of servers away holds, by the latest stage of
+    /// each order in any host's order book.
     fn check_maintenance(&self, running: &[u32]) {
         let Some(maintenance) = &self.config.maintenance else {
             return;
--- a/crates/fleet/tests/world/main.rs
+++ b/crates/fleet/tests/world/main.rs
@@ -1,5 +1,5 @@
-//! Tests of whole fleets in simulated time, run by `harness`; tests of maintenance are in `maintenance`. A failure reports
-//! its seed; `FLEET_SEEDS=from..to` selects other seeds.
+//! Tests of whole fleets in simulated time, run by `harness`; tests of maintenance are in `maintenance`. A failure
+//! reports its seed; `FLEET_SEEDS=from..to` selects other seeds.
 
 mod commands;
 mod faults;
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -1,5 +1,5 @@
-//! Maintenance in whole fleets, with random faults and in single cases: nothing is sent to a server that is offline, the
-//! limits of servers away hold, and all orders end.
+//! Maintenance in whole fleets, with random faults and in single cases: nothing is sent to a server that is offline,
+//! the limits of servers away hold, and all orders end.
 
 use crate::harness::{DRIFT, FIRST_NODE, Host, LEASE, NODES, Node, SECOND, World};
 use crate::seeds;
@@ -72,9 +72,9 @@
                 w.kill(host);
                 w.start(host);
             }
-            let through = w.rng.random_range(0..w.config.hosts);
+            let receiver = w.rng.random_range(0..w.config.hosts);
             w.command(
-                through,
+                receiver,
                 CommandKind::Return,
                 &[server],
                 FleetCommand::default(),
@@ -142,9 +142,9 @@
         CommandKind::Cancel
     };
     for _ in 0..w.rng.random_range(1..3) {
-        let through = w.rng.random_range(0..hosts);
+        let receiver = w.rng.random_range(0..hosts);
         let returns = w.rng.random_bool(0.5);
-        w.command(through, kind, &[server], take_offline(returns));
+        w.command(receiver, kind, &[server], take_offline(returns));
     }
 }
 
@@ -164,8 +164,8 @@
     w.heal();
     run_with_operators(&mut w, 3 * LEASE);
     w.heal();
-    // Two orders at a time drain, each for some leases. Orders that only few hosts had when the coordinator crashed must
-    // not remain open.
+    // Two orders at a time drain, each for some leases. Orders that only few hosts had when the coordinator crashed
+    // must not remain open.
     let mut rounds = 0;
     while open_orders(&w) > 0 && rounds < 60 {
         run_with_operators(&mut w, 2 * LEASE);
@@ -253,8 +253,8 @@
     }
 }
 
-/// The coordinator takes its own server offline: it resigns and leaves before a majority of hosts has the draining order.
-/// The next coordinator gets the order from the leaving host and does not wait for its lease to expire.
+/// The coordinator takes its own server offline: it resigns and leaves before a majority of hosts has the draining
+/// order. The next coordinator gets the order from the leaving host and does not wait for its lease to expire.
 #[test]
 fn the_coordinators_own_server_goes_offline_without_waiting_for_its_lease() {
     for (hosts, seed) in [(3, 1), (3, 2), (3, 3), (5, 4), (5, 5), (8, 6)] {
@@ -266,15 +266,15 @@
             fleet.is_some_and(|fleet| fleet.is_coordinator(w.clock(*number, w.now)))
         };
         let coordinator = (0..hosts).find(is_coordinator).unwrap();
-        let through = (coordinator + 1) % hosts;
+        let receiver = (coordinator + 1) % hosts;
         w.command(
-            through,
+            receiver,
             CommandKind::TakeOffline,
             &[host(coordinator)],
             take_offline(false),
         );
         w.run(4 * LEASE);
-        let fleet = w.hosts[through as usize].fleet.as_ref().unwrap();
+        let fleet = w.hosts[receiver as usize].fleet.as_ref().unwrap();
         let order = fleet
             .orders()
             .find(|order| order.server == host(coordinator));
@@ -291,8 +291,8 @@
     }
 }
 
-/// Prints the time that all orders take and the number of messages, by the number of hosts, for docs/results.md. It is run
-/// manually.
+/// Prints the time that all orders take and the number of messages, by the number of hosts, for docs/results.md. It is
+/// run manually.
 #[test]
 #[ignore = "figures, not a verdict: cargo test -p gullsail-fleet --release --test world orders_by_size -- --ignored --nocapture"]
 fn orders_by_size() {
@@ -325,15 +325,15 @@
     }
 }
 
-/// Takes servers offline by a command through a host and restarts each one once it is offline, until all orders are done
-/// or ten minutes have passed.
-fn take_offline_and_restart(w: &mut World, through: u32, servers: &[ServerId]) {
+/// Takes servers offline by a command through a host and restarts each one once it is offline, until all orders are
+/// done or ten minutes have passed.
+fn take_offline_and_restart(w: &mut World, receiver: u32, servers: &[ServerId]) {
     let at = w.now;
     let command = FleetCommand {
         returns: true,
         ..FleetCommand::default()
     };
-    w.command(through, CommandKind::TakeOffline, servers, command);
+    w.command(receiver, CommandKind::TakeOffline, servers, command);
     let mut restarted: BTreeSet<ServerId> = BTreeSet::new();
     let in_stage = |w: &World, wanted: Stage| -> Vec<ServerId> {
         let servers = servers.iter().copied();
--- a/crates/fleet/tests/world/servers.rs
+++ b/crates/fleet/tests/world/servers.rs
@@ -12,7 +12,8 @@
 const ATTEMPT: i64 = 30_000;
 
 impl World {
-    /// Passes the servers and the set of released ones to a host, and records its answers to commands and its order book.
+    /// Passes the servers and the set of released ones to a host, and records its answers to commands and its order
+    /// book.
     pub fn observe_servers(&mut self, number: u32, now: Instant) {
         let at = self.now;
         let servers = self.servers();
@@ -81,8 +82,8 @@
 
 impl OrderHistory {
     fn follow(&mut self, order_book: &OrderBook) {
-        // An order book that was started without a quorum replaces the earlier ones. Hosts that still have an earlier one
-        // are ignored.
+        // An order book that was started without a quorum replaces the earlier ones. Hosts that still have an earlier
+        // one are ignored.
         if order_book.anew != 0 && self.anew.insert(order_book.anew) {
             self.stages.clear();
             self.lineage = order_book.anew;
