--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -303,7 +303,7 @@
                 }
             }
             None => {
-                let part = Some(Limit {
+                let zero_limit = Some(Limit {
                     rate: 0.0,
                     burst: 0.0,
                 });
@@ -311,7 +311,7 @@
                     volume: id,
                     plan: PlanId::default(),
                     host_count: 0,
-                    host_limit: part,
+                    host_limit: zero_limit,
                 }
             }
         }
@@ -325,7 +325,7 @@
         }
         let limit = self.limit_of(id);
         let even_limit = self.current().limit_for(id, self.me, None);
-        // An even share is reported as no part, so that rounding does not produce two values for the same limit.
+        // An even share is returned without a host limit, so that rounding does not produce two values for the same limit.
         VolumeAllocation {
             host_limit: limit.filter(|_| limit != even_limit),
             ..even
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -30,8 +30,8 @@
 }
 
 /// Returns the budget and the share in one entry of a message's `shares`.
-pub(super) fn budget_share(part: &FleetShare) -> (VolumeId, u32) {
-    (VolumeId(part.budget), part.share)
+pub(super) fn budget_share(entry: &FleetShare) -> (VolumeId, u32) {
+    (VolumeId(entry.budget), entry.share)
 }
 
 /// Messages that wait to be sent or handled.
--- a/crates/fleet/tests/world/main.rs
+++ b/crates/fleet/tests/world/main.rs
@@ -48,8 +48,8 @@
             w.run(20_000);
         }
         println!(
-            "{hosts} hosts: {:.1} messages a second from a host in the mean, {:.1} from the busiest; {:.3} in use; {} die, the \
-             coordinator {}: divided anew after {:.2} leases",
+            "{hosts} hosts: {:.1} messages a second from a host in the mean, {:.1} from the busiest; {:.3} in use; {} crash, the \
+             coordinator {}: shares redistributed after {:.2} leases",
             median as f64 / 10.0,
             most as f64 / 10.0,
             used as f64 / f64::from(WHOLE),
