--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -325,7 +325,8 @@
         }
         let limit = self.limit_of(id);
         let even_limit = self.current().limit_for(id, self.me, None);
-        // An even share is returned without a host limit, so that rounding does not produce two values for the same limit.
+        // An even share is returned without a host limit, so that rounding does not produce two values for the same
+        // limit.
         VolumeAllocation {
             host_limit: limit.filter(|_| limit != even_limit),
             ..even
