--- a/crates/fleet/src/maintenance/selection.rs
+++ b/crates/fleet/src/maintenance/selection.rs
@@ -1,5 +1,5 @@
-//! Selects the server that drains next. It is a pure function of the order book, the servers and the settings, called
-//! by the coordinator.
+//! Selects the server that drains next. It is a pure function of the order book, the servers and the settings, so that
+//! every host can compute the same result. Called by the coordinator.
 
 use super::blockers::blocker;
 use super::config::MaintenanceConfig;
