--- a/crates/fleet/src/maintenance/refusal.rs
+++ b/crates/fleet/src/maintenance/refusal.rs
@@ -6,28 +6,28 @@
 /// Why an operator's command is refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandRefusal {
-    /// The coordinator does not know the server.
+    /// The coordinator's configuration does not have the server.
     UnknownServer,
-    /// Too little capacity would stay, however long it waits.
+    /// Too little capacity would remain, however long the order waits.
     TooLittleCapacity {
-        /// The part of the capacity that would stay.
+        /// The fraction of the capacity that would remain.
         remaining: f64,
-        /// The part that has to stay.
+        /// The fraction of the capacity that must remain.
         keep: f64,
     },
-    /// Nothing to cancel, and nothing to return from.
+    /// The server has no open order, so there is nothing to cancel or to return from.
     NoOrder,
-    /// The server has not gone offline yet, so it cannot return.
+    /// The server is not offline yet, so it cannot return.
     NotOffline,
     /// The server is offline, so its order can no longer be cancelled.
     AlreadyOffline,
-    /// A host that drains gives up its membership, so its order can no longer be cancelled.
+    /// The server is a host that drains and so leaves the fleet. Its order can no longer be cancelled.
     HostIsDraining,
-    /// The order book is full.
+    /// The order book has no room for more open orders.
     TooManyOrders,
-    /// The fleet's configuration has no maintenance.
+    /// The configuration has no settings of maintenance.
     NoMaintenance,
-    /// Too many commands of this host wait for an answer.
+    /// This host has too many commands without an answer.
     TooManyCommands,
     /// No coordinator answered in time.
     Unanswered,
