--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,5 +1,5 @@
-//! The command line, as `clap` parses it. Renamed commands keep their old name as a hidden alias. The doc
-//! comments are the help texts.
+//! The command line, as `clap` parses it. A renamed command keeps its old name as a hidden alias. The doc
+//! comments become the help texts.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
@@ -8,12 +8,12 @@
 #[derive(Parser)]
 #[command(version, propagate_version = true)]
 pub struct Arguments {
-    /// What to do.
+    /// The subcommand.
     #[command(subcommand)]
     pub command: Command,
-    /// Log format: text for people, or one JSON object per line. Logs go to standard error.
+    /// Log format: human-readable text, or one JSON object per line. Logs go to standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
-    pub log: LogForm,
+    pub log: LogFormat,
     /// Log filter, such as `info` or `gullsail_host=debug`.
     #[arg(long, global = true, default_value = "info", env = "GULLSAIL_LOG")]
     pub log_level: String,
@@ -21,8 +21,8 @@
 
 /// The format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum LogForm {
-    /// For people.
+pub enum LogFormat {
+    /// Human-readable text.
     Text,
     /// One JSON object per line.
     Json,
@@ -96,7 +96,8 @@
         /// Uptime that the node starts with. A node older than the slow-start ramp starts warm.
         #[arg(long, default_value = "0s")]
         age: humantime::Duration,
-        /// Directory in which the nodes of the document share idempotency keys. Without it the node knows only its own.
+        /// Directory in which the nodes of the document share idempotency keys. Without it, the node keeps
+        /// only the keys that it received itself.
         #[arg(long)]
         keys: Option<PathBuf>,
     },
@@ -184,11 +185,11 @@
     },
 }
 
-/// Commands on the fleet; any of its hosts accepts them.
+/// Commands on the fleet. Each host of the fleet accepts them.
 #[derive(Subcommand)]
 pub enum Fleet {
     /// Shows the fleet as one host sees it: epoch, coordinator, members with their states, shares of budgets. Only
-    /// the coordinator shows totals. Exit code 1: the host knows no coordinator.
+    /// the coordinator shows totals. Exit code 1: the host has no current coordinator.
     Status {
         /// The host's control socket.
         control: PathBuf,
@@ -207,10 +208,10 @@
         /// How long each server may stay offline. Default: `longest` of the document.
         #[arg(long, value_name = "SPAN")]
         r#for: Option<humantime::Duration>,
-        /// Shown with the order.
+        /// Reason, shown with the order.
         #[arg(long, default_value = "")]
         reason: String,
-        /// Allows a shard to be without any node meanwhile.
+        /// Allows the maintenance to leave a shard without any node.
         #[arg(long = "cell-away")]
         shard_away: bool,
         /// Ends the order once the server has restarted, without `fleet back`.
@@ -236,8 +237,8 @@
         #[arg(required = true)]
         names: Vec<String>,
     },
-    /// Shows the maintenance queue: the stage of each server and what it waits for. Exit code 1: the host does not
-    /// know the queue.
+    /// Shows the maintenance queue: the stage of each server and what it waits for. Exit code 1: the host has not
+    /// received the queue from a coordinator.
     #[command(alias = "works")]
     Maintenance {
         /// The control socket of any host.
@@ -259,7 +260,7 @@
         /// Price of one GiB between zones.
         #[arg(long, default_value_t = 0.01)]
         price: f64,
-        /// File to which the document is written, with pools and routes by the plan.
+        /// File to which the document is written, with the pools and routes of the plan.
         #[arg(long)]
         out: Option<PathBuf>,
     },
--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -16,7 +16,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The files of a document, all below the folder of its first one, and the name of that first one.
+/// Opens the folder of a document, below which all files that it includes are. Returns it with the document's name in
+/// that folder.
 pub fn files(file: &Path) -> Result<(Files, String)> {
     let folder = file
         .parent()
@@ -39,7 +40,10 @@
     Ok(gullsail_configuration::load(&files, &name))
 }
 
-/// Reads a document without errors; returns it with its warnings.
+/// Reads a document and returns it with its warnings.
+///
+/// # Errors
+/// The document cannot be read or has errors.
 pub fn read(file: &Path) -> Result<(Deployment, Vec<Problem>)> {
     Ok(load(file)??)
 }
@@ -61,7 +65,7 @@
             GraphicalReportHandler::new()
                 .render_report(&mut text, p)
                 .into_diagnostic()?;
-            logs::say(&format!("{}:{}:{}\n{text}", p.file, p.line, p.column));
+            logs::print_message(&format!("{}:{}:{}\n{text}", p.file, p.line, p.column));
         }
     }
     let Some(deployment) = deployment else {
@@ -70,7 +74,7 @@
                 .iter()
                 .filter(|p| p.severity == ProblemSeverity::Error)
                 .count();
-            logs::say(&format!(
+            logs::print_message(&format!(
                 "{}: {errors} error(s); `gullsail explain CODE` explains each",
                 file.display()
             ));
@@ -89,7 +93,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Explains one kind of problem.
+/// Prints the explanation of a problem's code.
 pub fn explain(code: &str) -> Result<ExitCode> {
     let Some(text) = codes::explain(code) else {
         let known: Vec<_> = codes::CODES.iter().map(|c| c.0).collect();
@@ -102,7 +106,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Formats documents in place; with `check`, only names those that would change.
+/// Formats documents in place. With `check`, it only prints the names of those that would change.
 pub fn format(files: &[PathBuf], check: bool) -> Result<ExitCode> {
     let mut differ = false;
     for file in files {
@@ -165,7 +169,7 @@
     })
 }
 
-/// Adds a line for each value of an entry that a template takes from elsewhere.
+/// Appends a comment line for each value of an entry, or of its children, that is given to a template elsewhere.
 fn append_template_values(reader: &Reader, node: &KdlNode, out: &mut String) {
     for e in node.entries() {
         let from = reader.given_at(e.span().offset());
@@ -184,7 +188,7 @@
 /// Prints the configuration of one host, each entry with its source.
 pub fn show(file: &Path, host: &str) -> Result<ExitCode> {
     let (d, _) = read(file)?;
-    let me = d.host(host).ok_or_else(|| {
+    let host_id = d.host(host).ok_or_else(|| {
         let known: Vec<_> = d.hosts.iter().map(|h| h.name.as_str()).collect();
         miette!(
             help = format!("its hosts are {}", known.join(", ")),
@@ -197,14 +201,14 @@
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     for node in document.nodes() {
         let kind = node.name().value();
-        let named = node.get(0).and_then(|v| v.as_string()).unwrap_or_default();
-        let foreign = d
-            .volume(named)
-            .is_some_and(|v| kind == "volume" && !v.is_served_by(me));
+        let first_argument = node.get(0).and_then(|v| v.as_string()).unwrap_or_default();
+        let of_other_hosts = d
+            .volume(first_argument)
+            .is_some_and(|v| kind == "volume" && !v.is_served_by(host_id));
         // `machine` is for simulated nodes and `day` for scenarios: no host reads them.
-        if !foreign && !["machine", "day"].contains(&kind) {
+        if !of_other_hosts && !["machine", "day"].contains(&kind) {
             let origin = reader.origin(node.span().offset());
-            // The reader of a pipe may have closed it: the rest is not needed then.
+            // If the reader has closed the pipe, the rest of the output is not needed.
             let mut values = String::new();
             append_template_values(&reader, node, &mut values);
             if writeln!(out, "// {origin}\n{values}{}", node.to_string().trim()).is_err() {
@@ -215,8 +219,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// How a running host reads its document again.
-pub fn reader_of(file: PathBuf) -> Arc<Load> {
+/// Returns the function with which a running host reloads its document.
+pub fn document_loader(file: PathBuf) -> Arc<Load> {
     Arc::new(move || match load(&file) {
         Ok(Ok((d, _))) => Ok(d),
         Ok(Err(e)) => Err(e.problems.iter().map(Problem::diagnostic).collect()),
@@ -233,9 +237,10 @@
     })
 }
 
-/// Makes a host reload its document. Exit code 0: the new one is in force; 1: refused; 2: it has errors.
+/// Makes a host reload its document. Exit code 0: the new document is in force; 1: the host refused it; 2: the new
+/// document has errors.
 pub async fn reload(control: &Path, insist: bool, json: bool) -> Result<ExitCode> {
-    let reply = ask(control, ControlRequest::Reload { insist }).await?;
+    let reply = send_request(control, ControlRequest::Reload { insist }).await?;
     if json {
         println!("{}", serde_json::to_string(&reply).into_diagnostic()?);
     }
@@ -281,25 +286,25 @@
 
 /// Reads a host's state over its control socket.
 pub async fn state(control: &Path) -> Result<State> {
-    match ask(control, ControlRequest::Status).await? {
+    match send_request(control, ControlRequest::Status).await? {
         ControlReply::Status(state) => Ok(*state),
         other => Err(miette!("unexpected reply: {other:?}")),
     }
 }
 
-async fn ask(control: &Path, ask: ControlRequest) -> Result<ControlReply> {
-    let reply = gullsail_host::control::ask(control, ask, Duration::from_secs(60)).await;
+async fn send_request(control: &Path, request: ControlRequest) -> Result<ControlReply> {
+    let reply = gullsail_host::control::ask(control, request, Duration::from_secs(60)).await;
     let unreadable = reply
         .as_ref()
         .is_err_and(|e| e.kind() == std::io::ErrorKind::InvalidData);
-    let what = if unreadable {
+    let failure = if unreadable {
         "no gullsail host, or one of another version, answers"
     } else {
         "no host answers"
     };
     let reply = reply
         .into_diagnostic()
-        .wrap_err_with(|| format!("{what} at {}", control.display()))?;
+        .wrap_err_with(|| format!("{failure} at {}", control.display()))?;
     match reply {
         ControlReply::Error { why } => Err(miette!("{why}")),
         reply => Ok(reply),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,16 +9,16 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Shares are counted in millionths of the whole; so many of them are one percent.
+/// Number of millionths in one percent. Shares are counted in millionths of a budget.
 const MILLIONTHS_PER_PERCENT: f64 = 1e4;
 
-/// Prints the fleet's status. Exit code 0: the host knows a coordinator; 1: it knows none.
+/// Prints the fleet's status. Exit code 0: the host has a current coordinator; 1: it has none.
 pub async fn status(control: &Path, json: bool) -> Result<ExitCode> {
     let state = state(control).await?;
     let Some(view) = state.fleet else {
         return Err(miette!(
             help = "fleet \"town\" lease=\"2s\" drift=0.002 voters=5 floor=0.2",
-            "{}: its document has no `fleet` entry, or the entry is off: hosts keep to even shares",
+            "{}: its document has no `fleet` entry, or the entry is off: hosts use even shares",
             state.host
         ));
     };
@@ -34,7 +34,7 @@
     }
 }
 
-/// The status as text for people.
+/// Formats a fleet's status as human-readable text.
 struct Report<'a> {
     view: &'a FleetView,
 }
@@ -58,9 +58,8 @@
             .iter()
             .all(|member| member.last_renewal_ms.is_none())
         {
-            lines.push(
-                "only the coordinator knows what all hosts hold: ask it for the totals".into(),
-            );
+            lines
+                .push("only the coordinator has the totals over all hosts: ask it for them".into());
         }
         for (cause, count) in &status.dropped {
             lines.push(format!("messages dropped: {count} {cause}"));
@@ -88,13 +87,14 @@
         }
     }
 
-    /// What keeps this host from its usual part in the fleet.
+    /// Conditions under which this host does not act as a usual member: a takeover, the recovery after a start, or a
+    /// lease that another process holds under the same name.
     fn conditions(&self) -> Vec<String> {
         let status = &self.view.status;
         let mut lines = Vec::new();
         if let Some(left) = status.takes_over_ms {
             lines.push(format!(
-                "taking over: grants of the previous coordinator expire within {left:.0} ms; no share grows before"
+                "taking over: grants of the previous coordinator expire within {left:.0} ms; no share grows until then"
             ));
         }
         if let Some(left) = status.recovering_ms {
@@ -125,7 +125,8 @@
         table
     }
 
-    /// How a member's last renewal came; only the coordinator knows.
+    /// The age of a member's last lease renewal, and the relay if it was not direct. Only the coordinator has these; other
+    /// hosts show `-`.
     fn renewal(&self, member: &MemberStatus) -> String {
         let age = match member.last_renewal_ms {
             Some(age) => format!("{age:.0} ms ago"),
@@ -196,7 +197,7 @@
     }
 }
 
-/// A share in millionths, as people read it.
+/// Formats a share, in millionths, as a percentage.
 fn percent(millionths: u64) -> String {
     format!("{:.2}%", millionths as f64 / MILLIONTHS_PER_PERCENT)
 }
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs on standard error, written by a thread of their own from a bounded queue. A reader that stops, a full
-//! disk or a closed pipe costs log lines, which are counted, and never delays requests.
+//! Logs on standard error, written by a separate thread from a bounded queue. When the reader stops, the disk is full
+//! or the pipe is closed, log lines are lost and counted. Logging never delays requests.
 
 use std::io::Write;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Most lines in the queue: some megabytes of memory. With fewer, bursts of lines are lost.
+/// Maximum number of queued lines, which take a few megabytes of memory. A smaller queue loses lines in bursts.
 const MAX_QUEUED_LINES: usize = 8192;
-/// How often lost lines are looked for: a warning every few seconds at most.
+/// Interval of the checks for lost lines, and the shortest time between two warnings of them.
 const LOSS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the log writer running; queued lines are written when this is dropped.
+/// Keeps the log writer running. Dropping it writes the queued lines.
 pub struct Logs {
     lost: ErrorCounter,
-    /// Writes the queued lines when the program ends, for a second at most.
+    /// On drop, writes the queued lines for at most one second.
     _guard: WorkerGuard,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl Logs {
-    /// How many lines were lost so far.
+    /// Number of log lines lost since the start.
     pub fn lost(&self) -> usize {
         self.lost.dropped_lines()
     }
 
-    /// Warns of lost lines once the queue has room again. Never returns.
+    /// Checks for lost lines at an interval and logs a warning for new ones. Never returns.
     pub async fn watch(&self) {
         let mut reported = 0;
         loop {
@@ -59,7 +59,7 @@
                     log_lines_lost = lost,
                     "log lines lost: the reader of standard error is too slow"
                 );
-                // If that line was lost too, the warning is repeated.
+                // If the warning itself was lost, it is repeated after the next check.
                 if self.lost() == lost {
                     reported = lost;
                 }
@@ -68,18 +68,18 @@
     }
 }
 
-/// Prints a message for people on standard error.
-pub fn say(text: &str) {
-    // If standard error cannot be written, there is nowhere left to report that.
+/// Prints a human-readable message on standard error, outside the log.
+pub fn print_message(text: &str) {
+    // A failed write to standard error cannot be reported anywhere.
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
-/// Ignores SIGXFSZ, which ends a process that writes to a file at its size limit. The write then fails, which
-/// costs a log line.
-pub fn survive_file_size_limit() {
-    if let Ok(mut full) = signal(SignalKind::from_raw(
+/// Installs a handler for SIGXFSZ, whose default action ends a process that writes to a file at its size limit. With
+/// the handler, the write fails and only the log line is lost.
+pub fn handle_file_size_signal() {
+    if let Ok(mut size_signal) = signal(SignalKind::from_raw(
         nix::sys::signal::Signal::SIGXFSZ as i32,
     )) {
-        tokio::spawn(async move { while full.recv().await.is_some() {} });
+        tokio::spawn(async move { while size_signal.recv().await.is_some() {} });
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
 //! The program `gullsail`: arguments, logs, exit codes. Exit code 0: success; 1: a scenario failed, a command was
-//! refused or a process could not go on; 2: the arguments or a document are wrong. `arguments` names the exit
+//! refused or a process failed; 2: the arguments or a document are wrong. `arguments` names the exit
 //! codes of single commands.
 
 // One-letter names are left in places: docs/ROADMAP.md lists them.
@@ -16,7 +16,7 @@
 mod signals;
 mod zones;
 
-use arguments::{Arguments, Command, Fleet, LogForm, Zones};
+use arguments::{Arguments, Command, Fleet, LogFormat, Zones};
 use clap::Parser;
 use gullsail_host::core::maintenance::OperatorCommand;
 use miette::Result;
@@ -25,31 +25,34 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let logs = logs::start(&arguments.log_level, matches!(arguments.log, LogForm::Json));
+    let logs = logs::start(
+        &arguments.log_level,
+        matches!(arguments.log, LogFormat::Json),
+    );
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
     {
         Ok(runtime) => runtime,
         Err(e) => {
-            logs::say(&format!("cannot start the async runtime: {e}"));
+            logs::print_message(&format!("cannot start the async runtime: {e}"));
             return ExitCode::from(1);
         }
     };
-    let ended = runtime.block_on(run(arguments.command, &logs));
-    // A thread that reads a document from a disk that never answers cannot be ended: do not wait for it.
+    let result = runtime.block_on(run(arguments.command, &logs));
+    // A thread that is blocked on reading a document, as from a hung disk, cannot be ended: do not wait for it.
     runtime.shutdown_background();
-    match ended {
+    match result {
         Ok(code) => code,
         Err(report) => {
-            logs::say(&format!("{report:?}"));
+            logs::print_message(&format!("{report:?}"));
             ExitCode::from(2)
         }
     }
 }
 
 async fn run(command: Command, logs: &logs::Logs) -> Result<ExitCode> {
-    logs::survive_file_size_limit();
+    logs::handle_file_size_signal();
     match command {
         Command::Host { .. }
         | Command::Platform { .. }
@@ -91,7 +94,7 @@
     }
 }
 
-/// Runs as one process of a deployment until it is stopped.
+/// Runs a process of a deployment, such as a host or a node, until it is stopped.
 async fn run_process(command: Command, logs: &logs::Logs) -> Result<ExitCode> {
     match command {
         Command::Host {
@@ -153,15 +156,15 @@
             maintenance::send_command(&control, command, wait_for).await
         }
         Fleet::Back { control, names } => {
-            maintenance::send_command(&control, command_on("back", names), None).await
+            maintenance::send_command(&control, operator_command("back", names), None).await
         }
         Fleet::Cancel { control, names } => {
-            maintenance::send_command(&control, command_on("cancel", names), None).await
+            maintenance::send_command(&control, operator_command("cancel", names), None).await
         }
     }
 }
 
-fn command_on(kind: &str, names: Vec<String>) -> OperatorCommand {
+fn operator_command(kind: &str, names: Vec<String>) -> OperatorCommand {
     OperatorCommand {
         kind: kind.into(),
         names,
@@ -170,7 +173,7 @@
 }
 
 async fn platform(file: PathBuf, logs: &logs::Logs) -> Result<ExitCode> {
-    // Before anything else: SIGHUP ends a process that has no handler for it.
+    // Registered first: without a handler, SIGHUP ends the process.
     let signals = gullsail_platform::runtime::Signals::register()?;
     let document = gullsail_platform::runtime::read_settings(&file)?;
     tokio::select! {
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! `gullsail fleet out | back | cancel | maintenance`: operator commands to any host, and the maintenance queue
-//! as that host knows it.
+//! `gullsail fleet out | back | cancel | maintenance`: operator commands, which any host accepts, and the host's copy
+//! of the maintenance queue.
 
 use crate::documents::state;
 use gullsail_fleet::maintenance::Stage;
@@ -12,9 +12,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How long to wait for a command's result: longer than a host goes on asking the coordinator.
+/// How long to wait for a command's result: longer than a host retries it at the coordinator.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(400);
-/// How often `--wait` asks for the queue.
+/// How often `--wait` polls the queue.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The exit code of a command whose result is not known.
@@ -49,7 +49,7 @@
         }
     }
     let Some(names) = wait_for else {
-        print!("{}", text(&view(control).await?));
+        print!("{}", queue_text(&fetch_view(control).await?));
         return Ok(ExitCode::SUCCESS);
     };
     wait_until_offline(control, &names).await
@@ -60,14 +60,14 @@
     ExitCode::from(RESULT_UNKNOWN)
 }
 
-/// Waits until each of these servers may be switched off, or could be before. A zone's name stands for all
+/// Waits until each of these servers may be switched off or has passed that stage. A zone's name stands for all
 /// servers that are queued when the wait begins.
 async fn wait_until_offline(control: &Path, names: &[String]) -> Result<ExitCode> {
     let style = ProgressStyle::with_template("{wide_bar} {pos}/{len} {msg}").into_diagnostic()?;
     let bar = ProgressBar::new(0).with_style(style);
     let mut awaited: Option<Vec<String>> = None;
     loop {
-        let view = view(control).await?;
+        let view = fetch_view(control).await?;
         let servers = awaited.get_or_insert_with(|| servers_named(&view, names));
         let is_awaited = |order: &&OrderView| servers.contains(&order.server);
         let orders: Vec<&OrderView> = view.orders.iter().filter(is_awaited).collect();
@@ -87,7 +87,7 @@
             .peekable();
         let Some(next) = pending.peek().copied() else {
             bar.finish();
-            print!("{}", text(&view));
+            print!("{}", queue_text(&view));
             return Ok(ExitCode::SUCCESS);
         };
         bar.set_length(servers.len() as u64);
@@ -102,7 +102,7 @@
     }
 }
 
-/// The servers of open orders that the names stand for: themselves where each names a server, else all.
+/// The servers to wait for, out of those with open orders: the named ones if each name is a server's, else all.
 fn servers_named(view: &MaintenanceView, names: &[String]) -> Vec<String> {
     let names_a_server = |name: &String| view.orders.iter().any(|order| order.server == *name);
     let all_are_servers = names.iter().all(names_a_server);
@@ -115,7 +115,7 @@
     matches!(order.stage, Stage::Overdue | Stage::Cancelled)
 }
 
-async fn view(control: &Path) -> Result<MaintenanceView> {
+async fn fetch_view(control: &Path) -> Result<MaintenanceView> {
     let state = state(control).await?;
     let help = "works at-once=1 keep=0.8 longest=\"30min\" watched=\"30s\" blind=\"5min\"";
     let missing = || {
@@ -128,13 +128,13 @@
     state.maintenance.ok_or_else(missing)
 }
 
-/// Shows the maintenance queue as one host knows it. Exit code 1: it does not know the queue.
+/// Shows a host's copy of the maintenance queue. Exit code 1: the host has not received it from a coordinator.
 pub async fn show(control: &Path, json: bool) -> Result<ExitCode> {
-    let view = view(control).await?;
+    let view = fetch_view(control).await?;
     if json {
         println!("{}", serde_json::to_string_pretty(&view).into_diagnostic()?);
     } else {
-        print!("{}", text(&view));
+        print!("{}", queue_text(&view));
     }
     if view.known {
         Ok(ExitCode::SUCCESS)
@@ -143,7 +143,7 @@
     }
 }
 
-/// The stage for people; JSON has the names of earlier versions.
+/// The stage's name in text output. JSON output keeps the names of earlier versions.
 fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Requested => "requested",
@@ -158,7 +158,7 @@
     }
 }
 
-/// What an order waits for, and the hosts that it concerns.
+/// Formats what an order waits for, and the hosts that have not drained or confirmed it.
 fn details(order: &OrderView) -> String {
     let mut details = String::new();
     if !order.waits.is_empty() {
@@ -175,13 +175,13 @@
     }
 }
 
-fn text(view: &MaintenanceView) -> String {
+fn queue_text(view: &MaintenanceView) -> String {
     let mut text = String::new();
     if !view.known {
         text += "maintenance queue unknown to this host: it sends to no server until a coordinator grants it a lease\n";
     }
     if view.anew {
-        text += "the queue was started without a quorum that remembered it: earlier orders are lost, issue them again\n";
+        text += "the queue was started without a quorum that had stored it: earlier orders are lost, issue them again\n";
     }
     if view.orders.is_empty() {
         return text + "no server is queued for maintenance\n";
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -18,7 +18,8 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-/// Binds the address of the document and prints it on standard output, for the process that started this one.
+/// Binds the document's address. Prints the bound address and the incarnation on standard output, as one line of JSON
+/// for the process that started this one.
 async fn listen(address: &str, name: &str) -> Result<(TcpListener, u64)> {
     if address.is_empty() {
         return Err(miette!(
@@ -29,7 +30,7 @@
     let bound = TcpListener::bind(address).await.into_diagnostic();
     let listener = bound.wrap_err_with(|| format!("{name} cannot listen at {address}"))?;
     let address = listener.local_addr().into_diagnostic()?.to_string();
-    // 53 bits: readers of JSON keep larger numbers only roughly.
+    // 53 bits: JSON readers that use floating-point numbers round larger ones.
     let incarnation = (rand::random::<u64>() >> 11).max(1);
     let listening = Listening {
         address,
@@ -53,7 +54,7 @@
     Ok(Span::from_millis(span.as_secs_f64() * 1e3 * sign))
 }
 
-/// Runs one host until a stop signal.
+/// Runs one host until SIGTERM or SIGINT.
 pub async fn host(
     file: &Path,
     name: &str,
@@ -73,7 +74,7 @@
         )
     })?;
     let control = control.map(|path| {
-        let bound = Control::bind(&path, documents::reader_of(file.into())).into_diagnostic();
+        let bound = Control::bind(&path, documents::document_loader(file.into())).into_diagnostic();
         bound.wrap_err_with(|| format!("cannot open a control socket at {}", path.display()))
     });
     let control = control.transpose()?;
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -12,7 +12,7 @@
         .wrap_err_with(|| format!("can't read {}", file.display()))
 }
 
-/// Plays a scenario: a built-in one, a random one, or one of a document.
+/// Plays a scenario: a built-in one, a random one, or one from a document.
 pub async fn play(
     day: &str,
     seed: u64,
@@ -46,7 +46,7 @@
             ));
         }
     };
-    // Without --record, nothing is kept.
+    // Without --record, the files go to a temporary folder, which is removed at the end.
     let temporary = tempfile::tempdir().into_diagnostic()?;
     let dir = record.unwrap_or_else(|| temporary.path().into());
     let program = std::env::current_exe().into_diagnostic()?;
@@ -72,7 +72,7 @@
     })
 }
 
-/// Checks the rules again on a recording.
+/// Checks the rules again on a recording. Exit code 1: a rule is broken.
 pub fn audit(dir: &Path, json: bool) -> Result<ExitCode> {
     let (d, _) = documents::read(&dir.join("script.kdl"))?;
     let recording = read_text(&dir.join("frames.jsonl"))?;
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,11 +1,11 @@
-//! Signals of the programs that serve: a stop is asked for by SIGTERM or SIGINT, and SIGHUP changes nothing.
+//! Signals of the serving processes: SIGTERM and SIGINT request a stop, and SIGHUP is only logged.
 
 use miette::{IntoDiagnostic, Result, WrapErr};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tracing::warn;
 
-/// The handlers of a process. They are registered before it listens: a signal that comes earlier ends it while nobody
-/// can have connected, and one that comes later finds its handler.
+/// The signal handlers of a process. They are registered before the process listens: an earlier signal ends the process
+/// while no peer can be connected, and a later one is handled.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -30,8 +30,8 @@
         })
     }
 
-    /// Completes with the first SIGTERM or SIGINT. SIGHUP asks other programs to read their configuration again; here it
-    /// is logged, since a process that ended on it would drop all that it holds.
+    /// Completes with the first SIGTERM or SIGINT. SIGHUP makes many programs reload their configuration, so operators may
+    /// send it. It is only logged here: its default action would end the process and drop its open requests.
     pub async fn stop(mut self) {
         loop {
             tokio::select! {
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -18,7 +18,7 @@
 
 /// Prints on standard output.
 fn print_text(text: &str) {
-    // The reader of a pipe may have closed it: the rest is not needed then.
+    // If the reader has closed the pipe, the rest of the output is not needed.
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
@@ -61,11 +61,12 @@
     text
 }
 
-/// Where each volume's new objects go, what crosses between zones, the cost and what limits it.
+/// Formats a plan: the zones of each volume's new objects, the traffic between zones, the cost, and the bounds that raise
+/// it.
 fn plan_text(deployment: &Deployment, question: &Question, plan: &Plan) -> String {
     let mut text = String::new();
-    for (volume, to) in deployment.volumes.iter().zip(&plan.to) {
-        let used = to
+    for (volume, rates) in deployment.volumes.iter().zip(&plan.to) {
+        let used = rates
             .iter()
             .zip(&question.zones)
             .filter(|(bytes, _)| **bytes > 1.0);
@@ -81,12 +82,12 @@
     }
     for (from, row) in plan.crosses.iter().enumerate() {
         for (to, bytes) in row.iter().enumerate().filter(|(_, bytes)| **bytes > 1.0) {
-            let most = question.most(from, to);
-            let most = most
-                .map(|most| format!(" of {:.1}", most / MIB))
+            let limit = question.most(from, to);
+            let limit = limit
+                .map(|limit| format!(" of {:.1}", limit / MIB))
                 .unwrap_or_default();
             text += &format!(
-                "{} to {}: {:.1}{most} MiB/s\n",
+                "{} to {}: {:.1}{limit} MiB/s\n",
                 question.zones[from],
                 question.zones[to],
                 bytes / MIB
@@ -107,7 +108,7 @@
 
 /// The traffic between two zones for one plan and reason.
 #[derive(Debug, Default, Serialize)]
-struct Row {
+struct TrafficRow {
     from: String,
     to: String,
     plan: String,
@@ -121,7 +122,7 @@
 /// Reports the traffic of running hosts, by their control sockets, or of a scenario's recording (`hosts.json`).
 pub async fn report(sources: &[PathBuf], price: f64, json: bool, csv: bool) -> Result<ExitCode> {
     let states = read_states(sources).await?;
-    let rows = rows(&states, price)?;
+    let rows = traffic_rows(&states, price)?;
     let overruns: Vec<_> = states
         .iter()
         .flat_map(|s| s.past.iter().map(|p| (&s.host, p)))
@@ -148,8 +149,8 @@
             let file = source.join("hosts.json");
             let read = std::fs::read_to_string(&file).into_diagnostic();
             let read = read.wrap_err_with(|| format!("can't read {}", file.display()))?;
-            let of_scenario: Vec<State> = serde_json::from_str(&read).into_diagnostic()?;
-            states.extend(of_scenario);
+            let recorded: Vec<State> = serde_json::from_str(&read).into_diagnostic()?;
+            states.extend(recorded);
         } else {
             states.push(documents::state(source).await?);
         }
@@ -158,8 +159,8 @@
 }
 
 /// The traffic between zones, summed over hosts, volumes and request classes.
-fn rows(states: &[State], price: f64) -> Result<Vec<Row>> {
-    let mut rows: BTreeMap<(String, String, String, String), Row> = BTreeMap::new();
+fn traffic_rows(states: &[State], price: f64) -> Result<Vec<TrafficRow>> {
+    let mut rows: BTreeMap<(String, String, String, String), TrafficRow> = BTreeMap::new();
     for c in states.iter().flat_map(|s| &s.crossed) {
         let reason = serde_json::to_value(c.reason)
             .into_diagnostic()?
@@ -169,12 +170,12 @@
         let key = (c.from.clone(), c.to.clone(), c.plan.clone(), reason.clone());
         let row = rows.entry(key).or_insert_with(|| {
             let (from, to, plan) = (c.from.clone(), c.to.clone(), c.plan.clone());
-            Row {
+            TrafficRow {
                 from,
                 to,
                 plan,
                 reason,
-                ..Row::default()
+                ..TrafficRow::default()
             }
         });
         row.frames += c.total.frames;
@@ -185,7 +186,7 @@
     Ok(rows.into_values().collect())
 }
 
-fn csv_text(rows: &[Row]) -> String {
+fn csv_text(rows: &[TrafficRow]) -> String {
     let mut text = String::from("from,to,plan,reason,frames,bytes,for_nothing,cost\n");
     for r in rows {
         let quoted = |s: &str| format!("\"{}\"", s.replace('"', "\"\""));
@@ -200,7 +201,7 @@
     text
 }
 
-fn plain_text(rows: &[Row], overruns: &[(&String, &BudgetOverrun)]) -> String {
+fn plain_text(rows: &[TrafficRow], overruns: &[(&String, &BudgetOverrun)]) -> String {
     let mut text = String::new();
     for r in rows {
         let plan = if r.plan.is_empty() { "-" } else { &r.plan };
