--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -54,18 +54,21 @@
         Ok((deployment, warnings)) => (Some(deployment), warnings),
         Err(e) => (None, e.problems),
     };
-    for p in &problems {
+    for problem in &problems {
         if json {
             println!(
                 "{}",
-                serde_json::to_string(&p.diagnostic()).into_diagnostic()?
+                serde_json::to_string(&problem.diagnostic()).into_diagnostic()?
             );
         } else {
             let mut text = String::new();
             GraphicalReportHandler::new()
-                .render_report(&mut text, p)
+                .render_report(&mut text, problem)
                 .into_diagnostic()?;
-            logs::print_message(&format!("{}:{}:{}\n{text}", p.file, p.line, p.column));
+            logs::print_message(&format!(
+                "{}:{}:{}\n{text}",
+                problem.file, problem.line, problem.column
+            ));
         }
     }
     let Some(deployment) = deployment else {
@@ -142,27 +145,27 @@
 /// Prints what changed between two documents and what each change needs.
 pub fn diff(old: &Path, new: &Path, json: bool) -> Result<ExitCode> {
     let changes = compare(&read(old)?.0, &read(new)?.0);
-    for c in &changes {
-        let class = match c.class {
+    for change in &changes {
+        let class = match change.class {
             Class::Safe => "safe",
             Class::Restart => "restart",
             Class::Dangerous => "dangerous",
         };
         if json {
-            println!("{}", serde_json::to_string(c).into_diagnostic()?);
+            println!("{}", serde_json::to_string(change).into_diagnostic()?);
         } else {
-            let hosts = if c.hosts.is_empty() {
+            let hosts = if change.hosts.is_empty() {
                 String::new()
             } else {
-                format!(" [{}]", c.hosts.join(" "))
+                format!(" [{}]", change.hosts.join(" "))
             };
             println!(
                 "{class:<9} {} {}: {} -> {}{hosts}\n          {}",
-                c.of, c.what, c.from, c.to, c.why
+                change.of, change.what, change.from, change.to, change.why
             );
         }
     }
-    Ok(match changes.iter().map(|c| c.class).max() {
+    Ok(match changes.iter().map(|change| change.class).max() {
         None | Some(Class::Safe) => ExitCode::SUCCESS,
         Some(Class::Restart) => ExitCode::from(1),
         Some(Class::Dangerous) => ExitCode::from(3),
@@ -187,9 +190,13 @@
 
 /// Prints the configuration of one host, each entry with its source.
 pub fn show(file: &Path, host: &str) -> Result<ExitCode> {
-    let (d, _) = read(file)?;
-    let host_id = d.host(host).ok_or_else(|| {
-        let known: Vec<_> = d.hosts.iter().map(|h| h.name.as_str()).collect();
+    let (deployment, _) = read(file)?;
+    let host_id = deployment.host(host).ok_or_else(|| {
+        let known: Vec<_> = deployment
+            .hosts
+            .iter()
+            .map(|host| host.name.as_str())
+            .collect();
         miette!(
             help = format!("its hosts are {}", known.join(", ")),
             "{}: no host \"{host}\"",
@@ -202,7 +209,7 @@
     for node in document.nodes() {
         let kind = node.name().value();
         let first_argument = node.get(0).and_then(|v| v.as_string()).unwrap_or_default();
-        let of_other_hosts = d
+        let of_other_hosts = deployment
             .volume(first_argument)
             .is_some_and(|v| kind == "volume" && !v.is_served_by(host_id));
         // `machine` is for simulated nodes and `day` for scenarios: no host reads them.
@@ -222,7 +229,7 @@
 /// Returns the function with which a running host reloads its document.
 pub fn document_loader(file: PathBuf) -> Arc<Load> {
     Arc::new(move || match load(&file) {
-        Ok(Ok((d, _))) => Ok(d),
+        Ok(Ok((deployment, _))) => Ok(deployment),
         Ok(Err(e)) => Err(e.problems.iter().map(Problem::diagnostic).collect()),
         Err(e) => Err(vec![DiagnosticRecord {
             code: "file".into(),
@@ -258,15 +265,15 @@
             ExitCode::from(1)
         }
         ControlReply::Broken { problems } => {
-            for p in problems.iter().filter(|_| !json) {
-                let help = p
+            for problem in problems.iter().filter(|_| !json) {
+                let help = problem
                     .help
                     .as_deref()
                     .map(|h| format!(" ({h})"))
                     .unwrap_or_default();
                 println!(
                     "{}:{}:{}: {}: {}{help}",
-                    p.file, p.line, p.column, p.code, p.message
+                    problem.file, problem.line, problem.column, problem.code, problem.message
                 );
             }
             ExitCode::from(2)
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -59,7 +59,7 @@
             .all(|member| member.last_renewal_ms.is_none())
         {
             lines
-                .push("only the coordinator has the totals over all hosts: ask it for them".into());
+                .push("only the coordinator has the totals over all hosts: ask its control socket for them".into());
         }
         for (cause, count) in &status.dropped {
             lines.push(format!("messages dropped: {count} {cause}"));
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -64,9 +64,13 @@
     logs: &logs::Logs,
 ) -> Result<ExitCode> {
     let signals = StopSignals::register()?;
-    let (d, _) = documents::read(file)?;
-    let known: Vec<_> = d.hosts.iter().map(|h| h.name.as_str()).collect();
-    let me = d.host(name).ok_or_else(|| {
+    let (deployment, _) = documents::read(file)?;
+    let known: Vec<_> = deployment
+        .hosts
+        .iter()
+        .map(|host| host.name.as_str())
+        .collect();
+    let me = deployment.host(name).ok_or_else(|| {
         miette!(
             help = format!("its hosts are {}", known.join(", ")),
             "{}: no host \"{name}\"",
@@ -78,11 +82,11 @@
         bound.wrap_err_with(|| format!("cannot open a control socket at {}", path.display()))
     });
     let control = control.transpose()?;
-    let (listener, incarnation) = listen(&d.hosts[me.0 as usize].listen, name).await?;
+    let (listener, incarnation) = listen(&deployment.hosts[me.0 as usize].listen, name).await?;
     let clock = HostClock::start(parse_clock_offset(clock_ahead)?).running(drift);
     info!(host = name, incarnation, "host started");
     let process = HostProcess {
-        deployment: Arc::new(d),
+        deployment: Arc::new(deployment),
         me,
         seed,
         incarnation,
@@ -104,13 +108,13 @@
 /// Runs the baseline in place of a host.
 pub async fn baseline(file: &Path, name: &str, seed: u64) -> Result<ExitCode> {
     let signals = StopSignals::register()?;
-    let (d, _) = documents::read(file)?;
-    let me = d
+    let (deployment, _) = documents::read(file)?;
+    let me = deployment
         .host(name)
         .ok_or_else(|| miette!("{}: no host \"{name}\"", file.display()))?;
-    let (listener, _) = listen(&d.hosts[me.0 as usize].listen, name).await?;
+    let (listener, _) = listen(&deployment.hosts[me.0 as usize].listen, name).await?;
     tokio::select! {
-        () = gullsail_simulator::baseline::serve(Arc::new(d), me, seed, listener) => Ok(ExitCode::from(1)),
+        () = gullsail_simulator::baseline::serve(Arc::new(deployment), me, seed, listener) => Ok(ExitCode::from(1)),
         () = signals.stop() => Ok(ExitCode::SUCCESS),
     }
 }
@@ -123,32 +127,32 @@
     keys: Option<&Path>,
 ) -> Result<ExitCode> {
     let signals = StopSignals::register()?;
-    let (d, _) = documents::read(file)?;
-    let n = d
+    let (deployment, _) = documents::read(file)?;
+    let node = deployment
         .node(name)
         .ok_or_else(|| miette!("{}: no node \"{name}\"", file.display()))?;
-    let server = d.servers.get(n.server).ok_or_else(|| {
+    let server = deployment.servers.get(node.server).ok_or_else(|| {
         miette!(
             help = "machine \"box\" cores=2 unit=\"5ms\"",
             "{}: node \"{name}\" has no machine",
             file.display()
         )
     })?;
-    let (listener, incarnation) = listen(&n.place.listen, name).await?;
-    let HostBounds { frame: bounds, .. } = d.bounds;
+    let (listener, incarnation) = listen(&node.place.listen, name).await?;
+    let HostBounds { frame: bounds, .. } = deployment.bounds;
     let location = NodeLocation {
-        zone: n.place.zone,
-        shard: n.shard,
+        zone: node.place.zone,
+        shard: node.shard,
     };
     let keys = match keys {
-        Some(directory) => IdempotencyKeys::shared(&d, &location, directory),
-        None => IdempotencyKeys::of_one_node(&d, &location),
+        Some(directory) => IdempotencyKeys::shared(&deployment, &location, directory),
+        None => IdempotencyKeys::of_one_node(&deployment, &location),
     };
     let process = gullsail_simulator::node::NodeProcess {
         name: name.into(),
-        shard: n.shard.0,
+        shard: node.shard.0,
         server: server.clone(),
-        slow_start: d.figures().slow_start,
+        slow_start: deployment.figures().slow_start,
         incarnation,
         age: Span::from_millis(age.as_secs_f64() * 1e3),
         bounds,
@@ -163,20 +167,28 @@
 /// Runs a simulated endpoint list service.
 pub async fn list(file: &Path) -> Result<ExitCode> {
     let signals = StopSignals::register()?;
-    let (d, _) = documents::read(file)?;
-    let (listener, _) = listen(&d.list.listen, "the list").await?;
-    let entries = d.nodes.iter().filter(|n| !n.spare).map(|n| ListedEndpoint {
-        name: n.place.name.clone(),
-        address: n.place.address.clone(),
-        shard: n.shard.0,
-        zone: d.zones.get(n.place.zone.0).cloned().unwrap_or_default(),
-        state: ListedState::Ready as i32,
-        age_us: 0,
-        incarnation: 0,
-        kind: n.kind.clone(),
-    });
+    let (deployment, _) = documents::read(file)?;
+    let (listener, _) = listen(&deployment.list.listen, "the list").await?;
+    let entries = deployment
+        .nodes
+        .iter()
+        .filter(|node| !node.spare)
+        .map(|node| ListedEndpoint {
+            name: node.place.name.clone(),
+            address: node.place.address.clone(),
+            shard: node.shard.0,
+            zone: deployment
+                .zones
+                .get(node.place.zone.0)
+                .cloned()
+                .unwrap_or_default(),
+            state: ListedState::Ready as i32,
+            age_us: 0,
+            incarnation: 0,
+            kind: node.kind.clone(),
+        });
     tokio::select! {
-        () = gullsail_simulator::discovery::serve(entries.collect(), d.list_late, listener) => Ok(ExitCode::from(1)),
+        () = gullsail_simulator::discovery::serve(entries.collect(), deployment.list_late, listener) => Ok(ExitCode::from(1)),
         () = signals.stop() => Ok(ExitCode::SUCCESS),
     }
 }
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -25,7 +25,7 @@
     } else {
         gullsail_scenario::built_in::day(day)
     };
-    let (text, d, script) = match built_in {
+    let (text, deployment, script) = match built_in {
         Some(text) => {
             let files = Memory([(day.to_string(), text)].into());
             gullsail_scenario::script::load(&files, day)?
@@ -56,7 +56,7 @@
         seed,
         baseline,
     };
-    let report = gullsail_scenario::play(&text, d, &script, &stage).await?;
+    let report = gullsail_scenario::play(&text, deployment, &script, &stage).await?;
     if json {
         println!(
             "{}",
@@ -74,9 +74,9 @@
 
 /// Checks the rules again on a recording. Exit code 1: a rule is broken.
 pub fn audit(dir: &Path, json: bool) -> Result<ExitCode> {
-    let (d, _) = documents::read(&dir.join("script.kdl"))?;
+    let (deployment, _) = documents::read(&dir.join("script.kdl"))?;
     let recording = read_text(&dir.join("frames.jsonl"))?;
-    let verdicts = gullsail_audit::judge(&d, &recording).into_diagnostic()?;
+    let verdicts = gullsail_audit::judge(&deployment, &recording).into_diagnostic()?;
     if json {
         println!(
             "{}",
@@ -85,7 +85,7 @@
     } else {
         print!("{}", gullsail_audit::table(&verdicts, &recording));
     }
-    Ok(if verdicts.iter().all(|v| v.kept()) {
+    Ok(if verdicts.iter().all(|verdict| verdict.kept()) {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -115,7 +115,9 @@
     reason: String,
     frames: u64,
     bytes: u64,
+    /// Bytes of attempts that did not end their request, so that no client benefits from them.
     for_nothing: u64,
+    /// Cost of `bytes` at the price that the command was given.
     cost: f64,
 }
 
@@ -125,7 +127,7 @@
     let rows = traffic_rows(&states, price)?;
     let overruns: Vec<_> = states
         .iter()
-        .flat_map(|s| s.past.iter().map(|p| (&s.host, p)))
+        .flat_map(|state| state.past.iter().map(|overrun| (&state.host, overrun)))
         .collect();
     let text = if json {
         let value = serde_json::json!({ "crossed": rows, "past": overruns });
@@ -161,15 +163,20 @@
 /// The traffic between zones, summed over hosts, volumes and request classes.
 fn traffic_rows(states: &[State], price: f64) -> Result<Vec<TrafficRow>> {
     let mut rows: BTreeMap<(String, String, String, String), TrafficRow> = BTreeMap::new();
-    for c in states.iter().flat_map(|s| &s.crossed) {
-        let reason = serde_json::to_value(c.reason)
+    for flow in states.iter().flat_map(|state| &state.crossed) {
+        let reason = serde_json::to_value(flow.reason)
             .into_diagnostic()?
             .as_str()
             .unwrap_or_default()
             .to_string();
-        let key = (c.from.clone(), c.to.clone(), c.plan.clone(), reason.clone());
+        let key = (
+            flow.from.clone(),
+            flow.to.clone(),
+            flow.plan.clone(),
+            reason.clone(),
+        );
         let row = rows.entry(key).or_insert_with(|| {
-            let (from, to, plan) = (c.from.clone(), c.to.clone(), c.plan.clone());
+            let (from, to, plan) = (flow.from.clone(), flow.to.clone(), flow.plan.clone());
             TrafficRow {
                 from,
                 to,
@@ -178,9 +185,9 @@
                 ..TrafficRow::default()
             }
         });
-        row.frames += c.total.frames;
-        row.bytes += c.total.bytes;
-        row.for_nothing += c.total.for_nothing;
+        row.frames += flow.total.frames;
+        row.bytes += flow.total.bytes;
+        row.for_nothing += flow.total.for_nothing;
         row.cost = row.bytes as f64 / GIB * price;
     }
     Ok(rows.into_values().collect())
@@ -188,14 +195,14 @@
 
 fn csv_text(rows: &[TrafficRow]) -> String {
     let mut text = String::from("from,to,plan,reason,frames,bytes,for_nothing,cost\n");
-    for r in rows {
+    for row in rows {
         let quoted = |s: &str| format!("\"{}\"", s.replace('"', "\"\""));
-        let names = [&r.from, &r.to, &r.plan, &r.reason]
+        let names = [&row.from, &row.to, &row.plan, &row.reason]
             .map(|s| quoted(s))
             .join(",");
         text += &format!(
             "{names},{},{},{},{:.6}\n",
-            r.frames, r.bytes, r.for_nothing, r.cost
+            row.frames, row.bytes, row.for_nothing, row.cost
         );
     }
     text
@@ -203,20 +210,20 @@
 
 fn plain_text(rows: &[TrafficRow], overruns: &[(&String, &BudgetOverrun)]) -> String {
     let mut text = String::new();
-    for r in rows {
-        let plan = if r.plan.is_empty() { "-" } else { &r.plan };
+    for row in rows {
+        let plan = if row.plan.is_empty() { "-" } else { &row.plan };
         text += &format!(
             "{} to {}  {plan:<14} {:<8} {:>9} frames {:>13} bytes ({} wasted)  {:.4}\n",
-            r.from, r.to, r.reason, r.frames, r.bytes, r.for_nothing, r.cost
+            row.from, row.to, row.reason, row.frames, row.bytes, row.for_nothing, row.cost
         );
     }
-    for (host, p) in overruns {
-        let span = (p.to_us - p.from_us) as f64 / 1e6;
+    for (host, overrun) in overruns {
+        let span = (overrun.to_us - overrun.from_us) as f64 / 1e6;
         text += &format!(
             "budget {} overrun: {} bytes at {host} in {span:.1} s: {}\n",
-            p.budget,
-            p.bytes,
-            p.shown_cause()
+            overrun.budget,
+            overrun.bytes,
+            overrun.shown_cause()
         );
     }
     text
