--- a/crates/cli/benches/documents.rs
+++ b/crates/cli/benches/documents.rs
@@ -1,28 +1,28 @@
-//! What it costs to check the town's documents, as they are, ten times and a hundred times as large: the time
-//! and the most memory of a `gullsail check` of its own each. Growth is relative to the smallest, within this
-//! run.
+//! Measures `gullsail check` on the documents of `examples/town` at one, ten and a hundred times their size: the
+//! median time and the peak memory of a separate process. Growth is relative to the smallest size in the same run.
 
 use nix::sys::resource::{UsageWho, getrusage};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Instant;
 
-fn files(folder: &Path, all: &mut Vec<PathBuf>) {
+fn collect_files(folder: &Path, all: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder)
-        .expect("the example is there")
+        .expect("the example folder is readable")
         .flatten()
     {
         let path = entry.path();
         if path.is_dir() {
-            files(&path, all);
+            collect_files(&path, all);
         } else {
             all.push(path);
         }
     }
 }
 
-/// The text of one more town: its own names, addresses and shards, the same plans and request classes.
-fn moved(text: &str, copy: usize) -> String {
+/// Returns a copy of the text for one more town. Names, addresses and shards differ by copy; plans and request classes
+/// stay the same.
+fn text_of_copy(text: &str, copy: usize) -> String {
     let mut text = text.to_string();
     for name in [
         "quay", "mill", "hill", "station", "harbour", "works-", "desk-",
@@ -33,10 +33,10 @@
         .replace("template desk", &format!("template desk{copy}"))
         .replace("use desk ", &format!("use desk{copy} "));
     text = text.replace("\"10.", &format!("\"n{copy}.10."));
-    // Sixty shards further for each copy.
+    // The shards of each copy start 60 above those of the previous one.
     let mut out = String::new();
-    let mut rest = text.as_str();
-    while let Some((before, after)) = rest.split_once("cell=") {
+    let mut remaining = text.as_str();
+    while let Some((before, after)) = remaining.split_once("cell=") {
         out += before;
         let end = after.find(' ').unwrap_or(after.len());
         let digits: Vec<usize> = after[..end]
@@ -49,24 +49,26 @@
         } else {
             format!("cell={}", shards[0])
         };
-        rest = &after[end..];
+        remaining = &after[end..];
     }
-    out + rest
+    out + remaining
 }
 
-fn write(from: &Path, to: &Path, copies: usize) -> usize {
+fn write_copies(from: &Path, to: &Path, copies: usize) -> usize {
     let mut all = Vec::new();
-    files(from, &mut all);
+    collect_files(from, &mut all);
     let mut bytes = 0;
     for file in all {
-        let name = file.strip_prefix(from).expect("below it");
-        let mut text = std::fs::read_to_string(&file).expect("it is read");
+        let name = file.strip_prefix(from).expect("the file is in its folder");
+        let mut text = std::fs::read_to_string(&file).expect("the file is readable");
         if name.starts_with("zones") || name.starts_with("volumes") {
-            text = (1..copies).fold(text.clone(), |all, copy| all + "\n" + &moved(&text, copy));
+            text = (1..copies).fold(text.clone(), |all, copy| {
+                all + "\n" + &text_of_copy(&text, copy)
+            });
         }
-        // One volume comes through all hosts, each with its part of the burst.
+        // Each volume is served by all hosts, which divide its burst: it grows with their number.
         text = text.replace("burst=3600", &format!("burst={}", 3600 * copies));
-        // Revisions are for fewer hosts.
+        // `revision` entries are dropped: they are for the original number of hosts.
         text = text
             .lines()
             .filter(|l| !l.starts_with("revision"))
@@ -75,8 +77,9 @@
             + "\n";
         bytes += text.len();
         let path = to.join(name);
-        std::fs::create_dir_all(path.parent().expect("below it")).expect("made");
-        std::fs::write(path, text).expect("written");
+        std::fs::create_dir_all(path.parent().expect("the file is in its folder"))
+            .expect("the folder is created");
+        std::fs::write(path, text).expect("the file is written");
     }
     bytes
 }
@@ -85,32 +88,32 @@
     let town = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/town");
     let mut first = None;
     println!(
-        "{:>6} {:>9} {:>10} {:>9} {:>12} {:>12}  what it says",
+        "{:>6} {:>9} {:>10} {:>9} {:>12} {:>12}  result",
         "copies", "bytes", "ms", "MiB", "ms / first", "MiB / first"
     );
     for copies in [1, 10, 100] {
-        let dir = tempfile::tempdir().expect("a folder");
-        let bytes = write(&town, dir.path(), copies);
+        let dir = tempfile::tempdir().expect("a temporary folder");
+        let bytes = write_copies(&town, dir.path(), copies);
         let mut times = Vec::new();
         let mut report = String::new();
         for _ in 0..5 {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let out = Command::new(env!("CARGO_BIN_EXE_gullsail"))
                 .arg("check")
                 .arg(dir.path().join("town.kdl"))
                 .output()
-                .expect("it runs");
-            times.push(began.elapsed().as_secs_f64() * 1e3);
+                .expect("gullsail runs");
+            times.push(started_at.elapsed().as_secs_f64() * 1e3);
             report = String::from_utf8_lossy(&out.stdout).trim().to_string()
                 + &String::from_utf8_lossy(&out.stderr);
         }
         times.sort_by(f64::total_cmp);
-        // The largest so far, and sizes grow.
-        let most = getrusage(UsageWho::RUSAGE_CHILDREN)
+        // The maximum over all children so far. Sizes grow, so it is the maximum at this size.
+        let peak_mib = getrusage(UsageWho::RUSAGE_CHILDREN)
             .expect("usage")
             .max_rss() as f64
             / 1024.0;
-        let (ms0, most0) = *first.get_or_insert((times[2], most));
+        let (first_ms, first_peak_mib) = *first.get_or_insert((times[2], peak_mib));
         if !report.contains("no errors") {
             println!("{report}");
         }
@@ -118,10 +121,10 @@
             .rsplit_once(": ")
             .map_or(report.clone(), |s| s.1.to_string());
         println!(
-            "{copies:>6} {bytes:>9} {:>10.1} {most:>9.1} {:>12.1} {:>12.1}  {report}",
+            "{copies:>6} {bytes:>9} {:>10.1} {peak_mib:>9.1} {:>12.1} {:>12.1}  {report}",
             times[2],
-            times[2] / ms0,
-            most / most0
+            times[2] / first_ms,
+            peak_mib / first_peak_mib
         );
     }
 }
--- a/crates/cli/benches/host_cost/load.rs
+++ b/crates/cli/benches/host_cost/load.rs
@@ -1,4 +1,4 @@
-//! Clients on loopback, and the load that they make.
+//! Clients on loopback and the load that they generate.
 
 use crate::processes::current_thread;
 use bytes::Bytes;
@@ -13,60 +13,67 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// What clients send.
+/// The load of a run.
 pub struct Load {
-    /// Requests out at a time over all connections; 0: as many as come in `rate`.
+    /// Number of open requests over all connections; unused if `rate` is above 0.
     pub outstanding: usize,
+    /// Requests per second; 0: a request is sent whenever fewer than `outstanding` are open.
     pub rate: f64,
+    /// How long clients send.
     pub seconds: f64,
+    /// Number of shards that requests are spread over.
     pub shards: i64,
+    /// Length of each request's body.
     pub bytes: usize,
-    /// Seconds for connections to stand and clocks to be known.
+    /// Seconds between connecting and the first request, in which connections and clock offsets are established.
     pub warm: f64,
 }
 
-/// What came of a load.
+/// The answers to a load's requests.
 pub struct Answers {
+    /// Answers with the outcome that the request succeeded.
     pub succeeded: u64,
+    /// Answers with any other outcome, and refused requests.
     pub others: u64,
-    /// The time of each request in microseconds.
+    /// Latency of each answered request, in microseconds.
     pub times: Histogram<u64>,
 }
 
 struct Clients<'a> {
     load: &'a Load,
-    /// Requests are sent as attempts, for a relay.
+    /// Sends attempts in place of client requests, for a relay that forwards them to nodes.
     as_attempts: bool,
     links: Vec<Link>,
     body: Bytes,
-    began: BTreeMap<u64, Instant>,
-    last: u64,
+    /// When each open request was sent, by its id.
+    sent_at: BTreeMap<u64, Instant>,
+    last_id: u64,
     answers: Answers,
 }
 
 impl Clients<'_> {
     fn send(&mut self) {
-        self.last += 1;
-        let last = self.last;
+        self.last_id += 1;
+        let request_id = self.last_id;
         let handle = Some(Handle {
-            shard: last as i64 % self.load.shards,
-            object: last,
+            shard: request_id as i64 % self.load.shards,
+            object: request_id,
         });
         let request_class = "read".to_string();
-        let mark = format!("m{last}");
-        // Each host is asked for both in turn.
-        let first = (last as usize / self.links.len()).is_multiple_of(2);
-        let volume = if first { "v" } else { "w" }.to_string();
+        let key = format!("m{request_id}");
+        // Requests of each connection alternate between the two volumes.
+        let even_round = (request_id as usize / self.links.len()).is_multiple_of(2);
+        let volume = if even_round { "v" } else { "w" }.to_string();
         let units = 1.0;
         let frame: Frame = if self.as_attempts {
             let time_out_us = 1_000_000;
             let attempt = Attempt {
-                attempt: last,
+                attempt: request_id,
                 request_class,
                 volume,
                 units,
                 handle,
-                idempotency_key: mark,
+                idempotency_key: key,
                 ..Attempt::default()
             };
             Attempt {
@@ -77,12 +84,12 @@
         } else {
             let timeout_us = 4_000_000;
             let submit = Submit {
-                id: last,
+                id: request_id,
                 request_class,
                 volume,
                 units,
                 handle,
-                idempotency_key: mark,
+                idempotency_key: key,
                 ..Submit::default()
             };
             Submit {
@@ -91,24 +98,24 @@
             }
             .into()
         };
-        self.began.insert(last, Instant::now());
-        let _ =
-            self.links[last as usize % self.links.len()].send(frame.with_body(self.body.clone()));
+        self.sent_at.insert(request_id, Instant::now());
+        let _ = self.links[request_id as usize % self.links.len()]
+            .send(frame.with_body(self.body.clone()));
     }
 
-    fn received(&mut self, frame: Frame) {
+    fn handle_frame(&mut self, frame: Frame) {
         let (id, succeeded) = match frame.message {
             Message::Answer(a) => (a.id, a.outcome == Outcome::Succeeded as i32),
             Message::AttemptAnswer(a) => (a.attempt, a.result == AttemptResult::Succeeded as i32),
             Message::NotTaken(n) => (n.id, false),
             _ => return,
         };
-        let Some(at) = self.began.remove(&id) else {
+        let Some(sent_at) = self.sent_at.remove(&id) else {
             return;
         };
         self.answers
             .times
-            .saturating_record(at.elapsed().as_micros() as u64);
+            .saturating_record(sent_at.elapsed().as_micros() as u64);
         if succeeded {
             self.answers.succeeded += 1;
         } else {
@@ -126,21 +133,21 @@
         let start = Instant::now();
         let elapsed = || start.elapsed().as_secs_f64();
         let mut batch = Vec::new();
-        let mut next = start;
+        let mut next_send_at = start;
         while elapsed() < seconds
-            || rate > 0.0 && !self.began.is_empty() && elapsed() < seconds + 2.0
+            || rate > 0.0 && !self.sent_at.is_empty() && elapsed() < seconds + 2.0
         {
-            while rate > 0.0 && next <= Instant::now() && elapsed() < seconds {
+            while rate > 0.0 && next_send_at <= Instant::now() && elapsed() < seconds {
                 self.send();
-                next += Duration::from_secs_f64(1.0 / rate);
+                next_send_at += Duration::from_secs_f64(1.0 / rate);
             }
-            while rate == 0.0 && self.began.len() < outstanding {
+            while rate == 0.0 && self.sent_at.len() < outstanding {
                 self.send();
             }
             tokio::select! {
                 _ = inbox.recv_many(&mut batch, 256) => for (_, event) in batch.drain(..) {
                     if let LinkEvent::Frame(frame) = event {
-                        self.received(frame);
+                        self.handle_frame(frame);
                     }
                 },
                 () = tokio::time::sleep(Duration::from_millis(1)), if rate > 0.0 => {}
@@ -150,7 +157,8 @@
     }
 }
 
-/// Runs clients, one connection to each address, under a load.
+/// Opens one client connection to each address and runs a load over them. `as_attempts`: sends attempts, as a relay
+/// expects, in place of client requests.
 pub fn clients(addresses: &[String], load: &Load, as_attempts: bool) -> Answers {
     current_thread().block_on(async {
         let (sink, mut inbox) = mpsc::channel(4096);
@@ -175,14 +183,14 @@
             others: 0,
             times,
         };
-        let began = BTreeMap::new();
+        let sent_at = BTreeMap::new();
         let clients = Clients {
             load,
             as_attempts,
             links,
             body,
-            began,
-            last: 0,
+            sent_at,
+            last_id: 0,
             answers,
         };
         clients.run(&mut inbox).await
--- a/crates/cli/benches/host_cost/main.rs
+++ b/crates/cli/benches/host_cost/main.rs
@@ -1,11 +1,12 @@
-//! What the host costs, as ratios within one run. `cargo bench -p gullsail-cli --bench host_cost -- MODE`:
+//! Measures the cost of a host, as ratios within one run. `cargo bench -p gullsail-cli --bench host_cost -- MODE`:
 //!
-//! * `cost` (as `cargo bench` runs it): a host and a bare relay of the same frames, each on one thread, the
-//!   same client and the same nodes that answer at once: requests for a second of that thread's processor
-//!   time, and the time of one request at a time.
-//! * `memory`: bytes for each open request. `soak SECONDS`: resident memory while it serves.
-//! * `scale`: 10, 50 and 100 hosts, 60 nodes, volumes over all hosts: demand reports and processor time by
-//!   request.
+//! * `cost` (the default): compares a host with a bare relay of the same frames. Each runs on one thread, with the same
+//!   client and nodes that answer at once. Shows requests per second of that thread's processor time, and latencies.
+//! * `fleet`: processor time of a host with a fleet, relative to one without.
+//! * `memory`: bytes per open request.
+//! * `soak SECONDS`: resident memory of a host that serves a steady load.
+//! * `scale`: demand reports and processor time per request with 10, 50 and 100 hosts, 60 nodes, and volumes that all
+//!   hosts serve.
 
 mod load;
 mod processes;
@@ -19,7 +20,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split_whitespace()
         .nth(1)
@@ -28,11 +29,13 @@
         * 4096
 }
 
-/// What one run of a host, or of a relay, measured.
+/// The measurements of one run of a host or a relay.
 struct Measured {
-    /// Requests for a second of processor time, and for a second.
+    /// Requests per second of processor time.
     by_cpu: f64,
+    /// Requests per second.
     by_time: f64,
+    /// Request latencies in microseconds.
     times: Histogram<u64>,
 }
 
@@ -58,7 +61,10 @@
         others: other,
         times,
     } = clients(&ha, &load, relay);
-    assert!(other * 100 <= done, "{other} not done beside {done}");
+    assert!(
+        other * 100 <= done,
+        "{other} requests failed, {done} succeeded"
+    );
     let Cost { cpu, .. } = running.end();
     Measured {
         by_cpu: done as f64 / cpu,
@@ -68,10 +74,10 @@
 }
 
 fn cost() {
-    println!("bytes  out at a time   who    transfers/cpu-s  transfers/s   p50 us   p99 us");
+    println!("bytes  open requests   who     requests/cpu-s   requests/s   p50 us   p99 us");
     for (bytes, outstanding) in [(0, 128), (1024, 128), (65_536, 64), (0, 1), (1024, 1)] {
-        let mut seen = Vec::new();
-        // Twice each, in turn: the second round is shown, the first warms up.
+        let mut results = Vec::new();
+        // Relay and host run in turn. The first round warms up; the second is shown.
         for round in 0..2 {
             for relay in [true, false] {
                 let Measured {
@@ -90,13 +96,13 @@
                     println!(
                         "{bytes:>6} {outstanding:>13}  {who:>6} {by_cpu:>15.0} {by_time:>12.0} {p50:>8} {p99:>8}"
                     );
-                    seen.push((by_cpu, p50, p99));
+                    results.push((by_cpu, p50, p99));
                 }
             }
         }
-        let (relay, host) = (seen[0], seen[1]);
+        let (relay, host) = (results[0], results[1]);
         println!(
-            "       host/relay: {:.2} of its transfers by processor time, p50 x{:.2}, p99 x{:.2}",
+            "       host/relay: {:.2} of its requests by processor time, p50 x{:.2}, p99 x{:.2}",
             host.0 / relay.0,
             host.1 as f64 / relay.1.max(1) as f64,
             host.2 as f64 / relay.2.max(1) as f64
@@ -104,7 +110,7 @@
     }
 }
 
-/// The same load at a host with a fleet and without one, in turn.
+/// Runs the same load on a host without a fleet and with one, in turn.
 fn fleet() {
     let (mut ratios, limit) = (Vec::new(), "limit=\"1000000000units/s\" burst=1000000000");
     let entries = [
@@ -112,7 +118,7 @@
         "fleet \"f\" lease=\"1s\" drift=0.001 voters=1 floor=0.3\n",
     ];
     for round in 0..33 {
-        // In turn, and in the other order each time: the machine's own speed drifts.
+        // The order changes each round, which cancels a drift of the machine's speed.
         let order = if round % 2 == 0 { [0, 1] } else { [1, 0] };
         let mut by_cpu = [0.0; 2];
         for which in order {
@@ -136,16 +142,16 @@
             by_cpu[which] = done as f64 / running.end().cpu;
         }
         println!(
-            "round {round}: off {:.0}, on {:.0} transfers by processor second",
+            "round {round}: off {:.0}, on {:.0} requests per processor second",
             by_cpu[0], by_cpu[1]
         );
         ratios.extend((round > 0).then_some(by_cpu[0] / by_cpu[1] - 1.0));
     }
     ratios.sort_by(f64::total_cmp);
-    let at = |part: f64| ratios[(ratios.len() as f64 * part) as usize] * 100.0;
-    let (least, median, most) = (at(0.25), at(0.5), at(0.75));
+    let at = |quantile: f64| ratios[(ratios.len() as f64 * quantile) as usize] * 100.0;
+    let (lower, median, upper) = (at(0.25), at(0.5), at(0.75));
     println!(
-        "on costs {median:.1}% more (median of {}; the middle half {least:.1}% to {most:.1}%)",
+        "on costs {median:.1}% more (median of {}; the middle half {lower:.1}% to {upper:.1}%)",
         ratios.len()
     );
 }
@@ -155,7 +161,7 @@
         let ((nl, na), (hl, ha)) = (listeners(8), listeners(1));
         nodes(nl, None);
         let running = hosts(&document(&ha, &na, ""), 0, hl);
-        let before = resident();
+        let before = resident_bytes();
         let load = Load {
             outstanding: 0,
             rate: 40_000.0,
@@ -164,12 +170,12 @@
             bytes: 0,
             warm: 0.5,
         };
-        let watch = std::thread::spawn(move || {
+        let sampler = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(1300));
-            resident()
+            resident_bytes()
         });
         let Answers { others: other, .. } = clients(&ha, &load, false);
-        let open = watch.join().expect("the watch") - before;
+        let open = sampler.join().expect("the memory sample") - before;
         let Cost { counts, .. } = running.end();
         println!(
             "round {round}: {} open at most, {other} deferred: {} bytes each (client and host together)",
@@ -183,11 +189,11 @@
     let ((nl, na), (hl, ha)) = (listeners(8), listeners(1));
     nodes(nl, Some(1024));
     let running = hosts(&document(&ha, &na, ""), 0, hl);
-    let watch = std::thread::spawn(move || {
+    let sampler = std::thread::spawn(move || {
         for minute in 0..=(seconds / 60.0) as u64 {
             println!(
                 "minute {minute}: {:.1} MB resident",
-                resident() as f64 / 1e6
+                resident_bytes() as f64 / 1e6
             );
             std::thread::sleep(Duration::from_secs(60));
         }
@@ -210,9 +216,12 @@
         times.value_at_quantile(0.5),
         times.value_at_quantile(0.99)
     );
-    println!("at the end: {:.1} MB resident", resident() as f64 / 1e6);
+    println!(
+        "at the end: {:.1} MB resident",
+        resident_bytes() as f64 / 1e6
+    );
     running.end();
-    drop(watch);
+    drop(sampler);
 }
 
 fn main() {
@@ -228,8 +237,8 @@
         Some("scale-part") => match &arguments[1..] {
             [file, from, to] => scale_part(
                 file,
-                from.parse().expect("a place"),
-                to.parse().expect("a place"),
+                from.parse().expect("a host index"),
+                to.parse().expect("a host index"),
             ),
             _ => eprintln!("scale-part FILE FROM TO"),
         },
--- a/crates/cli/benches/host_cost/processes.rs
+++ b/crates/cli/benches/host_cost/processes.rs
@@ -1,4 +1,4 @@
-//! What a run consists of: hosts, a bare relay beside them, and nodes, each on a thread of its own.
+//! The parts of a run: hosts, a bare relay to compare them with, and nodes. Each kind runs on a separate thread.
 
 use bytes::Bytes;
 use gullsail_configuration::{Deployment, parse};
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
 
-/// A runtime on this thread.
+/// Creates an async runtime that runs on the current thread.
 pub fn current_thread() -> Runtime {
     Builder::new_current_thread()
         .enable_all()
@@ -25,12 +25,12 @@
         .expect("a runtime")
 }
 
-fn cpu() -> f64 {
+fn thread_cpu_seconds() -> f64 {
     let t = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("this thread's processor time");
     t.tv_sec() as f64 + t.tv_nsec() as f64 / 1e9
 }
 
-/// Listeners on loopback, and their addresses.
+/// Binds listeners on loopback. Returns them with their addresses.
 pub fn listeners(count: usize) -> (Vec<StdListener>, Vec<String>) {
     let all: Vec<_> = (0..count)
         .map(|_| StdListener::bind("127.0.0.1:0").expect("a port"))
@@ -44,13 +44,13 @@
     (all, addresses)
 }
 
-/// A configuration of these hosts and nodes.
+/// A configuration with a host and a node at each address, and the settings `plan` in the plan of its volumes.
 pub fn document(hosts: &[String], nodes: &[String], plan: &str) -> Arc<Deployment> {
     let text = document_text(hosts, nodes, plan);
     Arc::new(parse("bench.kdl", &text).unwrap_or_else(|p| panic!("{:?}", p.problems)))
 }
 
-/// Its text.
+/// The text of the configuration that [`document`] parses.
 pub fn document_text(hosts: &[String], nodes: &[String], plan: &str) -> String {
     let mut text = format!(
         "rules tick=\"20ms\"\ncold units=40 window=\"1s\" first-part=0.2 ramp=\"1s\"\n\
@@ -66,38 +66,39 @@
     text
 }
 
-/// Nodes that answer at once, or never; all on one thread, for as long as the process lives.
+/// Runs nodes on one thread until the process ends. They answer each attempt at once with a body of `answer` bytes, or
+/// never if `answer` is `None`.
 pub fn nodes(listeners: Vec<StdListener>, answer: Option<usize>) {
     std::thread::spawn(move || {
         current_thread().block_on(async move {
             let (sink, mut inbox) = mpsc::channel(4096);
             let (mut tasks, mut links) = (JoinSet::new(), BTreeMap::new());
-            let (opened, mut opening) = mpsc::channel(64);
+            let (accepted, mut new_streams) = mpsc::channel(64);
             for (shard, listener) in listeners.into_iter().enumerate() {
-                let (listener, opened) = (TcpListener::from_std(listener).expect("a listener"), opened.clone());
+                let (listener, accepted) = (TcpListener::from_std(listener).expect("a listener"), accepted.clone());
                 tokio::spawn(async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        let _ = opened.send((shard, stream)).await;
+                        let _ = accepted.send((shard, stream)).await;
                     }
                 });
             }
-            let (body, mut last) = (Bytes::from(vec![7; answer.unwrap_or(0)]), 0u64);
+            let (body, mut last_link) = (Bytes::from(vec![7; answer.unwrap_or(0)]), 0u64);
             loop {
                 tokio::select! {
-                    Some((shard, stream)) = opening.recv() => {
-                        last += 1;
-                        let link = Link::open(stream, last, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
+                    Some((shard, stream)) = new_streams.recv() => {
+                        last_link += 1;
+                        let link = Link::open(stream, last_link, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
                         let (role, name) = (Role::Node as i32, format!("n{shard}"));
                         let (incarnation, shard_plus_one) = (shard as u64 + 1, shard as i64 + 1);
                         let _ = link.send(Hello { role, name, incarnation, age_us: 1 << 40, shard_plus_one }.into());
-                        links.insert(last, link);
+                        links.insert(last_link, link);
                     }
-                    Some((id, happened)) = inbox.recv() => if let LinkEvent::Frame(frame) = happened
+                    Some((id, event)) = inbox.recv() => if let LinkEvent::Frame(frame) = event
                         && let Message::Attempt(attempt) = frame.message
                         && answer.is_some()
                     {
-                        let a = AttemptAnswer { attempt: attempt.attempt, result: AttemptResult::Succeeded as i32, ..AttemptAnswer::default() };
-                        let _ = links[&id].send(Frame::from(a).with_body(body.clone()));
+                        let reply = AttemptAnswer { attempt: attempt.attempt, result: AttemptResult::Succeeded as i32, ..AttemptAnswer::default() };
+                        let _ = links[&id].send(Frame::from(reply).with_body(body.clone()));
                     },
                 }
             }
@@ -105,32 +106,33 @@
     });
 }
 
-fn named<T: Send + 'static>(
+fn spawn_named<T: Send + 'static>(
     name: &str,
     work: impl FnOnce() -> T + Send + 'static,
 ) -> JoinHandle<T> {
-    // Profiles tell threads apart by their names.
+    // Profilers show threads by name.
     std::thread::Builder::new()
         .name(name.into())
         .spawn(work)
         .expect("a thread")
 }
 
-/// What a thread used, and what its hosts counted.
+/// The processor time of a thread, and the counters of its hosts.
 pub struct Cost {
     /// Processor time in seconds.
     pub cpu: f64,
+    /// Counters by host; empty for a relay.
     pub counts: Vec<Counts>,
 }
 
-/// Hosts, or a relay, on a thread of their own.
+/// Hosts or a relay that run on a separate thread.
 pub struct Running {
     thread: JoinHandle<Cost>,
     stop: Vec<oneshot::Sender<()>>,
 }
 
 impl Running {
-    /// Stops them; returns what they cost.
+    /// Stops the thread's hosts or relay and returns their cost.
     pub fn end(self) -> Cost {
         for stop in self.stop {
             let _ = stop.send(());
@@ -139,13 +141,13 @@
     }
 }
 
-/// Hosts of a configuration from this one on, all on one thread.
+/// Runs hosts of a configuration on one thread: one for each listener, from the index `first` on.
 pub fn hosts(d: &Arc<Deployment>, first: usize, listeners: Vec<StdListener>) -> Running {
     let (stop, stopped): (Vec<_>, Vec<_>) = (0..listeners.len())
         .map(|_| oneshot::channel::<()>())
         .unzip();
     let d = d.clone();
-    let thread = named("host", move || {
+    let thread = spawn_named("host", move || {
         let all = current_thread().block_on(async move {
             let mut all = JoinSet::new();
             for (i, (listener, stopped)) in listeners.into_iter().zip(stopped).enumerate() {
@@ -165,30 +167,30 @@
             all.join_all().await
         });
         Cost {
-            cpu: cpu(),
+            cpu: thread_cpu_seconds(),
             counts: all,
         }
     });
     Running { thread, stop }
 }
 
-/// Passes frames on to the node of their shard, over as many connections as a host has, and does nothing
-/// else: what any process between client and nodes must do.
+/// Runs a relay that forwards each frame to the node of its shard, and replies to the client, over as many connections
+/// as a host has. This is the least that any process between client and nodes does.
 pub fn bare_relay(listener: StdListener, targets: Vec<String>) -> Running {
     let (stop, stopped) = oneshot::channel::<()>();
-    let thread = named("relay", move || {
+    let thread = spawn_named("relay", move || {
         current_thread().block_on(async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
             let (sink, mut inbox) = mpsc::channel(1024);
             let mut tasks = JoinSet::new();
-            let passing = async {
+            let forwarding = async {
                 let (stream, _) = listener.accept().await.expect("the client");
                 let client = Link::open(stream, 0, Bounds::DEFAULT, 16_384, &sink, &mut tasks);
                 let mut nodes = Vec::new();
                 for target in targets {
-                    let other = TcpStream::connect(target).await.expect("the node");
+                    let stream = TcpStream::connect(target).await.expect("the node");
                     nodes.push(Link::open(
-                        other,
+                        stream,
                         1,
                         Bounds::DEFAULT,
                         16_384,
@@ -198,10 +200,12 @@
                 }
                 let mut batch = Vec::new();
                 while inbox.recv_many(&mut batch, 256).await > 0 {
-                    for (side, happened) in batch.drain(..) {
-                        if let LinkEvent::Frame(frame) = happened {
+                    for (side, event) in batch.drain(..) {
+                        if let LinkEvent::Frame(frame) = event {
                             let shard = match &frame.message {
-                                Message::Attempt(l) => l.handle.map_or(0, |h| h.shard as usize),
+                                Message::Attempt(attempt) => {
+                                    attempt.handle.map_or(0, |h| h.shard as usize)
+                                }
                                 _ => 0,
                             };
                             let _ = if side == 0 {
@@ -214,12 +218,12 @@
                 }
             };
             tokio::select! {
-                () = passing => {}
+                () = forwarding => {}
                 _ = stopped => {}
             }
         });
         Cost {
-            cpu: cpu(),
+            cpu: thread_cpu_seconds(),
             counts: Vec::new(),
         }
     });
--- a/crates/cli/benches/host_cost/scale.rs
+++ b/crates/cli/benches/host_cost/scale.rs
@@ -1,4 +1,4 @@
-//! Many hosts, in several processes: demand reports and processor time by request.
+//! Runs many hosts in several processes and measures demand reports and processor time per request.
 
 use crate::load::{Answers, Load, clients};
 use crate::processes::{Cost, document_text, hosts, listeners, nodes};
@@ -8,10 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Hosts of one process: a hundred hosts hold more connections than one may.
-const HOSTS_A_PROCESS: usize = 25;
+/// Hosts in each process. 100 hosts have more connections than one process may open.
+const HOSTS_PER_PROCESS: usize = 25;
 
-/// Runs some hosts of a document until standard input ends; writes processor time and demand reports sent.
+/// Runs the hosts `from..to` of a document until standard input ends. Then prints their processor time in seconds and
+/// the number of demand reports that they sent.
 pub fn scale_part(file: &str, from: usize, to: usize) {
     let text = std::fs::read_to_string(file).expect("the document");
     let d = Arc::new(parse(file, &text).unwrap_or_else(|p| panic!("{:?}", p.problems)));
@@ -29,24 +30,25 @@
     );
 }
 
-/// Runs 10, 50 and 100 hosts.
+/// Measures fleets of 10, 50 and 100 hosts and prints a row for each.
 pub fn scale() {
     println!(
-        "hosts  transfers/s  done  labels/s  labels by transfer  host cpu us by transfer  p50 us  p99 us"
+        "hosts   requests/s  done reports/s reports per request  host cpu us per request  p50 us  p99 us"
     );
     for count in [10, 50, 100] {
         let ((nl, na), (hl, ha)) = (listeners(60), listeners(count));
         nodes(nl, Some(1024));
-        // A limit a quarter over what is asked: hosts that are asked for more for a moment borrow.
+        // The limit is a quarter above the load's rate (1000 units a second for each of two volumes). Hosts with a short
+        // peak borrow from others.
         let plan = format!("limit=\"1250units/s\" burst={}", 16 * count.max(70));
         let file =
             std::env::temp_dir().join(format!("gullsail-scale-{}-{count}.kdl", std::process::id()));
         std::fs::write(&file, document_text(&ha, &na, &plan)).expect("the document");
         drop(hl);
-        let parts: Vec<_> = (0..count)
-            .step_by(HOSTS_A_PROCESS)
+        let processes: Vec<_> = (0..count)
+            .step_by(HOSTS_PER_PROCESS)
             .map(|from| {
-                let to = (from + HOSTS_A_PROCESS).min(count);
+                let to = (from + HOSTS_PER_PROCESS).min(count);
                 Command::new(std::env::current_exe().expect("this program"))
                     .args([
                         "scale-part",
@@ -57,7 +59,7 @@
                     .stdin(Stdio::piped())
                     .stdout(Stdio::piped())
                     .spawn()
-                    .expect("a part")
+                    .expect("a process of hosts")
             })
             .collect();
         std::thread::sleep(Duration::from_secs(1));
@@ -75,15 +77,17 @@
             times,
         } = clients(&ha, &load, false);
         let (mut cpu, mut demand_reports) = (0.0, 0.0);
-        for mut part in parts {
-            drop(part.stdin.take());
-            let out = part.wait_with_output().expect("what it counted");
+        for mut process in processes {
+            drop(process.stdin.take());
+            let out = process
+                .wait_with_output()
+                .expect("the output of the process");
             let text = String::from_utf8_lossy(&out.stdout).into_owned();
             let mut figures = text
                 .split_whitespace()
                 .filter_map(|f| f.parse::<f64>().ok());
             cpu += figures.next().expect("processor time");
-            demand_reports += figures.next().expect("labels");
+            demand_reports += figures.next().expect("demand reports");
         }
         let _ = std::fs::remove_file(&file);
         let all = (done + other).max(1) as f64;
--- a/crates/cli/benches/service/main.rs
+++ b/crates/cli/benches/service/main.rs
@@ -1,8 +1,12 @@
-//! Days of service in a minute or two: `cargo bench -p gullsail-cli --bench service -- HOURS [EVERY]`, or `--
-//! sockets [WAVES]` for the real host on loopback (`sockets.rs`), or `-- load [SECONDS] [EVERY]` under a
-//! profiler. Of the first: hosts, nodes, clients, objects, volumes and documents come and go all the while.
-//! Each hour has a quiet end in which all clients have left; what is held then, and how long steps took, is a
-//! row. The first third of the hours is set beside the last.
+//! Looks for growth over days of service: `cargo bench -p gullsail-cli --bench service -- HOURS [EVERY]`. It simulates
+//! the hours in a minute or two. EVERY is the mean number of seconds between a client's requests.
+//!
+//! Hosts, nodes, clients, objects, volumes and documents come and go all the time. Each hour ends with a quiet phase after
+//! all clients have left. A row for each hour shows the time of the hosts' steps, and the sizes of their collections at
+//! load and in the quiet phase. At the end, the means over the first and the last third of the hours are compared.
+//!
+//! Two other modes: `-- sockets [WAVES]` runs the real host on loopback (`sockets.rs`); `-- load [SECONDS] [EVERY]` plays
+//! a steady load for a profiler.
 
 mod sockets;
 mod world;
@@ -14,12 +18,13 @@
 use std::time::Instant;
 use world::World;
 
-fn clock() -> u64 {
+fn elapsed_nanos() -> u64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_nanos() as u64
 }
 
-fn status(key: &str) -> f64 {
+/// The number at a key of `/proc/self/status`, such as `VmRSS:` (in KiB); 0 if it is missing.
+fn process_status(key: &str) -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text
         .lines()
@@ -31,7 +36,7 @@
         .unwrap_or_default()
 }
 
-/// Means of the first and the last third.
+/// The means of the first and of the last third.
 fn thirds(all: &[f64]) -> (f64, f64) {
     let third = (all.len() / 3).max(1);
     let mean = |part: &[f64]| part.iter().sum::<f64>() / part.len().max(1) as f64;
@@ -47,23 +52,23 @@
         return sockets::run(arguments.first().copied().unwrap_or(30.0) as usize);
     }
     if std::env::args().any(|a| a == "load") {
-        // For a profiler: some seconds of steady load, and nothing else.
-        let (seconds, every) = (
+        // Only some seconds of steady load, for a profiler.
+        let (seconds, request_interval) = (
             arguments.first().copied().unwrap_or(60.0),
             arguments.get(1).copied().unwrap_or(0.05),
         );
-        let mut w = World::new(1, every);
+        let mut w = World::new(1, request_interval);
         w.play(Span::from_millis(seconds * 1e3));
         return println!(
-            "{} answered; taken, not taken, done, deferred, abandoned, left: {:?}",
+            "{} answered; accepted, refused, succeeded, rejected, failed, withdrawn: {:?}",
             w.answered,
             w.outcomes()
         );
     }
     let hours = arguments.first().copied().unwrap_or(48.0) as usize;
-    let every = arguments.get(1).copied().unwrap_or(4.0);
-    let mut w = World::new(1, every);
-    w.clock = clock;
+    let request_interval = arguments.get(1).copied().unwrap_or(4.0);
+    let mut w = World::new(1, request_interval);
+    w.clock = elapsed_nanos;
     let minutes = |m: f64| Span::from_millis(m * 60e3);
     let (mut busy, mut quiet) = (
         Vec::<BTreeMap<_, usize>>::new(),
@@ -77,26 +82,26 @@
         let mut latency =
             Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).expect("a histogram");
         w.open = true;
-        // Lengths are sampled each minute at full load, then once all clients have left.
-        let mut most = BTreeMap::new();
+        // Collection sizes are sampled each minute at load and averaged, and once more after all clients have left.
+        let mut mean_sizes = BTreeMap::new();
         for _ in 0..54 {
             w.play(minutes(1.0));
             w.size_metrics()
                 .into_iter()
-                .for_each(|(name, n)| *most.entry(name).or_insert(0) += n);
+                .for_each(|(name, n)| *mean_sizes.entry(name).or_insert(0) += n);
             w.latency
                 .drain(..)
                 .for_each(|ns| latency.saturating_record(ns.max(1)));
         }
-        most.values_mut().for_each(|n| *n /= 54);
+        mean_sizes.values_mut().for_each(|n| *n /= 54);
         w.open = false;
         w.play(minutes(6.0));
         w.latency.clear();
-        busy.push(most);
+        busy.push(mean_sizes);
         quiet.push(w.size_metrics());
-        let us = |q| latency.value_at_quantile(q) as f64 / 1e3;
+        let us = |quantile| latency.value_at_quantile(quantile) as f64 / 1e3;
         times.push((us(0.5), us(0.99), us(0.999), latency.max() as f64 / 1e6));
-        memory.push(status("VmRSS:") / 1e3);
+        memory.push(process_status("VmRSS:") / 1e3);
         let sum =
             |all: &[BTreeMap<&str, usize>]| all.last().map_or(0, |l| l.values().sum::<usize>());
         let (t, rss) = (times[hour], memory[hour]);
@@ -112,39 +117,40 @@
         );
     }
     println!(
-        "taken, not taken, done, deferred, abandoned, left, of hosts that are up: {:?}",
+        "accepted, refused, succeeded, rejected, failed, withdrawn, of running hosts: {:?}",
         w.outcomes()
     );
     println!(
-        "answered {}, lives of hosts {}, documents taken {}",
+        "answered {}, incarnations of hosts {}, documents accepted {}",
         w.answered, w.incarnations, w.taken_documents
     );
     w.turned_down
         .iter()
-        .for_each(|(why, n)| println!("turned down {n} times: {why}"));
+        .for_each(|(why, n)| println!("refused {n} times: {why}"));
     println!(
         "\ncollection             busy: first third  last third   quiet: first third  last third"
     );
-    let mut grows = Vec::new();
+    let mut growing = Vec::new();
     for name in busy[0].keys() {
-        let of = |all: &[BTreeMap<&str, usize>]| -> Vec<f64> {
+        let sizes = |all: &[BTreeMap<&str, usize>]| -> Vec<f64> {
             all.iter().map(|l| l[name] as f64).collect()
         };
-        let ((b0, b1), (q0, q1)) = (thirds(&of(&busy)), thirds(&of(&quiet)));
+        let ((b0, b1), (q0, q1)) = (thirds(&sizes(&busy)), thirds(&sizes(&quiet)));
         println!("{name:<22} {b0:>17.1} {b1:>11.1} {q0:>20.1} {q1:>11.1}");
+        // The ledger of zone traffic fills up to its bound.
         let fills = *name == "core.account" && b1 <= (world::HOSTS * world::ACCOUNT) as f64;
         if !fills && (b1 > b0 * 1.2 + 8.0 || q1 > q0 * 1.2 + 8.0) {
-            grows.push(*name);
+            growing.push(*name);
         }
     }
-    let of = |pick: fn(&(f64, f64, f64, f64)) -> f64| {
+    let thirds_of = |pick: fn(&(f64, f64, f64, f64)) -> f64| {
         thirds(&times.iter().map(pick).collect::<Vec<_>>())
     };
     println!(
         "p50 us {:.1?}, p99 us {:.1?}, p99.9 us {:.1?}",
-        of(|t| t.0),
-        of(|t| t.1),
-        of(|t| t.2)
+        thirds_of(|t| t.0),
+        thirds_of(|t| t.1),
+        thirds_of(|t| t.2)
     );
-    println!("resident MB {:.1?}; grows: {grows:?}", thirds(&memory));
+    println!("resident MB {:.1?}; growing: {growing:?}", thirds(&memory));
 }
--- a/crates/cli/benches/service/sockets.rs
+++ b/crates/cli/benches/service/sockets.rs
@@ -1,8 +1,8 @@
-//! The real host on loopback, with stand-ins of list and nodes: waves of clients that connect, ask, withdraw,
-//! reset, send half a frame or nothing, and a reload in each wave. After each wave, when all have left, what
-//! the process holds.
+//! Runs the real host on loopback with a simulated endpoint list and simulated nodes. Each wave of clients connects, sends
+//! and withdraws requests, resets connections, and sends incomplete frames or nothing; the host reloads its document
+//! meanwhile. After each wave, when all clients have left, a row shows what the process holds.
 
-use crate::{status, thirds};
+use crate::{process_status, thirds};
 use bytes::BytesMut;
 use gullsail_configuration::{Deployment, Memory, load};
 use gullsail_host::control::{Control, ControlReply, ControlRequest, ask};
@@ -22,11 +22,13 @@
 use tokio::task::JoinSet;
 
 const NODES: i64 = 4;
+/// Clients in each wave.
 const CLIENTS: u64 = 150;
 
-struct Log(Arc<AtomicU64>);
+/// A log writer that only counts bytes.
+struct CountingLog(Arc<AtomicU64>);
 
-impl std::io::Write for Log {
+impl std::io::Write for CountingLog {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Ok(bytes.len())
@@ -60,7 +62,8 @@
         .0
 }
 
-/// One client of a wave, by what it is up to; how many answers it had.
+/// Plays one client of a wave; the last digit of `place` selects its behaviour. Returns the number of answers that it
+/// received.
 async fn client(address: String, place: u64) -> u64 {
     let Ok(mut stream) = TcpStream::connect(&address).await else {
         return 0;
@@ -77,7 +80,7 @@
         ..Hello::default()
     };
     if place.is_multiple_of(10) {
-        return 0; // says nothing at all
+        return 0; // sends nothing
     }
     let mut out = wire(hello.into());
     for id in 0..20 {
@@ -100,14 +103,14 @@
             out.extend(wire(Withdraw { id }.into()));
         }
     }
-    let whole = out.len();
+    let full_length = out.len();
     let sent = if place % 10 == 4 {
-        &out[..whole / 2 + 3]
+        &out[..full_length / 2 + 3]
     } else {
         &out[..]
     };
     if stream.write_all(sent).await.is_err() || place % 10 < 3 {
-        return 0; // leaves with its answers unread: a reset
+        return 0; // closing with unread answers resets the connection
     }
     let (mut buf, mut answers) = (BytesMut::new(), 0);
     let reading = async {
@@ -128,11 +131,12 @@
     answers
 }
 
+/// Plays the waves and prints a row for each, then the means of the first and of the last third.
 pub fn run(waves: usize) {
     let log = Arc::new(AtomicU64::new(0));
     let written = log.clone();
     tracing_subscriber::fmt()
-        .with_writer(move || Log(written.clone()))
+        .with_writer(move || CountingLog(written.clone()))
         .init();
     let runtime = Builder::new_current_thread()
         .enable_all()
@@ -141,24 +145,24 @@
     let bind = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let (listener, list_at): (_, _) = (bind(), bind());
     let nodes_at: Vec<_> = (0..NODES).map(|_| bind()).collect();
-    let say = |l: &std::net::TcpListener| l.local_addr().expect("an address").to_string();
-    let (address, list_address) = (say(&listener), say(&list_at));
-    let nodes: Vec<String> = nodes_at.iter().map(say).collect();
+    let address_of = |l: &std::net::TcpListener| l.local_addr().expect("an address").to_string();
+    let (address, list_address) = (address_of(&listener), address_of(&list_at));
+    let nodes: Vec<String> = nodes_at.iter().map(address_of).collect();
     let all = [&listener, &list_at].into_iter().chain(&nodes_at);
     all.for_each(|l| l.set_nonblocking(true).expect("non-blocking"));
     let d = Arc::new(document(1, &list_address, &nodes));
     let socket = std::env::temp_dir().join(format!("gullsail-service-{}.sock", std::process::id()));
     let revision = Arc::new(Mutex::new(1));
     let (of_reload, list_of, nodes_of) = (revision.clone(), list_address, nodes);
-    let reads = move || {
+    let load_document = move || {
         Ok(document(
             *of_reload.lock().expect("no poison"),
             &list_of,
             &nodes_of,
         ))
     };
-    // Stand-ins have a thread of their own, so that the tasks counted are the host's.
-    let stand_ins = d.clone();
+    // The simulated list and nodes run on a separate thread, so that only the host's tasks are counted.
+    let simulated = d.clone();
     std::thread::spawn(move || {
         Builder::new_current_thread()
             .enable_all()
@@ -176,7 +180,7 @@
                 };
                 let mut serving = JoinSet::new();
                 let at = TcpListener::from_std(list_at).expect("a listener");
-                serving.spawn(discovery::serve(entries(&stand_ins), Span::ZERO, at));
+                serving.spawn(discovery::serve(entries(&simulated), Span::ZERO, at));
                 for (shard, at) in nodes_at.into_iter().enumerate() {
                     let location = NodeLocation {
                         zone: ZoneId(0),
@@ -185,12 +189,12 @@
                     let process = node::NodeProcess {
                         name: format!("n{shard}"),
                         shard: shard as i64,
-                        server: stand_ins.servers[0].clone(),
-                        slow_start: stand_ins.figures().slow_start,
+                        server: simulated.servers[0].clone(),
+                        slow_start: simulated.figures().slow_start,
                         incarnation: 7,
                         age: Span::from_millis(1e7),
                         bounds: Bounds::DEFAULT,
-                        keys: IdempotencyKeys::of_one_node(&stand_ins, &location),
+                        keys: IdempotencyKeys::of_one_node(&simulated, &location),
                     };
                     serving.spawn(node::serve(
                         process,
@@ -209,7 +213,8 @@
     let control = socket.clone();
     let host = std::thread::spawn(move || {
         runtime.block_on(async move {
-            let control = Control::bind(&control, Arc::new(reads)).expect("a control socket");
+            let control =
+                Control::bind(&control, Arc::new(load_document)).expect("a control socket");
             let clock = HostClock::start(Span::ZERO);
             let process = HostProcess {
                 deployment: d,
@@ -226,7 +231,7 @@
         })
     });
     println!("wave  answers  descriptors  threads  tasks  resident MB  log KB  open  held bytes");
-    let (mut rows, mut taken) = (Vec::<[f64; 5]>::new(), 0);
+    let (mut rows, mut accepted) = (Vec::<[f64; 5]>::new(), 0);
     for wave in 0..waves {
         *revision.lock().expect("no poison") = wave as u64 + 2;
         let before = log.load(Ordering::Relaxed);
@@ -241,11 +246,12 @@
             )
             .await;
             let answers: u64 = all.join_all().await.into_iter().sum();
-            // Those who said nothing are let go after four connect time-outs; then all is still.
+            // The host closes connections without a `Hello` after four connect timeouts. After that nothing is in
+            // progress.
             tokio::time::sleep(Duration::from_millis(300)).await;
             (answers, reload)
         });
-        taken += usize::from(matches!(reload, Ok(ControlReply::Taken { .. })));
+        accepted += usize::from(matches!(reload, Ok(ControlReply::Taken { .. })));
         let state = clients.block_on(ask(
             &socket,
             ControlRequest::Status,
@@ -258,9 +264,9 @@
         let log_kb = (log.load(Ordering::Relaxed) - before) as f64 / 1e3;
         let row = [
             descriptors as f64,
-            status("Threads:"),
+            process_status("Threads:"),
             metrics.num_alive_tasks() as f64,
-            status("VmRSS:") / 1e3,
+            process_status("VmRSS:") / 1e3,
             log_kb,
         ];
         rows.push(row);
@@ -271,7 +277,7 @@
     }
     let _ = stop.send(());
     let counts = host.join().expect("the host ends");
-    println!("{taken} documents taken of {waves}; {counts:?}");
+    println!("{accepted} of {waves} documents accepted; {counts:?}");
     let names = [
         "descriptors",
         "threads",
--- a/crates/cli/benches/service/world.rs
+++ b/crates/cli/benches/service/world.rs
@@ -1,8 +1,8 @@
-//! Days of service in given time: several hosts' cores, stand-in nodes, a list, clients, documents; all of
-//! them come and go. No socket; a clock only where the benchmark lends one, to time what a host does with one
-//! input.
+//! Simulates days of service: the cores of several hosts, simulated nodes, an endpoint list, clients and documents, all of
+//! which come and go. Time is simulated and there are no sockets. The benchmark sets a real clock only to measure how
+//! long a host takes for one input.
 
-// Also included by a test from elsewhere, so the paths are written out.
+// A test in another folder includes this file too, so the paths are explicit.
 #[path = "world/clients.rs"]
 mod clients;
 #[path = "world/document.rs"]
@@ -20,18 +20,18 @@
 use gullsail_scheduler_api::{Instant, Span};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use state::{Happening, HostEnd, Member, Node, Scheduled};
+use state::{Event, HostEnd, Member, Node, Scheduled};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
-/// How many hosts there are.
+/// Number of hosts.
 pub const HOSTS: usize = 4;
-/// The most totals that one ledger keeps: in its buckets, and of those that are gone.
+/// Maximum number of totals in one host's ledger of zone traffic: those in its buckets, and those of removed buckets.
 pub const ACCOUNT: usize = 16_384 + 2 * 4096;
 const SHARDS: i64 = 6;
 const VOLUMES: u64 = 8;
-/// At each host.
+/// Clients of each host.
 const CLIENTS: usize = 12;
 const DOCUMENT_EVERY_SECONDS: i64 = 180;
 const NODE_EVERY_SECONDS: i64 = 97;
@@ -40,29 +40,35 @@
 pub struct World {
     rng: ChaCha8Rng,
     pub now: Instant,
-    last: u64,
-    heap: BinaryHeap<Reverse<Scheduled>>,
+    /// Number of the newest scheduled event, and the version of endpoint lists.
+    last_event: u64,
+    queue: BinaryHeap<Reverse<Scheduled>>,
     members: Vec<Member>,
     nodes: BTreeMap<String, Node>,
     last_node: u64,
-    lists: Vec<HostEnd>,
-    d: Arc<Deployment>,
+    /// Connections that have asked for the endpoint list.
+    list_subscribers: Vec<HostEnd>,
+    deployment: Arc<Deployment>,
     revision: u64,
-    /// Clients are there, and send requests.
+    /// Whether clients connect and send requests. If false, they leave.
     pub open: bool,
-    /// Nodes, hosts and documents come and go.
+    /// Whether nodes, hosts and documents are replaced.
     pub changing: bool,
-    /// Seconds between a client's requests, in the mean.
-    every: f64,
+    /// Mean number of seconds between a client's requests.
+    request_interval: f64,
+    /// Number of answers and refusals that clients received.
     pub answered: u64,
+    /// Number of documents that hosts accepted, over all hosts.
     pub taken_documents: u64,
+    /// Number of documents that hosts refused, by the reason.
     pub turned_down: BTreeMap<String, u64>,
+    /// Number of starts of hosts.
     pub incarnations: u64,
-    /// In nanoseconds; a test's stands still.
+    /// The time in nanoseconds, for `latency`. In tests it is always 0.
     pub clock: fn() -> u64,
-    /// How long each step of a host took.
+    /// Duration of each step of a host, in nanoseconds.
     pub latency: Vec<u64>,
-    began: Instant,
+    started_at: Instant,
     last_request: u64,
 }
 
@@ -71,91 +77,91 @@
 }
 
 impl World {
-    pub fn new(seed: u64, every: f64) -> World {
+    pub fn new(seed: u64, request_interval: f64) -> World {
         let now = start();
         let mut w = World {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
-            last: 0,
-            heap: BinaryHeap::new(),
+            last_event: 0,
+            queue: BinaryHeap::new(),
             members: Vec::new(),
             nodes: BTreeMap::new(),
             last_node: SHARDS as u64,
-            lists: Vec::new(),
-            d: document(1),
+            list_subscribers: Vec::new(),
+            deployment: document(1),
             revision: 1,
             open: true,
             changing: true,
-            every,
+            request_interval,
             answered: 0,
             taken_documents: 0,
             turned_down: BTreeMap::new(),
             incarnations: 0,
             clock: || 0,
             latency: Vec::new(),
-            began: now,
+            started_at: now,
             last_request: 0,
         };
         for c in 0..SHARDS {
-            w.node(format!("n{c}"), c);
+            w.start_node(format!("n{c}"), c);
         }
         w.members = (0..HOSTS).map(|_| Member::down()).collect();
         for h in 0..HOSTS {
             w.start_host(h);
         }
-        w.at(Span::from_micros(1_000_000), Happening::Second);
+        w.schedule(Span::from_micros(1_000_000), Event::EachSecond);
         w
     }
 
-    fn at(&mut self, after: Span, happening: Happening) {
-        self.last += 1;
+    fn schedule(&mut self, after: Span, event: Event) {
+        self.last_event += 1;
         let at = self.now + after;
-        self.heap.push(Reverse(Scheduled {
+        self.queue.push(Reverse(Scheduled {
             at,
-            number: self.last,
-            happening,
+            number: self.last_event,
+            event,
         }));
     }
 
-    /// How long a frame, or the end of a connection, is on its way.
+    /// A random delay for a frame or for the end of a connection.
     fn network_delay(&mut self) -> Span {
         Span::from_micros(self.rng.random_range(100..2000))
     }
 
-    /// A world with the nodes and the document of this one, whose hosts have just started, and in which nothing changes;
-    /// for the test.
+    /// Returns a world with the same nodes and document, in which no node, host or document changes and all hosts restart.
+    /// Used by the test.
     #[allow(dead_code)]
     pub fn unchanging(&self, seed: u64) -> World {
-        let mut other = World::new(seed, self.every);
+        let mut other = World::new(seed, self.request_interval);
         other.changing = false;
-        other.d = self.d.clone();
+        other.deployment = self.deployment.clone();
         other.revision = self.revision;
         other.nodes.clear();
         for (name, node) in &self.nodes {
-            other.node(name.clone(), node.shard);
+            other.start_node(name.clone(), node.shard);
         }
         (0..HOSTS).for_each(|host| other.end_host(host));
         other
     }
 
-    /// Whether every host runs; for the test.
+    /// Whether every host runs. Used by the test.
     #[allow(dead_code)]
     pub fn all_run(&self) -> bool {
         self.members.iter().all(|member| member.core.is_some())
     }
 
-    fn second(&mut self) {
-        let second = (self.now - self.began).micros() / 1_000_000;
+    fn each_second(&mut self) {
+        let second = (self.now - self.started_at).micros() / 1_000_000;
         if self.changing {
             self.change(second);
         }
         if second % 61 == 0 {
-            // As an endpoint list does that comes back: a snapshot.
+            // An endpoint list that has restarted sends a snapshot.
             let names: Vec<_> = self.nodes.keys().cloned().collect();
             let entries = names.iter().filter_map(|n| self.entry(n)).collect();
             self.publish(true, entries);
         }
-        self.at(Span::from_micros(1_000_000), Happening::Second);
+        self.schedule(Span::from_micros(1_000_000), Event::EachSecond);
     }
 
     fn change(&mut self, second: i64) {
@@ -163,10 +169,11 @@
             self.change_nodes();
         }
         if second % DOCUMENT_EVERY_SECONDS == 0 {
-            self.next_document();
+            self.propose_next_document();
         }
         if second % HOST_EVERY_SECONDS == 0 {
-            // The others live through all of it: a slow leak shows in a long incarnation only.
+            // Only the last host restarts. The others run all the time, since a slow leak shows only in a long
+            // incarnation.
             let h = self.members.len() - 1;
             if self.rng.random_bool(0.5) {
                 self.handle(h, Input::Stop);
@@ -176,38 +183,42 @@
         }
     }
 
-    /// Runs on for a while.
+    /// Advances the simulation by a span.
     pub fn play(&mut self, span: Span) {
         let end = self.now + span;
-        while self.heap.peek().is_some_and(|Reverse(next)| next.at <= end) {
-            let Some(Reverse(Scheduled { at, happening, .. })) = self.heap.pop() else {
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse(next)| next.at <= end)
+        {
+            let Some(Reverse(Scheduled { at, event, .. })) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.happen(happening);
+            self.dispatch(event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::ToHost(h, incarnation, input) => {
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::ToHost(h, incarnation, input) => {
                 if self.members[h].incarnation == incarnation {
                     self.handle(h, input);
                 }
             }
-            Happening::HostTimer(h, incarnation) => {
+            Event::HostTimer(h, incarnation) => {
                 if self.members[h].incarnation == incarnation {
                     self.host_timer(h);
                 }
             }
-            Happening::ToNode(name, host_end, frame) => self.node_frame(&name, host_end, frame),
-            Happening::NodeTimer(name) => self.node_timer(&name),
-            Happening::ToList(host_end, frame) => self.list_frame(host_end, frame),
-            Happening::ClientConnects(h) => self.connect_client(h),
-            Happening::ClientTurn(h, link) => self.client_turn(h, link),
-            Happening::ClientLeaves(h, link) => self.client_leaves(h, link),
-            Happening::Second => self.second(),
+            Event::ToNode(name, host_end, frame) => self.node_frame(&name, host_end, frame),
+            Event::NodeTimer(name) => self.node_timer(&name),
+            Event::ToList(host_end, frame) => self.list_frame(host_end, frame),
+            Event::ClientConnects(h) => self.connect_client(h),
+            Event::ClientTurn(h, link) => self.client_turn(h, link),
+            Event::ClientLeaves(h, link) => self.client_leaves(h, link),
+            Event::EachSecond => self.each_second(),
         }
     }
 
@@ -223,7 +234,7 @@
         }
     }
 
-    /// Of the hosts that are up: accepted, refused, succeeded, rejected, failed, withdrawn.
+    /// Numbers of requests of the running hosts: accepted, refused, succeeded, rejected, failed, withdrawn.
     pub fn outcomes(&self) -> [u64; 6] {
         let all = self
             .members
@@ -243,7 +254,7 @@
         })
     }
 
-    /// What all hosts hold, by collection.
+    /// The sizes of the hosts' collections, by name and summed over all hosts.
     pub fn size_metrics(&self) -> BTreeMap<&'static str, usize> {
         let mut all = BTreeMap::new();
         for core in self.members.iter().filter_map(|m| m.core.as_ref()) {
--- a/crates/cli/benches/service/world/document.rs
+++ b/crates/cli/benches/service/world/document.rs
@@ -1,11 +1,12 @@
-//! The configurations of a run: each differs from the one before.
+//! The configuration documents of a run. Each differs from the previous one.
 
 use super::{HOSTS, SHARDS, VOLUMES};
 use gullsail_configuration::{Deployment, Memory, load};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Document number `n`: volumes come and go, plans take turns, pools and routes change places.
+/// The text of document `n`. From each document to the next, volumes are added and removed, and the order of plans, the
+/// kind of a pool and the volume of a route change.
 fn text(n: u64) -> String {
     let mut t = String::from(
         "rules tick=\"20ms\" order-settle=\"50ms\" most-units=8 advice=\"1s\"\n\
@@ -51,7 +52,7 @@
     )
 }
 
-/// Two of the volumes are others in each document.
+/// The volumes of document `n`. Each document replaces two of the previous one's.
 pub(super) fn volumes(n: u64) -> Vec<String> {
     (0..VOLUMES).map(|v| format!("v{}", v + 2 * n)).collect()
 }
--- a/crates/cli/benches/service/world/hosts.rs
+++ b/crates/cli/benches/service/world/hosts.rs
@@ -1,8 +1,7 @@
-//! Hosts: each starts, advances with each input, and ends; what it puts out reaches the other side a little
-//! later.
+//! Hosts: each starts, advances with each input, and ends. Its outputs reach the peers after a network delay.
 
 use super::document::document;
-use super::state::{Happening, HostEnd, Peer};
+use super::state::{Event, HostEnd, Peer};
 use super::{CLIENTS, World};
 use gullsail_configuration::diff::diff;
 use gullsail_host::core::config_change::{Proposal, ProposalOutcome};
@@ -15,7 +14,7 @@
     pub(super) fn start_host(&mut self, h: usize) {
         let (seed, incarnation) = (self.rng.random(), self.rng.random());
         let core = Core::new(
-            self.d.clone(),
+            self.deployment.clone(),
             HostId(h as u32),
             seed,
             incarnation,
@@ -29,11 +28,11 @@
         self.advance_host(h);
         for c in 0..CLIENTS {
             let wait = Span::from_micros(self.rng.random_range(0..60_000_000) + c as i64);
-            self.at(wait, Happening::ClientConnects(h));
+            self.schedule(wait, Event::ClientConnects(h));
         }
     }
 
-    /// A host ends: killed, or once all is answered. Whoever was connected sees it.
+    /// A host ends, either killed or after it has answered all requests. Connected hosts see the connection close.
     pub(super) fn end_host(&mut self, h: usize) {
         let m = &mut self.members[h];
         m.core = None;
@@ -41,19 +40,19 @@
         for (_, peer) in std::mem::take(&mut m.peers) {
             if let Peer::Host(host_end) = peer {
                 let after = self.network_delay();
-                self.at(
+                self.schedule(
                     after,
                     host_end.receives(|link| Input::Closed(link, "gone".into())),
                 );
             }
         }
-        self.lists.retain(|end| end.host != h);
+        self.list_subscribers.retain(|end| end.host != h);
         let incarnation = self.members[h].incarnation;
         let after = Span::from_micros(self.rng.random_range(1..20_000_000));
-        self.at(after, Happening::HostTimer(h, incarnation));
+        self.schedule(after, Event::HostTimer(h, incarnation));
     }
 
-    /// One input to a host, and all that follows at once.
+    /// Passes an input to a host and carries out the outputs.
     pub(super) fn handle(&mut self, h: usize, input: Input) {
         self.step(h, Some(input));
     }
@@ -84,7 +83,7 @@
         let m = &mut self.members[h];
         if let Some(at) = next.filter(|at| m.next_wake_up_at.is_none_or(|w| w > *at || w <= now)) {
             m.next_wake_up_at = Some(at);
-            self.at(at - now, Happening::HostTimer(h, incarnation));
+            self.schedule(at - now, Event::HostTimer(h, incarnation));
         }
     }
 
@@ -104,7 +103,7 @@
             Output::Close { link } => {
                 if let Some(Peer::Host(host_end)) = self.members[h].peers.remove(&link) {
                     let after = self.network_delay();
-                    self.at(
+                    self.schedule(
                         after,
                         host_end.receives(|link| Input::Closed(link, "closed".into())),
                     );
@@ -130,13 +129,13 @@
             return;
         };
         let len = frame.len();
-        self.at(
+        self.schedule(
             Span::ZERO,
-            Happening::ToHost(h, incarnation, Input::Written(link, len)),
+            Event::ToHost(h, incarnation, Input::Written(link, len)),
         );
         let after = self.network_delay();
         if matches!(frame.message, Message::GoAway(_)) {
-            return self.at(after, Happening::ClientLeaves(h, link));
+            return self.schedule(after, Event::ClientLeaves(h, link));
         }
         let host_end = HostEnd {
             host: h,
@@ -150,10 +149,10 @@
                     Message::Answer(_) | Message::NotTaken(_)
                 ));
             }
-            Peer::Node(name) => self.at(after, Happening::ToNode(name, host_end, frame)),
-            Peer::EndpointList => self.at(after, Happening::ToList(host_end, frame)),
+            Peer::Node(name) => self.schedule(after, Event::ToNode(name, host_end, frame)),
+            Peer::EndpointList => self.schedule(after, Event::ToList(host_end, frame)),
             Peer::Host(other_end) => {
-                self.at(after, other_end.receives(|link| Input::Frame(link, frame)))
+                self.schedule(after, other_end.receives(|link| Input::Frame(link, frame)))
             }
         }
     }
@@ -161,7 +160,7 @@
     fn connect(&mut self, host_end: HostEnd, address: &str) {
         let after = self.network_delay();
         let Some(peer) = self.peer_at(host_end, address) else {
-            return self.at(
+            return self.schedule(
                 after,
                 host_end.receives(|link| Input::ConnectFailed(link, "refused".into())),
             );
@@ -174,13 +173,13 @@
         self.members[host_end.host]
             .peers
             .insert(host_end.link, peer);
-        self.at(after, host_end.receives(Input::Connected));
+        self.schedule(after, host_end.receives(Input::Connected));
         if let Some(other) = other {
             self.advance_host(other);
         }
     }
 
-    /// Whom a host reaches at an address; another host accepts the connection.
+    /// The peer at an address. If it is another host, that host accepts the connection.
     fn peer_at(&mut self, host_end: HostEnd, address: &str) -> Option<Peer> {
         if address == "list" {
             return Some(Peer::EndpointList);
@@ -202,15 +201,15 @@
 
     pub(super) fn reply(&mut self, host_end: HostEnd, frame: impl Into<Frame>) {
         let after = self.network_delay();
-        self.at(
+        self.schedule(
             after,
             host_end.receives(|link| Input::Frame(link, frame.into())),
         );
     }
 
-    pub(super) fn next_document(&mut self) {
+    pub(super) fn propose_next_document(&mut self) {
         self.revision += 1;
-        let (old, new) = (self.d.clone(), document(self.revision));
+        let (old, new) = (self.deployment.clone(), document(self.revision));
         for h in 0..self.members.len() {
             let changes = diff(&old, &new);
             let (from, to) = (old.clone(), new.clone());
@@ -226,6 +225,6 @@
                 })),
             );
         }
-        self.d = new;
+        self.deployment = new;
     }
 }
--- a/crates/cli/benches/service/world/nodes.rs
+++ b/crates/cli/benches/service/world/nodes.rs
@@ -1,7 +1,7 @@
 //! Nodes and the endpoint list: they answer hosts, restart, drain and are replaced.
 
 use super::World;
-use super::state::{Happening, HostEnd, Node, Peer, Work};
+use super::state::{Event, HostEnd, Node, Peer, Work};
 use gullsail_host::core::Input;
 use gullsail_protocol::{
     AttemptAnswer, AttemptResult, EndpointListUpdate, Frame, Handle, Hello, ListedEndpoint,
@@ -15,17 +15,23 @@
 use std::collections::BTreeMap;
 
 impl World {
-    pub(super) fn node(&mut self, name: String, shard: i64) {
-        let server = self.d.servers[0].clone();
+    pub(super) fn start_node(&mut self, name: String, shard: i64) {
+        let server = self.deployment.servers[0].clone();
         let rng = ChaCha8Rng::seed_from_u64(self.rng.random());
         let node = Node {
             name: name.clone(),
             shard,
-            model: Model::new(server, self.d.figures().slow_start, self.now, self.now, rng),
+            model: Model::new(
+                server,
+                self.deployment.figures().slow_start,
+                self.now,
+                self.now,
+                rng,
+            ),
             incarnation: self.rng.random_range(1..u64::MAX),
             started_at: self.now,
             state: ListedState::Ready,
-            last: 0,
+            last_arrival: 0,
             work: BTreeMap::new(),
         };
         self.nodes.insert(name, node);
@@ -35,7 +41,7 @@
         let now = self.now;
         let Some(n) = self.nodes.get_mut(name) else {
             let after = self.network_delay();
-            return self.at(
+            return self.schedule(
                 after,
                 host_end.receives(|link| Input::Closed(link, "no node".into())),
             );
@@ -52,8 +58,8 @@
                 self.reply(host_end, hello);
             }
             Message::Attempt(l) => {
-                n.last += 1;
-                let id = n.last;
+                n.last_arrival += 1;
+                let id = n.last_arrival;
                 let result = match n.model.arrive(now, id, l.units, l.write, 1.0) {
                     Arrival::Taken => {
                         let new = l.write && l.handle.is_none();
@@ -66,7 +72,7 @@
                             },
                         );
                         let at = n.model.next();
-                        return self.at(at - now, Happening::NodeTimer(name.into()));
+                        return self.schedule(at - now, Event::NodeTimer(name.into()));
                     }
                     Arrival::Full => AttemptResult::Rejected,
                     Arrival::FellOver => AttemptResult::Failed,
@@ -81,12 +87,12 @@
                 );
             }
             Message::Cancel(c) => {
-                let of = n
+                let cancelled = n
                     .work
                     .iter()
                     .find(|(_, w)| w.from == host_end && w.attempt == c.attempt)
                     .map(|(id, _)| *id);
-                if let Some(id) = of.filter(|id| n.model.cancel(*id)) {
+                if let Some(id) = cancelled.filter(|id| n.model.cancel(*id)) {
                     n.work.remove(&id);
                 }
             }
@@ -127,9 +133,9 @@
             );
         }
         if busy {
-            self.at(
+            self.schedule(
                 (next - now).max(Span::from_micros(100)),
-                Happening::NodeTimer(name.into()),
+                Event::NodeTimer(name.into()),
             );
         }
     }
@@ -149,9 +155,9 @@
     }
 
     pub(super) fn publish(&mut self, whole: bool, entries: Vec<ListedEndpoint>) {
-        for host_end in self.lists.clone() {
+        for host_end in self.list_subscribers.clone() {
             let update = EndpointListUpdate {
-                version: self.last,
+                version: self.last_event,
                 whole,
                 entries: entries.clone(),
             };
@@ -172,11 +178,11 @@
             Message::EndpointListQuery(_) => {
                 let names: Vec<_> = self.nodes.keys().cloned().collect();
                 let entries = names.iter().filter_map(|n| self.entry(n)).collect();
-                self.lists.push(host_end);
+                self.list_subscribers.push(host_end);
                 self.reply(
                     host_end,
                     EndpointListUpdate {
-                        version: self.last,
+                        version: self.last_event,
                         whole: true,
                         entries,
                     },
@@ -189,24 +195,24 @@
     pub(super) fn break_links(&mut self, name: &str) {
         for h in 0..self.members.len() {
             let m = &mut self.members[h];
-            let of = m
+            let links = m
                 .peers
                 .iter()
                 .filter(|(_, p)| matches!(p, Peer::Node(n) if n == name));
-            let links: Vec<_> = of.map(|(l, _)| *l).collect();
+            let links: Vec<_> = links.map(|(l, _)| *l).collect();
             for link in links {
                 let m = &mut self.members[h];
                 m.peers.remove(&link);
                 let (incarnation, after) = (m.incarnation, Span::from_micros(500));
-                self.at(
+                self.schedule(
                     after,
-                    Happening::ToHost(h, incarnation, Input::Closed(link, "reset".into())),
+                    Event::ToHost(h, incarnation, Input::Closed(link, "reset".into())),
                 );
             }
         }
     }
 
-    /// A node restarts, or drains and is followed by one of another name.
+    /// A random node restarts, or it drains and a node with a new name replaces it.
     pub(super) fn change_nodes(&mut self) {
         let Some(name) = self.nodes.keys().choose(&mut self.rng).cloned() else {
             return;
@@ -214,7 +220,7 @@
         let shard = self.nodes[&name].shard;
         if self.rng.random_bool(0.5) {
             self.break_links(&name);
-            self.node(name.clone(), shard);
+            self.start_node(name.clone(), shard);
             let entry = self.entry(&name).into_iter().collect();
             return self.publish(false, entry);
         }
@@ -223,12 +229,12 @@
         if let Some(n) = self.nodes.get_mut(&name) {
             n.state = ListedState::Draining;
         }
-        self.node(next.clone(), shard);
-        let drains = [name.as_str(), &next]
+        self.start_node(next.clone(), shard);
+        let changed = [name.as_str(), &next]
             .iter()
             .filter_map(|n| self.entry(n))
             .collect();
-        self.publish(false, drains);
+        self.publish(false, changed);
         let mut gone = self.entry(&name);
         self.break_links(&name);
         self.nodes.remove(&name);
--- a/crates/cli/benches/service/world/state.rs
+++ b/crates/cli/benches/service/world/state.rs
@@ -1,4 +1,4 @@
-//! What happens when, and the members and nodes of a world.
+//! Scheduled events, and the state of a world's hosts and nodes.
 
 use gullsail_host::core::{Core, Input, LinkId};
 use gullsail_protocol::{Frame, ListedState};
@@ -6,11 +6,11 @@
 use gullsail_simulator::node_model::Model;
 use std::collections::BTreeMap;
 
-/// What happens at one point in time.
-pub(super) enum Happening {
+/// An event of the simulation.
+pub(super) enum Event {
     /// An input to one incarnation of a host.
     ToHost(usize, u64, Input),
-    /// A timer of one incarnation of a host; or the host starts again.
+    /// A timer of one incarnation of a host. If the host is down, it starts again.
     HostTimer(usize, u64),
     ToNode(String, HostEnd, Frame),
     NodeTimer(String),
@@ -19,32 +19,32 @@
     ClientConnects(usize),
     /// A connected client acts.
     ClientTurn(usize, LinkId),
-    /// A client that is told to go away leaves.
+    /// A client leaves after a `GoAway`.
     ClientLeaves(usize, LinkId),
-    Second,
+    EachSecond,
 }
 
 /// A host's end of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct HostEnd {
     pub(super) host: usize,
-    /// Of the host.
+    /// The host's incarnation.
     pub(super) incarnation: u64,
     pub(super) link: LinkId,
 }
 
 impl HostEnd {
-    /// What the host is handed on this connection.
-    pub(super) fn receives(self, input: impl FnOnce(LinkId) -> Input) -> Happening {
-        Happening::ToHost(self.host, self.incarnation, input(self.link))
+    /// The event by which the host receives an input on this connection.
+    pub(super) fn receives(self, input: impl FnOnce(LinkId) -> Input) -> Event {
+        Event::ToHost(self.host, self.incarnation, input(self.link))
     }
 }
 
-/// Ordered by time, then by number; numbers are given in the order of scheduling.
+/// A scheduled event. Events are ordered by time, then by number, which is the order of scheduling.
 pub(super) struct Scheduled {
     pub(super) at: Instant,
     pub(super) number: u64,
-    pub(super) happening: Happening,
+    pub(super) event: Event,
 }
 
 impl PartialEq for Scheduled {
@@ -64,15 +64,15 @@
     }
 }
 
-/// A host, over its incarnations.
+/// A host with the state of its current incarnation.
 pub(super) struct Member {
-    /// `None`: it is down.
+    /// `None` while the host is down.
     pub(super) core: Option<Core>,
     pub(super) incarnation: u64,
     pub(super) next_wake_up_at: Option<Instant>,
-    /// Where each connection leads; connections to other hosts name their end there.
+    /// The peer of each connection. For another host, this is that host's end of the connection.
     pub(super) peers: BTreeMap<LinkId, Peer>,
-    /// Each client's newest request.
+    /// The id of each client's newest request; 0 before the first.
     pub(super) clients: BTreeMap<LinkId, u64>,
 }
 
@@ -101,7 +101,7 @@
 pub(super) struct Work {
     pub(super) from: HostEnd,
     pub(super) attempt: u64,
-    /// A new object is written.
+    /// Whether it writes a new object.
     pub(super) new: bool,
 }
 
@@ -112,7 +112,7 @@
     pub(super) incarnation: u64,
     pub(super) started_at: Instant,
     pub(super) state: ListedState,
-    pub(super) last: u64,
-    /// By the model's number.
+    pub(super) last_arrival: u64,
+    /// Attempts in progress, by their number in `model`.
     pub(super) work: BTreeMap<u64, Work>,
 }
--- a/crates/cli/benches/stop_soak.rs
+++ b/crates/cli/benches/stop_soak.rs
@@ -1,6 +1,6 @@
-//! The stop soak at length: `cargo bench -p gullsail-cli --bench stop_soak -- [--host platform|host] [--seeds 1..200]
-//! [--at-once 4] [--load N]`, or the fleet: `--scenarios out-takeover,budget-storm` in place of `--host`. `--load`: beside
-//! so many busy threads.
+//! Repeats the stop soak on many seeds: `cargo bench -p gullsail-cli --bench stop_soak -- [--host platform|host] [--seeds
+//! 1..200] [--at-once 4] [--load N]`. With `--scenarios out-takeover,budget-storm` in place of `--host`, it plays these
+//! scenarios of a fleet. `--load N` keeps N threads busy during the runs.
 
 #[path = "stop_soak/scenarios.rs"]
 mod scenarios;
@@ -15,22 +15,22 @@
 
 #[derive(Parser)]
 struct Arguments {
-    /// `platform` or `host`.
+    /// The kind of host to stop: `platform` or `host`.
     #[arg(long, default_value = "platform", value_parser = parse_host)]
     host: HostKind,
-    /// Scenarios to play in place of a host's stop.
+    /// Scenarios to play in place of stopping a host.
     #[arg(long, value_delimiter = ',')]
     scenarios: Vec<String>,
     /// The first and the last seed, as `1..200`.
     #[arg(long, default_value = "1..50", value_parser = parse_seeds)]
     seeds: RangeInclusive<u64>,
-    /// How many runs are played at once.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 4)]
     at_once: usize,
-    /// How many threads are busy meanwhile.
+    /// Number of threads that are kept busy during the runs.
     #[arg(long, default_value_t = 0)]
     load: usize,
-    /// Given by `cargo bench`.
+    /// Passed by `cargo bench`; has no effect.
     #[arg(long)]
     bench: bool,
 }
@@ -53,24 +53,24 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     let failed = std::thread::scope(|scope| {
         for _ in 0..arguments.load {
             scope.spawn(|| {
-                while !over.load(Ordering::Relaxed) {
+                while !finished.load(Ordering::Relaxed) {
                     std::hint::spin_loop();
                 }
             });
         }
         let failed = play(&arguments);
-        over.store(true, Ordering::Relaxed);
+        finished.store(true, Ordering::Relaxed);
         failed
     });
     println!("beside {} busy threads", arguments.load);
     ExitCode::from(u8::from(failed > 0))
 }
 
-/// Returns how many runs failed.
+/// Returns the number of failed runs.
 fn play(arguments: &Arguments) -> usize {
     let Arguments {
         host,
@@ -79,16 +79,16 @@
         at_once,
         ..
     } = arguments;
-    let tell = |text: &str| println!("{text}");
+    let print_line = |text: &str| println!("{text}");
     if scenarios.is_empty() {
-        let report = soak::play(*host, seeds.clone(), *at_once, tell);
+        let report = soak::play(*host, seeds.clone(), *at_once, print_line);
         println!("{}", report.summary(*host));
         for (seed, _) in &report.failed {
             println!("failed case: {}, seed {seed}", host.name());
         }
         return report.failed.len();
     }
-    let failed = scenarios::play(scenarios, seeds.clone(), *at_once, tell);
+    let failed = scenarios::play(scenarios, seeds.clone(), *at_once, print_line);
     println!("{}, seeds {seeds:?}: {failed} failed", scenarios.join(", "));
     failed
 }
--- a/crates/cli/benches/stop_soak/scenarios.rs
+++ b/crates/cli/benches/stop_soak/scenarios.rs
@@ -1,28 +1,28 @@
-//! Scenarios of a fleet as processes, each on many seeds.
+//! Plays scenarios of a fleet with real processes, each on many seeds.
 
 use std::collections::VecDeque;
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
 
-/// Lines of a failed play's report that are shown: its verdict stands at the end.
+/// Number of lines shown from the end of a failed run's report, where its verdict is.
 const SHOWN_LINES: usize = 30;
 
-/// One play.
+/// One run of a scenario.
 #[derive(Clone, Debug)]
-struct Play {
+struct ScenarioRun {
     scenario: String,
     seed: u64,
 }
 
-impl Play {
-    /// `Err`: its command, and how its report ends.
-    fn run(&self) -> Result<(), String> {
+impl ScenarioRun {
+    /// Plays the scenario. The error holds the command and the end of its report.
+    fn play(&self) -> Result<(), String> {
         let seed = self.seed.to_string();
         let arguments = ["scenario", &self.scenario, "--seed", &seed];
-        let played = Command::new(env!("CARGO_BIN_EXE_gullsail"))
+        let result = Command::new(env!("CARGO_BIN_EXE_gullsail"))
             .args(arguments)
             .output();
-        let output = played.map_err(|error| format!("gullsail does not start: {error}"))?;
+        let output = result.map_err(|error| format!("gullsail does not start: {error}"))?;
         if output.status.success() {
             return Ok(());
         }
@@ -38,23 +38,24 @@
     }
 }
 
-/// Plays each scenario on each seed, so many at once. Returns how many failed.
+/// Plays each scenario on each seed, `at_once` runs at a time. Returns the number of failed runs.
 pub fn play(
     scenarios: &[String],
     seeds: std::ops::RangeInclusive<u64>,
     at_once: usize,
     on_failure: impl Fn(&str) + Sync,
 ) -> usize {
-    let of_scenario = |scenario: &String| {
+    let runs_of_scenario = |scenario: &String| {
         let scenario = scenario.clone();
-        seeds.clone().map(move |seed| Play {
+        seeds.clone().map(move |seed| ScenarioRun {
             scenario: scenario.clone(),
             seed,
         })
     };
-    let queue: Mutex<VecDeque<Play>> = Mutex::new(scenarios.iter().flat_map(of_scenario).collect());
+    let queue: Mutex<VecDeque<ScenarioRun>> =
+        Mutex::new(scenarios.iter().flat_map(runs_of_scenario).collect());
     let failed = Mutex::new(0);
-    let next = || {
+    let next_run = || {
         queue
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -63,9 +64,9 @@
     std::thread::scope(|scope| {
         for _ in 0..at_once {
             scope.spawn(|| {
-                while let Some(play) = next() {
-                    if let Err(story) = play.run() {
-                        on_failure(&story);
+                while let Some(run) = next_run() {
+                    if let Err(failure) = run.play() {
+                        on_failure(&failure);
                         *failed.lock().unwrap_or_else(PoisonError::into_inner) += 1;
                     }
                 }
