--- a/crates/cli/benches/documents.rs
+++ b/crates/cli/benches/documents.rs
@@ -66,7 +66,7 @@
                 all + "\n" + &text_of_copy(&text, copy)
             });
         }
-        // Each volume is served by all hosts, which divide its burst: it grows with their number.
+        // A volume's burst is divided among all hosts, so it grows with their number.
         text = text.replace("burst=3600", &format!("burst={}", 3600 * copies));
         // `revision` entries are dropped: they are for the original number of hosts.
         text = text
--- a/crates/cli/benches/host_cost/load.rs
+++ b/crates/cli/benches/host_cost/load.rs
@@ -19,11 +19,11 @@
     pub outstanding: usize,
     /// Requests per second; 0: a request is sent whenever fewer than `outstanding` are open.
     pub rate: f64,
-    /// How long clients send.
+    /// Seconds during which clients send requests.
     pub seconds: f64,
     /// Number of shards that requests are spread over.
     pub shards: i64,
-    /// Length of each request's body.
+    /// Length of each request's body in bytes.
     pub bytes: usize,
     /// Seconds between connecting and the first request, in which connections and clock offsets are established.
     pub warm: f64,
@@ -31,7 +31,7 @@
 
 /// The answers to a load's requests.
 pub struct Answers {
-    /// Answers with the outcome that the request succeeded.
+    /// Answers that report success.
     pub succeeded: u64,
     /// Answers with any other outcome, and refused requests.
     pub others: u64,
--- a/crates/cli/benches/host_cost/processes.rs
+++ b/crates/cli/benches/host_cost/processes.rs
@@ -174,8 +174,8 @@
     Running { thread, stop }
 }
 
-/// Runs a relay that forwards each frame to the node of its shard, and replies to the client, over as many connections
-/// as a host has. This is the least that any process between client and nodes does.
+/// Runs a relay over as many connections as a host has. It only forwards each client frame to the node of its shard, and
+/// each reply to the client: the least that any process between client and nodes must do.
 pub fn bare_relay(listener: StdListener, targets: Vec<String>) -> Running {
     let (stop, stopped) = oneshot::channel::<()>();
     let thread = spawn_named("relay", move || {
--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -48,7 +48,7 @@
     Ok(load(file)??)
 }
 
-/// Reports all problems of a document.
+/// Reports all problems of a document. Exit code 2: it has errors.
 pub fn check(file: &Path, json: bool) -> Result<ExitCode> {
     let (deployment, problems) = match load(file)? {
         Ok((deployment, warnings)) => (Some(deployment), warnings),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Conditions under which this host does not act as a usual member: a takeover, the recovery after a start, or a
-    /// lease that another process holds under the same name.
+    /// One line for each exceptional condition of this host: it is taking over as coordinator, recovering after a start,
+    /// or fenced.
     fn conditions(&self) -> Vec<String> {
         let status = &self.view.status;
         let mut lines = Vec::new();
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -16,7 +16,7 @@
 const GIB: f64 = (1u64 << 30) as f64;
 const MIB: f64 = (1u64 << 20) as f64;
 
-/// Prints on standard output.
+/// Writes to standard output and ignores errors.
 fn print_text(text: &str) {
     // If the reader has closed the pipe, the rest of the output is not needed.
     let _ = std::io::stdout().write_all(text.as_bytes());
@@ -61,8 +61,8 @@
     text
 }
 
-/// Formats a plan: the zones of each volume's new objects, the traffic between zones, the cost, and the bounds that raise
-/// it.
+/// Formats a plan: the zones of each volume's new objects, the traffic between zones, the cost, and the bounds that
+/// raise the cost.
 fn plan_text(deployment: &Deployment, question: &Question, plan: &Plan) -> String {
     let mut text = String::new();
     for (volume, rates) in deployment.volumes.iter().zip(&plan.to) {
