--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,5 +1,4 @@
-//! Commands that got a standard name keep the old one as a hidden alias, so scripts of operators go on
-//! working.
+//! Renamed commands keep their old name as a hidden alias, so that operators' scripts continue to work.
 
 use std::process::Command;
 
@@ -15,7 +14,7 @@
 }
 
 #[test]
-fn old_names_of_commands_still_work() {
+fn old_command_names_are_hidden_aliases() {
     for (old, new) in [
         (&["day", "--list"][..], &["scenario", "--list"][..]),
         (
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,14 +1,15 @@
-//! `.ci/known-red`: which runs of the tests pass, given the list of known failures.
+//! `.ci/known-red`: which test runs it accepts, given the list of known failures.
 
 use std::process::Command;
 
 const NAMES: &str =
     "a::one: test\na::two: test\nb::three: test\nsame: test\nsame: test\nc::old: benchmark\n";
 
-/// A test that failed, and what it printed.
+/// The name of a failed test, and its output.
 type Failure<'a> = (&'a str, &'a str);
 
-/// What `cargo test --no-fail-fast` prints where these failed, and so many more targets ended without a word.
+/// The output of `cargo test --no-fail-fast` when these tests failed and `silent` further targets ended without naming
+/// a test.
 fn log(failed: &[Failure], silent: usize) -> String {
     let mut text = String::from("running 3 tests\ntest a::one ... ok\n");
     for (test, _) in failed {
@@ -35,7 +36,7 @@
     text
 }
 
-/// A run of the tests, and what the script says if it is red.
+/// A test run, and the expected verdict of the script.
 struct Run<'a> {
     list: Vec<&'a str>,
     failed: Vec<Failure<'a>>,
@@ -43,6 +44,7 @@
     silent: usize,
     /// The tests' exit code.
     code: i32,
+    /// A part of the script's error message; `None`: the run passes.
     red: Option<&'a str>,
 }
 
@@ -80,15 +82,19 @@
         }
     }
 
-    /// Each line of the list is printed, as passed over or as passing.
+    /// Checks that the output has each line of the list, marked as passed over or as passing now.
     fn check_lines(&self, output: &str) {
         for line in &self.list {
             let fields: Vec<&str> = line.split("; ").collect();
-            let over = self
+            let failed_as_listed = self
                 .failed
                 .iter()
                 .any(|(test, printed)| *test == fields[0] && printed.contains(fields[1]));
-            let word = if over { "passed over" } else { "passes now" };
+            let word = if failed_as_listed {
+                "passed over"
+            } else {
+                "passes now"
+            };
             let mut printed = output.lines();
             assert!(
                 printed.any(|shown| shown.contains(word) && shown.ends_with(line)),
@@ -116,7 +122,7 @@
 }
 
 #[test]
-fn only_what_is_listed_is_passed_over() {
+fn only_listed_failures_are_passed_over() {
     let runs = [
         run(&[ONE], &[ONE_FAILED], None),
         run(
@@ -136,7 +142,7 @@
             &[TWO_FAILED],
             Some("a::two failed and is not listed"),
         ),
-        // It did not build, or a target ended without a word, beside one whose failure is known.
+        // A run that did not build, and one where a target ended without naming a test, next to a listed failure.
         Run {
             code: 101,
             ..run(&[ONE], &[], Some("name no failure"))
@@ -149,7 +155,7 @@
     runs.iter().for_each(Run::check);
 }
 
-/// A listed test hides only the case that its line names.
+/// A line of the list covers only the case that it names: another failed case of the same test is red.
 #[test]
 fn a_listed_test_that_fails_on_another_case_is_red() {
     let other = "failed case: storm, seed 1, rule 5";
@@ -161,7 +167,7 @@
         run(&[ONE], &[("a::one", both)], another),
         run(&[ONE], &[("a::one", known)], another),
         run(&[ONE, ONE_MORE], &[("a::one", known)], None),
-        // A case is the whole line, not a part of it.
+        // A case matches as a whole line, not as a part of one: rule 1 is not rule 11.
         run(
             &[ONE],
             &[("a::one", "failed case: storm, seed 1, rule 11")],
@@ -174,7 +180,7 @@
             &[("a::two", "panicked at x.rs\n  left: 5")],
             Some("a::two failed on another case than is listed"),
         ),
-        // What another test printed is not this one's.
+        // The output of another test does not count.
         run(
             &[TWO, THREE],
             &[("a::two", "panicked"), ("b::three", "is cut, left: 3")],
@@ -185,7 +191,7 @@
 }
 
 #[test]
-fn a_line_that_cannot_be_followed_is_red() {
+fn a_malformed_or_ambiguous_line_is_red() {
     let form = Some("is not 'TEST; CASE; CAUSE; issue N'");
     let runs = [
         run(
--- a/crates/cli/tests/loopback/main.rs
+++ b/crates/cli/tests/loopback/main.rs
@@ -1,5 +1,5 @@
-//! The host on real sockets against stand-ins, with peers that misbehave. Everything runs in one thread of
-//! this process; a host that is killed is a task that is dropped.
+//! The host on real sockets, with simulated nodes and with peers that misbehave. Everything runs in one thread of this
+//! process; to kill a host, a test aborts its task.
 
 mod replicas;
 mod rig;
@@ -14,12 +14,12 @@
 use tokio::time::timeout;
 
 #[test]
-fn garbage_half_frames_and_huge_lengths_end_their_own_connection() {
+fn a_malformed_oversized_or_partial_frame_ends_only_its_own_connection() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
         let (node, host) = (stand_in(&d, nl), host(&d, hl).await);
-        let mut sound = Raw::client(&host.address).await;
+        let mut valid_client = Raw::client(&host.address).await;
         let huge = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0x40], &[0, 0, 0, 0]].concat();
         let long_body = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0], &[0, 0, 0, 0x40]].concat();
         let malformed = [
@@ -39,21 +39,21 @@
             let mut bad = Raw::client(&host.address).await;
             bad.bytes(&bytes).await;
             assert!(bad.until(|_| None::<()>).await.is_none(), "it is closed");
-            sound
+            valid_client
                 .send(submit(
                     u64::from(bytes[0]) << 32 | bytes.len() as u64,
                     "read",
                 ))
                 .await;
             assert_eq!(
-                sound.answer().await.unwrap().0.outcome,
+                valid_client.answer().await.unwrap().0.outcome,
                 Outcome::Succeeded as i32
             );
         }
-        // Half a frame, then nothing: the request was never taken.
-        let mut half = Raw::client(&host.address).await;
-        half.bytes(&wire(submit(9, "read"))[..20]).await;
-        drop(half);
+        // Part of a frame, and then the end of the connection: the host accepts no request.
+        let mut partial = Raw::client(&host.address).await;
+        partial.bytes(&wire(submit(9, "read"))[..20]).await;
+        drop(partial);
         let counts = host.stop().await;
         assert_eq!((counts.taken, counts.done), (5, 5));
         node.abort();
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn an_answer_in_single_bytes_is_one_answer() {
+fn frames_received_byte_by_byte_are_decoded() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
         let host = host(&d, hl).await;
         let mut n = greet(&nl, 1).await;
         let mut c = Raw::client(&host.address).await;
-        // The request too comes byte by byte.
+        // The request, too, is sent byte by byte.
         for b in wire(Frame::from(submit(4, "write")).with_body(Bytes::from_static(b"photo"))) {
             c.bytes(&[b]).await;
             tokio::task::yield_now().await;
@@ -96,13 +96,14 @@
 }
 
 #[test]
-fn a_non_idempotent_write_whose_connection_breaks_is_failed() {
+fn a_non_idempotent_write_fails_when_its_connection_breaks() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
         let host = host(&d, hl).await;
         let mut c = Raw::client(&host.address).await;
-        // What breaks before the first frame of the node never ran, and is sent again on the next connection.
+        // A request whose connection breaks before the node's first frame has not run, and is sent on the next
+        // connection.
         c.send(submit(1, "trip")).await;
         let (early, _) = nl.accept().await.unwrap();
         drop(early);
@@ -127,14 +128,14 @@
     });
 }
 
-/// The host is killed between an attempt and its answer; the client repeats to its successor; the mark keeps
-/// the write from taking effect twice.
+/// Guards against a write that takes effect twice: the host is killed between an attempt and its answer, and the client
+/// repeats the request to the next host. The idempotency key prevents a second effect.
 #[test]
-fn an_idempotency_key_write_repeated_after_a_kill_takes_effect_once() {
+fn a_write_with_an_idempotency_key_repeated_after_a_kill_takes_effect_once() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
-        // Between the host and the stand-in: sees attempts and answers, and holds the first answer back.
+        // The test stands between the host and the node: it passes the attempt on and withholds the answer.
         let (inner, inner_address) = free().await;
         let node = stand_in(&d, inner);
         let first = host(&d, hl).await;
@@ -172,7 +173,7 @@
             "the client sees its host gone"
         );
         drop((n, nl));
-        // Its successor, with nothing but the document, and the node itself now at the address it knows.
+        // The next host has no state but the document, which names the node's real address.
         let (hl, ha) = free().await;
         let second = host(&document(&ha, &inner_address), hl).await;
         let mut c = Raw::client(&second.address).await;
@@ -190,7 +191,7 @@
             (Outcome::Succeeded as i32, ran.handle),
             "the first one's answer"
         );
-        // The node's own word: a third attempt with the mark does not run either.
+        // Checked at the node itself: a third attempt with the same key does not run either.
         direct
             .send(Frame::from(Attempt {
                 attempt: 99,
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn a_client_that_never_reads_is_let_go_and_harms_nobody() {
+fn a_client_that_never_reads_is_disconnected_and_others_are_served() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
@@ -229,13 +230,13 @@
                     .await;
             }
         });
-        let mut deaf = Raw::client(&host.address).await;
-        let mut sound = Raw::client(&host.address).await;
+        let mut stalled_client = Raw::client(&host.address).await;
+        let mut valid_client = Raw::client(&host.address).await;
         for id in 0..40 {
-            // Sooner or later the host takes no more of it.
+            // After some requests the host stops reading from this client.
             if timeout(
                 Duration::from_millis(200),
-                deaf.stream.write_all(&wire(submit(id, "read"))),
+                stalled_client.stream.write_all(&wire(submit(id, "read"))),
             )
             .await
             .is_err()
@@ -244,12 +245,12 @@
             }
         }
         for id in 0..5 {
-            sound.send(submit(id, "read")).await;
-            assert_eq!(sound.answer().await.unwrap().1.len(), 500_000);
+            valid_client.send(submit(id, "read")).await;
+            assert_eq!(valid_client.answer().await.unwrap().1.len(), 500_000);
         }
-        // Let go: what was under way may still be read, then it ends.
+        // The host has closed the connection by then: bytes in flight may still be read before its end.
         tokio::time::sleep(Duration::from_secs(3)).await;
-        while deaf.next().await.is_some() {}
+        while stalled_client.next().await.is_some() {}
         let counts = host.stop().await;
         assert!(
             counts.most_held < 40 * 500_000,
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn a_stop_with_a_thousand_open_answers_each_once() {
+fn a_stop_with_a_thousand_open_requests_answers_each_once() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
@@ -275,7 +276,7 @@
             })
             .await;
         }
-        // All taken, since frames of one connection are in order.
+        // Frames of one connection are read in order: when this one is refused, all requests before it are accepted.
         c.send(submit(7777, "nothing")).await;
         let first = c
             .until(|f| {
@@ -301,10 +302,10 @@
     });
 }
 
-/// A tenth of all connections break again and again while the node never restarts: it is met again, not taken
-/// for cold, and all that can be is served.
+/// Guards against a node that counts as restarted, and as cold, because its connections break: each connection breaks
+/// after nine answers, the node itself never restarts, and each request is served.
 #[test]
-fn resets_are_not_restarts() {
+fn a_broken_connection_does_not_count_as_a_node_restart() {
     run(async {
         let ((hl, ha), (nl, na)) = (free().await, free().await);
         let d = document(&ha, &na);
--- a/crates/cli/tests/loopback/replicas.rs
+++ b/crates/cli/tests/loopback/replicas.rs
@@ -1,4 +1,4 @@
-//! A host before two simulated nodes that hold one shard.
+//! A host with two simulated nodes that hold the same shard.
 
 use crate::rig::{Raw, free, host, location, replicated_document, run, simulated_node, submit};
 use bytes::{Bytes, BytesMut};
@@ -9,15 +9,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// What the relays before the nodes share.
+/// State that the relays in front of the nodes share.
 #[derive(Clone)]
 struct Answers {
+    /// Receives each answer that a node sends, also the one that is dropped.
     seen: mpsc::Sender<AttemptAnswer>,
+    /// Whether a relay has already dropped an answer.
     first_dropped: Arc<AtomicBool>,
 }
 
-/// Passes frames between the host and a node. The first answer of any node is dropped with the connection, and its
-/// relay greets nobody after that.
+/// Passes frames between the host and a node. The first answer of any node is dropped together with the connection; its
+/// relay then accepts one more connection and sends nothing on it.
 async fn relay(listener: TcpListener, node: String, answers: Answers) {
     loop {
         let mut host = accept(&listener).await;
@@ -30,7 +32,7 @@
     std::future::pending().await
 }
 
-/// Passes frames on until the host closes; `true`: until the first answer of any node.
+/// Passes frames on until the host closes the connection (`false`) or this relay has dropped the first answer (`true`).
 async fn drops_the_first_answer(host: &mut Raw, node: &mut Raw, answers: &Answers) -> bool {
     loop {
         tokio::select! {
@@ -64,8 +66,8 @@
     }
 }
 
-/// Guards against a second effect when a host repeats a write at the other node of its shard: the first node ran it,
-/// and its answer was lost with the connection.
+/// Guards against a write that takes effect twice: the first node of the shard runs it, its answer is lost with the
+/// connection, and the host retries at the other node.
 #[test]
 fn a_retry_at_the_other_node_of_the_shard_takes_effect_once() {
     run(async {
@@ -92,7 +94,8 @@
         ];
         let host = host(&document, host_listener).await;
         let mut client = Raw::client(&host.address).await;
-        // A node whose connection broke is taken for one that has just started, which is not sent so many units.
+        // The host treats a node whose connection broke as one that has just started, and sends such a node fewer units
+        // than this. So the retry goes to the other node.
         let write = Frame::from(Submit {
             units: 30.0,
             ..submit(1, "write")
--- a/crates/cli/tests/loopback/rig.rs
+++ b/crates/cli/tests/loopback/rig.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Past any wait that a test means; a machine under load is slow, not wrong.
+/// Longer than any expected wait: a machine under load is slow, and that must not fail a test.
 pub const LONG: Duration = Duration::from_secs(30);
 
 pub fn run<F: Future<Output = ()>>(test: F) {
@@ -42,7 +42,7 @@
     replicated_document(host, &[node])
 }
 
-/// A host and the nodes of one shard: n1, n2 and so on.
+/// A document with one host, and nodes n1, n2 and so on of one shard at these addresses.
 pub fn replicated_document(host: &str, nodes: &[&str]) -> Arc<Deployment> {
     let node = |(place, address): (usize, &&str)| {
         let number = place + 1;
@@ -106,7 +106,7 @@
     simulated_node(d, "n1", listener, keys)
 }
 
-/// Where the nodes of these tests stand.
+/// Zone and shard of all nodes in these tests.
 pub fn location() -> NodeLocation {
     NodeLocation {
         zone: ZoneId(0),
@@ -133,7 +133,7 @@
     tokio::spawn(node::serve(process, listener))
 }
 
-/// A socket that speaks frames, or whatever it likes.
+/// One side of a connection: sends frames or arbitrary bytes, and reads frames.
 pub struct Raw {
     pub stream: TcpStream,
     pub buf: BytesMut,
@@ -144,7 +144,7 @@
         Raw::over(TcpStream::connect(address).await.unwrap()).await
     }
 
-    /// A client on a connection that is there.
+    /// A client on an established connection; sends its `Hello`.
     pub async fn over(stream: TcpStream) -> Raw {
         let mut raw = Raw {
             stream,
@@ -238,7 +238,7 @@
     }
 }
 
-/// A node by hand: greets whoever connects.
+/// A node that the test scripts: accepts one connection and sends the node's `Hello`.
 pub async fn greet(listener: &TcpListener, incarnation: u64) -> Raw {
     let (stream, _) = timeout(LONG, listener.accept()).await.unwrap().unwrap();
     let mut raw = Raw {
--- a/crates/cli/tests/loopback/shutdown.rs
+++ b/crates/cli/tests/loopback/shutdown.rs
@@ -1,16 +1,17 @@
-//! A host that shuts down answers every request that reaches it, up to the end of the connection.
+//! A host that shuts down answers every request that reaches it, until the connection ends.
 //!
-//! What happened: a host that had answered everything stopped reading at once, and kept its connections (and, taken
-//! offline by an operator, its listener) for up to a second while it closed them. A client that sent a request in that
-//! time got no answer and learned nothing until its own timeout. Recordings of `out-takeover` show it as
-//! "1-13135 at h3 got no answer": the request comes after the host's `shutdown complete`, and nothing follows it.
+//! These tests guard against requests that get no answer: a host that has answered all open requests stops reading at
+//! once, but keeps its connections (and its listener, if an operator took it offline) open for up to a second. A
+//! request sent in that second is never answered, and the client waits for its own timeout. In recordings of
+//! `out-takeover` such a request follows the host's `shutdown complete` and is reported as "1-13135 at h3 got no
+//! answer".
 
 use crate::rig::{Host, LONG, Raw, document, free, greet, host, run, submit};
 use gullsail_protocol::{Message, NotTaken};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The next refusal.
+/// The next refusal that the client receives; `None`: the connection ended.
 async fn refusal(client: &mut Raw) -> Option<NotTaken> {
     client
         .until(|frame| match frame.message {
@@ -20,8 +21,8 @@
         .await
 }
 
-/// Waits until the host refuses connections. With nothing open its shutdown is then complete, or will be in the same turn
-/// of its loop.
+/// Waits until the host refuses connections. Without open requests, its shutdown is complete by then or completes in
+/// the same iteration of its event loop.
 async fn listener_closed(address: &str) {
     let refused = async {
         while TcpStream::connect(address).await.is_ok() {
@@ -31,7 +32,7 @@
     timeout(LONG, refused).await.expect("it still listens");
 }
 
-/// A host with nothing open, and a client whose requests it has read so far.
+/// A host without open requests, and a client. The host has read all that the client sent.
 async fn idle_host() -> (Host, Raw) {
     let ((host_listener, host_address), (node_listener, node_address)) =
         (free().await, free().await);
@@ -61,12 +62,13 @@
     });
 }
 
-/// Its connection is established by the operating system, and its request is there, before the host accepts it.
+/// The operating system establishes the connection and receives the request before the host accepts the connection.
 #[test]
-fn a_client_in_the_backlog_of_a_host_that_stops_is_refused() {
+fn a_request_on_a_connection_in_the_backlog_is_refused_when_the_host_stops() {
     run(async {
         let (mut host, first) = idle_host().await;
-        // The host runs in this thread: it cannot accept before the next wait, and then finds both at once.
+        // The host runs in this thread: it accepts nothing before the next `await`, and then finds the stop and the
+        // connection at once.
         host.stop.take().unwrap().send(()).unwrap();
         let waiting = std::net::TcpStream::connect(&host.address).unwrap();
         waiting.set_nonblocking(true).unwrap();
--- a/crates/cli/tests/shortages/main.rs
+++ b/crates/cli/tests/shortages/main.rs
@@ -1,7 +1,6 @@
-//! A host that runs short of descriptors, of memory, of room for its log, or whose document and socket are
-//! tampered with: what holds meanwhile, and that service is what it was once there is room, without a
-//! restart. Shortages are limits of a child process; only processes that a test started are ended, by their
-//! ids.
+//! A host that lacks descriptors, memory or space for its log, or whose document and socket file others change: what
+//! still works meanwhile, and that full service returns without a restart once the shortage ends. Shortages are
+//! resource limits of a child process. Tests end only processes that they started, by their ids.
 
 mod rig;
 
@@ -14,10 +13,10 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A log that nobody reads: the pipe is full after some hundred lines, and requests are answered as before.
-/// Once somebody reads, lines come again, and one says how many were lost.
+/// Guards against a host that blocks when nobody reads its log: the pipe is full after some hundred lines. Requests are
+/// answered as before. Once the log is read, lines are written again, and one reports how many were lost.
 #[test]
-fn a_log_that_nobody_reads_holds_up_nothing() {
+fn a_log_that_is_not_read_does_not_block_requests() {
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(
         dir.path().join("main.kdl"),
@@ -26,7 +25,7 @@
     .unwrap();
     let mut host = Host::start(dir.path(), "", "debug", Stdio::piped());
     let log = host.child.stderr.take().unwrap();
-    // Each is two lines at least: far more than a pipe and the queue hold.
+    // Each connection logs at least two lines: far more than the pipe and the queue hold.
     for _ in 0..9000 {
         drop(TcpStream::connect(&host.address).unwrap());
     }
@@ -60,9 +59,9 @@
     assert_eq!(host.stop(), Some(0));
 }
 
-/// A log on a full disk, and one in a file that may not grow: writing fails, and that is all.
+/// A log on a full disk, and one in a file at its size limit: writes to the log fail, and requests are served.
 #[test]
-fn a_log_without_room_holds_up_nothing() {
+fn a_log_that_cannot_be_written_does_not_block_requests() {
     let full = || {
         Stdio::from(
             std::fs::OpenOptions::new()
@@ -99,11 +98,11 @@
     }
 }
 
-/// Clients take all descriptors that they can get: a node whose connection breaks is reached again, the
-/// operator is answered, those inside are served, and the log stays small. When they leave others are taken,
+/// Guards against clients that take all descriptors. Meanwhile the host reconnects to a node whose connection breaks,
+/// answers the operator, serves accepted clients, and keeps its log small. When the clients leave, others are accepted
 /// without a restart.
 #[test]
-fn descriptors_are_kept_back_for_what_must_be_reached() {
+fn descriptors_are_reserved_for_nodes_and_operators() {
     let dir = tempfile::tempdir().unwrap();
     let control = NodeControl::answering();
     std::fs::write(dir.path().join("main.kdl"), deployment(&node(&control), "")).unwrap();
@@ -116,7 +115,7 @@
     );
     let mut first = Socket::client(&host.address);
     assert!(first.served(1));
-    let mut many: Vec<Socket> = (0..150).map(|_| Socket::client(&host.address)).collect();
+    let mut crowd: Vec<Socket> = (0..150).map(|_| Socket::client(&host.address)).collect();
     control.disconnects.store(true, Ordering::SeqCst);
     let end = Instant::now() + LONG;
     let state = loop {
@@ -131,18 +130,18 @@
         state["counts"]["links_refused"].as_u64().unwrap() > 50,
         "{state}"
     );
-    // Some of the many are accepted, and the others were refused at once.
-    many.iter().for_each(|socket| {
+    // Some of the clients were accepted; the host closed the other connections at once.
+    crowd.iter().for_each(|socket| {
         socket
             .stream
             .set_read_timeout(Some(Duration::from_millis(100)))
             .unwrap()
     });
-    let inside = many.iter_mut().filter_map(|socket| socket.next()).count();
-    assert!((5..60).contains(&inside), "{inside} of 150 are in");
+    let accepted = crowd.iter_mut().filter_map(|socket| socket.next()).count();
+    assert!((5..60).contains(&accepted), "{accepted} of 150 are in");
     let lines = std::fs::read_to_string(&log).unwrap();
     assert!(!lines.contains("cannot accept"), "{lines}");
-    drop(many);
+    drop(crowd);
     let end = Instant::now() + LONG;
     while !Socket::client(&host.address).served(1) {
         assert!(Instant::now() < end, "there is room again");
@@ -152,11 +151,11 @@
     assert_eq!(host.stop(), Some(0));
 }
 
-/// Little memory, and writers that offer far more than there is, to a node that answers nothing: they wait,
-/// what is held stays within its bound, each request that was taken has its answer, and when the node answers
-/// again all is served.
+/// Guards against memory that grows without bound while a node does not answer: writers offer far more than the host
+/// may hold. They wait, the held bytes stay within their bound, each accepted request gets its answer, and once the
+/// node answers requests are served again.
 #[test]
-fn memory_is_bounded_while_a_node_answers_nothing() {
+fn memory_is_bounded_while_a_node_does_not_answer() {
     const MIB: usize = 1 << 20;
     let dir = tempfile::tempdir().unwrap();
     let control = NodeControl::default();
@@ -166,7 +165,8 @@
         deployment(&node(&control), bounds),
     )
     .unwrap();
-    // In KiB of address space: some threads' stacks and the program; a tenth of what is offered.
+    // The limit of the address space, in KiB: enough for the program and the stacks of its threads, less than the 1000
+    // MiB that the writers offer.
     let host = Host::start(dir.path(), "ulimit -v 500000; ", "info", Stdio::null());
     let writers: Vec<_> = (0..40)
         .map(|_| {
@@ -221,10 +221,9 @@
     assert_eq!(host.stop(), Some(0));
 }
 
-/// `fmt` where the file may not grow, and where its folder can't be written: the document is as it was,
-/// whole.
+/// Guards against a truncated document: `fmt` fails when it reaches a file size limit, and the document is unchanged.
 #[test]
-fn a_document_is_formatted_whole_or_not_at_all() {
+fn fmt_writes_the_complete_document_or_leaves_it_unchanged() {
     let dir = tempfile::tempdir().unwrap();
     let untidy =
         deployment("n", "").replace('\n', "\n\n\n") + &"// a comment that is kept\n".repeat(100);
@@ -242,7 +241,7 @@
         untidy,
         "nothing is lost"
     );
-    // By a link, with its permissions, where there is room.
+    // Without the limit, `fmt` through a symbolic link keeps the link and the file's permissions.
     let link = dir.path().join("link.kdl");
     std::os::unix::fs::symlink("main.kdl", &link).unwrap();
     use std::os::unix::fs::PermissionsExt;
@@ -254,10 +253,11 @@
     assert_eq!(files, 2, "nothing stays beside it");
 }
 
-/// A document that includes a pipe is no document; the socket's file may be another's by the time the host
-/// leaves; two concurrent reloads are answered one after the other; a reload during shutdown is refused.
+/// A document that includes a pipe is rejected; two concurrent reloads are answered one after the other; a reload
+/// during the shutdown is refused; and a host that exits leaves a socket file in place that another process has
+/// replaced.
 #[test]
-fn documents_and_sockets_that_are_tampered_with() {
+fn a_piped_document_concurrent_reloads_and_a_replaced_socket_file_are_handled() {
     let dir = tempfile::tempdir().unwrap();
     let main = dir.path().join("main.kdl");
     let valid = deployment(&node(&NodeControl::default()), "")
@@ -290,7 +290,7 @@
     for child in both {
         assert_eq!(child.wait_with_output().unwrap().status.code(), Some(0));
     }
-    // A request keeps it from leaving at once.
+    // An open request keeps the host from exiting at once.
     let mut client = Socket::client(&host.address);
     client.submit(1, "trip", 10).unwrap();
     while status(dir.path())["open"] != 1 {}
@@ -316,7 +316,7 @@
         out.status.code() != Some(0) && output.contains("this host is leaving"),
         "{output}"
     );
-    // The socket's file is another process's now; then nobody waits any more, so it leaves.
+    // Another process replaces the socket file; then the client leaves, so the host exits.
     std::fs::remove_file(dir.path().join("h1.sock")).unwrap();
     std::fs::write(dir.path().join("h1.sock"), "mine").unwrap();
     drop(client);
@@ -327,9 +327,10 @@
     );
 }
 
-/// Lines on the control socket from an older host, which tells less, and a newer one, which tells more.
+/// Replies on the control socket from an older host, which lack fields, and from a newer one, which have unknown
+/// fields.
 #[test]
-fn the_control_sockets_lines_may_grow() {
+fn control_replies_with_missing_or_unknown_fields_are_parsed() {
     use gullsail_host::control::ControlReply;
     for (line, open, rejected) in [
         ("{\"told\":\"status\",\"host\":\"h1\",\"revision\":3}", 0, 0),
@@ -349,10 +350,11 @@
     }
 }
 
-/// Many large frames that each stop halfway: one at a time takes its room, the others wait unread, small
-/// requests are served all the while, and once those that stand still are let go a whole large one is taken.
+/// Guards against memory that partial frames hold: many clients each send most of a large frame and stop. One frame at
+/// a time reserves its memory, and the others wait unread. Small requests are served meanwhile. The host disconnects
+/// the stalled clients, and then accepts a complete large frame.
 #[test]
-fn half_frames_are_bounded() {
+fn memory_held_by_partial_frames_is_bounded() {
     let dir = tempfile::tempdir().unwrap();
     let bounds = "bounds held-bytes=\"32MiB\" body-bytes=\"16MiB\" client-stall=\"250ms\"\n";
     std::fs::write(
@@ -361,23 +363,23 @@
     )
     .unwrap();
     let host = Host::start(dir.path(), "ulimit -v 500000; ", "info", Stdio::null());
-    let socket = Submit {
+    let submit = Submit {
         id: 1,
         request_class: "trip".into(),
         volume: "v".into(),
         units: 1.0,
         ..Submit::default()
     };
-    let whole = wire(Frame::from(socket).with_body(Bytes::from(vec![1; 16 << 20])));
-    let half_sent: Vec<Socket> = (0..32)
+    let large_frame = wire(Frame::from(submit).with_body(Bytes::from(vec![1; 16 << 20])));
+    let stalled: Vec<Socket> = (0..32)
         .map(|_| {
             let mut client = Socket::client(&host.address);
             client
                 .stream
                 .set_write_timeout(Some(Duration::from_millis(20)))
                 .unwrap();
-            // It waits, unread, or is let go.
-            let _ = client.stream.write_all(&whole[..15 << 20]);
+            // The host leaves it unread, or disconnects the client.
+            let _ = client.stream.write_all(&large_frame[..15 << 20]);
             client
         })
         .collect();
@@ -397,6 +399,6 @@
             "a whole large one is taken once there is room"
         );
     }
-    drop(half_sent);
+    drop(stalled);
     assert_eq!(host.stop(), Some(0));
 }
--- a/crates/cli/tests/shortages/rig.rs
+++ b/crates/cli/tests/shortages/rig.rs
@@ -1,4 +1,4 @@
-//! The real program under limits of its shell, its clients and a scripted node.
+//! The real program under resource limits that its shell sets, its clients, and a scripted node.
 
 use bytes::{Bytes, BytesMut};
 use gullsail_protocol::{
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Past any wait that a test means.
+/// Longer than any expected wait.
 pub const LONG: Duration = Duration::from_secs(30);
 
 pub fn deployment(node: &str, bounds: &str) -> String {
@@ -32,7 +32,7 @@
         .unwrap()
 }
 
-/// A host under a limit of its shell; ended by its own id.
+/// A host process under a resource limit; killed by its own id when dropped.
 pub struct Host {
     pub child: Child,
     pub address: String,
@@ -114,7 +114,7 @@
 
     pub fn client(address: &str) -> Socket {
         let mut socket = Socket::new(TcpStream::connect(address).unwrap());
-        // It may be hung up on at once.
+        // The host may close the connection at once.
         let _ = socket.send(
             Hello {
                 role: Role::Client as i32,
@@ -130,22 +130,22 @@
         self.stream.write_all(&wire(frame))
     }
 
-    /// `None`: the other side ended it, or nothing came in a long time.
+    /// The next frame; `None`: the connection ended, or the read timed out.
     pub fn next(&mut self) -> Option<Frame> {
         loop {
             if let Some(frame) = decode(&mut self.buf, Bounds::DEFAULT).unwrap() {
                 return Some(frame);
             }
-            let mut part = [0; 65536];
-            match self.stream.read(&mut part) {
+            let mut chunk = [0; 65536];
+            match self.stream.read(&mut chunk) {
                 Ok(0) | Err(_) => return None,
-                Ok(n) => self.buf.extend_from_slice(&part[..n]),
+                Ok(n) => self.buf.extend_from_slice(&chunk[..n]),
             }
         }
     }
 
     pub fn submit(&mut self, id: u64, request_class: &str, body: usize) -> std::io::Result<()> {
-        let socket = Submit {
+        let submit = Submit {
             id,
             request_class: request_class.into(),
             volume: "v".into(),
@@ -157,7 +157,7 @@
             timeout_us: 20_000_000,
             ..Submit::default()
         };
-        self.send(Frame::from(socket).with_body(Bytes::from(vec![1; body])))
+        self.send(Frame::from(submit).with_body(Bytes::from(vec![1; body])))
     }
 
     pub fn outcome(&mut self) -> Option<i32> {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// One read, until its response.
+    /// Sends a read and waits for its answer; `true` if it succeeded.
     pub fn served(&mut self, id: u64) -> bool {
         self.submit(id, "read", 0).is_ok() && self.outcome() == Some(Outcome::Succeeded as i32)
     }
@@ -177,9 +177,9 @@
 /// Switches of a scripted node, shared with its threads.
 #[derive(Clone, Default)]
 pub struct NodeControl {
-    /// It answers attempts.
+    /// Whether the node answers attempts.
     pub answers: Arc<AtomicBool>,
-    /// It closes one connection, once.
+    /// If set, the node closes one connection and clears the switch.
     pub disconnects: Arc<AtomicBool>,
 }
 
@@ -200,7 +200,7 @@
     std::thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
             let control = control.clone();
-            // It ends when its connection does.
+            // The thread ends with its connection.
             std::thread::spawn(move || serve_attempts(stream, &control));
         }
     });
@@ -225,10 +225,10 @@
         if control.disconnects.swap(false, Ordering::SeqCst) {
             return None;
         }
-        let mut part = [0; 65536];
-        match socket.stream.read(&mut part) {
+        let mut chunk = [0; 65536];
+        match socket.stream.read(&mut chunk) {
             Ok(0) => return None,
-            Ok(n) => socket.buf.extend_from_slice(&part[..n]),
+            Ok(n) => socket.buf.extend_from_slice(&chunk[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => continue,
             Err(_) => return None,
         }
