--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control socket of a running host, as its operator uses it.
+//! The control socket of a running host, used through the program's commands.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -37,7 +37,7 @@
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
-        // It says where it listens once it does.
+        // The host prints its address once it listens.
         let mut line = String::new();
         BufReader::new(child.stdout.take().unwrap())
             .read_line(&mut line)
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn documents_are_reloaded_over_the_socket() {
+fn a_reload_over_the_control_socket_applies_or_rejects_the_document() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
     let write = |name: &str, text: &str| std::fs::write(dir.join(name), text).unwrap();
@@ -84,7 +84,7 @@
     );
     let lower = DOCUMENT.replace("limit=\"100", "limit=\"80") + "revision 1 after=\"first.kdl\"\n";
     let tiny = DOCUMENT.replace("limit=\"100", "limit=\"50") + "revision 2 after=\"second.kdl\"\n";
-    // the document, arguments, exit code, what is said, the revision served by then
+    // The document, arguments, exit code, a part of the output, the host's revision afterwards.
     let cases: [(String, &[&str], i32, &str, u64); 7] = [
         (
             DOCUMENT.into(),
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn strange_askers_and_sockets() {
+fn stale_sockets_malformed_requests_and_closed_clients_are_tolerated() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
     std::fs::write(dir.join("main.kdl"), DOCUMENT).unwrap();
@@ -174,7 +174,7 @@
         ),
         (Some(2), true)
     );
-    // A file that a host left behind when it was killed is replaced.
+    // A socket file that a killed host has left behind is replaced.
     let killed = Host::start(dir);
     drop(killed);
     assert!(dir.join("h1.sock").exists());
@@ -203,9 +203,9 @@
             "{asked}: {line}"
         );
     }
-    // One that says too much, and one that is gone before its answer.
+    // A request that is too long, and a client that closes before its reply.
     let mut long = UnixStream::connect(dir.join("h1.sock")).unwrap();
-    // It may be hung up on while it writes.
+    // The host may close the connection during the write.
     let _ = long.write_all(&[b'x'; 100_000]);
     drop(long);
     UnixStream::connect(dir.join("h1.sock"))
@@ -216,10 +216,10 @@
     assert_eq!(host.stop(), Some(0));
 }
 
-/// A disk that does not give a document back: the asker is told, the next one too, the state is still told,
-/// and once it comes a reload is as ever.
+/// Guards against a control socket that is blocked by a disk that does not return a document: each reload gets an
+/// error, status requests are answered, and once the disk responds a reload succeeds.
 #[test]
-fn a_document_that_is_not_read_holds_nobody_up() {
+fn a_blocked_read_of_a_document_does_not_block_the_control_socket() {
     use gullsail_host::control::{Control, ControlReply, ControlRequest, ask};
     use gullsail_host::runtime::{self, HostClock, HostProcess};
     use std::sync::{Arc, Mutex, mpsc};
@@ -230,7 +230,7 @@
         .enable_all()
         .build()
         .unwrap();
-    let (gives, disk) = mpsc::channel::<()>();
+    let (release_reads, disk) = mpsc::channel::<()>();
     let disk = Mutex::new(disk);
     let load = move || {
         let _ = disk.lock().unwrap().recv();
@@ -271,8 +271,8 @@
                 ControlReply::Status(_)
             ));
         }
-        // The disk is back: for the reading that still waits, and for those to come.
-        (0..50).for_each(|_| gives.send(()).unwrap());
+        // The disk responds again: to the read that still waits, and to later ones.
+        (0..50).for_each(|_| release_reads.send(()).unwrap());
         while !matches!(reload().await.unwrap(), ControlReply::Taken { .. }) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -281,10 +281,10 @@
     });
 }
 
-/// What happened: SIGHUP, which asks many programs to reload, ended a host, a simulated node and the endpoint list at once,
-/// with all that they held.
+/// Guards against SIGHUP, by which many programs reload, killing a host, a simulated node or the endpoint list at once,
+/// together with its open requests.
 #[test]
-fn a_hang_up_ends_no_process() {
+fn sighup_ends_no_process() {
     use nix::sys::signal::{Signal, kill};
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The commands on documents, as a person or CI would run them.
+//! The commands on documents, with the exit codes and output that people and CI rely on.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -11,7 +11,7 @@
         .unwrap()
 }
 
-fn out(o: &Output) -> String {
+fn stdout(o: &Output) -> String {
     String::from_utf8_lossy(&o.stdout).into_owned()
 }
 
@@ -31,11 +31,11 @@
 }
 
 #[test]
-fn a_sound_document_passes_and_a_broken_one_says_where() {
+fn check_accepts_a_valid_document_and_locates_the_problems_of_a_broken_one() {
     let dir = folder();
-    let sound = gullsail(dir.path(), &["check", "main.kdl"]);
+    let valid = gullsail(dir.path(), &["check", "main.kdl"]);
     assert_eq!(
-        (sound.status.code(), out(&sound).contains("2 hosts")),
+        (valid.status.code(), stdout(&valid).contains("2 hosts")),
         (Some(0), true)
     );
     std::fs::write(
@@ -45,7 +45,7 @@
     .unwrap();
     let broken = gullsail(dir.path(), &["check", "--json", "main.kdl"]);
     assert_eq!(broken.status.code(), Some(2));
-    let lines: Vec<serde_json::Value> = out(&broken)
+    let lines: Vec<serde_json::Value> = stdout(&broken)
         .lines()
         .map(|l| serde_json::from_str(l).unwrap())
         .collect();
@@ -65,7 +65,7 @@
     let found: Vec<_> = lines.iter().map(place).collect();
     assert_eq!(&found[..2], &wanted[..], "{found:?}");
     for code in ["wrong-kind", "loop"] {
-        assert!(out(&gullsail(dir.path(), &["explain", code])).starts_with(code));
+        assert!(stdout(&gullsail(dir.path(), &["explain", code])).starts_with(code));
     }
     assert_eq!(
         gullsail(dir.path(), &["explain", "nonsense"]).status.code(),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn formatting_is_checked_made_and_refused() {
+fn fmt_checks_formats_and_refuses_a_malformed_document() {
     let dir = folder();
     let read = |name: &str| std::fs::read_to_string(dir.path().join(name)).unwrap();
     let untidy = "plan   \"p\"   limit=\"100units/s\" burst=64 // why\n";
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_diff_shows_by_its_exit_code_what_it_asks_for() {
+fn the_exit_code_of_a_diff_shows_its_kind_of_change() {
     let dir = folder();
     let cases = [
         ("plan \"p\" burst=64 limit=\"100units/s\"", 0, ""),
@@ -136,19 +136,19 @@
         std::fs::write(new.join("plans.kdl"), plans).unwrap();
         let diff = gullsail(dir.path(), &["diff", "main.kdl", "new/main.kdl"]);
         assert_eq!(
-            (diff.status.code(), out(&diff).contains(says)),
+            (diff.status.code(), stdout(&diff).contains(says)),
             (Some(code), true),
             "{}",
-            out(&diff)
+            stdout(&diff)
         );
-        assert_eq!(out(&diff).is_empty(), says.is_empty());
+        assert_eq!(stdout(&diff).is_empty(), says.is_empty());
     }
 }
 
 #[test]
-fn show_says_what_a_host_runs_with_and_where_it_comes_from() {
+fn show_prints_the_configuration_of_a_host_with_the_places_that_define_it() {
     let dir = folder();
-    let shown = out(&gullsail(dir.path(), &["show", "main.kdl", "--host", "h1"]));
+    let shown = stdout(&gullsail(dir.path(), &["show", "main.kdl", "--host", "h1"]));
     assert!(shown.contains("// plans.kdl:1:1\nplan"), "{shown}");
     let mine =
         "// main.kdl:6:5, used at main.kdl:8:1\n//   mine given at main.kdl:8:9\nvolume mine";
@@ -156,16 +156,15 @@
     assert!(!shown.contains("theirs"), "{shown}");
 }
 
-/// Through templates in templates: what a use gives, what an outer one hands on, and what stands unless
-/// given.
+/// With nested templates: values that a `use` gives, values that an outer template passes on, and defaults.
 #[test]
-fn show_says_where_each_value_was_given() {
+fn show_prints_the_place_of_each_template_value() {
     let dir = folder();
     let nested = "include \"plans.kdl\"\nstream-type \"r\" effect=\"repeatable\" slo=\"1s\" expiry=\"2s\"\n\
         host \"h1\"\ntemplate \"in\" plan=\"p\" host=\"h1\" {\n  volume \"$a-$b\" plan=\"$plan\" { hosts \"$host\"; }\n}\n\
         template \"out\" {\n  use \"in\" a=\"$x\" b=\"two\"\n}\nuse \"out\" x=\"one\"\n";
     std::fs::write(dir.path().join("main.kdl"), nested).unwrap();
-    let shown = out(&gullsail(dir.path(), &["show", "main.kdl", "--host", "h1"]));
+    let shown = stdout(&gullsail(dir.path(), &["show", "main.kdl", "--host", "h1"]));
     for line in [
         "//   one-two given at main.kdl:10:11 and main.kdl:8:19, used at main.kdl:10:1",
         "//   plan=p given at main.kdl:4:15",
@@ -194,10 +193,10 @@
 volume "w" plan="q" { hosts "h2"; }
 "#;
 
-/// What zone a's nodes can't do goes to b; the proposal is a sound document whose changes are safe while
-/// serving. A budget that is too small for it clashes with them.
+/// The plan sends to zone b what the nodes of zone a cannot serve. It is a valid document whose changes are safe while
+/// hosts serve. If the budget between the zones is too small for that, the command names the conflicting limits.
 #[test]
-fn a_plan_is_a_document_or_says_what_clashes() {
+fn zones_plan_writes_a_document_or_names_the_conflicting_limits() {
     let dir = tempfile::tempdir().unwrap();
     let write = |most: &str| {
         std::fs::write(dir.path().join("main.kdl"), ZONED.replace("MOST", most)).unwrap()
@@ -213,31 +212,31 @@
         "{}",
         String::from_utf8_lossy(&plan.stderr)
     );
-    // 180 of 300 units a second fit at home: 120 of 64 KiB cross.
+    // The nodes of zone a serve 180 of 300 units a second; the other 120, of 64 KiB each, cross to b.
     for says in [
         "volume v: a 11.2 MiB/s, b 7.5 MiB/s",
         "a to b: 7.5 of 10.0 MiB/s",
         "volume w: b 3.1 MiB/s",
         "one node more there saves",
     ] {
-        assert!(out(&plan).contains(says), "{says}\n{}", out(&plan));
+        assert!(stdout(&plan).contains(says), "{says}\n{}", stdout(&plan));
     }
     assert_eq!(
         gullsail(dir.path(), &["check", "new.kdl"]).status.code(),
         Some(0)
     );
     let diff = gullsail(dir.path(), &["diff", "main.kdl", "new.kdl"]);
-    assert_eq!(diff.status.code(), Some(0), "{}", out(&diff));
+    assert_eq!(diff.status.code(), Some(0), "{}", stdout(&diff));
     for says in [
         "volume \"v\" pool of w: disks -> disks-in-a-b",
         "volume \"w\" pool of w: all -> all-in-b",
     ] {
-        assert!(out(&diff).contains(says), "{says}\n{}", out(&diff));
+        assert!(stdout(&diff).contains(says), "{says}\n{}", stdout(&diff));
     }
     write("5");
     let plan = gullsail(dir.path(), &["zones", "plan", "main.kdl"]);
     assert_eq!(plan.status.code(), Some(1));
-    let output = out(&plan);
+    let output = stdout(&plan);
     assert!(
         output.contains("the nodes of a can do, 180 units a second")
             && output.contains("the budget from a to b"),
--- a/crates/cli/tests/fleet/client.rs
+++ b/crates/cli/tests/fleet/client.rs
@@ -1,4 +1,4 @@
-//! A client of a host on the project's own protocol, with blocking sockets.
+//! A client of a `gullsail host`, on its frame protocol, with blocking sockets.
 
 use bytes::BytesMut;
 use gullsail_protocol::{Bounds, Frame, Handle, Hello, Role, Submit, decode};
@@ -13,10 +13,10 @@
 }
 
 impl Client {
-    /// Connects and introduces itself. Reading gives up after `patience`.
+    /// Connects and sends the client's `Hello`. Each read times out after `patience`.
     ///
     /// # Errors
-    /// The host is not there.
+    /// The host refuses the connection, or it ends at once.
     pub fn connect(address: SocketAddr, patience: Duration) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(patience))?;
@@ -36,17 +36,17 @@
     /// Sends a message without a body.
     ///
     /// # Errors
-    /// It is not written whole.
+    /// The message was not written completely.
     pub fn send(&mut self, message: impl Into<Frame>) -> std::io::Result<()> {
         let mut bytes = BytesMut::new();
         message.into().encode_head(&mut bytes);
         self.stream.write_all(&bytes)
     }
 
-    /// Sends a read that waits so long for its answer.
+    /// Submits a read request with this timeout.
     ///
     /// # Errors
-    /// It is not written whole.
+    /// The request was not written completely.
     pub fn submit(&mut self, id: u64, timeout: Duration) -> std::io::Result<()> {
         self.send(Submit {
             id,
@@ -63,7 +63,7 @@
         })
     }
 
-    /// The next frame; `None`: the connection ended, or nothing came in time.
+    /// The next frame; `None`: the connection ended, a frame was malformed, or the read timed out.
     pub fn next(&mut self) -> Option<Frame> {
         loop {
             if let Some(frame) = decode(&mut self.received, Bounds::DEFAULT).ok()? {
--- a/crates/cli/tests/fleet/commands.rs
+++ b/crates/cli/tests/fleet/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands to a host that is told to stop.
+//! Operators' commands to a host that is shutting down or has been killed.
 
 use crate::rig::{gullsail, host, maintenance_document, until};
 use nix::sys::signal::{Signal, kill};
@@ -9,17 +9,17 @@
 
 const OUT: &str = "{\"ask\":\"word\",\"kind\":\"out\",\"names\":[\"n1\"]}\n";
 
-/// An operator whose command is written.
+/// Connects and writes an `out` command; the reply is not read yet.
 fn operator(socket: &Path) -> UnixStream {
     let mut stream = UnixStream::connect(socket).unwrap();
     stream.write_all(OUT.as_bytes()).unwrap();
     stream
 }
 
-/// Guards against an end of file for operators whose host stops: alone of its fleet it knows no result, and all of them
-/// have connected while it could not read.
+/// Guards against connections that end without a reply: the host stops while commands wait. It is the only running host
+/// of its fleet, so it cannot learn their result, and all operators connect while the process is paused.
 #[test]
-fn each_command_to_a_host_that_stops_has_an_answer() {
+fn each_command_to_a_stopping_host_gets_a_reply() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
     std::fs::write(dir.join("works.kdl"), maintenance_document()).unwrap();
@@ -34,9 +34,9 @@
         kill(id, Signal::SIGTERM).unwrap();
         let mut reply = String::new();
         operator.read_to_string(&mut reply).unwrap();
-        let known: serde_json::Value = serde_json::from_str(&reply).expect(&reply);
+        let parsed: serde_json::Value = serde_json::from_str(&reply).expect(&reply);
         assert!(reply.contains("this host is leaving"), "{reply}");
-        let told = known["told"].as_str().unwrap();
+        let told = parsed["told"].as_str().unwrap();
         assert!(
             ["word-unknown", "turned-down", "error"].contains(&told),
             "{reply}"
@@ -45,7 +45,7 @@
     assert!(alone.0.wait().unwrap().success());
 }
 
-/// What `gullsail fleet out` makes of a host that replies this.
+/// Exit code and output of `gullsail fleet out` when the host sends this reply; an empty one is a closed connection.
 fn out_with_reply(reply: &'static str) -> (Option<i32>, String) {
     let dir = tempfile::tempdir().unwrap();
     let listener = UnixListener::bind(dir.path().join("h1.sock")).unwrap();
@@ -60,16 +60,16 @@
     output
 }
 
-/// Guards against an unknown result that looks like a refusal: the command may have taken effect.
+/// Guards against an unknown result that scripts take for a refusal: the command may have taken effect.
 #[test]
-fn an_unknown_result_has_an_exit_code_of_its_own() {
+fn an_unknown_result_has_a_separate_exit_code() {
     let told = "{\"told\":\"word-unknown\",\"why\":\"see another host\"}\n";
     let unknown = out_with_reply(told);
     assert_eq!(
         unknown,
         (Some(3), "result unknown: see another host\n".into())
     );
-    // The host was killed.
+    // The connection ends without a reply, as when the host is killed.
     let (code, text) = out_with_reply("");
     assert_eq!(code, Some(3), "{text}");
     assert!(text.starts_with("result unknown: "), "{text}");
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -1,6 +1,6 @@
-//! Hosts as processes that settle who belongs: one that no document named joins, one that is killed is out
-//! after its lease, a second process under one name is refused. What each says of itself is asked over its
-//! control socket.
+//! Membership of a fleet, with hosts as processes: a host joins once the others have a document that names it, a killed
+//! host is out after its lease, and a second process under one name gets no lease. The tests read each host's view of
+//! the fleet over its control socket.
 
 mod client;
 mod commands;
@@ -11,7 +11,7 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// How the host with this number stands, as told.
+/// The standing of the host with this number, as the status reports it; empty if it is not listed.
 fn state(output: &serde_json::Value, host: u64) -> String {
     let members = output["status"]["members"]
         .as_array()
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_host_joins_by_the_document_dies_and_is_not_doubled() {
+fn a_host_joins_by_document_leaves_after_its_lease_and_cannot_run_twice() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
     let free = || {
@@ -34,14 +34,14 @@
             .local_addr()
             .unwrap()
     };
-    let places = [free(), free(), free()];
+    let addresses = [free(), free(), free()];
     let document = |hosts: usize, revision: &str| {
         let mut text = String::from(
             "fleet \"f\" lease=\"800ms\" drift=0.01 voters=1 floor=0.3\nrules tick=\"20ms\" most-units=8\n\
              stream-type \"r\" effect=\"repeatable\" slo=\"1s\" expiry=\"2s\"\n\
              plan \"p\" limit=\"100units/s\" burst=640 usual=\"60units/s\"\nvolume \"v\" plan=\"p\"\n",
         );
-        for (place, at) in places[..hosts].iter().enumerate() {
+        for (place, at) in addresses[..hosts].iter().enumerate() {
             text += &format!("host \"h{}\" address=\"{at}\"\n", place + 1);
         }
         text + revision
@@ -54,7 +54,7 @@
     until(dir, "h1.sock", "both are members", |s| {
         state(s, 1) == "member"
     });
-    // A third, which neither knew of: it waits until they have its document.
+    // A third host, which the documents of the others do not name yet: it waits until they have its document.
     let next = document(3, "revision 2 after=\"first.kdl\"\n");
     std::fs::write(dir.join("h3.kdl"), &next).unwrap();
     let _h3 = host(dir, "h3.kdl", "h3", "h3.sock");
@@ -75,45 +75,46 @@
         .iter()
         .map(|b| b["counted"].as_u64().unwrap());
     assert!(counted.max().unwrap() <= 1_000_000, "{output}");
-    // A second process under a name that is held uses nothing, and both say so.
+    // A second process under the name of a running host gets no lease.
     let double = dir.join("double.kdl");
     std::fs::write(
         &double,
         next.replace(
-            &format!("address=\"{}\"", places[2]),
+            &format!("address=\"{}\"", addresses[2]),
             &format!("address=\"{}\"", free()),
         ),
     )
     .unwrap();
     let twin = host(dir, "double.kdl", "h3", "twin.sock");
-    // Notes to it go to the address that the others know: it hears nothing, and holds nothing but its floor.
+    // The others send to the address in their document, so the second process receives nothing and holds only its
+    // floor.
     let output = until(dir, "twin.sock", "it is up", |s| s["status"]["me"] == 2);
     assert!(output["status"]["lease_ms"].is_null(), "{output}");
     drop(twin);
-    // Killed: out after its lease, and what it held is the others'.
+    // A killed host is out after its lease, and its shares of the budgets pass to the others.
     drop(h2);
     let output = until(dir, "h1.sock", "the dead one is out", |s| {
         state(s, 1) == "out"
     });
     assert_eq!(state(&output, 2), "member");
-    let part = |s: &serde_json::Value| {
+    let largest_share = |s: &serde_json::Value| {
         let budgets = s["status"]["budgets"]
             .as_array()
             .cloned()
             .unwrap_or_default();
-        let of = |b: &serde_json::Value| b["parts"].as_array().cloned().unwrap_or_default();
+        let shares = |b: &serde_json::Value| b["parts"].as_array().cloned().unwrap_or_default();
         budgets
             .iter()
-            .flat_map(of)
+            .flat_map(shares)
             .filter(|p| p[0] == 1)
             .filter_map(|p| p[1].as_u64())
             .max()
             .unwrap_or(0)
     };
     until(dir, "h1.sock", "its floor alone is counted", |s| {
-        part(s) == 100_000
+        largest_share(s) == 100_000
     });
-    // And a table for people.
+    // Without `--json` the status is a table.
     let (code, text) = gullsail(dir, &["fleet", "status", "h1.sock"]);
     let wanted = [
         "fleet f",
@@ -128,15 +129,15 @@
 }
 
 #[test]
-fn servers_go_out_for_maintenance_by_commands_to_any_host() {
+fn a_command_to_any_host_takes_a_server_offline_and_back() {
     let dir = tempfile::tempdir().unwrap();
     let dir = dir.path();
     std::fs::write(dir.join("works.kdl"), maintenance_document()).unwrap();
     let start = |name: &str| host(dir, "works.kdl", name, &format!("{name}.sock"));
     let (_h1, _h2, mut h3) = (start("h1"), start("h2"), start("h3"));
     for name in ["h1.sock", "h2.sock", "h3.sock"] {
-        let known = |s: &serde_json::Value| s["status"]["lease_ms"].is_number();
-        until(dir, name, "it has a lease", known);
+        let has_lease = |s: &serde_json::Value| s["status"]["lease_ms"].is_number();
+        until(dir, name, "it has a lease", has_lease);
     }
     let maintenance = |socket: &str| {
         let (_, output) = gullsail(dir, &["fleet", "works", socket, "--json"]);
@@ -156,7 +157,7 @@
             .to_string()
     };
     wait("h1.sock", &|w| w["known"] == true);
-    // Refused whole, each with its reason; nothing is in line afterwards.
+    // Each command is refused with its reason, and leaves no order behind.
     let refused: [(&[&str], &str); 6] = [
         (&["fleet", "out", "h1.sock", "n11"], "did you mean `n1`?"),
         (
@@ -191,8 +192,8 @@
         maintenance("h1.sock")["orders"].as_array().map(Vec::len),
         Some(0)
     );
-    // Through two hosts at once, and it is one order; the host answers what it has, leaves and ends by
-    // itself.
+    // The same command through two hosts at once makes one order. The server's host answers its open requests, leaves
+    // the fleet and exits.
     let out = [
         "fleet",
         "out",
@@ -221,7 +222,7 @@
         view["orders"].as_array().is_some_and(|o| o.len() == 1),
         "{view}"
     );
-    // It said that it goes, also where it decided until then: no lease had to be waited out.
+    // The host announced that it leaves, also if it was the coordinator: nobody had to wait for its lease to expire.
     assert_eq!(
         view["orders"][0]["hosts"].as_array().map(Vec::len),
         Some(0),
@@ -233,7 +234,7 @@
         code == Some(1) && output.contains("it is out already"),
         "{output}"
     );
-    // A process under its name is none of the fleet until somebody says that the machine is back.
+    // A new process under its name does not join the fleet until an operator gives the `back` command.
     drop(h3);
     let _h3 = start("h3");
     std::thread::sleep(Duration::from_millis(1500));
--- a/crates/cli/tests/fleet/offline.rs
+++ b/crates/cli/tests/fleet/offline.rs
@@ -1,7 +1,7 @@
-//! A host that operators take offline answers its clients up to the end of their connections.
+//! A host that operators take offline answers its clients until their connections end.
 //!
-//! What happened (scenario `out-takeover`, rule 1): the host logged `shutdown complete`, read nothing more, and for up to
-//! a second still had its listener and its connections open. Requests that came in that second got no answer.
+//! The test guards against requests that get no answer (scenario `out-takeover`, rule 1): a host logs `shutdown
+//! complete` and reads nothing more, but keeps its listener and its connections open for up to a second.
 
 use crate::client::Client;
 use crate::rig::{gullsail, host, maintenance_document, until};
@@ -10,10 +10,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Past any wait that this test means.
+/// Longer than any expected wait.
 const LONG: Duration = Duration::from_secs(60);
 
-/// The next refusal; `None`: the connection ended without one.
+/// The next refusal; `None`: the connection ended, or nothing came in time.
 fn refusal(client: &mut Client) -> Option<NotTaken> {
     loop {
         if let Message::NotTaken(refused) = client.next()?.message {
@@ -55,7 +55,7 @@
         });
     }
     let mut client = Client::connect(address_of(&document, "h3"), LONG).unwrap();
-    // Known by now: another class is not a request, so its refusal shows that the host reads this connection.
+    // A request of an unknown class is refused at once, which shows that the host reads this connection.
     client
         .send(Submit {
             id: 1,
@@ -73,7 +73,7 @@
             let refused = refusal(&mut client).expect("it is answered");
             assert_eq!((refused.id, refused.leaving), (id, true));
         }
-        // Nobody who connects now can send what nobody reads.
+        // The listener is closed, so no new connection can carry a request that is never read.
         assert!(TcpStream::connect(address_of(&document, "h3")).is_err());
         drop(client);
         operator.join().unwrap()
--- a/crates/cli/tests/fleet/rig.rs
+++ b/crates/cli/tests/fleet/rig.rs
@@ -1,4 +1,4 @@
-//! Hosts as processes with a control socket, and the document they share.
+//! Hosts as processes with a control socket, and the document that they share.
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -39,7 +39,8 @@
     Process(command.stdout(Stdio::null()).stderr(log).spawn().unwrap())
 }
 
-/// Waits until the host at this socket says so of the fleet; generous, since nothing here is about speed.
+/// Waits until the fleet status of the host at this socket fulfils `fits`, and returns it. The time limit is generous,
+/// since these tests do not measure speed.
 pub fn until(
     dir: &Path,
     socket: &str,
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,10 +1,11 @@
-//! Short days with real processes: the program itself plays them and judges the rules.
+//! Short scenarios with real processes: the program runs them and checks the rules.
 
 use std::process::{Command, Output};
 use std::sync::{Mutex, PoisonError};
 
-/// One day at a time: each starts some fifteen processes, and side by side they would judge the machine.
-static ONE: Mutex<()> = Mutex::new(());
+/// Held by the scenario that runs. Each starts some fifteen processes: several at once would test the machine's speed
+/// instead of the rules.
+static RUNNING: Mutex<()> = Mutex::new(());
 
 fn gullsail(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_gullsail"))
@@ -18,17 +19,19 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The seed that the program takes where none is given.
+/// The program's default seed.
 const SEED: u64 = 1;
 
-/// A scenario that failed: why, and all that the program printed.
+/// A failed scenario.
 struct Failure {
     name: String,
+    /// The broken rules, or the last line of the report before the verdict.
     why: String,
+    /// All that the program printed.
     report: String,
 }
 
-/// The numbers of the rules whose row of the table says that they are broken, or else the last line before the verdict.
+/// The numbers of the rules that the report's table shows as broken, or else the last line before the verdict.
 fn why_failed(report: &str) -> String {
     let broken = report.lines().filter(|line| line.contains("BROKEN"));
     let numbers: Vec<&str> = broken
@@ -41,15 +44,15 @@
     before_verdict.last().unwrap_or_default().to_string()
 }
 
-/// The rows of the rules that were kept.
+/// The rows of the report's table that show a rule as kept.
 fn kept_rows(report: &str) -> Vec<String> {
     let kept = report.lines().filter(|line| line.contains("kept"));
     kept.map(str::to_string).collect()
 }
 
-/// Plays a scenario.
+/// Runs a scenario with a recording, and audits the recording.
 fn play(name: &str) -> Result<(), Failure> {
-    let _alone = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _alone = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().display().to_string();
     let out = gullsail(&["scenario", name, "--record", &path]);
@@ -61,25 +64,25 @@
             report: report + &text(&out.stderr),
         });
     }
-    // Judged again from the recording alone, with the same verdict.
+    // An audit of the recording alone has the same verdict.
     let again = gullsail(&["audit", &path]);
     assert!(again.status.success(), "{}", text(&again.stdout));
     let again = kept_rows(&text(&again.stdout));
-    // The head of the table, seven rules; one for budgets between zones, two for a fleet and two for its
-    // rates to nodes, where there are some.
-    let more = match name {
+    // The table has a head and seven rules, and further rules where the scenario has these parts: one for budgets
+    // between zones, two for a fleet, two for the fleet's rates to nodes.
+    let extra_rows = match name {
         "budget-storm" => 4,
         name if name.starts_with("out") => 4,
         name if name.starts_with("budget") => 2,
         name => usize::from(name.starts_with("zones")),
     };
-    assert_eq!(again.len(), 8 + more);
+    assert_eq!(again.len(), 8 + extra_rows);
     assert!(kept_rows(&report).ends_with(&again));
     Ok(())
 }
 
-/// Plays these scenarios, all of them, also after one has failed. Names each failed one in a line for `.ci/known-red`.
-fn days(names: &[&str]) {
+/// Runs all these scenarios, also after one has failed. Prints a line for `.ci/known-red` for each failed one.
+fn run_scenarios(names: &[&str]) {
     let failures: Vec<Failure> = names.iter().filter_map(|name| play(name).err()).collect();
     for failure in &failures {
         println!("{}", failure.report);
@@ -95,22 +98,22 @@
 
 #[test]
 fn the_release_scenario_passes() {
-    days(&["release"]);
+    run_scenarios(&["release"]);
 }
 
 #[test]
 fn the_host_crash_scenario_passes() {
-    days(&["host-crash"]);
+    run_scenarios(&["host-crash"]);
 }
 
 #[test]
 fn the_stopped_host_scenario_passes() {
-    days(&["stopped-host"]);
+    run_scenarios(&["stopped-host"]);
 }
 
 #[test]
 fn the_scenarios_of_a_fleet_pass() {
-    days(&[
+    run_scenarios(&[
         "budget-cut",
         "budget-join",
         "budget-takeover",
@@ -121,26 +124,26 @@
 
 #[test]
 fn the_scenarios_of_server_maintenance_pass() {
-    days(&["out-nodes", "out-takeover"]);
+    run_scenarios(&["out-nodes", "out-takeover"]);
 }
 
 #[test]
 fn the_reload_scenario_passes() {
-    days(&["reload"]);
+    run_scenarios(&["reload"]);
 }
 
 #[test]
 fn the_zones_drain_scenario_passes() {
-    days(&["zones-drain"]);
+    run_scenarios(&["zones-drain"]);
 }
 
 #[test]
 fn the_hot_volume_scenario_passes() {
-    days(&["hot-volume"]);
+    run_scenarios(&["hot-volume"]);
 }
 
 #[test]
-fn wrong_arguments_and_documents_are_named() {
+fn errors_name_the_wrong_argument_or_the_place_in_the_document() {
     let dir = tempfile::tempdir().unwrap();
     let bad = dir.path().join("bad.kdl");
     std::fs::write(
@@ -149,15 +152,15 @@
     )
     .unwrap();
     let bad = bad.display().to_string();
-    let own = dir.path().join("own.kdl");
+    let custom = dir.path().join("own.kdl");
     std::fs::write(
-        &own,
+        &custom,
         "include \"bad.kdl\"\nday \"own\" lasts=\"1s\" { ask \"r\" rate=5; }\n",
     )
     .unwrap();
-    let own = own.display().to_string();
+    let custom = custom.display().to_string();
     let cases: [(&[&str], &str); 7] = [
-        (&["scenario", &own], "no plan is called \"x\""),
+        (&["scenario", &custom], "no plan is called \"x\""),
         (
             &["scenario", "bad-dya"],
             "no scenario and no file is called \"bad-dya\"",
--- a/crates/cli/tests/service.rs
+++ b/crates/cli/tests/service.rs
@@ -1,6 +1,6 @@
-//! A short form of the benchmark `service`: hosts, nodes, clients, volumes and documents come and go for some
-//! hours of given time, and what is held once all clients have left is what the present document and nodes account for.
-//! Lengths and counts only, from some seeds.
+//! A short form of the benchmark `service`: hosts, nodes, clients, volumes and documents come and go for some hours of
+//! simulated time. Once all clients have left, hosts hold only what the present document and nodes account for. The
+//! test compares lengths and counts, on a few seeds.
 
 #[path = "../benches/service/world.rs"]
 mod world;
@@ -8,15 +8,16 @@
 use gullsail_scheduler_api::Span;
 use world::World;
 
-/// Rounds of service, each with a quiet end in which all clients have left.
+/// Rounds of service; at the end of each, all clients leave for a while.
 const ROUNDS: usize = 6;
-/// A round lasts so long with clients, and so long without.
+/// The part of a round with clients, in simulated minutes.
 const SERVICE_MINUTES: f64 = 35.0;
+/// The part of a round without clients, in simulated minutes.
 const QUIET_MINUTES: f64 = 6.0;
-/// `core.starts`: the incarnations of a node that a host remembers at most.
+/// The most incarnations of a node that a host remembers (metric `core.starts`).
 const MAX_INCARNATIONS: usize = 8;
 
-/// The seeds to play: some, or those of `SERVICE_SEEDS`, as in `1..60`.
+/// The seeds to run: those of `SERVICE_SEEDS`, as in `1..60` (the last one included), or a few fixed ones.
 fn seeds() -> Vec<u64> {
     let text = std::env::var("SERVICE_SEEDS").unwrap_or_default();
     let named = text
@@ -32,10 +33,11 @@
     Span::from_millis(count * 60e3)
 }
 
-/// Guards against anything that grows with the nodes, documents, volumes, objects and clients of before: once all have
-/// left and nothing changes, hosts hold no more than hosts that have just served the same document and nodes.
+/// Guards against state that grows with former nodes, documents, volumes, objects and clients: once all clients have
+/// left and nothing changes, hosts hold no more than new hosts that have served the same document and nodes for one
+/// round.
 #[test]
-fn nothing_grows_over_hours() {
+fn state_does_not_grow_over_hours_of_service() {
     for seed in seeds() {
         let mut w = World::new(seed, 8.0);
         for _ in 0..ROUNDS {
@@ -71,7 +73,7 @@
     let (held, expected) = (w.size_metrics(), unchanging.size_metrics());
     for (name, length) in &held {
         let most = match *name {
-            // The account fills up to a bound of its own, tested in `zones`.
+            // The account grows up to a separate bound, which the tests of `zones` check.
             "core.account" => world::HOSTS * world::ACCOUNT,
             "core.starts" => expected["core.nodes"] * MAX_INCARNATIONS,
             _ => expected[name],
