--- a/crates/cli/tests/platform/kernel.rs
+++ b/crates/cli/tests/platform/kernel.rs
@@ -1,13 +1,13 @@
-//! The kernel's view of the host's connections: what the host has read of one, and whether it has closed it. An answer on
-//! another connection proves neither, since the host reads its connections in any order.
+//! The kernel's view of the host's connections: whether the host has read all input of a connection, and whether it has
+//! closed it. An answer on another connection proves neither, since the host reads its connections in any order.
 
 use crate::rig::{Host, SOON};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(1);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// One end of a connection, as `/proc/net/tcp` lists it.
 struct SocketRow {
@@ -15,7 +15,7 @@
     unacknowledged: u64,
     /// Bytes received and not yet read.
     unread: u64,
-    /// Names the socket among the descriptors of its process.
+    /// Identifies the socket among the descriptors of its process.
     inode: u64,
 }
 
@@ -28,7 +28,7 @@
     format!("{ip:08X}:{:04X}", address.port())
 }
 
-/// The end of a connection at `local`.
+/// The row of a connection's end at `local`; `None`: the kernel lists none.
 fn socket_row(local: SocketAddr, remote: SocketAddr) -> Option<SocketRow> {
     let ends = (kernel_address(local), kernel_address(remote));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -46,15 +46,15 @@
     })
 }
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(error: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + SOON;
     while !holds() {
-        assert!(Instant::now() < end, "{what}");
-        std::thread::sleep(LOOK_INTERVAL);
+        assert!(Instant::now() < end, "{error}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The host's socket of a client's connection.
+/// The host's end of a client's connection.
 pub struct HostSocket {
     inode: u64,
 }
@@ -75,8 +75,8 @@
         HostSocket { inode }
     }
 
-    /// Waits until the host has closed the socket. It does so once it has read the end of the connection, and its core
-    /// learns of that before it learns of anything that happens later.
+    /// Waits until the host has closed the socket. The host closes it after it has read the end of the connection, and
+    /// its core processes that end before any later event.
     pub fn wait_until_closed(&self, host: &Host) {
         let name = format!("socket:[{}]", self.inode);
         wait_until("the host does not close the connection", || {
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The real program on the platform's protocol, over loopback, with scripted peers and limits of its own.
+//! `gullsail platform` as a process, over loopback, with scripted peers and resource limits.
 
 mod kernel;
 mod pipelining;
@@ -17,7 +17,8 @@
 /// The trace id of the request that its node answers only when the test says so.
 const HELD_TRACE_ID: u64 = 0xff;
 
-/// A node that answers at once, except for [`HELD_TRACE_ID`]. Sending on the channel releases that response.
+/// A node that answers at once, except for the request with [`HELD_TRACE_ID`]. Sending on the channel releases that
+/// response.
 fn node_with_held_response() -> (SocketAddr, Sender<()>) {
     let (release, released) = channel::<()>();
     let released = Arc::new(Mutex::new(released));
@@ -30,7 +31,7 @@
     (node, release)
 }
 
-/// More silent connections than the host has descriptors: a usual client is served all the same.
+/// Opens more silent connections than the host has descriptors: a normal client is still served.
 fn check_flood_of_silent_clients(host: &Host) {
     let silent_clients: Vec<_> = (0..90).map(|_| host.client()).collect();
     std::thread::sleep(Duration::from_millis(400));
@@ -43,7 +44,8 @@
     drop(silent_clients);
 }
 
-/// A truncated document changes nothing; a complete one moves discovery, whose polls are returned.
+/// Reloads a truncated document, which is rejected, and then a complete one with another discovery service. Returns the
+/// polls of the new service.
 fn check_reload(host: &Host, old_discovery: SocketAddr, node: SocketAddr) -> Receiver<String> {
     std::fs::write(&host.file, &document(old_discovery)[..100]).unwrap();
     host.signal(Signal::SIGHUP);
@@ -55,20 +57,20 @@
 }
 
 #[test]
-fn it_serves_under_load_reloads_and_shuts_down_with_everything_answered() {
+fn it_serves_under_a_flood_reloads_and_answers_open_requests_at_shutdown() {
     let (node, release) = node_with_held_response();
     let (old_discovery, polls) = discovery(node);
     let mut host = Host::start(old_discovery);
     host.ready();
-    let mut usual_client = host.client();
-    send_request(&mut usual_client, 1);
-    let response = read_message(&mut usual_client).unwrap();
+    let mut normal_client = host.client();
+    send_request(&mut normal_client, 1);
+    let response = read_message(&mut normal_client).unwrap();
     assert!(response.ends_with("made by the node"));
     check_flood_of_silent_clients(&host);
-    let mut noisy_client = host.client();
+    let mut malformed_client = host.client();
     let noise = b"\x01\x02 noise\r\n\r\n";
-    noisy_client.get_mut().write_all(noise).unwrap();
-    assert_eq!(read_status(&mut noisy_client).as_deref(), Some("400"));
+    malformed_client.get_mut().write_all(noise).unwrap();
+    assert_eq!(read_status(&mut malformed_client).as_deref(), Some("400"));
     let polls_after_reload = check_reload(&host, old_discovery, node);
     for polls in [polls_after_reload, polls] {
         let first = polls.recv_timeout(SOON).unwrap();
@@ -86,12 +88,12 @@
 }
 
 #[test]
-fn an_invalid_document_exits_with_code_2_and_says_why() {
+fn an_invalid_document_exits_with_code_2_and_names_the_problem() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("config.json");
-    let sound = document("127.0.0.1:1".parse().unwrap());
-    let below = sound.replace(r#""parts":1.0"#, r#""parts":1.0,"limit":-1.0"#);
-    let small = sound.replace(
+    let valid = document("127.0.0.1:1".parse().unwrap());
+    let negative_limit = valid.replace(r#""parts":1.0"#, r#""parts":1.0,"limit":-1.0"#);
+    let small_burst = valid.replace(
         r#""parts":1.0"#,
         r#""parts":1.0,"limit":9.0,"limit-burst":5.0"#,
     );
@@ -100,11 +102,11 @@
         (Some("{\"listen\":7}"), "line 1"),
         (Some("{}"), "listen"),
         (
-            Some(below.as_str()),
+            Some(negative_limit.as_str()),
             "settings.policies[0].limit: a figure of 0 or more",
         ),
         (
-            Some(small.as_str()),
+            Some(small_burst.as_str()),
             "settings.policies[0].limit-burst: room for one",
         ),
     ];
@@ -116,7 +118,7 @@
             .env("PROXY_CONFIG", &file)
             .output()
             .unwrap();
-        // However the lines are broken.
+        // Undoes the line breaks and frame of the report.
         let output = String::from_utf8(ended.stderr).unwrap().replace('│', " ");
         let output = output.split_whitespace().collect::<Vec<_>>().join(" ");
         assert_eq!(ended.status.code(), Some(2), "{output}");
--- a/crates/cli/tests/platform/pipelining.rs
+++ b/crates/cli/tests/platform/pipelining.rs
@@ -1,9 +1,9 @@
 //! Several requests sent at once on one connection: each gets its response, whatever closes the connection.
 //!
-//! What happened: a host that shuts down announced the close with the first response and discarded what it had read
-//! behind that request. A stop soak lost between 2 and 85 connections' requests in each of six runs with pipelining;
-//! the requests had been sent 30 to 360 ms before the response that announced the close. The platform counts a request
-//! that was read and whose connection is closed without an answer as lost.
+//! The tests guard against requests that are lost at a shutdown: the host announces the close with the first response
+//! and discards the requests that it has read behind it. In a stop soak this lost the requests of 2 to 85 connections a
+//! run, sent 30 to 360 ms before the response that announced the close. The platform counts a request as lost if it was
+//! read and its connection is closed without an answer.
 
 use crate::kernel::HostSocket;
 use crate::rig::{Host, discovery, read_message, read_status, request_text, send_request};
@@ -13,7 +13,7 @@
 use std::net::TcpStream;
 use std::sync::mpsc::Sender;
 
-/// A host whose node holds the first of so many requests that a client has sent at once.
+/// A host and a client that has sent several requests at once. The node holds the response to the first one.
 struct HeldPipeline {
     host: Host,
     client: BufReader<TcpStream>,
@@ -21,6 +21,7 @@
 }
 
 impl HeldPipeline {
+    /// Starts the host and sends this many requests.
     fn start(requests: u64) -> HeldPipeline {
         let (node, release) = node_with_held_response();
         let (discovery, _polls) = discovery(node);
@@ -42,7 +43,7 @@
         std::iter::from_fn(|| read_message(&mut self.client)).collect()
     }
 
-    /// The client closes its side, and the host exits by itself.
+    /// Closes the client's connection and waits for the host to exit with code 0.
     fn end(mut self) {
         drop(self.client);
         assert_eq!(self.host.child.wait().unwrap().code(), Some(0));
@@ -53,7 +54,7 @@
     responses.iter().map(|text| &text[9..12]).collect()
 }
 
-/// Only the last response announces the close.
+/// Checks that the last response, and no earlier one, announces the close.
 fn assert_last_announces_close(responses: &[String]) {
     let announces = responses
         .iter()
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn requests_behind_an_open_one_are_served_when_the_host_stops() {
+fn requests_pipelined_behind_an_open_one_are_served_at_shutdown() {
     let mut held = HeldPipeline::start(4);
     held.host.signal(Signal::SIGTERM);
     held.host.line("listener closed");
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn requests_behind_an_open_one_are_refused_after_a_second_signal() {
+fn requests_pipelined_behind_an_open_one_are_refused_after_a_second_signal() {
     let mut held = HeldPipeline::start(4);
     held.host.signal(Signal::SIGTERM);
     held.host.line("listener closed");
@@ -90,9 +91,9 @@
     held.end();
 }
 
-/// More than the host buffers: it is refused, not dropped.
+/// Guards against pipelined requests that are dropped because they exceed the host's buffer: each gets a refusal.
 #[test]
-fn requests_beyond_what_is_buffered_are_refused() {
+fn pipelined_requests_beyond_the_buffer_are_refused() {
     let mut held = HeldPipeline::start(101);
     HostSocket::when_read(&held.host, &held.client);
     held.release.send(()).unwrap();
@@ -106,7 +107,7 @@
         .iter()
         .filter(|text| text.contains("X-Never-Ran: 1"));
     assert_eq!(never_ran.count(), 100);
-    // The connection serves on.
+    // The connection still serves requests.
     send_request(&mut held.client, 1);
     assert_eq!(read_status(&mut held.client).as_deref(), Some("200"));
     held.host.signal(Signal::SIGTERM);
--- a/crates/cli/tests/platform/races.rs
+++ b/crates/cli/tests/platform/races.rs
@@ -1,5 +1,5 @@
-//! Races on real sockets, forced by a peer that delays, a full window, or a process that is stopped while both events
-//! happen. Each test checks what must hold in whichever order the process then finds them.
+//! Races on real sockets, forced by a peer that delays, a full receive window, or a pause of the host's process while
+//! both events happen. Each test checks what must hold in whichever order the host then finds them.
 
 use crate::kernel::HostSocket;
 use crate::rig::{
@@ -20,7 +20,7 @@
     document(discovery).replace("\"give-up\":9000.0,\"objective\":9000.0", &times)
 }
 
-/// A node that reports its requests and gives this response; without one it never responds.
+/// A node that sends each request on the channel and gives this response; `None`: it does not respond.
 fn node(answer: Option<String>) -> (SocketAddr, Receiver<String>) {
     let (sender, requests) = channel();
     let address = serve(move |text| {
@@ -40,7 +40,7 @@
 }
 
 impl Received {
-    /// These responses, and an end in order.
+    /// Responses with these statuses, and an orderly end of the connection.
     fn in_order(statuses: &[&str]) -> Received {
         Received {
             statuses: statuses.iter().map(|status| status.to_string()).collect(),
@@ -61,8 +61,8 @@
     }
 }
 
-/// SIGTERM, with a request whose node never responds: the client's response is written before the process exits, once and
-/// completely, also after a second signal.
+/// Guards against open requests that are lost at SIGTERM, when their node never responds: the process writes one
+/// complete response before it exits, also after a second signal.
 #[test]
 fn open_requests_are_answered_before_the_exit() {
     for signals in [1, 2] {
@@ -89,32 +89,32 @@
     }
 }
 
-/// A client that reads slowly through a small window while the host shuts down gets the whole response.
+/// Guards against a response that is cut off at shutdown because its client reads slowly through a small window.
 #[test]
-fn a_slow_reader_gets_its_whole_response_during_shutdown() {
+fn a_slow_reader_gets_its_complete_response_during_shutdown() {
     let body = "b".repeat(60 << 10);
     let (node_address, requests) = node(Some(reply(&body)));
     let (address, _polls) = discovery(node_address);
     let mut host = Host::with(&document_with_times(address, 1000, 5000));
     host.ready();
-    let slow = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    slow.set_recv_buffer_size(2 << 10).unwrap();
-    slow.connect(&host.address.into()).unwrap();
-    let stream = TcpStream::from(slow);
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.set_recv_buffer_size(2 << 10).unwrap();
+    socket.connect(&host.address.into()).unwrap();
+    let stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(SOON)).unwrap();
-    let mut slow = std::io::BufReader::with_capacity(512, stream);
-    send_request(&mut slow, 1);
+    let mut slow_client = std::io::BufReader::with_capacity(512, stream);
+    send_request(&mut slow_client, 1);
     requests.recv_timeout(SOON).unwrap();
     host.signal(Signal::SIGTERM);
     host.line("listener closed");
-    let text = read_message(&mut slow).expect("a whole answer");
+    let text = read_message(&mut slow_client).expect("a whole answer");
     assert!(text.starts_with("HTTP/1.1 200") && text.ends_with(&body));
-    assert_eq!(read_responses(&mut slow), Received::in_order(&[]));
-    drop(slow);
+    assert_eq!(read_responses(&mut slow_client), Received::in_order(&[]));
+    drop(slow_client);
     assert_eq!(host.child.wait().unwrap().code(), Some(0));
 }
 
-/// Idle connections on which one request each was served.
+/// Idle connections, each after one request that was served.
 fn idle_clients(host: &Host, requests: &Receiver<String>) -> Vec<std::io::BufReader<TcpStream>> {
     let mut clients: Vec<_> = (0..8).map(|_| host.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
@@ -125,11 +125,11 @@
     clients
 }
 
-/// A message on an idle connection races the host's close of it, while the process is stopped: when it goes on, both are
-/// there. Either the message is served, or the connection ends in order and no node receives the request, so the
-/// client may send it again.
+/// A request on an idle connection races the host's close of that connection. The process is paused, so that it finds
+/// both the request and the expired time limit when it continues. Either the request is served, or the connection ends
+/// in order and no node receives the request, so that the client may send it again.
 #[test]
-fn a_message_racing_an_idle_close_is_served_or_never_forwarded() {
+fn a_request_racing_an_idle_close_is_served_or_never_forwarded() {
     for shutting_down in [false, true] {
         let (node_address, requests) = node(Some(reply("made by the node")));
         let (address, _polls) = discovery(node_address);
@@ -140,7 +140,7 @@
             host.signal(Signal::SIGTERM);
             host.line("shutdown started");
         }
-        // Longer than connections may be idle, and than the host accepts requests during the shutdown.
+        // Longer than a connection may be idle, and longer than the host accepts requests during its shutdown.
         host.signal(Signal::SIGSTOP);
         std::thread::sleep(Duration::from_millis(2_300));
         for (i, client) in clients.iter_mut().enumerate() {
@@ -169,16 +169,17 @@
     match statuses[..] {
         ["200"] => {}
         [] => assert_eq!(forwarded, 0, "forwarded, but never answered"),
-        // The host fails what is open shortly before the platform kills it.
+        // The host fails open requests shortly before the platform kills it.
         ["500" | "503"] => assert!(shutting_down, "{received:?}"),
         _ => panic!("{received:?}"),
     }
 }
 
-/// A node to which no connection is established until it starts to accept.
+/// A node with a full backlog: the kernel establishes no connection to it until it starts to accept.
 struct LateNode {
     listener: Socket,
     address: SocketAddr,
+    /// The connection that fills the backlog.
     fill: Vec<TcpStream>,
 }
 
@@ -199,7 +200,8 @@
         }
     }
 
-    /// From now on connections are established when the operating system tries again. Returns what is received on them.
+    /// Starts to accept: pending connections are established when the operating system retries. Returns the received
+    /// requests.
     fn start_accepting(mut self) -> Receiver<String> {
         let (sender, received) = channel();
         self.fill.clear();
@@ -223,32 +225,35 @@
 /// How a client leaves while its attempt waits for a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Departure {
+    /// The client closes its connection.
     InOrder,
+    /// The client resets its connection.
     Reset,
-    /// Behind more input than is buffered.
+    /// The client sends more requests than the host buffers and closes its connection.
     BehindInput,
-    /// Many clients at once.
+    /// Many clients close their connections at once.
     Burst,
-    /// It stays.
+    /// The client stays.
     None,
 }
 
 impl Departure {
-    /// Clients with an open request each.
+    /// Connects the clients and sends one request for each; the host has read it.
     fn clients(self, host: &Host) -> Vec<DepartingClient> {
         let count = if self == Departure::Burst { 12 } else { 1 };
         let mut clients: Vec<_> = (0..count).map(|_| host.client()).collect();
         for (i, client) in clients.iter_mut().enumerate() {
             send_request(client, 1 + i as u64);
         }
-        let read = |client| DepartingClient {
+        let wait_until_read = |client| DepartingClient {
             host_socket: HostSocket::when_read(host, &client),
             connection: client,
         };
-        clients.into_iter().map(read).collect()
+        clients.into_iter().map(wait_until_read).collect()
     }
 
-    /// The clients leave in this way; returns those that stay. The host has read the end of each connection by then.
+    /// Lets the clients leave in this way and waits until the host has closed their connections. Returns those that
+    /// stay.
     fn play(self, host: &Host, mut clients: Vec<DepartingClient>) -> Vec<DepartingClient> {
         if self == Departure::None {
             return clients;
@@ -280,7 +285,7 @@
     id[12..16].to_string()
 }
 
-/// A host whose connections to its node are established late.
+/// A host that waits up to 5 s for a connection to this node.
 fn host_with_late_node(node: SocketAddr) -> Host {
     let (address, _polls) = discovery(node);
     let text = document_with_times(address, 6000, 6000)
@@ -306,20 +311,21 @@
     Departure::None,
 ];
 
-/// Nothing is sent for a client that left when the connection is established; a client that stays is served.
+/// Guards against requests that are sent for clients that left while the connection to the node was being established.
+/// A client that stays is served.
 ///
-/// This test once took an answer on another connection for proof that the host had read a request and its client's end,
-/// and failed now and then beside load: the host reads its connections in any order. The kernel's view of the host's own
-/// socket proves it.
+/// The kernel's view of the host's socket shows that the host has read a request and its client's end. An answer on
+/// another connection does not show it, since the host reads its connections in any order: with that check the test
+/// failed sporadically under load.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_during_a_late_connect() {
+fn a_request_whose_client_left_before_the_node_connection_is_established_is_not_sent() {
     for departure in DEPARTURES {
         let late = LateNode::new();
         let host = host_with_late_node(late.address);
         let clients = departure.clients(&host);
         let mut staying = departure.play(&host, clients);
         let received = late.start_accepting();
-        // A request sent now is served when the connection is established, behind those that waited before.
+        // This request is served after the connection is established, behind the requests that already wait.
         let mut next = host.client();
         send_request(&mut next, 0x77);
         assert_eq!(
@@ -339,10 +345,10 @@
     }
 }
 
-/// The other order: the client leaves once its node has its request. The attempt runs to its end, nothing is sent again,
-/// and nothing is sent for what waited behind it.
+/// The other order: the client leaves after the node has received its request. The attempt completes, the request is
+/// not sent again, and requests pipelined behind it are not sent.
 #[test]
-fn a_request_that_was_sent_before_its_client_left_is_sent_once() {
+fn a_request_whose_client_left_after_it_was_sent_is_sent_once() {
     for departure in DEPARTURES {
         let (node, release) = crate::node_with_held_response();
         let (sender, received) = channel();
@@ -360,7 +366,7 @@
         let clients = departure.clients(&host);
         let mut sent = vec![short_trace_id(&received.recv_timeout(SOON).unwrap())];
         if departure == Departure::Burst {
-            // The others are sent on connections of their own, and answered or not.
+            // The other requests are sent on separate connections; whether they are answered does not matter.
             (1..12).for_each(|_| sent.push(short_trace_id(&received.recv_timeout(SOON).unwrap())));
         }
         let mut staying = departure.play(&host, clients);
@@ -380,11 +386,12 @@
     }
 }
 
-/// What a scripted discovery was asked, and whether it answered.
+/// A poll that a scripted discovery service received.
 #[derive(Debug, PartialEq)]
 struct Poll {
-    /// A poll for changes, which waits; else for the complete list.
+    /// `true`: a long poll for changes; `false`: a poll for the complete list.
     waits: bool,
+    /// Whether the service answered.
     answered: bool,
 }
 
@@ -403,7 +410,8 @@
     };
 }
 
-/// A discovery service that answers with a page, or is silent without one. Polls for changes wait for ever.
+/// A discovery service that answers polls for the list with a page, or does not answer without one. It never answers
+/// polls for changes.
 struct ScriptedDiscovery {
     address: SocketAddr,
     page: Arc<Mutex<Option<String>>>,
@@ -443,7 +451,7 @@
     }
 }
 
-/// A page with two nodes of one shard, the second of which serves.
+/// A page with two nodes of one shard; the second one is `SERVING`.
 fn two_nodes(first: SocketAddr, first_health: &str, second: SocketAddr, seq: u32) -> String {
     format!(
         r#"{{"seq":{seq},"whole":true,"hosts":[
@@ -452,7 +460,7 @@
     )
 }
 
-/// Sends a health check and keeps the connection open, whether there is a response in time or not.
+/// Sends a health check, waits up to 50 ms for the response, and keeps the connection open.
 fn lingering_client(host: &Host) -> std::io::BufReader<TcpStream> {
     let mut client = host.client();
     let stream = client.get_mut();
@@ -464,8 +472,8 @@
     client
 }
 
-/// Clients that send one request and stay hold every descriptor that clients may hold, while discovery is down. When
-/// discovery is back, its list reaches the host all the same.
+/// Guards against idle clients that keep the host from reaching discovery: while discovery is down, clients hold every
+/// descriptor that clients may hold. When discovery is back, the host still receives its list.
 #[test]
 fn idle_clients_do_not_block_discovery() {
     let (old, old_requests) = node(Some(reply("old")));
@@ -476,12 +484,12 @@
     assert_eq!(discovery.next_poll(), Poll::LIST);
     assert_eq!(discovery.next_poll(), Poll::CHANGES);
     discovery.set_page(None);
-    // The next poll for the list is not answered: the one for changes has timed out.
+    // The poll for changes times out; the poll for the list that follows is not answered.
     discovery.wait_for(&Poll::UNANSWERED_LIST);
     let idle_clients: Vec<_> = (0..90).map(|_| lingering_client(&host)).collect();
     discovery.set_page(Some(two_nodes(old, "DRAINING", new, 5)));
     discovery.wait_for(&Poll::LIST);
-    // The next poll is sent once the list has been applied.
+    // The host polls for changes once it has applied the list.
     discovery.wait_for(&Poll::CHANGES);
     drop(idle_clients);
     for trace in 1..=8 {
@@ -492,10 +500,10 @@
     assert!(old_requests.try_recv().is_err());
 }
 
-/// Resources of a process.
+/// Resource use of the host's process.
 struct Resources {
     descriptors: usize,
-    /// The most memory that it ever had, in MB.
+    /// Peak resident memory since the process started, in MB.
     peak_memory_mb: usize,
 }
 
@@ -514,7 +522,7 @@
     }
 }
 
-/// What a malformed node sends, by the last two digits of the request's trace id.
+/// The response of the malformed node; the last two digits of the request's trace id select its kind.
 fn malformed_response(text: &str) -> String {
     let trace = text
         .split_once("X-Trace-Id: ")
@@ -534,7 +542,7 @@
     }
 }
 
-/// A host with a node for each of two shards: the first one works, the second one is malformed.
+/// A host with one node for each of two shards: the first node works, the second one sends malformed responses.
 fn host_with_malformed_node() -> Host {
     let (good_node, _requests) = node(Some(reply("made for it")));
     let malformed_node = serve(|text| Some(malformed_response(text)));
@@ -554,28 +562,29 @@
     Host::with(&text.replace("\"slots-total\":1", "\"slots-total\":2"))
 }
 
-/// Clients that hold connections without a complete request; they are closed when this is dropped.
+/// Connections without a complete request; they are closed when this is dropped.
 struct Flood {
     _silent: Vec<TcpStream>,
-    _half_sent: Vec<TcpStream>,
+    _partial: Vec<TcpStream>,
     _endless: TcpStream,
 }
 
 impl Flood {
-    /// Silent clients, half messages, many messages of a client that leaves, and a body without end.
+    /// Opens silent connections, partial requests, a client that leaves after many requests, and a body that never
+    /// ends.
     fn start(host: &Host, round: u64) -> Flood {
         let connect = || TcpStream::connect(host.address).unwrap();
         let silent: Vec<_> = (0..60).map(|_| connect()).collect();
-        let mut half_sent: Vec<_> = (0..20).map(|_| connect()).collect();
-        for client in &mut half_sent {
+        let mut partial: Vec<_> = (0..20).map(|_| connect()).collect();
+        for client in &mut partial {
             let _ = client.write_all(b"PUT /read/0000");
         }
-        let mut gone = host.client();
+        let mut departed = host.client();
         for i in 0..300 {
             let text = request_text(0x1000 + round * 400 + i);
-            let _ = gone.get_mut().write_all(text.as_bytes());
+            let _ = departed.get_mut().write_all(text.as_bytes());
         }
-        drop(gone);
+        drop(departed);
         let mut endless = connect();
         let _ = endless.write_all(b"PUT /read/00 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
         for _ in 0..200 {
@@ -583,19 +592,19 @@
         }
         Flood {
             _silent: silent,
-            _half_sent: half_sent,
+            _partial: partial,
             _endless: endless,
         }
     }
 }
 
-/// A request that the malformed node receives, and usual ones behind it on the same connection.
+/// Sends a request to the malformed node, and then normal requests on the same connection, which must be served.
 fn check_malformed_response(host: &Host, trace: u64, case: &str) {
     let mut client = host.client();
     let text = request_text(trace).replace("shard=0", "shard=1");
     client.get_mut().write_all(text.as_bytes()).unwrap();
-    // A malformed response is never passed on; a complete one before unsolicited input is, if the node is still
-    // tried at all.
+    // A malformed response is never passed on. A complete one that unsolicited input follows is, if the host still
+    // sends requests to the node.
     let answer = read_message(&mut client).unwrap();
     let served = answer.starts_with("HTTP/1.1 200") && answer.ends_with("made for it");
     let complete = trace & 0xff == 0xee;
@@ -603,16 +612,16 @@
         served && complete || answer.starts_with("HTTP/1.1 50"),
         "{case}: {answer}"
     );
-    // Usual clients are served meanwhile. More than half of all attempts succeed, else the scheduler would send
-    // fewer.
+    // Normal requests are served meanwhile. They are so many that more than half of all attempts succeed, since
+    // otherwise the scheduler would send fewer.
     let mut last_answer = answer;
-    for usual_client in 1..=8 {
-        // While half-sent messages hold their slots the host is over its limit and may announce a close, as documented:
-        // what is sent on a connection after that is not received.
+    for normal_request in 1..=8 {
+        // While partial requests hold connections, the host is over its limit and may announce a close, as documented.
+        // It reads no request on a connection after that.
         if last_answer.contains("\r\nConnection: close") {
             client = host.client();
         }
-        send_request(&mut client, trace + (usual_client << 32));
+        send_request(&mut client, trace + (normal_request << 32));
         last_answer = read_message(&mut client).unwrap_or_default();
         assert!(
             last_answer.ends_with("made for it"),
@@ -621,17 +630,17 @@
     }
 }
 
-/// Floods, silent clients, endless pipelined messages, and nodes whose responses never end or are malformed: a usual
-/// client is served meanwhile, memory and descriptors stay within their bounds, and descriptors are released.
+/// Guards against memory and descriptors that grow without bound or leak: silent clients, floods of pipelined requests,
+/// bodies without end, and nodes whose responses are malformed or never end. Normal clients are served meanwhile.
 #[test]
 fn floods_and_endless_responses_are_bounded_and_released() {
     let host = host_with_malformed_node();
     host.ready();
-    let mut usual_client = host.client();
-    send_request(&mut usual_client, 1);
-    let answer = read_message(&mut usual_client).unwrap();
+    let mut normal_client = host.client();
+    send_request(&mut normal_client, 1);
+    let answer = read_message(&mut normal_client).unwrap();
     assert!(answer.ends_with("made for it"));
-    drop(usual_client);
+    drop(normal_client);
     let before = resources(&host).descriptors;
     for round in 0..6u64 {
         let flood = Flood::start(&host, round);
@@ -644,7 +653,7 @@
     }
     let peak = resources(&host).peak_memory_mb;
     assert!(peak <= 32, "{peak} MB");
-    // No client connection is left; connections to nodes may be idle.
+    // All client connections are closed by then; idle connections to nodes may remain.
     for _ in 0..400 {
         if resources(&host).descriptors <= before + 2 {
             return;
@@ -657,8 +666,8 @@
     );
 }
 
-/// A process that starts while discovery refuses connections, is silent, or is silent within its response becomes ready
-/// with the stored endpoints, and serves.
+/// Guards against a host that cannot start without discovery: discovery refuses connections, never responds, or stops
+/// in the middle of a response. The host becomes ready with the endpoints stored in its document, and serves.
 #[test]
 fn a_restarted_host_is_ready_without_discovery() {
     let (node_address, _asked) = node(Some(reply("made by the node")));
@@ -668,12 +677,12 @@
         .unwrap();
     let silent = serve(|_| None);
     let half = serve(|_| Some("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":2,".into()));
-    let known = format!(
+    let stored_members = format!(
         r#""known":{{"seq":1,"whole":true,"hosts":[{{"host":"s-1","dial":"{node_address}","site":"a","class":"m","block":0,
         "health":"SERVING","share":1.0,"born_ms":0}}]}},"settings""#
     );
-    for (what, address) in [("refuses", refuses), ("silent", silent), ("half", half)] {
-        let host = Host::with(&document(address).replacen("\"settings\"", &known, 1));
+    for (fault, address) in [("refuses", refuses), ("silent", silent), ("half", half)] {
+        let host = Host::with(&document(address).replacen("\"settings\"", &stored_members, 1));
         host.ready();
         let mut client = host.client();
         send_request(&mut client, 1);
@@ -681,7 +690,7 @@
             read_message(&mut client)
                 .unwrap()
                 .ends_with("made by the node"),
-            "{what}"
+            "{fault}"
         );
     }
 }
--- a/crates/cli/tests/platform/rig.rs
+++ b/crates/cli/tests/platform/rig.rs
@@ -1,4 +1,4 @@
-//! The real program and its peers, scripted: clients, nodes, discovery on loopback.
+//! `gullsail platform` as a process, with scripted peers on loopback: clients, nodes and discovery.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -9,9 +9,11 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
+/// Longer than any expected wait.
 pub const SOON: Duration = Duration::from_secs(20);
 
-/// One message: its head, and as much body as it states.
+/// Reads one HTTP message: the head, and a body of the stated length. `None`: the connection ended, or nothing came in
+/// time.
 pub fn read_message(from: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
     let mut length = 0;
@@ -33,7 +35,8 @@
     Some(text + &String::from_utf8(body).ok()?)
 }
 
-/// Answers every message on every connection; what `answer` returns `None` for waits for ever.
+/// Starts a server that answers each message on each connection with the result of `answer`. `None`: no answer; the
+/// connection is blocked for [`SOON`].
 pub fn serve(answer: impl Fn(&str) -> Option<String> + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -62,7 +65,7 @@
     )
 }
 
-/// A discovery service with one node. Reports the first line of each poll, and lets long polls wait.
+/// A discovery service with one node. Sends the first line of each poll on the channel, and does not answer long polls.
 pub fn discovery(node: SocketAddr) -> (SocketAddr, Receiver<String>) {
     let (sender, polls): (Sender<String>, _) = channel();
     let address = serve(move |text| {
@@ -101,12 +104,12 @@
         Host::with(&document(discovery))
     }
 
-    /// With 64 descriptors, whatever the document says.
+    /// Starts a host with this document and a limit of 64 descriptors, whatever the document says.
     pub fn with(document: &str) -> Host {
         Host::with_descriptors(document, 64)
     }
 
-    /// With so many descriptors, whatever the document says.
+    /// Starts a host with this document and this limit of descriptors, whatever the document says.
     pub fn with_descriptors(document: &str, descriptors: usize) -> Host {
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("config.json");
@@ -140,7 +143,7 @@
         host
     }
 
-    /// The next line of the log that holds this.
+    /// Waits for the next line of the log that contains this text.
     pub fn line(&self, part: &str) -> String {
         loop {
             let line = self
@@ -153,7 +156,7 @@
         }
     }
 
-    /// The lines of the log that nobody has asked for yet.
+    /// The lines of the log that have not been read yet.
     #[allow(dead_code, reason = "the stop soak shows them")]
     pub fn log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
--- a/crates/cli/tests/stop_soak/main.rs
+++ b/crates/cli/tests/stop_soak/main.rs
@@ -4,7 +4,7 @@
 
 use soak::HostKind;
 
-/// Runs at once: few, since each has clients, nodes and a host of its own.
+/// Concurrent runs: few, since each one starts a host, nodes and clients.
 const AT_ONCE: usize = 3;
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=18;
 
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn the_platform_host_answers_all_when_it_stops() {
+fn the_platform_host_answers_all_requests_at_shutdown() {
     soak(HostKind::Platform);
 }
 
 #[test]
-fn the_host_answers_all_when_it_stops() {
+fn the_host_answers_all_requests_at_shutdown() {
     soak(HostKind::Own);
 }
--- a/crates/cli/tests/stop_soak/soak/clients.rs
+++ b/crates/cli/tests/stop_soak/soak/clients.rs
@@ -1,4 +1,4 @@
-//! What all clients of a run share, and the threads that they run in.
+//! The state that all clients of a run share, and the clients' threads.
 
 use super::draw::Draw;
 use super::verdict::Sent;
@@ -10,16 +10,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a client waits before it connects again.
+/// How long a client waits before it reconnects.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(10);
-/// A client's pause ends at least this often to see whether the run is over.
+/// A client in a pause checks this often whether the run is over.
 const PAUSE_STEP: Duration = Duration::from_millis(20);
 
-/// What the clients of a run share.
+/// State that the clients of a run share.
 pub struct Shared {
     pub draw: Draw,
     pub host: SocketAddr,
-    began: Instant,
+    start: Instant,
     over: AtomicBool,
     last_id: AtomicU64,
     sent: Mutex<Vec<Sent>>,
@@ -31,7 +31,7 @@
         Arc::new(Shared {
             draw,
             host,
-            began: Instant::now(),
+            start: Instant::now(),
             over: AtomicBool::new(false),
             last_id: AtomicU64::new(0),
             sent: Mutex::default(),
@@ -41,14 +41,14 @@
 
     /// The time since the load began.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.start.elapsed()
     }
 
     pub fn sleep_until(&self, at: Duration) {
         std::thread::sleep(at.saturating_sub(self.now()));
     }
 
-    /// The clients end.
+    /// Ends the run: the clients stop.
     pub fn end(&self) {
         self.over.store(true, Ordering::Relaxed);
     }
@@ -78,7 +78,7 @@
         all.push(what);
     }
 
-    /// All requests, and what came that nobody had asked for.
+    /// All recorded requests, and descriptions of answers that belong to no open request.
     pub fn results(&self) -> (Vec<Sent>, Vec<String>) {
         let sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
         let extra = self
@@ -89,7 +89,7 @@
     }
 }
 
-/// One client: it connects again and again until the run is over.
+/// A client that reconnects until the run is over.
 pub struct Client {
     pub shared: Arc<Shared>,
     pub number: usize,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Thinks for as long as was drawn. Returns whether the run goes on.
+    /// Pauses for a random time. Returns whether the run is still going on.
     pub fn think(&mut self) -> bool {
         let longest = self.shared.draw.longest_think_ms;
         let mut left = Duration::from_millis(self.rng.random_range(0..=longest));
@@ -120,12 +120,12 @@
         !self.shared.is_over()
     }
 
-    /// How many requests are sent at once.
+    /// Draws how many requests the client sends at once.
     pub fn draw_burst(&mut self) -> usize {
         self.rng.random_range(1..=self.shared.draw.most_at_once)
     }
 
-    /// A request that was just written.
+    /// The record of a request that was just written.
     pub fn sent(&self, id: u64, place: usize, crossed: bool) -> Sent {
         Sent {
             id,
@@ -143,7 +143,8 @@
     }
 }
 
-/// Starts clients with these numbers; each serves one connection after the other.
+/// Starts clients with these numbers, each in a thread. `serve` plays one connection of a client; it is called until
+/// the run is over.
 pub fn start(
     shared: &Arc<Shared>,
     numbers: std::ops::Range<usize>,
--- a/crates/cli/tests/stop_soak/soak/draw.rs
+++ b/crates/cli/tests/stop_soak/soak/draw.rs
@@ -1,16 +1,16 @@
-//! What a seed draws: times, clients, nodes, signals and what is lost meanwhile.
+//! The parameters of a run, drawn from its seed: times, clients, nodes, signals, and which peer falls silent.
 
 use nix::sys::signal::Signal;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The longest deadline that the platform counts when it sets the time of the kill, in ms.
+/// The longest deadline that the platform takes into account when it schedules SIGKILL, in ms.
 const LONGEST_COUNTED_DEADLINE_MS: u64 = 3000;
-/// What the platform adds to it, in ms.
+/// The time that the platform adds to that deadline, in ms.
 const EXTRA_GRACE_MS: u64 = 700;
 
-/// A signal, and when it is sent.
+/// A signal and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedSignal {
     /// After the first SIGTERM, in ms; negative: before it.
@@ -26,7 +26,7 @@
     pub clients: usize,
 }
 
-/// A part of the host's surroundings that falls silent.
+/// The peer of the host that stops answering.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lost {
     Nothing,
@@ -34,7 +34,7 @@
     Discovery,
 }
 
-/// One run of the soak.
+/// The parameters of one run of the soak.
 #[derive(Clone, Debug)]
 pub struct Draw {
     pub seed: u64,
@@ -46,7 +46,7 @@
     pub most_at_once: usize,
     /// Clients that read slowly through a small window.
     pub slow_readers: usize,
-    /// Clients on the project's own protocol that ignore what they are told and send until the end.
+    /// Clients of `gullsail host` that ignore `GoAway` and send until the connection ends.
     pub ignorant_clients: usize,
     pub request_bytes: usize,
     pub response_bytes: usize,
@@ -59,9 +59,9 @@
     pub signals: Vec<TimedSignal>,
     pub crowd: Option<Crowd>,
     pub lost: Lost,
-    /// When it is lost, after the first SIGTERM, in ms; negative: before it.
+    /// When the peer falls silent, after the first SIGTERM, in ms; negative: before it.
     pub lost_at_ms: i64,
-    /// Who give commands over the control socket of a host on the project's own protocol.
+    /// Operators that give commands over the control socket of `gullsail host`.
     pub operators: usize,
 }
 
@@ -99,13 +99,13 @@
         }
     }
 
-    /// From the first SIGTERM to the kill, at the platform's earliest.
+    /// The shortest time from the first SIGTERM to the platform's SIGKILL, in ms.
     pub fn grace_ms(&self) -> u64 {
         self.deadline_ms.min(LONGEST_COUNTED_DEADLINE_MS) + EXTRA_GRACE_MS
     }
 }
 
-/// SIGHUPs around the first SIGTERM, and more SIGTERMs behind it.
+/// Draws SIGHUPs around the first SIGTERM, and further SIGTERMs after it.
 fn draw_signals(rng: &mut ChaCha8Rng) -> Vec<TimedSignal> {
     let mut signals = Vec::new();
     for _ in 0..rng.random_range(0..=4) {
--- a/crates/cli/tests/stop_soak/soak/mod.rs
+++ b/crates/cli/tests/stop_soak/soak/mod.rs
@@ -1,9 +1,10 @@
-//! The stop soak: a host is told to stop while clients go on using their connections until the kill. Each seed draws times,
-//! clients, nodes that hang, signals in series, a crowd, slow readers, bodies, several requests at once, and a node or
-//! discovery that falls silent in the same second.
+//! The stop soak: a host gets SIGTERM while clients continue to use their connections until the kill. Each seed draws
+//! times, clients, nodes that hang, series of signals, a crowd of clients, slow readers, bodies, several requests at
+//! once, and a node or discovery that falls silent within the same second.
 //!
-//! The verdict comes from the clients' end and the kernel there, not from the host: every request that was written whole to
-//! a connection whose end had not come gets one whole answer in time, except what the platform allows.
+//! The verdict rests on what clients and the kernel observe at the clients' end, not on the host's account: every
+//! request that was completely written to a connection before the connection's end arrived gets one complete answer in
+//! time, except for the losses that the platform allows.
 
 mod clients;
 mod draw;
@@ -12,12 +13,12 @@
 mod platform_host;
 mod verdict;
 
-/// The rig of the tests of the platform's host. A run uses a part of it.
+/// The rig of the tests of `gullsail platform`. The soak uses a part of it.
 #[allow(dead_code)]
 #[path = "../../platform/rig.rs"]
 mod platform_rig;
 
-/// The client of the tests of the fleet.
+/// The client of the tests of a fleet.
 #[path = "../../fleet/client.rs"]
 mod frame_client;
 
@@ -26,10 +27,10 @@
 use std::sync::{Mutex, PoisonError};
 use verdict::{Sums, Verdict, shown};
 
-/// Lines of a failed run's log that are shown.
+/// How many lines of the host's log the report of a failed run shows.
 const SHOWN_LOG_LINES: usize = 25;
 
-/// Which host is soaked.
+/// The command whose host is tested.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostKind {
     /// `gullsail platform`.
@@ -39,7 +40,7 @@
 }
 
 impl HostKind {
-    /// Its name on the command line.
+    /// The value of the benchmark's option `--host`.
     pub fn name(self) -> &'static str {
         match self {
             HostKind::Platform => "platform",
@@ -56,17 +57,17 @@
     }
 }
 
-/// What came of all runs.
+/// The results of all runs.
 #[derive(Default)]
 pub struct Report {
     sums: Sums,
-    /// Of each failed seed what was seen.
+    /// The failed seeds, each with the text that describes the failure.
     pub failed: Vec<(u64, String)>,
     runs: usize,
 }
 
 impl Report {
-    /// One line on all runs.
+    /// One line with the sums of all runs.
     pub fn summary(&self, kind: HostKind) -> String {
         let Sums {
             requests,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Plays these seeds, so many at once. `on_failure` is told of each that fails.
+/// Plays these seeds, `at_once` of them concurrently. Calls `on_failure` with a description of each failed run.
 pub fn play(
     kind: HostKind,
     seeds: impl IntoIterator<Item = u64>,
@@ -125,7 +126,8 @@
     report
 }
 
-/// A failed run: its command, the requests' stories, what was drawn and the end of the host's log.
+/// Describes a failed run: the command that repeats it, the failed requests, the run's parameters and the end of the
+/// host's log.
 fn failure_text(kind: HostKind, seed: u64, verdict: &Verdict, log: &[String]) -> String {
     let from = log.len().saturating_sub(SHOWN_LOG_LINES);
     format!(
--- a/crates/cli/tests/stop_soak/soak/operators.rs
+++ b/crates/cli/tests/stop_soak/soak/operators.rs
@@ -1,5 +1,5 @@
 //! Operators of a run: they give commands over the control socket until the run is over. Each command that the host has
-//! read gets one whole reply.
+//! read gets one complete reply.
 
 use super::clients::Shared;
 use rand::seq::IndexedRandom;
@@ -12,11 +12,11 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Past any reply: longer than a command waits for its result.
+/// How long an operator waits for a reply: longer than the host waits for the result of a command.
 const PATIENCE: Duration = Duration::from_secs(30);
 /// The longest pause between two commands of one operator, in ms.
 const LONGEST_PAUSE_MS: u64 = 60;
-/// What operators ask for. `N` is a node's name.
+/// The requests of operators. `N` stands for the name of a node.
 const REQUESTS: [&str; 6] = [
     "{\"ask\":\"status\"}\n",
     "{\"ask\":\"reload\"}\n",
@@ -26,18 +26,20 @@
     "{\"ask\":\"word\",\"kind\":\"out\",\"names\":[\"nobody\"]}\n",
 ];
 
-/// What one operator saw.
+/// The results of one operator.
 #[derive(Debug, Default)]
 pub struct OperatorReport {
+    /// Commands that got a complete reply.
     pub commands: usize,
     pub failures: Vec<String>,
 }
 
-/// What became of a command.
+/// The result of a command.
 enum Reply {
-    /// The host was not there, or had not read the command when it ended.
+    /// The host refused the connection, or ended before it read the command.
     NotRead,
-    Whole,
+    Complete,
+    /// The command was read, but its reply is incomplete or missing.
     Broken(String),
 }
 
@@ -60,13 +62,13 @@
         let request = REQUESTS.choose(&mut rng).unwrap_or(&REQUESTS[0]);
         let request = request.replace('N', &node);
         let at = shared.now();
-        match give(socket, &request) {
+        match give_command(socket, &request) {
             Reply::NotRead => {}
-            Reply::Whole => report.commands += 1,
-            Reply::Broken(what) => {
+            Reply::Complete => report.commands += 1,
+            Reply::Broken(problem) => {
                 let request = request.trim_end();
                 let failure =
-                    format!("operator {number}, {request} {at:?} after the start: {what}");
+                    format!("operator {number}, {request} {at:?} after the start: {problem}");
                 report.failures.push(failure);
             }
         }
@@ -74,9 +76,9 @@
     report
 }
 
-/// Gives one command. A host that ends before it has read what was written resets the connection; one that has read it
-/// and says nothing ends it in order.
-fn give(socket: &Path, request: &str) -> Reply {
+/// Gives one command. If the host ends before it has read the command, the connection is reset; if the host has read
+/// the command and does not reply, the connection ends in order.
+fn give_command(socket: &Path, request: &str) -> Reply {
     let Ok(mut stream) = UnixStream::connect(socket) else {
         return Reply::NotRead;
     };
@@ -91,7 +93,7 @@
         Err(error) if error.kind() == ErrorKind::ConnectionReset => Reply::NotRead,
         Err(error) => Reply::Broken(format!("{error} after {text:?}")),
         Ok(_) => match serde_json::from_str::<serde_json::Value>(&text) {
-            Ok(reply) if reply["told"].is_string() && text.ends_with('\n') => Reply::Whole,
+            Ok(reply) if reply["told"].is_string() && text.ends_with('\n') => Reply::Complete,
             _ => Reply::Broken(format!("no whole reply: {text:?}")),
         },
     }
--- a/crates/cli/tests/stop_soak/soak/own_host.rs
+++ b/crates/cli/tests/stop_soak/soak/own_host.rs
@@ -1,4 +1,4 @@
-//! A run of the host on the project's own protocol, with simulated nodes as processes. One that hangs is paused.
+//! A run of `gullsail host`, with simulated nodes as processes. To make a node hang, the run pauses its process.
 
 use super::clients::{self, Client, Shared};
 use super::draw::Draw;
@@ -15,11 +15,12 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How much longer than its bound a client waits for an answer.
+/// How much longer than its deadline a client waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(1500);
-/// A host has so long after the longest deadline to let its clients leave and to write what it holds.
+/// The host must exit within this time after the longest deadline: in it, clients leave and the host writes its
+/// remaining output.
 const EXIT_TIME: Duration = Duration::from_secs(4);
-/// The tick of the host's decisions. Answers precede their deadline by two: slack for a machine that is busy.
+/// The host's tick. Answers are sent two ticks before their deadline, which leaves time on a busy machine.
 const TICK_MS: u64 = 100;
 
 /// A process of a run, killed by its own id when dropped.
@@ -34,7 +35,7 @@
 }
 
 impl Process {
-    /// Starts the program; returns once it listens, with its address.
+    /// Starts the program and waits until it listens. Returns the process and its address.
     fn start(dir: &Path, arguments: &[&str], log: &str) -> (Process, SocketAddr) {
         let log = std::fs::File::create(dir.join(log)).expect("a log");
         let mut child = Command::new(env!("CARGO_BIN_EXE_gullsail"))
@@ -110,7 +111,8 @@
     (verdict, lines)
 }
 
-/// The host exits by itself, with code 0, once its clients have left.
+/// Waits for the host's exit, until `latest` at most. The host must exit by itself, with code 0, once its clients have
+/// left.
 fn wait_for_exit(
     shared: &Shared,
     child: &mut Child,
@@ -160,16 +162,16 @@
     text
 }
 
-/// How a client's connection goes on.
+/// The state of a client's connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Connection {
     Open,
-    /// The host has told the client to go away.
+    /// The host has sent `GoAway`.
     GoingAway,
     Ended,
 }
 
-/// Serves one connection of a client until it ends. Some clients ignore that they are told to go away.
+/// Plays one connection of a client until it ends. Some clients ignore `GoAway`.
 fn serve_connection(client: &mut Client) {
     let patience = client.shared.deadline() + PATIENCE;
     let Ok(mut link) = frame_client::Client::connect(client.shared.host, patience) else {
@@ -198,7 +200,7 @@
     }
 }
 
-/// Sends some requests; returns those that were written whole.
+/// Sends some requests; returns those that were completely written.
 fn send_burst(client: &mut Client, link: &mut frame_client::Client) -> Vec<Sent> {
     let timeout = client.shared.deadline();
     let mut sent = Vec::new();
--- a/crates/cli/tests/stop_soak/soak/platform_host.rs
+++ b/crates/cli/tests/stop_soak/soak/platform_host.rs
@@ -1,4 +1,4 @@
-//! A run of the host on the platform's protocol.
+//! A run of `gullsail platform`.
 
 use super::clients::{self, Client, Shared};
 use super::draw::{Draw, Lost};
@@ -15,18 +15,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Descriptors of the host: 139 places for clients, which a crowd exceeds.
+/// The host's limit of descriptors. It leaves 139 for clients, which a crowd exceeds.
 const DESCRIPTORS: usize = 256;
-/// Receive buffer of a slow reader, in bytes.
+/// The receive buffer of a slow reader, in bytes.
 const SMALL_WINDOW: usize = 2 << 10;
 /// How long a slow reader waits before it reads.
 const SLOW_READER_PAUSE: Duration = Duration::from_millis(60);
-/// How much longer than its bound a client waits for an answer.
+/// How much longer than its deadline a client waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(1500);
-/// What is left to the clients after the kill.
+/// How long clients continue after the kill.
 const AFTER_KILL: Duration = Duration::from_millis(300);
 
-/// What falls silent during a run, shared with the scripted processes.
+/// Switches that silence scripted peers during a run, shared with the peers' threads.
 #[derive(Clone, Default)]
 struct Silent {
     node: Arc<AtomicBool>,
@@ -36,7 +36,7 @@
 /// Plays a run; returns the verdict and the lines of the host's log.
 pub fn play(draw: &Draw) -> (Verdict, Vec<String>) {
     let silent = Silent::default();
-    let discovery = start_surroundings(draw, &silent);
+    let discovery = start_peers(draw, &silent);
     let mut host = Host::with_descriptors(&document_of(draw, discovery), DESCRIPTORS);
     host.ready();
     let shared = Shared::new(draw.clone(), host.address);
@@ -44,14 +44,14 @@
     let signalled = Duration::from_millis(draw.stop_after_ms);
     for event in events(draw) {
         shared.sleep_until(at(signalled, event.at_ms));
-        match event.what {
-            What::Signal(signal) => host.signal(signal),
-            What::Crowd(count) => {
+        match event.action {
+            Action::Signal(signal) => host.signal(signal),
+            Action::Crowd(count) => {
                 let numbers = draw.clients..draw.clients + count;
                 threads.extend(clients::start(&shared, numbers, serve_connection));
             }
-            What::Lost(Lost::Node) => silent.node.store(true, Ordering::Relaxed),
-            What::Lost(_) => silent.discovery.store(true, Ordering::Relaxed),
+            Action::Lost(Lost::Node) => silent.node.store(true, Ordering::Relaxed),
+            Action::Lost(_) => silent.discovery.store(true, Ordering::Relaxed),
         }
     }
     let kill_at = signalled + Duration::from_millis(draw.grace_ms());
@@ -65,7 +65,7 @@
     (judge(&sent, &extra, &stop), host.log_lines())
 }
 
-/// Waits until the host has exited, or kills it when its time is over.
+/// Waits until the host has exited, or kills it at `kill_at`.
 fn wait_for_end(
     shared: &Shared,
     child: &mut Child,
@@ -106,7 +106,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum What {
+enum Action {
     Signal(Signal),
     Crowd(usize),
     Lost(Lost),
@@ -114,36 +114,36 @@
 
 struct Event {
     at_ms: i64,
-    what: What,
+    action: Action,
 }
 
-/// What happens in a run, in order.
+/// The events of a run, in order of time.
 fn events(draw: &Draw) -> Vec<Event> {
     let signals = draw.signals.iter().map(|signal| Event {
         at_ms: signal.at_ms,
-        what: What::Signal(signal.signal),
+        action: Action::Signal(signal.signal),
     });
     let mut events: Vec<Event> = signals.collect();
     events.push(Event {
         at_ms: 0,
-        what: What::Signal(Signal::SIGTERM),
+        action: Action::Signal(Signal::SIGTERM),
     });
     events.extend(draw.crowd.map(|crowd| Event {
         at_ms: crowd.at_ms,
-        what: What::Crowd(crowd.clients),
+        action: Action::Crowd(crowd.clients),
     }));
     if draw.lost != Lost::Nothing {
         events.push(Event {
             at_ms: draw.lost_at_ms,
-            what: What::Lost(draw.lost),
+            action: Action::Lost(draw.lost),
         });
     }
     events.sort_by_key(|event| event.at_ms);
     events
 }
 
-/// Starts the nodes and discovery; returns discovery's address. One that is lost answers nothing any more.
-fn start_surroundings(draw: &Draw, silent: &Silent) -> SocketAddr {
+/// Starts the nodes and discovery; returns discovery's address. A silenced peer stops answering.
+fn start_peers(draw: &Draw, silent: &Silent) -> SocketAddr {
     let body = "b".repeat(draw.response_bytes);
     let delay = Duration::from_millis(draw.node_delay_ms);
     let start_node = |place: usize| {
@@ -196,7 +196,7 @@
         .replace("\"sockets\":64", &format!("\"sockets\":{DESCRIPTORS}"))
 }
 
-/// Serves one connection of a client until it ends.
+/// Plays one connection of a client until it ends.
 fn serve_connection(client: &mut Client) {
     let Some(mut reader) = connect(client) else {
         return;
@@ -214,9 +214,9 @@
             Look::Nothing => {}
         }
         let mut sent = send_burst(client, reader.get_mut());
-        let goes_on = read_answers(client, &mut reader, &mut sent);
+        let stays_open = read_answers(client, &mut reader, &mut sent);
         client.shared.record(sent);
-        if !goes_on {
+        if !stays_open {
             return;
         }
     }
@@ -262,8 +262,8 @@
     }
 }
 
-/// Sends some requests, each in a write of its own, or all in one. Returns those that were written whole. What the client
-/// knows to be in vain it does not send.
+/// Sends some requests, each in a separate write or all in one. Returns those that were completely written. With
+/// separate writes, the client stops once anything has arrived on the connection.
 fn send_burst(client: &mut Client, stream: &mut TcpStream) -> Vec<Sent> {
     let mut requests = Vec::new();
     for _ in 0..client.draw_burst() {
@@ -290,7 +290,7 @@
     sent
 }
 
-/// Reads the answers in order. Returns whether the connection goes on.
+/// Reads the answers in order. Returns whether the connection stays in use.
 fn read_answers(client: &Client, reader: &mut BufReader<TcpStream>, sent: &mut [Sent]) -> bool {
     if sent.is_empty() {
         return false;
--- a/crates/cli/tests/stop_soak/soak/verdict.rs
+++ b/crates/cli/tests/stop_soak/soak/verdict.rs
@@ -1,36 +1,37 @@
-//! What became of each request, told by its client and by the kernel at the client's end.
+//! The verdict on each request, from what its client and the kernel at the client's end observed.
 
 use std::fmt::Write;
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// An answer may come this long after its deadline: it is worth nothing, but not lost. The platform states it.
+/// An answer that comes up to this long after its deadline is useless but does not count as lost. The platform sets
+/// this value.
 const LATE_IS_NOT_LOST: Duration = Duration::from_millis(500);
-/// What the host finds unanswered when it is killed may be lost if it was sent this long after SIGTERM. The platform
-/// states it.
+/// A request that is unanswered when the host is killed may be lost if it was sent later than this after SIGTERM. The
+/// platform sets this value.
 const OWED_AFTER_SIGTERM: Duration = Duration::from_millis(700);
-/// A close of an idle connection and a request cross if they are no further apart. The platform adds as much to every
-/// time limit on sockets.
+/// The close of an idle connection and a request cross if they are at most this far apart. The platform adds as much to
+/// every time limit on sockets.
 const CROSSING: Duration = Duration::from_millis(50);
-/// Failures that are told of one seed.
+/// How many failures of a seed are shown.
 const SHOWN_FAILURES: usize = 3;
 
-/// What a look at the client's end of a connection shows.
+/// What waits to be read at the client's end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Look {
-    /// Nothing waits to be read.
+    /// Nothing has arrived.
     Nothing,
-    /// Bytes wait.
+    /// Bytes have arrived.
     Bytes,
-    /// The host's end has come, in order or as a reset.
+    /// The end of the connection has arrived, in order or as a reset.
     End,
 }
 
-/// Looks without waiting.
+/// Peeks at the connection without blocking or consuming input.
 pub fn look(stream: &TcpStream) -> Look {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     let socket = socket2::SockRef::from(stream);
-    // The flag is of the call alone: other reads of the socket still wait.
+    // `MSG_DONTWAIT` applies to this call only: other reads of the socket still block.
     let peeked = socket.recv_with_flags(&mut byte, nix::libc::MSG_PEEK | nix::libc::MSG_DONTWAIT);
     match peeked {
         Ok(0) => Look::End,
@@ -40,33 +41,35 @@
     }
 }
 
-/// A request that was written whole. Times are since the load began.
+/// A request that was completely written. Times are since the start of the load.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub id: u64,
     pub client: usize,
-    /// Numbers the connections of the client.
+    /// The number of the connection among those of the client.
     pub connection: u32,
-    /// Its place among the requests sent at once.
+    /// The position among the requests sent at once, from 0.
     pub place: usize,
     pub at: Duration,
     pub deadline: Duration,
-    /// The host's end had come, with nothing before it, when the request was written: it crossed a close.
+    /// When the request had been written, the end of the connection had arrived with nothing before it: the request
+    /// crossed a close.
     pub crossed: bool,
-    /// The host had told the client to go away on this connection.
+    /// The host had announced on this connection that it closes.
     pub announced: bool,
-    /// When its whole answer came, and what it was.
+    /// When the complete answer arrived, and its status or outcome.
     pub answer: Option<(Duration, String)>,
-    /// When the client saw the end of the connection, or gave up.
+    /// When the client saw the end of the connection or stopped waiting; `None`: neither happened while it waited.
     pub ended: Option<Duration>,
-    /// The connection was idle before, nothing came on it after, and its end was no reset.
+    /// The connection was idle before the request, nothing arrived on it afterwards, and it did not end with a reset.
     pub unanswered_in_order: bool,
 }
 
 impl Sent {
-    /// It crossed the host's close of an idle connection. The platform allows that of a request that the host has not read,
-    /// and its clients send it once more. A trace of such runs (`strace` of the host) shows the order: nothing to read,
-    /// this side's direction closed within 0.8 ms, and then the request. A reset is no such close.
+    /// Whether the request crossed the host's close of an idle connection. The platform allows such a loss if the host
+    /// has not read the request, and its clients send the request once more. `strace` of the host shows the order: the
+    /// host finds nothing to read, closes its direction within 0.8 ms, and then the request arrives. A reset is no such
+    /// close.
     fn crossed_idle_close(&self) -> bool {
         let ended = self.ended.unwrap_or(Duration::MAX);
         self.crossed || (self.unanswered_in_order && ended.saturating_sub(self.at) <= CROSSING)
@@ -76,26 +79,26 @@
 /// How the host's process ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Exit {
-    /// By itself, with this code.
+    /// The process exited with this code.
     Code(i32),
-    /// By the kill.
+    /// The run killed the process.
     Killed,
 }
 
-/// The sums of one run.
+/// Counts of one run, or of all runs together.
 #[derive(Clone, Debug, Default)]
 pub struct Sums {
     pub requests: usize,
     pub answered: usize,
-    /// Crossed the close of an idle connection, which the platform allows.
+    /// Unanswered requests that crossed the close of an idle connection, which the platform allows.
     pub crossed: usize,
-    /// Sent in spite of an announced close, and unanswered at the end.
+    /// Unanswered requests that were sent in spite of an announced close.
     pub ignored_announcement: usize,
-    /// Unanswered at the kill, which the platform allows of late ones.
+    /// Requests sent late and unanswered at the kill, which the platform allows.
     pub killed: usize,
-    /// Operators' commands that had a whole reply.
+    /// Operators' commands that got a complete reply.
     pub commands: usize,
-    /// The least time that was left of any answer's bound.
+    /// The least time between an answer and the latest time allowed for it; `None`: there was no answer.
     pub worst_margin: Option<Duration>,
 }
 
@@ -121,16 +124,17 @@
     pub failures: Vec<String>,
 }
 
-/// When the host was told to stop, and how it ended.
+/// When the host got its first SIGTERM, and how it ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
+    /// When the first SIGTERM was sent, since the start of the load.
     pub signalled: Duration,
     pub exit: Exit,
-    /// When the process was gone.
+    /// When the process had ended, since the start of the load.
     pub ended: Duration,
 }
 
-/// Judges all requests of a run.
+/// Checks all requests of a run and the host's exit.
 pub fn judge(requests: &[Sent], extra_answers: &[String], stop: &Stop) -> Verdict {
     let mut verdict = Verdict {
         sums: Sums::default(),
@@ -158,18 +162,18 @@
         }
         Some(_) => verdict
             .failures
-            .push(story("answered too late", sent, stop)),
+            .push(timeline("answered too late", sent, stop)),
         None if sent.crossed_idle_close() => sums.crossed += 1,
         None if sent.announced => sums.ignored_announcement += 1,
         None if stop.exit == Exit::Killed && sent.at > stop.signalled + OWED_AFTER_SIGTERM => {
             sums.killed += 1;
         }
-        None => verdict.failures.push(story("no answer", sent, stop)),
+        None => verdict.failures.push(timeline("no answer", sent, stop)),
     }
 }
 
-/// A request's story, in order of time; times after the first SIGTERM.
-fn story(what: &str, sent: &Sent, stop: &Stop) -> String {
+/// The timeline of a failed request; times are relative to the first SIGTERM.
+fn timeline(what: &str, sent: &Sent, stop: &Stop) -> String {
     let after = |at: Duration| (at.as_secs_f64() - stop.signalled.as_secs_f64()) * 1e3;
     let mut text = format!(
         "{what}: request {:016x}, client {}, connection {}, place {}: sent {:+.1} ms, deadline {:+.1} ms",
@@ -195,7 +199,7 @@
     text
 }
 
-/// The first failures of a run, one a line.
+/// The first [`SHOWN_FAILURES`] failures of a run, one a line.
 pub fn shown(failures: &[String]) -> String {
     let first: Vec<&str> = failures
         .iter()
