--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -157,7 +157,7 @@
     assert_eq!(host.stop(), Some(0));
     assert!(
         !dir.join("h1.sock").exists(),
-        "the socket goes with its host"
+        "the host removes its socket file"
     );
 }
 
--- a/crates/cli/tests/loopback/main.rs
+++ b/crates/cli/tests/loopback/main.rs
@@ -16,9 +16,13 @@
 #[test]
 fn a_malformed_oversized_or_partial_frame_ends_only_its_own_connection() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let (node, host) = (stand_in(&d, nl), host(&d, hl).await);
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let (node, host) = (
+            stand_in(&deployment, node_listener),
+            host(&deployment, host_listener).await,
+        );
         let mut valid_client = Raw::client(&host.address).await;
         let huge = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0x40], &[0, 0, 0, 0]].concat();
         let long_body = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0], &[0, 0, 0, 0x40]].concat();
@@ -63,14 +67,15 @@
 #[test]
 fn frames_received_byte_by_byte_are_decoded() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let mut n = greet(&nl, 1).await;
-        let mut c = Raw::client(&host.address).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let mut n = greet(&node_listener, 1).await;
+        let mut client = Raw::client(&host.address).await;
         // The request, too, is sent byte by byte.
         for b in wire(Frame::from(submit(4, "write")).with_body(Bytes::from_static(b"photo"))) {
-            c.bytes(&[b]).await;
+            client.bytes(&[b]).await;
             tokio::task::yield_now().await;
         }
         let attempt = n.attempt().await.unwrap();
@@ -85,7 +90,7 @@
             n.stream.flush().await.unwrap();
             tokio::task::yield_now().await;
         }
-        let (answer, body) = c.answer().await.unwrap();
+        let (answer, body) = client.answer().await.unwrap();
         assert_eq!(
             (answer.id, answer.outcome, &body[..]),
             (4, Outcome::Succeeded as i32, &b"the bytes"[..])
@@ -98,27 +103,28 @@
 #[test]
 fn a_non_idempotent_write_fails_when_its_connection_breaks() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let mut c = Raw::client(&host.address).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let mut client = Raw::client(&host.address).await;
         // A request whose connection breaks before the node's first frame has not run, and is sent on the next
         // connection.
-        c.send(submit(1, "trip")).await;
-        let (early, _) = nl.accept().await.unwrap();
+        client.send(submit(1, "trip")).await;
+        let (early, _) = node_listener.accept().await.unwrap();
         drop(early);
-        let mut n = greet(&nl, 1).await;
+        let mut n = greet(&node_listener, 1).await;
         let attempt = n.attempt().await.unwrap();
         assert_eq!(attempt.idempotency_key, "mark-1");
         drop(n);
-        let (answer, _) = c.answer().await.unwrap();
+        let (answer, _) = client.answer().await.unwrap();
         assert_eq!(
             answer.outcome,
             Outcome::Failed as i32,
-            "after the last byte nobody knows"
+            "the write may have run"
         );
-        let mut again = greet(&nl, 1).await;
-        c.send(submit(2, "trip")).await;
+        let mut again = greet(&node_listener, 1).await;
+        client.send(submit(2, "trip")).await;
         assert_eq!(
             again.attempt().await.unwrap().idempotency_key,
             "mark-2",
@@ -133,16 +139,18 @@
 #[test]
 fn a_write_with_an_idempotency_key_repeated_after_a_kill_takes_effect_once() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
         // The test stands between the host and the node: it passes the attempt on and withholds the answer.
         let (inner, inner_address) = free().await;
-        let node = stand_in(&d, inner);
-        let first = host(&d, hl).await;
-        let mut c = Raw::client(&first.address).await;
-        c.send(Frame::from(submit(1, "write")).with_body(Bytes::from_static(b"trip record")))
+        let node = stand_in(&deployment, inner);
+        let first = host(&deployment, host_listener).await;
+        let mut client = Raw::client(&first.address).await;
+        client
+            .send(Frame::from(submit(1, "write")).with_body(Bytes::from_static(b"trip record")))
             .await;
-        let mut n = greet(&nl, 77).await;
+        let mut n = greet(&node_listener, 77).await;
         let attempt = n.attempt().await.unwrap();
         let mut direct = Raw {
             stream: TcpStream::connect(&inner_address).await.unwrap(),
@@ -169,23 +177,24 @@
         assert!(ran.ran);
         first.task.abort();
         assert!(
-            c.until(|_| None::<()>).await.is_none(),
-            "the client sees its host gone"
+            client.until(|_| None::<()>).await.is_none(),
+            "the host closes the connection when it is killed"
         );
-        drop((n, nl));
+        drop((n, node_listener));
         // The next host has no state but the document, which names the node's real address.
-        let (hl, ha) = free().await;
-        let second = host(&document(&ha, &inner_address), hl).await;
-        let mut c = Raw::client(&second.address).await;
-        c.send(
-            Frame::from(Submit {
-                repeat: 1,
-                ..submit(1, "write")
-            })
-            .with_body(Bytes::from_static(b"trip record")),
-        )
-        .await;
-        let (answer, _) = c.answer().await.unwrap();
+        let (host_listener, host_address) = free().await;
+        let second = host(&document(&host_address, &inner_address), host_listener).await;
+        let mut client = Raw::client(&second.address).await;
+        client
+            .send(
+                Frame::from(Submit {
+                    repeat: 1,
+                    ..submit(1, "write")
+                })
+                .with_body(Bytes::from_static(b"trip record")),
+            )
+            .await;
+        let (answer, _) = client.answer().await.unwrap();
         assert_eq!(
             (answer.outcome, answer.handle),
             (Outcome::Succeeded as i32, ran.handle),
@@ -215,10 +224,11 @@
 #[test]
 fn a_client_that_never_reads_is_disconnected_and_others_are_served() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let mut n = greet(&nl, 1).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let mut n = greet(&node_listener, 1).await;
         let nodes = tokio::spawn(async move {
             while let Some(attempt) = n.attempt().await {
                 let a = AttemptAnswer {
@@ -264,21 +274,23 @@
 #[test]
 fn a_stop_with_a_thousand_open_requests_answers_each_once() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let _node = greet(&nl, 1).await;
-        let mut c = Raw::client(&host.address).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let _node = greet(&node_listener, 1).await;
+        let mut client = Raw::client(&host.address).await;
         for id in 0..1000 {
-            c.send(Submit {
-                timeout_us: 1_500_000,
-                ..submit(id, ["read", "write", "trip"][id as usize % 3])
-            })
-            .await;
+            client
+                .send(Submit {
+                    timeout_us: 1_500_000,
+                    ..submit(id, ["read", "write", "trip"][id as usize % 3])
+                })
+                .await;
         }
         // Frames of one connection are read in order: when this one is refused, all requests before it are accepted.
-        c.send(submit(7777, "nothing")).await;
-        let first = c
+        client.send(submit(7777, "nothing")).await;
+        let first = client
             .until(|f| {
                 if let Message::NotTaken(n) = f.message {
                     Some(n)
@@ -291,7 +303,7 @@
         assert_eq!((first.id, first.leaving), (7777, false));
         let stopping = tokio::spawn(host.stop());
         let mut answered = std::collections::BTreeMap::new();
-        while let Some(frame) = c.next().await {
+        while let Some(frame) = client.next().await {
             if let Message::Answer(a) = frame.message {
                 *answered.entry(a.id).or_insert(0) += 1;
             }
@@ -307,13 +319,14 @@
 #[test]
 fn a_broken_connection_does_not_count_as_a_node_restart() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
         let nodes = tokio::spawn(async move {
             let mut served = 0u32;
             loop {
-                let mut n = greet(&nl, 1).await;
+                let mut n = greet(&node_listener, 1).await;
                 while let Some(attempt) = n.attempt().await {
                     served += 1;
                     if served.is_multiple_of(10) {
@@ -328,11 +341,12 @@
                 }
             }
         });
-        let mut c = Raw::client(&host.address).await;
+        let mut client = Raw::client(&host.address).await;
         let mut done = 0;
         for id in 0..200 {
-            c.send(submit(id, "read")).await;
-            done += u32::from(c.answer().await.unwrap().0.outcome == Outcome::Succeeded as i32);
+            client.send(submit(id, "read")).await;
+            done +=
+                u32::from(client.answer().await.unwrap().0.outcome == Outcome::Succeeded as i32);
         }
         assert_eq!(done, 200, "each is sent again on the next connection");
         let counts = host.stop().await;
--- a/crates/cli/tests/loopback/rig.rs
+++ b/crates/cli/tests/loopback/rig.rs
@@ -20,6 +20,7 @@
 /// Longer than any expected wait: a machine under load is slow, and that must not fail a test.
 pub const LONG: Duration = Duration::from_secs(30);
 
+/// Runs a test in this thread, with a time limit.
 pub fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -32,6 +33,7 @@
     });
 }
 
+/// A listener on a free port of the loopback interface, and its address.
 pub async fn free() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -73,6 +75,7 @@
     pub address: String,
 }
 
+/// Starts host h1 with this document in a task.
 pub async fn host(d: &Arc<Deployment>, listener: TcpListener) -> Host {
     let (stop, stopped) = oneshot::channel::<()>();
     let address = listener.local_addr().unwrap().to_string();
@@ -95,12 +98,14 @@
 }
 
 impl Host {
+    /// Stops the host and returns its counts.
     pub async fn stop(mut self) -> Counts {
         self.stop.take().unwrap().send(()).unwrap();
         timeout(LONG, self.task).await.unwrap().unwrap()
     }
 }
 
+/// The simulated node n1, alone in its shard.
 pub fn stand_in(d: &Deployment, listener: TcpListener) -> JoinHandle<()> {
     let keys = IdempotencyKeys::of_one_node(d, &location());
     simulated_node(d, "n1", listener, keys)
@@ -175,7 +180,7 @@
             }
             match timeout(LONG, self.stream.read_buf(&mut self.buf))
                 .await
-                .expect("nothing comes")
+                .expect("no bytes arrive")
             {
                 Ok(0) | Err(_) => return None,
                 Ok(_) => {}
--- a/crates/cli/tests/platform/pipelining.rs
+++ b/crates/cli/tests/platform/pipelining.rs
@@ -1,9 +1,9 @@
 //! Several requests sent at once on one connection: each gets its response, whatever closes the connection.
 //!
 //! The tests guard against requests that are lost at a shutdown: the host announces the close with the first response
-//! and discards the requests that it has read behind it. In a stop soak this lost the requests of 2 to 85 connections a
-//! run, sent 30 to 360 ms before the response that announced the close. The platform counts a request as lost if it was
-//! read and its connection is closed without an answer.
+//! and discards the requests that it has read behind it. In each of six runs of a stop soak with pipelining this lost
+//! the requests of 2 to 85 connections, sent 30 to 360 ms before the response that announced the close. The platform
+//! counts a request as lost if it was read and its connection is closed without an answer.
 
 use crate::kernel::HostSocket;
 use crate::rig::{Host, discovery, read_message, read_status, request_text, send_request};
--- a/crates/cli/tests/platform/races.rs
+++ b/crates/cli/tests/platform/races.rs
@@ -107,7 +107,7 @@
     requests.recv_timeout(SOON).unwrap();
     host.signal(Signal::SIGTERM);
     host.line("listener closed");
-    let text = read_message(&mut slow_client).expect("a whole answer");
+    let text = read_message(&mut slow_client).expect("a complete response");
     assert!(text.starts_with("HTTP/1.1 200") && text.ends_with(&body));
     assert_eq!(read_responses(&mut slow_client), Received::in_order(&[]));
     drop(slow_client);
--- a/crates/cli/tests/shortages/main.rs
+++ b/crates/cli/tests/shortages/main.rs
@@ -53,7 +53,7 @@
     }
     assert!(
         lost.is_some_and(|l| l.contains("log lines lost: the reader of standard error is too slow")),
-        "what was lost is counted"
+        "a line reports the number of lost lines"
     );
     assert!(client.served(100));
     assert_eq!(host.stop(), Some(0));
@@ -123,7 +123,10 @@
         if state["counts"]["nodes_met_again"] == 2 {
             break state;
         }
-        assert!(Instant::now() < end, "the node is met again: {state}");
+        assert!(
+            Instant::now() < end,
+            "the host reconnects to the node: {state}"
+        );
     };
     assert!(first.served(2), "over a new connection to the node");
     assert!(
@@ -138,13 +141,16 @@
             .unwrap()
     });
     let accepted = crowd.iter_mut().filter_map(|socket| socket.next()).count();
-    assert!((5..60).contains(&accepted), "{accepted} of 150 are in");
+    assert!(
+        (5..60).contains(&accepted),
+        "{accepted} of 150 were accepted"
+    );
     let lines = std::fs::read_to_string(&log).unwrap();
     assert!(!lines.contains("cannot accept"), "{lines}");
     drop(crowd);
     let end = Instant::now() + LONG;
     while !Socket::client(&host.address).served(1) {
-        assert!(Instant::now() < end, "there is room again");
+        assert!(Instant::now() < end, "clients are accepted again");
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(first.served(3));
@@ -201,7 +207,10 @@
     let end = Instant::now() + LONG;
     let mut client = Socket::client(&host.address);
     while !client.served(1) {
-        assert!(Instant::now() < end, "served again once there is room");
+        assert!(
+            Instant::now() < end,
+            "requests are served again once the node answers"
+        );
         std::thread::sleep(Duration::from_millis(20));
         client = Socket::client(&host.address);
     }
@@ -210,7 +219,7 @@
         if state["open"] == 0 && state["held_bytes"] == 0 {
             break state;
         }
-        assert!(Instant::now() < end, "all is given back: {state}");
+        assert!(Instant::now() < end, "all held memory is released: {state}");
         std::thread::sleep(Duration::from_millis(100));
     };
     let count = |name: &str| state["counts"][name].as_u64().unwrap();
@@ -307,7 +316,10 @@
             assert!(n.leaving);
             break;
         }
-        assert!(Instant::now() < end, "it is told to leave");
+        assert!(
+            Instant::now() < end,
+            "the host refuses requests because it stops"
+        );
     }
     let out = gullsail(dir.path(), &["reload", "h1.sock"]);
     let output =
@@ -396,7 +408,7 @@
         }
         assert!(
             Instant::now() < end,
-            "a whole large one is taken once there is room"
+            "a complete large frame is accepted once memory is released"
         );
     }
     drop(stalled);
