--- a/crates/cli/tests/loopback/main.rs
+++ b/crates/cli/tests/loopback/main.rs
@@ -1,5 +1,5 @@
-//! The host on real sockets against stand-ins, with peers that misbehave. Everything runs in one thread of
-//! this process; a host that is killed is a task that is dropped.
+//! The host on real sockets, with simulated nodes and with peers that misbehave. Everything runs in one thread of this
+//! process; to kill a host, a test aborts its task.
 
 mod replicas;
 mod rig;
@@ -14,12 +14,16 @@
 use tokio::time::timeout;
 
 #[test]
-fn garbage_half_frames_and_huge_lengths_end_their_own_connection() {
+fn a_malformed_oversized_or_partial_frame_ends_only_its_own_connection() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let (node, host) = (stand_in(&d, nl), host(&d, hl).await);
-        let mut sound = Raw::client(&host.address).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let (node, host) = (
+            stand_in(&deployment, node_listener),
+            host(&deployment, host_listener).await,
+        );
+        let mut valid_client = Raw::client(&host.address).await;
         let huge = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0x40], &[0, 0, 0, 0]].concat();
         let long_body = [&[0x9d, 1, 10, 0][..], &[0, 0, 0, 0], &[0, 0, 0, 0x40]].concat();
         let malformed = [
@@ -39,21 +43,21 @@
             let mut bad = Raw::client(&host.address).await;
             bad.bytes(&bytes).await;
             assert!(bad.until(|_| None::<()>).await.is_none(), "it is closed");
-            sound
+            valid_client
                 .send(submit(
                     u64::from(bytes[0]) << 32 | bytes.len() as u64,
                     "read",
                 ))
                 .await;
             assert_eq!(
-                sound.answer().await.unwrap().0.outcome,
+                valid_client.answer().await.unwrap().0.outcome,
                 Outcome::Succeeded as i32
             );
         }
-        // Half a frame, then nothing: the request was never taken.
-        let mut half = Raw::client(&host.address).await;
-        half.bytes(&wire(submit(9, "read"))[..20]).await;
-        drop(half);
+        // Part of a frame, and then the end of the connection: the host accepts no request.
+        let mut partial = Raw::client(&host.address).await;
+        partial.bytes(&wire(submit(9, "read"))[..20]).await;
+        drop(partial);
         let counts = host.stop().await;
         assert_eq!((counts.taken, counts.done), (5, 5));
         node.abort();
@@ -61,16 +65,17 @@
 }
 
 #[test]
-fn an_answer_in_single_bytes_is_one_answer() {
+fn frames_received_byte_by_byte_are_decoded() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let mut n = greet(&nl, 1).await;
-        let mut c = Raw::client(&host.address).await;
-        // The request too comes byte by byte.
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let mut n = greet(&node_listener, 1).await;
+        let mut client = Raw::client(&host.address).await;
+        // The request, too, is sent byte by byte.
         for b in wire(Frame::from(submit(4, "write")).with_body(Bytes::from_static(b"photo"))) {
-            c.bytes(&[b]).await;
+            client.bytes(&[b]).await;
             tokio::task::yield_now().await;
         }
         let attempt = n.attempt().await.unwrap();
@@ -85,7 +90,7 @@
             n.stream.flush().await.unwrap();
             tokio::task::yield_now().await;
         }
-        let (answer, body) = c.answer().await.unwrap();
+        let (answer, body) = client.answer().await.unwrap();
         assert_eq!(
             (answer.id, answer.outcome, &body[..]),
             (4, Outcome::Succeeded as i32, &b"the bytes"[..])
@@ -96,28 +101,30 @@
 }
 
 #[test]
-fn a_non_idempotent_write_whose_connection_breaks_is_failed() {
+fn a_non_idempotent_write_fails_when_its_connection_breaks() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let mut c = Raw::client(&host.address).await;
-        // What breaks before the first frame of the node never ran, and is sent again on the next connection.
-        c.send(submit(1, "trip")).await;
-        let (early, _) = nl.accept().await.unwrap();
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let mut client = Raw::client(&host.address).await;
+        // A request whose connection breaks before the node's first frame has not run, and is sent on the next
+        // connection.
+        client.send(submit(1, "trip")).await;
+        let (early, _) = node_listener.accept().await.unwrap();
         drop(early);
-        let mut n = greet(&nl, 1).await;
+        let mut n = greet(&node_listener, 1).await;
         let attempt = n.attempt().await.unwrap();
         assert_eq!(attempt.idempotency_key, "mark-1");
         drop(n);
-        let (answer, _) = c.answer().await.unwrap();
+        let (answer, _) = client.answer().await.unwrap();
         assert_eq!(
             answer.outcome,
             Outcome::Failed as i32,
-            "after the last byte nobody knows"
+            "the write may have run"
         );
-        let mut again = greet(&nl, 1).await;
-        c.send(submit(2, "trip")).await;
+        let mut again = greet(&node_listener, 1).await;
+        client.send(submit(2, "trip")).await;
         assert_eq!(
             again.attempt().await.unwrap().idempotency_key,
             "mark-2",
@@ -127,21 +134,23 @@
     });
 }
 
-/// The host is killed between an attempt and its answer; the client repeats to its successor; the mark keeps
-/// the write from taking effect twice.
+/// Guards against a write that takes effect twice: the host is killed between an attempt and its answer, and the client
+/// repeats the request to the next host. The idempotency key prevents a second effect.
 #[test]
-fn an_idempotency_key_write_repeated_after_a_kill_takes_effect_once() {
+fn a_write_with_an_idempotency_key_repeated_after_a_kill_takes_effect_once() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        // Between the host and the stand-in: sees attempts and answers, and holds the first answer back.
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        // The test stands between the host and the node: it passes the attempt on and withholds the answer.
         let (inner, inner_address) = free().await;
-        let node = stand_in(&d, inner);
-        let first = host(&d, hl).await;
-        let mut c = Raw::client(&first.address).await;
-        c.send(Frame::from(submit(1, "write")).with_body(Bytes::from_static(b"trip record")))
+        let node = stand_in(&deployment, inner);
+        let first = host(&deployment, host_listener).await;
+        let mut client = Raw::client(&first.address).await;
+        client
+            .send(Frame::from(submit(1, "write")).with_body(Bytes::from_static(b"trip record")))
             .await;
-        let mut n = greet(&nl, 77).await;
+        let mut n = greet(&node_listener, 77).await;
         let attempt = n.attempt().await.unwrap();
         let mut direct = Raw {
             stream: TcpStream::connect(&inner_address).await.unwrap(),
@@ -168,29 +177,30 @@
         assert!(ran.ran);
         first.task.abort();
         assert!(
-            c.until(|_| None::<()>).await.is_none(),
-            "the client sees its host gone"
+            client.until(|_| None::<()>).await.is_none(),
+            "the host closes the connection when it is killed"
         );
-        drop((n, nl));
-        // Its successor, with nothing but the document, and the node itself now at the address it knows.
-        let (hl, ha) = free().await;
-        let second = host(&document(&ha, &inner_address), hl).await;
-        let mut c = Raw::client(&second.address).await;
-        c.send(
-            Frame::from(Submit {
-                repeat: 1,
-                ..submit(1, "write")
-            })
-            .with_body(Bytes::from_static(b"trip record")),
-        )
-        .await;
-        let (answer, _) = c.answer().await.unwrap();
+        drop((n, node_listener));
+        // The next host has no state but the document, which names the node's real address.
+        let (host_listener, host_address) = free().await;
+        let second = host(&document(&host_address, &inner_address), host_listener).await;
+        let mut client = Raw::client(&second.address).await;
+        client
+            .send(
+                Frame::from(Submit {
+                    repeat: 1,
+                    ..submit(1, "write")
+                })
+                .with_body(Bytes::from_static(b"trip record")),
+            )
+            .await;
+        let (answer, _) = client.answer().await.unwrap();
         assert_eq!(
             (answer.outcome, answer.handle),
             (Outcome::Succeeded as i32, ran.handle),
             "the first one's answer"
         );
-        // The node's own word: a third attempt with the mark does not run either.
+        // Checked at the node itself: a third attempt with the same key does not run either.
         direct
             .send(Frame::from(Attempt {
                 attempt: 99,
@@ -212,12 +222,13 @@
 }
 
 #[test]
-fn a_client_that_never_reads_is_let_go_and_harms_nobody() {
+fn a_client_that_never_reads_is_disconnected_and_others_are_served() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let mut n = greet(&nl, 1).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let mut n = greet(&node_listener, 1).await;
         let nodes = tokio::spawn(async move {
             while let Some(attempt) = n.attempt().await {
                 let a = AttemptAnswer {
@@ -229,13 +240,13 @@
                     .await;
             }
         });
-        let mut deaf = Raw::client(&host.address).await;
-        let mut sound = Raw::client(&host.address).await;
+        let mut stalled_client = Raw::client(&host.address).await;
+        let mut valid_client = Raw::client(&host.address).await;
         for id in 0..40 {
-            // Sooner or later the host takes no more of it.
+            // After some requests the host stops reading from this client.
             if timeout(
                 Duration::from_millis(200),
-                deaf.stream.write_all(&wire(submit(id, "read"))),
+                stalled_client.stream.write_all(&wire(submit(id, "read"))),
             )
             .await
             .is_err()
@@ -244,12 +255,12 @@
             }
         }
         for id in 0..5 {
-            sound.send(submit(id, "read")).await;
-            assert_eq!(sound.answer().await.unwrap().1.len(), 500_000);
+            valid_client.send(submit(id, "read")).await;
+            assert_eq!(valid_client.answer().await.unwrap().1.len(), 500_000);
         }
-        // Let go: what was under way may still be read, then it ends.
+        // The host has closed the connection by then: bytes in flight may still be read before its end.
         tokio::time::sleep(Duration::from_secs(3)).await;
-        while deaf.next().await.is_some() {}
+        while stalled_client.next().await.is_some() {}
         let counts = host.stop().await;
         assert!(
             counts.most_held < 40 * 500_000,
@@ -261,23 +272,25 @@
 }
 
 #[test]
-fn a_stop_with_a_thousand_open_answers_each_once() {
+fn a_stop_with_a_thousand_open_requests_answers_each_once() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
-        let _node = greet(&nl, 1).await;
-        let mut c = Raw::client(&host.address).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
+        let _node = greet(&node_listener, 1).await;
+        let mut client = Raw::client(&host.address).await;
         for id in 0..1000 {
-            c.send(Submit {
-                timeout_us: 1_500_000,
-                ..submit(id, ["read", "write", "trip"][id as usize % 3])
-            })
-            .await;
+            client
+                .send(Submit {
+                    timeout_us: 1_500_000,
+                    ..submit(id, ["read", "write", "trip"][id as usize % 3])
+                })
+                .await;
         }
-        // All taken, since frames of one connection are in order.
-        c.send(submit(7777, "nothing")).await;
-        let first = c
+        // Frames of one connection are read in order: when this one is refused, all requests before it are accepted.
+        client.send(submit(7777, "nothing")).await;
+        let first = client
             .until(|f| {
                 if let Message::NotTaken(n) = f.message {
                     Some(n)
@@ -290,7 +303,7 @@
         assert_eq!((first.id, first.leaving), (7777, false));
         let stopping = tokio::spawn(host.stop());
         let mut answered = std::collections::BTreeMap::new();
-        while let Some(frame) = c.next().await {
+        while let Some(frame) = client.next().await {
             if let Message::Answer(a) = frame.message {
                 *answered.entry(a.id).or_insert(0) += 1;
             }
@@ -301,18 +314,19 @@
     });
 }
 
-/// A tenth of all connections break again and again while the node never restarts: it is met again, not taken
-/// for cold, and all that can be is served.
+/// Guards against a node that counts as restarted, and as cold, because its connections break: each connection breaks
+/// after nine answers, the node itself never restarts, and each request is served.
 #[test]
-fn resets_are_not_restarts() {
+fn a_broken_connection_does_not_count_as_a_node_restart() {
     run(async {
-        let ((hl, ha), (nl, na)) = (free().await, free().await);
-        let d = document(&ha, &na);
-        let host = host(&d, hl).await;
+        let ((host_listener, host_address), (node_listener, node_address)) =
+            (free().await, free().await);
+        let deployment = document(&host_address, &node_address);
+        let host = host(&deployment, host_listener).await;
         let nodes = tokio::spawn(async move {
             let mut served = 0u32;
             loop {
-                let mut n = greet(&nl, 1).await;
+                let mut n = greet(&node_listener, 1).await;
                 while let Some(attempt) = n.attempt().await {
                     served += 1;
                     if served.is_multiple_of(10) {
@@ -327,11 +341,12 @@
                 }
             }
         });
-        let mut c = Raw::client(&host.address).await;
+        let mut client = Raw::client(&host.address).await;
         let mut done = 0;
         for id in 0..200 {
-            c.send(submit(id, "read")).await;
-            done += u32::from(c.answer().await.unwrap().0.outcome == Outcome::Succeeded as i32);
+            client.send(submit(id, "read")).await;
+            done +=
+                u32::from(client.answer().await.unwrap().0.outcome == Outcome::Succeeded as i32);
         }
         assert_eq!(done, 200, "each is sent again on the next connection");
         let counts = host.stop().await;
--- a/crates/cli/tests/loopback/rig.rs
+++ b/crates/cli/tests/loopback/rig.rs
@@ -17,9 +17,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Past any wait that a test means; a machine under load is slow, not wrong.
+/// Longer than any expected wait: a machine under load is slow, and that must not fail a test.
 pub const LONG: Duration = Duration::from_secs(30);
 
+/// Runs a test in this thread, with a time limit.
 pub fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -32,6 +33,7 @@
     });
 }
 
+/// A listener on a free port of the loopback interface, and its address.
 pub async fn free() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -42,7 +44,7 @@
     replicated_document(host, &[node])
 }
 
-/// A host and the nodes of one shard: n1, n2 and so on.
+/// A document with one host, and nodes n1, n2 and so on of one shard at these addresses.
 pub fn replicated_document(host: &str, nodes: &[&str]) -> Arc<Deployment> {
     let node = |(place, address): (usize, &&str)| {
         let number = place + 1;
@@ -73,6 +75,7 @@
     pub address: String,
 }
 
+/// Starts host h1 with this document in a task.
 pub async fn host(d: &Arc<Deployment>, listener: TcpListener) -> Host {
     let (stop, stopped) = oneshot::channel::<()>();
     let address = listener.local_addr().unwrap().to_string();
@@ -95,18 +98,20 @@
 }
 
 impl Host {
+    /// Stops the host and returns its counts.
     pub async fn stop(mut self) -> Counts {
         self.stop.take().unwrap().send(()).unwrap();
         timeout(LONG, self.task).await.unwrap().unwrap()
     }
 }
 
+/// The simulated node n1, alone in its shard.
 pub fn stand_in(d: &Deployment, listener: TcpListener) -> JoinHandle<()> {
     let keys = IdempotencyKeys::of_one_node(d, &location());
     simulated_node(d, "n1", listener, keys)
 }
 
-/// Where the nodes of these tests stand.
+/// Zone and shard of all nodes in these tests.
 pub fn location() -> NodeLocation {
     NodeLocation {
         zone: ZoneId(0),
@@ -133,7 +138,7 @@
     tokio::spawn(node::serve(process, listener))
 }
 
-/// A socket that speaks frames, or whatever it likes.
+/// One side of a connection: sends frames or arbitrary bytes, and reads frames.
 pub struct Raw {
     pub stream: TcpStream,
     pub buf: BytesMut,
@@ -144,7 +149,7 @@
         Raw::over(TcpStream::connect(address).await.unwrap()).await
     }
 
-    /// A client on a connection that is there.
+    /// A client on an established connection; sends its `Hello`.
     pub async fn over(stream: TcpStream) -> Raw {
         let mut raw = Raw {
             stream,
@@ -175,7 +180,7 @@
             }
             match timeout(LONG, self.stream.read_buf(&mut self.buf))
                 .await
-                .expect("nothing comes")
+                .expect("no bytes arrive")
             {
                 Ok(0) | Err(_) => return None,
                 Ok(_) => {}
@@ -238,7 +243,7 @@
     }
 }
 
-/// A node by hand: greets whoever connects.
+/// A node that the test scripts: accepts one connection and sends the node's `Hello`.
 pub async fn greet(listener: &TcpListener, incarnation: u64) -> Raw {
     let (stream, _) = timeout(LONG, listener.accept()).await.unwrap().unwrap();
     let mut raw = Raw {
