--- a/crates/scenario/src/built_in.rs
+++ b/crates/scenario/src/built_in.rs
@@ -1,11 +1,12 @@
-//! The built-in scenarios, and random ones that combine two of them.
+//! The built-in scenarios, and random scenarios that combine the faults of two of them.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// The deployment of most built-in scenarios.
 const FLEET: &str = include_str!("../days/fleet.kdl");
-/// The same nodes and volumes, with 24 hosts.
+/// A deployment with the nodes and volumes of [`FLEET`] and 24 hosts.
 const MANY: &str = include_str!("../days/many.kdl");
 
 macro_rules! days {
@@ -19,7 +20,7 @@
     "neighbour" "pauses" "lead-moves" "scan" "plan-surge" "ageing" "broken-links" "silent-links" "clocks" "reload" "zones-surge" "zones-drain" "zones-hard"
 }
 
-/// The name of each built-in scenario and a line that describes it.
+/// Returns the name of each built-in scenario with a one-line description.
 pub fn all() -> impl Iterator<Item = (&'static str, &'static str)> {
     DAYS.iter().map(|(name, text)| {
         (
@@ -32,22 +33,23 @@
     })
 }
 
-/// The document of a built-in scenario.
+/// Returns the document of a built-in scenario, its deployment included; `None`: there is no scenario of this name.
 pub fn day(name: &str) -> Option<String> {
     let script = DAYS.iter().find(|d| d.0 == name)?.1;
-    let hosts = match name {
-        // The deployment of `budget-many`, with more hosts.
+    let deployment = match name {
+        // The deployment of `budget-many` with 60 hosts instead of 24.
         "budget-sixty" => MANY.replace("h{16..24}", "h{16..60}"),
         name if name.starts_with("budget-many") => MANY.into(),
         _ => FLEET.into(),
     };
-    Some(format!("{hosts}\n{script}"))
+    Some(format!("{deployment}\n{script}"))
 }
 
-/// A scenario with the faults of two built-in ones, shifted in time by the seed.
+/// Returns the document of a scenario with the faults of two built-in ones. The seed selects them and shifts their
+/// faults by up to three seconds.
 pub fn random(seed: u64) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let single: Vec<_> = DAYS
+    let combinable: Vec<_> = DAYS
         .iter()
         .filter(|d| {
             !["quiet", "bad-day"].contains(&d.0)
@@ -66,7 +68,7 @@
     ] {
         text += &format!("    {line}\n");
     }
-    for day in single.choose_multiple(&mut rng, 2) {
+    for day in combinable.choose_multiple(&mut rng, 2) {
         let shift: f64 = rng.random_range(0.0..3.0);
         text += &format!("    // of {}\n", day.0);
         for line in day.1.lines().filter(|l| l.trim_start().starts_with("at ")) {
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,32 +1,33 @@
-//! Why a scenario could not be played. Broken rules are no error but part of the report.
+//! The errors that keep a scenario from being played. Broken rules are part of the report instead.
 
-/// Why a scenario could not be played.
+/// The reason why a scenario could not be played.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum RunError {
     /// A process could not be started, signalled or stopped.
-    #[error("process {name}: {why}")]
+    #[error("process {name}: {cause}")]
     Process {
-        /// The process.
+        /// The name of the process.
         name: String,
-        /// What went wrong.
-        why: String,
+        /// The cause of the failure.
+        cause: String,
     },
     /// A file or a socket failed.
-    #[error("{what}: {error}")]
+    #[error("{resource}: {error}")]
     Io {
-        /// The file or socket.
-        what: String,
-        /// What the system reported.
+        /// The path of the file, or a description of the resource.
+        resource: String,
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The recording cannot be read back.
+    /// The recording cannot be read.
     #[error(transparent)]
     Recording(#[from] gullsail_audit::RecordingError),
 }
 
-pub(crate) fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> RunError {
+/// Returns a function that wraps an I/O error with a description of the file or resource.
+pub(crate) fn io(resource: impl Into<String>) -> impl FnOnce(std::io::Error) -> RunError {
     |error| RunError::Io {
-        what: what.into(),
+        resource: resource.into(),
         error,
     }
 }
--- a/crates/scenario/src/processes.rs
+++ b/crates/scenario/src/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a scenario. They are started from this program, report where they listen, and are ended by their
-//! process id alone.
+//! The processes of a scenario. They run this program's subcommands and report the address on which they listen. They
+//! are signalled by their process id, never by name.
 
 use crate::error::RunError;
 use nix::sys::signal::{Signal, kill};
@@ -14,38 +14,39 @@
 /// The first line that a process writes on standard output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listening {
-    /// The address that it bound.
+    /// The address on which the process listens.
     pub address: String,
-    /// Drawn at each start.
+    /// The incarnation, a number that the process draws at each start.
     pub incarnation: u64,
 }
 
-/// A process of a scenario that was started and is ended by its id alone.
+/// A running process of a scenario. It is killed when this is dropped.
 pub struct Process {
-    /// Its name in the document.
+    /// The name of the process in the document.
     pub name: String,
-    /// What it reported at its start.
+    /// The address and incarnation that the process reported at its start.
     pub listening: Listening,
     child: Child,
 }
 
-/// How long a process may take to report where it listens; long, for busy machines.
+/// How long a process may take to report its address. The time is long enough for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Process {
-    /// Starts `program` with these arguments; what it logs goes to `logs`, appended.
+    /// Starts `program` with these arguments and waits until it reports its address. Its log is appended to the file
+    /// `NAME.log` in the directory `logs`.
     ///
     /// # Errors
-    /// It does not start, or does not report where it listens.
+    /// The process does not start, or does not report its address in time.
     pub async fn start(
         program: &Path,
         name: &str,
         args: &[String],
         logs: &Path,
     ) -> Result<Process, RunError> {
-        let fail = |why: String| RunError::Process {
+        let fail = |cause: String| RunError::Process {
             name: name.into(),
-            why,
+            cause,
         };
         let log: PathBuf = logs.join(format!("{name}.log"));
         let log = std::fs::File::options()
@@ -84,19 +85,19 @@
         })
     }
 
-    /// Its process id, until it has ended.
+    /// The process id; `None`: the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends a signal, to pause or continue it.
+    /// Sends a signal to the process, for example to pause or resume it.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended, or the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> Result<(), RunError> {
-        let fail = |why: String| RunError::Process {
+        let fail = |cause: String| RunError::Process {
             name: self.name.clone(),
-            why,
+            cause,
         };
         let id = self
             .child
@@ -105,20 +106,20 @@
         kill(Pid::from_raw(id as i32), signal).map_err(|e| fail(e.to_string()))
     }
 
-    /// Kills it, as a power failure would.
+    /// Kills the process without a chance to shut down, as a power failure would.
     pub async fn kill(mut self) {
-        // The only error is that it has ended already.
+        // The error is ignored: it means that the process has ended already.
         let _ = self.child.kill().await;
     }
 
-    /// Sends SIGTERM and waits for at most `wait`.
+    /// Sends SIGTERM and waits at most `wait` for the process to exit. A paused process is resumed.
     ///
     /// # Errors
-    /// It did not end in time; it is killed then.
+    /// The process did not exit in time and was killed, or it could not be signalled.
     pub async fn stop(mut self, wait: Duration) -> Result<ExitStatus, RunError> {
-        let fail = |why: String| RunError::Process {
+        let fail = |cause: String| RunError::Process {
             name: self.name.clone(),
-            why,
+            cause,
         };
         if let Some(id) = self.child.id() {
             kill(Pid::from_raw(id as i32), Signal::SIGTERM).map_err(|e| fail(e.to_string()))?;
@@ -128,7 +129,7 @@
         match tokio::time::timeout(wait, self.child.wait()).await {
             Ok(status) => status.map_err(|e| fail(e.to_string())),
             Err(_) => {
-                // The only error is that it has ended meanwhile.
+                // The error is ignored: it means that the process has ended meanwhile.
                 let _ = self.child.kill().await;
                 Err(fail(format!(
                     "did not exit within {wait:?} of SIGTERM, killed"
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -1,13 +1,13 @@
-//! Plays a scenario. Every process is reached through a recording proxy whose port is known before the process
-//! starts, so a process that restarts on another port keeps its address.
+//! Plays a scenario. Every process is reached through a recording proxy whose port is fixed before the process starts,
+//! so a process that restarts on another port keeps its address.
 //!
-//! - `lifecycle`: starting and stopping processes, orders to simulated ones;
-//! - `fault_start`, `faults`: the faults and the queue of their later steps;
-//! - `documents`: configurations for the processes, and reloads;
+//! - `lifecycle`: starts and stops processes, and sends orders to simulated ones;
+//! - `fault_start`, `faults`: the start of each fault, and the steps that are queued for later;
+//! - `documents`: the configurations of the processes, and reloads;
 //! - `maintenance`: operators who take servers offline;
-//! - `allocations_log`: what hosts logged of their shares, for the audit;
-//! - `report`: the result;
-//! - `sampler`: what the kernel knows of the hosts meanwhile.
+//! - `allocations_log`: copies the shares that hosts logged into the recording, for the audit;
+//! - `report`: the report;
+//! - `sampler`: samples kernel counters of the hosts while the scenario runs.
 
 mod allocations_log;
 mod documents;
@@ -22,7 +22,7 @@
 use crate::error::io;
 use crate::processes::Process;
 use crate::script::{Fault, Script};
-use documents::resolve;
+use documents::with_proxy_addresses;
 use faults::Step;
 use gullsail_audit::Verdict;
 use gullsail_configuration::Deployment;
@@ -32,7 +32,7 @@
 use gullsail_simulator::client::{self, Load, Tallies};
 use gullsail_simulator::recording_proxy::{Wire, relay};
 pub use report::Report;
-use report::{accounts, attempts_bytes};
+use report::{account_mismatches, attempt_bytes};
 use sampler::Sampler;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -44,59 +44,61 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-/// Where and how a scenario is played.
+/// The settings with which a scenario is played.
 pub struct Stage {
-    /// The program itself, whose subcommands the processes are.
+    /// The path of this program, whose subcommands run the processes.
     pub program: PathBuf,
-    /// Holds the recording, the document as the processes read it, and their logs.
+    /// The directory for the recording, the documents of the processes, their control sockets and their logs.
     pub dir: PathBuf,
-    /// Seed of the load and of the hosts.
+    /// Seed of the load, of the disturbances and of the hosts.
     pub seed: u64,
-    /// The baseline runs in place of the hosts.
+    /// Whether the baseline runs in place of the hosts.
     pub baseline: bool,
 }
 
-/// The age of a node that runs from the start of the scenario: an hour, so that it is warm.
+/// The age of a node that runs from the start of the scenario: an hour in microseconds, which is beyond slow start.
 const WARM_NODE_AGE_US: i64 = 3_600_000_000;
 
-/// The process of one name, and where its recording proxy forwards connections.
-struct Place {
+/// The process of one name, with the address to which its recording proxy forwards connections.
+struct ProxiedProcess {
+    /// `None`: the process is not running.
     process: Option<Process>,
+    /// The address of the last process of this name; `None` before the first start.
     target: watch::Sender<Option<String>>,
     started: Instant,
-    /// It runs from the start and counts as warmed up.
+    /// Whether the node has run from the start of the scenario and counts as warm.
     warm: bool,
 }
 
-/// A scenario while it is played: its processes, the steps still to come and what was noted. Each step may need any
-/// of it, so it is one struct; the files of this module hold the methods by job.
+/// A scenario that is being played: its processes, queued steps, events and failures. It is one struct because a step
+/// may need any of these. Its methods are spread over the files of this module.
 struct ScenarioRun<'a> {
     stage: &'a Stage,
     deployment: Arc<Deployment>,
     script: &'a Script,
     wire: Arc<Wire>,
     document: PathBuf,
-    /// The newest configuration given to hosts, with its revision; 0: this scenario reloads none.
-    newest: (u64, String),
+    /// The newest configuration given to hosts, with its revision; 0: the scenario has no reloads.
+    newest_document: (u64, String),
     failures: Vec<String>,
-    places: BTreeMap<String, Place>,
-    began: Instant,
-    happened: Vec<(f64, String)>,
-    /// Steps that are still to come, and when.
-    later: Vec<(Instant, Step)>,
-    /// The tasks of operators; they report by `step_sender`.
+    processes: BTreeMap<String, ProxiedProcess>,
+    started_at: Instant,
+    events: Vec<(f64, String)>,
+    /// The queued steps, each with the time when it is due.
+    queued_steps: Vec<(Instant, Step)>,
+    /// The tasks of operators, which send the steps that follow from their commands to `step_sender`.
     operators: JoinSet<()>,
     step_sender: mpsc::Sender<Step>,
     step_receiver: Option<mpsc::Receiver<Step>>,
-    /// `None`: the scenario is over.
+    /// Samples the hosts; `None` once all processes have stopped.
     sampler: Option<Sampler>,
 }
 
-/// Plays a scenario: starts the processes, injects the faults, stops everything and checks the rules on the
+/// Plays a scenario: starts the processes, injects the faults, stops the processes and checks the rules against the
 /// recording.
 ///
 /// # Errors
-/// The scenario could not be played. Broken rules are no error but part of the report.
+/// The scenario could not be played. Broken rules are part of the report instead.
 pub async fn play(
     text: &str,
     deployment: Deployment,
@@ -116,7 +118,7 @@
         script,
         stage,
         wire.clone(),
-        std::mem::take(&mut proxies.places),
+        std::mem::take(&mut proxies.processes),
     );
     run.write_documents(text, &addresses)?;
     run.start_all(&addresses).await?;
@@ -136,14 +138,14 @@
     let recording = std::fs::read_to_string(&frames).map_err(io(frames.display().to_string()))?;
     if !deployment.cross_zone_budgets.is_empty() {
         let recorded = gullsail_audit::crossed(&deployment, &recording)?;
-        failures.extend(accounts(&recorded, &hosts, script));
+        failures.extend(account_mismatches(&recorded, &hosts, script));
     }
     failures.extend(wrong_answers(&outcomes));
     let verdicts = gullsail_audit::judge(&deployment, &recording)?;
     Ok(Report {
         name: script.name.clone(),
         seed: stage.seed,
-        happened: run.happened,
+        happened: run.events,
         outcomes,
         untested: untested_rules(script, &verdicts),
         verdicts,
@@ -152,7 +154,7 @@
     })
 }
 
-/// Records the budget overruns that hosts reported at their end.
+/// Records the budget overruns in the hosts' states at the end of the scenario.
 fn record_overruns(wire: &Wire, hosts: &[State]) {
     for host in hosts {
         for overrun in &host.past {
@@ -166,7 +168,7 @@
     }
 }
 
-/// The rules that the script requires to be tested and that were not.
+/// Returns the rules that the script requires to be tested and that were not.
 fn untested_rules(script: &Script, verdicts: &[Verdict]) -> Vec<u8> {
     let is_tested = |rule: &u8| {
         let mut verdicts = verdicts.iter();
@@ -176,7 +178,7 @@
     required.filter(|rule| !is_tested(rule)).collect()
 }
 
-/// Failures for answers that no client may get, by request class and plan.
+/// Returns a failure for each kind of wrong answer that clients got, by request class and plan.
 fn wrong_answers(outcomes: &Tallies) -> Vec<String> {
     let mut failures = Vec::new();
     for ((request_class, plan), t) in outcomes {
@@ -196,17 +198,18 @@
     std::fs::write(file, text).map_err(io(file.display().to_string()))
 }
 
-/// Threads of the relays. One is enough for the frames of any scenario; the second goes on while the machine does not run
-/// the first.
+/// The number of threads of the relays. One can handle the frames of any scenario. The second continues while the
+/// machine does not schedule the first.
 const RELAY_THREADS: usize = 2;
 
-/// A recording proxy before every process, at an address that is known before the process starts.
+/// A recording proxy for every process, at an address that is fixed before the process starts.
 struct Proxies {
-    /// The relays run in threads of their own: held up by the clients or the script, they would record frames late.
+    /// The runtime of the relays. It has separate threads, since clients or script on the same thread would delay the
+    /// relays and so the recorded times. `None`: taken for the shutdown.
     threads: Option<tokio::runtime::Runtime>,
     tasks: JoinSet<()>,
     addresses: BTreeMap<String, String>,
-    places: BTreeMap<String, Place>,
+    processes: BTreeMap<String, ProxiedProcess>,
 }
 
 impl Proxies {
@@ -225,7 +228,7 @@
             threads: Some(threads),
             tasks: JoinSet::new(),
             addresses: BTreeMap::new(),
-            places: BTreeMap::new(),
+            processes: BTreeMap::new(),
         };
         let names = deployment
             .hosts
@@ -246,19 +249,19 @@
             let (target, target_receiver) = watch::channel(None);
             let (wire, relayed) = (wire.clone(), name.clone());
             let serve = async move {
-                // A listener that was just bound is refused only when the process has no descriptors left.
+                // Registering a bound listener fails only when the process has no file descriptors left.
                 if let Ok(listener) = TcpListener::from_std(listener) {
                     relay(wire, relayed, listener, target_receiver).await;
                 }
             };
             all.tasks.spawn_on(serve, &relays);
-            let place = Place {
+            let process = ProxiedProcess {
                 process: None,
                 target,
                 started: Instant::now(),
                 warm: false,
             };
-            all.places.insert(name, place);
+            all.processes.insert(name, process);
         }
         Ok(all)
     }
@@ -266,16 +269,16 @@
 
 impl Drop for Proxies {
     fn drop(&mut self) {
-        // A runtime may not be awaited here; its tasks have ended or end with it.
+        // A runtime cannot be awaited in `drop`. The remaining tasks end with the runtime.
         if let Some(threads) = self.threads.take() {
             threads.shutdown_background();
         }
     }
 }
 
-/// How often the hosts' accounts are read after a scenario until they no longer change.
+/// The most times that the hosts' traffic accounts are read again after a scenario until they no longer change.
 const MAX_ACCOUNT_READS: u32 = 12;
-/// Time between two of these reads.
+/// The time between two of these reads.
 const ACCOUNT_READ_INTERVAL: Duration = Duration::from_millis(400);
 
 fn duration(span: Span) -> Duration {
@@ -288,7 +291,7 @@
         script: &'a Script,
         stage: &'a Stage,
         wire: Arc<Wire>,
-        places: BTreeMap<String, Place>,
+        processes: BTreeMap<String, ProxiedProcess>,
     ) -> ScenarioRun<'a> {
         let (step_sender, step_receiver) = mpsc::channel(64);
         ScenarioRun {
@@ -301,16 +304,17 @@
             script,
             wire,
             document: stage.dir.join("deployment.kdl"),
-            newest: (0, String::new()),
+            newest_document: (0, String::new()),
             failures: Vec::new(),
-            places,
-            began: Instant::now(),
-            happened: Vec::new(),
-            later: Vec::new(),
+            processes,
+            started_at: Instant::now(),
+            events: Vec::new(),
+            queued_steps: Vec::new(),
         }
     }
 
-    /// The document with the proxies' addresses, for the processes; where hosts reload, one for each of them.
+    /// Writes the document with the proxies' addresses, and the script. If the scenario has reloads, each host gets a
+    /// separate file.
     fn write_documents(
         &mut self,
         text: &str,
@@ -322,7 +326,7 @@
             .faults
             .iter()
             .any(|t| matches!(t.1, Fault::Reload { .. }));
-        let resolved = resolve(text, addresses, reloads);
+        let resolved = with_proxy_addresses(text, addresses, reloads);
         write(&self.document, &resolved)?;
         write(&dir.join("script.kdl"), text)?;
         if reloads {
@@ -331,26 +335,26 @@
             }
             write(&dir.join("revision-1.kdl"), &resolved)?;
         }
-        self.newest = (u64::from(reloads), resolved);
+        self.newest_document = (u64::from(reloads), resolved);
         if let (true, Some(first)) = (reloads, self.deployment.hosts.first()) {
-            self.record_document(&first.name, 1, Some(self.newest.1.clone()), false);
+            self.record_document(&first.name, 1, Some(self.newest_document.1.clone()), false);
         }
         Ok(())
     }
 
-    /// The hosts' states once nothing crosses between zones any more: what nodes still answer is then counted
-    /// by hosts and proxies alike.
+    /// Returns the hosts' states once their traffic accounts no longer change. By then hosts and proxies have counted
+    /// the same late responses of nodes.
     async fn settled_states(&mut self) -> Vec<State> {
-        let mut hosts = self.states().await;
+        let mut hosts = self.host_states().await;
         for _ in 0..MAX_ACCOUNT_READS {
             tokio::time::sleep(ACCOUNT_READ_INTERVAL).await;
-            let before = std::mem::replace(&mut hosts, self.states().await);
-            let moved = |all: &[State]| -> Vec<u64> {
+            let before = std::mem::replace(&mut hosts, self.host_states().await);
+            let totals = |all: &[State]| -> Vec<u64> {
                 all.iter()
-                    .map(|h| attempts_bytes(h).values().sum())
+                    .map(|h| attempt_bytes(h).values().sum())
                     .collect()
             };
-            if self.deployment.cross_zone_budgets.is_empty() || moved(&before) == moved(&hosts) {
+            if self.deployment.cross_zone_budgets.is_empty() || totals(&before) == totals(&hosts) {
                 break;
             }
         }
@@ -359,39 +363,40 @@
 
     /// Logs and records an event of the scenario, and keeps it for the report.
     fn note(&mut self, text: String) {
-        let at = self.began.elapsed().as_secs_f64();
+        let at = self.started_at.elapsed().as_secs_f64();
         info!(at_s = at, event = text, "scenario event");
         self.wire.record("day", What::Fault { text: text.clone() });
-        self.happened.push((at, text));
+        self.events.push((at, text));
     }
 
-    /// The hosts of the document, then those that a later one adds.
+    /// Returns the hosts of the document, then those that a later document adds.
     fn host_names(&self) -> Vec<String> {
         let named = self.deployment.hosts.iter().map(|h| h.name.clone());
         named.chain(self.script.newcomers.iter().cloned()).collect()
     }
 
+    /// Runs the clients and the steps of the script; returns the clients' tallies when the clients have finished.
     async fn play_script(
         &mut self,
         addresses: &BTreeMap<String, String>,
     ) -> Result<Tallies, RunError> {
         let s = self.script;
-        self.began = Instant::now();
+        self.started_at = Instant::now();
         let (changes, changed) = mpsc::channel(64);
         let load = Load {
             rates: s.rates.clone(),
-            bytes: s.bytes,
-            fresh: s.fresh,
-            tries: s.tries,
+            object_bytes: s.bytes,
+            recent_read_share: s.fresh,
+            max_attempts: s.tries,
             seed: self.stage.seed,
         };
-        // New hosts come after those of the document, as they will in a later one.
+        // New hosts come after those of the document, in the order that a later document has.
         let hosts = self
             .host_names()
             .iter()
             .map(|h| addresses[h].clone())
             .collect();
-        let until = self.began + duration(s.lasts);
+        let until = self.started_at + duration(s.lasts);
         let mut clients = JoinSet::new();
         clients.spawn(client::run(
             self.deployment.clone(),
@@ -400,17 +405,17 @@
             changed,
             until,
         ));
-        self.later = s
+        self.queued_steps = s
             .faults
             .iter()
-            .map(|(at, t)| (self.began + duration(*at), Step::Begin(t.clone())))
+            .map(|(at, t)| (self.started_at + duration(*at), Step::BeginFault(t.clone())))
             .collect();
         let Some(mut step_receiver) = self.step_receiver.take() else {
             return Ok(Tallies::new());
         };
         loop {
             let next = self
-                .later
+                .queued_steps
                 .iter()
                 .enumerate()
                 .min_by_key(|(place, l)| (l.0, *place));
@@ -419,13 +424,13 @@
             tokio::select! {
                 done = clients.join_next() => return match done {
                     Some(Ok(tallies)) => Ok(tallies),
-                    other => Err(RunError::Process { name: "clients".into(), why: format!("{other:?}") }),
+                    other => Err(RunError::Process { name: "clients".into(), cause: format!("{other:?}") }),
                 },
-                Some(step) = step_receiver.recv() => self.step(step, &changes, addresses).await?,
+                Some(step) = step_receiver.recv() => self.run_step(step, &changes, addresses).await?,
                 _ = self.operators.join_next(), if !self.operators.is_empty() => {}
                 () = sleep_until(next_step_at) => if let Some((place, _)) = next {
-                    let (_, step) = self.later.remove(place);
-                    self.step(step, &changes, addresses).await?;
+                    let (_, step) = self.queued_steps.remove(place);
+                    self.run_step(step, &changes, addresses).await?;
                 }
             }
         }
--- a/crates/scenario/src/run/allocations_log.rs
+++ b/crates/scenario/src/run/allocations_log.rs
@@ -1,4 +1,4 @@
-//! Copies what hosts logged of their shares and of maintenance stages into the recording, for the audit.
+//! Copies the shares and maintenance stages that hosts logged into the recording, for the audit.
 
 use super::ScenarioRun;
 use gullsail_protocol::record::What;
@@ -26,7 +26,8 @@
 }
 
 impl ScenarioRun<'_> {
-    /// Lines that cannot be parsed are skipped: the last one may be cut off where a host was killed.
+    /// Records the shares and stages from the logs of all hosts. Lines that cannot be parsed are skipped, since the log
+    /// of a killed host may end with an incomplete line.
     pub(super) fn record_allocations(&mut self) {
         for host in self
             .host_names()
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -1,8 +1,8 @@
-//! The configuration documents of a scenario: resolved for its processes, changed by its script, reloaded at hosts
-//! as their operators would.
+//! The configuration documents of a scenario: sets the proxies' addresses in them, applies the changes of the script,
+//! and reloads them at hosts as operators do.
 
 use super::ScenarioRun;
-use super::faults::Next;
+use super::faults::ReloadDocument;
 use crate::script::Expect;
 use gullsail_host::control::{ControlReply, ControlRequest, ask};
 use gullsail_protocol::record::What;
@@ -14,35 +14,41 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How long a host may take to reload, on a busy machine.
+/// How long a host may take to reload. The time is long enough for a busy machine.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a reload came to; `got` is `None` for anything unexpected.
+/// The result of a reload; `got` is `None` for an unexpected reply or an error.
 struct ReloadResult {
     got: Option<Expect>,
     text: String,
 }
 
-/// The document with the recording proxies' addresses; the processes themselves bind free ports.
-pub(super) fn resolve(text: &str, addresses: &BTreeMap<String, String>, reloads: bool) -> String {
+/// Returns the document for the processes: with the recording proxies' addresses, and without the script. The
+/// processes bind free ports. `reloads`: the document gets revision 1.
+pub(super) fn with_proxy_addresses(
+    text: &str,
+    addresses: &BTreeMap<String, String>,
+    reloads: bool,
+) -> String {
     let Ok(mut document) = KdlDocument::parse_v2(text) else {
         return text.into();
     };
     document
         .nodes_mut()
         .iter_mut()
-        .for_each(|node| address(node, addresses));
-    // A scenario numbers its revisions itself.
+        .for_each(|node| set_address(node, addresses));
+    // The scenario numbers the revisions, so a revision in the document is dropped.
     document
         .nodes_mut()
         .retain(|node| !["day", "revision"].contains(&node.name().value()));
     if reloads {
-        document.nodes_mut().push(revision(1, None));
+        document.nodes_mut().push(revision_entry(1, None));
     }
     document.to_string()
 }
 
-fn address(node: &mut KdlNode, addresses: &BTreeMap<String, String>) {
+/// Sets the proxy's address and a free port to listen on, if the entry is that of a process.
+fn set_address(node: &mut KdlNode, addresses: &BTreeMap<String, String>) {
     let name = match node.name().value() {
         "host" | "node" => node.get(0).and_then(|v| v.as_string()).map(str::to_string),
         "list" => Some("list".to_string()),
@@ -57,7 +63,8 @@
     }
 }
 
-pub(super) fn revision(number: u64, after: Option<&str>) -> KdlNode {
+/// Returns a `revision` entry; `after` names the file of the revision before it.
+pub(super) fn revision_entry(number: u64, after: Option<&str>) -> KdlNode {
     let mut node = KdlNode::new("revision");
     node.push(KdlEntry::new(i128::from(number)));
     if let Some(after) = after {
@@ -66,8 +73,9 @@
     node
 }
 
-/// The document with `entries` in place of those of the same kind and name, and the next revision number.
-pub(super) fn changed(
+/// Returns the document with `entries` added, or in place of those of the same kind and name, and with this revision
+/// number.
+pub(super) fn with_changes(
     text: &str,
     entries: &[String],
     number: u64,
@@ -86,7 +94,7 @@
         };
         match document.nodes_mut().iter_mut().find(|node| same(node)) {
             Some(node) => {
-                // The script does not change where a process listens.
+                // The address of a process stays as it is, whatever the script's entry says.
                 let kept: Vec<_> = ["address", "listen"]
                     .iter()
                     .filter_map(|key| node.entry(*key).cloned())
@@ -96,31 +104,32 @@
             }
             None => {
                 let mut entry = entry;
-                address(&mut entry, addresses);
+                set_address(&mut entry, addresses);
                 document.nodes_mut().push(entry);
             }
         }
     }
-    numbered(
+    with_revision(
         &document.to_string(),
         number,
         Some(&format!("revision-{}.kdl", number - 1)),
     )
 }
 
-/// The document with this revision number.
-pub(super) fn numbered(text: &str, number: u64, after: Option<&str>) -> String {
+/// Returns the document with this revision number; `after` names the file of the revision before it.
+pub(super) fn with_revision(text: &str, number: u64, after: Option<&str>) -> String {
     let Ok(mut document) = KdlDocument::parse_v2(text) else {
         return text.into();
     };
     document
         .nodes_mut()
         .retain(|node| node.name().value() != "revision");
-    document.nodes_mut().push(revision(number, after));
+    document.nodes_mut().push(revision_entry(number, after));
     document.to_string()
 }
 
 impl ScenarioRun<'_> {
+    /// Records that a host serves by a revision (`serves`), or that it is about to be given one.
     pub(super) fn record_document(
         &self,
         host: &str,
@@ -138,7 +147,7 @@
         );
     }
 
-    /// Records the revision with which a host starts: the one in its file.
+    /// Records the revision in a host's file, with which the host starts.
     pub(super) fn record_start(&self, host: &str) {
         let file = self.stage.dir.join(format!("{host}.kdl"));
         let text = std::fs::read_to_string(file).unwrap_or_default();
@@ -152,15 +161,20 @@
         }
     }
 
-    /// Reloads a host as its operator would: writes the new document to its file, then sends the command. If it is
-    /// refused, the old document is put back.
-    pub(super) async fn reload(&mut self, host: &str, next: &Next, clients: &mpsc::Sender<Change>) {
+    /// Reloads a host as an operator does: writes the new document to the host's file, then sends the command. If the
+    /// reload is not accepted, the old document is restored.
+    pub(super) async fn reload(
+        &mut self,
+        host: &str,
+        next: &ReloadDocument,
+        clients: &mpsc::Sender<Change>,
+    ) {
         let file = self.stage.dir.join(format!("{host}.kdl"));
         let before = std::fs::read_to_string(&file).unwrap_or_default();
         if let Err(e) = std::fs::write(&file, &next.text) {
             return self.failures.push(format!("{}: {e}", file.display()));
         }
-        if self.places.get(host).is_none_or(|p| p.process.is_none()) {
+        if self.processes.get(host).is_none_or(|p| p.process.is_none()) {
             self.note(format!(
                 "{host} is down: it will start with revision {}",
                 next.revision
@@ -171,14 +185,14 @@
             return;
         }
         if next.expect == Expect::Taken {
-            // Without its predecessors, as the audit reads it.
-            let alone = numbered(&next.text, next.revision, None);
-            self.record_document(host, next.revision, Some(alone), false);
+            // Without a reference to the revision before it: the audit reads each document alone.
+            let standalone = with_revision(&next.text, next.revision, None);
+            self.record_document(host, next.revision, Some(standalone), false);
         }
         let request = ControlRequest::Reload {
             insist: next.insist,
         };
-        let reply = ask(&self.socket(host), request, RELOAD_TIMEOUT).await;
+        let reply = ask(&self.control_socket(host), request, RELOAD_TIMEOUT).await;
         let ReloadResult { got, text } = self.reload_result(host, next, reply, clients).await;
         self.note(format!("{host}, revision {}: {text}", next.revision));
         if got != Some(next.expect) {
@@ -192,18 +206,18 @@
         }
     }
 
-    /// Puts a host's document back as it was before a reload that was refused.
+    /// Restores a host's document after a reload that was not accepted.
     fn restore_document(&mut self, file: &Path, before: &str) {
         if let Err(error) = std::fs::write(file, before) {
             self.failures.push(format!("{}: {error}", file.display()));
         }
     }
 
-    /// What a reload came to. Clients learn of the configuration as soon as one host serves by it.
+    /// Evaluates the reply to a reload. Clients switch to the configuration as soon as one host has accepted it.
     async fn reload_result(
         &mut self,
         host: &str,
-        next: &Next,
+        next: &ReloadDocument,
         reply: std::io::Result<ControlReply>,
         clients: &mpsc::Sender<Change>,
     ) -> ReloadResult {
@@ -211,9 +225,9 @@
         match reply {
             Ok(ControlReply::Taken { revision, changes }) => {
                 self.record_document(host, revision, None, true);
-                let text = numbered(&next.text, revision, None);
+                let text = with_revision(&next.text, revision, None);
                 if let Ok(deployment) = gullsail_configuration::parse("day", &text) {
-                    // The scenario may be over: no client receives it then.
+                    // The error is ignored: it means that the clients have finished.
                     _ = clients.send(Change::Document(Arc::new(deployment))).await;
                 }
                 let text = format!("{} change(s) accepted", changes.len());
--- a/crates/scenario/src/run/fault_start.rs
+++ b/crates/scenario/src/run/fault_start.rs
@@ -1,9 +1,9 @@
-//! What begins with each fault of a script; what is still to come of it is queued as a [`Step`].
+//! Starts each fault of a script. Later actions of a fault are queued as [`Step`]s.
 
 use super::ScenarioRun;
-use super::documents::changed;
+use super::documents::with_changes;
 use super::duration;
-use super::faults::{Next, Step};
+use super::faults::{ReloadDocument, Step};
 use crate::script::Expect;
 use crate::script::Fault;
 use gullsail_host::core::maintenance::OperatorCommand;
@@ -21,7 +21,8 @@
 use tokio::time::Instant;
 
 impl ScenarioRun<'_> {
-    pub(super) async fn begin(
+    /// Records a fault and starts it.
+    pub(super) async fn begin_fault(
         &mut self,
         fault: Fault,
         changes: &mpsc::Sender<Change>,
@@ -57,12 +58,12 @@
             | Fault::StopHost { .. }
             | Fault::StartHost { .. }
             | Fault::Pause { .. } => self.stop_processes(fault).await,
-            Fault::Out { .. } | Fault::Cancel { .. } => self.send_operator(fault),
+            Fault::Out { .. } | Fault::Cancel { .. } => self.start_operator(fault),
             Fault::Reload { .. } => self.schedule_reload(fault, addresses),
         }
     }
 
-    /// What clients ask for.
+    /// Changes the clients' load.
     async fn change_load(&mut self, fault: Fault, changes: &mpsc::Sender<Change>) {
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
@@ -84,20 +85,20 @@
                     })
                     .await;
             }
-            Fault::LeadMoves => _ = changes.send(Change::LeadMoves).await,
+            Fault::LeadMoves => _ = changes.send(Change::ShiftBusiestHost).await,
             _ => {}
         }
     }
 
-    /// Nodes that stay up and do worse.
+    /// Degrades nodes, or the list service, that keep running.
     async fn degrade_nodes(&mut self, fault: Fault) {
         match fault {
-            Fault::Stall { node, lasts } => self.order_nodes(&node, "stall", 1.0, lasts).await,
+            Fault::Stall { node, lasts } => self.send_node_orders(&node, "stall", 1.0, lasts).await,
             Fault::Slow { node, times, lasts } => {
-                self.order_nodes(&node, "slow", times, lasts).await
+                self.send_node_orders(&node, "slow", times, lasts).await
             }
             Fault::Fail { node, share, lasts } => {
-                self.order_nodes(&node, "fail", share, lasts).await
+                self.send_node_orders(&node, "fail", share, lasts).await
             }
             Fault::Costly {
                 request_class,
@@ -105,17 +106,17 @@
                 times,
                 lasts,
             } => {
-                let what = "costly".into();
+                let fault_kind = "costly".into();
                 let order = Order {
-                    kind: what,
+                    kind: fault_kind,
                     size: times,
                     duration_us: lasts.micros(),
                     share,
                     request_class,
                     ..Order::default()
                 };
-                for name in self.nodes("*") {
-                    self.order(&name, order.clone()).await;
+                for name in self.node_names("*") {
+                    self.send_order(&name, order.clone()).await;
                 }
             }
             Fault::ListDown { lasts } => {
@@ -124,30 +125,31 @@
                     duration_us: lasts.micros(),
                     ..Order::default()
                 };
-                self.order("list", order).await;
+                self.send_order("list", order).await;
             }
             _ => {}
         }
     }
 
-    /// Nodes that end and what comes in their place.
+    /// Ends nodes and starts their successors.
     async fn replace_node(&mut self, fault: Fault, addresses: &BTreeMap<String, String>) {
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
             Fault::Replace { node, by, after } => {
-                if let Some(process) = self.places.get_mut(&node).and_then(|p| p.process.take()) {
+                if let Some(process) = self.processes.get_mut(&node).and_then(|p| p.process.take())
+                {
                     self.wire
-                        .process(&node, self.wire.now(), ProcessEvent::Killed);
+                        .record_process_event(&node, self.wire.now(), ProcessEvent::Killed);
                     process.kill().await;
                 }
-                self.gone(&node, &by, addresses).await;
-                self.later
-                    .push((until(after), Step::Successor { node: by }));
+                self.list_as_gone(&node, &by, addresses).await;
+                self.queued_steps
+                    .push((until(after), Step::StartNode { node: by }));
             }
             Fault::Release { node, by, after } => {
                 if let Some(n) = self.deployment.node(&node).cloned() {
-                    let entries = vec![self.entry(&n, ListedState::Draining, addresses)];
-                    self.order(
+                    let entries = vec![self.list_entry(&n, ListedState::Draining, addresses)];
+                    self.send_order(
                         "list",
                         Order {
                             kind: "set".into(),
@@ -157,24 +159,26 @@
                     )
                     .await;
                 }
-                self.later.push((until(after), Step::End { node, by }));
+                self.queued_steps
+                    .push((until(after), Step::EndNode { node, by }));
             }
             Fault::StartNode { node } => {
-                self.later.push((Instant::now(), Step::Successor { node }));
+                self.queued_steps
+                    .push((Instant::now(), Step::StartNode { node }));
             }
             _ => {}
         }
     }
 
-    /// What the proxies do to frames and connections.
+    /// Disturbs frames and connections at the proxies.
     fn disturb_connections(&mut self, fault: Fault) {
         match fault {
             Fault::Refuse { to, lasts } => {
-                self.disturbance("*", &to, DisturbanceKind::Refuse, lasts);
+                self.disturb("*", &to, DisturbanceKind::Refuse, lasts);
                 self.wire.cut("*", &to);
             }
             Fault::Silent { to, lasts } => {
-                self.disturbance("*", &to, DisturbanceKind::Silent, lasts);
+                self.disturb("*", &to, DisturbanceKind::Silent, lasts);
                 self.wire.cut("*", &to);
             }
             Fault::Cut { from, to } => self.wire.cut(&from, &to),
@@ -183,7 +187,7 @@
                 b,
                 one_way,
                 lasts,
-            } => self.part(&a, &b, one_way, duration(lasts)),
+            } => self.partition(&a, &b, one_way, duration(lasts)),
             Fault::Flap {
                 a,
                 b,
@@ -198,13 +202,13 @@
                     every: duration(every),
                     until: Instant::now() + duration(lasts),
                 };
-                self.later.push((Instant::now(), step));
+                self.queued_steps.push((Instant::now(), step));
             }
             other => self.disturb_frames(other),
         }
     }
 
-    /// What the proxies do to single frames between two processes.
+    /// Disturbs single frames between two processes.
     fn disturb_frames(&mut self, fault: Fault) {
         match fault {
             Fault::LoseLabels {
@@ -214,85 +218,88 @@
                 lasts,
             } => {
                 let kind = DisturbanceKind::LoseDemandReports(share);
-                self.disturbance(&from, &to, kind, lasts);
-                self.disturbance(&to, &from, kind, lasts);
+                self.disturb(&from, &to, kind, lasts);
+                self.disturb(&to, &from, kind, lasts);
             }
             Fault::SwapLabels { from, to, lasts } => {
-                self.disturbance(&from, &to, DisturbanceKind::SwapDemandReports, lasts)
+                self.disturb(&from, &to, DisturbanceKind::SwapDemandReports, lasts)
             }
             Fault::Delay {
                 from,
                 to,
                 by,
                 lasts,
-            } => self.disturbance(&from, &to, DisturbanceKind::Delay(duration(by)), lasts),
+            } => self.disturb(&from, &to, DisturbanceKind::Delay(duration(by)), lasts),
             Fault::Reset {
                 from,
                 to,
                 share,
                 lasts,
-            } => self.disturbance(&from, &to, DisturbanceKind::Reset(share), lasts),
+            } => self.disturb(&from, &to, DisturbanceKind::Reset(share), lasts),
             Fault::Errors { node, share, lasts } => {
-                self.disturbance(&node, "*", DisturbanceKind::Errors(share), lasts)
+                self.disturb(&node, "*", DisturbanceKind::Errors(share), lasts)
             }
             Fault::Lose {
                 from,
                 to,
                 share,
                 lasts,
-            } => self.disturbance(&from, &to, DisturbanceKind::Lose(share), lasts),
+            } => self.disturb(&from, &to, DisturbanceKind::Lose(share), lasts),
             Fault::HalfClose {
                 from,
                 to,
                 share,
                 lasts,
-            } => self.disturbance(&from, &to, DisturbanceKind::HalfClose(share), lasts),
+            } => self.disturb(&from, &to, DisturbanceKind::HalfClose(share), lasts),
             Fault::Repeat {
                 from,
                 to,
                 share,
                 lasts,
-            } => self.disturbance(&from, &to, DisturbanceKind::Repeat(share), lasts),
+            } => self.disturb(&from, &to, DisturbanceKind::Repeat(share), lasts),
             _ => {}
         }
     }
 
-    /// Processes that are killed, ended, stopped for a while or started.
+    /// Kills, stops, pauses or starts processes.
     async fn stop_processes(&mut self, fault: Fault) {
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
             Fault::KillHost { host, after } => {
-                if let Some(process) = self.places.get_mut(&host).and_then(|p| p.process.take()) {
+                if let Some(process) = self.processes.get_mut(&host).and_then(|p| p.process.take())
+                {
                     self.wire
-                        .process(&host, self.wire.now(), ProcessEvent::Killed);
+                        .record_process_event(&host, self.wire.now(), ProcessEvent::Killed);
                     process.kill().await;
                 }
-                self.later
-                    .extend(after.map(|after| (until(after), Step::HostBack { host })));
+                self.queued_steps
+                    .extend(after.map(|after| (until(after), Step::StartHost { host })));
             }
             Fault::StopHost { host, after } => {
                 self.stop_host(&host).await;
-                self.later
-                    .extend(after.map(|after| (until(after), Step::HostBack { host })));
+                self.queued_steps
+                    .extend(after.map(|after| (until(after), Step::StartHost { host })));
             }
             Fault::StartHost { host } => {
-                self.later.push((Instant::now(), Step::HostBack { host }));
+                self.queued_steps
+                    .push((Instant::now(), Step::StartHost { host }));
             }
             Fault::Pause { name, lasts } => {
                 self.wire
-                    .process(&name, self.wire.now(), ProcessEvent::Paused);
+                    .record_process_event(&name, self.wire.now(), ProcessEvent::Paused);
                 self.signal(&name, Signal::SIGSTOP);
-                self.later.push((until(lasts), Step::GoOn { name }));
+                self.queued_steps
+                    .push((until(lasts), Step::Resume { name }));
             }
             _ => {}
         }
     }
 
-    /// What operators ask hosts for.
-    fn send_operator(&mut self, fault: Fault) {
+    /// Starts an operator that gives a maintenance command.
+    fn start_operator(&mut self, fault: Fault) {
         match fault {
             Fault::Out { .. } | Fault::Cancel { .. } if self.stage.baseline => {
-                self.note("the baseline knows of no works".into());
+                self.note("the baseline does not support maintenance".into());
             }
             Fault::Out {
                 names,
@@ -311,7 +318,7 @@
                     ..OperatorCommand::default()
                 };
                 let operator = self.operator(command, &via, expect, duration(after));
-                self.operators.spawn(operator.out(servers));
+                self.operators.spawn(operator.take_offline(servers));
             }
             Fault::Cancel { names, via } => {
                 let command = OperatorCommand {
@@ -320,18 +327,18 @@
                     ..OperatorCommand::default()
                 };
                 let operator = self.operator(command, &via, Expect::Taken, Duration::ZERO);
-                self.operators.spawn(operator.command_only());
+                self.operators.spawn(operator.send_command_once());
             }
             _ => {}
         }
     }
 
-    /// Another document for the hosts.
+    /// Writes the next revision of the document and queues its reload at the hosts.
     fn schedule_reload(&mut self, fault: Fault, addresses: &BTreeMap<String, String>) {
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
             Fault::Reload { .. } if self.stage.baseline => {
-                self.note("the baseline takes no other document: it keeps its own".into());
+                self.note("the baseline does not support reloads".into());
             }
             Fault::Reload {
                 host,
@@ -340,9 +347,9 @@
                 expect,
                 entries,
             } => {
-                let number = self.newest.0 + 1;
-                let text = changed(&self.newest.1, &entries, number, addresses);
-                let next = Arc::new(Next {
+                let number = self.newest_document.0 + 1;
+                let text = with_changes(&self.newest_document.1, &entries, number, addresses);
+                let next = Arc::new(ReloadDocument {
                     revision: number,
                     insist,
                     expect,
@@ -353,7 +360,7 @@
                     if let Err(e) = std::fs::write(&file, &text) {
                         self.failures.push(format!("{}: {e}", file.display()));
                     }
-                    self.newest = (number, text);
+                    self.newest_document = (number, text);
                 }
                 let hosts = self
                     .host_names()
@@ -361,7 +368,7 @@
                     .filter(|h| host == "*" || *h == host);
                 for (place, host) in hosts.collect::<Vec<_>>().into_iter().enumerate() {
                     let at = until(every.times(place as f64));
-                    self.later.push((
+                    self.queued_steps.push((
                         at,
                         Step::Reload {
                             host,
--- a/crates/scenario/src/run/faults.rs
+++ b/crates/scenario/src/run/faults.rs
@@ -1,5 +1,5 @@
-//! The steps of a scenario that are queued for later: orders to simulated processes, disturbances of connections,
-//! signals to processes.
+//! The steps of a scenario that are queued for a later time, and the means by which faults act: orders to simulated
+//! processes, disturbances of connections and signals to processes.
 
 use super::ScenarioRun;
 use super::duration;
@@ -25,16 +25,16 @@
 /// A step of a scenario.
 pub(super) enum Step {
     /// A fault of the script begins.
-    Begin(Fault),
-    /// The node's process ends now, and the endpoint list reports it; a successor starts later.
-    End { node: String, by: String },
+    BeginFault(Fault),
+    /// A node that drains is ended and the endpoint list lists it as gone; a successor starts later.
+    EndNode { node: String, by: String },
     /// The successor of a node starts.
-    Successor { node: String },
-    /// A host that was stopped or killed starts again.
-    HostBack { host: String },
-    /// A paused process continues.
-    GoOn { name: String },
-    /// Frames between two groups are lost for a while, then pass for as long, until that point.
+    StartNode { node: String },
+    /// A host is started, for the first time or after it was stopped or killed.
+    StartHost { host: String },
+    /// A paused process is resumed.
+    Resume { name: String },
+    /// Frames between two groups are lost for `every`, then pass for as long; repeated until `until`.
     Flap {
         a: Vec<String>,
         b: Vec<String>,
@@ -42,26 +42,29 @@
         every: Duration,
         until: Instant,
     },
-    /// A host is given another configuration.
-    Reload { host: String, next: Arc<Next> },
-    /// The result of an operator's command.
+    /// A host reloads another configuration.
+    Reload {
+        host: String,
+        next: Arc<ReloadDocument>,
+    },
+    /// An operator reports the reply to a command; `failure` is set if it was not the expected one.
     OperatorReport {
         text: String,
         failure: Option<String>,
     },
-    /// A server is offline and is switched off; it is switched on later, and with `back` an operator reports its
-    /// return.
+    /// A server that is offline for maintenance is switched off, and on again `after` that. With `back`, an operator
+    /// then reports its return.
     SwitchOff {
         name: String,
         after: Duration,
         back: bool,
     },
-    /// A server is switched on again.
+    /// A server is switched on again. With `back`, an operator reports its return.
     SwitchOn { name: String, back: bool },
 }
 
 /// A configuration for hosts to reload, and the expected result.
-pub(super) struct Next {
+pub(super) struct ReloadDocument {
     pub(super) revision: u64,
     pub(super) insist: bool,
     pub(super) expect: Expect,
@@ -69,39 +72,45 @@
 }
 
 impl ScenarioRun<'_> {
-    pub(super) async fn step(
+    /// Runs a step that is due.
+    pub(super) async fn run_step(
         &mut self,
         step: Step,
         changes: &mpsc::Sender<Change>,
         addresses: &BTreeMap<String, String>,
     ) -> Result<(), RunError> {
         match step {
-            Step::Begin(fault) => self.begin(fault, changes, addresses).await,
-            Step::End { node, by } => self.end_node(&node, by, addresses).await,
-            Step::Successor { node } => self.start_successor(&node, addresses).await?,
+            Step::BeginFault(fault) => self.begin_fault(fault, changes, addresses).await,
+            Step::EndNode { node, by } => self.end_node(&node, by, addresses).await,
+            Step::StartNode { node } => self.start_successor(&node, addresses).await?,
             Step::OperatorReport { text, failure } => {
                 self.note(text);
                 self.failures.extend(failure);
             }
             Step::SwitchOff { name, after, back } => {
-                // Another operator with the same order may have done it already.
-                if self.places.get(&name).is_none_or(|p| p.process.is_none()) {
+                // Another operator with the same order may have switched the server off already.
+                if self
+                    .processes
+                    .get(&name)
+                    .is_none_or(|p| p.process.is_none())
+                {
                     return Ok(());
                 }
                 self.switch_off(&name, addresses).await;
                 let step = Step::SwitchOn { name, back };
-                self.later.push((Instant::now() + after, step));
+                self.queued_steps.push((Instant::now() + after, step));
             }
             Step::SwitchOn { name, back } => self.switch_on(&name, back, addresses).await?,
             Step::Reload { host, next } => self.reload(&host, &next, changes).await,
-            Step::HostBack { host } => {
+            Step::StartHost { host } => {
                 self.start_host(&host).await?;
                 self.note(format!("{host} is back, without memory"));
             }
-            Step::GoOn { name } => {
+            Step::Resume { name } => {
                 self.note(format!("{name} continues"));
                 let now = self.wire.now();
-                self.wire.process(&name, now, ProcessEvent::Resumed);
+                self.wire
+                    .record_process_event(&name, now, ProcessEvent::Resumed);
                 self.signal(&name, Signal::SIGCONT);
             }
             Step::Flap {
@@ -111,7 +120,7 @@
                 every,
                 until,
             } => {
-                self.part(&a, &b, one_way, every);
+                self.partition(&a, &b, one_way, every);
                 let next = Instant::now() + 2 * every;
                 if next < until {
                     let step = Step::Flap {
@@ -121,26 +130,29 @@
                         every,
                         until,
                     };
-                    self.later.push((next, step));
+                    self.queued_steps.push((next, step));
                 }
             }
         }
         Ok(())
     }
 
-    /// A node's process exits; its successor starts a moment later.
+    /// Kills a node's process; its successor starts [`SUCCESSOR_DELAY`] later.
     async fn end_node(&mut self, node: &str, by: String, addresses: &BTreeMap<String, String>) {
         self.note(format!("{node} ends"));
-        if let Some(process) = self.places.get_mut(node).and_then(|p| p.process.take()) {
+        if let Some(process) = self.processes.get_mut(node).and_then(|p| p.process.take()) {
             let now = self.wire.now();
-            self.wire.process(node, now, ProcessEvent::Ended);
+            self.wire
+                .record_process_event(node, now, ProcessEvent::Ended);
             process.kill().await;
         }
-        self.gone(node, &by, addresses).await;
-        let step = Step::Successor { node: by };
-        self.later.push((Instant::now() + SUCCESSOR_DELAY, step));
+        self.list_as_gone(node, &by, addresses).await;
+        let step = Step::StartNode { node: by };
+        self.queued_steps
+            .push((Instant::now() + SUCCESSOR_DELAY, step));
     }
 
+    /// Starts a node and lists it as ready.
     async fn start_successor(
         &mut self,
         node: &str,
@@ -153,23 +165,23 @@
         self.start_node(&place, false).await?;
         let order = Order {
             kind: "set".into(),
-            entries: vec![self.entry(&place, ListedState::Ready, addresses)],
+            entries: vec![self.list_entry(&place, ListedState::Ready, addresses)],
             ..Order::default()
         };
-        self.order("list", order).await;
+        self.send_order("list", order).await;
         Ok(())
     }
 
-    /// Tells the endpoint list that a node is gone, unless the same node comes back.
-    pub(super) async fn gone(
+    /// Lists a node as gone, unless its successor `by` is the node itself.
+    pub(super) async fn list_as_gone(
         &mut self,
         node: &str,
         by: &str,
         addresses: &BTreeMap<String, String>,
     ) {
         if let (true, Some(n)) = (node != by, self.deployment.node(node).cloned()) {
-            let entries = vec![self.entry(&n, ListedState::Gone, addresses)];
-            self.order(
+            let entries = vec![self.list_entry(&n, ListedState::Gone, addresses)];
+            self.send_order(
                 "list",
                 Order {
                     kind: "set".into(),
@@ -181,16 +193,16 @@
         }
     }
 
-    /// Sends a signal to a process of this scenario, by its id; does nothing if it does not run.
+    /// Sends a signal to a process of this scenario by its id; does nothing if the process is not running.
     pub(super) fn signal(&mut self, name: &str, signal: Signal) {
-        let process = self.places.get(name).and_then(|p| p.process.as_ref());
+        let process = self.processes.get(name).and_then(|p| p.process.as_ref());
         if let Some(Err(e)) = process.map(|p| p.signal(signal)) {
             self.failures.push(e.to_string());
         }
     }
 
-    /// Frames from one group to the other are lost; the other way too, unless only one way is meant.
-    pub(super) fn part(&mut self, a: &[String], b: &[String], one_way: bool, lasts: Duration) {
+    /// Drops the frames from group `a` to group `b` for a time, and unless `one_way` also those from `b` to `a`.
+    pub(super) fn partition(&mut self, a: &[String], b: &[String], one_way: bool, lasts: Duration) {
         let until = Instant::now() + lasts;
         for (from, to) in a.iter().flat_map(|a| b.iter().map(move |b| (a, b))) {
             for (from, to) in [(from, to), (to, from)]
@@ -201,23 +213,25 @@
                     from: from.clone(),
                     to: to.clone(),
                     until,
-                    what: DisturbanceKind::Lose(1.0),
+                    kind: DisturbanceKind::Lose(1.0),
                 });
             }
         }
     }
 
-    pub(super) fn disturbance(&self, from: &str, to: &str, what: DisturbanceKind, lasts: Span) {
+    /// Puts a disturbance of the frames and connections from one process to another in force.
+    pub(super) fn disturb(&self, from: &str, to: &str, kind: DisturbanceKind, lasts: Span) {
         let until = Instant::now() + duration(lasts);
         self.wire.disturb(Disturbance {
             from: from.into(),
             to: to.into(),
             until,
-            what,
+            kind,
         });
     }
 
-    pub(super) fn nodes(&self, name: &str) -> Vec<String> {
+    /// Returns the names of all nodes for `*`, else the name itself.
+    pub(super) fn node_names(&self, name: &str) -> Vec<String> {
         let all = self.deployment.nodes.iter().map(|n| n.place.name.clone());
         if name == "*" {
             all.collect()
@@ -226,15 +240,16 @@
         }
     }
 
-    pub(super) async fn order_nodes(&self, node: &str, what: &str, size: f64, lasts: Span) {
-        for name in self.nodes(node) {
+    /// Sends an order to start a fault to a node, or to all nodes for `*`.
+    pub(super) async fn send_node_orders(&self, node: &str, kind: &str, size: f64, lasts: Span) {
+        for name in self.node_names(node) {
             let order = Order {
-                kind: what.into(),
+                kind: kind.into(),
                 size,
                 duration_us: lasts.micros(),
                 ..Order::default()
             };
-            self.order(&name, order).await;
+            self.send_order(&name, order).await;
         }
     }
 }
--- a/crates/scenario/src/run/lifecycle.rs
+++ b/crates/scenario/src/run/lifecycle.rs
@@ -1,4 +1,5 @@
-//! What is started and stopped: nodes, the list, hosts; and what is said to them on connections of their own.
+//! Starts and stops nodes, the list service and hosts, sends orders to simulated processes and reads the states of
+//! hosts.
 
 use super::ScenarioRun;
 use super::WARM_NODE_AGE_US;
@@ -25,6 +26,7 @@
 use tracing::warn;
 
 impl ScenarioRun<'_> {
+    /// Starts the processes that run from the start of the scenario, and gives the nodes to the list service.
     pub(super) async fn start_all(
         &mut self,
         addresses: &BTreeMap<String, String>,
@@ -39,13 +41,14 @@
         for node in &nodes {
             self.start_node(node, true).await?;
         }
-        self.start("list", vec!["list".into()], Some(0)).await?;
-        // What the list knows from the start: who runs, and where.
+        self.start_process("list", vec!["list".into()], Some(0))
+            .await?;
+        // The first entries of the list: the nodes that run, and their addresses.
         let entries = nodes
             .iter()
-            .map(|node| self.entry(node, ListedState::Ready, addresses))
+            .map(|node| self.list_entry(node, ListedState::Ready, addresses))
             .collect();
-        self.order(
+        self.send_order(
             "list",
             Order {
                 kind: "set".into(),
@@ -54,8 +57,8 @@
             },
         )
         .await;
-        // Some come only later.
-        let late = |name: &String| {
+        // A host that the script starts later does not run yet.
+        let starts_later = |name: &String| {
             let faults = &mut self.script.faults.iter();
             faults.any(|t| matches!(&t.1, Fault::StartHost { host } if host == name))
         };
@@ -64,7 +67,7 @@
             .hosts
             .iter()
             .map(|h| h.name.clone())
-            .filter(|h| !late(h))
+            .filter(|h| !starts_later(h))
             .collect();
         for host in hosts {
             self.start_host(&host).await?;
@@ -72,23 +75,25 @@
         Ok(())
     }
 
-    pub(super) async fn start(
+    /// Starts a process with its own document if it has one, and points its proxy to it. `at` is the recorded time of
+    /// the start in microseconds; `None`: now; 0: the process runs from the start of the scenario.
+    pub(super) async fn start_process(
         &mut self,
         name: &str,
         args: Vec<String>,
         at: Option<i64>,
     ) -> Result<(), RunError> {
         let mut args = args;
-        let own = self.stage.dir.join(format!("{name}.kdl"));
-        let file = if own.exists() {
-            own
+        let own_document = self.stage.dir.join(format!("{name}.kdl"));
+        let file = if own_document.exists() {
+            own_document
         } else {
             self.document.clone()
         };
         args.push(file.display().to_string());
         let process = Process::start(&self.stage.program, name, &args, &self.stage.dir).await?;
         let incarnation = process.listening.incarnation;
-        self.wire.process(
+        self.wire.record_process_event(
             name,
             at.unwrap_or(self.wire.now()),
             ProcessEvent::Started { incarnation },
@@ -98,16 +103,17 @@
         {
             sampler.host_started(name, id);
         }
-        if let Some(place) = self.places.get_mut(name) {
-            place
+        if let Some(proxied) = self.processes.get_mut(name) {
+            proxied
                 .target
                 .send_replace(Some(process.listening.address.clone()));
-            (place.process, place.started, place.warm) =
+            (proxied.process, proxied.started, proxied.warm) =
                 (Some(process), Instant::now(), at == Some(0));
         }
         Ok(())
     }
 
+    /// Starts a node. `warm`: it runs from the start of the scenario and counts as running for an hour.
     pub(super) async fn start_node(
         &mut self,
         node: &NodePlace,
@@ -119,9 +125,11 @@
         if warm {
             args.extend(["--age".into(), "1h".into()]);
         }
-        self.start(&node.place.name, args, warm.then_some(0)).await
+        self.start_process(&node.place.name, args, warm.then_some(0))
+            .await
     }
 
+    /// Starts a host, or the baseline in its place, and records the revision of its document.
     pub(super) async fn start_host(&mut self, host: &str) -> Result<(), RunError> {
         let program = if self.stage.baseline {
             "baseline"
@@ -130,7 +138,7 @@
         };
         let mut args = vec![program.to_string(), "--name".into(), host.into()];
         if !self.stage.baseline && self.deployment.fleet.is_some() {
-            // These log lines carry the host's shares, for the audit.
+            // These log lines report the host's shares and maintenance stages, which the audit needs.
             args.extend(
                 [
                     "--log",
@@ -141,7 +149,7 @@
                 .map(String::from),
             );
         }
-        let incarnation = self.happened.len() as u64;
+        let incarnation = self.events.len() as u64;
         args.extend([
             "--seed".into(),
             (self.stage.seed.wrapping_mul(31).wrapping_add(incarnation)).to_string(),
@@ -159,24 +167,28 @@
             args.extend(["--clock-drift".into(), drift.to_string()]);
         }
         if !self.stage.baseline {
-            args.extend(["--control".into(), self.socket(host).display().to_string()]);
+            args.extend([
+                "--control".into(),
+                self.control_socket(host).display().to_string(),
+            ]);
         }
-        self.start(host, args, None).await?;
+        self.start_process(host, args, None).await?;
         self.record_start(host);
         Ok(())
     }
 
-    pub(super) fn entry(
+    /// Returns the node's entry in the endpoint list, with this state.
+    pub(super) fn list_entry(
         &self,
         node: &NodePlace,
         state: ListedState,
         addresses: &BTreeMap<String, String>,
     ) -> ListedEndpoint {
-        let place = self.places.get(&node.place.name);
-        let incarnation = place
+        let proxied = self.processes.get(&node.place.name);
+        let incarnation = proxied
             .and_then(|p| p.process.as_ref())
             .map_or(0, |p| p.listening.incarnation);
-        let age = place.map_or(0, |p| {
+        let age = proxied.map_or(0, |p| {
             if p.warm {
                 WARM_NODE_AGE_US
             } else {
@@ -200,10 +212,10 @@
         }
     }
 
-    /// Sends an order to a simulated process, on a connection of its own.
-    pub(super) async fn order(&self, name: &str, order: Order) {
+    /// Sends an order to a simulated process on a new connection, and waits until it is written.
+    pub(super) async fn send_order(&self, name: &str, order: Order) {
         let address = self
-            .places
+            .processes
             .get(name)
             .and_then(|p| p.target.borrow().clone());
         let Some(address) = address else { return };
@@ -224,14 +236,14 @@
         let bytes = Frame::from(hello.clone()).len() + Frame::from(order.clone()).len();
         let (_, _) = (link.send(Frame::from(hello)), link.send(Frame::from(order)));
         let written = async {
-            let mut left = bytes;
-            while let Some(((), happened)) = inbox.recv().await {
-                match happened {
-                    LinkEvent::Written(node) => left = left.saturating_sub(node),
+            let mut bytes_left = bytes;
+            while let Some(((), event)) = inbox.recv().await {
+                match event {
+                    LinkEvent::Written(written) => bytes_left = bytes_left.saturating_sub(written),
                     LinkEvent::Closed(_) => break,
                     LinkEvent::Frame(_) => {}
                 }
-                if left == 0 {
+                if bytes_left == 0 {
                     break;
                 }
             }
@@ -241,15 +253,17 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    pub(super) fn socket(&self, host: &str) -> PathBuf {
+    /// Returns the path of a host's control socket.
+    pub(super) fn control_socket(&self, host: &str) -> PathBuf {
         self.stage.dir.join(format!("{host}.sock"))
     }
 
-    pub(super) async fn states(&self) -> Vec<State> {
+    /// Returns the states of the hosts that answer on their control sockets.
+    pub(super) async fn host_states(&self) -> Vec<State> {
         let mut all = Vec::new();
         for h in self.host_names().iter().filter(|_| !self.stage.baseline) {
             let reply = ask(
-                &self.socket(h),
+                &self.control_socket(h),
                 ControlRequest::Status,
                 Duration::from_secs(5),
             )
@@ -261,45 +275,46 @@
         all
     }
 
-    /// Stops a host as its operator would; it has to exit by itself.
+    /// Stops a host with SIGTERM, as an operator does. A host that does not exit with success in time is a failure.
     pub(super) async fn stop_host(&mut self, host: &str) {
-        let longest = self
+        let longest_deadline = self
             .deployment
             .request_classes
             .iter()
             .map(|s| s.deadline)
             .max()
             .unwrap_or_default();
-        let Some(process) = self.places.get_mut(host).and_then(|p| p.process.take()) else {
+        let Some(process) = self.processes.get_mut(host).and_then(|p| p.process.take()) else {
             return;
         };
         match process
-            .stop(duration(longest) + Duration::from_secs(10))
+            .stop(duration(longest_deadline) + Duration::from_secs(10))
             .await
         {
             Ok(status) if status.success() => {
                 self.wire
-                    .process(host, self.wire.now(), ProcessEvent::Ended)
+                    .record_process_event(host, self.wire.now(), ProcessEvent::Ended)
             }
             Ok(status) => self.failures.push(format!("{host} ended with {status}")),
             Err(e) => self.failures.push(e.to_string()),
         }
     }
 
-    /// Stops all processes: hosts have to exit by themselves, simulated processes are killed.
+    /// Stops all processes: hosts with SIGTERM, after which they must exit with success; simulated processes are
+    /// killed. Returns the failures.
     pub(super) async fn stop_all(&mut self) -> Vec<String> {
-        let longest = self
+        let longest_deadline = self
             .deployment
             .request_classes
             .iter()
             .map(|s| s.deadline)
             .max()
             .unwrap_or_default();
-        let wait = duration(longest) + Duration::from_secs(10);
+        let wait = duration(longest_deadline) + Duration::from_secs(10);
         let mut failures = Vec::new();
         let hosts = self.host_names();
-        for (name, place) in &mut self.places {
-            let Some(process) = place.process.take() else {
+        for (name, proxied) in &mut self.processes {
+            let Some(process) = proxied.process.take() else {
                 continue;
             };
             if !hosts.contains(name) {
@@ -309,7 +324,7 @@
             match process.stop(wait).await {
                 Ok(status) if status.success() => {
                     self.wire
-                        .process(name, self.wire.now(), ProcessEvent::Ended)
+                        .record_process_event(name, self.wire.now(), ProcessEvent::Ended)
                 }
                 Ok(status) => failures.push(format!("{name} ended with {status}")),
                 Err(e) => failures.push(e.to_string()),
--- a/crates/scenario/src/run/maintenance.rs
+++ b/crates/scenario/src/run/maintenance.rs
@@ -1,12 +1,12 @@
-//! Operators who take servers offline: they send commands through hosts' control sockets, switch a server off once
-//! any host shows it offline, and on again. Each operator is a task of its own, so that one who waits for a paused
-//! host does not hold up the scenario.
+//! Simulated operators who take servers offline. They send commands through hosts' control sockets and request that a
+//! server is switched off once any host reports it offline. Each operator is a separate task, so that the scenario
+//! continues while an operator waits for a paused host.
 
 use super::ScenarioRun;
 use super::faults::Step;
 use crate::error::RunError;
 use crate::script::Expect;
-use gullsail_fleet::maintenance::Stage as Of;
+use gullsail_fleet::maintenance::Stage as OrderStage;
 use gullsail_host::control::{ControlReply, ControlRequest, ask};
 use gullsail_host::core::maintenance::OperatorCommand;
 use gullsail_protocol::ListedState;
@@ -17,24 +17,28 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Time between two looks at the maintenance queue.
+/// The time between two status requests for the maintenance queue, or between two tries of a command.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a host may take to answer a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a command may take to be accepted: long enough for several takeovers.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An operator and the command to give.
+/// An operator with the command to send.
 pub(super) struct Operator {
+    /// The names and control sockets of all hosts.
     pub(super) sockets: Vec<(String, PathBuf)>,
+    /// The host that gets the command; any other name stands for the first host.
     pub(super) via: String,
     pub(super) command: OperatorCommand,
     pub(super) expect: Expect,
+    /// The time from switching a server off to switching it on.
     pub(super) after: Duration,
     pub(super) step_sender: mpsc::Sender<Step>,
 }
 
 impl Operator {
+    /// Sends the command and reports the reply to the scenario. Returns whether the command was accepted.
     async fn send_command(&self) -> bool {
         let via = self
             .sockets
@@ -66,7 +70,7 @@
         );
         let failure =
             (got != Some(self.expect)).then(|| format!("{text}, {:?} expected", self.expect));
-        // The scenario may be over: nobody receives the report then.
+        // The error is ignored: it means that the scenario is over.
         _ = self
             .step_sender
             .send(Step::OperatorReport { text, failure })
@@ -74,13 +78,13 @@
         got == Some(Expect::Taken)
     }
 
-    /// Sends the command, then switches each server off once it is offline.
-    pub(super) async fn out(self, servers: Vec<String>) {
+    /// Sends the command, then has each server switched off once a host reports it offline.
+    pub(super) async fn take_offline(self, servers: Vec<String>) {
         if !self.send_command().await {
             return;
         }
-        let mut left = servers;
-        while !left.is_empty() {
+        let mut remaining = servers;
+        while !remaining.is_empty() {
             tokio::time::sleep(POLL_INTERVAL).await;
             for (_, socket) in &self.sockets {
                 let Ok(ControlReply::Status(state)) =
@@ -89,16 +93,21 @@
                     continue;
                 };
                 let orders = state.maintenance.map(|w| w.orders).unwrap_or_default();
-                let out = |name: &String| {
-                    orders
-                        .iter()
-                        .any(|o| o.server == *name && matches!(o.stage, Of::Offline | Of::Overdue))
+                let is_offline = |name: &String| {
+                    orders.iter().any(|o| {
+                        o.server == *name
+                            && matches!(o.stage, OrderStage::Offline | OrderStage::Overdue)
+                    })
                 };
-                let over =
+                let is_over =
                     |name: &String| orders.iter().any(|o| o.server == *name && o.stage.over());
-                let now: Vec<String> = left.iter().filter(|m| out(m)).cloned().collect();
-                left.retain(|m| !now.contains(m) && !over(m));
-                for name in now {
+                let offline: Vec<String> = remaining
+                    .iter()
+                    .filter(|m| is_offline(m))
+                    .cloned()
+                    .collect();
+                remaining.retain(|m| !offline.contains(m) && !is_over(m));
+                for name in offline {
                     let (after, back) = (self.after, !self.command.returns);
                     _ = self
                         .step_sender
@@ -109,12 +118,13 @@
         }
     }
 
-    pub(super) async fn command_only(self) {
+    /// Sends the command once and does nothing more.
+    pub(super) async fn send_command_once(self) {
         self.send_command().await;
     }
 
-    /// Sends the command to one host after another until one accepts it: hosts come and go.
-    pub(super) async fn insist(mut self) {
+    /// Sends the command to one host after another, 20 times at most, until one accepts it: a host may be down.
+    pub(super) async fn send_until_accepted(mut self) {
         for (name, _) in self.sockets.clone().iter().cycle().take(20) {
             self.via = name.clone();
             let (_, socket) = self
@@ -150,6 +160,7 @@
 }
 
 impl ScenarioRun<'_> {
+    /// Creates an operator that can reach all hosts.
     pub(super) fn operator(
         &self,
         command: OperatorCommand,
@@ -160,7 +171,7 @@
         let sockets = self
             .host_names()
             .into_iter()
-            .map(|h| (h.clone(), self.socket(&h)))
+            .map(|h| (h.clone(), self.control_socket(&h)))
             .collect();
         Operator {
             sockets,
@@ -172,7 +183,7 @@
         }
     }
 
-    /// The servers that the names stand for; a zone stands for all its servers that run.
+    /// Returns the servers that the names stand for. A zone stands for all its running servers.
     pub(super) fn servers(&self, names: &[String]) -> Vec<String> {
         let places = || {
             self.deployment
@@ -180,7 +191,11 @@
                 .iter()
                 .chain(self.deployment.nodes.iter().map(|n| &n.place))
         };
-        let runs = |name: &str| self.places.get(name).is_some_and(|p| p.process.is_some());
+        let runs = |name: &str| {
+            self.processes
+                .get(name)
+                .is_some_and(|p| p.process.is_some())
+        };
         let mut all = Vec::new();
         for name in names {
             match self.deployment.zones.iter().position(|z| z == name) {
@@ -195,21 +210,23 @@
         all
     }
 
+    /// Kills a node, or stops a host, that is offline for maintenance.
     pub(super) async fn switch_off(&mut self, name: &str, addresses: &BTreeMap<String, String>) {
         if self.deployment.node(name).is_some() {
             self.note(format!("{name} is offline: switched off"));
-            if let Some(process) = self.places.get_mut(name).and_then(|p| p.process.take()) {
+            if let Some(process) = self.processes.get_mut(name).and_then(|p| p.process.take()) {
                 self.wire
-                    .process(name, self.wire.now(), ProcessEvent::Ended);
+                    .record_process_event(name, self.wire.now(), ProcessEvent::Ended);
                 process.kill().await;
             }
-            return self.gone(name, "", addresses).await;
+            return self.list_as_gone(name, "", addresses).await;
         }
-        // A host that is offline has ended by itself, unless only its lease has expired.
+        // A host that is offline has exited already, unless it counts as offline because its lease has expired.
         self.note(format!("{name} is offline: switched off"));
         self.stop_host(name).await;
     }
 
+    /// Starts a server again after maintenance. With `back`, an operator reports its return to the hosts.
     pub(super) async fn switch_on(
         &mut self,
         name: &str,
@@ -220,8 +237,8 @@
         match self.deployment.node(name).cloned() {
             Some(n) => {
                 self.start_node(&n, false).await?;
-                let entries = vec![self.entry(&n, ListedState::Ready, addresses)];
-                self.order(
+                let entries = vec![self.list_entry(&n, ListedState::Ready, addresses)];
+                self.send_order(
                     "list",
                     Order {
                         kind: "set".into(),
@@ -240,7 +257,7 @@
                 ..OperatorCommand::default()
             };
             let operator = self.operator(command, "", Expect::Taken, Duration::ZERO);
-            self.operators.spawn(operator.insist());
+            self.operators.spawn(operator.send_until_accepted());
         }
         Ok(())
     }
--- a/crates/scenario/src/run/report.rs
+++ b/crates/scenario/src/run/report.rs
@@ -1,5 +1,4 @@
-//! The report on a scenario, for people and as JSON, and the check of hosts' traffic accounts against the
-//! recording.
+//! The report on a scenario, as text and as JSON, and the check of the hosts' traffic accounts against the recording.
 
 use crate::script::Fault;
 use crate::script::Script;
@@ -13,27 +12,31 @@
 /// The report on a scenario that was played.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The scenario's name.
+    /// The name of the scenario.
     pub name: String,
-    /// The seed it was played with.
+    /// The seed with which the scenario was played.
     pub seed: u64,
-    /// Faults and operator commands, with the seconds since the scenario began.
+    /// The events, such as faults and operator commands, each with its time in seconds since the scenario began.
     pub happened: Vec<(f64, String)>,
-    /// What came of the clients' requests, by request class and plan.
-    #[serde(serialize_with = "by_name")]
+    /// The outcomes of the clients' requests, by request class and plan.
+    #[serde(serialize_with = "serialize_by_name")]
     pub outcomes: Tallies,
-    /// One for each rule.
+    /// The verdict on each rule.
     pub verdicts: Vec<Verdict>,
-    /// Rules that the script requires to be tested and that were not.
+    /// The numbers of the rules that the script requires to be tested and that were not.
     pub untested: Vec<u8>,
-    /// Other failures: processes that did not stop, wrong bytes.
+    /// Other failures, such as processes that did not stop, wrong bytes or unexpected replies to commands.
     #[serde(rename = "faults")]
     pub failures: Vec<String>,
     /// The states of the hosts at the end, before they were stopped.
     pub hosts: Vec<State>,
 }
 
-pub(super) fn by_name<S: serde::Serializer>(tallies: &Tallies, s: S) -> Result<S::Ok, S::Error> {
+/// Serializes tallies as a map whose keys are `CLASS/PLAN`.
+pub(super) fn serialize_by_name<S: serde::Serializer>(
+    tallies: &Tallies,
+    s: S,
+) -> Result<S::Ok, S::Error> {
     s.collect_map(
         tallies
             .iter()
@@ -42,14 +45,14 @@
 }
 
 impl Report {
-    /// Whether all rules were kept, the wanted ones were tested, and nothing else failed.
+    /// Returns whether all rules were kept, the required ones were tested and nothing else failed.
     pub fn passed(&self) -> bool {
         self.verdicts.iter().all(Verdict::kept)
             && self.untested.is_empty()
             && self.failures.is_empty()
     }
 
-    /// The report for people: faults by time, outcomes, rules.
+    /// Returns the report as text: events by time, outcomes, hosts, rules and failures. `dir` holds the recording.
     pub fn text(&self, dir: &Path) -> String {
         let mut text = format!("{} (seed {})\n", self.name, self.seed);
         for (at, what) in &self.happened {
@@ -75,7 +78,7 @@
         text
     }
 
-    /// What came of the clients' requests, by request class and plan.
+    /// Returns a table of the outcomes of the clients' requests, by request class and plan.
     fn outcome_table(&self) -> comfy_table::Table {
         let mut table = comfy_table::Table::new();
         table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
@@ -111,7 +114,7 @@
     }
 }
 
-/// One host's state at the end.
+/// Returns the text on a host's state at the end of the scenario.
 fn host_text(state: &State) -> String {
     let counts = &state.counts;
     let longest_ms = counts.longest_step_us as f64 / 1e3;
@@ -143,8 +146,8 @@
     text
 }
 
-/// Bytes of attempts and answers that a host counted, by zones.
-pub(super) fn attempts_bytes(state: &State) -> BTreeMap<(String, String), u64> {
+/// Returns the bytes of attempts and responses in a host's traffic account, by sending and receiving zone.
+pub(super) fn attempt_bytes(state: &State) -> BTreeMap<(String, String), u64> {
     let mut counted = BTreeMap::new();
     for c in state
         .crossed
@@ -156,10 +159,11 @@
     counted
 }
 
-/// Compares hosts' traffic accounts with the recording, to the byte. Scenarios that break connections are left
-/// out: a frame that a host sent may then never have reached the recording proxy.
-pub(super) fn accounts(
-    seen: &BTreeMap<(String, String, String), u64>,
+/// Compares the hosts' traffic accounts with the recording, to the byte, and returns a failure for each difference.
+/// `recorded` holds bytes by host, sending zone and receiving zone. Scenarios that break connections are not checked,
+/// since a frame that a host sent may never have reached the recording proxy.
+pub(super) fn account_mismatches(
+    recorded: &BTreeMap<(String, String, String), u64>,
     hosts: &[State],
     script: &Script,
 ) -> Vec<String> {
@@ -177,8 +181,8 @@
     }
     let mut failures = Vec::new();
     for state in hosts {
-        let counted = attempts_bytes(state);
-        for (key, bytes) in seen.iter().filter(|(key, _)| key.0 == state.host) {
+        let counted = attempt_bytes(state);
+        for (key, bytes) in recorded.iter().filter(|(key, _)| key.0 == state.host) {
             let counted = counted
                 .get(&(key.1.clone(), key.2.clone()))
                 .copied()
--- a/crates/scenario/src/run/sampler.rs
+++ b/crates/scenario/src/run/sampler.rs
@@ -1,7 +1,8 @@
-//! What the kernel knows of the hosts while a scenario runs, noted in the recording: how long each host waited for a
-//! processor, and what had come from it that the relays had not read yet. It tells a late host from a busy machine.
+//! Samples kernel counters of the hosts into the recording while a scenario runs: how long each host waited for a
+//! processor, and how many bytes from it the relays had not processed. With them the audit can distinguish a late host
+//! from a busy machine.
 //!
-//! It samples in a thread of its own, since the scenario's own thread is held up by what it plays.
+//! The samples are taken in a separate thread, since the scenario's thread can be blocked by its steps.
 
 use gullsail_protocol::record::What;
 use gullsail_simulator::recording_proxy::Wire;
@@ -11,23 +12,23 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two samples: 5 ms. It is short beside the 20 ms that the audit allows a frame; a shorter one costs more of
-/// the processor that is short.
+/// The time between two samples: 5 ms. It is short compared with the 20 ms that the audit allows a frame; a shorter
+/// interval would take more of the processor time that the hosts need.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
-/// Waits that add less than this in one interval are not noted: 1 ms.
-const LEAST_WAIT_US: i64 = 1_000;
+/// Waits are recorded once they add up to at least this: 1 ms.
+const MIN_WAIT_US: i64 = 1_000;
 
-/// A process that is sampled.
+/// A host process that is sampled.
 struct Sampled {
     process_id: u32,
-    /// How long it had waited for a processor by the last sample, in microseconds.
+    /// The total time in microseconds that the process had waited for a processor when a wait was last recorded.
     waited_us: i64,
 }
 
-/// The hosts that run, by name.
+/// The sampled hosts by name.
 type Hosts = Arc<Mutex<BTreeMap<String, Sampled>>>;
 
-/// The sampling thread. Dropping this ends it.
+/// The sampling thread, which ends when this is dropped.
 pub(super) struct Sampler {
     hosts: Hosts,
     stop: Arc<AtomicBool>,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A host was started; an earlier process of its name is not sampled any more.
+    /// Samples a host that was started, in place of an earlier process of the same name.
     pub(super) fn host_started(&self, name: &str, process_id: u32) {
         let sampled = Sampled {
             process_id,
@@ -61,7 +62,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has nothing to say.
+            // The error is ignored: it means that the thread panicked.
             let _ = thread.join();
         }
     }
@@ -83,21 +84,21 @@
     }
 }
 
-/// Notes by how much the waits of a host have grown.
+/// Records by how much the waits of a host have grown, if that is at least [`MIN_WAIT_US`].
 fn sample_host(wire: &Wire, since: i64, name: &str, host: &mut Sampled) {
-    // A process that has ended waits no more.
+    // A process that has ended has no counters.
     let Some(now) = waited_us(host.process_id) else {
         return;
     };
     let waited_us = now - host.waited_us;
-    if waited_us >= LEAST_WAIT_US {
+    if waited_us >= MIN_WAIT_US {
         host.waited_us = now;
         wire.record(name, What::Waited { since, waited_us });
     }
 }
 
-/// How long the main thread of a process has waited for a processor so far: the second figure of its `schedstat`, in
-/// nanoseconds there.
+/// Returns how long in microseconds the main thread of a process has waited for a processor so far. It is the second
+/// figure of the process's `schedstat`, in nanoseconds there. `None`: the process has ended.
 fn waited_us(process_id: u32) -> Option<i64> {
     let text = std::fs::read_to_string(format!("/proc/{process_id}/schedstat")).ok()?;
     let waited_ns: i64 = text.split_whitespace().nth(1)?.parse().ok()?;
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,70 +1,70 @@
-//! The script of a scenario, as the document's `day` entry has it.
+//! The script of a scenario: reads the `day` entry of a document.
 
 mod fault;
 mod fault_reader;
 
 pub use fault::Fault;
-use fault_reader::{KINDS, fault};
+use fault_reader::{KINDS, read_fault};
 use gullsail_configuration::{Deployment, Loader, Memory, Names, Problems, Reader};
 use gullsail_scheduler_api::Span;
 use kdl::{KdlDocument, KdlNode};
 
-/// What must come of a reload.
+/// The expected result of a reload or of an operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// Accepted.
+    /// The host accepts it.
     Taken,
-    /// Refused, with the reason.
+    /// The host refuses it and gives the reason.
     TurnedDown,
-    /// The configuration has errors.
+    /// The host reports errors in the configuration.
     Broken,
 }
 
-/// A scenario: the load, the faults and what it has to test.
+/// A scenario: the load, the faults and the rules that it has to test.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
     /// How long clients send requests.
     pub lasts: Span,
-    /// Rules that this scenario has to test.
+    /// The numbers of the rules that the scenario has to test; it fails if one is not tested.
     pub tests: Vec<u8>,
-    /// Requests a second by request class.
+    /// Requests per second, by request class in the document's order.
     pub rates: Vec<f64>,
-    /// The length of a written object.
+    /// The length of a written object in bytes.
     pub bytes: usize,
-    /// The fraction of reads that go to recently written objects.
+    /// The fraction of reads, 0 to 1, that go to recently written objects.
     pub fresh: f64,
-    /// How often a client tries in all.
+    /// The most attempts that a client makes for one request, the first one included.
     pub tries: u32,
-    /// Hosts that no document names at first: one that hosts are given later does.
+    /// Hosts that are not in the first document but in one that hosts reload later.
     pub newcomers: Vec<String>,
-    /// Hosts whose clocks are ahead, by so much; behind where it is negative.
+    /// Hosts whose clocks are offset, and by how much; a negative offset means that the clock is behind.
     pub clocks: Vec<(String, Span)>,
-    /// Hosts whose clocks run fast, by this part; slow where it is negative.
+    /// Hosts whose clocks drift, and by which fraction; a negative one means that the clock runs slow.
     pub drifts: Vec<(String, f64)>,
-    /// The faults and when each begins, in order of time.
+    /// The faults, each with its time since the start of the scenario, in order of time.
     pub faults: Vec<(Span, Fault)>,
 }
 
-/// Reads the deployment and the script of one text.
+/// Reads the deployment and the script from a text without includes; `name` stands for its file in problems.
 ///
 /// # Errors
-/// All that is wrong with either.
+/// All problems of the deployment and the script.
 pub fn read(name: &str, text: &str) -> Result<(Deployment, Script), Problems> {
     let loader = Memory([(name.to_string(), text.to_string())].into());
     load(&loader, name).map(|(_, deployment, script)| (deployment, script))
 }
 
-/// Reads the deployment and the script of a file and all that it includes; the text that comes back says the
-/// same in one piece, with ranges and templates in place.
+/// Reads the deployment and the script from a file and its includes. The returned text is the same document in one
+/// file, with ranges and templates expanded.
 ///
 /// # Errors
-/// All that is wrong with either.
+/// All problems of the deployment and the script.
 pub fn load(loader: &dyn Loader, name: &str) -> Result<(String, Deployment, Script), Problems> {
     let (document, mut reader) = Reader::open(loader, name);
     let deployment = gullsail_configuration::build(&document, &mut reader);
-    let script = script(&document, &mut reader, &deployment);
+    let script = read_script(&document, &mut reader, &deployment);
     let text = document
         .nodes()
         .iter()
@@ -73,7 +73,7 @@
     reader.close((text, deployment, script)).map(|(all, _)| all)
 }
 
-fn script(document: &KdlDocument, reader: &mut Reader, deployment: &Deployment) -> Script {
+fn read_script(document: &KdlDocument, reader: &mut Reader, deployment: &Deployment) -> Script {
     let Some(day) = document
         .nodes()
         .iter()
@@ -112,14 +112,14 @@
         .iter_children()
         .filter(|entry| entry.name().value() == "newcomer")
     {
-        newcomer(entry, reader, &hosts, &mut script);
+        read_newcomer(entry, reader, &hosts, &mut script);
     }
     for entry in day.iter_children() {
         match entry.name().value() {
-            "ask" => rate(entry, reader, deployment, &mut script),
-            "clock" => clock(entry, reader, &hosts, &mut script),
-            "tests" => tested_rules(entry, reader, &mut script),
-            "at" => faults_at(entry, reader, deployment, &mut script),
+            "ask" => read_rate(entry, reader, deployment, &mut script),
+            "clock" => read_clock(entry, reader, &hosts, &mut script),
+            "tests" => read_tested_rules(entry, reader, &mut script),
+            "at" => read_faults_at(entry, reader, deployment, &mut script),
             _ => {}
         }
     }
@@ -127,7 +127,7 @@
     script
 }
 
-fn newcomer(entry: &KdlNode, reader: &mut Reader, hosts: &Names, script: &mut Script) {
+fn read_newcomer(entry: &KdlNode, reader: &mut Reader, hosts: &Names, script: &mut Script) {
     reader.only(entry, 1, &[], &[]);
     let name = reader.text(entry, 0, "a host that a later document names");
     if hosts.list().contains(&name) {
@@ -141,7 +141,7 @@
     script.newcomers.push(name);
 }
 
-fn rate(entry: &KdlNode, reader: &mut Reader, deployment: &Deployment, script: &mut Script) {
+fn read_rate(entry: &KdlNode, reader: &mut Reader, deployment: &Deployment, script: &mut Script) {
     reader.only(entry, 1, &["rate"], &[]);
     let request_classes: Names = deployment
         .request_classes
@@ -154,7 +154,7 @@
     }
 }
 
-fn clock(entry: &KdlNode, reader: &mut Reader, hosts: &Names, script: &mut Script) {
+fn read_clock(entry: &KdlNode, reader: &mut Reader, hosts: &Names, script: &mut Script) {
     reader.only(entry, 1, &["ahead", "behind", "fast", "slow"], &[]);
     let first = entry.entries().iter().find(|e| e.name().is_none());
     let place = first.and_then(|e| reader.refer(e, "host", hosts));
@@ -172,7 +172,7 @@
         .extend(place.map(|p| (hosts.list()[p].clone(), ahead)));
 }
 
-fn tested_rules(entry: &KdlNode, reader: &mut Reader, script: &mut Script) {
+fn read_tested_rules(entry: &KdlNode, reader: &mut Reader, script: &mut Script) {
     reader.only(entry, usize::MAX, &[], &[]);
     for e in entry.entries() {
         match e
@@ -191,7 +191,12 @@
     }
 }
 
-fn faults_at(entry: &KdlNode, reader: &mut Reader, deployment: &Deployment, script: &mut Script) {
+fn read_faults_at(
+    entry: &KdlNode,
+    reader: &mut Reader,
+    deployment: &Deployment,
+    script: &mut Script,
+) {
     reader.only(entry, 1, &[], &KINDS);
     let text = reader.text(entry, 0, "a span since the day began");
     let at = Reader::as_span(&text);
@@ -205,7 +210,7 @@
         );
     }
     for entry in entry.iter_children() {
-        if let Some(fault) = fault(reader, entry, deployment, &script.newcomers) {
+        if let Some(fault) = read_fault(reader, entry, deployment, &script.newcomers) {
             script.faults.push((at.unwrap_or_default(), fault));
         }
     }
--- a/crates/scenario/src/script/fault.rs
+++ b/crates/scenario/src/script/fault.rs
@@ -1,291 +1,292 @@
-//! What can go wrong in a scenario.
+//! The faults, load changes and operator actions of a scenario.
 
 use super::Expect;
 use gullsail_scheduler_api::Span;
 
-/// What goes wrong, or what clients do.
+/// A fault, a change of the clients' load or an operator action. [`Fault::describe`] prints the names of variants and
+/// fields, so these stay as they are.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// The demand of a volume, a plan or all (`*`) is multiplied.
     Surge {
-        /// The volume, plan or `*`.
+        /// The name of the volume or plan, or `*` for all volumes.
         who: String,
-        /// The factor.
+        /// The factor by which the demand is multiplied.
         times: f64,
-        /// How long it lasts.
+        /// How long the change lasts.
         lasts: Span,
     },
     /// Some clients wait only a fraction of the latency objective.
     Impatient {
-        /// The fraction that is affected.
+        /// The fraction of the requests, 0 to 1, that have the shorter timeout.
         share: f64,
-        /// The fraction of the latency objective.
+        /// The timeout of these requests, as a fraction of the latency objective.
         part: f64,
-        /// How long it lasts.
+        /// How long the change lasts.
         lasts: Span,
     },
-    /// Each volume's busiest host changes.
+    /// The busiest host of each volume changes to the next one in the volume's list of hosts.
     LeadMoves,
-    /// A node does no work for a while.
+    /// A node pauses: no request makes progress on it.
     Stall {
-        /// The node.
+        /// The name of the node, or `*` for all nodes.
         node: String,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A node takes so many times as long.
+    /// The work of a node takes longer.
     Slow {
-        /// The node.
+        /// The name of the node, or `*` for all nodes.
         node: String,
-        /// The factor.
+        /// The factor by which the node's work takes longer.
         times: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// A node answers a fraction of its attempts with errors.
     Fail {
-        /// The node.
+        /// The name of the node, or `*` for all nodes.
         node: String,
-        /// The fraction that is affected.
+        /// The fraction of the node's attempts, 0 to 1, that fail.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// A fraction of the requests of one class costs many times the usual work, at all nodes.
     Costly {
-        /// The request class.
+        /// The name of the request class.
         request_class: String,
-        /// The fraction that is affected.
+        /// The fraction of the requests, 0 to 1, that cost more.
         share: f64,
-        /// The factor.
+        /// The factor by which the work of these requests is multiplied.
         times: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A node is killed; later a successor, or the node itself, starts and warms up.
+    /// A node is killed. Later a successor, or the node itself, starts and warms up.
     Replace {
-        /// The node.
+        /// The name of the node.
         node: String,
-        /// The successor; the same name: the node itself returns.
+        /// The name of the successor; the same name as `node`: the node itself starts again.
         by: String,
-        /// When the successor starts, or the server is switched on.
+        /// The time from the end of the node to the start of the successor.
         after: Span,
     },
-    /// A node drains, exits, and is replaced by a successor that warms up.
+    /// A node drains and exits. A successor, or the node itself, then starts and warms up.
     Release {
-        /// The node.
+        /// The name of the node.
         node: String,
-        /// The successor; the same name: the node itself returns.
+        /// The name of the successor; the same name as `node`: the node itself starts again.
         by: String,
-        /// When the successor starts, or the server is switched on.
+        /// How long the node drains before it exits.
         after: Span,
     },
-    /// The endpoint list service answers no queries.
+    /// The endpoint list service refuses queries and closes the connections of its watchers.
     ListDown {
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Demand reports between hosts are lost.
     LoseLabels {
-        /// The sender, or `*`.
+        /// The name of the sending host, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving host, or `*` for any.
         to: String,
-        /// The fraction that is affected.
+        /// The fraction of the demand reports, 0 to 1, that are lost.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Demand reports between hosts arrive out of order.
     SwapLabels {
-        /// The sender, or `*`.
+        /// The name of the sending host, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving host, or `*` for any.
         to: String,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Frames take longer.
     Delay {
-        /// The sender, or `*`.
+        /// The name of the sending process, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving process, or `*` for any.
         to: String,
         /// The added delay.
         by: Span,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Each frame may break its connection.
     Reset {
-        /// The sender, or `*`.
+        /// The name of the sending process, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving process, or `*` for any.
         to: String,
-        /// The fraction that is affected.
+        /// The chance, 0 to 1, that a frame breaks its connection.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Responses of a node are turned into errors on the way.
     Errors {
-        /// The node.
+        /// The name of the node, or `*` for all nodes.
         node: String,
-        /// The fraction that is affected.
+        /// The fraction of the successful responses, 0 to 1, that are turned into errors.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Frames are lost without a sign.
+    /// Frames are lost while their connection stays open.
     Lose {
-        /// The sender, or `*`.
+        /// The name of the sending process, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving process, or `*` for any.
         to: String,
-        /// The fraction that is affected.
+        /// The fraction of the frames, 0 to 1, that are lost.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Each frame may be the last of its direction; the other direction stays open.
     HalfClose {
-        /// The sender, or `*`.
+        /// The name of the sending process, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving process, or `*` for any.
         to: String,
-        /// The fraction that is affected.
+        /// The chance, 0 to 1, that a frame is the last of its direction.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// New connections to a process end at once.
     Refuse {
-        /// The process.
+        /// The name of the process, or `*` for all.
         to: String,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// New connections to a process are accepted and get no answer.
     Silent {
-        /// The process.
+        /// The name of the process, or `*` for all.
         to: String,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Connections between two processes break.
     Cut {
-        /// The sender, or `*`.
+        /// The name of one process, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the other process, or `*` for any.
         to: String,
     },
-    /// A host is killed; without `after` for good.
+    /// A host is killed, and starts again after a time if `after` is set.
     KillHost {
-        /// The host.
+        /// The name of the host.
         host: String,
-        /// When it starts again; `None`: never.
+        /// The time from the end of the host to its restart; `None`: the host is not restarted.
         after: Option<Span>,
     },
     /// A host gets SIGTERM and shuts down.
     StopHost {
-        /// The host.
+        /// The name of the host.
         host: String,
-        /// When it starts again; `None`: never.
+        /// The time from the end of the host to its restart; `None`: the host is not restarted.
         after: Option<Span>,
     },
-    /// A host that did not run at the beginning starts.
+    /// A host that does not run from the start of the scenario is started.
     StartHost {
-        /// The host.
+        /// The name of the host.
         host: String,
     },
-    /// A process is paused (SIGSTOP) and continued.
+    /// A process is paused (SIGSTOP) and later resumed (SIGCONT).
     Pause {
-        /// The process.
+        /// The name of the process.
         name: String,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Frames between two groups are lost.
+    /// Frames between two groups of processes are lost.
     Part {
-        /// One group of processes.
+        /// The names of the processes of one group.
         a: Vec<String>,
-        /// The other group.
+        /// The names of the processes of the other group.
         b: Vec<String>,
-        /// Only frames from `a` to `b` are lost.
+        /// Whether only frames from `a` to `b` are lost.
         one_way: bool,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Frames between two groups are lost, on and off.
+    /// Frames between two groups of processes are lost and pass in turns.
     Flap {
-        /// One group of processes.
+        /// The names of the processes of one group.
         a: Vec<String>,
-        /// The other group.
+        /// The names of the processes of the other group.
         b: Vec<String>,
-        /// Only frames from `a` to `b` are lost.
+        /// Whether only frames from `a` to `b` are lost.
         one_way: bool,
-        /// For how long frames are lost, and then pass.
+        /// The length of each period in which frames are lost, and of each in which they pass.
         every: Span,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Messages between hosts arrive twice.
     Repeat {
-        /// The sender, or `*`.
+        /// The name of the sending host, or `*` for any.
         from: String,
-        /// The receiver, or `*`.
+        /// The name of the receiving host, or `*` for any.
         to: String,
-        /// The fraction that is affected.
+        /// The fraction of the messages, 0 to 1, that arrive twice.
         share: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// An operator takes servers offline through a host: each is switched off once any host shows it offline, and on again
-    /// later.
+    /// An operator takes servers offline through a host. Each server is switched off once any host reports it offline,
+    /// and on again later.
     Out {
-        /// Servers or zones.
+        /// The names of servers, or of zones, which stand for all their running servers.
         names: Vec<String>,
-        /// The host that gets the command; `*`: any.
+        /// The name of the host that gets the command, or `*` for the first host of the document.
         via: String,
-        /// When the successor starts, or the server is switched on.
+        /// The time from switching a server off to switching it on again.
         after: Span,
-        /// Shards may be left without a node.
+        /// Whether the order may leave shards without a node.
         shard_away: bool,
-        /// The order ends when the server has restarted.
+        /// Whether the order ends by itself when the server has restarted; else an operator reports its return.
         returns: bool,
-        /// The expected result.
+        /// The expected reply to the command.
         expect: Expect,
     },
-    /// An operator cancels such an order.
+    /// An operator cancels maintenance orders that were given by [`Fault::Out`].
     Cancel {
-        /// Servers or zones.
+        /// The names of servers, or of zones, which stand for all their running servers.
         names: Vec<String>,
-        /// The host that gets the command; `*`: any.
+        /// The name of the host that gets the command, or `*` for the first host of the document.
         via: String,
     },
-    /// A node that did not run at the beginning starts and warms up.
+    /// A node that does not run from the start of the scenario is started and warms up.
     StartNode {
-        /// The node.
+        /// The name of the node.
         node: String,
     },
-    /// Hosts, one after the other, reload a configuration with other entries.
+    /// Hosts reload a configuration with changed entries, one host after the other.
     Reload {
-        /// The host.
+        /// The name of the host, or `*` for all hosts.
         host: String,
-        /// The time between two hosts.
+        /// The time between the reloads of two successive hosts.
         every: Span,
-        /// Dangerous changes are applied too.
+        /// Whether changes that are refused as dangerous by default are applied too.
         insist: bool,
-        /// The expected result.
+        /// The expected result of each reload.
         expect: Expect,
-        /// The entries that change.
+        /// The changed or added entries of the document, as KDL text.
         entries: Vec<String>,
     },
 }
 
 impl Fault {
-    /// As the report and the recording have it. These texts are read by programs: they stay when a variant or
-    /// a field of the program gets another name.
+    /// Returns the text of the fault for the report and the recording. Programs read these texts, so they keep their
+    /// words when a variant or a field is renamed.
     pub fn describe(&self) -> String {
         let text = format!("{self:?}").replace("Span(", "us(").replace('"', "");
         text.replace("request_class: ", "stream_type: ")
--- a/crates/scenario/src/script/fault_reader.rs
+++ b/crates/scenario/src/script/fault_reader.rs
@@ -5,7 +5,7 @@
 use gullsail_scheduler_api::Span;
 use kdl::KdlNode;
 
-/// The entries that a fault may be.
+/// The names of the entries that stand for a fault.
 pub(super) const KINDS: [&str; 31] = [
     "out",
     "cancel",
@@ -40,6 +40,7 @@
     "repeat",
 ];
 
+/// Reads the expected result of a command; without an `expect` key, it is accepted.
 pub(super) fn expected(reader: &mut Reader, entry: &KdlNode) -> Expect {
     let keywords = [
         ("taken", Expect::Taken),
@@ -52,8 +53,9 @@
         .unwrap_or(Expect::Taken)
 }
 
-/// Names of processes, or of zones: all that is in them.
-fn group(
+/// Reads a group of processes under a key: names of processes, and of zones, which stand for all their processes.
+/// Reports unknown names; returns `None` if the group is empty.
+fn process_group(
     reader: &mut Reader,
     entry: &KdlNode,
     key: &str,
@@ -68,8 +70,8 @@
     };
     let mut all = Vec::new();
     for keyword in text.split_whitespace() {
-        let of_zone = |zone: &str| deployment.zones.iter().position(|z| z == zone);
-        if let Some(zone) = of_zone(keyword) {
+        let zone_index = |zone: &str| deployment.zones.iter().position(|z| z == zone);
+        if let Some(zone) = zone_index(keyword) {
             all.extend(
                 places()
                     .filter(|p| p.zone.0 == zone)
@@ -90,7 +92,7 @@
         let help = Some("cut between=\"h1 h2\" and=\"h3 h4\" ways=\"one\" for=\"5s\"".into());
         reader.report(
             "missing",
-            format!("`{key}` names nobody"),
+            format!("`{key}` names no process"),
             entry.span(),
             help,
         );
@@ -98,8 +100,8 @@
     Some(all).filter(|a| !a.is_empty())
 }
 
-/// The keys that the entry of one kind of fault may have.
-fn known_keys(kind: &str, between_groups: bool) -> &'static [&'static str] {
+/// Returns the keys that the entry of a kind of fault may have. `between_groups`: the entry names two groups.
+fn allowed_keys_of(kind: &str, between_groups: bool) -> &'static [&'static str] {
     match kind {
         "surge" => &["times", "for"],
         "impatient" => &["share", "part", "for"],
@@ -126,27 +128,33 @@
     }
 }
 
-/// One entry on its way to a [`Fault`].
+/// Reads one entry into a [`Fault`]. The fields hold what several kinds of fault share.
 struct FaultReader<'a> {
     reader: &'a mut Reader,
     entry: &'a KdlNode,
     deployment: &'a Deployment,
+    /// The names of all nodes.
     nodes: Vec<String>,
+    /// The names of all hosts, newcomers included.
     hosts: Vec<String>,
+    /// The value of `for`: how long the fault lasts.
     lasts: Span,
+    /// The value of `share`; 1 without the key.
     share: f64,
-    /// When what was stopped comes back; of a host: none, and it does not.
-    back: Option<Span>,
+    /// The value of `after`, if the entry has that key.
+    after_key: Option<Span>,
+    /// The value of `after`; zero without the key. `replace` and `release` require the key.
     after: Span,
 }
 
+/// Returns the names with `*` added.
 fn or_any(names: &[String]) -> Vec<String> {
     [names, &["*".to_string()][..]].concat()
 }
 
 impl FaultReader<'_> {
-    /// The process or other thing that the entry names first.
-    fn name(&mut self, what: &str, names: &[String]) -> Option<String> {
+    /// Reads the first argument of the entry, which must be one of `names`; `what` describes it in problems.
+    fn first_argument(&mut self, what: &str, names: &[String]) -> Option<String> {
         match self.entry.entries().iter().find(|e| e.name().is_none()) {
             Some(e) => self
                 .reader
@@ -160,8 +168,8 @@
         }
     }
 
-    /// The process named under this key; all of them where the key is not there.
-    fn key(&mut self, key: &str, names: &[String]) -> Option<String> {
+    /// Reads the name of a process under a key; without the key, returns `*`.
+    fn process_at(&mut self, key: &str, names: &[String]) -> Option<String> {
         if self.entry.entry(key).is_none() {
             return Some("*".to_string());
         }
@@ -173,50 +181,53 @@
 
     fn node_or_any(&mut self) -> Option<String> {
         let names = or_any(&self.nodes);
-        self.name("node", &names)
+        self.first_argument("node", &names)
     }
 
     fn node(&mut self) -> Option<String> {
         let names = self.nodes.clone();
-        self.name("node", &names)
+        self.first_argument("node", &names)
     }
 
     fn host(&mut self) -> Option<String> {
         let names = self.hosts.clone();
-        self.name("host", &names)
+        self.first_argument("host", &names)
     }
 
     fn all_processes(&self) -> Vec<String> {
         or_any(&[&self.hosts[..], &self.nodes[..], &["list".to_string()][..]].concat())
     }
 
-    fn check_keys(&mut self, kind: &str, known: &[&str]) {
+    /// Reports keys and arguments that the kind of fault does not have.
+    fn check_keys(&mut self, kind: &str, allowed_keys: &[&str]) {
         if kind == "reload" {
-            // What stands in it is a document's, and may be wrong on purpose.
-            let mut own = self.entry.clone();
-            own.clear_children();
-            self.reader.only(&own, 0, known, &[]);
+            // The children belong to the document to reload, which may have errors on purpose: they are not checked.
+            let mut without_children = self.entry.clone();
+            without_children.clear_children();
+            self.reader.only(&without_children, 0, allowed_keys, &[]);
         } else {
             let names = if ["out", "cancel"].contains(&kind) {
                 usize::MAX
             } else {
                 1
             };
-            self.reader.only(self.entry, names, known, &[]);
+            self.reader.only(self.entry, names, allowed_keys, &[]);
         }
     }
 
-    /// What all kinds share: how long it lasts, when it is over, of what part.
-    fn read_common(&mut self, kind: &str, known: &[&str]) {
-        if known.contains(&"for") {
+    /// Reads the keys that several kinds of fault share: `for`, `after` and `share`.
+    fn read_common(&mut self, kind: &str, allowed_keys: &[&str]) {
+        if allowed_keys.contains(&"for") {
             self.lasts = self.reader.span(self.entry, "for");
         }
-        self.back = self.reader.span_at(self.entry, "after");
+        self.after_key = self.reader.span_at(self.entry, "after");
         self.after = match kind {
-            "replace" | "release" if self.back.is_none() => self.reader.span(self.entry, "after"),
-            _ => self.back.unwrap_or_default(),
+            "replace" | "release" if self.after_key.is_none() => {
+                self.reader.span(self.entry, "after")
+            }
+            _ => self.after_key.unwrap_or_default(),
         };
-        if known.contains(&"share") {
+        if allowed_keys.contains(&"share") {
             self.share = self
                 .reader
                 .number_at(self.entry, "share", 0.0)
@@ -224,7 +235,8 @@
         }
     }
 
-    fn load(&mut self, kind: &str) -> Option<Fault> {
+    /// Reads a change of the clients' load.
+    fn load_change(&mut self, kind: &str) -> Option<Fault> {
         let (lasts, share) = (self.lasts, self.share);
         match kind {
             "surge" => {
@@ -232,7 +244,7 @@
                 let names: Vec<_> = volumes
                     .chain(self.deployment.plans.iter().map(|p| p.name.clone()))
                     .collect();
-                let who = self.name("volume or plan", &or_any(&names))?;
+                let who = self.first_argument("volume or plan", &or_any(&names))?;
                 Some(Fault::Surge {
                     who,
                     times: self.reader.number(self.entry, "times", 0.0),
@@ -249,6 +261,7 @@
         }
     }
 
+    /// Reads a fault of a node.
     fn node_fault(&mut self, kind: &str) -> Option<Fault> {
         let (lasts, share, after) = (self.lasts, self.share, self.after);
         match kind {
@@ -276,7 +289,7 @@
                     .iter()
                     .map(|s| s.name.clone())
                     .collect();
-                let request_class = self.name("stream type", &names)?;
+                let request_class = self.first_argument("stream type", &names)?;
                 Some(Fault::Costly {
                     request_class,
                     share,
@@ -293,7 +306,7 @@
                 let node = self.node()?;
                 let nodes = self.nodes.clone();
                 let by = if self.entry.entry("by").is_some() {
-                    self.key("by", &nodes)?
+                    self.process_at("by", &nodes)?
                 } else {
                     node.clone()
                 };
@@ -311,13 +324,14 @@
         }
     }
 
+    /// Reads a fault of connections or of the endpoint list service.
     fn connection_fault(&mut self, kind: &str) -> Option<Fault> {
         let lasts = self.lasts;
         match kind {
             "list-down" => Some(Fault::ListDown { lasts }),
             "refuse" | "silent" => {
                 let all = self.all_processes();
-                let to = self.name("process", &all)?;
+                let to = self.first_argument("process", &all)?;
                 Some(match kind {
                     "refuse" => Fault::Refuse { to, lasts },
                     _ => Fault::Silent { to, lasts },
@@ -330,11 +344,11 @@
         }
     }
 
-    /// What is done to messages between hosts.
+    /// Reads a fault of the messages between hosts.
     fn peer_fault(&mut self, kind: &str) -> Option<Fault> {
         let hosts = or_any(&self.hosts);
-        let from = self.key("from", &hosts)?;
-        let to = self.key("to", &hosts)?;
+        let from = self.process_at("from", &hosts)?;
+        let to = self.process_at("to", &hosts)?;
         let share = self.share;
         let lasts = self.lasts;
         Some(match kind {
@@ -354,7 +368,7 @@
         })
     }
 
-    /// What is done to the frames or connections between two processes.
+    /// Reads a fault of the frames or connections between two processes.
     fn link_fault(&mut self, kind: &str) -> Option<Fault> {
         let by = if kind == "delay" {
             self.reader.span(self.entry, "by")
@@ -362,8 +376,8 @@
             Span::ZERO
         };
         let all = self.all_processes();
-        let from = self.key("from", &all)?;
-        let to = self.key("to", &all)?;
+        let from = self.process_at("from", &all)?;
+        let to = self.process_at("to", &all)?;
         let share = self.share;
         let lasts = self.lasts;
         Some(match kind {
@@ -395,10 +409,10 @@
         })
     }
 
-    /// Two groups that do not reach each other.
+    /// Reads a partition: frames between two groups of processes are lost.
     fn partition(&mut self, kind: &str) -> Option<Fault> {
-        let a = group(self.reader, self.entry, "between", self.deployment)?;
-        let b = group(self.reader, self.entry, "and", self.deployment)?;
+        let a = process_group(self.reader, self.entry, "between", self.deployment)?;
+        let b = process_group(self.reader, self.entry, "and", self.deployment)?;
         let ways = self
             .reader
             .text_at(self.entry, "ways")
@@ -427,15 +441,16 @@
         })
     }
 
+    /// Reads a fault of a host.
     fn host_fault(&mut self, kind: &str) -> Option<Fault> {
         match kind {
             "kill-host" => Some(Fault::KillHost {
                 host: self.host()?,
-                after: self.back,
+                after: self.after_key,
             }),
             "stop-host" => Some(Fault::StopHost {
                 host: self.host()?,
-                after: self.back,
+                after: self.after_key,
             }),
             "start-host" => Some(Fault::StartHost { host: self.host()? }),
             "pause-host" => Some(Fault::Pause {
@@ -446,6 +461,7 @@
         }
     }
 
+    /// Reads a reload or a maintenance command.
     fn operator_action(&mut self, kind: &str) -> Option<Fault> {
         let hosts = or_any(&self.hosts);
         if kind == "reload" {
@@ -456,7 +472,7 @@
                 .iter_children()
                 .map(|c| c.to_string().trim().to_string())
                 .collect();
-            let host = self.key("host", &hosts)?;
+            let host = self.process_at("host", &hosts)?;
             return Some(Fault::Reload {
                 host,
                 every,
@@ -469,7 +485,7 @@
         let names = names
             .filter_map(|e| e.value().as_string().map(str::to_string))
             .collect();
-        let via = self.key("via", &hosts)?;
+        let via = self.process_at("via", &hosts)?;
         if kind == "cancel" {
             return Some(Fault::Cancel { names, via });
         }
@@ -487,8 +503,8 @@
     }
 }
 
-/// The fault that an entry names; what is wrong with it goes to the reader.
-pub(super) fn fault(
+/// Reads the fault that an entry stands for. Problems are reported to the reader.
+pub(super) fn read_fault(
     reader: &mut Reader,
     entry: &KdlNode,
     deployment: &Deployment,
@@ -513,15 +529,15 @@
         hosts,
         lasts: Span::ZERO,
         share: 1.0,
-        back: None,
+        after_key: None,
         after: Span::ZERO,
     };
     let kind = entry.name().value();
-    let known = known_keys(kind, entry.entry("between").is_some());
-    reader.check_keys(kind, known);
-    reader.read_common(kind, known);
+    let allowed_keys = allowed_keys_of(kind, entry.entry("between").is_some());
+    reader.check_keys(kind, allowed_keys);
+    reader.read_common(kind, allowed_keys);
     match kind {
-        "surge" | "impatient" | "lead-moves" => reader.load(kind),
+        "surge" | "impatient" | "lead-moves" => reader.load_change(kind),
         "stall" | "slow" | "fail" | "costly" | "errors" | "replace" | "release" | "start-node"
         | "pause-node" => reader.node_fault(kind),
         "kill-host" | "stop-host" | "start-host" | "pause-host" => reader.host_fault(kind),
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -1,6 +1,6 @@
-//! A baseline to compare the host with. It speaks the host's frames and forwards each request at once, within
-//! an even share of its volume's limit, to the node that holds its data, or to any ready node.
-//! It has no window, no ordering, no retries and no slow start, and it trusts the endpoint list.
+//! A baseline to compare the host with. It speaks the host's protocol and forwards each request at once to a random
+//! ready node that holds its data, or to any ready node. It rejects requests above an even share of the volume's limit.
+//! It has no window, ordering, retries or slow start, and takes the state of nodes from the endpoint list.
 
 mod connecting;
 
@@ -25,22 +25,25 @@
 use tokio::time::Instant;
 
 /// An attempt that was sent to a node, with the request that it is for.
-struct Sent {
+struct SentAttempt {
+    /// The link of the client.
     client: u64,
+    /// The client's id of the request.
     id: u64,
     idempotency: Idempotency,
+    /// The link of the node.
     node: u64,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// An open link with the process at its other end.
+/// An open link, with the process at its other end.
 struct PeerLink {
     peer: Peer,
     link: Link,
 }
 
-/// A volume's tokens at this host.
-struct TokenLevel {
+/// The token bucket of a volume at this host.
+struct TokenBucket {
     tokens: f64,
     at: Instant,
 }
@@ -51,20 +54,20 @@
     deployment: Arc<Deployment>,
     rng: ChaCha8Rng,
     links: BTreeMap<u64, PeerLink>,
-    /// Ready nodes by the list, by name.
+    /// The nodes that are ready according to the endpoint list, by name.
     ready: BTreeMap<String, ReadyNode>,
-    /// The links of nodes that have said their name.
-    up: BTreeMap<String, u64>,
-    attempts: BTreeMap<u64, Sent>,
-    /// By volume number.
-    levels: BTreeMap<u64, TokenLevel>,
-    last: u64,
+    /// The links of nodes that have sent their `Hello`, by the node's name.
+    node_links: BTreeMap<String, u64>,
+    attempts: BTreeMap<u64, SentAttempt>,
+    /// The token buckets by volume number.
+    buckets: BTreeMap<u64, TokenBucket>,
+    last_attempt: u64,
 }
 
-/// How often requests that have expired are looked for.
+/// The longest time between two checks for expired attempts.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves until its task is dropped.
+/// Serves in place of the host `me` until its task is dropped.
 pub async fn serve(deployment: Arc<Deployment>, me: HostId, seed: u64, listener: TcpListener) {
     let (sink, mut inbox) = mpsc::channel(1024);
     let mut tasks = JoinSet::new();
@@ -73,21 +76,21 @@
     connecting.open_list(Duration::ZERO);
     let mut last_link = 0;
     loop {
-        connecting.open_nodes(&host.ready, &host.up);
+        connecting.open_nodes(&host.ready, &host.node_links);
         host.expire();
         let mut opened = None;
         tokio::select! {
-            came = listener.accept() => if let Ok((stream, _)) = came {
+            accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 opened = Some(OpenedStream { peer: Peer::Client, stream });
             },
             Some(Ok(connected)) = connecting.tasks.join_next(), if !connecting.tasks.is_empty() => {
-                opened = connecting.ended(connected);
+                opened = connecting.handle_result(connected);
             },
-            Some((id, happened)) = inbox.recv() => match happened {
+            Some((id, event)) = inbox.recv() => match event {
                 LinkEvent::Frame(frame) => host.handle_frame(id, frame),
                 LinkEvent::Closed(_) => match host.links.remove(&id).map(|closed| closed.peer) {
                     Some(Peer::List) => connecting.open_list(LIST_RECONNECT_WAIT),
-                    Some(Peer::Node(name)) => host.lost(id, &name),
+                    Some(Peer::Node(name)) => host.node_disconnected(id, &name),
                     Some(Peer::Client) | None => {}
                 },
                 LinkEvent::Written(_) => {}
@@ -134,20 +137,20 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             links: BTreeMap::new(),
             ready,
-            up: BTreeMap::new(),
+            node_links: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            levels: BTreeMap::new(),
-            last: 0,
+            buckets: BTreeMap::new(),
+            last_attempt: 0,
         }
     }
 
-    /// Sends the first frames on a new link and keeps it.
+    /// Keeps a new link, and sends the `Hello` on it and, to the list service, a query.
     fn greet(&mut self, id: u64, opened: PeerLink) {
-        // Dropped: a connection that is closed already is reported by its reading task.
+        // The error is ignored: a closed link reports a `Closed` event.
         let _ = opened.link.send(Frame::from(self.hello.clone()));
         if opened.peer == Peer::List {
             let query = EndpointListQuery { watch: true };
-            // Dropped for the same reason.
+            // The error is ignored for the same reason.
             let _ = opened.link.send(Frame::from(query));
         }
         self.links.insert(id, opened);
@@ -164,7 +167,7 @@
                 }) = self.links.get(&link)
                     && *name == hello.name
                 {
-                    self.up.insert(hello.name, link);
+                    self.node_links.insert(hello.name, link);
                 }
             }
             Message::EndpointListUpdate(update) => self.update_list(update),
@@ -226,33 +229,33 @@
         };
         let now = Instant::now();
         let idempotency = request_class.decisions.idempotency;
-        // A little before the deadline, for the way back.
-        let until = now
+        // 100 ms before the deadline, so that the answer reaches the client in time.
+        let deadline = now
             + Duration::from_micros(submit.timeout_us.max(0) as u64)
                 .saturating_sub(Duration::from_millis(100));
-        let sent = Sent {
+        let sent = SentAttempt {
             client: link,
             id: submit.id,
             idempotency,
             node: 0,
-            until,
+            deadline,
         };
         if !self.take_tokens(volume, submit.units, now) {
             return self.answer(&sent, true);
         }
-        let fits = |node: &ReadyNode| submit.handle.is_none_or(|to| to.shard == node.shard);
-        let found = self
+        let holds_data = |node: &ReadyNode| submit.handle.is_none_or(|to| to.shard == node.shard);
+        let chosen = self
             .ready
             .iter()
-            .filter(|(_, node)| fits(node))
+            .filter(|(_, node)| holds_data(node))
             .map(|(name, _)| name)
             .choose(&mut self.rng);
-        let Some(node) = found.and_then(|name| self.up.get(name)).copied() else {
+        let Some(node) = chosen.and_then(|name| self.node_links.get(name)).copied() else {
             return self.answer(&sent, true);
         };
-        self.last += 1;
+        self.last_attempt += 1;
         let attempt = Attempt {
-            attempt: self.last,
+            attempt: self.last_attempt,
             request_class: submit.request_class,
             volume: submit.volume,
             units: submit.units,
@@ -261,13 +264,14 @@
             idempotency_key: submit.idempotency_key,
             repeat: submit.repeat,
             number: 0,
-            time_out_us: (until - now).as_micros() as i64,
+            time_out_us: (deadline - now).as_micros() as i64,
         };
-        self.attempts.insert(self.last, Sent { node, ..sent });
+        self.attempts
+            .insert(self.last_attempt, SentAttempt { node, ..sent });
         self.send(node, Frame::from(attempt).with_body(body));
     }
 
-    /// Takes a request's units from this host's even share of the limit; `false`: there are too few.
+    /// Takes a request's units from this host's even share of the volume's limit. Returns `false` if it has too few.
     fn take_tokens(&mut self, volume: &NamedVolume, units: f64, now: Instant) -> bool {
         let Some(limit) = self.deployment.plans[volume.plan.0].decisions.limit else {
             return true;
@@ -275,24 +279,24 @@
         let hosts = volume.hosts.len() as f64;
         let rate = limit.rate / hosts;
         let burst = limit.burst / hosts;
-        // A host that has just started cannot know what it spent before.
-        let empty = TokenLevel {
+        // The bucket starts empty: a host that restarts has no record of the tokens that it spent before.
+        let empty = TokenBucket {
             tokens: 0.0,
             at: now,
         };
-        let level = self.levels.entry(volume.id.0).or_insert(empty);
-        level.tokens = (level.tokens + rate * (now - level.at).as_secs_f64()).min(burst);
-        level.at = now;
-        if level.tokens < units {
+        let bucket = self.buckets.entry(volume.id.0).or_insert(empty);
+        bucket.tokens = (bucket.tokens + rate * (now - bucket.at).as_secs_f64()).min(burst);
+        bucket.at = now;
+        if bucket.tokens < units {
             return false;
         }
-        level.tokens -= units;
+        bucket.tokens -= units;
         true
     }
 
-    /// Rejects the request if a repeat does no harm, else reports it as failed.
-    fn answer(&mut self, sent: &Sent, never_ran: bool) {
-        let harmless = matches!(
+    /// Rejects the request if a retry is safe, and reports it as failed otherwise.
+    fn answer(&mut self, sent: &SentAttempt, never_ran: bool) {
+        let retry_is_safe = matches!(
             sent.idempotency,
             Idempotency::Idempotent
                 | Idempotency::WithKey {
@@ -300,7 +304,7 @@
                     ..
                 }
         );
-        let outcome = if never_ran || harmless {
+        let outcome = if never_ran || retry_is_safe {
             Outcome::Rejected
         } else {
             Outcome::Failed
@@ -315,31 +319,33 @@
         self.send(sent.client, answer.into());
     }
 
+    /// Answers the requests whose attempts have reached their deadline.
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, sent)| sent.until <= now)
+            .filter(|(_, sent)| sent.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             if let Some(sent) = self.attempts.remove(&id) {
                 self.answer(&sent, false);
             }
         }
     }
 
-    fn lost(&mut self, link: u64, name: &str) {
-        self.up
-            .retain(|node, its_link| node != name || *its_link != link);
-        let over: Vec<_> = self
+    /// Removes the closed link of a node and answers the requests whose attempts were sent on it.
+    fn node_disconnected(&mut self, link: u64, name: &str) {
+        self.node_links
+            .retain(|node, node_link| node != name || *node_link != link);
+        let expired: Vec<_> = self
             .attempts
             .iter()
             .filter(|(_, sent)| sent.node == link)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             if let Some(sent) = self.attempts.remove(&id) {
                 self.answer(&sent, false);
             }
@@ -348,8 +354,8 @@
 
     fn send(&self, link: u64, frame: Frame) {
         if let Some(to) = self.links.get(&link) {
-            // Dropped: a client retries when its connection closes, and an attempt without an answer fails at
-            // its deadline.
+            // The error is ignored: a client retries when its connection closes, and an attempt without an answer
+            // fails at its deadline.
             let _ = to.link.send(frame);
         }
     }
--- a/crates/simulator/src/baseline/connecting.rs
+++ b/crates/simulator/src/baseline/connecting.rs
@@ -8,7 +8,7 @@
 
 /// The time between two attempts to connect to a node.
 const NODE_RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
-/// The wait before the endpoint list service is connected to again.
+/// The wait before the next attempt to connect to the endpoint list service.
 pub(super) const LIST_RECONNECT_WAIT: Duration = Duration::from_millis(500);
 
 /// The process at the other end of a connection.
@@ -19,13 +19,13 @@
     List,
 }
 
-/// A node that is ready by the list.
+/// A node that is ready according to the endpoint list.
 pub(super) struct ReadyNode {
     pub(super) address: String,
     pub(super) shard: i64,
 }
 
-/// A connection that was being opened; without a stream: it failed.
+/// The result of one attempt to connect; without a stream, the attempt failed.
 pub(super) struct Connected {
     pub(super) peer: Peer,
     pub(super) stream: Option<TcpStream>,
@@ -37,11 +37,11 @@
     pub(super) stream: TcpStream,
 }
 
-/// Connections that are being opened.
+/// The connection attempts in progress.
 pub(super) struct Connecting {
     pub(super) tasks: JoinSet<Connected>,
     list_address: String,
-    /// When each node was last connected to.
+    /// When the last attempt to connect to each node began, by the node's name.
     node_tried_at: BTreeMap<String, Instant>,
 }
 
@@ -54,8 +54,9 @@
         }
     }
 
-    /// What follows the end of a try: the stream, or another try where the list was not reached.
-    pub(super) fn ended(&mut self, connected: Connected) -> Option<OpenedStream> {
+    /// Handles the result of an attempt to connect: returns the stream, or tries again where the list service was not
+    /// reached.
+    pub(super) fn handle_result(&mut self, connected: Connected) -> Option<OpenedStream> {
         let Connected { peer, stream } = connected;
         if stream.is_none() && peer == Peer::List {
             self.open_list(LIST_RECONNECT_WAIT);
@@ -66,7 +67,7 @@
     fn open(&mut self, peer: Peer, address: String, wait: Duration) {
         self.tasks.spawn(async move {
             tokio::time::sleep(wait).await;
-            // The reason of a failure does not matter: the connection is tried again.
+            // Every failure has the same result: another attempt.
             let stream = TcpStream::connect(address).await.ok();
             Connected { peer, stream }
         });
@@ -76,7 +77,7 @@
         self.open(Peer::List, self.list_address.clone(), wait);
     }
 
-    /// Connects to ready nodes without a connection.
+    /// Starts connecting to the ready nodes that have no connection and were not tried recently.
     pub(super) fn open_nodes(
         &mut self,
         ready: &BTreeMap<String, ReadyNode>,
--- a/crates/simulator/src/client.rs
+++ b/crates/simulator/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients as an open loop: requests arrive at their own rate, whatever becomes of the earlier ones. One task
-//! speaks to all hosts, retries as the idempotency of the request class allows, and checks the bytes it reads.
+//! Simulated clients with an open-loop load: requests arrive at a set rate, whether or not earlier ones are answered.
+//! One task sends to all hosts, retries as the idempotency of the request class allows, and checks the bytes of reads.
 
 mod answers;
 mod arrivals;
@@ -18,13 +18,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Events of links that may wait for the client task.
+/// The most link events that are queued for the client task.
 const LINK_EVENT_QUEUE: usize = 4096;
-/// The longest sleep of the client task: retries and timeouts are seen at most this much late.
+/// The longest sleep of the client task, and so the most by which retries and timeouts are late.
 const LONGEST_SLEEP: Duration = Duration::from_millis(20);
 
-/// Plays the load until `until`, then waits for what is open. `addresses` are the hosts', in the document's
-/// order, then those of hosts that a later document names.
+/// Sends the load until `until`, waits for the open requests and returns the tallies. `addresses` holds the addresses
+/// of the hosts in the document's order, then those of hosts that only a later document names.
 pub async fn run(
     deployment: Arc<Deployment>,
     load: Load,
--- a/crates/simulator/src/client/answers.rs
+++ b/crates/simulator/src/client/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the hosts: counted, checked byte by byte, and retried where a host rejected a request.
+//! Handles the frames of hosts: counts answers, checks the bytes of reads and retries rejected requests.
 
 use super::attempts::NOT_TAKEN_PAUSE;
 use super::state::{Attempt, AttemptKey, Clients, WrittenObject};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The least pause before a rejected request is sent again, whatever the host says.
-const LEAST_REJECTED_PAUSE_MICROS: i64 = 20_000;
-/// How many written objects a volume remembers with the seed of their bytes.
+/// The shortest pause before a rejected request is sent again, even if the host's answer gives a shorter one.
+const MIN_REJECTED_PAUSE_MICROS: i64 = 20_000;
+/// For how many written objects of a volume the clients keep the seed of the bytes.
 const WRITTEN_REMEMBERED: usize = 16;
 
 impl Clients {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Nothing more is sent on this link; it is closed once nothing is open on it.
+    /// Sends no new requests on this link; `close_finished_links` closes the link when no request is open on it.
     fn handle_go_away(&mut self, link: u64, host: usize) {
         self.links.by_host[host] = None;
         if let Some(leaving) = self.links.by_id.get_mut(&link) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Closes links to hosts that go away, where nothing is open any more.
+    /// Closes the links that hosts are leaving and on which no request is open.
     pub(super) fn close_finished_links(&mut self) {
         for link in self.links.by_id.values_mut() {
             if link.going_away && !self.attempts.any_at(link.host) {
@@ -58,14 +58,14 @@
             Ok(Outcome::Succeeded) => self.succeeded(&attempt, &answer, &body, now),
             Ok(Outcome::Rejected) => {
                 self.tally(&attempt).rejected += 1;
-                let micros = answer.retry_after_us.max(LEAST_REJECTED_PAUSE_MICROS);
+                let micros = answer.retry_after_us.max(MIN_REJECTED_PAUSE_MICROS);
                 self.retry(attempt, Duration::from_micros(micros as u64), true);
             }
             _ => self.tally(&attempt).failed += 1,
         }
     }
 
-    /// An answer to what is not open: a second one, unless the client had given up.
+    /// Counts an answer without an open attempt as a second answer, unless the attempt had timed out.
     fn handle_unexpected_answer(&mut self, key: AttemptKey) {
         if !self.attempts.expired.contains(&key)
             && let Some(tally) = self.tallies.values_mut().next()
@@ -89,16 +89,16 @@
         let request_class = &self.deployment.request_classes[attempt.request_class];
         let write = request_class.write;
         let in_order = request_class.decisions.in_order;
-        let mut right = true;
+        let mut content_matches = true;
         if write {
             if !in_order {
                 self.remember_written(attempt, answer.handle.unwrap_or_default());
             }
         } else if let Some(handle) = attempt.submit.handle {
-            right = self.is_content_right(attempt, handle, body);
+            content_matches = self.content_matches(attempt, handle, body);
         }
         let tally = self.tally(attempt);
-        tally.wrong_bytes += u64::from(!right);
+        tally.wrong_bytes += u64::from(!content_matches);
         if now <= attempt.objective_deadline {
             tally.in_latency_objective += 1;
             tally.units_in_latency_objective += attempt.submit.units;
@@ -107,6 +107,7 @@
         }
     }
 
+    /// Keeps the seed of a written object's bytes, for checks of later reads.
     fn remember_written(&mut self, attempt: &Attempt, handle: Handle) {
         let volume = volume_number(&self.deployment, &attempt.submit.volume);
         let written = self.written.entry(volume).or_default();
@@ -119,17 +120,17 @@
         }
     }
 
-    /// Whether a read returned the bytes that the object holds.
-    fn is_content_right(&self, attempt: &Attempt, handle: Handle, body: &Bytes) -> bool {
+    /// Returns whether a read returned the bytes that the object holds.
+    fn content_matches(&self, attempt: &Attempt, handle: Handle, body: &Bytes) -> bool {
         let volume = volume_number(&self.deployment, &attempt.submit.volume);
         let written = self.written.get(&volume);
         let object =
             written.and_then(|objects| objects.iter().find(|object| object.handle == handle));
         match object {
-            Some(object) => *body == content(object.seed, self.load.bytes),
+            Some(object) => *body == content(object.seed, self.load.object_bytes),
             None if handle.object < BASE_OBJECTS => *body == base_content(handle),
-            // Written long ago: its seed is forgotten, its length is not.
-            None => body.len() == self.load.bytes,
+            // The seed of an object written earlier is no longer kept: only the length can be checked.
+            None => body.len() == self.load.object_bytes,
         }
     }
 }
--- a/crates/simulator/src/client/arrivals.rs
+++ b/crates/simulator/src/client/arrivals.rs
@@ -1,6 +1,6 @@
-//! When requests arrive, and for which volume, host and request class.
+//! Draws when requests arrive, and their volume, host and request class.
 
-use super::objects::Target;
+use super::objects::RequestObject;
 use super::state::{Attempt, Clients};
 use crate::load::Change;
 use gullsail_configuration::Deployment;
@@ -15,21 +15,21 @@
 /// The longest gap between two requests of a class; also the gap of a class that has no requests.
 const LONGEST_GAP_SECONDS: u64 = 3600;
 
-/// A volume with its part of the requests.
+/// A volume, by its place in the document, with its weight in the choice of a request's volume.
 struct VolumeWeight {
     volume: usize,
     weight: f64,
 }
 
 impl Clients {
-    /// When the first request of each request class arrives.
+    /// Draws when the first request of each request class arrives.
     pub(super) fn first_arrivals(&mut self) -> Vec<Instant> {
         (0..self.load.rates.len())
             .map(|class| self.next_arrival(class, Instant::now()))
             .collect()
     }
 
-    /// Begins the requests whose time has come, and sets when the next ones arrive.
+    /// Sends the requests that are due, and draws when the next ones arrive.
     pub(super) fn begin_due(&mut self, arrivals: &mut [Instant], now: Instant) {
         for (class, due) in arrivals.iter_mut().enumerate() {
             while *due <= now {
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The factor of all traffic: it grows by what the surging volumes add to it.
+    /// Returns the factor of the total rate, which surges of volumes raise. Drops the changes that have ended.
     fn demand_factor(&mut self) -> f64 {
         let now = Instant::now();
         self.changes.retain(|change| match change {
             Change::Surge { until, .. } | Change::Impatient { until, .. } => *until > now,
-            Change::LeadMoves | Change::Document(_) => false,
+            Change::ShiftBusiestHost | Change::Document(_) => false,
         });
         let volumes = &self.deployment.volumes;
         let weights = (0..volumes.len()).map(|volume| self.weight(volume));
@@ -63,6 +63,7 @@
         weights.sum::<f64>() / usual.sum::<f64>().max(1e-9)
     }
 
+    /// Returns the rate by which volumes of a plan are weighted while no surge is in force.
     fn usual_rate(&self, plan: usize) -> f64 {
         self.deployment.plans[plan].decisions.nominal_rate.max(0.1)
     }
@@ -82,7 +83,7 @@
     }
 
     fn begin(&mut self, class: usize, now: Instant) {
-        // No volume has a weight: there is nobody to send the request.
+        // No volume has a weight, so no client sends the request.
         let Some(volume) = self.choose_volume() else {
             return;
         };
@@ -105,22 +106,22 @@
         chosen.ok().map(|entry| entry.volume)
     }
 
-    /// The steps draw from the random numbers in a fixed order: a seed stands for one run.
-    fn first_attempt(&mut self, place: usize, class: usize, now: Instant) -> Attempt {
+    /// Creates the first attempt of a request. The order of the random draws is fixed, so that a seed reproduces a run.
+    fn first_attempt(&mut self, volume_index: usize, class: usize, now: Instant) -> Attempt {
         let deployment = self.deployment.clone();
-        let volume = &deployment.volumes[place];
+        let volume = &deployment.volumes[volume_index];
         let request_class = &deployment.request_classes[class];
-        let host = self.choose_host(&deployment, place);
+        let host = self.choose_host(&deployment, volume_index);
         self.attempts.last_id += 1;
         let id = self.attempts.last_id;
-        let mark = format!("{:x}-{id}", self.load.seed);
+        let request_key = format!("{:x}-{id}", self.load.seed);
         let most_units = deployment.figures().max_units.max(1.0);
         let units = self.rng.random_range(1..=(most_units / 2.0).ceil() as u32) as f64;
-        let Target {
+        let RequestObject {
             body,
             handle,
             order_key,
-        } = self.choose_object(place, class, &mark);
+        } = self.choose_object(volume_index, class, &request_key);
         let latency_objective = duration(request_class.decisions.latency_objective);
         let timeout = self.choose_timeout(latency_objective, duration(request_class.deadline));
         Attempt {
@@ -131,7 +132,7 @@
                 units,
                 handle,
                 order_key,
-                idempotency_key: mark,
+                idempotency_key: request_key,
                 repeat: 0,
                 timeout_us: 0,
             },
@@ -145,16 +146,16 @@
         }
     }
 
-    /// A volume uses its hosts unevenly: each one half as much as the one before.
+    /// Draws a host of the volume. Each host is half as likely as the one before it.
     fn choose_host(&mut self, deployment: &Deployment, volume: usize) -> usize {
         let hosts = &deployment.volumes[volume].hosts;
         let place = (0..hosts.len())
             .find(|_| self.rng.random_bool(0.5))
             .unwrap_or(0);
-        hosts[(place + self.lead) % hosts.len()].0 as usize
+        hosts[(place + self.busiest_host_shift) % hosts.len()].0 as usize
     }
 
-    /// How long the client waits: an impatient one only a part of the latency objective.
+    /// Draws how long the client waits: until the deadline, or for a fraction of the latency objective if impatient.
     fn choose_timeout(&mut self, latency_objective: Duration, deadline: Duration) -> Duration {
         let impatience = self.changes.iter().find_map(|change| match change {
             Change::Impatient { share, part, .. } => Some((*share, *part)),
--- a/crates/simulator/src/client/attempts.rs
+++ b/crates/simulator/src/client/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, sent again as the idempotency of their request class allows, and given up in the end.
+//! Sends attempts, retries them as the idempotency of their request class allows, and expires them at their deadline.
 
 use super::state::{Attempt, AttemptKey, Clients, DelayedAttempt};
 use gullsail_protocol::Frame;
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The pause before a retry of what was not sent, or not taken.
+/// The pause before a retry of an attempt that was not sent, or that the host refused.
 pub(super) const NOT_TAKEN_PAUSE: Duration = Duration::from_millis(100);
 /// The pause before a retry at another host, after the connection to the first one closed.
 const HOST_GONE_PAUSE: Duration = Duration::from_millis(20);
-/// How many expired attempts are remembered. An answer that comes for a forgotten one counts as a second one.
+/// How many expired attempts are remembered. An answer to an older one counts as a second answer.
 const EXPIRED_REMEMBERED: usize = 100_000;
 
 impl Clients {
@@ -22,17 +22,18 @@
         if link.is_some_and(|to| to.link.send(frame).is_ok()) {
             self.attempts.open.insert(attempt.key(), attempt);
         } else {
-            // Nothing was sent: certain not to have run.
+            // The attempt was not sent, so it cannot have run.
             self.retry(attempt, NOT_TAKEN_PAUSE, true);
         }
     }
 
-    /// Another attempt, if one is left and there is time; `safe`: nothing of this one ran.
+    /// Schedules another attempt after `pause`, if attempts and time are left. `safe`: the last attempt did not run.
+    /// Otherwise the idempotency of the request class decides, and the next attempt goes to another host.
     pub(super) fn retry(&mut self, mut attempt: Attempt, pause: Duration, safe: bool) {
         let at = Instant::now() + pause;
         let allowed = safe || self.may_run_again(&attempt, pause);
-        let tries_left = attempt.submit.repeat + 1 < self.load.tries;
-        if !allowed || !tries_left || at >= attempt.deadline {
+        let attempts_left = attempt.submit.repeat + 1 < self.load.max_attempts;
+        if !allowed || !attempts_left || at >= attempt.deadline {
             self.tally(&attempt).unanswered += u64::from(!safe);
             return;
         }
@@ -40,14 +41,14 @@
         self.attempts.last_id += 1;
         attempt.submit.id = self.attempts.last_id;
         if !safe {
-            // Its host is gone: another of the volume's.
+            // The connection to the host is lost.
             attempt.host = self.choose_other_host(&attempt);
         }
         self.tally(&attempt).repeats += 1;
         self.attempts.delayed.push(DelayedAttempt { at, attempt });
     }
 
-    /// Whether a request that may have run may be sent to another host after the pause.
+    /// Returns whether a request that may have run may be sent to another host after the pause.
     fn may_run_again(&self, attempt: &Attempt, pause: Duration) -> bool {
         let request_class = &self.deployment.request_classes[attempt.request_class];
         match request_class.decisions.idempotency {
@@ -55,14 +56,14 @@
             Idempotency::WithKey { scope, window } => {
                 let window = Duration::from_micros(window.micros() as u64);
                 attempt.began.elapsed() + pause < window
-                    && self.any_host_stays_in_scope(scope, attempt)
+                    && self.all_nodes_recognise_repeat(scope, attempt)
             }
             Idempotency::NonIdempotent => false,
         }
     }
 
-    /// Whether any host would send the request to nodes that recognise the repeat. A new object could go anywhere.
-    fn any_host_stays_in_scope(&self, scope: IdempotencyScope, attempt: &Attempt) -> bool {
+    /// Returns whether every node that could get the request recognises the repeat. A new object can go to any node.
+    fn all_nodes_recognise_repeat(&self, scope: IdempotencyScope, attempt: &Attempt) -> bool {
         let Some(handle) = attempt.submit.handle else {
             return scope == IdempotencyScope::All;
         };
@@ -74,6 +75,7 @@
         scope != IdempotencyScope::Zone || zones.all(|zone| Some(zone) == first)
     }
 
+    /// Draws another host of the volume; returns the same one if the volume has no other.
     fn choose_other_host(&mut self, attempt: &Attempt) -> usize {
         let volume = self.deployment.volume(&attempt.submit.volume);
         let mut hosts = volume
@@ -87,7 +89,7 @@
             .unwrap_or(attempt.host)
     }
 
-    /// Sends the retries whose time has come, and gives up what has passed its deadline.
+    /// Sends the retries that are due, and expires the attempts whose deadline has passed.
     pub(super) fn expire(&mut self, now: Instant) {
         let mut waiting = Vec::new();
         for delayed in std::mem::take(&mut self.attempts.delayed) {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Forgets a closed link and retries what was open on it. Returns the host of the link.
+    /// Removes a closed link and retries the attempts that were open on it. Returns the host of the link.
     pub(super) fn disconnected(&mut self, link: u64) -> Option<usize> {
         let host = self.links.by_id.remove(&link)?.host;
         self.links.by_host[host] = None;
--- a/crates/simulator/src/client/connector.rs
+++ b/crates/simulator/src/client/connector.rs
@@ -1,4 +1,4 @@
-//! Connects to hosts, again and again until each connection stands, and opens links on the connections.
+//! Connects to hosts, retrying until each one accepts, and opens links on the connections.
 
 use gullsail_connections::{Link, Sink};
 use gullsail_protocol::Bounds;
@@ -6,15 +6,15 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// The pause before a host is connected to again, after a refused or a closed connection.
+/// The pause before the next attempt to connect to a host, after a connection was refused or closed.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// Frames that may wait on one link to be written.
+/// The most frames that are queued for writing on one link.
 const LINK_QUEUE: usize = 16_384;
 
-/// The end of one try to connect to a host.
+/// The result of one attempt to connect to a host.
 pub(super) struct ConnectOutcome {
     host: usize,
-    /// None: the host refused the connection, or could not be reached.
+    /// `None`: the host refused the connection or could not be reached.
     stream: Option<TcpStream>,
 }
 
@@ -25,7 +25,7 @@
     pub(super) link: Link,
 }
 
-/// The connections under way, and the tasks of the links that stand.
+/// The connection attempts in progress, and the tasks of the open links.
 pub(super) struct Connector {
     addresses: Vec<String>,
     pub(super) connecting: JoinSet<ConnectOutcome>,
@@ -54,18 +54,18 @@
         let address = self.addresses[host].clone();
         self.connecting.spawn(async move {
             tokio::time::sleep(pause).await;
-            // The reason of a failure does not matter: the host is tried until it accepts.
+            // Every failure has the same result: another attempt.
             let stream = TcpStream::connect(address).await.ok();
             ConnectOutcome { host, stream }
         });
     }
 
-    /// Connects to a host again after a pause.
+    /// Starts another attempt to connect to a host, after a pause.
     pub(super) fn reconnect(&mut self, host: usize) {
         self.connect(host, RECONNECT_PAUSE);
     }
 
-    /// Opens a link on the connection; without one, connecting again.
+    /// Opens a link on a new connection. If the attempt failed, starts another one and returns `None`.
     pub(super) fn open(&mut self, outcome: ConnectOutcome) -> Option<OpenedLink> {
         let host = outcome.host;
         let Some(stream) = outcome.stream else {
--- a/crates/simulator/src/client/objects.rs
+++ b/crates/simulator/src/client/objects.rs
@@ -1,4 +1,4 @@
-//! Which object a request reads or writes.
+//! Draws the object that a request reads or writes.
 
 use super::state::Clients;
 use crate::content;
@@ -8,50 +8,56 @@
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// What a request is about.
-pub(super) struct Target {
+/// The object of a request: the body to write, the handle, and the key of in-order writes. Fields that a request does
+/// not need are empty.
+pub(super) struct RequestObject {
     pub(super) body: Bytes,
     pub(super) handle: Option<Handle>,
     pub(super) order_key: String,
 }
 
 impl Clients {
-    /// The object that a request reads or writes, and what it sends.
-    pub(super) fn choose_object(&mut self, volume: usize, class: usize, mark: &str) -> Target {
+    /// Draws the object that a request reads or writes; a write gets a body generated from its idempotency key.
+    pub(super) fn choose_object(
+        &mut self,
+        volume: usize,
+        class: usize,
+        request_key: &str,
+    ) -> RequestObject {
         let request_class = &self.deployment.request_classes[class];
         let write = request_class.write;
         let in_order = request_class.decisions.in_order;
-        let mut target = Target {
+        let mut chosen = RequestObject {
             body: Bytes::new(),
             handle: None,
             order_key: String::new(),
         };
         if write {
-            target.body = content(number(mark), self.load.bytes);
+            chosen.body = content(number(request_key), self.load.object_bytes);
         } else {
-            target.handle = Some(self.choose_read(volume));
+            chosen.handle = Some(self.choose_read(volume));
         }
         if in_order {
-            // Some records of a volume that are written again and again: these name their shard.
+            // Each volume has three records that are overwritten in order. Their handles name the shard.
             let record = self.rng.random_range(0..3);
             let name = &self.deployment.volumes[volume].name;
-            target.order_key = format!("{name}/{record}");
+            chosen.order_key = format!("{name}/{record}");
             let shards = self.shards();
-            target.handle = Some(Handle {
+            chosen.handle = Some(Handle {
                 shard: shards[(volume + record as usize) % shards.len()],
                 object: (volume as u64) << 8 | record | 1 << 31,
             });
         }
-        target
+        chosen
     }
 
-    /// An object that the volume wrote lately, or one that was always there.
+    /// Draws an object that the volume wrote recently, or a base object.
     fn choose_read(&mut self, volume: usize) -> Handle {
         let number = self.deployment.volumes[volume].id.0;
         let written = self.written.get(&number).map_or(0, VecDeque::len);
-        if written > 0 && self.rng.random_bool(self.load.fresh) {
-            let place = self.rng.random_range(0..written);
-            self.written[&number][place].handle
+        if written > 0 && self.rng.random_bool(self.load.recent_read_share) {
+            let index = self.rng.random_range(0..written);
+            self.written[&number][index].handle
         } else {
             self.choose_base_object(volume)
         }
@@ -65,7 +71,7 @@
         shards
     }
 
-    /// One of the objects that were always there: a volume's lie on a few shards.
+    /// Draws a base object. The base objects that a volume reads lie on up to three shards.
     fn choose_base_object(&mut self, volume: usize) -> Handle {
         let shards = self.shards();
         let shard = shards[(volume * 7 + self.rng.random_range(0..3)) % shards.len()];
--- a/crates/simulator/src/client/state.rs
+++ b/crates/simulator/src/client/state.rs
@@ -1,4 +1,4 @@
-//! What the clients keep: their links, the open requests, the changes in force and the tallies.
+//! The state of the clients: links, open attempts, changes in force and tallies.
 
 use super::connector::OpenedLink;
 use crate::load::{Change, Load, Tallies, Tally};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// One try of a request, with what its answer is judged by.
+/// One attempt of a request, with what is needed to check and count its answer.
 pub(super) struct Attempt {
     pub(super) submit: Submit,
     pub(super) body: Bytes,
@@ -33,51 +33,51 @@
     }
 }
 
-/// Names an attempt. The host comes first in the order, so the attempts at a host are one range.
+/// Identifies an attempt. Keys are ordered by host first, so that the attempts at one host form a range.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub(super) host: usize,
     pub(super) id: u64,
 }
 
-/// An attempt that waits until it may be sent.
+/// An attempt that is sent at a later time.
 pub(super) struct DelayedAttempt {
     pub(super) at: Instant,
     pub(super) attempt: Attempt,
 }
 
-/// The link to a host.
+/// An open link with the host at its other end.
 pub(super) struct HostLink {
     pub(super) host: usize,
     pub(super) link: Link,
-    /// The host said that it goes away: nothing more is sent.
+    /// The host has sent `GoAway`: no new requests are sent on this link.
     pub(super) going_away: bool,
 }
 
-/// An object that a volume wrote lately, with the seed of its bytes.
+/// An object that a volume wrote recently, with the seed of its bytes.
 pub(super) struct WrittenObject {
     pub(super) handle: Handle,
     pub(super) seed: u64,
 }
 
-/// The links, by their number and by host.
+/// The open links by id, and the id of each host's usable link by the host's place in the document.
 pub(super) struct HostLinks {
     pub(super) by_id: BTreeMap<u64, HostLink>,
     pub(super) by_host: Vec<Option<u64>>,
 }
 
-/// The attempts that are not over.
+/// The attempts without a final answer.
 #[derive(Default)]
 pub(super) struct Attempts {
     pub(super) open: BTreeMap<AttemptKey, Attempt>,
-    /// Timed out; their answers may still come and are not counted as second ones.
+    /// Attempts that timed out. Late answers to them are not counted as second answers.
     pub(super) expired: VecDeque<AttemptKey>,
     pub(super) delayed: Vec<DelayedAttempt>,
     pub(super) last_id: u64,
 }
 
 impl Attempts {
-    /// Whether an attempt is open at a host.
+    /// Returns whether an attempt is open at a host.
     pub(super) fn any_at(&self, host: usize) -> bool {
         let first = AttemptKey { host, id: 0 };
         let last = AttemptKey { host, id: u64::MAX };
@@ -85,17 +85,17 @@
     }
 }
 
-/// All clients of the run.
+/// All clients of a run.
 pub(super) struct Clients {
     pub(super) deployment: Arc<Deployment>,
     pub(super) load: Load,
     pub(super) rng: ChaCha8Rng,
     pub(super) links: HostLinks,
     pub(super) attempts: Attempts,
-    /// How many places the busiest host of each volume has moved.
-    pub(super) lead: usize,
+    /// By how many places the busiest host of each volume has moved on in the volume's list of hosts.
+    pub(super) busiest_host_shift: usize,
     pub(super) changes: Vec<Change>,
-    /// By volume number, the oldest first.
+    /// The recently written objects by volume number, the oldest first.
     pub(super) written: BTreeMap<u64, VecDeque<WrittenObject>>,
     pub(super) tallies: Tallies,
 }
@@ -109,7 +109,7 @@
                 by_host: vec![None; hosts],
             },
             attempts: Attempts::default(),
-            lead: 0,
+            busiest_host_shift: 0,
             changes: Vec::new(),
             written: BTreeMap::new(),
             tallies: Tallies::new(),
@@ -118,14 +118,14 @@
         }
     }
 
-    /// Whether no request is open or waits to be sent again.
+    /// Returns whether no attempt is open and no retry is scheduled.
     pub(super) fn is_idle(&self) -> bool {
         self.attempts.open.is_empty() && self.attempts.delayed.is_empty()
     }
 
     pub(super) fn connected(&mut self, opened: OpenedLink) {
         let OpenedLink { host, id, link } = opened;
-        self.greet(host, &link);
+        self.send_hello(host, &link);
         let host_link = HostLink {
             host,
             link,
@@ -135,37 +135,38 @@
         self.links.by_host[host] = Some(id);
     }
 
-    fn greet(&self, host: usize, link: &Link) {
-        let known = self.deployment.hosts.get(host);
-        let known = known.map_or("newcomer", |place| place.name.as_str());
+    fn send_hello(&self, host: usize, link: &Link) {
+        let host_name = self.deployment.hosts.get(host);
+        let host_name = host_name.map_or("newcomer", |place| place.name.as_str());
         let hello = Hello {
             role: Role::Client as i32,
-            name: format!("client-{known}"),
+            name: format!("client-{host_name}"),
             ..Hello::default()
         };
-        // Dropped: a link that is closed already reports this by its own event, and the host is connected to again.
+        // The error is ignored: a closed link reports a `Closed` event, which starts another connection.
         let _ = link.send(Frame::from(hello));
     }
 
     pub(super) fn change(&mut self, change: Change) {
         match change {
-            Change::LeadMoves => self.lead += 1,
-            Change::Document(deployment) => self.follow(deployment),
+            Change::ShiftBusiestHost => self.busiest_host_shift += 1,
+            Change::Document(deployment) => self.switch_document(deployment),
             other => self.changes.push(other),
         }
     }
 
-    /// A document with more hosts: volumes go through these too. Request classes, volumes and plans are the
-    /// same, in the same places. Clients cannot reach a host without an address: such a document is ignored.
-    fn follow(&mut self, deployment: Arc<Deployment>) {
-        let more = deployment.hosts.len() > self.deployment.hosts.len()
+    /// Switches to a document with more hosts, to which requests of the volumes may go too. Its request classes, volumes
+    /// and plans must be those of the current one, in the same places. A document is ignored if it has hosts without an
+    /// address.
+    fn switch_document(&mut self, deployment: Arc<Deployment>) {
+        let adds_reachable_hosts = deployment.hosts.len() > self.deployment.hosts.len()
             && deployment.hosts.len() <= self.links.by_host.len();
-        if more && deployment.volumes.len() == self.deployment.volumes.len() {
+        if adds_reachable_hosts && deployment.volumes.len() == self.deployment.volumes.len() {
             self.deployment = deployment;
         }
     }
 
-    /// The counts of the attempt's request class and plan.
+    /// Returns the tally of the attempt's request class and plan.
     pub(super) fn tally(&mut self, attempt: &Attempt) -> &mut Tally {
         let request_class = &self.deployment.request_classes[attempt.request_class].name;
         let plan = &self.deployment.plans[attempt.plan].name;
--- a/crates/simulator/src/idempotency_keys.rs
+++ b/crates/simulator/src/idempotency_keys.rs
@@ -1,5 +1,5 @@
-//! The idempotency keys that storage nodes remember. Nodes that discard each other's repeats share a record, as the
-//! replicas of a store do: a key is in it before its write is answered, and stays there when a node ends.
+//! The idempotency keys that storage nodes remember. Nodes that recognise each other's repeats share a record, as the
+//! replicas of a store do. A key is recorded before its write is answered, and stays in the record when a node exits.
 
 use gullsail_configuration::Deployment;
 use gullsail_protocol::Handle;
@@ -11,38 +11,38 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Where a node stands; decides whose repeats it recognises.
+/// The zone and shard of a node, which select the nodes whose repeats it recognises.
 #[derive(Clone, Debug)]
 pub struct NodeLocation {
-    /// Its zone.
+    /// The zone in which the node runs.
     pub zone: ZoneId,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
 }
 
-/// Whether a write takes effect.
+/// Whether a write takes effect or repeats an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KeyedWrite {
-    /// Its key is new, and is recorded now.
+    /// The write takes effect. Its key is new and was recorded, unless its request class has no keys.
     TakesEffect,
-    /// The repeat of a write that took effect, which gave this handle.
+    /// The write repeats one that took effect and that returned this handle.
     Repeats(Handle),
 }
 
-/// The keys that one node recognises, by request class.
+/// The idempotency keys that one node recognises, by request class.
 pub struct IdempotencyKeys {
     classes: BTreeMap<String, KeyRule>,
     records: BTreeMap<String, KeyRecord>,
     directory: Option<PathBuf>,
 }
 
-/// Which record holds the keys of a request class, and for how long.
+/// The record that holds the keys of a request class, and the time for which they are remembered.
 struct KeyRule {
     record: String,
     window: Span,
 }
 
-/// A key, as a line of a shared record.
+/// A recorded key with the handle of its write; one line of a shared record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct RecordedKey {
     key: String,
@@ -52,7 +52,7 @@
 }
 
 impl IdempotencyKeys {
-    /// Keys that this node alone knows, until it ends.
+    /// Creates keys that this node keeps in memory and shares with no other node.
     pub fn of_one_node(deployment: &Deployment, location: &NodeLocation) -> IdempotencyKeys {
         let named = deployment.request_classes.iter();
         let rules = named.filter_map(|class| {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Keys that all nodes of the deployment share through files in `directory`.
+    /// Creates keys that the nodes of a deployment share through files in `directory`.
     pub fn shared(
         deployment: &Deployment,
         location: &NodeLocation,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Records the key of a write that a node is about to carry out, unless the key is known. A class without keys
-    /// always takes effect. `now` is [`machine_time`].
+    /// Records the key of a write that a node is about to perform, unless the key is recorded already. A write of a
+    /// request class without keys, or with an empty key, always takes effect. `now` is the [`machine_time`].
     ///
     /// # Errors
     /// The shared record cannot be read or written; the write must not take effect then.
@@ -106,7 +106,7 @@
     }
 }
 
-/// The rule of a class with keys; `None`: it has none.
+/// Returns the rule for the keys of a request class; `None`: the class has no keys.
 fn key_rule(idempotency: Idempotency, location: &NodeLocation) -> Option<KeyRule> {
     let Idempotency::WithKey { scope, window } = idempotency else {
         return None;
@@ -119,20 +119,20 @@
     Some(KeyRule { record, window })
 }
 
-/// The time since the machine started, which all its processes read alike.
+/// Returns the time since the machine started, which is the same for all processes of the machine.
 pub fn machine_time() -> Instant {
     let time = clock_gettime(ClockId::Boottime);
     Instant::from_micros(time.tv_sec * 1_000_000 + time.tv_nsec / 1_000)
 }
 
-/// The keys of the nodes that recognise each other's repeats.
+/// A record of keys, shared by the nodes that recognise each other's repeats.
 #[derive(Default)]
 struct KeyRecord {
-    known: BTreeMap<String, RecordedKey>,
-    /// Where the nodes share it; `None`: only this node has it.
+    keys: BTreeMap<String, RecordedKey>,
+    /// The file through which nodes share the record; `None`: the record belongs to one node.
     file: Option<File>,
-    /// How much of the file is in `known`, in bytes.
-    read_to: u64,
+    /// The length in bytes of the file's start that was read into `keys`.
+    read_offset: u64,
 }
 
 impl KeyRecord {
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Looks the key up and records it in one step that no other node can come between.
+    /// Looks up the key and records it while the file is locked, so that of concurrent writes one takes effect.
     fn record(
         &mut self,
         key: &str,
@@ -177,12 +177,14 @@
         window: Span,
     ) -> io::Result<KeyedWrite> {
         self.read_new_keys()?;
-        let is_remembered = |known: &RecordedKey| now - Instant::from_micros(known.at_us) <= window;
-        self.known.retain(|_, known| is_remembered(known));
-        if let Some(known) = self.known.get(key) {
+        let is_remembered =
+            |recorded_key: &RecordedKey| now - Instant::from_micros(recorded_key.at_us) <= window;
+        self.keys
+            .retain(|_, recorded_key| is_remembered(recorded_key));
+        if let Some(recorded_key) = self.keys.get(key) {
             return Ok(KeyedWrite::Repeats(Handle {
-                shard: known.shard,
-                object: known.object,
+                shard: recorded_key.shard,
+                object: recorded_key.object,
             }));
         }
         let recorded = RecordedKey {
@@ -192,27 +194,27 @@
             object: handle.object,
         };
         self.append(&recorded)?;
-        self.known.insert(recorded.key.clone(), recorded);
+        self.keys.insert(recorded.key.clone(), recorded);
         Ok(KeyedWrite::TakesEffect)
     }
 
-    /// Reads what other nodes have recorded. A last line without its end is from a node that was killed while it
-    /// wrote; that write took no effect.
+    /// Reads the keys that other nodes have recorded. A last line without a line end is left by a node that was killed
+    /// while it recorded a key; that write took no effect.
     fn read_new_keys(&mut self) -> io::Result<()> {
         let Some(file) = &mut self.file else {
             return Ok(());
         };
         let mut added = Vec::new();
-        file.seek(SeekFrom::Start(self.read_to))?;
+        file.seek(SeekFrom::Start(self.read_offset))?;
         file.read_to_end(&mut added)?;
         let last_end = added.iter().rposition(|byte| *byte == b'\n');
-        let whole = last_end.map_or(0, |end| end + 1);
-        for line in added[..whole].split(|byte| *byte == b'\n') {
+        let complete_length = last_end.map_or(0, |end| end + 1);
+        for line in added[..complete_length].split(|byte| *byte == b'\n') {
             if let Ok(recorded) = serde_json::from_slice::<RecordedKey>(line) {
-                self.known.insert(recorded.key.clone(), recorded);
+                self.keys.insert(recorded.key.clone(), recorded);
             }
         }
-        self.read_to += whole as u64;
+        self.read_offset += complete_length as u64;
         Ok(())
     }
 
@@ -222,13 +224,13 @@
         };
         let end = file.seek(SeekFrom::End(0))?;
         let mut line = serde_json::to_string(recorded)?;
-        if end > self.read_to {
-            // Ends the line that a killed node left.
+        if end > self.read_offset {
+            // Terminates the incomplete line that a killed node left.
             line.insert(0, '\n');
         }
         line.push('\n');
         file.write_all(line.as_bytes())?;
-        self.read_to = end + line.len() as u64;
+        self.read_offset = end + line.len() as u64;
         Ok(())
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,7 @@
-//! What a host has around it, simulated: storage nodes ([`node`], with a [`node_model`] in given time and
-//! [`idempotency_keys`]), the
-//! list service ([`discovery`]), clients ([`client`]), a [`baseline`] in place of the host, and the
-//! [`recording_proxy`], which stands before a process's socket, records each frame and disturbs what it is
-//! told to.
+//! Simulates the processes around a host: storage nodes ([`node`], with a [`node_model`] that takes the time as an
+//! argument, and [`idempotency_keys`]), the list service ([`discovery`]) and clients ([`client`]). A [`baseline`] runs
+//! in place of the host for comparison. The [`recording_proxy`] accepts the connections to a process, records each
+//! frame and injects faults into frames and connections.
 
 pub mod baseline;
 pub mod client;
@@ -18,17 +17,17 @@
 use rand::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Objects with numbers below this were there before any node started: each node of their shard has them.
+/// Object numbers below this belong to base objects, which every node of their shard holds from its start.
 pub const BASE_OBJECTS: u64 = 1 << 32;
 
-/// The bytes that belong to a seed: whoever knows it can tell whether they are the right ones.
+/// Generates `length` bytes from a seed. A reader that has the seed can check the bytes of an object.
 pub fn content(seed: u64, length: usize) -> Bytes {
     let mut bytes = vec![0; length];
     ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
     bytes.into()
 }
 
-/// What an object that was always there holds.
+/// Returns the bytes of a base object (see [`BASE_OBJECTS`]).
 pub fn base_content(handle: Handle) -> Bytes {
     content(
         handle.object ^ ((handle.shard as u64) << 40),
--- a/crates/simulator/src/load.rs
+++ b/crates/simulator/src/load.rs
@@ -1,4 +1,4 @@
-//! What simulated clients ask for, what changes it for a time, and the counts of what came of it.
+//! The load of simulated clients, temporary changes of it, and the counts of the requests' outcomes.
 
 use gullsail_configuration::Deployment;
 use serde::Serialize;
@@ -6,80 +6,80 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What clients ask for, for as long as nothing changes it.
+/// The load that clients generate while no [`Change`] is in force.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Requests a second by request class, in the document's order, over all hosts.
+    /// Requests per second over all hosts, by request class in the document's order.
     pub rates: Vec<f64>,
-    /// Bytes of a written object.
-    pub bytes: usize,
-    /// The fraction of reads that go to recently written objects.
-    pub fresh: f64,
-    /// How often a client tries in all.
-    pub tries: u32,
-    /// Seed of the random choices.
+    /// The length of a written object in bytes.
+    pub object_bytes: usize,
+    /// The fraction of reads, 0 to 1, that go to recently written objects.
+    pub recent_read_share: f64,
+    /// The most attempts that a client makes for one request, the first one included.
+    pub max_attempts: u32,
+    /// Seed of the clients' random choices and of their idempotency keys.
     pub seed: u64,
 }
 
-/// What goes on for a time.
+/// A change of the clients' load.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// The demand of a volume, a plan or all (`*`) is multiplied.
     Surge {
-        /// The volume, plan or `*`.
+        /// The name of the volume or plan, or `*` for all volumes.
         who: String,
-        /// The factor.
+        /// The factor by which the demand is multiplied.
         times: f64,
-        /// When it ends.
+        /// When the demand returns to its usual rate.
         until: Instant,
     },
     /// Some clients wait only a fraction of the latency objective.
     Impatient {
-        /// The fraction of the clients.
+        /// The fraction of the requests, 0 to 1, that have the shorter timeout.
         share: f64,
-        /// The fraction of the latency objective.
+        /// The timeout of these requests, as a fraction of the latency objective.
         part: f64,
-        /// When it ends.
+        /// When all clients wait until the deadline again.
         until: Instant,
     },
-    /// Each volume's busiest host changes.
-    LeadMoves,
-    /// Another document: volumes go through the hosts that it names, new ones too.
+    /// The busiest host of each volume changes to the next one in the volume's list of hosts.
+    ShiftBusiestHost,
+    /// The clients switch to another document and send to the hosts that it names, including new ones.
     Document(Arc<Deployment>),
 }
 
-/// What came of the clients' requests of one request class and plan.
+/// Counts the outcomes of the clients' requests of one request class and plan.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Tally {
-    /// Requests, counted at their first try.
+    /// Requests, counted once each, at their first attempt.
     pub first_tries: u64,
-    /// Further tries.
+    /// Attempts after the first one.
     pub repeats: u64,
-    /// Succeeded within the latency objective.
+    /// Requests that succeeded within the latency objective.
     #[serde(rename = "in_slo_time")]
     pub in_latency_objective: u64,
-    /// Succeeded after it.
+    /// Requests that succeeded after the latency objective.
     pub late: u64,
-    /// Rejected: a repeat does no harm.
+    /// Attempts that a host rejected; repeating a rejected request is safe.
     #[serde(rename = "deferred")]
     pub rejected: u64,
-    /// Failed: the request may have run.
+    /// Attempts that failed; the request may have run.
     #[serde(rename = "abandoned")]
     pub failed: u64,
-    /// Refused by the host as invalid, or while it shuts down.
+    /// Attempts that a host refused, because the request was invalid or the host was shutting down.
     pub not_taken: u64,
-    /// No answer before the client gave up, or its host was gone.
+    /// Requests without an answer: the client's timeout passed, or the connection closed and no retry was allowed.
     pub unanswered: u64,
-    /// Reads that returned other bytes than were written.
+    /// Reads that returned bytes other than those written.
     pub wrong_bytes: u64,
-    /// Answers to what was answered before.
+    /// Answers to requests that already had one.
     pub second_answers: u64,
-    /// Units of all requests.
+    /// The units of all requests, counted at their first attempt.
     pub units: f64,
-    /// Units of those that succeeded within the latency objective.
+    /// The units of the requests that succeeded within the latency objective.
     #[serde(rename = "units_in_slo_time")]
     pub units_in_latency_objective: f64,
 }
 
-/// By request class and plan.
+/// The tallies by the names of the request class and the plan.
 pub type Tallies = BTreeMap<(String, String), Tally>;
