--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -1,5 +1,5 @@
-//! A storage node on a socket: the model decides how long things take, this keeps objects and
-//! speaks the frames. It runs until its task is dropped, or until it falls over.
+//! A storage node on a socket. The node stores objects and speaks the protocol; its [`Model`] decides how long requests
+//! take. It serves until its task is dropped, or until the model reports an overload during slow start.
 
 use crate::idempotency_keys::{IdempotencyKeys, KeyedWrite, machine_time};
 use crate::node_model::{Arrival, Model};
@@ -20,44 +20,44 @@
 use tokio::task::JoinSet;
 use tracing::{info, warn};
 
-/// A simulated storage node as a process: its name, its server, its age.
+/// The settings of a simulated storage node.
 pub struct NodeProcess {
-    /// Its name in the configuration.
+    /// The node's name in the configuration.
     pub name: String,
-    /// The shard that it holds.
+    /// The number of the shard that the node holds.
     pub shard: i64,
-    /// The server it runs on.
+    /// The simulated server that the node runs on.
     pub server: Server,
-    /// What it bears while it warms up.
+    /// The rule on the load that the node can take while it warms up.
     pub slow_start: SlowStart,
-    /// Drawn anew at each start.
+    /// A number drawn at random at each start of the process.
     pub incarnation: u64,
-    /// How long it is taken to be up already.
+    /// For how long the node counts as running when `serve` begins.
     pub age: Span,
-    /// The largest frames that it accepts.
+    /// The size limits of the frames that the node accepts.
     pub bounds: Bounds,
-    /// The keys by which it recognises repeats.
+    /// The idempotency keys by which the node recognises repeated writes.
     pub keys: IdempotencyKeys,
 }
 
-/// An attempt that the node has taken, with the link that its answer goes to.
-struct TakenAttempt {
+/// An attempt that the node has accepted, with the link on which its answer is sent.
+struct AcceptedAttempt {
     link: u64,
     attempt: Attempt,
     body: Bytes,
 }
 
-/// A fault: some requests cost more work than usual.
+/// A fault that makes some requests cost more work than usual.
 struct CostlyRequests {
-    /// Empty: all request classes.
+    /// The affected request class; empty means all classes.
     request_class: String,
-    /// The part of the requests that cost more.
+    /// The fraction of the requests, 0 to 1, that cost more.
     share: f64,
-    /// So many times the usual work.
+    /// The factor by which their work is multiplied.
     factor: f64,
 }
 
-/// A fault that ends by itself.
+/// A fault that ends at a set time.
 struct ActiveFault {
     until: Instant,
     kind: &'static str,
@@ -67,18 +67,18 @@
     process: NodeProcess,
     model: Model,
     links: BTreeMap<u64, Link>,
-    attempts: BTreeMap<u64, TakenAttempt>,
+    attempts: BTreeMap<u64, AcceptedAttempt>,
     objects: BTreeMap<u64, Bytes>,
     rng: ChaCha8Rng,
-    fail: f64,
-    costly: Option<CostlyRequests>,
+    failure_share: f64,
+    costly_requests: Option<CostlyRequests>,
     active_faults: Vec<ActiveFault>,
 }
 
-/// Serves on the listener; returns when the node has fallen over.
+/// Serves on the listener; returns when the node exits after an overload during slow start.
 pub async fn serve(process: NodeProcess, listener: TcpListener) {
-    let began = tokio::time::Instant::now();
-    let now = || Instant::from_micros(began.elapsed().as_micros() as i64);
+    let clock_origin = tokio::time::Instant::now();
+    let now = || Instant::from_micros(clock_origin.elapsed().as_micros() as i64);
     let mut rng = ChaCha8Rng::seed_from_u64(process.incarnation);
     let started_at = now() - process.age;
     let model = ChaCha8Rng::seed_from_u64(rng.random());
@@ -104,12 +104,12 @@
                 (node.model.next() - now()).micros().clamp(200, 1_000_000) as u64,
             );
         tokio::select! {
-            came = listener.accept() => if let Ok((stream, _)) = came {
+            accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 last_link += 1;
                 let link = Link::open(stream, last_link, node.process.bounds, 16_384, &sink, &mut tasks);
                 node.greet(last_link, link, now() - started_at);
             },
-            Some((link, happened)) = inbox.recv() => match happened {
+            Some((link, event)) = inbox.recv() => match event {
                 LinkEvent::Frame(frame) => {
                     last_attempt += 1;
                     if node.handle_frame(link, frame, last_attempt, now()) {
@@ -138,19 +138,19 @@
             attempts: BTreeMap::new(),
             objects: BTreeMap::new(),
             rng,
-            fail: 0.0,
-            costly: None,
+            failure_share: 0.0,
+            costly_requests: None,
             active_faults: Vec::new(),
         }
     }
 
-    /// Keeps a new connection and sends the first frame on it.
-    fn greet(&mut self, id: u64, link: Link, up_for: Span) {
+    /// Keeps a new connection and sends the `Hello` frame on it.
+    fn greet(&mut self, id: u64, link: Link, uptime: Span) {
         let hello = Hello {
             role: Role::Node as i32,
             name: self.process.name.clone(),
             incarnation: self.process.incarnation,
-            age_us: up_for.micros(),
+            age_us: uptime.micros(),
             shard_plus_one: self.process.shard + 1,
         };
         // A connection that is closed already is reported by its reading task.
@@ -158,16 +158,16 @@
         self.links.insert(id, link);
     }
 
-    /// `true`: it fell over.
+    /// Handles a frame of a peer; returns `true` when the node is overloaded and must exit.
     fn handle_frame(&mut self, link: u64, frame: Frame, id: u64, now: Instant) -> bool {
         match frame.message {
             Message::Attempt(attempt) => {
-                let taken = TakenAttempt {
+                let accepted = AcceptedAttempt {
                     link,
                     attempt,
                     body: frame.body,
                 };
-                return self.take(id, taken, now);
+                return self.accept(id, accepted, now);
             }
             Message::Cancel(cancel) => self.cancel(link, &cancel),
             Message::Probe(probe) => {
@@ -179,37 +179,37 @@
                 };
                 self.send(link, Frame::from(answer));
             }
-            Message::Order(order) => self.order(&order, now),
+            Message::Order(order) => self.inject_fault(&order, now),
             _ => {}
         }
         false
     }
 
-    /// Takes or rejects an attempt; `true`: the node fell over.
-    fn take(&mut self, id: u64, taken: TakenAttempt, now: Instant) -> bool {
-        let attempt = &taken.attempt;
+    /// Accepts or rejects an attempt; returns `true` when the node is overloaded and must exit.
+    fn accept(&mut self, id: u64, accepted: AcceptedAttempt, now: Instant) -> bool {
+        let attempt = &accepted.attempt;
         let factor = self.cost_factor(&attempt.request_class);
         match self
             .model
             .arrive(now, id, attempt.units, attempt.write, factor)
         {
-            Arrival::Taken => _ = self.attempts.insert(id, taken),
+            Arrival::Taken => _ = self.attempts.insert(id, accepted),
             Arrival::Full => {
                 let rejected = AttemptAnswer {
                     attempt: attempt.attempt,
                     result: AttemptResult::Rejected as i32,
                     ..AttemptAnswer::default()
                 };
-                self.send(taken.link, Frame::from(rejected));
+                self.send(accepted.link, Frame::from(rejected));
             }
             Arrival::FellOver => return true,
         }
         false
     }
 
-    /// How many times its usual work a request costs.
+    /// Returns the factor by which the work of a request is multiplied.
     fn cost_factor(&mut self, request_class: &str) -> f64 {
-        match &self.costly {
+        match &self.costly_requests {
             Some(costly)
                 if (costly.request_class.is_empty() || costly.request_class == request_class)
                     && self.rng.random_bool(costly.share) =>
@@ -220,12 +220,14 @@
         }
     }
 
-    /// Drops an attempt that still waits; one that runs goes on.
+    /// Drops an attempt that is still queued; a running one is not interrupted.
     fn cancel(&mut self, link: u64, cancel: &Cancel) {
         let found = self
             .attempts
             .iter()
-            .find(|(_, taken)| taken.link == link && taken.attempt.attempt == cancel.attempt)
+            .find(|(_, accepted)| {
+                accepted.link == link && accepted.attempt.attempt == cancel.attempt
+            })
             .map(|(id, _)| *id);
         if let Some(id) = found
             && self.model.cancel(id)
@@ -234,37 +236,38 @@
         }
     }
 
-    fn order(&mut self, order: &Order, now: Instant) {
-        let lasts = Span::from_micros(order.duration_us);
+    /// Starts the fault that an order of the scenario names.
+    fn inject_fault(&mut self, order: &Order, now: Instant) {
+        let duration = Span::from_micros(order.duration_us);
         info!(
             node = self.process.name,
             what = order.kind,
             size = order.size,
-            ms = lasts.millis(),
+            ms = duration.millis(),
             "fault injected"
         );
         match order.kind.as_str() {
-            "stall" => self.model.stall(now, lasts),
+            "stall" => self.model.stall(now, duration),
             "slow" => {
                 self.model.slow(order.size);
-                self.start_fault("slow", now + lasts);
+                self.start_fault("slow", now + duration);
             }
             "costly" => {
-                self.costly = Some(CostlyRequests {
+                self.costly_requests = Some(CostlyRequests {
                     request_class: order.request_class.clone(),
                     share: order.share.clamp(0.0, 1.0),
                     factor: order.size,
                 });
-                self.start_fault("costly", now + lasts);
+                self.start_fault("costly", now + duration);
             }
             "fail" => {
-                self.fail = order.size;
-                self.start_fault("fail", now + lasts);
+                self.failure_share = order.size;
+                self.start_fault("fail", now + duration);
             }
             other => warn!(
                 node = self.process.name,
                 what = other,
-                "order ignored: a node knows no such fault"
+                "order ignored: unknown kind of fault"
             ),
         }
     }
@@ -275,32 +278,33 @@
 
     fn end_expired_faults(&mut self, now: Instant) {
         let faults = self.active_faults.drain(..);
-        let (over, active): (Vec<_>, Vec<_>) = faults.partition(|fault| fault.until <= now);
+        let (expired, active): (Vec<_>, Vec<_>) = faults.partition(|fault| fault.until <= now);
         self.active_faults = active;
-        for fault in over {
+        for fault in expired {
             match fault.kind {
                 "slow" => self.model.slow(1.0),
-                "costly" => self.costly = None,
-                _ => self.fail = 0.0,
+                "costly" => self.costly_requests = None,
+                _ => self.failure_share = 0.0,
             }
         }
     }
 
+    /// Answers the attempt whose simulated work has ended.
     fn finish(&mut self, id: u64) {
-        let Some(taken) = self.attempts.remove(&id) else {
+        let Some(accepted) = self.attempts.remove(&id) else {
             return;
         };
-        let TakenAttempt {
+        let AcceptedAttempt {
             link,
             attempt,
             body,
-        } = taken;
+        } = accepted;
         let answer = AttemptAnswer {
             attempt: attempt.attempt,
             result: AttemptResult::Failed as i32,
             ..AttemptAnswer::default()
         };
-        if self.rng.random_bool(self.fail.clamp(0.0, 1.0)) {
+        if self.rng.random_bool(self.failure_share.clamp(0.0, 1.0)) {
             let reason = "told to fail".into();
             return self.send(link, Frame::from(AttemptAnswer { reason, ..answer }));
         }
@@ -324,7 +328,7 @@
         self.send(link, frame);
     }
 
-    /// Stores an object, or finds by its key that an earlier attempt did, at this node or another.
+    /// Stores an object, unless the key shows that an earlier attempt stored it, at this node or at another one.
     fn write(&mut self, attempt: Attempt, body: Bytes, done: AttemptAnswer) -> Frame {
         let shard = self.process.shard;
         let handle = attempt.handle.unwrap_or_else(|| Handle {
@@ -360,7 +364,7 @@
         }
     }
 
-    /// The bytes of an object of this node's shard.
+    /// Returns the bytes of an object of this node's shard; `None`: the node does not hold the object.
     fn read(&self, handle: Handle) -> Option<Bytes> {
         if handle.shard != self.process.shard {
             return None;
@@ -370,7 +374,7 @@
     }
 
     fn send(&self, link: u64, frame: Frame) {
-        // A link that is gone, or takes nothing, loses its answers: so do real ones.
+        // An answer on a link that is closed or whose queue is full is lost, as at a real node.
         if self
             .links
             .get(&link)
--- a/crates/simulator/src/node_model.rs
+++ b/crates/simulator/src/node_model.rs
@@ -1,5 +1,6 @@
-//! A storage node as a model in given time: cores, a queue, pauses, work that is put off, a cold start from
-//! which it may be pushed over. No socket, no clock; the figures come from the document's `server`.
+//! A model of a storage node: cores, a bounded queue, pauses, deferred writes, and a slow start during which too much
+//! load makes the node exit. The model uses no socket and no clock: the caller passes the time. The figures come from
+//! the document's `server`.
 
 use gullsail_configuration::Server;
 use gullsail_scheduler_api::{Instant, SlowStart, Span};
@@ -8,54 +9,56 @@
 use rand_distr::{Distribution, Gamma};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What becomes of a request that arrives at the node.
+/// What the node does with a request that arrives.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It runs or waits.
+    /// The request runs or is queued.
     Taken,
-    /// The queue is full: rejected, and certain not to have run.
+    /// The queue is full: the request is rejected and has not run.
     Full,
-    /// The node was sent too much while it warmed up, and exits.
+    /// The node was overloaded during its slow start, and exits.
     FellOver,
 }
 
+/// A queued request with its work, in seconds of one core.
 #[derive(Debug)]
 struct Work {
     id: u64,
-    secs: f64,
-    put_off: f64,
+    core_seconds: f64,
+    /// The part of a write's work that is done at the next flush.
+    deferred_seconds: f64,
 }
 
-/// Writes that the node finishes later, all at once.
+/// The deferred work of writes, which the node does at the next flush.
 struct PendingWrites {
-    /// In seconds of one core.
+    /// The deferred work in seconds of one core.
     core_seconds: f64,
     next_flush: Instant,
 }
 
-/// Units that a node took while it warmed up.
-struct SentUnits {
+/// The units of a request that arrived during the slow start.
+struct ArrivedUnits {
     at: Instant,
     units: f64,
 }
 
-/// A request whose work ends at a known time. They finish in this order: by time, then by number.
+/// A request whose work has ended. Requests finish in this order: by time, then by id.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Finished {
     at: Instant,
     id: u64,
 }
 
-/// How many requests a node has.
+/// The number of requests at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeLoad {
-    /// Requests on a core.
+    /// Requests that occupy a core.
     pub running: u32,
-    /// Requests in the queue.
+    /// Requests that wait in the queue.
     pub waiting: u32,
 }
 
-/// A node's server in given time: cores, a bounded queue, pauses, deferred writes, slow start.
+/// The model of a node's server. Its methods take the current time, which must not go back between calls.
 pub struct Model {
     server: Server,
     slow_start: SlowStart,
@@ -64,15 +67,19 @@
     running: BTreeMap<u64, Instant>,
     pending_writes: PendingWrites,
     next_pause: Instant,
-    still_until: Instant,
-    slow: f64,
-    sent: VecDeque<SentUnits>,
-    fallen: bool,
+    /// The end of the current pause, during which no request makes progress.
+    paused_until: Instant,
+    /// The factor by which new work takes longer; 1: the usual time.
+    slowdown: f64,
+    /// The requests within the window of the slow-start rule.
+    recent_units: VecDeque<ArrivedUnits>,
+    /// The node was overloaded during its slow start and accepts nothing more.
+    overloaded: bool,
     rng: ChaCha8Rng,
 }
 
 impl Model {
-    /// `started_at` may lie before the model's time: then it is warm already.
+    /// Creates the model of a node that started at `started_at`. A node that started long before `now` is warm.
     pub fn new(
         server: Server,
         slow_start: SlowStart,
@@ -91,105 +98,121 @@
             started_at,
             waiting: VecDeque::new(),
             running: BTreeMap::new(),
-            still_until: now,
-            slow: 1.0,
-            sent: VecDeque::new(),
-            fallen: false,
+            paused_until: now,
+            slowdown: 1.0,
+            recent_units: VecDeque::new(),
+            overloaded: false,
             rng,
             server,
         }
     }
 
-    /// The part of its capacity that it has now.
+    /// Returns the fraction of the node's capacity that is available now.
     fn speed(&self, now: Instant) -> f64 {
         let age = (now - self.started_at).secs().max(0.0);
         let ramp = self.slow_start.ramp.secs().max(1e-9);
-        let part = self.slow_start.initial_fraction
+        let fraction = self.slow_start.initial_fraction
             + (1.0 - self.slow_start.initial_fraction) * (age / ramp).min(1.0);
-        part.max(0.01) / self.slow
+        fraction.max(0.01) / self.slowdown
     }
 
-    /// Units that a cold node bears within the rule's window: what is borne in any case, or some times what
-    /// it can do now.
-    fn bears(&self, now: Instant) -> f64 {
-        let a_second = self.server.capacity();
-        let can = a_second * self.speed(now) * self.slow_start.window.secs();
-        self.slow_start.units.max(self.server.falls_over * can)
+    /// Returns the units that a node in its slow start can receive within the rule's window without an overload: the
+    /// rule's minimum, or a multiple of the units that the node can process in that time at its current speed.
+    fn overload_threshold(&self, now: Instant) -> f64 {
+        let units_per_second = self.server.capacity();
+        let units_in_window = units_per_second * self.speed(now) * self.slow_start.window.secs();
+        self.slow_start
+            .units
+            .max(self.server.falls_over * units_in_window)
     }
 
-    /// `dear` times as much work as its units say.
-    pub fn arrive(&mut self, now: Instant, id: u64, units: f64, write: bool, dear: f64) -> Arrival {
-        if self.fallen {
+    /// Accepts or rejects a request that arrives. Its work is `cost_factor` times what its units stand for.
+    pub fn arrive(
+        &mut self,
+        now: Instant,
+        id: u64,
+        units: f64,
+        write: bool,
+        cost_factor: f64,
+    ) -> Arrival {
+        if self.overloaded {
             return Arrival::FellOver;
         }
         if now - self.started_at < self.slow_start.ramp {
-            self.sent.push_back(SentUnits { at: now, units });
+            self.recent_units.push_back(ArrivedUnits { at: now, units });
             while self
-                .sent
-                .pop_front_if(|sent| now - sent.at > self.slow_start.window)
+                .recent_units
+                .pop_front_if(|arrived| now - arrived.at > self.slow_start.window)
                 .is_some()
             {}
-            if self.sent.iter().map(|sent| sent.units).sum::<f64>() > self.bears(now) {
-                self.fallen = true;
+            if self
+                .recent_units
+                .iter()
+                .map(|arrived| arrived.units)
+                .sum::<f64>()
+                > self.overload_threshold(now)
+            {
+                self.overloaded = true;
                 return Arrival::FellOver;
             }
         }
         if self.waiting.len() >= self.server.queue as usize {
             return Arrival::Full;
         }
-        // Times are skewed, as of disks: a gamma distribution with a mean of one.
+        // Service times are skewed like those of disks: a gamma distribution with a mean of one.
         let skew = Gamma::new(4.0, 0.25).map_or(1.0, |gamma| gamma.sample(&mut self.rng));
-        let secs = units * self.server.unit.secs() * skew * dear;
-        let put_off = if write {
-            secs * self.server.put_off
+        let core_seconds = units * self.server.unit.secs() * skew * cost_factor;
+        let deferred_seconds = if write {
+            core_seconds * self.server.put_off
         } else {
             0.0
         };
         self.waiting.push_back(Work {
             id,
-            secs: secs - put_off,
-            put_off,
+            core_seconds: core_seconds - deferred_seconds,
+            deferred_seconds,
         });
         self.begin(now);
         Arrival::Taken
     }
 
-    /// Drops it if it still waits; running work goes on.
+    /// Removes a request from the queue. Returns whether it was queued; a running request is not interrupted.
     pub fn cancel(&mut self, id: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|w| w.id != id);
         self.waiting.len() < before
     }
 
-    /// It stands still from now on, for so long.
-    pub fn stall(&mut self, now: Instant, lasts: Span) {
-        let lasts = now + lasts - self.still_until.max(now);
-        if lasts > Span::ZERO {
-            self.still_until = self.still_until.max(now) + lasts;
+    /// Pauses the node until `pause` from now: running requests end later by the time that this adds.
+    pub fn stall(&mut self, now: Instant, pause: Span) {
+        let added = now + pause - self.paused_until.max(now);
+        if added > Span::ZERO {
+            self.paused_until = self.paused_until.max(now) + added;
             self.running
                 .values_mut()
-                .for_each(|end| *end = *end + lasts);
+                .for_each(|end| *end = *end + added);
         }
     }
 
-    /// Its work takes so many times as long.
+    /// Sets the factor by which new work takes longer; 1 restores the usual time.
     pub fn slow(&mut self, times: f64) {
-        self.slow = times.max(0.01);
+        self.slowdown = times.max(0.01);
     }
 
+    /// Moves requests from the queue to free cores.
     fn begin(&mut self, now: Instant) {
         while self.running.len() < self.server.cores as usize {
             let Some(work) = self.waiting.pop_front() else {
                 return;
             };
-            self.pending_writes.core_seconds += work.put_off;
-            let lasts = Span::from_millis(work.secs / self.speed(now) * 1e3);
+            self.pending_writes.core_seconds += work.deferred_seconds;
+            let duration = Span::from_millis(work.core_seconds / self.speed(now) * 1e3);
             self.running
-                .insert(work.id, now.max(self.still_until) + lasts);
+                .insert(work.id, now.max(self.paused_until) + duration);
         }
     }
 
-    /// What is finished by now, in order.
+    /// Applies the pauses and flushes that are due, and returns the ids of the requests that have finished, in order.
     pub fn advance(&mut self, now: Instant) -> Vec<u64> {
         if now >= self.next_pause && self.server.pause > Span::ZERO {
             self.stall(now, self.server.pause);
@@ -200,10 +223,10 @@
                     .times(self.rng.random_range(0.5..1.5));
         }
         if now >= self.pending_writes.next_flush {
-            let all = std::mem::take(&mut self.pending_writes.core_seconds)
+            let seconds = std::mem::take(&mut self.pending_writes.core_seconds)
                 / f64::from(self.server.cores)
                 / self.speed(now);
-            self.stall(now, Span::from_millis(all * 1e3));
+            self.stall(now, Span::from_millis(seconds * 1e3));
             self.pending_writes.next_flush = now + self.server.flush_every;
         }
         let ended = self.running.iter().filter(|(_, at)| **at <= now);
@@ -218,7 +241,7 @@
         finished.into_iter().map(|work| work.id).collect()
     }
 
-    /// When the model next has something to do.
+    /// Returns when [`Model::advance`] has to be called next.
     pub fn next(&self) -> Instant {
         let first = self
             .running
@@ -234,7 +257,7 @@
         first.min(self.pending_writes.next_flush).min(pause)
     }
 
-    /// How many requests run, and how many wait.
+    /// Returns how many requests run and how many are queued.
     pub fn load(&self) -> NodeLoad {
         NodeLoad {
             running: self.running.len() as u32,
--- a/crates/simulator/src/recording_proxy.rs
+++ b/crates/simulator/src/recording_proxy.rs
@@ -1,6 +1,6 @@
-//! A relay stands on a socket: who would connect to a process connects to it instead. It records each frame
-//! with its time and passes it on, or does to it what it was told: delays, drops, cuts, half-closes, swaps
-//! peer messages, turns answers into errors.
+//! Relays that record and disturb the connections to processes. Peers connect to a relay in place of the process. The
+//! relay records each frame with its time and forwards it, subject to the disturbances in force: it can delay, drop,
+//! repeat or swap frames, turn answers into errors, and refuse, cut or half-close connections.
 
 mod disturbance;
 mod passage;
--- a/crates/simulator/src/recording_proxy/disturbance.rs
+++ b/crates/simulator/src/recording_proxy/disturbance.rs
@@ -1,54 +1,54 @@
-//! Disturbances: what is done to frames and connections between two names, and for how long.
+//! Disturbances: faults that relays inject into the frames and connections between two processes for a time.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Done to frames on links between two names, for some time. A name may be `*`.
+/// A fault in the frames and connections from one process to another, for a time.
 #[derive(Clone, Debug)]
 pub struct Disturbance {
-    /// The sender, or `*`.
+    /// The name of the sending process, or `*` for any.
     pub from: String,
-    /// The receiver, or `*`.
+    /// The name of the receiving process, or `*` for any.
     pub to: String,
-    /// When it ends.
+    /// When the disturbance ends.
     pub until: Instant,
-    /// What is done.
-    pub what: DisturbanceKind,
+    /// The kind of fault.
+    pub kind: DisturbanceKind,
 }
 
-/// What the proxy does to frames or connections for a while.
+/// A fault that a relay injects. Chances are 0 to 1 and apply to each frame on its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DisturbanceKind {
-    /// Frames take so much longer.
+    /// Frames arrive later by this time.
     Delay(Duration),
-    /// Demand reports between hosts are lost, this part of them.
+    /// Demand reports between hosts are lost with this chance.
     LoseDemandReports(f64),
-    /// Two demand reports in a row change places.
+    /// Successive demand reports swap places in pairs.
     SwapDemandReports,
-    /// New connections end at once.
+    /// New connections are closed at once.
     Refuse,
-    /// New connections are accepted and nothing comes of them.
+    /// New connections are accepted and get no frames; they close after a few seconds.
     Silent,
-    /// This part of the attempts' answers become errors.
+    /// Answers to attempts that succeeded are turned into errors with this chance.
     Errors(f64),
-    /// This part of the frames is lost, with no sign of it.
+    /// Frames are lost with this chance, while the connection stays open.
     Lose(f64),
-    /// Each frame is the last of its direction with this chance; the other direction goes on.
+    /// Each frame is the last of its direction with this chance; the other direction stays open.
     HalfClose(f64),
     /// Each frame breaks its connection with this chance.
     Reset(f64),
-    /// This part of what hosts tell each other comes twice.
+    /// Messages between hosts arrive twice with this chance.
     Repeat(f64),
 }
 
 impl Disturbance {
-    /// Whether it meets frames from one process to another at this time.
+    /// Returns whether the disturbance affects frames from one process to another at this time.
     pub(super) fn applies(&self, now: Instant, from: &str, to: &str) -> bool {
         self.until > now && matches_name(&self.from, from) && matches_name(&self.to, to)
     }
 }
 
-/// All connections between two names, each of which may be `*`.
+/// An order to break all connections between two processes. A name may be `*`.
 #[derive(Clone, Default)]
 pub(super) struct Cut {
     pub(super) from: String,
@@ -56,10 +56,10 @@
 }
 
 impl Cut {
-    /// Whether it meets the connection of these two, whichever of them opened it.
-    pub(super) fn meets(&self, one: &str, other: &str) -> bool {
-        let meets = |from, to| matches_name(&self.from, from) && matches_name(&self.to, to);
-        meets(one, other) || meets(other, one)
+    /// Returns whether the cut breaks the connection between these two, whichever of them opened it.
+    pub(super) fn matches(&self, one: &str, other: &str) -> bool {
+        let matches = |from, to| matches_name(&self.from, from) && matches_name(&self.to, to);
+        matches(one, other) || matches(other, one)
     }
 }
 
--- a/crates/simulator/src/recording_proxy/passage.rs
+++ b/crates/simulator/src/recording_proxy/passage.rs
@@ -1,4 +1,4 @@
-//! One direction of a connection: frames enter it as the disturbances have them, and wait until they are due.
+//! One direction of a relayed connection: applies disturbances to frames and queues them until they are due.
 
 use super::disturbance::DisturbanceKind;
 use super::wire::Wire;
@@ -7,60 +7,60 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// A frame with its entry of the recording.
+/// A frame with its entry in the recording.
 #[derive(Clone)]
 pub(super) struct RecordedFrame {
     pub(super) entry: Entry,
     pub(super) frame: Frame,
 }
 
-/// A frame that goes on when it is due.
+/// A frame that is forwarded when it is due.
 pub(super) struct QueuedFrame {
     pub(super) due: Instant,
     pub(super) recorded: RecordedFrame,
 }
 
-/// One direction of a connection: what is on its way.
+/// One direction of a connection, with the frames that are not forwarded yet.
 #[derive(Default)]
-pub(super) struct Way {
+pub(super) struct Direction {
     pub(super) queue: VecDeque<QueuedFrame>,
-    /// A frame that changes places with the next one.
-    held: Option<RecordedFrame>,
-    /// Half-closed: nothing more enters.
+    /// A demand report that is forwarded after the next frame.
+    held_for_swap: Option<RecordedFrame>,
+    /// The direction is half-closed: later frames are dropped.
     pub(super) ended: bool,
 }
 
-impl Way {
+impl Direction {
     fn push(&mut self, due: Instant, recorded: RecordedFrame) {
         self.queue.push_back(QueuedFrame { due, recorded });
     }
 }
 
-/// What the disturbances make of one frame.
+/// A frame after the disturbances were applied.
 struct Disturbed {
     frame: Frame,
     due: Instant,
     delivery: Delivery,
-    /// It changes places with the next one.
+    /// The frame swaps places with the next one.
     swap: bool,
-    /// It is the last of its direction.
-    ends: bool,
-    /// It arrives twice.
-    twice: bool,
+    /// The frame is the last of its direction.
+    half_close: bool,
+    /// The frame arrives twice.
+    repeat: bool,
 }
 
-/// A frame on its way from one process to another.
-pub(super) struct Passage<'a> {
+/// The connection, direction and time of a frame that a relay forwards.
+pub(super) struct FrameContext<'a> {
     pub(super) wire: &'a Wire,
     pub(super) link: u64,
     pub(super) from: &'a str,
     pub(super) to: &'a str,
     pub(super) at: i64,
-    /// Bytes that the sender had sent on the connection with the frame's last byte, where that is counted.
+    /// The bytes that the sender has sent on the connection up to the end of this frame; `None`: not counted.
     pub(super) stream_end: Option<u64>,
 }
 
-impl Passage<'_> {
+impl FrameContext<'_> {
     fn entry(&self, delivery: Delivery, frame: &Frame) -> Entry {
         let what = What::Frame {
             message: frame.message.clone(),
@@ -76,7 +76,7 @@
         entry
     }
 
-    /// Applies the disturbances in force; `None`: the connection breaks.
+    /// Applies the disturbances in force to a frame; `None`: the connection breaks.
     fn disturb(&self, frame: Frame) -> Option<Disturbed> {
         let wire = self.wire;
         let is_demand_report = matches!(frame.message, Message::DemandReport(_));
@@ -90,39 +90,41 @@
             due: Instant::now(),
             delivery: Delivery::Passed,
             swap: false,
-            ends: false,
-            twice: false,
+            half_close: false,
+            repeat: false,
         };
         for disturbance in wire.disturbances(self.from, self.to) {
             match disturbance {
                 DisturbanceKind::Delay(by) => disturbed.due += by,
-                DisturbanceKind::Lose(part) if wire.chance(part) => {
+                DisturbanceKind::Lose(chance) if wire.chance(chance) => {
                     disturbed.delivery = Delivery::Dropped
                 }
-                DisturbanceKind::HalfClose(part) if wire.chance(part) => disturbed.ends = true,
-                DisturbanceKind::LoseDemandReports(part)
-                    if is_demand_report && wire.chance(part) =>
+                DisturbanceKind::HalfClose(chance) if wire.chance(chance) => {
+                    disturbed.half_close = true
+                }
+                DisturbanceKind::LoseDemandReports(chance)
+                    if is_demand_report && wire.chance(chance) =>
                 {
                     disturbed.delivery = Delivery::Dropped
                 }
                 DisturbanceKind::SwapDemandReports if is_demand_report => disturbed.swap = true,
-                DisturbanceKind::Reset(part) if wire.chance(part) => return None,
-                DisturbanceKind::Repeat(part) if between_hosts && wire.chance(part) => {
-                    disturbed.twice = true
+                DisturbanceKind::Reset(chance) if wire.chance(chance) => return None,
+                DisturbanceKind::Repeat(chance) if between_hosts && wire.chance(chance) => {
+                    disturbed.repeat = true
                 }
-                DisturbanceKind::Errors(part) => self.turn_into_error(part, &mut disturbed),
+                DisturbanceKind::Errors(chance) => self.turn_into_error(chance, &mut disturbed),
                 _ => {}
             }
         }
         Some(disturbed)
     }
 
-    /// Turns a response that succeeded into an error, with this chance.
-    fn turn_into_error(&self, part: f64, disturbed: &mut Disturbed) {
+    /// Turns a successful response into an error with this chance.
+    fn turn_into_error(&self, chance: f64, disturbed: &mut Disturbed) {
         let Message::AttemptAnswer(answer) = &disturbed.frame.message else {
             return;
         };
-        if answer.result != AttemptResult::Succeeded as i32 || !self.wire.chance(part) {
+        if answer.result != AttemptResult::Succeeded as i32 || !self.wire.chance(chance) {
             return;
         }
         let altered = AttemptAnswer {
@@ -138,39 +140,39 @@
     }
 }
 
-/// Queues a frame as the disturbances have it; `false`: the connection breaks.
-pub(super) fn enter(way: &mut Way, passage: &Passage<'_>, frame: Frame) -> bool {
-    let wire = passage.wire;
-    if way.ended {
-        wire.write_entry(passage.entry(Delivery::Dropped, &frame));
+/// Applies the disturbances to a frame and queues it. Returns `false` when the connection breaks.
+pub(super) fn enqueue(direction: &mut Direction, context: &FrameContext<'_>, frame: Frame) -> bool {
+    let wire = context.wire;
+    if direction.ended {
+        wire.write_entry(context.entry(Delivery::Dropped, &frame));
         return true;
     }
-    let Some(disturbed) = passage.disturb(frame) else {
+    let Some(disturbed) = context.disturb(frame) else {
         return false;
     };
-    way.ended = disturbed.ends;
-    // Order holds within a connection, whatever the delay of each frame.
-    let last_due = way.queue.back().map(|last| last.due);
+    direction.ended = disturbed.half_close;
+    // Frames of a connection stay in order, even if a later one has a shorter delay.
+    let last_due = direction.queue.back().map(|last| last.due);
     let due = last_due.map_or(disturbed.due, |last| disturbed.due.max(last));
     let frame = disturbed.frame;
     if disturbed.delivery == Delivery::Dropped {
-        wire.write_entry(passage.entry(Delivery::Dropped, &frame));
+        wire.write_entry(context.entry(Delivery::Dropped, &frame));
         return true;
     }
     let passed = RecordedFrame {
-        entry: passage.entry(Delivery::Passed, &frame),
+        entry: context.entry(Delivery::Passed, &frame),
         frame,
     };
-    if disturbed.swap && way.held.is_none() {
-        way.held = Some(passed);
+    if disturbed.swap && direction.held_for_swap.is_none() {
+        direction.held_for_swap = Some(passed);
         return true;
     }
-    if disturbed.twice {
-        way.push(due, passed.clone());
+    if disturbed.repeat {
+        direction.push(due, passed.clone());
     }
-    way.push(due, passed);
-    if let Some(held) = way.held.take() {
-        way.push(due, held);
+    direction.push(due, passed);
+    if let Some(held) = direction.held_for_swap.take() {
+        direction.push(due, held);
     }
     true
 }
--- a/crates/simulator/src/recording_proxy/received_bytes.rs
+++ b/crates/simulator/src/recording_proxy/received_bytes.rs
@@ -1,32 +1,33 @@
-//! How many bytes a process has sent on a connection, as the kernel at the relay's end has received them: those that were
-//! read, and those that wait in the socket.
+//! Counts the bytes that a process has sent on a connection and that the kernel at the relay's end has received: those
+//! that the relay has read and those that are still in the socket.
 
 use socket2::Socket;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The receiving end of one connection, beside the link that reads it.
+/// The byte counts of one connection's receiving end. A link reads the same connection.
 pub(super) struct ReceivedBytes {
     /// Bytes that the link has read.
     pub(super) read: Arc<AtomicU64>,
-    /// Bytes of the frames that the relay has taken in.
-    pub(super) taken_in: Arc<AtomicU64>,
-    /// The same socket as the link's.
+    /// Bytes of the frames that the relay has processed.
+    pub(super) processed: Arc<AtomicU64>,
+    /// A duplicate of the link's socket.
     pub(super) socket: Socket,
 }
 
 impl ReceivedBytes {
-    /// Bytes that have come. Reading may go on meanwhile: then it is a few too few, never too many.
+    /// Returns the number of bytes received so far. If the link reads at the same time, the result may be too low, but
+    /// never too high.
     pub(super) fn count(&self) -> u64 {
         let read = self.read.load(Ordering::Relaxed);
         // A socket that has failed has nothing more to read.
         read + rustix::io::ioctl_fionread(&self.socket).unwrap_or(0)
     }
 
-    /// Bytes that have come, where the relay has not taken in all of them.
+    /// Returns the number of bytes received so far if the relay has not processed all of them.
     pub(super) fn unread(&self) -> Option<u64> {
-        let taken_in = self.taken_in.load(Ordering::Relaxed);
+        let processed = self.processed.load(Ordering::Relaxed);
         let received = self.count();
-        (received > taken_in).then_some(received)
+        (received > processed).then_some(received)
     }
 }
--- a/crates/simulator/src/recording_proxy/wire.rs
+++ b/crates/simulator/src/recording_proxy/wire.rs
@@ -1,4 +1,4 @@
-//! What all relays of one run share: the clock, the recording and the disturbances in force.
+//! The state that all relays of a run share: the clock, the recording and the disturbances in force.
 
 use super::disturbance::{Cut, Disturbance, DisturbanceKind};
 use super::received_bytes::ReceivedBytes;
@@ -15,10 +15,10 @@
 /// How long a silent process keeps a new connection before the connection closes.
 const SILENCE: Duration = Duration::from_secs(5);
 
-/// What all relays of one run share: the clock, the recording, what is done to frames.
+/// The state that all relays of a run share: the clock, the recording and the disturbances in force.
 pub struct Wire {
-    began: Instant,
-    wall: SystemTime,
+    started: Instant,
+    started_wall_clock: SystemTime,
     inner: Mutex<Inner>,
     cuts: watch::Sender<Cut>,
 }
@@ -28,12 +28,12 @@
     recording: Option<Box<dyn Write + Send>>,
     last_link: u64,
     rng: ChaCha8Rng,
-    /// What each process sends to clients, by its name and the connection.
+    /// The byte counts of the connections between processes and clients, by the process's name and the link.
     to_clients: BTreeMap<String, BTreeMap<u64, ReceivedBytes>>,
 }
 
 impl Wire {
-    /// Records into `recording`, one entry a line.
+    /// Creates the shared state. Entries go to `recording` as JSON, one per line; `None`: nothing is recorded.
     pub fn new(seed: u64, recording: Option<Box<dyn Write + Send>>) -> Arc<Wire> {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let inner = Inner {
@@ -44,8 +44,8 @@
             to_clients: BTreeMap::new(),
         };
         Arc::new(Wire {
-            began: Instant::now(),
-            wall: SystemTime::now(),
+            started: Instant::now(),
+            started_wall_clock: SystemTime::now(),
             inner: Mutex::new(inner),
             cuts: watch::Sender::new(Cut::default()),
         })
@@ -57,10 +57,10 @@
 
     /// Microseconds since the recording began.
     pub fn now(&self) -> i64 {
-        self.began.elapsed().as_micros() as i64
+        self.started.elapsed().as_micros() as i64
     }
 
-    /// Adds a disturbance until its end.
+    /// Puts a disturbance in force until its end.
     pub fn disturb(&self, disturbance: Disturbance) {
         let mut inner = self.lock();
         inner
@@ -71,30 +71,33 @@
 
     /// Breaks all connections between two names now.
     pub fn cut(&self, from: &str, to: &str) {
-        // Each relay is woken, also by a cut between the same names as before.
+        // `send_replace` wakes each relay even if the names are those of the last cut.
         self.cuts.send_replace(Cut {
             from: from.into(),
             to: to.into(),
         });
     }
 
-    /// Writes an entry of the script about the process called `name`.
+    /// Records an entry of the script about the process `name`, at the current time.
     pub fn record(&self, name: &str, what: What) {
         let at = self.now();
         self.write_script_entry(name, at, what);
     }
 
-    /// Writes an entry of what a process of this machine logged itself, with the machine's time.
+    /// Records an entry about the process `name` from its log. `when` is the wall-clock time of the log line.
     pub fn record_at(&self, name: &str, when: SystemTime, what: What) {
         let at = when
-            .duration_since(self.wall)
+            .duration_since(self.started_wall_clock)
             .map_or(0, |since| since.as_micros() as i64);
         self.write_script_entry(name, at, what);
     }
 
-    /// Writes what happened to a process. `at` 0: it was there before the run began.
-    pub fn process(&self, name: &str, at: i64, incarnation: ProcessEvent) {
-        let what = What::Process { event: incarnation };
+    /// Records an event of a process. `at` is in microseconds since the recording began; 0 stands for a process that
+    /// ran before it.
+    pub fn record_process_event(&self, name: &str, at: i64, process_event: ProcessEvent) {
+        let what = What::Process {
+            event: process_event,
+        };
         self.write_script_entry(name, at, what);
     }
 
@@ -102,21 +105,21 @@
         self.write_entry(Entry::new(at, 0, "script", name, what));
     }
 
-    /// From now on it is known how many bytes this process has sent on a connection of a client.
+    /// Starts counting the bytes that a process sends on a client's connection.
     pub(super) fn watch_client_link(&self, process: &str, link: u64, received: ReceivedBytes) {
         let mut inner = self.lock();
         let links = inner.to_clients.entry(process.into()).or_default();
         links.insert(link, received);
     }
 
-    /// The connection of a client has ended.
+    /// Stops counting the bytes of a client's connection that has ended.
     pub(super) fn forget_client_link(&self, process: &str, link: u64) {
         if let Some(links) = self.lock().to_clients.get_mut(process) {
             links.remove(&link);
         }
     }
 
-    /// How many bytes this process has sent on each connection of a client.
+    /// Returns the bytes received from a process on each client's connection, by link.
     pub(super) fn received_for_clients(&self, process: &str) -> BTreeMap<u64, u64> {
         let inner = self.lock();
         let links = inner.to_clients.get(process).into_iter().flatten();
@@ -125,7 +128,7 @@
             .collect()
     }
 
-    /// Notes what had come from hosts on connections of clients, where relays lag behind.
+    /// Records the bytes received from processes on clients' connections where the relays have not processed them all.
     pub fn record_unread(&self) {
         for unread in self.unread() {
             self.write_entry(unread);
@@ -139,7 +142,7 @@
             for (link, received) in links {
                 if let Some(received) = received.unread() {
                     let what = What::Unread { received };
-                    // After the count: by then all of it had come.
+                    // The time is read after the count, so that all counted bytes had arrived by then.
                     entries.push(Entry::new(self.now(), *link, "script", process, what));
                 }
             }
@@ -149,18 +152,17 @@
 
     pub(super) fn write_entry(&self, entry: Entry) {
         if let Some(recording) = &mut self.lock().recording {
-            // Errors are dropped: a recording that can't be written is found by its reader, as the audit
-            // counts what it holds.
+            // Errors are ignored: the audit counts the entries, and so detects an incomplete recording.
             if let Ok(line) = serde_json::to_string(&entry) {
                 let _ = writeln!(recording, "{line}");
             }
         }
     }
 
-    /// Writes out what is recorded so far.
+    /// Flushes the recording.
     ///
     /// # Errors
-    /// The recording's own.
+    /// The recording cannot be written.
     pub fn flush(&self) -> std::io::Result<()> {
         match &mut self.lock().recording {
             Some(recording) => recording.flush(),
@@ -174,13 +176,13 @@
             .disturbances
             .iter()
             .filter(|disturbance| disturbance.applies(now, from, to))
-            .map(|disturbance| disturbance.what)
+            .map(|disturbance| disturbance.kind)
             .collect()
     }
 
-    /// Whether no connection to this process may come about now; where it is to be silent, only after a
-    /// while. Who connects is not known yet: disturbances that name it can't meet it here.
-    pub(super) async fn turns_away(&self, name: &str) -> bool {
+    /// Returns whether a new connection to this process is to be closed. If the process is to be silent, returns after
+    /// [`SILENCE`]. The initiator has not sent its name yet, so only disturbances from `*` apply here.
+    pub(super) async fn rejects_connection(&self, name: &str) -> bool {
         let disturbances = self.disturbances("*", name);
         if disturbances.contains(&DisturbanceKind::Refuse) {
             return true;
@@ -198,11 +200,11 @@
         inner.last_link
     }
 
-    pub(super) fn chance(&self, part: f64) -> bool {
-        self.lock().rng.random_bool(part.clamp(0.0, 1.0))
+    pub(super) fn chance(&self, probability: f64) -> bool {
+        self.lock().rng.random_bool(probability.clamp(0.0, 1.0))
     }
 
-    /// The cuts from now on.
+    /// Subscribes to the cuts that come after this call.
     pub(super) fn later_cuts(&self) -> watch::Receiver<Cut> {
         let mut cuts = self.cuts.subscribe();
         cuts.mark_unchanged();
--- a/crates/simulator/tests/idempotency_keys.rs
+++ b/crates/simulator/tests/idempotency_keys.rs
@@ -1,4 +1,4 @@
-//! Which writes the simulated nodes take for repeats.
+//! Tests which writes the simulated nodes recognise as repeats.
 
 use gullsail_configuration::{Deployment, parse};
 use gullsail_protocol::Handle;
@@ -33,7 +33,7 @@
     parse("keys.kdl", text).unwrap()
 }
 
-/// The keys of a node that has just started.
+/// Creates the keys of a node that has just started and shares the records in `directory`.
 fn node(directory: &Path, zone: usize, shard: i64) -> IdempotencyKeys {
     let location = NodeLocation {
         zone: ZoneId(zone),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_scope_is_the_nodes_that_recognise_a_repeat() {
+fn only_nodes_within_the_scope_recognise_a_repeat() {
     struct Case {
         class: &'static str,
         zone: usize,
@@ -89,9 +89,9 @@
     }
 }
 
-/// Guards against a node that is started after another one was killed, and takes what that one ran for new.
+/// Guards against a node that replaces a killed one, has no record of its keys, and runs a repeated write again.
 #[test]
-fn the_keys_of_a_killed_node_outlast_it() {
+fn the_successor_of_a_killed_node_recognises_a_repeat() {
     let directory = tempfile::tempdir().unwrap();
     let mut killed = node(directory.path(), 0, 1);
     write(&mut killed, "in-shard", FIRST, NOW);
@@ -103,9 +103,10 @@
     );
 }
 
-/// Guards against a record that stays unreadable after a node was killed while it wrote a key.
+/// Guards against a record that cannot be read because a node was killed while it wrote a key, which leaves an
+/// incomplete line.
 #[test]
-fn half_a_line_of_a_killed_node_harms_no_later_key() {
+fn keys_after_an_incomplete_line_are_recognised() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("keys-shard-1.jsonl");
     let mut file = std::fs::File::create(path).unwrap();
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_key_is_remembered_for_the_window_and_no_longer() {
+fn a_key_expires_after_the_window() {
     let directory = tempfile::tempdir().unwrap();
     let mut keys = node(directory.path(), 0, 1);
     let window = Span::from_millis(5_000.0);
@@ -139,9 +140,9 @@
     );
 }
 
-/// Guards against two nodes that run the same write at the same time, each taking its own for the first.
+/// Guards against nodes that get the same write at the same time, and each record it as the first.
 #[test]
-fn of_the_writes_that_run_at_once_one_takes_effect() {
+fn one_of_several_concurrent_writes_takes_effect() {
     let directory = tempfile::tempdir().unwrap();
     let effects = std::thread::scope(|scope| {
         let nodes = (0..8).map(|_| {
