--- a/crates/scenario/src/script/fault.rs
+++ b/crates/scenario/src/script/fault.rs
@@ -86,11 +86,11 @@
         /// How long the fault lasts.
         lasts: Span,
     },
-    /// Demand reports between hosts are lost.
+    /// Demand reports between two hosts are lost in both directions.
     LoseLabels {
-        /// The name of the sending host, or `*` for any.
+        /// The name of one host, or `*` for any.
         from: String,
-        /// The name of the receiving host, or `*` for any.
+        /// The name of the other host, or `*` for any.
         to: String,
         /// The fraction of the demand reports, 0 to 1, that are lost.
         share: f64,
@@ -259,7 +259,7 @@
     },
     /// An operator cancels maintenance orders that were given by [`Fault::Out`].
     Cancel {
-        /// The names of servers, or of zones, which stand for all their running servers.
+        /// The names of servers or zones.
         names: Vec<String>,
         /// The name of the host that gets the command, or `*` for the first host of the document.
         via: String,
