--- a/crates/scenario/src/run/fault_start.rs
+++ b/crates/scenario/src/run/fault_start.rs
@@ -299,7 +299,7 @@
     fn start_operator(&mut self, fault: Fault) {
         match fault {
             Fault::Out { .. } | Fault::Cancel { .. } if self.stage.baseline => {
-                self.note("the baseline does not support maintenance".into());
+                self.note("the baseline knows of no works".into());
             }
             Fault::Out {
                 names,
@@ -338,7 +338,7 @@
         let until = |lasts: Span| Instant::now() + duration(lasts);
         match fault {
             Fault::Reload { .. } if self.stage.baseline => {
-                self.note("the baseline does not support reloads".into());
+                self.note("the baseline takes no other document: it keeps its own".into());
             }
             Fault::Reload {
                 host,
