--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -366,8 +366,8 @@
     config.max_units = reader
         .number_at(entry, "most-units", 0.0)
         .unwrap_or(config.max_units);
-    config.within_share_value = reader.part_at(entry, "share-part").unwrap_or(1.0);
-    config.beyond_share_value = reader.part_at(entry, "spare-part").unwrap_or(1.0);
+    config.within_share_value = reader.fraction_at(entry, "share-part").unwrap_or(1.0);
+    config.beyond_share_value = reader.fraction_at(entry, "spare-part").unwrap_or(1.0);
     config.max_retry_after = reader.span_at(entry, "advice");
     rules
 }
@@ -380,7 +380,7 @@
     config.slow_start = SlowStart {
         units: reader.number(entry, "units", 0.0),
         window: reader.span(entry, "window"),
-        initial_fraction: reader.part(entry, "first-part"),
+        initial_fraction: reader.fraction(entry, "first-part"),
         ramp: reader.span(entry, "ramp"),
     };
 }
@@ -393,7 +393,7 @@
     config.max_attempts = reader.whole(entry, "most", 1, 3);
     config.retry_budget = reader.span_at(entry, "window").map(|window| RetryBudget {
         fixed_retries: reader.number_at(entry, "free", 0.0).unwrap_or_default(),
-        retries_per_request: reader.part_at(entry, "share").unwrap_or_default(),
+        retries_per_request: reader.fraction_at(entry, "share").unwrap_or_default(),
         window,
     });
 }
@@ -425,7 +425,7 @@
     let top = document.span();
     for (missing, what) in [(hosts.is_empty(), "host"), (volumes.is_empty(), "volume")] {
         // Where a file could not be read, it is that.
-        if missing && !reader.unread() {
+        if missing && !reader.has_unread_text() {
             reader.report(
                 "missing",
                 format!("a deployment needs a `{what}`"),
--- a/crates/configuration/src/cross_zone_budgets.rs
+++ b/crates/configuration/src/cross_zone_budgets.rs
@@ -25,7 +25,7 @@
     );
     let before = reader.reported();
     let of = scope(reader, entry, zones, plans)?;
-    let rate = reader.bytes_a_second(entry, "limit");
+    let rate = reader.bytes_per_second(entry, "limit");
     let burst = reader.bytes(entry, "burst", 0) as f64;
     if entry.entry("burst").is_none() {
         reader.report(
--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -1,5 +1,4 @@
-//! All that a document says, with its parts fit together. Nothing here reads documents: [`crate::build`]
-//! does.
+//! The contents of a document, with references between entries resolved. [`crate::build`] creates it.
 
 pub use crate::entities::*;
 use crate::routes::Routes;
@@ -7,57 +6,58 @@
 use gullsail_scheduler_api::{CrossZoneBudget, HostId, SchedulerConfig, Span};
 use std::collections::BTreeMap;
 
-/// All that a document says. A field for each kind of entry: readers need single ones, and the whole is replaced at
-/// a reload.
+/// The contents of a document, with one field for each kind of entry. It is immutable: a reload replaces it as a
+/// whole.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Names of zones, by [`ZoneId`](gullsail_scheduler_api::ZoneId).
+    /// The names of the zones, indexed by [`ZoneId`](gullsail_scheduler_api::ZoneId).
     pub zones: Vec<String>,
-    /// By [`RequestClassId`](gullsail_scheduler_api::RequestClassId).
+    /// The request classes, indexed by [`RequestClassId`](gullsail_scheduler_api::RequestClassId).
     pub request_classes: Vec<NamedRequestClass>,
-    /// By [`PlanId`](gullsail_scheduler_api::PlanId).
+    /// The plans, indexed by [`PlanId`](gullsail_scheduler_api::PlanId).
     pub plans: Vec<NamedPlan>,
-    /// In the order of the document.
+    /// The volumes, in the order of the document.
     pub volumes: Vec<NamedVolume>,
-    /// By [`HostId`].
+    /// The hosts, indexed by [`HostId`].
     pub hosts: Vec<Place>,
-    /// The storage nodes.
+    /// The storage nodes, in the order of the document; spare nodes are among them.
     pub nodes: Vec<NodePlace>,
-    /// What simulated nodes run on.
+    /// The servers that simulated nodes run on (`machine` entries).
     pub servers: Vec<Server>,
-    /// The endpoint list service.
+    /// The addresses of the endpoint list service. Its zone is always 0.
     pub list: Place,
-    /// By how much the endpoint list lags behind.
+    /// The delay with which the simulated list service publishes a change.
     pub list_late: Span,
     /// How long after the notice of a drain an attempt may still begin (rule 3).
     pub drain_grace: Span,
-    /// What bounds a host's memory and waits.
+    /// The limits on a host's memory and on the waits at its sockets.
     pub bounds: HostBounds,
-    /// Bytes of a unit of work, if stated.
+    /// The number of bytes that one unit of work stands for; `None`: not stated.
     pub unit: Option<f64>,
-    /// Where new objects may be placed.
+    /// The pools and routes that decide on which nodes new objects may be placed.
     pub routes: Routes,
-    /// The budgets of bytes between zones.
+    /// The budgets for traffic between zones.
     pub cross_zone_budgets: Vec<NamedCrossZoneBudget>,
     /// The `fleet` entry; `None`: hosts do not coordinate.
     pub fleet: Option<NamedFleet>,
-    /// The `works` entry; `None`: servers are not taken offline by orders.
+    /// The `works` entry; `None`: maintenance orders are not supported.
     pub maintenance: Option<MaintenanceConfig>,
-    /// The document's revision and its predecessor.
+    /// The document's revision and the file of the revision before.
     pub place: RevisionPlace,
-    /// What this revision and those before it allow each volume, oldest first.
+    /// The limits of each volume and cross-zone budget in this revision and in those before it, oldest first.
     pub limit_history: Vec<gullsail_config_transition::RevisionLimits>,
     pub(crate) config: SchedulerConfig,
     pub(crate) volumes_by_name: BTreeMap<String, usize>,
 }
 
 impl Deployment {
-    /// The figures that are the same at every host.
+    /// The scheduler's configuration without the parts that differ between hosts (`me`, `zone`,
+    /// `cross_zone_budgets`).
     pub fn figures(&self) -> &SchedulerConfig {
         &self.config
     }
 
-    /// What the decisions at one host are told.
+    /// The scheduler's configuration at one host.
     pub fn config(&self, me: HostId) -> SchedulerConfig {
         let zone = self
             .hosts
@@ -72,7 +72,8 @@
         }
     }
 
-    /// The budgets as one host shares them.
+    /// The cross-zone budgets as the scheduler of one host needs them: `host_count` is 0 for a budget in which the
+    /// host has no share.
     pub fn cross_zone_budgets_at(&self, me: HostId) -> Vec<CrossZoneBudget> {
         let share = |c: &NamedCrossZoneBudget| CrossZoneBudget {
             id: c.id,
@@ -88,7 +89,7 @@
         self.cross_zone_budgets.iter().map(share).collect()
     }
 
-    /// The number of a host, by its name.
+    /// Returns the number of the host with this name.
     pub fn host(&self, name: &str) -> Option<HostId> {
         self.hosts
             .iter()
@@ -96,17 +97,17 @@
             .map(|p| HostId(p as u32))
     }
 
-    /// A volume, by its name.
+    /// Returns the volume with this name.
     pub fn volume(&self, name: &str) -> Option<&NamedVolume> {
-        self.volume_at(name).map(|place| &self.volumes[place])
+        self.volume_at(name).map(|index| &self.volumes[index])
     }
 
-    /// Its place among the volumes.
+    /// Returns the index of the volume with this name in `volumes`.
     pub fn volume_at(&self, name: &str) -> Option<usize> {
         self.volumes_by_name.get(name).copied()
     }
 
-    /// A node, by its name.
+    /// Returns the node with this name.
     pub fn node(&self, name: &str) -> Option<&NodePlace> {
         self.nodes.iter().find(|n| n.place.name == name)
     }
--- a/crates/configuration/src/entities.rs
+++ b/crates/configuration/src/entities.rs
@@ -1,5 +1,4 @@
-//! What the entries of a document become, one struct for each kind, with the names that the document gives
-//! them.
+//! The entries of a document after reading: one struct for each kind of entry.
 
 use fnv::FnvHasher;
 use gullsail_config_transition::Revision;
@@ -10,187 +9,188 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// The same number for a name at every host and in every process.
+/// Hashes a name. The result is the same at every host and in every process.
 pub fn number(name: &str) -> u64 {
     let mut h = FnvHasher::default();
     h.write(name.as_bytes());
     h.finish()
 }
 
-/// A request class as the document names it; what decides is in `decisions`.
+/// A request class with its name, and what hosts need resolve_path the scheduler's configuration of the class.
 #[derive(Clone, Debug)]
 pub struct NamedRequestClass {
-    /// Its name.
+    /// The name in the document (`stream-type`).
     pub name: String,
-    /// Whether its requests write.
+    /// Whether requests of this class write.
     pub write: bool,
-    /// How long a client waits, unless it says otherwise.
+    /// The time from the arrival of a request to its deadline, unless the client states another.
     pub deadline: Span,
-    /// What the scheduler needs of it.
+    /// The scheduler's configuration of the class.
     pub decisions: RequestClass,
 }
 
-/// A plan as the document names it.
+/// A plan with its name, and what hosts need resolve_path the scheduler's configuration of the plan.
 #[derive(Clone, Debug)]
 pub struct NamedPlan {
-    /// Its name.
+    /// The name in the document.
     pub name: String,
-    /// By how many units all hosts together may exceed the limit's tokens (rule 7).
+    /// The number of units by which all hosts together may exceed the limit's tokens (rule 7).
     pub slack: f64,
-    /// What the scheduler needs of it.
+    /// The scheduler's configuration of the plan.
     pub decisions: Plan,
 }
 
 /// A volume, its plan and its hosts.
 #[derive(Clone, Debug)]
 pub struct NamedVolume {
-    /// Its name.
+    /// The name in the document.
     pub name: String,
-    /// The hash of its name.
+    /// The hash of the name, cut to the six bytes that fit into a demand report.
     pub id: VolumeId,
-    /// Its plan.
+    /// The plan that sets the volume's reservation, limit and weight.
     pub plan: PlanId,
-    /// The hosts that serve it, in order of their numbers.
+    /// The hosts that serve the volume, in order of their numbers.
     pub hosts: Arc<[HostId]>,
 }
 
 impl NamedVolume {
-    /// Whether the volume's requests come through this host.
+    /// Whether this host serves the volume.
     pub fn is_served_by(&self, host: HostId) -> bool {
         self.hosts.binary_search(&host).is_ok()
     }
 }
 
-/// A budget of bytes between zones, as the document has it.
+/// A budget for traffic between zones (a `crossing` entry).
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedCrossZoneBudget {
-    /// Such as `east to west`, or `plan base`.
+    /// The name made from the scope, such as `east to west` or `plan base`.
     pub name: String,
-    /// The hash of its name.
+    /// The hash of `crossing/` and the name, cut to six bytes like the id of a volume.
     pub id: VolumeId,
-    /// What counts against it.
+    /// The traffic that counts against the budget.
     pub scope: BudgetScope,
-    /// In bytes.
+    /// The rate in bytes a second, and the burst in bytes.
     pub limit: Limit,
-    /// It is never overrun by requests with a choice of zone.
+    /// Whether requests that have a choice of zone may never exceed the budget.
     pub hard: bool,
-    /// The hosts that share it: those in either zone, or all.
+    /// The hosts that share the budget: those in either zone of a pair, all hosts for a plan's budget.
     pub hosts: Arc<[HostId]>,
 }
 
-/// Where a process runs. `listen` is where it binds, `address` where others reach it.
+/// The name, zone and addresses of a host, a node or the list service.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// Its name.
+    /// The name in the document.
     pub name: String,
-    /// Its zone.
+    /// The zone that the process runs in.
     pub zone: ZoneId,
-    /// Where others reach it.
+    /// The address at which other processes connect.
     pub address: String,
-    /// The address that it binds.
+    /// The address that the process binds.
     pub listen: String,
 }
 
-/// A storage node: where it runs and which shard it holds.
+/// A storage node.
 #[derive(Clone, Debug)]
 pub struct NodePlace {
-    /// Where it runs.
+    /// The node's name, zone and addresses.
     pub place: Place,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
-    /// Its kind, by which pools select nodes.
+    /// The kind, by which pools select nodes; empty if none is stated.
     pub kind: String,
-    /// The place of its server among those of simulated nodes.
+    /// The index of the node's server in `Deployment::servers`. Only simulated nodes use it.
     pub server: usize,
-    /// It does not run at first: a successor that hosts learn of from the endpoint list.
+    /// Whether the node is a successor that does not run at first. Hosts learn of it from the endpoint list.
     pub spare: bool,
 }
 
-/// What a stand-in node is like. Nothing here is told to a host.
+/// The server that a simulated node runs on. Hosts do not read it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its name.
+    /// The name in the document (`machine`).
     pub name: String,
-    /// How many requests run at once.
+    /// The number of requests that run at the same time.
     pub cores: u32,
-    /// The work of one unit on one core.
+    /// The time that one core takes for one unit of work.
     pub unit: Span,
-    /// The most requests that wait beside those that run.
+    /// The maximum number of requests that wait while all cores are busy.
     pub queue: u32,
-    /// How long a pause lasts.
+    /// The length of a pause during which the server does no work.
     pub pause: Span,
     /// The mean time between pauses.
     pub pause_every: Span,
-    /// The fraction of a write's work that is deferred.
+    /// The fraction of a write's work that is deferred until the next flush.
     pub put_off: f64,
-    /// When deferred work is done.
+    /// The interval between flushes, which do the deferred work.
     pub flush_every: Span,
-    /// While it warms up, it exits when sent more than so many times its capacity within the slow-start window.
+    /// While the server warms up, it exits if within the slow-start window it is sent more than this multiple of its
+    /// capacity.
     pub falls_over: f64,
 }
 
 impl Server {
-    /// Units a second that all its cores do.
+    /// The units a second that all cores do together.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) / self.unit.secs().max(1e-9)
     }
 }
 
-/// The part of what machines can do that may be promised: the rest is for pauses and restarts.
-pub const PROMISABLE: f64 = 0.9;
+/// The fraction of the servers' capacity that reservations may use. The remainder covers pauses and restarts.
+pub const RESERVABLE_FRACTION: f64 = 0.9;
 
-/// What bounds a host's memory and patience on its sockets.
+/// The limits on a host's memory and on the waits at its sockets. The `Debug` form stands in a diff.
 #[derive(Clone, Debug)]
 pub struct HostBounds {
-    /// The most open requests; at the bound, clients are not read from.
+    /// The maximum number of open requests. At the limit, the host stops reading from clients.
     pub most_open: u32,
-    /// The most body bytes of open requests; at the bound, clients are not read from.
+    /// The maximum number of body bytes of open requests. At the limit, the host stops reading from clients.
     pub most_held: usize,
-    /// The largest frames that are accepted.
+    /// The maximum lengths of the parts of a frame. A longer frame is rejected.
     pub frame: Bounds,
-    /// The most bytes queued for one client; at the bound, it is not read from.
+    /// The maximum number of bytes queued for one client. At the limit, the host stops reading from that client.
     pub most_unsent: usize,
-    /// A client that reads none of its queued bytes for so long is disconnected.
+    /// A client that reads none of its queued bytes for this time is disconnected.
     pub client_stall: Span,
-    /// How long a connection attempt may take.
+    /// The timeout of a connection attempt.
     pub connect: Span,
-    /// The first and the largest backoff between attempts to connect.
+    /// The first and the largest backoff between connection attempts.
     pub redial: (Span, Span),
-    /// How often a peer's clock is queried.
+    /// The interval at which a peer's clock is queried.
     pub clock_every: Span,
-    /// The largest offset of a peer's clock that is accepted.
+    /// The maximum offset of a peer's clock that is accepted.
     pub clock_apart: Span,
 }
 
-/// The `fleet` entry.
+/// The `fleet` entry. The `Debug` form stands in a diff.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedFleet {
-    /// Its name; messages of another fleet are dropped.
+    /// The name in the document. Hosts drop messages of a fleet with another name.
     pub name: String,
-    /// The member lease, as the granter counts it.
+    /// The length of a member lease by the clock of the coordinator, which grants it.
     pub lease: Span,
-    /// By how much, at most, the rate of a host clock differs from true time.
+    /// The maximum relative error of the rate of a host's clock.
     pub drift: f64,
-    /// The first so many hosts of the document elect the coordinator.
+    /// The number of hosts, counted from the first in the document, that elect the coordinator.
     pub voters: u32,
-    /// The fraction of its even share that a host may use without a lease.
+    /// The fraction of an even share that a host may use without a lease.
     pub floor: f64,
-    /// New connections to one node a second, from all hosts together; `None`: not limited.
+    /// The limit on new connections a second to one node, from all hosts together; `None`: no limit.
     pub connects: Option<f64>,
-    /// Attempts a second at a node that does not answer, from all hosts together; `None`: not limited.
+    /// The limit on attempts a second to a node that does not respond, from all hosts together; `None`: no limit.
     pub probes: Option<f64>,
 }
 
-/// What a document says of its own place among others.
+/// The `revision` entry: the position of a document in the sequence of revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RevisionPlace {
-    /// Its revision.
+    /// The document's revision; 0 if the document states none.
     pub revision: Revision,
-    /// The file of the revision before.
+    /// The file of the revision before; `None` if this is the first.
     pub after: Option<String>,
 }
 
-/// The number of a node, the same at every host.
+/// The id of the node with this name. It is the same at every host.
 pub fn node_id(name: &str) -> NodeId {
     NodeId(number(name))
 }
--- a/crates/configuration/src/entry_processes.rs
+++ b/crates/configuration/src/entry_processes.rs
@@ -77,7 +77,7 @@
         pause_every: reader
             .span_at(entry, "pause-every")
             .unwrap_or(Span::from_millis(5000.0)),
-        put_off: reader.part_at(entry, "put-off").unwrap_or_default(),
+        put_off: reader.fraction_at(entry, "put-off").unwrap_or_default(),
         flush_every: reader
             .span_at(entry, "flush-every")
             .unwrap_or(Span::from_millis(2000.0)),
--- a/crates/configuration/src/fleet.rs
+++ b/crates/configuration/src/fleet.rs
@@ -1,20 +1,21 @@
-//! How hosts settle things among themselves: `fleet "town" lease="2s" drift=0.002 voters=5 floor=0.3`.
-//! Without the entry, or with `off=#true`, each host keeps to even parts by the document alone.
+//! The entry on how hosts coordinate: `fleet "town" lease="2s" drift=0.002 voters=5 floor=0.3`. Without the entry,
+//! or with `off=#true`, each host uses an even share of every limit.
 
 use crate::entities::{NamedFleet, Place};
 use crate::reader::Reader;
 use gullsail_scheduler_api::Span;
 use kdl::KdlNode;
 
-/// Shorter, and a busy machine's delays end leases; longer, and a dead host's part lies idle for minutes.
-const LEASES: (f64, f64) = (100.0, 60_000.0);
-/// Between coordinated clocks it is some parts in ten thousand; a tenth is a broken one.
-const MOST_DRIFT: f64 = 0.1;
-/// More only cost notes: seven bear three that are down.
-const MOST_VOTERS: u32 = 15;
+/// The shortest and the longest lease in milliseconds. Delays on a busy machine let shorter leases expire. After a
+/// longer one, the share of a host that has died stays unused for minutes.
+const LEASE_RANGE_MS: (f64, f64) = (100.0, 60_000.0);
+/// Synchronised clocks differ in rate by a few parts in ten thousand. A clock that is off by a tenth is broken.
+const MAX_DRIFT: f64 = 0.1;
+/// More voters only add messages: seven already tolerate the failure of three.
+const MAX_VOTERS: u32 = 15;
 
-/// So many a second, as `"40/s"`; more than none.
-fn a_second(reader: &mut Reader, entry: &KdlNode, key: &str) -> Option<f64> {
+/// Reads a positive rate, such as `"40/s"`; `None` if it is absent or invalid.
+fn rate_per_second(reader: &mut Reader, entry: &KdlNode, key: &str) -> Option<f64> {
     let text = reader.text_at(entry, key)?;
     let rate = text
         .strip_suffix("/s")
@@ -22,7 +23,7 @@
     let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
     if rate.is_none() {
         let span = entry.entry(key).map_or(entry.span(), |e| e.span());
-        let help = format!("so many a second to one node, from all hosts together: {key}=\"40/s\"");
+        let help = format!("a rate to one node, from all hosts together: {key}=\"40/s\"");
         reader.report(
             "wrong-kind",
             format!("`{key}` is \"{text}\""),
@@ -33,8 +34,8 @@
     rate
 }
 
-/// Reports figures of the entry that contradict each other or the deployment.
-fn check_figures(
+/// Reports values of the entry that contradict each other or the deployment.
+fn check_values(
     reader: &mut Reader,
     entry: &KdlNode,
     fleet: &NamedFleet,
@@ -45,13 +46,13 @@
         let span = entry.entry(key).map_or(entry.span(), |e| e.span());
         reader.report("contradiction", message, span, Some(help));
     };
-    let (least, most) = LEASES;
+    let (shortest, longest) = LEASE_RANGE_MS;
     let ms = fleet.lease.millis();
-    if !(least..=most).contains(&ms) {
+    if !(shortest..=longest).contains(&ms) {
         wrong(
             "lease",
             format!("a lease of {ms} ms"),
-            format!("from {least} ms to {most} ms; two seconds suit most"),
+            format!("from {shortest} ms to {longest} ms; 2000 ms suit most deployments"),
         );
     } else if fleet.lease < tick.times(8.0) {
         let help = format!(
@@ -64,12 +65,12 @@
             help,
         );
     }
-    if fleet.drift > MOST_DRIFT {
-        let help = format!("at most {MOST_DRIFT}: a clock that runs so unevenly is broken");
+    if fleet.drift > MAX_DRIFT {
+        let help = format!("at most {MAX_DRIFT}: a clock whose rate is off by more is broken");
         wrong("drift", format!("a drift of {}", fleet.drift), help);
     }
-    if fleet.voters as usize > hosts.len() || fleet.voters > MOST_VOTERS {
-        let most = MOST_VOTERS.min(hosts.len() as u32);
+    if fleet.voters as usize > hosts.len() || fleet.voters > MAX_VOTERS {
+        let most = MAX_VOTERS.min(hosts.len() as u32);
         let message = format!("{} voters among {} hosts", fleet.voters, hosts.len());
         wrong(
             "voters",
@@ -79,7 +80,7 @@
     }
 }
 
-/// `None`: there is none, or it is off.
+/// Reads the `fleet` entry. `None`: the entry is absent, off or invalid.
 pub(crate) fn read(
     reader: &mut Reader,
     entry: Option<&KdlNode>,
@@ -101,15 +102,15 @@
         lease: reader.span(entry, "lease"),
         drift: reader.number_at(entry, "drift", 0.0).unwrap_or(0.002),
         voters: reader.whole(entry, "voters", 1, 5.min(hosts.len().max(1) as u32)),
-        floor: reader.part(entry, "floor"),
-        connects: a_second(reader, entry, "connects"),
-        probes: a_second(reader, entry, "probes"),
+        floor: reader.fraction(entry, "floor"),
+        connects: rate_per_second(reader, entry, "connects"),
+        probes: rate_per_second(reader, entry, "probes"),
     };
-    // A lease that could not be read is reported already.
+    // A lease that could not be read has been reported.
     if fleet.lease == Span::ZERO {
         return None;
     }
-    check_figures(reader, entry, &fleet, hosts, tick);
+    check_values(reader, entry, &fleet, hosts, tick);
     let off = reader.flag(entry, "off");
     let zone = |p: &Place| p.zone;
     let zones = |p: &[Place]| {
@@ -120,8 +121,7 @@
     };
     let voters = hosts.get(..fleet.voters as usize).unwrap_or(hosts);
     if !off && fleet.voters > 2 && zones(voters) == 1 && zones(hosts) > 1 {
-        let help =
-            "with that zone nobody decides: let the document's first hosts lie in different zones";
+        let help = "if that zone fails, no coordinator can be elected: place the document's first hosts in different zones";
         reader.warn(
             "voters-together",
             "all voters are in one zone".into(),
--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -1,6 +1,6 @@
 //! The one way to write a document: indents, spaces and quotes are made alike, comments and order stay.
 
-use crate::source_map::{NESTED, too_nested};
+use crate::source_map::{MAX_NESTING, nesting_exceeded_at};
 use kdl::{FormatConfig, KdlDocument};
 
 /// # Errors
@@ -38,8 +38,8 @@
     };
     // Line ends of other systems are one line end here.
     let text = text.replace("\r\n", "\n");
-    if too_nested(&text).is_some() {
-        return Err(format!("more than {NESTED} entries within each other"));
+    if nesting_exceeded_at(&text).is_some() {
+        return Err(format!("more than {MAX_NESTING} entries within each other"));
     }
     let before = parse(&text)?;
     let mut document = before.clone();
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,10 +1,10 @@
-//! The document that a deployment is run from, in KDL: hosts, storage nodes, the list service, request
-//! classes, plans, volumes, the rules' figures. [`parse`] finds every problem in one go, each with its place
-//! and what was meant; what it returns is immutable. Files are read through a [`Loader`] alone.
+//! Reads the KDL document that describes a deployment: hosts, storage nodes, the list service, request classes,
+//! plans, volumes and the parameters of the scheduler. [`parse`] reports all problems at once, each with its position
+//! and, where possible, a suggestion. The result is immutable. Files are read only through a [`Loader`].
 //!
-//! Its stages: [`source_map`] and `resolve` (files, includes, templates: one flat document comes out),
-//! [`reader`] (how entries are read and problems reported), `builder` (what a document means), [`deployment`]
-//! (the result), `lints` (what is well-formed and makes no sense).
+//! Stages: [`source_map`] and `resolve` (files, includes and templates become one flat document), [`reader`] (reads
+//! entries and collects problems), `builder` (turns entries into a deployment), [`deployment`] (the result), `lints`
+//! (reports well-formed documents that contradict themselves or probably do not say what was meant).
 
 // One-letter names are left in places: docs/ROADMAP.md lists them.
 #![allow(clippy::min_ident_chars)]
@@ -38,19 +38,19 @@
 pub use reader::{Names, Reader};
 pub use source_map::{Files, LoadError, Loader, Memory};
 
-/// Reads a document of one text. `name` is what messages call it; nothing can be included.
+/// Reads a document from one text. `name` is the file name in messages. The text cannot include other files.
 ///
 /// # Errors
-/// All problems that were found, with their places.
+/// All problems that were found, with their positions.
 pub fn parse(name: &str, text: &str) -> Result<Deployment, Problems> {
     let loader = Memory([(name.to_string(), text.to_string())].into());
     load(&loader, name).map(|(deployment, _)| deployment)
 }
 
-/// Reads a document and all that it includes; warnings come with what was built.
+/// Reads a document and the files that it includes. Returns the deployment and the warnings.
 ///
 /// # Errors
-/// All problems that were found, with their places.
+/// All problems that were found, with their positions.
 pub fn load(loader: &dyn Loader, name: &str) -> Result<(Deployment, Vec<Problem>), Problems> {
     revisions::load(loader, name, &[])
 }
--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -1,6 +1,6 @@
 //! What is well-formed and still makes no sense, or probably not what was meant.
 
-use crate::deployment::{Deployment, PROMISABLE};
+use crate::deployment::{Deployment, RESERVABLE_FRACTION};
 use crate::reader::{Reader, entries};
 use gullsail_scheduler_api::{Idempotency, Plan};
 use kdl::KdlDocument;
@@ -41,13 +41,13 @@
             .sum();
         if let Some(last) = entries(document, "volume")
             .next_back()
-            .filter(|_| reserved > can * PROMISABLE)
+            .filter(|_| reserved > can * RESERVABLE_FRACTION)
         {
             let message =
                 format!("reserves sum to {reserved} units a second; the nodes can do {can:.0}");
             let help = format!(
                 "at most {:.0} can be promised: lower reserves, or add nodes",
-                can * PROMISABLE
+                can * RESERVABLE_FRACTION
             );
             reader.report("reserves-too-large", message, last.span(), Some(help));
         }
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document: one [`Problem`] for each, with its place, and all of them together.
+//! The problems of a document: [`Problem`] is a single one with its position, [`Problems`] all of one document.
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, Severity, SourceCode, SourceSpan};
 use serde::{Deserialize, Serialize};
@@ -15,53 +15,54 @@
     Warning,
 }
 
-/// One thing that is wrong, where, and what was meant.
+/// A problem of a document with its position.
 #[derive(Clone, Debug)]
 pub struct Problem {
-    /// The kind of problem, for `gullsail explain`.
+    /// The code, as `gullsail explain` takes it.
     pub code: &'static str,
-    /// Whether the document can be used.
+    /// Whether the document can be used in spite of the problem.
     pub severity: ProblemSeverity,
-    /// What is wrong.
+    /// The description of the problem.
     pub message: String,
-    /// How it may be mended.
+    /// A hint at how to correct it.
     pub help: Option<String>,
-    /// The file.
+    /// The file that holds the text in question.
     pub file: String,
     /// The line, from 1.
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
-    /// Other places to look at, in words.
+    /// Related positions in words, such as `used at main.kdl:6:3`.
     pub see: Vec<String>,
     pub(crate) source: NamedSource<Arc<str>>,
+    /// The text in question, as a range in `source`.
     pub(crate) at: SourceSpan,
 }
 
-/// A problem as programs are told of it.
+/// A problem in the form in which the command line prints it as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiagnosticRecord {
-    /// The kind of problem.
+    /// The code, as `gullsail explain` takes it.
     pub code: String,
-    /// Whether the document can be used.
+    /// Whether the document can be used in spite of the problem.
     #[serde(rename = "weight")]
     pub severity: ProblemSeverity,
-    /// The file.
+    /// The file that holds the text in question.
     pub file: String,
     /// The line, from 1.
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
-    /// What is wrong.
+    /// The description of the problem.
     pub message: String,
-    /// How it may be mended.
+    /// A hint at how to correct it.
     pub help: Option<String>,
-    /// Other places to look at, in words.
+    /// Related positions in words, such as `used at main.kdl:6:3`.
     pub see: Vec<String>,
 }
 
 impl Problem {
-    /// The problem as data, for programs.
+    /// Converts the problem into its JSON form.
     pub fn diagnostic(&self) -> DiagnosticRecord {
         DiagnosticRecord {
             code: self.code.into(),
@@ -115,13 +116,13 @@
     }
 }
 
-/// All that is wrong with one document, in the order of its files and lines.
+/// The problems of one document, in the order of its files and lines.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{} in {name}", count(.problems.len()))]
 pub struct Problems {
     /// The first file of the document.
     pub name: String,
-    /// All of them.
+    /// The problems; at least one of them is an error.
     #[related]
     pub problems: Vec<Problem>,
 }
@@ -134,11 +135,11 @@
     }
 }
 
-/// The known word that is nearest to what stands there, if any is near.
+/// Suggests the known word with the smallest edit distance to `found`; `None` if none is close.
 pub fn meant(found: &str, known: &[&str]) -> Option<String> {
-    let near = known
+    let nearest = known
         .iter()
         .map(|k| (strsim::damerau_levenshtein(found, k), k))
         .min()?;
-    (near.0 <= found.len().max(3) / 3).then(|| format!("did you mean `{}`?", near.1))
+    (nearest.0 <= found.len().max(3) / 3).then(|| format!("did you mean `{}`?", nearest.1))
 }
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -1,23 +1,25 @@
-//! `host "desk-{01..40}" address="10.4.1.{11..50}:7400"` stands for forty entries: the ranges of an entry
-//! count up together. In a list of values, such as a volume's hosts, a range stands for as many values
-//! instead. A text that is nothing but a range of numbers without leading zeros gives numbers.
+//! Expands ranges: `host "desk-{01..40}" address="10.4.1.{11..50}:7400"` stands for forty entries, and the ranges of
+//! an entry count up together. In a list of values, such as a volume's hosts, a range stands for a list of values
+//! instead. A text that consists of a range without leading zeros becomes numbers.
 
 use crate::reader::Reader;
 use kdl::{KdlEntry, KdlNode, KdlValue};
 
-/// What one range may stand for: more is a slip of the finger.
-const MOST: u64 = 20_000;
+/// The maximum number of values of one range. A longer one is probably a typing error.
+const MAX_RANGE_LENGTH: u64 = 20_000;
 
+/// A range with the text around it.
 struct Range<'a> {
     before: &'a str,
     after: &'a str,
     first: u64,
     count: u64,
+    /// The number of digits to pad to with zeros; 0: no padding.
     width: usize,
 }
 
-/// `Ok(None)`: there is none.
-fn range(text: &str) -> Result<Option<Range<'_>>, String> {
+/// Finds the range in a text. `Ok(None)`: the text has no range. The error says why a range is invalid.
+fn parse_range(text: &str) -> Result<Option<Range<'_>>, String> {
     let Some((before, rest)) = text.split_once('{') else {
         return Ok(None);
     };
@@ -27,8 +29,8 @@
     else {
         return Ok(None);
     };
-    let wrong = || format!("\"{{{inside}}}\" is no range");
-    let (from, to) = inside.split_once("..").ok_or_else(wrong)?;
+    let invalid = || format!("\"{{{inside}}}\" is no range");
+    let (from, to) = inside.split_once("..").ok_or_else(invalid)?;
     let number = |s: &str| {
         s.bytes()
             .all(|b| b.is_ascii_digit())
@@ -36,15 +38,17 @@
             .flatten()
     };
     let (first, last) = (
-        number(from).ok_or_else(wrong)?,
-        number(to).ok_or_else(wrong)?,
+        number(from).ok_or_else(invalid)?,
+        number(to).ok_or_else(invalid)?,
     );
     if last < first {
         return Err(format!("the range {inside} counts down"));
     }
     let count = (last - first).saturating_add(1);
-    if count > MOST {
-        return Err(format!("the range {inside} stands for more than {MOST}"));
+    if count > MAX_RANGE_LENGTH {
+        return Err(format!(
+            "the range {inside} stands for more than {MAX_RANGE_LENGTH}"
+        ));
     }
     if after.contains('{') && after.contains("..") {
         return Err("two ranges in one text".into());
@@ -60,8 +64,9 @@
 }
 
 impl Range<'_> {
-    fn value(&self, place: u64) -> KdlValue {
-        let number = self.first + place;
+    /// The value at an index of the range, from 0.
+    fn value(&self, index: u64) -> KdlValue {
+        let number = self.first + index;
         if self.before.is_empty() && self.after.is_empty() && self.width == 0 {
             return KdlValue::Integer(i128::from(number));
         }
@@ -74,34 +79,35 @@
     }
 }
 
-fn found<'a>(argument: &'a KdlEntry, reader: &mut Reader) -> Option<Range<'a>> {
+/// The range in the text of an argument; an invalid one is reported.
+fn argument_range<'a>(argument: &'a KdlEntry, reader: &mut Reader) -> Option<Range<'a>> {
     let KdlValue::String(text) = argument.value() else {
         return None;
     };
-    range(text).unwrap_or_else(|why| {
+    parse_range(text).unwrap_or_else(|why| {
         let help = Some("a range is two numbers that count up: \"h{01..40}\"".into());
         reader.report("range", why, argument.span(), help);
         None
     })
 }
 
-fn set(argument: &mut KdlEntry, value: KdlValue) {
+fn replace_value(argument: &mut KdlEntry, value: KdlValue) {
     argument.set_value(value);
     argument.clear_format();
 }
 
-/// The entries that one entry stands for: itself alone if it has no range.
+/// Returns the entries that an entry stands for: only the entry itself if it has no range.
 pub fn expand(node: &KdlNode, reader: &mut Reader) -> Vec<KdlNode> {
     let mut node = node.clone();
-    // A day is a script: its texts are not names in rows.
+    // A `day` entry holds the script of a scenario, in which braces in texts are not ranges.
     if node.name().value() != "day" {
-        lists(&mut node, reader);
+        expand_lists(&mut node, reader);
     }
     let mut count = 1;
     for argument in node.entries() {
-        match found(argument, reader).map(|range| range.count) {
-            Some(other) if count > 1 && other != count => {
-                let message = format!("a range of {other} in an entry with one of {count}");
+        match argument_range(argument, reader).map(|range| range.count) {
+            Some(length) if count > 1 && length != count => {
+                let message = format!("a range of {length} in an entry with one of {count}");
                 reader.report(
                     "range",
                     message,
@@ -110,24 +116,24 @@
                 );
                 return Vec::new();
             }
-            Some(other) => count = count.max(other),
+            Some(length) => count = count.max(length),
             None => {}
         }
     }
     if !node
         .entries()
         .iter()
-        .any(|argument| matches!(argument.value(), KdlValue::String(s) if matches!(range(s), Ok(Some(_)))))
+        .any(|argument| matches!(argument.value(), KdlValue::String(s) if matches!(parse_range(s), Ok(Some(_)))))
     {
         return vec![node];
     }
-    let copy = |place| {
+    let copy = |index| {
         let mut copy = node.clone();
         for (argument, from) in copy.entries_mut().iter_mut().zip(node.entries()) {
             if let KdlValue::String(text) = from.value()
-                && let Ok(Some(range)) = range(text)
+                && let Ok(Some(range)) = parse_range(text)
             {
-                set(argument, range.value(place));
+                replace_value(argument, range.value(index));
             }
         }
         copy
@@ -135,13 +141,13 @@
     (0..count).map(copy).collect()
 }
 
-/// In the values of entries within an entry, ranges become values in place.
-fn lists(node: &mut KdlNode, reader: &mut Reader) {
+/// Replaces each range among the values of an entry's children by its values.
+fn expand_lists(node: &mut KdlNode, reader: &mut Reader) {
     let Some(children) = node.children_mut() else {
         return;
     };
     for child in children.nodes_mut() {
-        lists(child, reader);
+        expand_lists(child, reader);
         if !child.entries().iter().any(|argument| {
             argument
                 .value()
@@ -152,11 +158,11 @@
         }
         let mut all = Vec::with_capacity(child.entries().len());
         for argument in child.entries() {
-            match found(argument, reader) {
+            match argument_range(argument, reader) {
                 Some(range) if argument.name().is_none() => {
-                    for place in 0..range.count {
+                    for index in 0..range.count {
                         let mut one = argument.clone();
-                        set(&mut one, range.value(place));
+                        replace_value(&mut one, range.value(index));
                         all.push(one);
                     }
                 }
--- a/crates/configuration/src/reader.rs
+++ b/crates/configuration/src/reader.rs
@@ -1,45 +1,44 @@
-//! Reads entries of a KDL document and keeps count of what is wrong with them. A value that can't be read is
-//! replaced by a harmless one, so that one mistake does not hide the next; [`Reader::close`] gives nothing
-//! out if there was any.
+//! Reads entries of a KDL document and collects their problems. A value that can't be read is replaced by a default,
+//! so that one error does not hide the next. [`Reader::close`] returns no result if there was an error.
 
 use crate::problem::{Problem, ProblemSeverity, Problems, meant};
-use crate::source_map::{NESTED, Sources, shift, too_nested};
+use crate::source_map::{MAX_NESTING, Sources, nesting_exceeded_at, shift};
 use kdl::{KdlDocument, KdlNode};
 use miette::{NamedSource, SourceSpan};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Names in their order, found by name.
+/// The names of entries of one kind, in their order, with an index by name.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     list: Vec<String>,
-    places: BTreeMap<String, usize>,
+    positions: BTreeMap<String, usize>,
 }
 
 impl Names {
-    /// All of them, in their order.
+    /// All names, in their order.
     pub fn list(&self) -> &[String] {
         &self.list
     }
 
-    /// The place of the first of that name.
+    /// The position of the first entry of this name, from 0.
     pub fn position(&self, name: &str) -> Option<usize> {
-        self.places.get(name).copied()
+        self.positions.get(name).copied()
     }
 }
 
 impl FromIterator<String> for Names {
     fn from_iter<T: IntoIterator<Item = String>>(names: T) -> Names {
         let list: Vec<String> = names.into_iter().collect();
-        let mut places = BTreeMap::new();
-        for (place, name) in list.iter().enumerate() {
-            places.entry(name.clone()).or_insert(place);
+        let mut positions = BTreeMap::new();
+        for (position, name) in list.iter().enumerate() {
+            positions.entry(name.clone()).or_insert(position);
         }
-        Names { list, places }
+        Names { list, positions }
     }
 }
 
-/// The entries of a kind, in their order.
+/// The top entries of a kind, in their order.
 pub(crate) fn entries<'a>(
     document: &'a KdlDocument,
     kind: &'static str,
@@ -50,23 +49,25 @@
         .filter(move |n| n.name().value() == kind)
 }
 
+/// A problem whose file and line are not looked up yet.
 struct Reported {
     code: &'static str,
-    weight: ProblemSeverity,
+    level: ProblemSeverity,
     message: String,
+    /// A range in the combined text of all sources.
     at: SourceSpan,
     help: Option<String>,
     see: Vec<String>,
 }
 
-/// Reads the entries of one document and keeps what is wrong with them.
+/// Reads the entries of one document and collects their problems.
 #[derive(Default)]
 pub struct Reader {
     pub(crate) name: String,
     pub(crate) sources: Sources,
     reported: Vec<Reported>,
-    /// Of values that templates filled in: where what they are filled with stands.
-    pub(crate) filled: BTreeMap<usize, Vec<usize>>,
+    /// For each value with template parameters: the offset of the value, and the offsets of the parameters' values.
+    pub(crate) parameter_values: BTreeMap<usize, Vec<usize>>,
 }
 
 impl Reader {
@@ -77,11 +78,11 @@
         }
     }
 
-    /// Parses one file; its places are moved to its own stretch.
+    /// Parses one file and adds it to the sources. The spans in the result are offsets in the combined text.
     pub(crate) fn read_file(&mut self, name: &str, text: &str) -> KdlDocument {
         let start = self.file(name, text);
-        if let Some(place) = too_nested(text) {
-            let message = format!("more than {NESTED} entries within each other");
+        if let Some(place) = nesting_exceeded_at(text) {
+            let message = format!("more than {MAX_NESTING} entries within each other");
             self.report("too-deep", message, (start + place, 1).into(), None);
             return KdlDocument::new();
         }
@@ -108,30 +109,34 @@
         }
     }
 
+    /// Adds a file to the sources and returns its start in the combined text.
     pub(crate) fn file(&mut self, name: &str, text: &str) -> usize {
         self.sources.add(name.into(), text.into(), None)
     }
 
-    /// The text that holds a place once more, for a use of a template; by how much its places move.
-    pub(crate) fn again(&mut self, place: usize, used_at: usize) -> isize {
+    /// Adds the file that holds an offset to the sources once more, for a use of a template. Returns the distance
+    /// from offsets in the file to those in the copy.
+    pub(crate) fn add_template_use(&mut self, offset: usize, used_at: usize) -> isize {
         let found = self
             .sources
-            .find(place)
+            .find(offset)
             .map(|(s, _)| (s.name.clone(), s.text.clone()));
         let (name, text) = found.unwrap_or_default();
-        let old = self.sources.start(place);
+        let old = self.sources.segment_start(offset);
         self.sources.add(name, text, Some(used_at)) as isize - old as isize
     }
 
-    pub(crate) fn comes_from(&mut self, at: usize, from: usize) {
-        self.filled.entry(at).or_default().push(from);
+    /// Records that the value at one offset contains a parameter whose value stands at another.
+    pub(crate) fn add_parameter_value(&mut self, at: usize, from: usize) {
+        self.parameter_values.entry(at).or_default().push(from);
     }
 
-    /// Where the parameters that a value was filled with were given first; empty: it stands in its own place.
-    pub fn given_at(&self, place: usize) -> Vec<String> {
+    /// The positions in words at which the template parameters in a value were first given. Empty if the value
+    /// has no parameters.
+    pub fn given_at(&self, offset: usize) -> Vec<String> {
         let from = self
-            .filled
-            .get(&place)
+            .parameter_values
+            .get(&offset)
             .map(Vec::as_slice)
             .unwrap_or_default();
         from.iter()
@@ -142,19 +147,21 @@
             .collect()
     }
 
-    /// Where a place of the document comes from, with the uses of templates that brought it there.
-    pub fn origin(&self, place: usize) -> String {
-        let mut text = self.sources.say(place);
-        let mut via = self.sources.find(place).and_then(|(s, _)| s.via);
+    /// Describes an offset as file, line and column, followed by the uses of templates that lead to it.
+    pub fn origin(&self, offset: usize) -> String {
+        let mut text = self.sources.describe(offset);
+        let mut via = self.sources.find(offset).and_then(|(s, _)| s.via);
         while let Some(at) = via {
-            text += &format!(", used at {}", self.sources.say(at));
+            text += &format!(", used at {}", self.sources.describe(at));
             via = self.sources.find(at).and_then(|(s, _)| s.via);
         }
         text
     }
 
+    /// Ends the reading. Returns the result and the warnings if there was no error.
+    ///
     /// # Errors
-    /// What was found; warnings alone are no error and come with what was built.
+    /// The errors that were reported.
     pub fn close<T>(self, built: T) -> Result<(T, Vec<Problem>), Problems> {
         let Reader {
             name,
@@ -163,9 +170,10 @@
             ..
         } = self;
         reported.sort_by_key(|n| n.at.offset());
-        let errors = reported.iter().any(|n| n.weight == ProblemSeverity::Error);
-        // With errors about, a warning is mostly one's consequence: what is misspelt is used nowhere.
-        reported.retain(|n| !errors || n.weight == ProblemSeverity::Error);
+        let errors = reported.iter().any(|n| n.level == ProblemSeverity::Error);
+        // Warnings are dropped if there are errors, since most of them are consequences: after a misspelt reference, the
+        // definition is reported as unused.
+        reported.retain(|n| !errors || n.level == ProblemSeverity::Error);
         let problems: Vec<_> = reported.into_iter().map(|n| locate(&sources, n)).collect();
         if errors {
             Err(Problems { name, problems })
@@ -174,7 +182,7 @@
         }
     }
 
-    /// Records an error at a place.
+    /// Records an error.
     pub fn report(
         &mut self,
         code: &'static str,
@@ -184,7 +192,7 @@
     ) {
         self.reported.push(Reported {
             code,
-            weight: ProblemSeverity::Error,
+            level: ProblemSeverity::Error,
             message,
             at,
             help,
@@ -192,7 +200,7 @@
         });
     }
 
-    /// Records a warning at a place.
+    /// Records a warning.
     pub fn warn(
         &mut self,
         code: &'static str,
@@ -202,7 +210,7 @@
     ) {
         self.reported.push(Reported {
             code,
-            weight: ProblemSeverity::Warning,
+            level: ProblemSeverity::Warning,
             message,
             at,
             help,
@@ -210,31 +218,33 @@
         });
     }
 
-    /// A part of the text could not be had, so that what is missing may stand there.
-    pub(crate) fn unread(&self) -> bool {
+    /// Whether some text could not be read. A missing entry may stand in that text.
+    pub(crate) fn has_unread_text(&self) -> bool {
         self.reported
             .iter()
             .any(|n| ["syntax", "file", "too-deep", "too-much"].contains(&n.code))
     }
 
-    pub(crate) fn noted_errors(&self) -> usize {
+    /// The number of errors so far.
+    pub(crate) fn error_count(&self) -> usize {
         self.reported
             .iter()
-            .filter(|n| n.weight == ProblemSeverity::Error)
+            .filter(|n| n.level == ProblemSeverity::Error)
             .count()
     }
 
-    /// How much is wrong so far: what depends on a value that can't be read is not judged by its stand-in.
+    /// The number of errors so far. A check of values that is only valid if all of them could be read compares this
+    /// number before and after reading.
     pub fn reported(&self) -> usize {
-        self.noted_errors()
+        self.error_count()
     }
 
-    /// Something that stands twice, and where it stands first.
+    /// Records an error for a duplicate; `first` is the offset of the first occurrence.
     pub fn twice(&mut self, message: String, at: SourceSpan, first: usize) {
         self.conflict("twice", message, at, "the first stands at", first);
     }
 
-    /// Something that does not go with something else, and where that stands.
+    /// Records an error for text that conflicts with the text at the offset `other`. `see` introduces that position.
     pub fn conflict(
         &mut self,
         code: &'static str,
@@ -243,10 +253,10 @@
         see: &str,
         other: usize,
     ) {
-        let see = vec![format!("{see} {}", self.sources.say(other))];
+        let see = vec![format!("{see} {}", self.sources.describe(other))];
         self.reported.push(Reported {
             code,
-            weight: ProblemSeverity::Error,
+            level: ProblemSeverity::Error,
             message,
             at,
             help: None,
@@ -254,21 +264,22 @@
         });
     }
 
-    /// A name that nothing bears.
-    pub fn unknown(&mut self, at: SourceSpan, what: &str, name: &str, names: &[String]) {
+    /// Records an error for a name that is not defined. `kind` says what the name should refer to; `names` are the
+    /// names that are defined.
+    pub fn unknown(&mut self, at: SourceSpan, kind: &str, name: &str, names: &[String]) {
         let known: Vec<_> = names.iter().map(String::as_str).collect();
         self.report(
             "unknown-name",
-            format!("no {what} is called \"{name}\""),
+            format!("no {kind} is called \"{name}\""),
             at,
             meant(name, &known),
         );
     }
 
-    /// Complains about properties, arguments and children that are not known; `arguments` is how many may
-    /// stand there.
+    /// Records an error for each property and child that is not among the known ones, for each property that occurs
+    /// twice, and for each value without a name beyond the number `arguments`.
     pub fn only(&mut self, node: &KdlNode, arguments: usize, known: &[&str], children: &[&str]) {
-        let what = node.name().value();
+        let entry_name = node.name().value();
         let mut seen: BTreeMap<&str, ()> = BTreeMap::new();
         let mut unnamed = 0;
         for e in node.entries() {
@@ -278,7 +289,7 @@
                     let help = meant(key.value(), known);
                     self.report(
                         "unknown-key",
-                        format!("`{what}` has no `{}`", key.value()),
+                        format!("`{entry_name}` has no `{}`", key.value()),
                         e.span(),
                         help,
                     );
@@ -292,7 +303,8 @@
                     );
                 }
                 None if unnamed > arguments => {
-                    let message = format!("`{what}` takes {arguments} value(s) without a name");
+                    let message =
+                        format!("`{entry_name}` takes {arguments} value(s) without a name");
                     self.report("too-many", message, e.span(), None);
                 }
                 _ => {}
@@ -305,7 +317,7 @@
             let (name, help) = (child.name().value(), meant(child.name().value(), children));
             self.report(
                 "unknown-node",
-                format!("`{name}` can't stand in `{what}`"),
+                format!("`{name}` can't stand in `{entry_name}`"),
                 child.span(),
                 help,
             );
@@ -313,21 +325,21 @@
     }
 }
 
-/// Finds the file and line of what was noted, and by which uses of templates it came there.
-fn locate(sources: &Sources, n: Reported) -> Problem {
+/// Looks up the file and line of a reported problem, and the uses of templates that lead to it.
+fn locate(sources: &Sources, reported: Reported) -> Problem {
     let Reported {
         code,
-        weight,
+        level,
         message,
         at,
         help,
         mut see,
-    } = n;
-    let (file, line, column) = sources.line(at.offset()).unwrap_or(("", 1, 1));
+    } = reported;
+    let (file, line, column) = sources.position(at.offset()).unwrap_or(("", 1, 1));
     let (file, found) = (file.to_string(), sources.find(at.offset()));
     let mut via = found.and_then(|(s, _)| s.via);
     while let Some(place) = via {
-        see.push(format!("used at {}", sources.say(place)));
+        see.push(format!("used at {}", sources.describe(place)));
         via = sources.find(place).and_then(|(s, _)| s.via);
     }
     let (text, offset) = found.map_or_else(
@@ -338,7 +350,7 @@
     let source = NamedSource::new(&file, text);
     Problem {
         code,
-        severity: weight,
+        severity: level,
         message,
         help,
         file,
--- a/crates/configuration/src/reader_values.rs
+++ b/crates/configuration/src/reader_values.rs
@@ -1,5 +1,5 @@
-//! How values of entries are read: texts, numbers, spans, bytes, rates, parts, references to other entries.
-//! What is wrong with one goes to the reader, and a harmless value comes back.
+//! Reads the values of entries: texts, numbers, spans, bytes, rates, fractions and references to other entries. A value
+//! that can't be read is reported, and a default is returned.
 
 use crate::problem::meant;
 use crate::reader::{Names, Reader};
@@ -7,16 +7,23 @@
 use kdl::{KdlEntry, KdlNode, KdlValue};
 
 impl Reader {
-    fn entry<'a>(&mut self, node: &'a KdlNode, key: &str, needed: bool) -> Option<&'a KdlEntry> {
+    /// The property of that key; a missing one is reported if it is required.
+    fn entry<'a>(&mut self, node: &'a KdlNode, key: &str, required: bool) -> Option<&'a KdlEntry> {
         let found = node.entry(key);
-        if found.is_none() && needed {
+        if found.is_none() && required {
             let message = format!("`{}` needs `{key}`", node.name().value());
             self.report("missing", message, node.name().span(), None);
         }
         found
     }
 
-    fn wrong<T: Default>(&mut self, argument: &KdlEntry, wanted: &str, help: Option<String>) -> T {
+    /// Reports a value of the wrong kind and returns the default.
+    fn wrong_kind<T: Default>(
+        &mut self,
+        argument: &KdlEntry,
+        wanted: &str,
+        help: Option<String>,
+    ) -> T {
         self.report(
             "wrong-kind",
             format!("{} is not {wanted}", argument.value()),
@@ -26,27 +33,29 @@
         T::default()
     }
 
-    /// The argument without a name at that place.
-    pub fn text(&mut self, node: &KdlNode, place: usize, what: &str) -> String {
+    /// Reads a required text without a key; `index` counts the values without a key from 0, and `content` says in
+    /// messages what the text is.
+    pub fn text(&mut self, node: &KdlNode, index: usize, content: &str) -> String {
         match node
             .entries()
             .iter()
             .filter(|argument| argument.name().is_none())
-            .nth(place)
+            .nth(index)
         {
             Some(argument) => self.text_of(argument),
             None => {
-                let message = format!("`{}` needs {what}", node.name().value());
+                let message = format!("`{}` needs {content}", node.name().value());
                 self.report("missing", message, node.name().span(), None);
                 String::new()
             }
         }
     }
 
+    /// Reads the text of an argument.
     pub(crate) fn text_of(&mut self, argument: &KdlEntry) -> String {
         match argument.value() {
             KdlValue::String(s) => s.clone(),
-            _ => self.wrong(
+            _ => self.wrong_kind(
                 argument,
                 "a text",
                 Some(format!("write it in quotes: \"{}\"", argument.value())),
@@ -54,87 +63,91 @@
         }
     }
 
-    /// The text under a key, if there is one.
+    /// Reads an optional text.
     pub fn text_at(&mut self, node: &KdlNode, key: &str) -> Option<String> {
         let argument = self.entry(node, key, false)?;
         Some(self.text_of(argument))
     }
 
-    /// Whether a flag is set; not there: it is not.
+    /// Reads an optional flag; `false` if it is not given.
     pub fn flag(&mut self, node: &KdlNode, key: &str) -> bool {
         match self.entry(node, key, false) {
             None => false,
             Some(argument) => match argument.value() {
                 KdlValue::Bool(b) => *b,
-                _ => self.wrong(argument, "#true or #false", None),
+                _ => self.wrong_kind(argument, "#true or #false", None),
             },
         }
     }
 
-    /// A number of at least `least`; `None` where it is not given.
-    pub fn number_at(&mut self, node: &KdlNode, key: &str, least: f64) -> Option<f64> {
+    /// Reads an optional number of at least `minimum`.
+    pub fn number_at(&mut self, node: &KdlNode, key: &str, minimum: f64) -> Option<f64> {
         let argument = self.entry(node, key, false)?;
         let number = match argument.value() {
             KdlValue::Integer(n) => *n as f64,
             KdlValue::Float(x) => *x,
-            _ => return Some(self.wrong(argument, "a number", None)),
+            _ => return Some(self.wrong_kind(argument, "a number", None)),
         };
-        if !number.is_finite() || number < least {
-            return Some(self.wrong(argument, &format!("a number of at least {least}"), None));
+        if !number.is_finite() || number < minimum {
+            return Some(self.wrong_kind(
+                argument,
+                &format!("a number of at least {minimum}"),
+                None,
+            ));
         }
         Some(number)
     }
 
-    /// The number under a key that has to be there.
-    pub fn number(&mut self, node: &KdlNode, key: &str, least: f64) -> f64 {
+    /// Reads a required number of at least `minimum`.
+    pub fn number(&mut self, node: &KdlNode, key: &str, minimum: f64) -> f64 {
         _ = self.entry(node, key, true);
-        self.number_at(node, key, least).unwrap_or_default()
+        self.number_at(node, key, minimum).unwrap_or_default()
     }
 
-    /// A whole number under a key, or what holds otherwise.
-    pub fn whole(&mut self, node: &KdlNode, key: &str, least: u32, otherwise: u32) -> u32 {
+    /// Reads an optional whole number of at least `minimum`.
+    pub fn whole(&mut self, node: &KdlNode, key: &str, minimum: u32, default: u32) -> u32 {
         let Some(argument) = self.entry(node, key, false) else {
-            return otherwise;
+            return default;
         };
         match argument.value() {
-            KdlValue::Integer(n) if *n >= i128::from(least) && *n <= i128::from(u32::MAX) => {
+            KdlValue::Integer(n) if *n >= i128::from(minimum) && *n <= i128::from(u32::MAX) => {
                 *n as u32
             }
-            _ => self.wrong(
+            _ => self.wrong_kind(
                 argument,
-                &format!("a whole number of at least {least}"),
+                &format!("a whole number of at least {minimum}"),
                 None,
             ),
         }
     }
 
-    /// The span that a text states, if it is one.
+    /// Parses a span, such as `"150ms"`; `None` if the text is none.
     pub fn as_span(text: &str) -> Option<Span> {
         span(text)
     }
 
-    /// A span, such as `"150ms"`; `None` where it is not given.
+    /// Reads an optional span, such as `"150ms"`.
     pub fn span_at(&mut self, node: &KdlNode, key: &str) -> Option<Span> {
         let argument = self.entry(node, key, false)?;
         let help = || {
             Some("a span is written with its unit in quotes: \"150ms\", \"1.5s\", \"2min\"".into())
         };
         let KdlValue::String(s) = argument.value() else {
-            return Some(self.wrong(argument, "a span", help()));
+            return Some(self.wrong_kind(argument, "a span", help()));
         };
-        Some(span(s).unwrap_or_else(|| self.wrong(argument, "a span", help())))
+        Some(span(s).unwrap_or_else(|| self.wrong_kind(argument, "a span", help())))
     }
 
-    /// The span under a key that has to be there.
+    /// Reads a required span.
     pub fn span(&mut self, node: &KdlNode, key: &str) -> Span {
         _ = self.entry(node, key, true);
         self.span_at(node, key).unwrap_or_default()
     }
 
-    /// Bytes with their unit, such as `"256MiB"`.
-    pub fn bytes(&mut self, node: &KdlNode, key: &str, otherwise: usize) -> usize {
+    /// Reads an optional number of bytes with its unit, such as `"256MiB"`.
+    pub fn bytes(&mut self, node: &KdlNode, key: &str, default: usize) -> usize {
         let Some(argument) = self.entry(node, key, false) else {
-            return otherwise;
+            return default;
         };
         let help = || {
             Some(
@@ -143,7 +156,7 @@
             )
         };
         let KdlValue::String(s) = argument.value() else {
-            return self.wrong(argument, "a number of bytes", help());
+            return self.wrong_kind(argument, "a number of bytes", help());
         };
         let unit = s.trim_end().ends_with(|c: char| c.is_ascii_alphabetic());
         match s
@@ -157,27 +170,27 @@
             .filter(|_| unit)
         {
             Some(bytes) if bytes > 0 => bytes,
-            _ => self.wrong(argument, "a number of bytes", help()),
+            _ => self.wrong_kind(argument, "a number of bytes", help()),
         }
     }
 
-    /// A rate in units a second: `"40units/s"`, or in bytes, such as `"16MiB/s"`, where it is known how many
-    /// a unit stands for. `None` where it is not given.
+    /// Reads an optional rate and returns it in units a second. It is given in units, such as `"40units/s"`, or in
+    /// bytes, such as `"16MiB/s"`; the latter only if `unit`, the number of bytes of a unit, is known.
     pub fn rate_at(
         &mut self,
         node: &KdlNode,
         key: &str,
-        least: f64,
+        minimum: f64,
         unit: Option<f64>,
     ) -> Option<f64> {
         let argument = self.entry(node, key, false)?;
         let help =
             || Some("a rate is written with its unit in quotes: \"40units/s\", \"16MiB/s\"".into());
         let KdlValue::String(s) = argument.value() else {
-            return Some(self.wrong(argument, "a rate", help()));
+            return Some(self.wrong_kind(argument, "a rate", help()));
         };
         let Some(amount) = s.trim_end().strip_suffix("/s") else {
-            return Some(self.wrong(argument, "a rate", help()));
+            return Some(self.wrong_kind(argument, "a rate", help()));
         };
         let rate = if let Some(units) = amount.trim_end().strip_suffix("units") {
             units.trim().parse::<f64>().ok()
@@ -189,7 +202,9 @@
             if let (Some(_), None) = (bytes, unit) {
                 let help =
                     Some("rules unit=\"64KiB\" says how many bytes a unit stands for".into());
-                let message = format!("`{key}` is in bytes, and nothing says how many are a unit");
+                let message = format!(
+                    "`{key}` is in bytes, and the document does not say how many are a unit"
+                );
                 self.report("no-unit", message, argument.span(), help);
                 return Some(0.0);
             }
@@ -197,22 +212,24 @@
         } else {
             None
         };
-        match rate.filter(|reader| reader.is_finite()) {
-            Some(rate) if rate >= least => Some(rate),
-            Some(_) => Some(self.wrong(argument, &format!("a rate of at least {least}"), None)),
-            None => Some(self.wrong(argument, "a rate", help())),
+        match rate.filter(|rate| rate.is_finite()) {
+            Some(rate) if rate >= minimum => Some(rate),
+            Some(_) => {
+                Some(self.wrong_kind(argument, &format!("a rate of at least {minimum}"), None))
+            }
+            None => Some(self.wrong_kind(argument, "a rate", help())),
         }
     }
 
-    /// Bytes a second, such as `"20MiB/s"`; more than none.
-    pub fn bytes_a_second(&mut self, node: &KdlNode, key: &str) -> f64 {
+    /// Reads a required positive rate in bytes a second, such as `"20MiB/s"`.
+    pub fn bytes_per_second(&mut self, node: &KdlNode, key: &str) -> f64 {
         let Some(argument) = self.entry(node, key, true) else {
             return 0.0;
         };
         let help =
             || Some("bytes a second are written with their unit in quotes: \"20MiB/s\"".into());
         let KdlValue::String(s) = argument.value() else {
-            return self.wrong(argument, "a rate in bytes", help());
+            return self.wrong_kind(argument, "a rate in bytes", help());
         };
         let amount = s.strip_suffix("/s").filter(|a| a.ends_with('B'));
         match amount
@@ -220,14 +237,14 @@
             .map(|b| b.as_u64())
         {
             Some(bytes) if bytes > 0 && bytes < 1 << 60 => bytes as f64,
-            _ => self.wrong(argument, "a rate in bytes", help()),
+            _ => self.wrong_kind(argument, "a rate in bytes", help()),
         }
     }
 
-    /// A part of a whole: 0 to 1, or `"30%"`.
-    pub fn part_at(&mut self, node: &KdlNode, key: &str) -> Option<f64> {
+    /// Reads an optional fraction: a number from 0 to 1, or a percentage such as `"30%"`.
+    pub fn fraction_at(&mut self, node: &KdlNode, key: &str) -> Option<f64> {
         let argument = self.entry(node, key, false)?;
-        let part = match argument.value() {
+        let fraction = match argument.value() {
             KdlValue::Integer(n) => Some(*n as f64),
             KdlValue::Float(x) => Some(*x),
             KdlValue::String(s) => s
@@ -236,20 +253,21 @@
                 .map(|p: f64| p / 100.0),
             _ => None,
         };
-        let help = Some("a part of the whole is written 0.3 or \"30%\"".into());
+        let help = Some("a fraction is written 0.3 or \"30%\"".into());
         Some(
-            part.filter(|p| (0.0..=1.0).contains(p))
-                .unwrap_or_else(|| self.wrong(argument, "a part from 0 to 1", help)),
+            fraction
+                .filter(|p| (0.0..=1.0).contains(p))
+                .unwrap_or_else(|| self.wrong_kind(argument, "a fraction from 0 to 1", help)),
         )
     }
 
-    /// The part of a whole under a key that has to be there.
-    pub fn part(&mut self, node: &KdlNode, key: &str) -> f64 {
+    /// Reads a required fraction.
+    pub fn fraction(&mut self, node: &KdlNode, key: &str) -> f64 {
         _ = self.entry(node, key, true);
-        self.part_at(node, key).unwrap_or_default()
+        self.fraction_at(node, key).unwrap_or_default()
     }
 
-    /// One of some words.
+    /// Reads a required keyword and returns its meaning.
     pub fn keyword<T: Copy>(
         &mut self,
         node: &KdlNode,
@@ -273,30 +291,31 @@
         found
     }
 
-    /// The place of what a name refers to.
-    pub fn refer(&mut self, argument: &KdlEntry, what: &str, names: &Names) -> Option<usize> {
+    /// Returns the position among `names` of the entry that an argument refers to. `kind` names the kind of entry in
+    /// messages.
+    pub fn refer(&mut self, argument: &KdlEntry, kind: &str, names: &Names) -> Option<usize> {
         let name = self.text_of(argument);
         let found = names.position(&name);
         if found.is_none() {
-            self.unknown(argument.span(), what, &name, names.list());
+            self.unknown(argument.span(), kind, &name, names.list());
         }
         found
     }
 
-    /// The place of what the text under a key names.
+    /// Returns the position among `names` of the entry that a required property refers to.
     pub fn refer_at(
         &mut self,
         node: &KdlNode,
         key: &str,
-        what: &str,
+        kind: &str,
         names: &Names,
     ) -> Option<usize> {
         let argument = self.entry(node, key, true)?;
-        self.refer(argument, what, names)
+        self.refer(argument, kind, names)
     }
 }
 
-/// `"1.5s"`, `"150ms"` and whatever else `humantime` reads, with a fraction before one unit allowed.
+/// Parses `"1.5s"`, `"150ms"` and the other forms of `humantime`, and allows a decimal fraction before a single unit.
 fn span(s: &str) -> Option<Span> {
     let digits = s
         .find(|c: char| !(c.is_ascii_digit() || c == '.'))
--- a/crates/configuration/src/resolve.rs
+++ b/crates/configuration/src/resolve.rs
@@ -1,43 +1,45 @@
-//! Includes and templates: what a file brings in, and what is written once and used often. Out comes one flat
-//! document; the stages after it know neither.
+//! Resolves includes and templates. The result is one flat document without either.
 //!
-//! `include "zones.kdl" "plans/*.kdl"` brings in files, relative to the one it stands in; each comes once.
-//! `template "small" plan="base" { volume "$name" plan="$plan"; }` names entries with parameters, and
-//! defaults for some; `use "small" name="photos"` puts them in place. A template may use others that stand
-//! before it.
+//! `include "zones.kdl" "plans/*.kdl"` includes files by their paths relative to the including file. Each file is
+//! included once.
+//! `template "small" plan="base" { volume "$name" plan="$plan"; }` defines entries with parameters, some with
+//! defaults. `use "small" name="photos"` inserts them. A template may use templates that are defined before it is used.
 
 use crate::ranges;
 use crate::reader::Reader;
-use crate::source_map::{Loader, MOST_ALL, beside, shift};
+use crate::source_map::{Loader, MAX_TOTAL_BYTES, resolve_path, shift};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Files within files, and templates within templates: deeper is a mistake.
-const DEPTH: usize = 16;
-/// Entries after all is resolved: templates that use each other grow fast.
-const MOST_ENTRIES: usize = 1_000_000;
+/// The maximum depth of includes and of uses of templates. Deeper nesting is taken for an error.
+const MAX_DEPTH: usize = 16;
+/// The maximum number of entries after resolution. Templates that use other templates multiply entries.
+const MAX_ENTRIES: usize = 1_000_000;
 
-/// Parameters: what each is, and where that stands.
-type Values = BTreeMap<String, (KdlValue, usize)>;
+/// The parameters of a use of a template by name: the value and its offset.
+type Parameters = BTreeMap<String, (KdlValue, usize)>;
 
 struct Template {
     node: KdlNode,
-    defaults: Values,
+    defaults: Parameters,
     used: bool,
 }
 
 struct Resolver<'a> {
     loader: &'a dyn Loader,
     reader: &'a mut Reader,
-    /// From the first file to the one being read.
+    /// The files from the first to the one being read, each included by the one before.
     chain: Vec<String>,
+    /// The files that have been read.
     seen: BTreeSet<String>,
+    /// The total length of the files read.
     bytes: usize,
     templates: BTreeMap<String, Template>,
-    out: Vec<KdlNode>,
+    /// The resolved entries.
+    entries: Vec<KdlNode>,
 }
 
-/// Reads a file and all that it brings in.
+/// Reads a file and those that it includes, and resolves templates.
 pub fn resolve(loader: &dyn Loader, name: &str, reader: &mut Reader) -> KdlDocument {
     let mut resolver = Resolver {
         loader,
@@ -46,7 +48,7 @@
         seen: BTreeSet::new(),
         bytes: 0,
         templates: BTreeMap::new(),
-        out: Vec::new(),
+        entries: Vec::new(),
     };
     resolver.file(name, None);
     for (name, t) in resolver.templates.iter().filter(|(_, t)| !t.used) {
@@ -58,28 +60,29 @@
         );
     }
     let mut document = KdlDocument::new();
-    *document.nodes_mut() = resolver.out;
+    *document.nodes_mut() = resolver.entries;
     document
 }
 
 impl Resolver<'_> {
-    fn file(&mut self, name: &str, from: Option<miette::SourceSpan>) {
-        let at = from.unwrap_or((0, 0).into());
+    /// Reads one file; `included_at` is the position of the include, `None` for the first file.
+    fn file(&mut self, name: &str, included_at: Option<miette::SourceSpan>) {
+        let at = included_at.unwrap_or((0, 0).into());
         let text = match self.loader.load(name) {
             Ok(text) => text,
-            Err(argument) => {
-                // The first file has no place to point to but its own beginning.
-                if from.is_none() {
+            Err(error) => {
+                // No entry includes the first file, so the problem is reported at the start of that file.
+                if included_at.is_none() {
                     self.reader.file(name, "");
                 }
                 return self
                     .reader
-                    .report("file", format!("{name}: {argument}"), at, None);
+                    .report("file", format!("{name}: {error}"), at, None);
             }
         };
         self.bytes += text.len();
-        if self.bytes > MOST_ALL {
-            let message = format!("with {name} there are more than {MOST_ALL} bytes");
+        if self.bytes > MAX_TOTAL_BYTES {
+            let message = format!("with {name}, the files have more than {MAX_TOTAL_BYTES} bytes");
             return self.reader.report("too-much", message, at, None);
         }
         self.seen.insert(name.into());
@@ -91,23 +94,24 @@
                 "template" => self.template(node),
                 "use" => {
                     for node in ranges::expand(node, self.reader) {
-                        self.put(&node, 0);
+                        self.expand_use(&node, 0);
                     }
                 }
-                _ => self.keep(node.clone()),
+                _ => self.add_entry(node.clone()),
             }
         }
         self.chain.pop();
     }
 
-    fn keep(&mut self, node: KdlNode) {
+    /// Expands the ranges of an entry and adds the result to the document.
+    fn add_entry(&mut self, node: KdlNode) {
         for node in ranges::expand(&node, self.reader) {
-            if self.out.len() == MOST_ENTRIES {
-                let message = format!("more than {MOST_ENTRIES} entries");
+            if self.entries.len() == MAX_ENTRIES {
+                let message = format!("more than {MAX_ENTRIES} entries");
                 self.reader.report("too-much", message, node.span(), None);
             }
-            if self.out.len() <= MOST_ENTRIES {
-                self.out.push(node);
+            if self.entries.len() <= MAX_ENTRIES {
+                self.entries.push(node);
             }
         }
     }
@@ -124,9 +128,9 @@
         }
         for argument in node.entries() {
             let text = self.reader.text_of(argument);
-            let Some(name) = beside(from, &text) else {
+            let Some(name) = resolve_path(from, &text) else {
                 let help = Some(
-                    "files are named from the one that includes them, below the first one's folder"
+                    "paths are relative to the including file and must stay below the folder of the first file"
                         .into(),
                 );
                 self.reader.report(
@@ -143,7 +147,7 @@
         }
     }
 
-    /// The files that an `include` stands for: one, or those that a pattern matches.
+    /// The files that a value of `include` names: one file, or those that a pattern matches.
     fn files_named(&mut self, name: String, text: &str, argument: &KdlEntry) -> Vec<String> {
         if !text.contains(['*', '?', '[']) {
             return vec![name];
@@ -151,7 +155,7 @@
         let message = match self.loader.matching(&name) {
             Ok(names) if names.is_empty() => format!("no file matches \"{text}\""),
             Ok(mut names) => {
-                // A pattern that matches its own file does not mean it.
+                // A pattern may match the including file itself, which is not an include loop.
                 names.retain(|name| !self.chain.contains(name));
                 return names;
             }
@@ -163,12 +167,12 @@
 
     fn include_file(&mut self, name: String, argument: &KdlEntry) {
         if let Some(place) = self.chain.iter().position(|c| *c == name) {
-            let mut way = self.chain[place..].to_vec();
-            way.push(name);
-            let message = format!("files include each other in a loop: {}", way.join(" -> "));
+            let mut cycle = self.chain[place..].to_vec();
+            cycle.push(name);
+            let message = format!("files include each other in a loop: {}", cycle.join(" -> "));
             self.reader.report("loop", message, argument.span(), None);
-        } else if self.chain.len() >= DEPTH {
-            let message = format!("more than {DEPTH} files within each other");
+        } else if self.chain.len() >= MAX_DEPTH {
+            let message = format!("files include each other more than {MAX_DEPTH} deep");
             self.reader
                 .report("too-deep", message, argument.span(), None);
         } else if !self.seen.contains(&name) {
@@ -176,6 +180,7 @@
         }
     }
 
+    /// Records the definition of a template.
     fn template(&mut self, node: &KdlNode) {
         let name = self.reader.text(node, 0, "a name");
         let mut defaults = BTreeMap::new();
@@ -219,17 +224,17 @@
         );
     }
 
-    /// Puts a template's entries in place. Each use has a stretch of its own in the sources, so that a
-    /// message points into the template and says where it was used.
-    fn put(&mut self, at: &KdlNode, depth: usize) {
+    /// Adds a template's entries to the document. Each use gets its own segment of the sources, so that a message
+    /// can point into the template and name the use.
+    fn expand_use(&mut self, at: &KdlNode, depth: usize) {
         let name = self.reader.text(at, 0, "a template's name");
         let known: Vec<String> = self.templates.keys().cloned().collect();
         let Some(t) = self.templates.get_mut(&name) else {
             return self.reader.unknown(at.span(), "template", &name, &known);
         };
         t.used = true;
-        if depth >= DEPTH {
-            let message = format!("templates use each other more than {DEPTH} deep");
+        if depth >= MAX_DEPTH {
+            let message = format!("templates use each other more than {MAX_DEPTH} deep");
             return self.reader.report("too-deep", message, at.span(), None);
         }
         let mut values = t.defaults.clone();
@@ -242,16 +247,18 @@
                 );
             }
         }
-        let by = self.reader.again(node.span().offset(), at.span().offset());
+        let by = self
+            .reader
+            .add_template_use(node.span().offset(), at.span().offset());
         let mut needed = BTreeSet::new();
         for child in node.iter_children() {
             let mut child = child.clone();
             shift(&mut child, by);
-            self.fill(&mut child, &values, &mut needed);
+            self.substitute(&mut child, &values, &mut needed);
             match child.name().value() {
                 "use" => {
                     for child in ranges::expand(&child, self.reader) {
-                        self.put(&child, depth + 1);
+                        self.expand_use(&child, depth + 1);
                     }
                 }
                 "template" | "include" => {
@@ -259,7 +266,7 @@
                     self.reader
                         .report("unknown-node", message, child.name().span(), None);
                 }
-                _ => self.keep(child),
+                _ => self.add_entry(child),
             }
         }
         for argument in at.entries() {
@@ -275,8 +282,14 @@
         }
     }
 
-    /// A text that is `$name` becomes the value of that name; `$name` within a text, its text.
-    fn fill(&mut self, node: &mut KdlNode, values: &Values, needed: &mut BTreeSet<String>) {
+    /// Replaces parameters in an entry and its children. A text that is only `$name` becomes the parameter's value of
+    /// any kind; `$name` within a longer text is replaced by the value's text. `needed` collects the names.
+    fn substitute(
+        &mut self,
+        node: &mut KdlNode,
+        values: &Parameters,
+        needed: &mut BTreeSet<String>,
+    ) {
         for argument in node.entries_mut() {
             let KdlValue::String(text) = argument.value() else {
                 continue;
@@ -287,7 +300,7 @@
             }
             let mut filled = String::new();
             let mut rest = text.as_str();
-            let mut whole = None;
+            let mut only_value = None;
             while let Some((before, after)) = rest.split_once('$') {
                 filled += before;
                 let end = after
@@ -297,8 +310,8 @@
                 needed.insert(name.to_string());
                 match values.get(name) {
                     Some((v, from)) => {
-                        self.reader.comes_from(at.offset(), *from);
-                        whole = (before.is_empty() && tail.is_empty() && filled.is_empty())
+                        self.reader.add_parameter_value(at.offset(), *from);
+                        only_value = (before.is_empty() && tail.is_empty() && filled.is_empty())
                             .then(|| v.clone());
                         filled += &v.as_string().map_or_else(|| v.to_string(), str::to_string);
                     }
@@ -310,18 +323,18 @@
                 rest = tail;
             }
             filled += rest;
-            argument.set_value(whole.unwrap_or(KdlValue::String(filled)));
+            argument.set_value(only_value.unwrap_or(KdlValue::String(filled)));
             argument.clear_format();
         }
         if let Some(children) = node.children_mut() {
             for child in children.nodes_mut() {
-                self.fill(child, values, needed);
+                self.substitute(child, values, needed);
             }
         }
     }
 }
 
-/// The parameters that a template's entries name.
+/// Collects the names of the parameters in a template's entries.
 fn parameters(node: &KdlNode, names: &mut BTreeSet<String>) {
     for child in node.iter_children() {
         for text in child
@@ -341,13 +354,13 @@
 }
 
 impl Reader {
-    /// Reads a file and all that it brings in. What is wrong with it is noted.
+    /// Reads a file and those that it includes. Problems are kept in the reader.
     pub fn open(loader: &dyn Loader, name: &str) -> (KdlDocument, Reader) {
         let mut reader = Reader::new(name);
         let document = resolve(loader, name, &mut reader);
-        // Files that go together were changed together, and one half of that was read before.
+        // If a file changed after it was read, the files read later may not match it.
         for name in loader.changed() {
-            let at = reader.sources.of_file(&name);
+            let at = reader.sources.file_start(&name);
             let message =
                 format!("{name} changed while the configuration was read: check it again");
             reader.report("file", message, (at, 0).into(), None);
--- a/crates/configuration/src/revision_entry.rs
+++ b/crates/configuration/src/revision_entry.rs
@@ -5,10 +5,12 @@
 use gullsail_config_transition::Revision;
 use kdl::{KdlDocument, KdlNode};
 
+/// The document's `revision` entry, if it has one.
 pub(crate) fn entry(document: &KdlDocument) -> Option<&KdlNode> {
     entries(document, "revision").next()
 }
 
+/// Reads the `revision` entry. Without one, the revision is 0 and has no predecessor.
 pub(crate) fn read(document: &KdlDocument, reader: &mut Reader) -> RevisionPlace {
     let Some(entry) = entry(document) else {
         return RevisionPlace::default();
--- a/crates/configuration/src/revisions.rs
+++ b/crates/configuration/src/revisions.rs
@@ -1,6 +1,6 @@
-//! Documents that come after each other: `revision 7 after="fleet-6.kdl"` names the one before, so that a
-//! host which starts with a document knows what others may still hold to. What the documents of such a line
-//! promise of limits comes with the last of them.
+//! Sequences of revisions: `revision 7 after="fleet-6.kdl"` names the document before. Hosts move to a new revision at
+//! different times, so a host that starts must also respect the limits of earlier revisions. Loading a document
+//! therefore loads the documents before it and collects the limits of all of them.
 
 use crate::builder;
 use crate::deployment::Deployment;
@@ -8,12 +8,14 @@
 use crate::problem::{Problem, Problems};
 use crate::reader::Reader;
 use crate::revision_entry::entry;
-use crate::source_map::{Loader, beside};
+use crate::source_map::{Loader, resolve_path};
 use gullsail_config_transition::{MOST_HOSTS, RevisionLimits, SharedLimit};
 
-/// Documents before documents: the line is as long as hosts are behind.
-const MOST: usize = 16;
+/// The maximum number of revisions in a sequence. It only has to reach back to the oldest revision that a host may
+/// still use.
+const MAX_REVISIONS: usize = 16;
 
+/// The limits that hosts share in this revision, of volumes and of cross-zone budgets.
 pub(crate) fn revision_limits(deployment: &Deployment) -> RevisionLimits {
     let shared = |v: &NamedVolume| SharedLimit {
         plan: v.plan,
@@ -24,7 +26,7 @@
         hosts: v.hosts.clone(),
     };
     let volumes = deployment.volumes.iter().map(|v| (v.id, shared(v)));
-    // Budgets between zones are limits like others.
+    // A host shares a cross-zone budget with others in the same way as the limit of a volume.
     let budget = |c: &NamedCrossZoneBudget| {
         (
             c.id,
@@ -42,6 +44,7 @@
     }
 }
 
+/// Loads a document and those before it. `chain` names the later documents through which this one was reached.
 pub(crate) fn load(
     loader: &dyn Loader,
     name: &str,
@@ -49,40 +52,46 @@
 ) -> Result<(Deployment, Vec<Problem>), Problems> {
     let (document, mut reader) = Reader::open(loader, name);
     let mut built = builder::build(&document, &mut reader);
-    let mut line = Vec::new();
+    let mut limit_history = Vec::new();
     if let (Some(n), Some(after), true) = (
         entry(&document),
         &built.place.after,
-        reader.noted_errors() == 0,
+        reader.error_count() == 0,
     ) {
         let at = n.entry("after").map_or(n.span(), |e| e.span());
-        match before(loader, name, after, chain, &built) {
-            Ok(earlier) => line = earlier,
+        match earlier_limits(loader, name, after, chain, &built) {
+            Ok(earlier) => limit_history = earlier,
             Err((message, help)) => reader.report("after", message, at, help),
         }
     }
     if let Some(n) = entry(&document).filter(|_| built.hosts.len() > MOST_HOSTS as usize) {
-        let message = format!("documents of more than {MOST_HOSTS} hosts can't be numbered yet");
+        let message =
+            format!("documents with more than {MOST_HOSTS} hosts can't have a revision yet");
         reader.report("too-much", message, n.span(), None);
     }
-    line.push(revision_limits(&built));
-    built.limit_history = line;
+    limit_history.push(revision_limits(&built));
+    built.limit_history = limit_history;
     reader.close(built)
 }
 
-type Wrong = (String, Option<String>);
+/// A message and a help text.
+type PredecessorProblem = (String, Option<String>);
 
-fn before(
+/// Loads the document before this one, checks that it can precede this one, and returns its limit history.
+fn earlier_limits(
     loader: &dyn Loader,
     name: &str,
     after: &str,
     chain: &[String],
     deployment: &Deployment,
-) -> Result<Vec<RevisionLimits>, Wrong> {
-    if chain.len() + 1 >= MOST {
-        return Err((format!("more than {MOST} documents after each other"), None));
+) -> Result<Vec<RevisionLimits>, PredecessorProblem> {
+    if chain.len() + 1 >= MAX_REVISIONS {
+        return Err((
+            format!("more than {MAX_REVISIONS} documents in a sequence of revisions"),
+            None,
+        ));
     }
-    let Some(file) = beside(name, after) else {
+    let Some(file) = resolve_path(name, after) else {
         return Err((format!("\"{after}\" leads out of the configuration"), None));
     };
     let chain = [chain, &[name.to_string()]].concat();
@@ -116,11 +125,12 @@
             .map(|h| h.name.clone())
             .collect::<Vec<_>>()
     };
-    // Where hosts settle among themselves who belongs, others may come at the end.
-    let joins = deployment.fleet.is_some() && names(deployment).starts_with(&names(&earlier));
-    if names(&earlier) != names(deployment) && !joins {
-        let help = "hosts are known to each other by their places: change them with all of them stopped; \
-                    with a `fleet` new ones can stand at the end";
+    // A fleet agrees on its members while it runs, so new hosts may be added at the end.
+    let only_adds_hosts =
+        deployment.fleet.is_some() && names(deployment).starts_with(&names(&earlier));
+    if names(&earlier) != names(deployment) && !only_adds_hosts {
+        let help = "hosts identify each other by their position in the document: change it only while all hosts are stopped; \
+                    with a `fleet`, new hosts can be added at the end";
         return Err((
             format!("{file} has other hosts, or in another order"),
             Some(help.into()),
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -74,7 +74,7 @@
             .unwrap_or(PoolId::ALL)
     }
 
-    /// The pools that a node of that zone and kind is in, beside that of all.
+    /// The pools that a node of that zone and kind is in, resolve_path that of all.
     pub fn pools_of(&self, zone: ZoneId, kind: &str) -> Vec<PoolId> {
         let holds = self
             .pools
--- a/crates/configuration/src/source_map.rs
+++ b/crates/configuration/src/source_map.rs
@@ -1,6 +1,6 @@
-//! The files of a configuration as one run of text: each file, and each use of a template, has a stretch of
-//! its own, so that one number names a place in any of them (as compilers keep their source maps). What is
-//! read from a file is moved there once; whoever checks it later need not know of files.
+//! Loads the files of a configuration and combines them into one text, like the source map of a compiler. Each file and
+//! each use of a template has a segment of that text, so that one offset identifies a position in any of them. Spans of
+//! parsed entries are shifted to the segment once, and later stages need not know about files.
 
 use kdl::KdlNode;
 use miette::SourceSpan;
@@ -10,75 +10,81 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-/// The most that one file, and all of a configuration, may hold.
-pub const MOST_FILE: usize = 8 << 20;
-/// The most bytes that all files of a document have together.
-pub const MOST_ALL: usize = 64 << 20;
+/// The maximum number of bytes of one file.
+pub const MAX_FILE_BYTES: usize = 8 << 20;
+/// The maximum number of bytes of all files of a document together.
+pub const MAX_TOTAL_BYTES: usize = 64 << 20;
 
-/// Why a file can't be had.
+/// Why a file can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadError {
-    /// It does not exist.
+    /// The file does not exist.
     #[error("no such file")]
     Missing,
-    /// It lies outside the root.
+    /// The file lies outside the root folder, which is named here.
     #[error("the file lies outside {0}")]
     Outside(String),
-    /// It has too many bytes.
-    #[error("the file holds {0} bytes, at most {MOST_FILE} are accepted")]
+    /// The file has this many bytes, more than [`MAX_FILE_BYTES`].
+    #[error("the file holds {0} bytes, at most {MAX_FILE_BYTES} are accepted")]
     TooLarge(u64),
-    /// It is not UTF-8.
+    /// The file is not UTF-8 at this byte.
     #[error("the file is not UTF-8 at byte {0}")]
     NotText(usize),
-    /// It is a folder or a device.
+    /// The path leads to a folder or a device.
     #[error("not a regular file")]
     NoFile,
-    /// It changed between two reads.
+    /// The file changed while it was read.
     #[error("the file changed while it was read")]
     Changed,
-    /// Any other error of the system.
+    /// Any other error of the operating system.
     #[error("{0}")]
     Other(String),
 }
 
-/// Where files come from. Names are paths from the root, with `/`.
+/// Access to the files of a configuration. Names are paths relative to the root folder, with `/`.
 pub trait Loader {
+    /// Reads a file.
+    ///
     /// # Errors
-    /// Why it can't be had.
+    /// The reason why the file can't be read.
     fn load(&self, name: &str) -> Result<String, LoadError>;
-    /// The files that a pattern with `*`, `?` or `[...]` stands for, in order of their names.
+    /// The files that match a pattern with `*`, `?` or `[...]`, in order of their names.
     ///
     /// # Errors
-    /// The pattern is none, or can't be followed.
+    /// The pattern is invalid.
     fn matching(&self, pattern: &str) -> Result<Vec<String>, LoadError>;
-    /// Of the files that were had so far, those that are no longer as they were then.
+    /// The files that have changed since they were read.
     fn changed(&self) -> Vec<String> {
         Vec::new()
     }
 }
 
-/// What tells a file's states apart: its length, and when it was last written.
+/// The length of a file and the time of its last change, to detect changes.
 type Stamp = (u64, Option<SystemTime>);
 
-/// Files below a root; nothing else can be reached, through links either.
+/// Files on disk below a root folder. Symbolic links that lead out of it are rejected.
 pub struct Files {
     root: PathBuf,
-    had: RefCell<BTreeMap<String, Stamp>>,
+    /// The state of each file when it was read.
+    stamps: RefCell<BTreeMap<String, Stamp>>,
 }
 
 impl Files {
+    /// Gives access to the files below `root`.
+    ///
     /// # Errors
-    /// The root can't be found.
+    /// The root folder can't be found.
     pub fn new(root: &Path) -> Result<Files, LoadError> {
         let root = root
             .canonicalize()
             .map_err(|e| LoadError::Other(e.to_string()))?;
         Ok(Files {
             root,
-            had: RefCell::default(),
+            stamps: RefCell::default(),
         })
     }
 
+    /// The path of a file on disk, with links resolved. It is an error if the path leads out of the root.
     fn inside(&self, name: &str) -> Result<PathBuf, LoadError> {
         let path = self
             .root
@@ -105,26 +111,26 @@
                 .map(|m| (m.len(), m.modified().ok()))
                 .map_err(other)
         };
-        // A pipe or a device may never end, or never begin.
+        // Reading a pipe or a device may never end.
         if !path.metadata().map_err(other)?.is_file() {
             return Err(LoadError::NoFile);
         }
         let before = stamp()?;
-        if before.0 > MOST_FILE as u64 {
+        if before.0 > MAX_FILE_BYTES as u64 {
             return Err(LoadError::TooLarge(before.0));
         }
         let bytes = std::fs::read(&path).map_err(other)?;
         if stamp()? != before || bytes.len() as u64 != before.0 {
             return Err(LoadError::Changed);
         }
-        self.had.borrow_mut().insert(name.into(), before);
+        self.stamps.borrow_mut().insert(name.into(), before);
         String::from_utf8(bytes).map_err(|e| LoadError::NotText(e.utf8_error().valid_up_to()))
     }
 
     fn matching(&self, pattern: &str) -> Result<Vec<String>, LoadError> {
-        let whole = self.root.join(pattern);
+        let pattern = self.root.join(pattern);
         let found =
-            glob::glob(&whole.to_string_lossy()).map_err(|e| LoadError::Other(e.to_string()))?;
+            glob::glob(&pattern.to_string_lossy()).map_err(|e| LoadError::Other(e.to_string()))?;
         let names = found.flatten().filter(|p| p.is_file()).filter_map(|p| {
             let name = p.strip_prefix(&self.root).ok()?;
             Some(name.to_string_lossy().into_owned())
@@ -133,19 +139,20 @@
     }
 
     fn changed(&self) -> Vec<String> {
-        let is = |name: &str| -> Option<Stamp> {
+        let current = |name: &str| -> Option<Stamp> {
             let m = self.inside(name).ok()?.metadata().ok()?;
             Some((m.len(), m.modified().ok()))
         };
-        let had = self.had.borrow();
-        had.iter()
-            .filter(|(name, stamp)| is(name).as_ref() != Some(*stamp))
+        let stamps = self.stamps.borrow();
+        stamps
+            .iter()
+            .filter(|(name, stamp)| current(name).as_ref() != Some(*stamp))
             .map(|h| h.0.clone())
             .collect()
     }
 }
 
-/// Files in memory.
+/// Files in memory: the text of each file by its name.
 #[derive(Default)]
 pub struct Memory(pub BTreeMap<String, String>);
 
@@ -169,47 +176,48 @@
     }
 }
 
-/// What `name`, written in the file `from`, means from the root; `None`: a way out of it.
-pub fn beside(from: &str, name: &str) -> Option<String> {
-    let mut parts: Vec<String> = Vec::new();
+/// Resolves a path that stands in the file `from` to a path from the root; `None` if it leads out of the root.
+pub fn resolve_path(from: &str, name: &str) -> Option<String> {
+    let mut components: Vec<String> = Vec::new();
     let folder = Path::new(from).parent().unwrap_or(Path::new(""));
     for c in folder.join(name).components() {
         match c {
-            Component::Normal(part) => parts.push(part.to_string_lossy().into_owned()),
+            Component::Normal(name) => components.push(name.to_string_lossy().into_owned()),
             Component::CurDir => {}
-            Component::ParentDir => _ = parts.pop()?,
+            Component::ParentDir => _ = components.pop()?,
             Component::RootDir | Component::Prefix(_) => return None,
         }
     }
-    Some(parts.join("/"))
+    Some(components.join("/"))
 }
 
-/// One file, or one use of a template of it.
+/// The segment of one file, or of one use of a template in it, in the combined text.
 #[derive(Clone, Debug)]
 pub struct Segment {
-    /// The file.
+    /// The name of the file.
     pub name: Arc<str>,
-    /// Its text.
+    /// The text of the whole file.
     pub text: Arc<str>,
+    /// The offset of the segment in the combined text.
     start: usize,
-    /// Of a use of a template: the place where it is used.
+    /// The offset of the use of the template; `None` if the segment is a file.
     pub via: Option<usize>,
 }
 
-/// The texts that a document was read from, end to end, so that one number names a place in any of them.
+/// The segments of a document. An offset is a byte position in their combined text.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
-    stretches: Vec<Segment>,
+    segments: Vec<Segment>,
 }
 
 impl Sources {
-    /// Gives a text its stretch; all places in it are past the number that comes back.
+    /// Adds a segment and returns its start, to which offsets within the text are added.
     pub fn add(&mut self, name: Arc<str>, text: Arc<str>, via: Option<usize>) -> usize {
         let start = self
-            .stretches
+            .segments
             .last()
             .map_or(0, |s| s.start + s.text.len() + 1);
-        self.stretches.push(Segment {
+        self.segments.push(Segment {
             name,
             text,
             start,
@@ -218,16 +226,16 @@
         start
     }
 
-    /// The stretch that holds a place, and the place in its text.
-    pub fn find(&self, place: usize) -> Option<(&Segment, usize)> {
-        let after = self.stretches.partition_point(|s| s.start <= place);
-        let segment = self.stretches.get(after.checked_sub(1)?)?;
-        Some((segment, (place - segment.start).min(segment.text.len())))
+    /// The segment that holds an offset, and the offset within its text.
+    pub fn find(&self, offset: usize) -> Option<(&Segment, usize)> {
+        let after = self.segments.partition_point(|s| s.start <= offset);
+        let segment = self.segments.get(after.checked_sub(1)?)?;
+        Some((segment, (offset - segment.start).min(segment.text.len())))
     }
 
-    /// File, line and column, from 1.
-    pub fn line(&self, place: usize) -> Option<(&str, usize, usize)> {
-        let (segment, at) = self.find(place)?;
+    /// The file, line and column of an offset. Lines and columns count from 1.
+    pub fn position(&self, offset: usize) -> Option<(&str, usize, usize)> {
+        let (segment, at) = self.find(offset)?;
         let before = segment.text.get(..at)?;
         let line = before.rsplit('\n').next().unwrap_or_default();
         Some((
@@ -237,34 +245,34 @@
         ))
     }
 
-    /// `file:line:column`.
-    pub fn say(&self, place: usize) -> String {
-        self.line(place)
+    /// Describes an offset as `file:line:column`.
+    pub fn describe(&self, offset: usize) -> String {
+        self.position(offset)
             .map_or_else(String::new, |(file, line, column)| {
                 format!("{file}:{line}:{column}")
             })
     }
 
-    /// Where a file begins.
-    pub fn of_file(&self, name: &str) -> usize {
-        self.stretches
+    /// The start of the first segment of a file; 0 if there is none.
+    pub fn file_start(&self, name: &str) -> usize {
+        self.segments
             .iter()
             .find(|s| &*s.name == name)
             .map_or(0, |s| s.start)
     }
 
-    /// The start of the stretch that holds a place.
-    pub fn start(&self, place: usize) -> usize {
-        self.find(place).map_or(0, |(s, _)| s.start)
+    /// The start of the segment that holds an offset.
+    pub fn segment_start(&self, offset: usize) -> usize {
+        self.find(offset).map_or(0, |(s, _)| s.start)
     }
 }
 
-/// Entries within entries, or comments within comments: a parser that follows each by a call of its own would
-/// run out of stack on a file of nothing but braces.
-pub const NESTED: usize = 64;
+/// The maximum depth of nested entries and of nested comments. The parser is recursive, and deeper nesting could
+/// overflow the stack.
+pub const MAX_NESTING: usize = 64;
 
-/// Where a text nests deeper than that, if it does. Braces in quotes and after `//` count for nothing.
-pub fn too_nested(text: &str) -> Option<usize> {
+/// The byte at which a text exceeds [`MAX_NESTING`]; `None` if it does not. Braces in quotes and after `//` are ignored.
+pub fn nesting_exceeded_at(text: &str) -> Option<usize> {
     let (mut depth, mut comments, mut quoted) = (0usize, 0usize, false);
     let bytes = text.as_bytes();
     let mut at = 0;
@@ -284,7 +292,7 @@
             (b'}' | b')', _) => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > NESTED || comments > NESTED {
+        if depth > MAX_NESTING || comments > MAX_NESTING {
             return Some(at);
         }
         at += 1;
@@ -292,16 +300,16 @@
     None
 }
 
-/// Moves all places in a node.
+/// Shifts all spans in a node and its children.
 pub fn shift(node: &mut KdlNode, by: isize) {
-    let moved =
+    let shifted =
         |s: SourceSpan| -> SourceSpan { (s.offset().saturating_add_signed(by), s.len()).into() };
-    let span = moved(node.span());
+    let span = shifted(node.span());
     node.set_span(span);
-    let span = moved(node.name().span());
+    let span = shifted(node.name().span());
     node.name_mut().set_span(span);
     for e in node.entries_mut() {
-        let span = moved(e.span());
+        let span = shifted(e.span());
         e.set_span(span);
     }
     if let Some(children) = node.children_mut() {
--- a/crates/placement/src/documents.rs
+++ b/crates/placement/src/documents.rs
@@ -6,7 +6,7 @@
 //! its server's.
 
 use crate::{Budget, Demand, Plan, Question};
-use gullsail_configuration::{Deployment, PROMISABLE};
+use gullsail_configuration::{Deployment, RESERVABLE_FRACTION};
 use gullsail_scheduler_api::{BudgetScope, PoolId, RequestClassId};
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
     for node in deployment.nodes.iter().filter(|node| !node.spare) {
         let server = deployment.servers.get(node.server);
         let server = server.ok_or_else(|| MissingInput::Server(node.place.name.clone()))?;
-        units[node.place.zone.0] += server.capacity() * PROMISABLE;
+        units[node.place.zone.0] += server.capacity() * RESERVABLE_FRACTION;
         nodes[node.place.zone.0] += 1.0;
     }
     Ok(Capacity { units, nodes })
