--- a/crates/configuration/src/builder.rs
+++ b/crates/configuration/src/builder.rs
@@ -1,5 +1,5 @@
-//! Builds a [`Deployment`] from a document, from top to bottom, and then looks at what must fit together.
-//! What is wrong goes to the reader. Called for each document and for those before it ([`crate::revisions`]).
+//! Builds a [`Deployment`] from a document, and then checks the entries against each other. Problems go to the reader.
+//! [`crate::revisions`] calls it for a document and for the revisions before it.
 
 use crate::deployment::Deployment;
 use crate::entities::{
@@ -16,7 +16,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const TOP: [&str; 18] = [
+/// The kinds of entries that describe a deployment.
+const DEPLOYMENT_ENTRIES: [&str; 18] = [
     "fleet",
     "works",
     "crossing",
@@ -37,11 +38,11 @@
     "bounds",
 ];
 
-/// Top entries that are not about the deployment itself: the script of a day.
-pub const KEPT: [&str; 1] = ["day"];
+/// The kinds of entries that [`build`] ignores: `day` holds the script of a scenario.
+pub const IGNORED_ENTRIES: [&str; 1] = ["day"];
 
-/// Builds a deployment from a document; what is wrong is noted with the reader. Entries of the names in
-/// [`KEPT`] belong to others.
+/// Builds a deployment from a document and reports problems to the reader. Ignores the kinds of entries in
+/// [`IGNORED_ENTRIES`].
 pub fn build(document: &KdlDocument, reader: &mut Reader) -> Deployment {
     check_kinds(document, reader);
     let names = read_names(document, reader);
@@ -53,7 +54,7 @@
     } = read_processes(document, reader, &names);
     let (list, list_late) = endpoint_list(document, reader);
     let mut config = default_config(&hosts, &request_classes);
-    let (rules, bounds) = read_figures(document, reader, &mut config);
+    let (rules, bounds) = read_settings(document, reader, &mut config);
     let Traffic {
         plans,
         volumes,
@@ -69,7 +70,7 @@
         &bounds,
         &mut config,
     );
-    let known = routes::Known {
+    let context = routes::RouteContext {
         zones: &names.zones,
         request_classes: &request_classes,
         plans: &plans,
@@ -78,7 +79,7 @@
     };
     let built = Deployment {
         unit: rules.unit,
-        routes: routes::read(document, reader, &known),
+        routes: routes::read(document, reader, &context),
         cross_zone_budgets,
         fleet,
         maintenance,
@@ -94,7 +95,7 @@
         list_late,
         drain_grace: rules.drain_grace,
         bounds,
-        volumes_by_name: places_by_name(&volumes),
+        volumes_by_name: indices_by_name(&volumes),
         volumes,
         config,
     };
@@ -137,7 +138,7 @@
         );
         budgets.extend(budget);
     }
-    cross_zone_budgets::together(reader, document, &budgets);
+    cross_zone_budgets::check_together(reader, document, &budgets);
     budgets
 }
 
@@ -146,18 +147,21 @@
     revision_entry::read(document, reader)
 }
 
-fn places_by_name(volumes: &[NamedVolume]) -> BTreeMap<String, usize> {
-    let places = volumes.iter().enumerate();
-    places
-        .map(|(place, volume)| (volume.name.clone(), place))
+fn indices_by_name(volumes: &[NamedVolume]) -> BTreeMap<String, usize> {
+    let indexed = volumes.iter().enumerate();
+    indexed
+        .map(|(index, volume)| (volume.name.clone(), index))
         .collect()
 }
 
 fn check_kinds(document: &KdlDocument, reader: &mut Reader) {
     for entry in document.nodes() {
         let name = entry.name().value();
-        if !TOP.contains(&name) && !KEPT.contains(&name) {
-            let known: Vec<_> = TOP.iter().map(|k| format!("`{k}`")).collect();
+        if !DEPLOYMENT_ENTRIES.contains(&name) && !IGNORED_ENTRIES.contains(&name) {
+            let known: Vec<_> = DEPLOYMENT_ENTRIES
+                .iter()
+                .map(|k| format!("`{k}`"))
+                .collect();
             let help = Some(format!("known are {}", known.join(", ")));
             reader.report(
                 "unknown-node",
@@ -175,7 +179,7 @@
         .collect()
 }
 
-/// What is promised to volumes and between zones, and how hosts coordinate.
+/// The plans and volumes, the budgets between zones, and how hosts coordinate.
 struct Traffic {
     plans: Vec<NamedPlan>,
     volumes: Vec<NamedVolume>,
@@ -211,7 +215,7 @@
     let volumes: Vec<_> = all("volume")
         .map(|entry| volume(reader, entry, &context))
         .collect();
-    check_needed(reader, document, hosts, &volumes);
+    check_required(reader, document, hosts, &volumes);
     config.max_bytes = bounds.frame.body as f64;
     let cross_zone_budgets =
         read_budgets(document, reader, names, hosts, &everyone, config.max_bytes);
@@ -224,7 +228,7 @@
     }
 }
 
-/// Where processes run.
+/// The hosts, the nodes and the servers of simulated nodes.
 struct Processes {
     servers: Vec<Server>,
     hosts: Vec<Place>,
@@ -244,7 +248,7 @@
     }
 }
 
-/// The names that entries refer to each other by.
+/// The names of the entries that other entries refer to.
 struct EntryNames {
     zones: Names,
     plans: Names,
@@ -277,9 +281,9 @@
     place(reader, entry, zones)
 }
 
-/// The list service, and how late it tells what it knows.
+/// Reads the `list` entry: the addresses of the list service, and the delay with which it publishes changes.
 fn endpoint_list(document: &KdlDocument, reader: &mut Reader) -> (Place, Span) {
-    let mut late = Span::ZERO;
+    let mut delay = Span::ZERO;
     let mut list = Place {
         name: "list".into(),
         zone: ZoneId(0),
@@ -288,16 +292,16 @@
     };
     if let Some(entry) = single(reader, document, "list") {
         reader.only(entry, 0, &["address", "listen", "late"], &[]);
-        late = reader.span_at(entry, "late").unwrap_or_default();
+        delay = reader.span_at(entry, "late").unwrap_or_default();
         list.address = reader.text_at(entry, "address").unwrap_or_default();
         list.listen = reader
             .text_at(entry, "listen")
             .unwrap_or_else(|| list.address.clone());
     }
-    (list, late)
+    (list, delay)
 }
 
-/// What holds where a document does not say otherwise.
+/// The scheduler's configuration with the defaults for what a document does not state.
 fn default_config(hosts: &[Place], request_classes: &[NamedRequestClass]) -> SchedulerConfig {
     let decisions = request_classes.iter().map(|class| class.decisions.clone());
     SchedulerConfig {
@@ -314,8 +318,8 @@
     }
 }
 
-/// All entries of figures; those of the decisions go into their configuration.
-fn read_figures(
+/// Reads the entries `rules`, `cold`, `legs` and `bounds`. Settings of the scheduler go into `config`.
+fn read_settings(
     document: &KdlDocument,
     reader: &mut Reader,
     config: &mut SchedulerConfig,
@@ -325,13 +329,14 @@
     retry_budget(document, reader, config);
     let bounds_node = single(reader, document, "bounds");
     let bounds = bounds(reader, bounds_node);
-    // And the host's timers come up to a millisecond late.
+    // The host's timers fire up to a millisecond late.
     config.max_connect_wait = bounds.connect + Span::from_micros(2000);
     (rules, bounds)
 }
 
-/// Of the `rules` entry, what is not the decisions'.
+/// The settings of the `rules` entry that are not part of the scheduler's configuration.
 struct Rules {
+    /// The number of bytes of a unit of work; `None`: not stated.
     unit: Option<f64>,
     drain_grace: Span,
 }
@@ -398,6 +403,7 @@
     });
 }
 
+/// The entry of a kind that may occur once; further ones are reported.
 fn single<'a>(
     reader: &mut Reader,
     document: &'a KdlDocument,
@@ -416,19 +422,20 @@
     first
 }
 
-fn check_needed(
+/// Reports a document without hosts or volumes.
+fn check_required(
     reader: &mut Reader,
     document: &KdlDocument,
     hosts: &[Place],
     volumes: &[NamedVolume],
 ) {
     let top = document.span();
-    for (missing, what) in [(hosts.is_empty(), "host"), (volumes.is_empty(), "volume")] {
-        // Where a file could not be read, it is that.
+    for (missing, kind) in [(hosts.is_empty(), "host"), (volumes.is_empty(), "volume")] {
+        // If some text could not be read, the entry may stand there.
         if missing && !reader.has_unread_text() {
             reader.report(
                 "missing",
-                format!("a deployment needs a `{what}`"),
+                format!("a deployment needs a `{kind}`"),
                 (top.offset(), 0).into(),
                 None,
             );
@@ -436,7 +443,7 @@
     }
 }
 
-/// Ids are hashes of names: two that fall together would be one to the decisions.
+/// Reports names with the same id. Ids are hashes of names, and the scheduler could not tell such entries apart.
 fn check_ids(reader: &mut Reader, deployment: &Deployment, document: &KdlDocument) {
     let volumes = deployment
         .volumes
@@ -461,16 +468,17 @@
     }
 }
 
+/// The names of entries of one kind; duplicates are reported.
 fn names<'a>(reader: &mut Reader, nodes: impl Iterator<Item = &'a KdlNode>) -> Names {
     let mut names: Vec<String> = Vec::new();
     let mut first: BTreeMap<String, usize> = BTreeMap::new();
     for entry in nodes {
         let name = reader.text(entry, 0, "a name");
-        if let Some(place) = first.get(&name).filter(|_| !name.is_empty()) {
+        if let Some(offset) = first.get(&name).filter(|_| !name.is_empty()) {
             reader.twice(
                 format!("a second `{}` \"{name}\"", entry.name().value()),
                 entry.span(),
-                *place,
+                *offset,
             );
         } else {
             first.insert(name.clone(), entry.span().offset());
--- a/crates/configuration/src/cross_zone_budgets.rs
+++ b/crates/configuration/src/cross_zone_budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets of bytes between zones: `crossing from="east" to="west" limit="20MiB/s" burst="256MiB"` for an
-//! ordered pair, `crossing plan="base" ...` for all that crosses for the volumes of a plan.
+//! Budgets for traffic between zones: `crossing from="east" to="west" limit="20MiB/s" burst="256MiB"` limits the traffic
+//! from one zone to another, `crossing plan="base" ...` all traffic between zones for the volumes of a plan.
 
 use crate::entities::{NamedCrossZoneBudget, Place, number};
 use crate::reader::{Names, Reader, entries};
@@ -8,12 +8,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// Reads a `crossing` entry. `None`: what it applies to could not be read.
 pub(crate) fn read(
     reader: &mut Reader,
     entry: &KdlNode,
     zones: &Names,
     plans: &Names,
-    places: &[Place],
+    host_places: &[Place],
     everyone: &Arc<[HostId]>,
     max_bytes: f64,
 ) -> Option<NamedCrossZoneBudget> {
@@ -24,7 +25,7 @@
         &[],
     );
     let before = reader.reported();
-    let of = scope(reader, entry, zones, plans)?;
+    let budget_scope = scope(reader, entry, zones, plans)?;
     let rate = reader.bytes_per_second(entry, "limit");
     let burst = reader.bytes(entry, "burst", 0) as f64;
     if entry.entry("burst").is_none() {
@@ -36,16 +37,16 @@
         );
     }
     let hard = reader.flag(entry, "hard");
-    let name = name(of, zones, plans);
-    let hosts = hosts(of, places, everyone);
-    let least = 2.0 * max_bytes * hosts.len() as f64;
-    if reader.reported() == before && burst < least {
+    let name = name(budget_scope, zones, plans);
+    let hosts = hosts(budget_scope, host_places, everyone);
+    let min_burst = 2.0 * max_bytes * hosts.len() as f64;
+    if reader.reported() == before && burst < min_burst {
         let message = format!(
             "a burst of {burst} bytes is too small for the {} hosts that share it",
             hosts.len()
         );
         let help = format!(
-            "each part must hold two of the largest bodies ({max_bytes} bytes): {least} or more"
+            "each part must hold two of the largest bodies ({max_bytes} bytes): {min_burst} or more"
         );
         reader.report("burst-too-small", message, entry.span(), Some(help));
     }
@@ -53,14 +54,19 @@
     Some(NamedCrossZoneBudget {
         name,
         id,
-        scope: of,
+        scope: budget_scope,
         limit: Limit { rate, burst },
         hard,
         hosts,
     })
 }
 
-pub(crate) fn together(reader: &mut Reader, document: &KdlDocument, all: &[NamedCrossZoneBudget]) {
+/// Reports two budgets for the same scope, and budgets of plans that can never be reached.
+pub(crate) fn check_together(
+    reader: &mut Reader,
+    document: &KdlDocument,
+    all: &[NamedCrossZoneBudget],
+) {
     let nodes: Vec<_> = entries(document, "crossing").collect();
     if nodes.len() != all.len() {
         return;
@@ -75,7 +81,7 @@
             );
         }
     }
-    // A plan's budget that all pairs together could not fill says nothing.
+    // A plan's budget has no effect if it exceeds the budgets of all pairs of zones together.
     let pairs = all
         .iter()
         .filter(|c| matches!(c.scope, BudgetScope::ZonePair(..)));
@@ -102,7 +108,7 @@
     let scope = if entry.entry("plan").is_some() {
         for key in ["from", "to"] {
             if let Some(e) = entry.entry(key) {
-                let help = Some("a budget is for a pair of zones, or for a plan in all".into());
+                let help = Some("a budget applies either to a pair of zones or to a plan".into());
                 reader.report(
                     "contradiction",
                     format!("`{key}` does not go with `plan`"),
@@ -131,8 +137,8 @@
     Some(scope)
 }
 
-fn name(of: BudgetScope, zones: &Names, plans: &Names) -> String {
-    match of {
+fn name(scope: BudgetScope, zones: &Names, plans: &Names) -> String {
+    match scope {
         BudgetScope::Plan(plan) => format!("plan {}", plans.list()[plan.0]),
         BudgetScope::ZonePair(from, to) => {
             format!("{} to {}", zones.list()[from.0], zones.list()[to.0])
@@ -140,13 +146,13 @@
     }
 }
 
-/// The hosts that share it: those in either zone, or all.
-fn hosts(of: BudgetScope, places: &[Place], everyone: &Arc<[HostId]>) -> Arc<[HostId]> {
-    let BudgetScope::ZonePair(from, to) = of else {
+/// The hosts that share a budget: those in either zone of a pair, or all hosts for the budget of a plan.
+fn hosts(scope: BudgetScope, host_places: &[Place], everyone: &Arc<[HostId]>) -> Arc<[HostId]> {
+    let BudgetScope::ZonePair(from, to) = scope else {
         return everyone.clone();
     };
     let is_near = |place: &Place| place.zone == from || place.zone == to;
-    let near = places
+    let near = host_places
         .iter()
         .enumerate()
         .filter(|(_, place)| is_near(place));
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -1,5 +1,6 @@
-//! What changed between two deployments, by meaning: order, comments, includes and templates count for
-//! nothing. Each change is classed by what it does to hosts that serve meanwhile.
+//! Compares two deployments by meaning: comments, includes and templates do not matter, and neither does the order of
+//! entries, except where positions are ids. Each change is classified by its effect on hosts that are running.
+//! Programs read the texts, so they must not change.
 
 mod volumes;
 
@@ -10,66 +11,68 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a change asks of whoever makes it, mildest first.
+/// What a change requires, mildest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Hosts may take it while they serve.
+    /// Hosts can apply the change while they serve.
     Safe,
-    /// The named hosts must start again.
+    /// The hosts concerned must be restarted.
     Restart,
-    /// It may break a promise while or after it is made.
+    /// While or after the change is applied, a guarantee may be broken.
     Dangerous,
 }
 
-/// One thing that changed.
+/// A single change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The entry, such as `plan "base"`.
     pub of: String,
-    /// What changed in it, such as `limit`.
+    /// The part of the entry that changed, such as `limit`.
     pub what: String,
     /// The old value.
     pub from: String,
     /// The new value.
     pub to: String,
-    /// What the change needs.
+    /// What the change requires.
     pub class: Class,
-    /// Hosts can make it without a restart; a dangerous one if their operator insists.
+    /// Whether hosts can apply the change without a restart. They apply a dangerous one only if an operator insists.
     pub while_serving: bool,
-    /// Why it is in that class.
+    /// The reason for the class.
     pub why: String,
-    /// Whose hosts it concerns; empty: all.
+    /// The names of the hosts that the change concerns; empty: all hosts.
     pub hosts: Vec<String>,
 }
 
+/// Collects the changes between two deployments.
 struct Differ<'a> {
     old: &'a Deployment,
     new: &'a Deployment,
     changes: Vec<Change>,
 }
 
-/// All changes from one deployment to another.
+/// Returns all changes from one deployment to another.
 pub fn diff(old: &Deployment, new: &Deployment) -> Vec<Change> {
-    let mut deployment = Differ {
+    let mut differ = Differ {
         old,
         new,
         changes: Vec::new(),
     };
-    deployment.rules();
-    deployment.request_classes();
-    deployment.plans();
-    deployment.volumes();
-    deployment.hosts();
-    deployment.nodes();
-    deployment.pools();
-    deployment.cross_zone_budgets();
-    deployment.order();
-    deployment.rest();
-    deployment.changes
+    differ.rules();
+    differ.request_classes();
+    differ.plans();
+    differ.volumes();
+    differ.hosts();
+    differ.nodes();
+    differ.pools();
+    differ.cross_zone_budgets();
+    differ.order();
+    differ.other_entries();
+    differ.changes
 }
 
 impl Differ<'_> {
+    /// Records a change if the two values differ.
     fn change(&mut self, of: &str, what: &str, from: String, to: String, class: Class, why: &str) {
         if from != to {
             let (of, what, why) = (of.to_string(), what.to_string(), why.to_string());
@@ -87,14 +90,14 @@
         }
     }
 
-    /// What was noted since there were so many can be made while serving.
-    fn can_serve(&mut self, since: usize) {
+    /// Marks the dangerous changes from index `since` on as applicable while hosts serve.
+    fn allow_while_serving(&mut self, since: usize) {
         self.changes[since..]
             .iter_mut()
             .for_each(|c| c.while_serving |= c.class == Class::Dangerous);
     }
 
-    /// Ids are places: the order of these counts.
+    /// Compares the order of request classes, hosts and zones, whose ids are their positions.
     fn order(&mut self) {
         let names = |deployment: &Deployment| {
             let types: Vec<_> = deployment
@@ -122,15 +125,15 @@
                 };
                 let why = "a new one at the end takes no number from another";
                 self.change(what, "names", say(&old), say(&new), class, why);
-            } else if what == "hosts" && self.joins() && !new.starts_with(&old) {
+            } else if what == "hosts" && self.hosts_can_join() && !new.starts_with(&old) {
                 let why = "a new host has to stand at the end, or it takes the number of another";
                 self.change(what, "names", say(&old), say(&new), Class::Restart, why);
             }
         }
     }
 
-    /// Hosts can join while others serve: these settle among themselves who belongs.
-    fn joins(&self) -> bool {
+    /// Whether hosts can join while others serve. They can if the fleet, which agrees on its members, stays the same.
+    fn hosts_can_join(&self) -> bool {
         self.old.fleet.is_some() && self.old.fleet == self.new.fleet
     }
 
@@ -178,7 +181,8 @@
         }
     }
 
-    fn rest(&mut self) {
+    /// Compares the entries `bounds`, `fleet`, `works`, `list` and `machine`.
+    fn other_entries(&mut self) {
         let bounds = |deployment: &Deployment| say(&deployment.bounds);
         let (old, new) = (bounds(self.old), bounds(self.new));
         self.change(
@@ -228,7 +232,7 @@
         self.servers();
     }
 
-    /// What simulated nodes run on.
+    /// Compares the servers of simulated nodes.
     fn servers(&mut self) {
         let servers = |deployment: &Deployment| {
             say(&deployment
@@ -284,7 +288,7 @@
         self.pools_of_volumes(why);
     }
 
-    /// The pools of each volume's new objects, by request class.
+    /// Compares the pools for new objects of each volume, by request class.
     fn pools_of_volumes(&mut self, why: &str) {
         let pools = |deployment: &Deployment, name: &str| -> BTreeMap<String, String> {
             let Some(volume) = deployment.volume_at(name) else {
@@ -482,10 +486,10 @@
         };
         let before = self.changes.len();
         self.change(of, "limit", say(&x), say(&y), class, why);
-        self.can_serve(before);
+        self.allow_while_serving(before);
     }
 
-    /// Figures of a plan by which the scheduler only orders what waits.
+    /// Compares the values of a plan that only affect the order in which waiting requests are served.
     fn plan_figures(&mut self, of: &str, old: &NamedPlan, new: &NamedPlan) {
         let safe = "it orders what waits; no rule depends on it";
         self.change(
--- a/crates/configuration/src/diff/volumes.rs
+++ b/crates/configuration/src/diff/volumes.rs
@@ -1,4 +1,4 @@
-//! What changed of volumes, their hosts and nodes.
+//! Compares volumes, hosts and nodes.
 
 use super::{BTreeMap, BTreeSet, Class, Deployment, Differ, HostId, NamedVolume, say};
 
@@ -40,7 +40,7 @@
                         Class::Dangerous,
                         why,
                     );
-                    self.can_serve(before);
+                    self.allow_while_serving(before);
                     continue;
                 }
                 _ => {
@@ -78,7 +78,7 @@
         };
         let before = self.changes.len();
         self.change(of, "plan", x.name, y.name, class, why);
-        self.can_serve(before);
+        self.allow_while_serving(before);
     }
 
     fn hosts_of_volume(&mut self, of: &str, old: &NamedVolume, new: &NamedVolume) {
@@ -100,7 +100,7 @@
         if let Some(change) = self.changes.get_mut(before) {
             change.hosts = x.symmetric_difference(&y).cloned().collect();
         }
-        self.can_serve(before);
+        self.allow_while_serving(before);
     }
 
     pub(super) fn hosts(&mut self) {
@@ -126,13 +126,13 @@
                 new.get(name).map_or("none".into(), say),
             );
             let is_new = !old.contains_key(name);
-            let why = if is_new && self.joins() {
+            let why = if is_new && self.hosts_can_join() {
                 "it is a member once it runs and the others have this document"
             } else {
                 "hosts know each other by their places and addresses, which are read at a start only"
             };
             let class = match (is_new, new.contains_key(name)) {
-                (true, _) if self.joins() => Class::Safe,
+                (true, _) if self.hosts_can_join() => Class::Safe,
                 (false, false) => Class::Dangerous,
                 _ => Class::Restart,
             };
@@ -184,6 +184,6 @@
                 why,
             );
         }
-        self.can_serve(before);
+        self.allow_while_serving(before);
     }
 }
--- a/crates/configuration/src/diff_values.rs
+++ b/crates/configuration/src/diff_values.rs
@@ -1,22 +1,21 @@
-//! How values stand in a diff. Programs read these texts, so they stay as they are when a type or a field of
-//! the program gets another name.
+//! Texts of values in a diff. Programs read them, so they stay the same when a type or field is renamed.
 
 use crate::deployment::{NamedRequestClass, Server};
 use gullsail_fleet::maintenance::MaintenanceConfig;
 use gullsail_scheduler_api::{Idempotency, IdempotencyScope, RequestClass};
 use std::fmt::Debug;
 
-/// A plain value: a number, a text, a span in microseconds, or a list of these.
+/// The text of a number, a text, a span in microseconds, or a list or tuple of these.
 pub fn plain<T: Debug>(value: &T) -> String {
     format!("{value:?}").replace("Span(", "us(")
 }
 
-/// Whether requests of a class may run again.
+/// The text of the idempotency of a request class.
 pub fn idempotency(value: &Idempotency) -> String {
     idempotency_text(value).replace("Span(", "us(")
 }
 
-/// A request class with all its figures.
+/// The text of a request class with all its values.
 pub fn request_class(class: &NamedRequestClass) -> String {
     let RequestClass {
         idempotency,
@@ -33,7 +32,7 @@
     )
 }
 
-/// The document's entry on machines that go out for maintenance.
+/// The text of the `works` entry.
 pub fn maintenance(config: &MaintenanceConfig) -> String {
     let MaintenanceConfig {
         at_once,
@@ -58,7 +57,7 @@
     ))
 }
 
-/// What a simulated node's server can do.
+/// The text of a `machine` entry.
 pub fn server(server: &Server) -> String {
     let Server {
         name,
--- a/crates/configuration/src/entities.rs
+++ b/crates/configuration/src/entities.rs
@@ -16,7 +16,7 @@
     h.finish()
 }
 
-/// A request class with its name, and what hosts need resolve_path the scheduler's configuration of the class.
+/// A request class with its name, and what hosts need besides the scheduler's configuration of the class.
 #[derive(Clone, Debug)]
 pub struct NamedRequestClass {
     /// The name in the document (`stream-type`).
@@ -29,7 +29,7 @@
     pub decisions: RequestClass,
 }
 
-/// A plan with its name, and what hosts need resolve_path the scheduler's configuration of the plan.
+/// A plan with its name, and what hosts need besides the scheduler's configuration of the plan.
 #[derive(Clone, Debug)]
 pub struct NamedPlan {
     /// The name in the document.
--- a/crates/configuration/src/entry_classes.rs
+++ b/crates/configuration/src/entry_classes.rs
@@ -1,4 +1,4 @@
-//! Reads the entries on what is served: request classes, plans, volumes.
+//! Reads the entries on request classes, plans and volumes.
 
 use crate::entities::{NamedPlan, NamedRequestClass, NamedVolume, number};
 use crate::reader::{Names, Reader};
@@ -10,6 +10,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+/// Reads a `stream-type` entry.
 pub(crate) fn request_class(reader: &mut Reader, entry: &KdlNode) -> NamedRequestClass {
     let known = [
         "effect",
@@ -26,7 +27,7 @@
     let idempotency = idempotency(reader, entry);
     let (latency_objective, deadline) = (reader.span(entry, "slo"), reader.span(entry, "expiry"));
     if latency_objective > deadline {
-        let help = Some("the client gives up at the expiry, after the answer was wanted".into());
+        let help = Some("the client gives up at the expiry, so the SLO time can't be later".into());
         reader.report(
             "slo-past-expiry",
             "the SLO time is longer than the expiry".into(),
@@ -74,7 +75,7 @@
             matches!(idempotency, Idempotency::WithKey { .. }),
             entry.entry(key),
         ) {
-            let help = Some("write effect=\"keyed\", or take it out".into());
+            let help = Some("write effect=\"keyed\", or remove it".into());
             reader.report(
                 "contradiction",
                 format!("`{key}` is for keyed stream types only"),
@@ -86,6 +87,7 @@
     idempotency
 }
 
+/// Reads a `plan` entry. `unit` is the number of bytes of a unit of work, if stated.
 pub(crate) fn plan(reader: &mut Reader, entry: &KdlNode, unit: Option<f64>) -> NamedPlan {
     reader.only(
         entry,
@@ -130,7 +132,7 @@
     }
 }
 
-/// What volumes are read against.
+/// The entries and settings that volumes are checked against.
 pub(crate) struct VolumeContext<'a> {
     pub(crate) plans: &'a [NamedPlan],
     pub(crate) plan_names: &'a Names,
@@ -138,11 +140,12 @@
     pub(crate) everyone: &'a Arc<[HostId]>,
     /// The most units of one request.
     pub(crate) max_units: f64,
-    /// Each host has an even part of the burst. With a fleet, a share too small for a largest request goes from
-    /// host to host in turns instead.
+    /// Whether each host gets an even share of the burst. This is so without a fleet. With a fleet, hosts use a share
+    /// in turns if it is too small for the largest request.
     pub(crate) split: bool,
 }
 
+/// Reads a `volume` entry.
 pub(crate) fn volume(reader: &mut Reader, entry: &KdlNode, context: &VolumeContext) -> NamedVolume {
     reader.only(entry, 1, &["plan"], &["hosts"]);
     let name = reader.text(entry, 0, "a name");
@@ -154,24 +157,25 @@
         .get(plan)
         .and_then(|plan| plan.decisions.limit)
     {
-        let parts = if context.split {
+        let shares = if context.split {
             hosts.len() as f64
         } else {
             1.0
         };
-        let least = 2.0 * context.max_units * parts;
-        if limit.burst < least {
+        let min_burst = 2.0 * context.max_units * shares;
+        if limit.burst < min_burst {
             let message = format!(
                 "the plan's burst of {} is too small for {} hosts",
                 limit.burst,
                 hosts.len()
             );
-            let help =
-                format!("each host's part must hold two of the largest transfers: {least} or more");
+            let help = format!(
+                "each host's share must hold two of the largest transfers: {min_burst} or more"
+            );
             reader.report("burst-too-small", message, entry.span(), Some(help));
         }
     }
-    // Six bytes of the number travel in demand reports.
+    // Demand reports carry six bytes of the number.
     let id = demand_report::message_volume_id(VolumeId(number(&name)));
     NamedVolume {
         name,
@@ -181,7 +185,7 @@
     }
 }
 
-/// The hosts that a volume names; all of them if it names none.
+/// The hosts that a volume names; all hosts if it names none.
 fn hosts_of_volume(reader: &mut Reader, entry: &KdlNode, context: &VolumeContext) -> Arc<[HostId]> {
     let mut named = BTreeSet::new();
     let lists = entry.iter_children();
--- a/crates/configuration/src/entry_processes.rs
+++ b/crates/configuration/src/entry_processes.rs
@@ -1,4 +1,4 @@
-//! Reads the entries on processes: hosts, nodes, the servers of simulated nodes, a host's bounds.
+//! Reads the entries on processes: hosts, nodes, the servers of simulated nodes, and the limits of a host.
 
 use crate::entities::{HostBounds, NodePlace, Place, Server};
 use crate::reader::{Names, Reader};
@@ -6,6 +6,7 @@
 use gullsail_scheduler_api::{ShardId, Span, ZoneId};
 use kdl::KdlNode;
 
+/// Reads the name, zone and addresses of a host or node. `zone` is required if the document defines zones.
 pub(crate) fn place(reader: &mut Reader, entry: &KdlNode, zones: &Names) -> Place {
     let address = reader.text_at(entry, "address").unwrap_or_default();
     let zone = if entry.entry("zone").is_some() || !zones.list().is_empty() {
@@ -26,6 +27,7 @@
     }
 }
 
+/// Reads a `node` entry.
 pub(crate) fn node(
     reader: &mut Reader,
     entry: &KdlNode,
@@ -56,6 +58,7 @@
     }
 }
 
+/// Reads a `machine` entry.
 pub(crate) fn server(reader: &mut Reader, entry: &KdlNode) -> Server {
     let known = [
         "cores",
@@ -85,6 +88,7 @@
     }
 }
 
+/// Reads the `bounds` entry; without it, the defaults apply.
 pub(crate) fn bounds(reader: &mut Reader, node: Option<&KdlNode>) -> HostBounds {
     let ms = Span::from_millis;
     let mut b = HostBounds {
@@ -116,7 +120,7 @@
     b.most_held = reader.bytes(entry, "held-bytes", b.most_held);
     b.frame.body = reader.bytes(entry, "body-bytes", b.frame.body);
     b.most_unsent = reader.bytes(entry, "unsent-bytes", b.most_unsent);
-    for (key, at) in [
+    for (key, value) in [
         ("client-stall", &mut b.client_stall),
         ("connect", &mut b.connect),
         ("redial-first", &mut b.redial.0),
@@ -124,7 +128,7 @@
         ("clock-every", &mut b.clock_every),
         ("clock-apart", &mut b.clock_apart),
     ] {
-        *at = reader.span_at(entry, key).unwrap_or(*at);
+        *value = reader.span_at(entry, key).unwrap_or(*value);
     }
     b
 }
--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -1,21 +1,25 @@
-//! The one way to write a document: indents, spaces and quotes are made alike, comments and order stay.
+//! Formats documents: indentation, spaces and quotes become uniform, comments and the order of entries stay.
 
 use crate::source_map::{MAX_NESTING, nesting_exceeded_at};
 use kdl::{FormatConfig, KdlDocument};
 
+/// Formats the text of a document.
+///
 /// # Errors
-/// It is no KDL, so that nothing is touched; or, which would be a fault here, formatting changed its meaning.
+/// The text is not KDL; or the formatted text would lose a comment, have another meaning or change when formatted again.
 pub fn format(text: &str) -> Result<String, String> {
-    let out = once(text)?;
-    // A comment behind a closing brace stays the first time and is lost the second.
-    match once(&out) {
+    let out = format_once(text)?;
+    // The library keeps a comment behind a closing brace the first time and drops it the second.
+    match format_once(&out) {
         Ok(again) if again == out => Ok(out),
-        Ok(_) => Err("formatting does not come to rest; nothing was changed".into()),
-        Err(why) => Err(format!("once formatted, {why}")),
+        Ok(_) => Err("formatting the result again would change it; nothing was changed".into()),
+        Err(why) => Err(format!(
+            "the formatted text can't be formatted again: {why}"
+        )),
     }
 }
 
-fn once(text: &str) -> Result<String, String> {
+fn format_once(text: &str) -> Result<String, String> {
     let parse = |text: &str| {
         KdlDocument::parse_v2(text).map_err(|e| {
             let first = e.diagnostics.first();
@@ -36,45 +40,48 @@
             format!("line {line}, column {column}: {message}")
         })
     };
-    // Line ends of other systems are one line end here.
+    // CR LF counts as a single line end.
     let text = text.replace("\r\n", "\n");
     if nesting_exceeded_at(&text).is_some() {
-        return Err(format!("more than {MAX_NESTING} entries within each other"));
+        return Err(format!(
+            "entries or comments are nested more than {MAX_NESTING} deep"
+        ));
     }
     let before = parse(&text)?;
     let mut document = before.clone();
     let config = FormatConfig::builder().indent("    ").build();
-    let mut ends = Vec::new();
-    line_comments(&document, &mut ends);
+    let mut line_ends = Vec::new();
+    line_comments(&document, &mut line_ends);
     document.autoformat_config(&config);
-    put_back(&mut document, &mut ends.into_iter());
+    restore_line_comments(&mut document, &mut line_ends.into_iter());
     let mut out = document.to_string();
     if !out.is_empty() && !out.ends_with('\n') {
         out.push('\n');
     }
-    // What the library drops besides: comments between values and before a block.
+    // The library also drops comments between values and before a block, which are not restored.
     let kept = comments(&out);
     if let Some(lost) = comments(&text).iter().find(|c| !kept.contains(c)) {
         let line = text
             .find(lost)
             .map_or(1, |at| text[..at].matches('\n').count() + 1);
         return Err(format!(
-            "line {line}: \"{lost}\" would be lost; give it a line of its own"
+            "line {line}: \"{lost}\" would be lost; put it on a separate line"
         ));
     }
-    let plain = |d: &KdlDocument| {
+    let without_format = |d: &KdlDocument| {
         let mut d = d.clone();
         d.clear_format_recursive();
         d.to_string()
     };
     let after = parse(&out)?;
-    if plain(&before) != plain(&after) {
-        return Err("formatting would change its meaning; nothing was changed".into());
+    if without_format(&before) != without_format(&after) {
+        return Err("formatting would change the meaning; nothing was changed".into());
     }
     Ok(out)
 }
 
-/// The comment that ends each entry's line, entry by entry: the library takes it for a line end and drops it.
+/// Collects for each entry the comment at the end of its line. The library treats it as part of the line end and drops
+/// it.
 fn line_comments(document: &KdlDocument, out: &mut Vec<Option<String>>) {
     for n in document.nodes() {
         let end = n.format().map(|f| f.terminator.trim().to_string());
@@ -85,20 +92,25 @@
     }
 }
 
-fn put_back(document: &mut KdlDocument, ends: &mut impl Iterator<Item = Option<String>>) {
+/// Restores the comments at the ends of lines, given in the order of [`line_comments`].
+fn restore_line_comments(
+    document: &mut KdlDocument,
+    ends: &mut impl Iterator<Item = Option<String>>,
+) {
     for n in document.nodes_mut() {
         if let (Some(Some(end)), Some(f)) = (ends.next(), n.format_mut()) {
             f.terminator = format!(" {end}\n");
         }
         if let Some(children) = n.children_mut() {
-            put_back(children, ends);
+            restore_line_comments(children, ends);
         }
     }
 }
 
-/// The comments of a text. What looks like one in a raw string is taken for one, before and after alike.
+/// The comments of a text. Text in a raw string that looks like a comment counts as one. Since this is so before and
+/// after formatting, the comparison is still valid.
 fn comments(text: &str) -> Vec<&str> {
-    let (mut all, mut rest, mut quoted) = (Vec::new(), text, false);
+    let (mut comments, mut rest, mut quoted) = (Vec::new(), text, false);
     while let Some(at) = rest.find(['"', '\\', '/']) {
         let (found, after) = (rest.as_bytes()[at], &rest[at + 1..]);
         match found {
@@ -111,13 +123,13 @@
             b'"' => quoted = !quoted,
             b'/' if !quoted && after.starts_with('/') => {
                 let end = rest[at..].find('\n').map_or(rest.len(), |n| at + n);
-                all.push(rest[at..end].trim_end());
+                comments.push(rest[at..end].trim_end());
                 rest = &rest[end..];
                 continue;
             }
             b'/' if !quoted && after.starts_with('*') => {
                 let end = rest[at..].find("*/").map_or(rest.len(), |n| at + n + 2);
-                all.push(&rest[at..end]);
+                comments.push(&rest[at..end]);
                 rest = &rest[end..];
                 continue;
             }
@@ -125,5 +137,5 @@
         }
         rest = after;
     }
-    all
+    comments
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod routes;
 pub mod source_map;
 
-pub use builder::{KEPT, build};
+pub use builder::{IGNORED_ENTRIES, build};
 pub use deployment::*;
 pub use problem::{DiagnosticRecord, Problem, ProblemSeverity, Problems, meant};
 pub use reader::{Names, Reader};
--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -1,4 +1,4 @@
-//! What is well-formed and still makes no sense, or probably not what was meant.
+//! Checks of a deployment as a whole: values that contradict each other, and values that are probably not intended.
 
 use crate::deployment::{Deployment, RESERVABLE_FRACTION};
 use crate::reader::{Reader, entries};
@@ -6,7 +6,7 @@
 use kdl::KdlDocument;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Looks at a deployment as a whole.
+/// Runs all checks.
 pub fn check(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     reserves(deployment, document, reader);
     unused(deployment, document, reader);
@@ -20,7 +20,7 @@
     retry_budget(deployment, document, reader);
 }
 
-/// Reserves against what the servers of the nodes can do, where that is stated.
+/// Checks that reserves fit the capacity of the servers of all running nodes, if it is stated for each of them.
 fn reserves(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let running: Vec<_> = deployment.nodes.iter().filter(|node| !node.spare).collect();
     let servers: Option<Vec<_>> = running
@@ -28,7 +28,7 @@
         .map(|node| deployment.servers.get(node.server))
         .collect();
     if let Some(servers) = servers.filter(|m| !m.is_empty()) {
-        let can: f64 = servers.iter().map(|m| m.capacity()).sum();
+        let capacity: f64 = servers.iter().map(|m| m.capacity()).sum();
         let reserved: f64 = deployment
             .volumes
             .iter()
@@ -41,19 +41,21 @@
             .sum();
         if let Some(last) = entries(document, "volume")
             .next_back()
-            .filter(|_| reserved > can * RESERVABLE_FRACTION)
+            .filter(|_| reserved > capacity * RESERVABLE_FRACTION)
         {
-            let message =
-                format!("reserves sum to {reserved} units a second; the nodes can do {can:.0}");
+            let message = format!(
+                "reserves sum to {reserved} units a second; the nodes can do {capacity:.0}"
+            );
             let help = format!(
-                "at most {:.0} can be promised: lower reserves, or add nodes",
-                can * RESERVABLE_FRACTION
+                "at most {:.0} can be reserved: lower reserves, or add nodes",
+                capacity * RESERVABLE_FRACTION
             );
             reader.report("reserves-too-large", message, last.span(), Some(help));
         }
     }
 }
 
+/// Checks for zones without a node, and for plans and servers that nothing refers to.
 fn unused(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let name = |entry: &kdl::KdlNode| {
         entry
@@ -67,8 +69,8 @@
         .iter()
         .map(|node| node.place.zone.0)
         .collect();
-    for (place, entry) in entries(document, "zone").enumerate() {
-        if !zones.contains(&place) && !deployment.nodes.is_empty() {
+    for (index, entry) in entries(document, "zone").enumerate() {
+        if !zones.contains(&index) && !deployment.nodes.is_empty() {
             reader.warn(
                 "zone-empty",
                 format!("zone \"{}\" has no node", name(entry)),
@@ -89,10 +91,10 @@
             !deployment.nodes.is_empty(),
         ),
     ];
-    for (kind, used, counts) in used {
+    for (kind, used, checked) in used {
         for (_, entry) in entries(document, kind)
             .enumerate()
-            .filter(|(place, _)| counts && !used.contains(place))
+            .filter(|(index, _)| checked && !used.contains(index))
         {
             reader.warn(
                 "unused",
@@ -108,7 +110,7 @@
     let f = deployment.figures();
     if let Some(entry) = entries(document, "rules").next() {
         if f.beyond_share_value > f.within_share_value {
-            let message = "units past the share would earn more than those within it".into();
+            let message = "units beyond the share would earn more than those within it".into();
             reader.warn(
                 "odd-parts",
                 message,
@@ -118,14 +120,14 @@
         }
         if entry.entry("order-settle").is_some() && !f.request_classes.iter().any(|s| s.in_order) {
             let message =
-                "`order-settle` counts for stream types with in-order=#true, and there is none"
+                "`order-settle` applies only to stream types with in-order=#true, and there is none"
                     .into();
             reader.warn("no-effect", message, entry.span(), None);
         }
         let shortest = f.request_classes.iter().map(|s| s.latency_objective).min();
         if shortest.is_some_and(|slo| f.tick.times(4.0) > slo) {
             let message =
-                "two ticks before the expiry the last answer is given: that is half of an SLO time"
+                "the last answer is given two ticks before the expiry, which is more than half of an SLO time"
                     .into();
             reader.warn("tick-long", message, entry.span(), None);
         }
@@ -135,11 +137,12 @@
 fn bounds(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     if let Some(entry) = entries(document, "bounds").next() {
         if deployment.bounds.redial.0 > deployment.bounds.redial.1 {
-            let message = "the first wait between tries to connect is longer than the last".into();
+            let message =
+                "the first wait between connection attempts is longer than the last".into();
             reader.report("contradiction", message, entry.span(), None);
         }
         if deployment.bounds.frame.body > deployment.bounds.most_held {
-            let message = "one body may be larger than all that may be held".into();
+            let message = "one body may be larger than the limit on all bodies together".into();
             reader.report(
                 "contradiction",
                 message,
@@ -155,12 +158,12 @@
     if let Some(entry) = entries(document, "cold").next() {
         if f.slow_start.window > f.slow_start.ramp {
             let message =
-                "the window is longer than the ramp: a node is warm before it ends".into();
+                "the window is longer than the ramp: the node is warm before it ends".into();
             reader.report(
                 "contradiction",
                 message,
                 entry.span(),
-                Some("window is how long it must be sent too much".into()),
+                Some("units are counted over the window, which is part of the ramp".into()),
             );
         }
         if f.slow_start.units < f.max_units {
@@ -175,19 +178,19 @@
 
 fn retry_budget(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let f = deployment.figures();
-    let nothing = f
+    let no_retries = f
         .retry_budget
         .is_some_and(|b| b.fixed_retries < 1.0 && b.retries_per_request == 0.0);
     if let Some(entry) = entries(document, "legs")
         .next()
-        .filter(|_| nothing && f.max_attempts > 1)
+        .filter(|_| no_retries && f.max_attempts > 1)
     {
         let message = "the budget allows no further leg at all".into();
         reader.warn(
             "no-effect",
             message,
             entry.span(),
-            Some("most=1 says so plainly".into()),
+            Some("most=1 has the same effect".into()),
         );
     }
     if let Some(entry) = entries(document, "legs")
@@ -210,7 +213,7 @@
         .filter(|node| !node.spare)
         .map(|node| deployment.servers.get(node.server))
         .collect();
-    let can = running.iter().flatten().map(|m| m.capacity()).sum::<f64>();
+    let capacity = running.iter().flatten().map(|m| m.capacity()).sum::<f64>();
     for (p, entry) in deployment.plans.iter().zip(entries(document, "plan")) {
         let at = |key: &str| entry.entry(key).map_or(entry.span(), |e| e.span());
         let warn = |reader: &mut Reader, code, message: &str, key: &str| {
@@ -230,7 +233,7 @@
             warn(
                 reader,
                 "no-effect",
-                "it belongs to a limit, and the plan has none",
+                "this belongs to a limit, and the plan has none",
                 key,
             );
         }
@@ -238,11 +241,14 @@
             warn(
                 reader,
                 "over-limit",
-                "its volumes are sized for more than the limit lets through",
+                "its volumes are sized for more than the limit allows",
                 "usual",
             );
         }
-        if limit.is_some_and(|l| l.rate > can) && can > 0.0 && running.iter().all(Option::is_some) {
+        if limit.is_some_and(|l| l.rate > capacity)
+            && capacity > 0.0
+            && running.iter().all(Option::is_some)
+        {
             warn(
                 reader,
                 "over-limit",
@@ -257,7 +263,7 @@
             warn(
                 reader,
                 "served-last",
-                &format!("with {key}=0 its volumes come after all others"),
+                &format!("with {key}=0, its volumes are served after all others"),
                 key,
             );
         }
@@ -276,19 +282,20 @@
             reader.warn("no-effect", message, at("late-part"), None);
         }
         if s.decisions.priority_weight == 0.0 {
-            let message = "without a benefit it comes after all others".into();
+            let message = "without a benefit, it is served after all others".into();
             reader.warn("served-last", message, at("benefit"), None);
         }
         if let Idempotency::WithKey { window, .. } = s.decisions.idempotency
             && window < s.decisions.latency_objective
         {
             let message =
-                "nodes forget a key before the answer is wanted: a late repeat is given up".into();
+                "nodes forget a key before the SLO time is over: later repeats are not sent".into();
             reader.warn("window-short", message, at("window"), None);
         }
     }
 }
 
+/// Checks for addresses that occur twice, and for hosts that serve no volume.
 fn places(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let mut addresses: BTreeMap<&str, usize> = BTreeMap::new();
     let hosts = deployment.hosts.iter().zip(entries(document, "host"));
@@ -320,13 +327,13 @@
         .iter()
         .flat_map(|v| v.hosts.iter())
         .for_each(|h| served[h.0 as usize] = true);
-    for (place, entry) in entries(document, "host").enumerate() {
-        if !served.get(place).copied().unwrap_or(true) && !deployment.volumes.is_empty() {
+    for (index, entry) in entries(document, "host").enumerate() {
+        if !served.get(index).copied().unwrap_or(true) && !deployment.volumes.is_empty() {
             reader.warn(
                 "unused",
                 format!(
                     "no volume comes through host \"{}\"",
-                    deployment.hosts[place].name
+                    deployment.hosts[index].name
                 ),
                 entry.span(),
                 None,
@@ -335,7 +342,7 @@
     }
 }
 
-/// Shards that two running nodes hold, and spare nodes for shards that none holds.
+/// Checks for shards that two running nodes hold, and for spare nodes whose shard no running node holds.
 fn shards(deployment: &Deployment, document: &KdlDocument, reader: &mut Reader) {
     let mut shards: BTreeMap<i64, usize> = BTreeMap::new();
     for (node, entry) in deployment
@@ -350,7 +357,7 @@
                 "cell-twice",
                 message,
                 entry.span(),
-                Some("one that takes over later is spare=#true".into()),
+                Some("a node that takes over later has spare=#true".into()),
             );
         }
     }
--- a/crates/configuration/src/maintenance.rs
+++ b/crates/configuration/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! Servers in maintenance: `works at-once=1 keep=0.7 longest="30min" watched="10s" { rest from="07:00"
-//! to="19:00"; }`. What it means is told in docs/maintenance.md.
+//! The entry on servers in maintenance: `works at-once=1 keep=0.7 longest="30min" watched="10s" { rest from="07:00"
+//! to="19:00"; }`. docs/maintenance.md explains it.
 
 use crate::entities::NamedFleet;
 use crate::reader::Reader;
@@ -7,11 +7,12 @@
 use gullsail_scheduler_api::Span;
 use kdl::KdlNode;
 
-/// Longer, and a host that nobody decides for goes on with what it knows for hours.
-const MOST_BLIND: Span = Span::from_micros(3_600_000_000);
+/// The maximum isolation grace. With a longer one, a host that is cut off from the coordinator would keep sending to
+/// servers in maintenance for hours.
+const MAX_ISOLATION_GRACE: Span = Span::from_micros(3_600_000_000);
 
-/// Reports figures of the entry that contradict each other or the fleet's.
-fn check_figures(
+/// Reports values of the entry that contradict each other or the `fleet` entry.
+fn check_values(
     reader: &mut Reader,
     entry: &KdlNode,
     maintenance: &MaintenanceConfig,
@@ -21,14 +22,14 @@
         let span = entry.entry(key).map_or(entry.span(), |e| e.span());
         reader.report("contradiction", message, span, Some(help));
     };
-    for (key, most) in [
+    for (key, limit) in [
         ("in-zone", maintenance.in_zone),
         ("in-pool", maintenance.in_pool),
     ] {
-        if most > maintenance.at_once {
+        if limit > maintenance.at_once {
             wrong(
                 key,
-                format!("{key}={most}, and {} at once in all", maintenance.at_once),
+                format!("{key}={limit}, but at-once={}", maintenance.at_once),
                 "at most at-once".into(),
             );
         }
@@ -36,26 +37,23 @@
     if maintenance.keep >= 1.0 {
         wrong(
             "keep",
-            "no capacity may go".into(),
-            "keep=0.8: a fifth of it may be away".into(),
+            "no capacity may be away".into(),
+            "keep=0.8: a fifth of the capacity may be away".into(),
         );
     }
-    if maintenance.longest > Span::ZERO && maintenance.isolation_grace > MOST_BLIND
+    if maintenance.longest > Span::ZERO && maintenance.isolation_grace > MAX_ISOLATION_GRACE
         || maintenance.isolation_grace < fleet.lease
     {
         let help = format!("from one lease ({} ms) to an hour", fleet.lease.millis());
         wrong(
             "blind",
-            format!(
-                "a blind time of {} ms",
-                maintenance.isolation_grace.millis()
-            ),
+            format!("a `blind` of {} ms", maintenance.isolation_grace.millis()),
             help,
         );
     }
 }
 
-/// `None`: there are no works.
+/// Reads the `works` entry. `None`: the entry is absent or invalid.
 pub(crate) fn read(
     reader: &mut Reader,
     entry: Option<&KdlNode>,
@@ -86,10 +84,10 @@
         longest: reader.span(entry, "longest"),
         watched: reader.span(entry, "watched"),
         isolation_grace: reader.span(entry, "blind"),
-        quiet_hours: read_rests(reader, entry),
+        quiet_hours: read_quiet_hours(reader, entry),
     };
     let Some(fleet) = fleet else {
-        let help = "hosts settle works by their `fleet`: add one".into();
+        let help = "hosts agree on maintenance through the `fleet`: add one".into();
         reader.report(
             "contradiction",
             "`works` without a `fleet`".into(),
@@ -98,19 +96,19 @@
         );
         return None;
     };
-    check_figures(reader, entry, &maintenance, fleet);
+    check_values(reader, entry, &maintenance, fleet);
     (reader.reported() == before).then_some(maintenance)
 }
 
-/// The times of day at which no server goes.
-fn read_rests(reader: &mut Reader, entry: &KdlNode) -> Vec<(u32, u32)> {
-    let mut rests = Vec::new();
+/// Reads the quiet hours: pairs of start and end in seconds from midnight UTC, between which no server starts to drain.
+fn read_quiet_hours(reader: &mut Reader, entry: &KdlNode) -> Vec<(u32, u32)> {
+    let mut quiet_hours = Vec::new();
     for rest in entry.iter_children().filter(|c| c.name().value() == "rest") {
         reader.only(rest, 0, &["from", "to"], &[]);
         let times = [time(reader, rest, "from"), time(reader, rest, "to")];
         if let [Some(from), Some(to)] = times {
             if from == to {
-                let help = "from=\"07:00\" to=\"19:00\": one that never ends lets nobody go";
+                let help = "from=\"07:00\" to=\"19:00\": if a rest lasted all day, no server could ever drain";
                 reader.report(
                     "contradiction",
                     "a rest of no length".into(),
@@ -118,13 +116,13 @@
                     Some(help.into()),
                 );
             }
-            rests.push((from, to));
+            quiet_hours.push((from, to));
         }
     }
-    rests
+    quiet_hours
 }
 
-/// Of a day, as `"07:30"`, in seconds.
+/// Reads a time of day such as `"07:30"` in seconds from midnight; `None` if it is invalid.
 fn time(reader: &mut Reader, entry: &KdlNode, key: &str) -> Option<u32> {
     let text = reader.text_at(entry, key).unwrap_or_default();
     let parts = text
--- a/crates/configuration/src/reader.rs
+++ b/crates/configuration/src/reader.rs
@@ -82,7 +82,7 @@
     pub(crate) fn read_file(&mut self, name: &str, text: &str) -> KdlDocument {
         let start = self.file(name, text);
         if let Some(place) = nesting_exceeded_at(text) {
-            let message = format!("more than {MAX_NESTING} entries within each other");
+            let message = format!("entries or comments are nested more than {MAX_NESTING} deep");
             self.report("too-deep", message, (start + place, 1).into(), None);
             return KdlDocument::new();
         }
