--- a/crates/placement/src/documents.rs
+++ b/crates/placement/src/documents.rs
@@ -1,9 +1,8 @@
-//! Builds a question from a deployment, and entries of a configuration from a plan. Called by the command
-//! line.
+//! Builds a placement problem from a deployment, and pool and route entries from a plan. The command line calls it.
 //!
-//! A volume's work is taken to follow its new objects: what is written somewhere is read there later. So the
-//! whole rate that it is sized for is placed, evenly over its hosts, and a node's capacity is nine tenths of
-//! its server's.
+//! The model assumes that a volume's work follows its new objects, since data is read where it was written. The whole
+//! rate that a volume is sized for is therefore placed, and it comes evenly through the volume's hosts. The capacity of a
+//! node is nine tenths of its server's.
 
 use crate::{Budget, Demand, Plan, Question};
 use gullsail_configuration::{Deployment, RESERVABLE_FRACTION};
@@ -11,57 +10,60 @@
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The fraction of a volume's bytes below which a zone is not used: it is the solver's rounding.
+/// A zone with a smaller fraction of a volume's bytes is not used, since the fraction may be a rounding error of the
+/// solver.
 const MIN_FRACTION: f64 = 0.001;
 
-/// What a plan needs and the document does not state.
+/// Information that a plan needs and the document does not state.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MissingInput {
-    /// The size of a unit.
+    /// The number of bytes of a unit of work.
     #[error(
         "the document does not state the size of a unit of work: add it, as in `rules unit=\"64KiB\"`"
     )]
     Unit,
-    /// The server of a node.
+    /// The server of the node with this name.
     #[error(
         "node \"{0}\" has no machine: define one, as in `machine \"box\" cores=2 unit=\"5ms\"`, and name it at the node"
     )]
     Server(String),
-    /// Zones.
+    /// At least one zone.
     #[error("the document has no zones to plan for")]
     Zones,
 }
 
-/// The pools that a volume's new objects go to, with the request classes that go there.
+/// The pools for a volume's new objects, each with the request classes whose new objects are routed to it.
 fn pools(deployment: &Deployment, volume: usize) -> BTreeMap<PoolId, Vec<usize>> {
-    let mut all: BTreeMap<PoolId, Vec<usize>> = BTreeMap::new();
-    for place in (0..deployment.request_classes.len())
-        .filter(|place| deployment.request_classes[*place].write)
+    let mut pools: BTreeMap<PoolId, Vec<usize>> = BTreeMap::new();
+    for class in (0..deployment.request_classes.len())
+        .filter(|class| deployment.request_classes[*class].write)
     {
-        all.entry(deployment.routes.pool(volume, RequestClassId(place)))
+        pools
+            .entry(deployment.routes.pool(volume, RequestClassId(class)))
             .or_default()
-            .push(place);
+            .push(class);
     }
-    all
+    pools
 }
 
+/// The zones in which a pool has a running node.
 fn zones_of(deployment: &Deployment, pool: PoolId) -> BTreeSet<usize> {
     let running = deployment.nodes.iter().filter(|n| !n.spare);
-    let inside = running.filter(|n| {
+    let in_pool = running.filter(|n| {
         pool == PoolId::ALL
             || deployment
                 .routes
                 .pools_of(n.place.zone, &n.kind)
                 .contains(&pool)
     });
-    inside.map(|n| n.place.zone.0).collect()
+    in_pool.map(|n| n.place.zone.0).collect()
 }
 
-/// What the nodes of each zone can do.
+/// The capacity of the running nodes, by zone.
 struct Capacity {
-    /// Units a second, less what is kept for pauses and restarts.
+    /// Units a second, without the part that is kept for pauses and restarts.
     units: Vec<f64>,
-    /// How many nodes.
+    /// The number of nodes.
     nodes: Vec<f64>,
 }
 
@@ -77,24 +79,24 @@
     Ok(Capacity { units, nodes })
 }
 
-/// What a volume is sized for, by the zones of its hosts, and the zones where its new objects may be placed.
-fn demand(deployment: &Deployment, place: usize, unit: f64) -> Demand {
-    let volume = &deployment.volumes[place];
+/// The rate that a volume is sized for, by the zones of its hosts, and the zones where its new objects may be placed.
+fn demand(deployment: &Deployment, index: usize, unit: f64) -> Demand {
+    let volume = &deployment.volumes[index];
     let plan = &deployment.plans[volume.plan.0].decisions;
     let bytes = plan.nominal_rate.max(plan.reserve) * unit;
     let mut from = vec![0.0; deployment.zones.len()];
     for host in volume.hosts.iter() {
         from[deployment.hosts[host.0 as usize].zone.0] += bytes / volume.hosts.len() as f64;
     }
-    // Where each of its pools has a node; where none has them all, where any has one.
-    let each: Vec<_> = pools(deployment, place)
+    // The zones in which all pools of the volume have nodes; if there are none, those in which any pool has a node.
+    let pool_zones: Vec<_> = pools(deployment, index)
         .keys()
         .map(|pool| zones_of(deployment, *pool))
         .collect();
-    let common = each.iter().cloned().reduce(|a, b| &a & &b);
+    let common = pool_zones.iter().cloned().reduce(|a, b| &a & &b);
     let common = common.unwrap_or_else(|| zones_of(deployment, PoolId::ALL));
     let zones = if common.is_empty() {
-        each.into_iter().flatten().collect()
+        pool_zones.into_iter().flatten().collect()
     } else {
         common
     };
@@ -102,11 +104,11 @@
         volume: volume.name.clone(),
         from,
         zones,
-        units_a_byte: 1.0 / unit,
+        units_per_byte: 1.0 / unit,
     }
 }
 
-/// The question that a deployment poses; `price`: of a byte that crosses.
+/// Builds the placement problem of a deployment. `price` is the price of one byte between two zones.
 ///
 /// # Errors
 /// The document does not state what a plan needs.
@@ -138,26 +140,28 @@
         capacity: units,
         node_capacity,
         demands: (0..deployment.volumes.len())
-            .map(|place| demand(deployment, place, unit))
+            .map(|index| demand(deployment, index, unit))
             .collect(),
         budgets: budgets.collect(),
         price: vec![vec![price; count]; count],
     })
 }
 
+/// An entry with values, for use within another entry.
 fn child(name: &str, values: impl IntoIterator<Item = String>) -> KdlNode {
     let mut n = KdlNode::new(name);
     values.into_iter().for_each(|v| n.push(KdlEntry::new(v)));
     n
 }
 
-/// The entry of a pool: the planned zones, or those of the pool that it is made from.
+/// The entry of a pool with the planned zones; if there are none, with the zones of the pool that it is derived from.
 fn pool_entry(deployment: &Deployment, pool: PoolId, name: &str, zones: &[usize]) -> KdlNode {
-    let old = pool.0.checked_sub(1);
-    let old = old.and_then(|place| deployment.routes.pools.get(place));
+    let source = pool.0.checked_sub(1);
+    let source = source.and_then(|index| deployment.routes.pools.get(index));
     let mut children = KdlDocument::new();
     let zones = if zones.is_empty() {
-        old.map(|pool| pool.zones.iter().map(|zone| zone.0).collect())
+        source
+            .map(|pool| pool.zones.iter().map(|zone| zone.0).collect())
             .unwrap_or_default()
     } else {
         zones.to_vec()
@@ -166,7 +170,7 @@
         let names = zones.iter().map(|zone| deployment.zones[*zone].clone());
         children.nodes_mut().push(child("zone", names));
     }
-    if let Some(pool) = old.filter(|pool| !pool.kinds.is_empty()) {
+    if let Some(pool) = source.filter(|pool| !pool.kinds.is_empty()) {
         let kinds = pool.kinds.iter().cloned();
         children.nodes_mut().push(child("kind", kinds));
     }
@@ -176,7 +180,7 @@
     entry
 }
 
-/// The entry of a route: a volume's new objects of these request classes go to a pool.
+/// The entry of a route that assigns a volume's new objects of these request classes to the pool `to`.
 fn route_entry(
     deployment: &Deployment,
     volume: &str,
@@ -186,9 +190,9 @@
     let mut children = KdlDocument::new();
     children
         .nodes_mut()
-        .push(child("volume", [glob_of(volume)]));
+        .push(child("volume", [exact_pattern(volume)]));
     let names = request_classes.iter();
-    let names = names.map(|place| deployment.request_classes[*place].name.clone());
+    let names = names.map(|class| deployment.request_classes[*class].name.clone());
     children.nodes_mut().push(child("stream-type", names));
     let mut entry = KdlNode::new("route");
     entry.push(KdlEntry::new_prop("to", to));
@@ -196,21 +200,22 @@
     entry
 }
 
-/// The document with pools and routes by the plan: all other entries as they are, in one text.
+/// The text of the document with the pools and routes of the plan instead of its own. All other entries are kept; files
+/// are combined into one.
 pub fn proposal(document: &KdlDocument, deployment: &Deployment, plan: &Plan) -> String {
-    let mut made: BTreeMap<String, KdlNode> = BTreeMap::new();
+    let mut pool_entries: BTreeMap<String, KdlNode> = BTreeMap::new();
     let mut routes = Vec::new();
-    for (place, v) in deployment.volumes.iter().enumerate() {
-        let all: f64 = plan.to[place].iter().sum();
+    for (index, v) in deployment.volumes.iter().enumerate() {
+        let total: f64 = plan.to[index].iter().sum();
         let used: BTreeSet<usize> = (0..deployment.zones.len())
-            .filter(|z| plan.to[place][*z] > all * MIN_FRACTION && all > 0.0)
+            .filter(|z| plan.to[index][*z] > total * MIN_FRACTION && total > 0.0)
             .collect();
-        for (pool, types) in pools(deployment, place) {
+        for (pool, types) in pools(deployment, index) {
             let zones: Vec<usize> = used
                 .intersection(&zones_of(deployment, pool))
                 .copied()
                 .collect();
-            // Nothing to say of a volume that asks for nothing: it keeps its pool.
+            // A volume without demand keeps its pool.
             let name = if zones.is_empty() {
                 deployment.routes.name(pool).to_string()
             } else {
@@ -222,30 +227,33 @@
             };
             if name != gullsail_configuration::routes::ALL {
                 let entry = pool_entry(deployment, pool, &name, &zones);
-                made.entry(name.clone()).or_insert(entry);
+                pool_entries.entry(name.clone()).or_insert(entry);
             }
             routes.push(route_entry(deployment, &v.name, name, &types));
         }
     }
-    let mut rest = KdlNode::new("route");
-    rest.push(KdlEntry::new_prop(
+    let mut last_route = KdlNode::new("route");
+    last_route.push(KdlEntry::new_prop(
         "to",
         gullsail_configuration::routes::ALL,
     ));
-    routes.push(rest);
+    routes.push(last_route);
     let mut out = KdlDocument::new();
     let kept = document
         .nodes()
         .iter()
         .filter(|n| !["pool", "route"].contains(&n.name().value()));
-    out.nodes_mut()
-        .extend(kept.cloned().chain(made.into_values()).chain(routes));
+    out.nodes_mut().extend(
+        kept.cloned()
+            .chain(pool_entries.into_values())
+            .chain(routes),
+    );
     out.autoformat();
     out.to_string()
 }
 
-/// A name as a pattern that matches it alone.
-fn glob_of(name: &str) -> String {
+/// A pattern that matches only this name.
+fn exact_pattern(name: &str) -> String {
     name.chars().fold(String::new(), |text, c| {
         if ['*', '?', '[', ']'].contains(&c) {
             format!("{text}[{c}]")
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,7 @@
-//! Where volumes' new objects should go, zone by zone: a linear programme over the bytes that each volume
-//! brings from each zone, the nodes' capacity, the zones where objects may lie and the budgets between zones.
-//! The command line builds a [`Question`] from a configuration ([`documents`]), calls [`Question::plan`] and
-//! prints the [`Plan`]. No I/O.
+//! Plans in which zones the new objects of volumes are placed. The plan is the solution of a linear programme over the
+//! bytes that each volume writes from each zone, the capacity of the nodes, the zones where objects may be placed and the
+//! budgets between zones. The command line builds a [`Question`] from a configuration ([`documents`]), calls
+//! [`Question::plan`] and prints the [`Plan`]. No I/O.
 
 // One-letter names are left in places: docs/ROADMAP.md lists them.
 #![allow(clippy::min_ident_chars)]
@@ -14,17 +14,17 @@
 };
 use std::collections::BTreeSet;
 
-/// One volume's new objects.
+/// The new objects of one volume.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The volume's name.
     pub volume: String,
-    /// Bytes a second that come through hosts of each zone, by the zone's index.
+    /// Bytes a second that come through the hosts of each zone, by the zone's index.
     pub from: Vec<f64>,
-    /// The zones where they may lie.
+    /// The zones where the objects may be placed.
     pub zones: BTreeSet<usize>,
-    /// Work on nodes for each byte, in units.
-    pub units_a_byte: f64,
+    /// Units of work on nodes for each byte.
+    pub units_per_byte: f64,
 }
 
 /// A limit on the traffic from one zone to another.
@@ -34,24 +34,24 @@
     pub from: usize,
     /// The receiving zone.
     pub to: usize,
-    /// Bytes a second.
+    /// The limit in bytes a second.
     pub limit: f64,
 }
 
-/// All that a plan depends on. Zones, volumes and budgets are numbered by their index.
+/// A placement problem: everything that a plan depends on. Zones, volumes and budgets are identified by their index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Question {
-    /// Their names.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Units a second that each zone's nodes may be given.
+    /// The units a second that the nodes of each zone can serve.
     pub capacity: Vec<f64>,
-    /// What one node more would add to it.
+    /// The units a second that one more node would add to the capacity of each zone; 0 if the zone has no nodes.
     pub node_capacity: Vec<f64>,
-    /// The volumes.
+    /// The new objects of each volume.
     pub demands: Vec<Demand>,
     /// The limits between zones.
     pub budgets: Vec<Budget>,
-    /// The price of a byte that crosses, by its zones.
+    /// The price of one byte between two zones, by sending and receiving zone.
     pub price: Vec<Vec<f64>>,
 }
 
@@ -60,41 +60,41 @@
 pub enum Bound {
     /// The capacity of a zone's nodes.
     Nodes(usize),
-    /// A budget.
+    /// The budget with this index.
     Budget(usize),
-    /// The zones where a volume's objects may lie: without it, anywhere.
+    /// The restriction of a volume's objects to its zones. Without it, they may be placed anywhere.
     Zones(usize),
 }
 
-/// A bound that makes the plan dearer, and the gain from relaxing it.
+/// A bound that raises the cost of the plan, and what relaxing it would save.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Binding {
-    /// The bound.
+    /// The bound that raises the cost.
     pub bound: Bound,
-    /// Cost a second saved by one node more, or by one byte a second more.
+    /// The cost a second that one more node, or one more byte a second of budget, would save.
     pub saves: f64,
 }
 
-/// The cheapest placement.
+/// The placement with the lowest cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Bytes a second to each zone, by volume.
+    /// Bytes a second placed in each zone, by volume and zone.
     pub to: Vec<Vec<f64>>,
-    /// Bytes a second from zone to zone.
+    /// Bytes a second between two zones, by sending and receiving zone; 0 within a zone.
     pub crosses: Vec<Vec<f64>>,
-    /// Its price a second.
+    /// The cost of the traffic between zones, a second.
     pub cost: f64,
-    /// The bounds that make it dearer, the costliest first.
+    /// The bounds that raise the cost, the one with the largest saving first.
     pub binding: Vec<Binding>,
 }
 
 /// Why there is no plan.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum NoPlan {
-    /// These bounds contradict each other; without any one of them there would be a plan.
+    /// These bounds conflict. Without any one of them there would be a plan.
     #[error("the constraints conflict")]
     Clash(Vec<Bound>),
-    /// The solver failed.
+    /// The solver failed with this error.
     #[error("the solver found no solution: {0}")]
     Solver(String),
 }
@@ -103,22 +103,24 @@
 struct Solved {
     /// Bytes a second, by volume, sending zone and receiving zone.
     flows: Vec<Vec<Vec<f64>>>,
+    /// The cost a second.
     cost: f64,
 }
 
-/// A question with one bound relaxed by some nodes, or by some bytes a second.
+/// A problem with one bound relaxed.
 struct Relaxed {
     question: Question,
+    /// By how much: a number of nodes, or of bytes a second.
     step: f64,
 }
 
-/// The solver's variables: bytes a second, by volume, sending zone and receiving zone; `None`: not allowed.
+/// The solver's variables: bytes a second, by volume, sending zone and receiving zone. `None`: the flow is not allowed.
 struct Flows {
     variables: Vec<Vec<Vec<Option<Variable>>>>,
 }
 
 impl Flows {
-    /// The sum of all flows, each with a factor by volume, sending zone and receiving zone.
+    /// The sum of all flows, each multiplied by `factor(volume, sending zone, receiving zone)`.
     fn sum(&self, factor: impl Fn(usize, usize, usize) -> f64) -> Expression {
         let mut terms = Vec::new();
         for (volume, rows) in self.variables.iter().enumerate() {
@@ -138,10 +140,11 @@
     if applies { 1.0 } else { 0.0 }
 }
 
-/// Relative to the largest number: the solver's rounding error.
+/// The solver's rounding error, relative to the largest number of the problem.
 const TOLERANCE: f64 = 1e-6;
 
 impl Question {
+    /// All bounds of the problem.
     fn bounds(&self) -> Vec<Bound> {
         let nodes = (0..self.zones.len()).map(Bound::Nodes);
         let budgets = (0..self.budgets.len()).map(Bound::Budget);
@@ -151,17 +154,19 @@
             .collect()
     }
 
+    /// The index of the budget from one zone to another.
     fn budget(&self, from: usize, to: usize) -> Option<usize> {
         self.budgets
             .iter()
             .position(|b| b.from == from && b.to == to)
     }
 
-    /// Solves with these bounds alone; `Ok(None)`: no plan keeps them.
+    /// Solves the problem with the kept bounds only. `Ok(None)`: no solution satisfies them.
     fn solve(&self, kept: &BTreeSet<Bound>) -> Result<Option<Solved>, NoPlan> {
         let mut all = variables!();
         let flows = self.flow_variables(kept, &mut all);
-        // Among plans of equal cost, prefer one with less traffic between zones.
+        // The small addition to the price selects, among plans of equal cost, the one with the least traffic between
+        // zones.
         let prices = self.price.iter().flatten().copied();
         let largest = prices.fold(0.0, f64::max).max(1.0);
         let cost = flows.sum(|_, from, to| {
@@ -173,46 +178,46 @@
         });
         let mut model = all.minimise(cost).using(microlp);
         for (volume, demand) in self.demands.iter().enumerate() {
-            let asked = demand.from.iter().enumerate();
-            for (zone, asked) in asked.filter(|(_, asked)| **asked > 0.0) {
+            let rates = demand.from.iter().enumerate();
+            for (zone, rate) in rates.filter(|(_, rate)| **rate > 0.0) {
                 let placed = flows.sum(|v, from, _| indicator(v == volume && from == zone));
-                model = model.with(placed.eq(*asked));
+                model = model.with(placed.eq(*rate));
             }
         }
         for bound in kept {
             match *bound {
                 Bound::Nodes(zone) => {
-                    let units = |volume: usize| self.demands[volume].units_a_byte;
+                    let units = |volume: usize| self.demands[volume].units_per_byte;
                     let work = flows.sum(|v, _, to| if to == zone { units(v) } else { 0.0 });
                     model = model.with(work.leq(self.capacity[zone]));
                 }
-                Bound::Budget(place) => {
-                    let budget = &self.budgets[place];
-                    let crosses =
+                Bound::Budget(index) => {
+                    let budget = &self.budgets[index];
+                    let traffic =
                         flows.sum(|_, from, to| indicator(from == budget.from && to == budget.to));
-                    model = model.with(crosses.leq(budget.limit));
+                    model = model.with(traffic.leq(budget.limit));
                 }
                 Bound::Zones(_) => {}
             }
         }
         match model.solve() {
-            Ok(solution) => Ok(Some(self.solved(&flows, &solution))),
+            Ok(solution) => Ok(Some(self.read_solution(&flows, &solution))),
             Err(ResolutionError::Infeasible) => Ok(None),
             Err(error) => Err(NoPlan::Solver(error.to_string())),
         }
     }
 
-    /// A variable for each flow that the kept bounds allow.
+    /// Adds a variable to `all` for each flow that the kept bounds allow.
     fn flow_variables(&self, kept: &BTreeSet<Bound>, all: &mut ProblemVariables) -> Flows {
         let zones = self.zones.len();
         let mut variables = Vec::new();
         for (volume, demand) in self.demands.iter().enumerate() {
             let any_zone = !kept.contains(&Bound::Zones(volume));
-            let may_go = |to: &usize| any_zone || demand.zones.contains(to);
+            let is_allowed = |to: &usize| any_zone || demand.zones.contains(to);
             let mut row = |from: usize| -> Vec<Option<Variable>> {
                 let used = demand.from[from] > 0.0;
                 (0..zones)
-                    .map(|to| (used && may_go(&to)).then(|| all.add(variable().min(0.0))))
+                    .map(|to| (used && is_allowed(&to)).then(|| all.add(variable().min(0.0))))
                     .collect()
             };
             variables.push((0..zones).map(&mut row).collect());
@@ -225,8 +230,11 @@
         row.and_then(|row| row.get(to)).copied().unwrap_or(0.0)
     }
 
-    fn solved(&self, flows: &Flows, solution: &impl Solution) -> Solved {
-        let value = |flow: &Option<Variable>| flow.map_or(0.0, |it| solution.value(it).max(0.0));
+    /// The values of the solver's variables and their cost, without the small addition that `solve` makes to prices.
+    fn read_solution(&self, flows: &Flows, solution: &impl Solution) -> Solved {
+        let value = |flow: &Option<Variable>| {
+            flow.map_or(0.0, |variable| solution.value(variable).max(0.0))
+        };
         let volume = |rows: &Vec<Vec<Option<Variable>>>| -> Vec<Vec<f64>> {
             rows.iter()
                 .map(|row| row.iter().map(value).collect())
@@ -244,23 +252,24 @@
         Solved { flows, cost }
     }
 
-    /// The cheapest plan, what holds it back, or what clashes.
+    /// Computes the plan with the lowest cost, and the bounds that raise its cost.
     ///
     /// # Errors
-    /// No plan keeps all bounds, with a smallest set of those that clash; or the solver gave up.
+    /// No plan satisfies all bounds, with a minimal set of bounds that conflict; or the solver failed.
     pub fn plan(&self) -> Result<Plan, NoPlan> {
         let all: BTreeSet<Bound> = self.bounds().into_iter().collect();
         let Some(solved) = self.solve(&all)? else {
-            return Err(NoPlan::Clash(self.clash(all)?));
+            return Err(NoPlan::Clash(self.minimal_conflict(all)?));
         };
         let zones = self.zones.len();
-        let sum = |of: &dyn Fn(usize, usize, usize) -> bool| -> f64 {
-            let each = solved.flows.iter().enumerate().flat_map(|(v, rows)| {
+        let sum = |included: &dyn Fn(usize, usize, usize) -> bool| -> f64 {
+            let flows = solved.flows.iter().enumerate().flat_map(|(v, rows)| {
                 rows.iter().enumerate().flat_map(move |(a, row)| {
                     row.iter().enumerate().map(move |(b, y)| (v, a, b, *y))
                 })
             });
-            each.filter(|(v, a, b, _)| of(*v, *a, *b))
+            flows
+                .filter(|(v, a, b, _)| included(*v, *a, *b))
                 .map(|e| e.3)
                 .sum()
         };
@@ -302,7 +311,7 @@
         Ok(plan)
     }
 
-    /// The same question with one bound relaxed; `None`: that is not possible.
+    /// The problem with one bound relaxed; `None`: this bound can't be relaxed.
     fn relax(&self, bound: Bound) -> Option<Relaxed> {
         let mut question = self.clone();
         match bound {
@@ -314,7 +323,7 @@
                 })
             }
             Bound::Budget(index) => {
-                // A thousandth: the value of a byte here, not that of a flood.
+                // A small step, so that the saving is that of one more byte near the present limit.
                 let step = (question.budgets[index].limit / 1000.0).max(1.0);
                 question.budgets[index].limit += step;
                 Some(Relaxed { question, step })
@@ -323,9 +332,8 @@
         }
     }
 
-    /// A smallest set of bounds that clash: each that can be left out without a plan coming about is left
-    /// out.
-    fn clash(&self, mut kept: BTreeSet<Bound>) -> Result<Vec<Bound>, NoPlan> {
+    /// A minimal set of bounds that conflict. Each bound is dropped unless its removal makes the problem solvable.
+    fn minimal_conflict(&self, mut kept: BTreeSet<Bound>) -> Result<Vec<Bound>, NoPlan> {
         for bound in self.bounds() {
             kept.remove(&bound);
             if self.solve(&kept)?.is_some() {
@@ -335,7 +343,7 @@
         Ok(kept.into_iter().collect())
     }
 
-    /// A description of a bound.
+    /// Describes a bound for messages.
     pub fn say(&self, bound: Bound) -> String {
         match bound {
             Bound::Nodes(z) => {
@@ -344,8 +352,8 @@
                     self.zones[z], self.capacity[z]
                 )
             }
-            Bound::Budget(place) => {
-                let b = &self.budgets[place];
+            Bound::Budget(index) => {
+                let b = &self.budgets[index];
                 format!(
                     "the budget from {} to {}, {:.0} bytes a second",
                     self.zones[b.from], self.zones[b.to], b.limit
@@ -359,8 +367,8 @@
         }
     }
 
-    /// The budget from one zone to another, if there is one.
+    /// The budget from one zone to another in bytes a second; `None` if there is none.
     pub fn most(&self, from: usize, to: usize) -> Option<f64> {
-        self.budget(from, to).map(|place| self.budgets[place].limit)
+        self.budget(from, to).map(|index| self.budgets[index].limit)
     }
 }
--- a/crates/placement/tests/plans.rs
+++ b/crates/placement/tests/plans.rs
@@ -1,8 +1,8 @@
-//! Small questions whose answers are known.
+//! Small placement problems with known solutions.
 
 use gullsail_placement::*;
 
-/// Two zones, and a third that is dear to reach.
+/// A problem with three zones, in which traffic to and from the third is expensive.
 fn question(
     capacity: [f64; 3],
     demands: &[(&str, [f64; 3], &[usize])],
@@ -12,12 +12,12 @@
         volume: volume.to_string(),
         from: from.to_vec(),
         zones: zones.iter().copied().collect(),
-        units_a_byte: 1.0,
+        units_per_byte: 1.0,
     };
-    let budget = |(from, to, most): &(usize, usize, f64)| Budget {
+    let budget = |(from, to, limit): &(usize, usize, f64)| Budget {
         from: *from,
         to: *to,
-        limit: *most,
+        limit: *limit,
     };
     let price = |a: usize, b: usize| if a == 2 || b == 2 { 5.0 } else { 1.0 };
     Question {
@@ -35,10 +35,10 @@
 const ANY: &[usize] = &[0, 1, 2];
 
 #[test]
-fn plans_keep_bounds_and_cost_least() {
+fn plan_satisfies_bounds_at_the_lowest_cost() {
     use Bound::*;
-    // what zones can do, demands, budgets; where each volume goes, the cost, what binds and what easing it
-    // saves
+    // capacity of zones, demands, budgets; expected bytes a second by volume and zone, cost, binding bounds with their
+    // savings
     type Case<'a> = (
         [f64; 3],
         &'a [(&'a str, [f64; 3], &'a [usize])],
@@ -48,7 +48,7 @@
         &'a [(Bound, f64)],
     );
     let cases: [Case; 7] = [
-        // All at home.
+        // All objects fit into the zone that they come from.
         (
             [100.0, 100.0, 100.0],
             &[("v", [30.0, 20.0, 0.0], ANY)],
@@ -57,7 +57,7 @@
             0.0,
             &[],
         ),
-        // Home is too small: the rest goes where it is cheap.
+        // The zone is too small: the rest is placed in the cheaper of the others.
         (
             [20.0, 100.0, 100.0],
             &[("v", [50.0, 0.0, 0.0], ANY)],
@@ -66,7 +66,7 @@
             30.0,
             &[(Nodes(0), 10.0)],
         ),
-        // And where the budget is spent, where it is dear.
+        // The budget to the cheaper zone is used up: the rest is placed in the expensive one.
         (
             [20.0, 100.0, 100.0],
             &[("v", [50.0, 0.0, 0.0], ANY)],
@@ -75,7 +75,7 @@
             110.0,
             &[(Nodes(0), 50.0), (Budget(0), 4.0)],
         ),
-        // A volume that may lie in one zone only crosses; the other makes room for it there.
+        // One volume is restricted to another zone, so part of the other volume moves out of that zone.
         (
             [100.0, 30.0, 100.0],
             &[("v", [20.0, 0.0, 0.0], &[1]), ("w", [0.0, 30.0, 0.0], ANY)],
@@ -84,7 +84,7 @@
             40.0,
             &[(Nodes(1), 10.0)],
         ),
-        // Budgets that nothing needs do not bind.
+        // A budget without traffic is not binding.
         (
             [100.0, 100.0, 100.0],
             &[("v", [9.0, 0.0, 0.0], ANY)],
@@ -102,48 +102,48 @@
             25.0,
             &[(Nodes(2), 25.0)],
         ),
-        // Nothing is asked.
+        // No demand.
         ([0.0, 0.0, 0.0], &[], &[], &[], 0.0, &[]),
     ];
-    for (place, (can, demands, budgets, to, cost, binding)) in cases.into_iter().enumerate() {
-        let q = question(can, demands, budgets);
-        let plan = q.plan().unwrap_or_else(|e| panic!("case {place}: {e:?}"));
+    for (case, (capacity, demands, budgets, to, cost, binding)) in cases.into_iter().enumerate() {
+        let q = question(capacity, demands, budgets);
+        let plan = q.plan().unwrap_or_else(|e| panic!("case {case}: {e:?}"));
         let near = |a: f64, b: f64| (a - b).abs() < 1e-3;
-        assert!(near(plan.cost, cost), "case {place}: {plan:?}");
+        assert!(near(plan.cost, cost), "case {case}: {plan:?}");
         assert!(
             plan.to
                 .iter()
                 .flatten()
                 .zip(to.iter().flatten())
                 .all(|(a, b)| near(*a, *b)),
-            "case {place}: {plan:?}"
+            "case {case}: {plan:?}"
         );
         let found: Vec<_> = plan.binding.iter().map(|b| b.bound).collect();
         assert_eq!(
             found,
             binding.iter().map(|b| b.0).collect::<Vec<_>>(),
-            "case {place}: {plan:?}"
+            "case {case}: {plan:?}"
         );
         assert!(
             plan.binding
                 .iter()
                 .zip(binding)
                 .all(|(a, b)| near(a.saves, b.1)),
-            "case {place}: {plan:?}"
+            "case {case}: {plan:?}"
         );
     }
 }
 
 #[test]
-fn what_clashes_is_a_smallest_set() {
+fn reported_conflict_is_a_minimal_set_of_bounds() {
     use Bound::*;
     let cases: [(Question, &[Bound]); 4] = [
-        // More than all nodes together can do.
+        // The demand exceeds the capacity of all nodes together.
         (
             question([1.0, 1.0, 1.0], &[("v", [9.0, 0.0, 0.0], ANY)], &[]),
             &[Nodes(0), Nodes(1), Nodes(2)],
         ),
-        // It may lie in one zone, which is too small; the other volume, and other zones, are no part of it.
+        // The zone of one volume is too small. The other volume and the other zones are not part of the conflict.
         (
             question(
                 [99.0, 5.0, 99.0],
@@ -152,7 +152,7 @@
             ),
             &[Nodes(1), Zones(1)],
         ),
-        // It may not be where it comes from, and may not cross.
+        // The objects may not stay in the zone that they come from, and the budget out of that zone is too small.
         (
             question(
                 [99.0; 3],
@@ -161,7 +161,7 @@
             ),
             &[Budget(0), Zones(0)],
         ),
-        // Home is full, and both ways out are too narrow.
+        // The zone is too small, and so are both budgets out of it.
         (
             question(
                 [1.0, 99.0, 99.0],
@@ -171,9 +171,9 @@
             &[Nodes(0), Budget(0), Budget(1)],
         ),
     ];
-    for (q, wanted) in cases {
+    for (q, expected) in cases {
         match q.plan() {
-            Err(NoPlan::Clash(found)) => assert_eq!(found, wanted),
+            Err(NoPlan::Clash(found)) => assert_eq!(found, expected),
             other => panic!("{other:?}"),
         }
     }
--- a/crates/zone-traffic/src/ledger.rs
+++ b/crates/zone-traffic/src/ledger.rs
@@ -1,57 +1,58 @@
-//! Bytes and frames that went from zone to zone, by plan, volume, request class and reason. Each host counts
-//! what it sends and what it is sent, so each frame between a host and a node is counted once, at the host;
-//! frames between hosts are counted by their sender.
+//! Counts bytes and frames between zones, by plan, volume, request class and reason. A frame between a host and a node
+//! is counted by the host, in both directions. A frame between two hosts is counted by its sender. So each frame is
+//! counted once.
 
 use gullsail_scheduler_api::{Instant, PlanId, RequestClassId, Span, VolumeId, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Why something went to another zone.
+/// The reason why a frame was sent to another zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The data of the request is there.
+    /// The data of the request is in the other zone.
     Bound,
-    /// A new object was placed there.
+    /// A new object was placed in the other zone.
     Placed,
-    /// An attempt after a request's first.
+    /// The frame belongs to an attempt after a request's first.
     Further,
     /// Frames between hosts, and frames to and from nodes that carry no attempt.
     Peers,
 }
 
-/// Whose requests a flow belongs to. Its order is the order of its fields.
+/// The requests that a flow belongs to. Values are ordered by their fields in sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FlowOf {
-    /// The volume's plan.
+    /// The plan of the volume.
     pub plan: PlanId,
-    /// The volume.
+    /// The volume of the requests.
     pub volume: VolumeId,
-    /// The request class.
+    /// The class of the requests.
     pub request_class: RequestClassId,
 }
 
-/// What is counted together. Its order is the order of its fields.
+/// Traffic that is counted in one total. Values are ordered by their fields in sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Flow {
-    /// The zone that it left.
+    /// The sending zone.
     pub from: ZoneId,
-    /// The zone that it went to.
+    /// The receiving zone.
     pub to: ZoneId,
-    /// Why.
+    /// The reason for the traffic.
     pub reason: Reason,
-    /// Of requests; `None` where there are none.
+    /// The requests that the traffic belongs to. `None`: it belongs to no request, or its bucket had no room for a
+    /// separate flow.
     pub of: Option<FlowOf>,
 }
 
-/// How much went.
+/// The amount of traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
-    /// Frames.
+    /// The number of frames.
     pub frames: u64,
-    /// Their bytes.
+    /// The bytes of these frames.
     pub bytes: u64,
-    /// Bytes of these that no client had the benefit of: of attempts that did not end their request.
+    /// The part of the bytes that was of no use to a client: those of attempts that did not end their request.
     pub for_nothing: u64,
 }
 
@@ -63,54 +64,55 @@
     }
 }
 
-/// The most flows in one bucket: what comes beyond is counted without its volume.
+/// The maximum number of flows in one bucket. Further flows are counted without plan, volume and request class.
 const MAX_FLOWS: usize = 4096;
-/// The most totals that are kept in buckets, a few megabytes: older ones are summed up. Reading all of them
-/// takes some milliseconds.
+/// The maximum number of totals in all buckets, beyond which the oldest buckets are summed up. So many totals take a few
+/// megabytes of memory, and a few milliseconds to read.
 const MAX_TOTALS: usize = 16_384;
-/// The most buckets that are kept.
+/// The maximum number of buckets.
 const MAX_BUCKETS: usize = 720;
 
+/// The traffic in one interval.
 #[derive(Debug)]
 struct Bucket {
     start: Instant,
     totals: BTreeMap<Flow, Total>,
 }
 
-/// The traffic between zones of one incarnation of a host, in time buckets. It is lost with that incarnation.
+/// The traffic between zones of one incarnation of a host, in buckets by time. It is not stored across restarts.
 #[derive(Debug)]
 pub struct Ledger {
-    /// How long one bucket is.
+    /// The length of the interval of one bucket.
     bucket_length: Span,
     buckets: VecDeque<Bucket>,
-    /// The sums of buckets that are gone.
-    before: BTreeMap<Flow, Total>,
-    /// Totals in the buckets.
-    held: usize,
-    /// When counting began.
+    /// The sums of the buckets that were removed.
+    removed: BTreeMap<Flow, Total>,
+    /// The number of totals in all buckets.
+    bucket_totals: usize,
+    /// The time at which counting began.
     pub since: Instant,
 }
 
 impl Ledger {
-    /// An empty ledger with buckets of that length.
+    /// Creates an empty ledger with buckets of this length.
     pub fn new(bucket_length: Span, now: Instant) -> Ledger {
         Ledger {
             bucket_length,
             buckets: VecDeque::new(),
-            before: BTreeMap::new(),
-            held: 0,
+            removed: BTreeMap::new(),
+            bucket_totals: 0,
             since: now,
         }
     }
 
-    /// Counts one frame. Within a zone nothing is counted. `for_nothing`: no client has the benefit of it.
+    /// Counts one frame. A frame within a zone is ignored. `for_nothing`: the frame was of no use to a client.
     pub fn count(&mut self, now: Instant, flow: Flow, bytes: usize, for_nothing: bool) {
         if flow.from == flow.to {
             return;
         }
         let length = self.bucket_length.micros();
         let start = Instant::from_micros(now.micros().div_euclid(length) * length);
-        // A clock that went back counts into the newest bucket: buckets stay in order.
+        // After the clock went back, frames are counted in the newest bucket, so that buckets stay in order.
         if self
             .buckets
             .back()
@@ -130,28 +132,28 @@
         if let Some(bucket) = self.buckets.back_mut() {
             let before = bucket.totals.len();
             add(&mut bucket.totals, flow, total);
-            self.held += bucket.totals.len() - before;
+            self.bucket_totals += bucket.totals.len() - before;
         }
         self.sum_up_old_buckets();
     }
 
-    /// Keeps the number of totals and of buckets within bounds.
+    /// Sums up the oldest buckets until the numbers of totals and of buckets are within their limits.
     fn sum_up_old_buckets(&mut self) {
-        while (self.held > MAX_TOTALS || self.buckets.len() > MAX_BUCKETS)
+        while (self.bucket_totals > MAX_TOTALS || self.buckets.len() > MAX_BUCKETS)
             && self.buckets.len() > 1
             && let Some(old) = self.buckets.pop_front()
         {
-            self.held -= old.totals.len();
+            self.bucket_totals -= old.totals.len();
             for (flow, total) in old.totals {
-                add(&mut self.before, flow, total);
+                add(&mut self.removed, flow, total);
             }
         }
     }
 
-    /// All flows since a point in time, as far as they are kept; of the whole incarnation where it is `None`.
+    /// All flows from the bucket that holds `from` on, as far as buckets are kept. `None`: of the whole incarnation.
     pub fn since(&self, from: Option<Instant>) -> BTreeMap<Flow, Total> {
         let mut all = if from.is_none() {
-            self.before.clone()
+            self.removed.clone()
         } else {
             BTreeMap::new()
         };
@@ -165,7 +167,7 @@
         all
     }
 
-    /// Bytes by bucket of one pair of zones, with the start of each bucket.
+    /// The bytes from one zone to another in each bucket, with the start of the bucket.
     pub fn over_time(&self, from: ZoneId, to: ZoneId) -> impl Iterator<Item = (Instant, u64)> {
         self.buckets.iter().map(move |bucket| {
             let of_pair = bucket
@@ -176,12 +178,13 @@
         })
     }
 
-    /// How many totals are kept.
+    /// The number of totals that are kept.
     pub fn kept(&self) -> usize {
-        self.before.len() + self.held
+        self.removed.len() + self.bucket_totals
     }
 }
 
+/// Adds to the total of a flow. If there are too many flows, the flow is counted without its requests.
 fn add(totals: &mut BTreeMap<Flow, Total>, flow: Flow, total: Total) {
     let has_room = totals.len() < MAX_FLOWS || totals.contains_key(&flow);
     let flow = if has_room {
--- a/crates/zone-traffic/src/lib.rs
+++ b/crates/zone-traffic/src/lib.rs
@@ -1,6 +1,6 @@
-//! Traffic between zones: a ledger by who and why, and overruns of budgets with their reasons, both with
-//! bounded memory. A host counts into them as it sends and receives, and shows them to its operators; nothing
-//! is decided by them. No I/O and no clock of its own.
+//! Accounting of traffic between zones: a [`Ledger`] of bytes by plan, volume, request class and reason, and
+//! [`Overruns`] of budgets with their reasons, both with bounded memory. A host records its traffic here for its
+//! operators; the scheduler does not read it. No I/O; the caller passes the time.
 
 mod ledger;
 mod overruns;
--- a/crates/zone-traffic/src/overruns.rs
+++ b/crates/zone-traffic/src/overruns.rs
@@ -1,97 +1,101 @@
-//! Overruns of cross-zone budgets, each with its reason as known when it was decided. Bytes that follow each
-//! other for the same reason are one overrun with its interval.
+//! Records overruns of cross-zone budgets, each with the reason known when the bytes were sent. Bytes beyond the same
+//! budget for the same reason are combined into one overrun if the gaps between them are short.
 
 use gullsail::decaying_sum::DecayingSum;
 use gullsail_scheduler_api::{Instant, OverrunCause, PlanId, Span, VolumeId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What was known when bytes went beyond a budget.
+/// The reason why a budget was exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OverrunReason {
-    /// The scheduler's own cause.
+    /// The cause that the scheduler gives.
     Decided(OverrunCause),
-    /// Bound to its data, while this plan had far more traffic between zones than usual.
+    /// The data of the requests is in another zone, and this plan had far more traffic between zones than usual.
     Surge(PlanId),
 }
 
-/// Bytes beyond one budget for one reason.
+/// The bytes beyond one budget for one reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Overrun {
-    /// Which budget.
+    /// The id of the budget.
     pub cross_zone_budget: VolumeId,
-    /// Why.
+    /// The reason, as far as it was known.
     pub known: OverrunReason,
-    /// When it began.
+    /// The time of the first bytes.
     pub from: Instant,
-    /// When it grew last.
+    /// The time of the last bytes.
     pub to: Instant,
-    /// How much.
+    /// The number of bytes beyond the budget.
     pub bytes: f64,
 }
 
-/// After so long without a byte beyond the budget, the next one begins another overrun.
+/// After a longer time without bytes beyond the budget, the next bytes begin another overrun.
 const MAX_GAP: Span = Span::from_micros(2_000_000);
-/// Overruns that are kept.
+/// The maximum number of overruns that are kept.
 const MAX_KEPT: usize = 1000;
-/// How many of the newest are searched for one that goes on.
+/// The number of the newest overruns that are searched for one to which new bytes can be added.
 const NEWEST_SEARCHED: usize = 16;
-/// A plan surges when its traffic is so many times that of the minute before, and most of all traffic.
+/// A plan surges if its recent traffic exceeds its usual traffic by this factor and is more than half of all traffic.
 const SURGE_FACTOR: f64 = 2.0;
-const SURGE_WINDOW: Span = Span::from_micros(3_000_000);
+/// The time constant of the sum of recent traffic.
+const RECENT_WINDOW: Span = Span::from_micros(3_000_000);
+/// The time constant of the sum of usual traffic.
 const USUAL_WINDOW: Span = Span::from_micros(60_000_000);
 
-/// A plan's traffic between zones.
+/// The traffic of a plan between zones, in bytes.
 #[derive(Debug, Default)]
 struct PlanTraffic {
-    lately: DecayingSum,
-    usually: DecayingSum,
+    recent: DecayingSum,
+    usual: DecayingSum,
 }
 
-/// A plan's traffic as rates.
+/// The traffic of a plan between zones, in bytes a second.
 struct PlanRate {
     plan: PlanId,
-    lately: f64,
-    usually: f64,
+    recent: f64,
+    usual: f64,
 }
 
-/// The newest overruns of one incarnation of a host, and what is needed to name their reasons.
+/// The newest overruns of one incarnation of a host, and the traffic of plans, from which surges are detected.
 #[derive(Debug, Default)]
 pub struct Overruns {
     all: VecDeque<Overrun>,
     plans: BTreeMap<PlanId, PlanTraffic>,
-    began: Option<Instant>,
+    /// The time of the first traffic between zones.
+    first_traffic: Option<Instant>,
 }
 
 impl Overruns {
-    /// Counts bytes of a plan between zones, within budgets or beyond them.
+    /// Counts bytes of a plan between zones, whether or not a budget is exceeded.
     pub fn crossed(&mut self, now: Instant, plan: PlanId, bytes: f64) {
-        self.began.get_or_insert(now);
+        self.first_traffic.get_or_insert(now);
         let traffic = self.plans.entry(plan).or_default();
-        traffic.lately.add(now, SURGE_WINDOW, bytes);
-        traffic.usually.add(now, USUAL_WINDOW, bytes);
+        traffic.recent.add(now, RECENT_WINDOW, bytes);
+        traffic.usual.add(now, USUAL_WINDOW, bytes);
     }
 
-    /// The plan that makes most of the traffic and far more than usual, if there is one.
+    /// The plan with most of the recent traffic, if its traffic is far above its usual rate.
     fn surge(&mut self, now: Instant) -> Option<PlanId> {
-        // What is usual is known after a while only; a sum that is young has seen but a part of its window.
-        let seen = (now - self.began?).secs();
-        let part = 1.0 - (-seen / USUAL_WINDOW.secs()).exp();
+        // Shortly after the start, the sum of usual traffic covers only a fraction of its window, and the rate is scaled
+        // up accordingly. In the first seconds no surge is detected.
+        let seen = (now - self.first_traffic?).secs();
+        let fraction = 1.0 - (-seen / USUAL_WINDOW.secs()).exp();
         let rates = self.plans.iter_mut().map(|(plan, traffic)| PlanRate {
             plan: *plan,
-            lately: traffic.lately.read(now, SURGE_WINDOW) / SURGE_WINDOW.secs(),
-            usually: traffic.usually.read(now, USUAL_WINDOW) / USUAL_WINDOW.secs() / part.max(1e-9),
+            recent: traffic.recent.read(now, RECENT_WINDOW) / RECENT_WINDOW.secs(),
+            usual: traffic.usual.read(now, USUAL_WINDOW) / USUAL_WINDOW.secs() / fraction.max(1e-9),
         });
         let rates: Vec<PlanRate> = rates.collect();
-        let all: f64 = rates.iter().map(|rate| rate.lately).sum();
-        let most = rates
+        let all: f64 = rates.iter().map(|rate| rate.recent).sum();
+        let largest = rates
             .into_iter()
-            .max_by(|one, other| one.lately.total_cmp(&other.lately))?;
-        let known_long_enough = seen > SURGE_WINDOW.secs() * 2.0;
-        let surges = most.lately * 2.0 > all && most.lately > SURGE_FACTOR * most.usually;
-        (known_long_enough && surges).then_some(most.plan)
+            .max_by(|one, other| one.recent.total_cmp(&other.recent))?;
+        let known_long_enough = seen > RECENT_WINDOW.secs() * 2.0;
+        let surges = largest.recent * 2.0 > all && largest.recent > SURGE_FACTOR * largest.usual;
+        (known_long_enough && surges).then_some(largest.plan)
     }
 
-    /// Records bytes that went beyond a budget.
+    /// Records bytes beyond a budget, with the cause that the scheduler gives.
     pub fn record(
         &mut self,
         now: Instant,
@@ -131,12 +135,12 @@
         });
     }
 
-    /// How many entries are kept.
+    /// The number of entries that are kept.
     pub fn kept(&self) -> usize {
         self.all.len() + self.plans.len()
     }
 
-    /// All that are kept, oldest first.
+    /// All overruns that are kept, oldest first.
     pub fn all(&self) -> impl Iterator<Item = &Overrun> {
         self.all.iter()
     }
--- a/crates/zone-traffic/tests/account.rs
+++ b/crates/zone-traffic/tests/account.rs
@@ -1,5 +1,4 @@
-//! The ledger equals what was counted into it, whatever comes, within its memory; overruns keep their
-//! reasons.
+//! The ledger's totals equal the traffic that was counted, with bounded memory; overruns have the right reasons.
 
 use gullsail_scheduler_api::*;
 use gullsail_zone_traffic::*;
@@ -33,12 +32,12 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_ledger_equals_what_was_sent(frames in proptest::collection::vec((0i64..40_000, 0usize..3, 0usize..3, 0u64..9, any::<bool>(), 0usize..9999), 0..300)) {
+    fn ledger_totals_equal_the_counted_frames(frames in proptest::collection::vec((0i64..40_000, 0usize..3, 0usize..3, 0u64..9, any::<bool>(), 0usize..9999), 0..300)) {
         let mut ledger = Ledger::new(Span::from_micros(10_000_000), at(0));
         let mut sums: BTreeMap<(ZoneId, ZoneId), (u64, u64, u64)> = BTreeMap::new();
         let mut now = 0;
         for (later, from, to, volume, placed, bytes) in frames {
-            // Now and then the clock goes back a little.
+            // About one step in eight moves the clock back.
             now += later - 5000;
             ledger.count(at(now), flow(from, to, volume, placed), bytes, placed);
             if from != to {
@@ -59,9 +58,10 @@
 }
 
 #[test]
-fn memory_is_bounded_and_nothing_is_lost() {
+fn ledger_bounds_its_memory_and_keeps_all_bytes() {
     let mut ledger = Ledger::new(Span::from_micros(10_000_000), at(0));
-    // Two days of many volumes: more buckets and totals than are kept, more flows than one bucket holds.
+    // Two days with many volumes exceed the limits on buckets and totals. The last bucket gets more flows than it can
+    // hold.
     for second in (0..2 * 86_400).step_by(60) {
         for v in 0..100 {
             ledger.count(
@@ -87,14 +87,14 @@
             .since(Some(at(172_800_000)))
             .keys()
             .any(|f| f.of.is_none()),
-        "too many to tell volumes apart"
+        "flows beyond the limit are counted without their volume"
     );
 }
 
 #[test]
-fn overruns_have_their_reasons_and_intervals() {
-    // what crosses each 100 ms, by plan, in ten minutes and in the ten seconds after; what is decided; what
-    // is known
+fn overruns_have_the_expected_reasons_and_intervals() {
+    // bytes each 100 ms by plan, for ten minutes and for the ten seconds after; cause given by the scheduler; recorded
+    // reason
     let cases = [
         (
             [100.0, 100.0],
@@ -139,31 +139,31 @@
             OverrunReason::Decided(OverrunCause::Retry),
         ),
     ];
-    for (usually, lately, cause, known) in cases {
-        let mut b = Overruns::default();
+    for (usual, recent, cause, known) in cases {
+        let mut overruns = Overruns::default();
         for tick in 0..6100 {
-            let of = if tick < 6000 { usually } else { lately };
-            (0..2).for_each(|plan| b.crossed(at(tick * 100), PlanId(plan), of[plan]));
+            let bytes = if tick < 6000 { usual } else { recent };
+            (0..2).for_each(|plan| overruns.crossed(at(tick * 100), PlanId(plan), bytes[plan]));
         }
-        b.record(at(610_000), VolumeId(9), 50.0, cause);
-        b.record(at(611_000), VolumeId(9), 30.0, cause);
-        b.record(at(611_000), VolumeId(8), 30.0, cause);
-        b.record(
+        overruns.record(at(610_000), VolumeId(9), 50.0, cause);
+        overruns.record(at(611_000), VolumeId(9), 30.0, cause);
+        overruns.record(at(611_000), VolumeId(8), 30.0, cause);
+        overruns.record(
             at(640_000),
             VolumeId(9),
             30.0,
             OverrunCause::LocalNodesSilent,
         );
-        let all: Vec<_> = b
+        let all: Vec<_> = overruns
             .all()
             .map(|b| (b.cross_zone_budget.0, b.known, b.from, b.to, b.bytes))
             .collect();
         let silent = OverrunReason::Decided(OverrunCause::LocalNodesSilent);
-        let wanted = [
+        let expected = [
             (9, known, at(610_000), at(611_000), 80.0),
             (8, known, at(611_000), at(611_000), 30.0),
             (9, silent, at(640_000), at(640_000), 30.0),
         ];
-        assert_eq!(all, wanted, "{usually:?} {lately:?}");
+        assert_eq!(all, expected, "{usual:?} {recent:?}");
     }
 }
