--- a/crates/configuration/tests/collection.rs
+++ b/crates/configuration/tests/collection.rs
@@ -1,5 +1,5 @@
-//! Many small documents that are broken, or sound and doubtful, each with the code, line and column that must
-//! be said, and a part of what is said. Each is read with a sound one of some hosts and nodes beside it.
+//! Small documents with an error or a warning. Each states the code, line and column that must be reported and a part
+//! of the message. It is read together with `base.kdl`, a valid document with some hosts and nodes.
 
 use gullsail_configuration::*;
 use std::collections::BTreeMap;
@@ -8,19 +8,22 @@
 
 struct Case<'a> {
     code: &'a str,
-    place: &'a str,
-    part: &'a str,
+    /// `line:column`.
+    position: &'a str,
+    /// A part of the message, the help, the related positions or the file name.
+    text_part: &'a str,
     files: Memory,
     text: &'a str,
 }
 
+/// Parses cases. The head of each is `### CODE LINE:COLUMN PART`; further files begin with `== NAME`.
 fn cases(text: &str) -> Vec<Case<'_>> {
     text.split("### ")
         .skip(1)
         .map(|c| {
             let (head, text) = c.split_once('\n').unwrap();
             let mut words = head.splitn(3, ' ');
-            let (code, place) = (words.next().unwrap(), words.next().unwrap_or_default());
+            let (code, position) = (words.next().unwrap(), words.next().unwrap_or_default());
             let mut files = BTreeMap::from([("base.kdl".to_string(), BASE.to_string())]);
             for (number, part) in text.split("== ").enumerate() {
                 if number == 0 {
@@ -32,8 +35,8 @@
             }
             Case {
                 code,
-                place,
-                part: words.next().unwrap_or_default(),
+                position,
+                text_part: words.next().unwrap_or_default(),
                 files: Memory(files),
                 text,
             }
@@ -41,29 +44,30 @@
         .collect()
 }
 
-fn judge(case: &Case, found: &[Problem]) -> Result<(), String> {
-    let said = |p: &Problem| {
+/// Checks that the expected problem is among those found, and that its code is explained.
+fn check(case: &Case, found: &[Problem]) -> Result<(), String> {
+    let texts = |p: &Problem| {
         let help = p.help.as_deref().unwrap_or_default();
         format!("{} {help} {} in {}", p.message, p.see.join(" "), p.file)
     };
-    let hit = found.iter().find(|p| {
+    let matching = found.iter().find(|p| {
         p.code == case.code
-            && format!("{}:{}", p.line, p.column) == case.place
-            && said(p).contains(case.part)
+            && format!("{}:{}", p.line, p.column) == case.position
+            && texts(p).contains(case.text_part)
     });
     let all = || {
         found
             .iter()
-            .map(|p| format!("  {} {}:{} {}", p.code, p.line, p.column, said(p)))
+            .map(|p| format!("  {} {}:{} {}", p.code, p.line, p.column, texts(p)))
     };
-    match hit {
+    match matching {
         Some(p) if explain::explain(p.code).is_some() => Ok(()),
         Some(p) => Err(format!("{} is not explained", p.code)),
         None => Err(format!(
             "{} {} {}\n{}{}",
             case.code,
-            case.place,
-            case.part,
+            case.position,
+            case.text_part,
             case.text,
             all().collect::<Vec<_>>().join("\n")
         )),
@@ -71,34 +75,34 @@
 }
 
 #[test]
-fn each_is_named_with_its_place() {
-    let (broken, doubtful) = include_str!("collection.txt")
+fn each_problem_has_its_code_position_and_text() {
+    let (broken, questionable) = include_str!("collection.txt")
         .split_once("### WARNINGS\n")
         .unwrap();
-    let (broken, doubtful) = (cases(broken), cases(doubtful));
-    let mut wrong = Vec::new();
+    let (broken, questionable) = (cases(broken), cases(questionable));
+    let mut failures = Vec::new();
     for c in &broken {
         let found = load(&c.files, "main.kdl")
             .err()
             .map(|e| e.problems)
             .unwrap_or_default();
-        wrong.extend(judge(c, &found).err());
+        failures.extend(check(c, &found).err());
     }
-    for c in &doubtful {
+    for c in &questionable {
         let found = load(&c.files, "main.kdl");
         let found = found.map_or_else(|e| e.problems, |(_, warnings)| warnings);
-        wrong.extend(judge(c, &found).err());
+        failures.extend(check(c, &found).err());
         assert!(
-            found.iter().all(|p| p.severity == ProblemSeverity::Warning) || !wrong.is_empty(),
+            found.iter().all(|p| p.severity == ProblemSeverity::Warning) || !failures.is_empty(),
             "{}: {found:?}",
             c.text
         );
     }
     assert!(
-        wrong.is_empty(),
-        "{} of them:\n{}",
-        wrong.len(),
-        wrong.join("\n\n")
+        failures.is_empty(),
+        "{} cases failed:\n{}",
+        failures.len(),
+        failures.join("\n\n")
     );
     assert!(
         load(&Memory([("b".into(), BASE.into())].into()), "b")
@@ -106,11 +110,11 @@
             .1
             .is_empty()
     );
-    // So many, and no two alike.
-    for (cases, least) in [(&broken, 120), (&doubtful, 40)] {
+    // Guards against an empty or repetitive collection, such as after a parsing error.
+    for (cases, minimum) in [(&broken, 120), (&questionable, 40)] {
         let mut texts: Vec<_> = cases.iter().map(|c| c.text).collect();
         texts.sort_unstable();
         texts.dedup();
-        assert!(texts.len() >= least, "{}", texts.len());
+        assert!(texts.len() >= minimum, "{}", texts.len());
     }
 }
--- a/crates/configuration/tests/diff.rs
+++ b/crates/configuration/tests/diff.rs
@@ -1,10 +1,9 @@
-//! What a diff says of values: programs read these texts, so they are those of the version before the types
-//! were renamed, to the letter.
+//! Values in a diff have fixed texts, since programs read them. A type or field that is renamed must not change them.
 
 use gullsail_configuration::{diff::diff, parse};
 
 #[test]
-fn values_stand_as_an_earlier_version_wrote_them() {
+fn diff_equals_the_recorded_text() {
     let old = parse("old.kdl", include_str!("diff/old.kdl")).unwrap();
     let new = parse("new.kdl", include_str!("diff/new.kdl")).unwrap();
     let changes: Vec<_> = diff(&old, &new)
--- a/crates/configuration/tests/documents.rs
+++ b/crates/configuration/tests/documents.rs
@@ -1,9 +1,9 @@
-//! Sound and broken documents, with the place and the code that each must bring.
+//! A valid document, and invalid variants of it with the code and position of the problem that each must report.
 
 use gullsail_configuration::*;
 use gullsail_scheduler_api::*;
 
-const SOUND: &str = r#"
+const VALID: &str = r#"
 zone "a"
 rules tick="20ms" most-units=8 order-settle="200ms" advice="1s"
 cold units=40 window="1.5s" first-part=0.2 ramp="8s"
@@ -22,8 +22,8 @@
 "#;
 
 #[test]
-fn a_sound_document_becomes_config() {
-    let d = parse("sound.kdl", SOUND).unwrap();
+fn valid_document_becomes_a_configuration() {
+    let d = parse("valid.kdl", VALID).unwrap();
     let f = d.config(HostId(1));
     assert_eq!((f.me, f.host_count, f.max_attempts), (HostId(1), 2, 3));
     assert_eq!(
@@ -43,14 +43,18 @@
         Some((40.0, 64.0))
     );
     assert_eq!(*d.volumes[0].hosts, [HostId(0), HostId(1)]);
-    assert_eq!(d.volumes[1].hosts.len(), 2, "none stated: all");
-    assert_eq!(d.volume("v1").unwrap().id.0 >> 48, 0, "six bytes travel");
+    assert_eq!(
+        d.volumes[1].hosts.len(),
+        2,
+        "a volume without hosts is served by all"
+    );
+    assert_eq!(d.volume("v1").unwrap().id.0 >> 48, 0, "an id has six bytes");
     assert_eq!(d.list_late, Span::from_millis(300.0));
 }
 
 #[test]
-fn what_is_wrong_is_named_with_its_place() {
-    // what is replaced in the sound document, by what, code, line, column, a part of message or help
+fn each_error_has_its_code_and_position() {
+    // text that is replaced in the valid document, its replacement; code, line, column and part of the message or help
     let cases = [
         (
             "slo=\"150ms\"",
@@ -282,20 +286,20 @@
         ),
     ];
     for (old, new, code, line, column, part) in cases {
-        assert!(SOUND.contains(old), "{old}");
-        let text = SOUND.replacen(old, new, 1);
+        assert!(VALID.contains(old), "{old}");
+        let text = VALID.replacen(old, new, 1);
         let problems = parse("broken.kdl", &text).expect_err(new);
         let found = problems.problems.iter().find(|p| p.code == code);
         let p = found.unwrap_or_else(|| panic!("{new}: {:?}", problems.problems));
-        let said = format!("{} {}", p.message, p.help.as_deref().unwrap_or_default());
-        assert_eq!((p.line, p.column), (line, column), "{new}: {said}");
-        assert!(said.contains(part), "{new}: {said}");
+        let texts = format!("{} {}", p.message, p.help.as_deref().unwrap_or_default());
+        assert_eq!((p.line, p.column), (line, column), "{new}: {texts}");
+        assert!(texts.contains(part), "{new}: {texts}");
     }
 }
 
 #[test]
-fn all_problems_come_in_one_go() {
-    let text = SOUND
+fn all_errors_are_reported_at_once() {
+    let text = VALID
         .replace("slo=\"150ms\"", "slo=1")
         .replace("plan=\"gold\"", "plan=\"x\"");
     let problems = parse("broken.kdl", &text).unwrap_err();
--- a/crates/configuration/tests/files.rs
+++ b/crates/configuration/tests/files.rs
@@ -1,4 +1,4 @@
-//! Includes and templates over several files, formatting, and what a diff says.
+//! Includes and templates over several files, formatting, and the diff of two documents.
 
 use gullsail_configuration::diff::{Class, diff};
 use gullsail_configuration::format::format;
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Files in one text, each after a line `== name`.
+/// Splits a text into files. Each file follows a line `== name`.
 fn files(text: &str) -> Memory {
     let mut all = BTreeMap::new();
     for part in text.split("== ").skip(1) {
@@ -17,7 +17,7 @@
     Memory(all)
 }
 
-const REST: &str = r#"== rest.kdl
+const COMMON: &str = r#"== rest.kdl
 zone "a"
 plan "p"
 plan "q" limit="100units/s" burst=64
@@ -27,13 +27,13 @@
 node "n1" cell=1 zone="a" address="y:1"
 "#;
 
-/// All that is wrong with several files: code, file, line and column.
+/// The problems of several files: code, file, line, column, and message with help and related positions.
 fn found(text: &str) -> Vec<(&'static str, String, usize, usize, String)> {
-    let problems = match load(&files(&format!("{text}{REST}")), "main.kdl") {
+    let problems = match load(&files(&format!("{text}{COMMON}")), "main.kdl") {
         Ok((_, warnings)) => warnings,
         Err(e) => e.problems,
     };
-    let say = |p: &Problem| {
+    let texts = |p: &Problem| {
         format!(
             "{} {} {}",
             p.message,
@@ -43,7 +43,7 @@
     };
     problems
         .iter()
-        .map(|p| (p.code, p.file.clone(), p.line, p.column, say(p)))
+        .map(|p| (p.code, p.file.clone(), p.line, p.column, texts(p)))
         .collect()
 }
 
@@ -69,7 +69,7 @@
 == shared/c.kdl
 volume "zeroth" plan="p"
 "#;
-    let (d, warnings) = load(&files(&format!("{text}{REST}")), "main.kdl").unwrap();
+    let (d, warnings) = load(&files(&format!("{text}{COMMON}")), "main.kdl").unwrap();
     assert!(warnings.is_empty(), "{warnings:?}");
     let names: Vec<_> = d.volumes.iter().map(|v| v.name.as_str()).collect();
     assert_eq!(
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn broken_files_are_named_with_their_places() {
+fn problems_name_the_file_and_position() {
     const V: &str = "volume \"v\" plan=\"p\"\n";
-    // files, code, file, line, column, a part of what is said
+    // files; code, file, line, column and part of the texts of the problem
     let cases: &[(&str, &str, &str, usize, usize, &str)] = &[
         (
             "== main.kdl\ninclude \"rest.kdl\" \"b.kdl\"\n== b.kdl\ninclude \"c.kdl\"\n== c.kdl\ninclude \"d.kdl\"\n\
@@ -181,7 +181,7 @@
             20,
             "has no `x`",
         ),
-        // A duplicate that an include hides says where the first stands.
+        // A duplicate in another file: the problem names the position of the first.
         (
             "== main.kdl\ninclude \"rest.kdl\"\nhost \"h1\" zone=\"a\"\n",
             "twice",
@@ -198,7 +198,7 @@
             1,
             "rest.kdl:2:1",
         ),
-        // A document valid alone and invalid with its include.
+        // Two files that are valid alone and invalid together.
         (
             "== main.kdl\nrules tick=\"9ms\"\ninclude \"rest.kdl\" \"b.kdl\"\n== b.kdl\nrules tick=\"9ms\"\n",
             "twice",
@@ -215,7 +215,7 @@
             21,
             "",
         ),
-        // A unit of the wrong kind three templates deep: in the innermost, with each use.
+        // A wrong unit within three nested templates: the problem points into the innermost one and names each use.
         (
             "== main.kdl\ninclude \"rest.kdl\"\ntemplate \"one\" {\n    stream-type \"$n\" effect=\"repeatable\" slo=\"$s\" expiry=\"1s\"\n}\n\
           template \"two\" {\n  use \"one\" n=\"z\" s=\"$s\"\n}\ntemplate \"three\" {\n  use \"two\" s=\"$s\"\n}\nuse \"three\" s=\"5MiB\"\n",
@@ -330,7 +330,7 @@
             1,
             "one leg",
         ),
-        // Sense.
+        // Values that contradict each other.
         (
             "== main.kdl\ninclude \"rest.kdl\"\ncold units=40 window=\"9s\" first-part=0.2 ramp=\"1s\"\n",
             "contradiction",
@@ -347,7 +347,7 @@
             1,
             "181 units a second; the nodes can do 200 at most 180",
         ),
-        // Tabs and line ends of other systems count as the one column, the one line that they are.
+        // A tab counts as one column, CR LF as one line end.
         (
             "== main.kdl\r\ninclude \"rest.kdl\"\r\n\tvolume \"x\" plan=\"z\"\r\n",
             "unknown-name",
@@ -369,17 +369,19 @@
             text + V
         };
         let all = found(&text);
-        let place = (*code, file.to_string(), *line, *column);
-        let hit = all.iter().find(|f| (f.0, f.1.clone(), f.2, f.3) == place);
+        let expected = (*code, file.to_string(), *line, *column);
+        let matching = all
+            .iter()
+            .find(|f| (f.0, f.1.clone(), f.2, f.3) == expected);
         assert!(
-            hit.is_some_and(|f| f.4.contains(part)),
-            "{place:?} {part}\n{all:#?}\n{text}"
+            matching.is_some_and(|f| f.4.contains(part)),
+            "{expected:?} {part}\n{all:#?}\n{text}"
         );
         assert!(explain::explain(code).is_some(), "{code}");
     }
 }
 
-/// Codes that the reader can give all have their explanation.
+/// No code has two explanations. Other tests check that the code of each problem has one.
 #[test]
 fn every_code_is_explained_once() {
     let mut codes: Vec<_> = explain::CODES.iter().map(|c| c.0).collect();
@@ -389,7 +391,7 @@
 }
 
 #[test]
-fn files_on_disk_are_read_with_care() {
+fn unsafe_files_on_disk_are_rejected() {
     let dir = tempfile::tempdir().unwrap();
     let root = dir.path().join("conf");
     std::fs::create_dir(&root).unwrap();
@@ -402,7 +404,7 @@
     std::fs::write(dir.path().join("secret.kdl"), "zone \"s\"").unwrap();
     std::os::unix::fs::symlink(dir.path().join("secret.kdl"), root.join("link.kdl")).unwrap();
     let files = Files::new(&root).unwrap();
-    for (name, code, says) in [
+    for (name, code, message) in [
         ("bytes.kdl", "file", "not UTF-8 at byte 15"),
         ("huge.kdl", "file", "the file holds 104857600 bytes"),
         ("link.kdl", "file", "the file lies outside"),
@@ -413,25 +415,25 @@
         let p = e
             .problems
             .iter()
-            .find(|p| p.code == code && p.message.contains(says));
+            .find(|p| p.code == code && p.message.contains(message));
         assert!(
             p.is_some_and(|p| (p.line, p.column) == (1, 9)),
             "{name}: {:?}",
             e.problems
         );
     }
-    // Nesting that would blow the parser's stack.
-    for deep in ["a {", "/* ", "a (b)(c) { "] {
-        write("deep.kdl", deep.repeat(100_000).as_bytes());
+    // Nesting that would overflow the parser's stack.
+    for opening in ["a {", "/* ", "a (b)(c) { "] {
+        write("deep.kdl", opening.repeat(100_000).as_bytes());
         let e = load(&files, "deep.kdl").unwrap_err();
         assert!(
             e.problems.iter().any(|p| p.code == "too-deep"),
             "{:?}",
             e.problems
         );
-        assert!(format(&deep.repeat(100_000)).is_err());
+        assert!(format(&opening.repeat(100_000)).is_err());
     }
-    // Braces in texts and comments nest nothing.
+    // Braces in texts and comments do not count as nesting.
     write(
         "flat.kdl",
         std::format!("zone \"{0}\" // {0}\n", "{".repeat(500)).as_bytes(),
@@ -458,9 +460,9 @@
             "volume v plan=p {\n    hosts h1\n}\n",
         ),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let out = format(text).unwrap();
-        assert_eq!(out.replace('"', ""), wanted.replace('"', ""), "{text}");
+        assert_eq!(out.replace('"', ""), expected.replace('"', ""), "{text}");
         assert_eq!(format(&out).unwrap(), out);
     }
     let lost = format("plan \"p\" /* here */ limit=\"5units/s\"\n").unwrap_err();
@@ -480,10 +482,10 @@
 }
 
 #[test]
-fn a_diff_says_what_a_change_asks_for() {
+fn diff_classifies_changes() {
     let shards = "node \"n1\" cell=1\nnode \"n2\" cell=2\n";
     let base = document(100, "\"h1\" \"h2\"", shards);
-    // the new document, what changed, its class
+    // the new document; entry, changed part and class of each change
     let cases = [
         (base.clone(), vec![]),
         (
@@ -543,19 +545,19 @@
         ),
     ];
     let old = parse("old.kdl", &base).unwrap();
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let new = parse("new.kdl", &text).unwrap_or_else(|e| panic!("{:?}", e.problems));
         let found = diff(&old, &new);
         let found: Vec<_> = found
             .iter()
             .map(|c| (c.of.as_str(), c.what.as_str(), c.class))
             .collect();
-        assert_eq!(found, wanted, "{text}");
+        assert_eq!(found, expected, "{text}");
     }
 }
 
-/// Random documents of some plans, hosts and volumes, written untidily.
-fn untidy() -> impl Strategy<Value = String> {
+/// Random documents with some plans, hosts and volumes, and irregular spaces and line ends.
+fn unformatted() -> impl Strategy<Value = String> {
     let gap = prop_oneof![Just(" "), Just("   "), Just("\t")];
     let end = prop_oneof![Just("\n"), Just(";"), Just(" // said\n"), Just("\n\n\n")];
     let volume = (0u32..50, 1u32..4, gap, end);
@@ -578,20 +580,20 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Formatting twice is formatting once, and what is built is the same.
+    /// Formatting a second time changes nothing, and the formatted document has the same meaning.
     #[test]
-    fn formatting_changes_no_meaning(text in untidy()) {
+    fn formatting_is_stable_and_keeps_the_meaning(text in unformatted()) {
         let once = format(&text).unwrap();
         prop_assert_eq!(&format(&once).unwrap(), &once);
         let (a, b) = (parse("a.kdl", &text).unwrap(), parse("b.kdl", &once).unwrap());
         prop_assert_eq!(diff(&a, &b), vec![]);
     }
 
-    /// Whatever bytes a document holds, checking it ends with a verdict.
+    /// Any text is either valid or has problems with explained codes and positions.
     #[test]
-    fn any_text_gets_a_verdict(text in "[a-z0-9 \"={}$;/#\\n.-]{0,120}") {
-        let whole = format!("template \"t\" {{\n{text}\n}}\nuse \"t\" a=1\n{text}\n");
-        for text in [text, whole] {
+    fn any_text_is_accepted_or_has_explained_problems(text in "[a-z0-9 \"={}$;/#\\n.-]{0,120}") {
+        let with_template = format!("template \"t\" {{\n{text}\n}}\nuse \"t\" a=1\n{text}\n");
+        for text in [text, with_template] {
             match parse("any.kdl", &text) {
                 Ok(d) => prop_assert!(!d.hosts.is_empty()),
                 Err(e) => prop_assert!(e.problems.iter().all(|p| explain::explain(p.code).is_some() && p.line > 0)),
@@ -600,7 +602,7 @@
     }
 }
 
-/// Every document that the project ships: by folder, its first file and all others.
+/// All documents of the project: the name of the first file, and all files of its folder.
 fn shipped() -> Vec<(String, Memory)> {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let read = |path: &std::path::Path| std::fs::read_to_string(path).unwrap();
@@ -632,10 +634,10 @@
         .unwrap()
         .flatten();
     for script in scripts.filter(|p| !p.ends_with("fleet.kdl") && !p.ends_with("many.kdl")) {
-        let of_many = ["budget-many", "budget-sixty"]
+        let has_many_hosts = ["budget-many", "budget-sixty"]
             .iter()
             .any(|n| script.to_string_lossy().contains(n));
-        let hosts = if of_many { &many } else { &fleet };
+        let hosts = if has_many_hosts { &many } else { &fleet };
         let text = format!("{hosts}\n{}", read(&script));
         all.push((
             "day.kdl".into(),
@@ -646,9 +648,9 @@
     all
 }
 
-/// Formatting what is shipped changes nothing of its meaning, and nothing at all the second time.
+/// The project's own documents have no problems and are formatted, and formatting keeps their meaning.
 #[test]
-fn what_is_shipped_is_sound_and_formatted() {
+fn shipped_documents_are_valid_and_formatted() {
     for (first, files) in shipped() {
         let (a, warnings) = load(&files, &first).unwrap_or_else(|e| panic!("{:?}", e.problems));
         assert!(warnings.is_empty(), "{first}: {warnings:?}");
@@ -659,7 +661,7 @@
         let formatted: BTreeMap<_, _> = formatted.collect();
         for (name, text) in &formatted {
             assert_eq!(&format(text).unwrap(), text, "{name}");
-            // Days' texts are put together of two, and keep their columns.
+            // The text of a day is combined from two files and aligned in columns, so it need not be formatted.
             assert!(
                 name == "day.kdl" || files.0[name] == *text,
                 "{name} is not formatted"
@@ -674,16 +676,17 @@
     }
 }
 
-/// Files on disk, one of which is written anew when another is asked for.
-struct Busy {
+/// Files on disk, one of which is overwritten when a certain file is loaded.
+struct OverwritingLoader {
     files: Files,
-    writes: (std::path::PathBuf, &'static str, &'static str),
+    /// The path to overwrite, the file whose loading triggers it, and the new text.
+    overwrite: (std::path::PathBuf, &'static str, &'static str),
 }
 
-impl Loader for Busy {
+impl Loader for OverwritingLoader {
     fn load(&self, name: &str) -> Result<String, LoadError> {
-        if name == self.writes.1 {
-            std::fs::write(&self.writes.0, self.writes.2).unwrap();
+        if name == self.overwrite.1 {
+            std::fs::write(&self.overwrite.0, self.overwrite.2).unwrap();
         }
         self.files.load(name)
     }
@@ -695,11 +698,11 @@
     }
 }
 
-/// Two files that go together: one is changed after it was read and before the other is.
+/// A file that changes after it was read is reported, since files that are read later may not match it.
 #[test]
-fn files_that_change_while_others_are_read_are_named() {
-    // the file that is asked for, upon which another is written, and whether that is too late
-    for (asked, late) in [("b.kdl", true), ("a.kdl", false), ("never.kdl", false)] {
+fn file_that_changes_after_it_was_read_is_reported() {
+    // the file at whose loading `a.kdl` is overwritten, and whether `a.kdl` has been read by then
+    for (trigger, already_read) in [("b.kdl", true), ("a.kdl", false), ("never.kdl", false)] {
         let dir = tempfile::tempdir().unwrap();
         let write = |name: &str, text: &str| std::fs::write(dir.path().join(name), text).unwrap();
         write(
@@ -708,15 +711,15 @@
         );
         write("a.kdl", "plan \"old\"\n");
         write("b.kdl", "plan \"r\"\n");
-        write("rest.kdl", REST.split_once('\n').unwrap().1);
+        write("rest.kdl", COMMON.split_once('\n').unwrap().1);
         let files = Files::new(dir.path()).unwrap();
-        let writes = (
+        let overwrite = (
             dir.path().join("a.kdl"),
-            asked,
+            trigger,
             "plan \"old\" // and longer\n",
         );
-        let found = load(&Busy { files, writes }, "main.kdl");
-        assert_eq!(found.is_err(), late, "{asked}");
+        let found = load(&OverwritingLoader { files, overwrite }, "main.kdl");
+        assert_eq!(found.is_err(), already_read, "{trigger}");
         if let Err(e) = found {
             let p = &e.problems[0];
             assert_eq!(
--- a/crates/configuration/tests/fuzz.rs
+++ b/crates/configuration/tests/fuzz.rs
@@ -1,7 +1,6 @@
-//! Documents with pieces cut out, doubled, moved and replaced, drawn by a seed: whatever comes, reading ends,
-//! places lie in their files, and what is sound can be formatted and means the same after.
-//! `GULLSAIL_FUZZ_CASES` asks for more cases than the few that every run plays, `GULLSAIL_FUZZ_SEED` for
-//! others.
+//! Documents with random changes: pieces are removed, repeated, moved and replaced. Reading must end, reported positions
+//! must lie in their files, and formatting must not change the meaning of a valid document. `GULLSAIL_FUZZ_CASES` sets
+//! the number of cases, `GULLSAIL_FUZZ_SEED` the seed of the first.
 
 use gullsail_configuration::diff::diff;
 use gullsail_configuration::*;
@@ -47,10 +46,10 @@
     "é\t",
 ];
 
-/// Documents, and what is included beside each so that it is sound, or broken in one way only.
+/// Documents, each with the text of a file that it includes. With it, a document is valid or has a single problem.
 fn corpus() -> Vec<(String, &'static str)> {
     let base = include_str!("base.kdl");
-    let (broken, doubtful) = include_str!("collection.txt")
+    let (broken, questionable) = include_str!("collection.txt")
         .split_once("### WARNINGS")
         .unwrap();
     let texts = |part: &'static str| {
@@ -59,9 +58,9 @@
             .filter(|t| !t.contains("== "))
     };
     let mut all: Vec<(String, &str)> = texts(broken).map(|t| (t.to_string(), base)).collect();
-    // Sound ones as often.
+    // Valid documents are repeated so that they are about as frequent as invalid ones.
     for _ in 0..3 {
-        all.extend(texts(doubtful).map(|t| (t.to_string(), base)));
+        all.extend(texts(questionable).map(|t| (t.to_string(), base)));
         all.push((
             include_str!("../../../examples/studio/studio-3.kdl").into(),
             "",
@@ -71,8 +70,8 @@
     all
 }
 
-/// A place between two characters.
-fn place(text: &str, rng: &mut ChaCha8Rng) -> usize {
+/// A random offset between two characters.
+fn offset(text: &str, rng: &mut ChaCha8Rng) -> usize {
     let mut at = rng.random_range(0..=text.len());
     while !text.is_char_boundary(at) {
         at -= 1;
@@ -80,10 +79,11 @@
     at
 }
 
+/// Makes one to three random changes.
 fn changed(text: &str, rng: &mut ChaCha8Rng) -> String {
     let mut text = text.to_string();
     for _ in 0..rng.random_range(1..4) {
-        // Often a change that leaves its form whole.
+        // Half of the changes swap two lines and change a digit, which mostly keeps the syntax valid.
         if rng.random_bool(0.5) {
             let mut lines: Vec<&str> = text.lines().collect();
             let (a, b) = (
@@ -97,7 +97,7 @@
             text = (lines.join("\n") + "\n").replacen(digit, "7", 1);
             continue;
         }
-        let (a, b) = (place(&text, rng), place(&text, rng));
+        let (a, b) = (offset(&text, rng), offset(&text, rng));
         let (from, to) = (a.min(b), a.max(b).min(a.min(b) + 16));
         let to = (from..=to)
             .rev()
@@ -115,28 +115,28 @@
 }
 
 #[test]
-fn whatever_stands_there_is_read_to_its_end() {
+fn changed_documents_are_read_and_formatted_consistently() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     let (cases, seed) = (
         number("GULLSAIL_FUZZ_CASES").unwrap_or(1500),
         number("GULLSAIL_FUZZ_SEED").unwrap_or(7),
     );
     let corpus = corpus();
-    let (mut sound, mut broken) = (0, 0);
+    let (mut valid, mut invalid) = (0, 0);
     for case in 0..cases {
         let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_add(case));
-        let (text, beside) = corpus.choose(&mut rng).unwrap();
+        let (text, included) = corpus.choose(&mut rng).unwrap();
         let text = changed(text, &mut rng);
         let main = format!("{text}\ninclude \"a.kdl\"\n");
         let files = |main: String| {
             Memory(BTreeMap::from([
                 ("main.kdl".into(), main),
-                ("a.kdl".into(), beside.to_string()),
+                ("a.kdl".into(), included.to_string()),
             ]))
         };
         let problems = match load(&files(main.clone()), "main.kdl") {
             Ok((d, warnings)) => {
-                sound += 1;
+                valid += 1;
                 if let Ok(formatted) = format::format(&main) {
                     assert_eq!(
                         format::format(&formatted).as_ref(),
@@ -150,26 +150,26 @@
                 warnings
             }
             Err(e) => {
-                broken += 1;
+                invalid += 1;
                 assert!(!e.problems.is_empty());
                 e.problems
             }
         };
         for p in problems {
-            let of = if p.file == "a.kdl" {
-                *beside
+            let file_text = if p.file == "a.kdl" {
+                *included
             } else {
                 main.as_str()
             };
             assert!(
-                p.line <= of.matches('\n').count() + 1 && p.line >= 1 && p.column >= 1,
+                p.line <= file_text.matches('\n').count() + 1 && p.line >= 1 && p.column >= 1,
                 "case {case}: {p:?}"
             );
             assert!(explain::explain(p.code).is_some(), "{}", p.code);
             assert!(
                 p.file != "main.kdl"
                     || p.column
-                        <= of
+                        <= file_text
                             .lines()
                             .nth(p.line - 1)
                             .unwrap_or_default()
@@ -179,9 +179,9 @@
             );
         }
     }
-    // Neither all broken nor all sound: both ways are gone.
+    // Enough cases are valid, and enough are invalid, to cover both results.
     assert!(
-        sound * 20 > cases && broken * 2 > cases,
-        "{sound} sound, {broken} broken"
+        valid * 20 > cases && invalid * 2 > cases,
+        "{valid} valid, {invalid} invalid"
     );
 }
