--- a/crates/configuration/src/lints.rs
+++ b/crates/configuration/src/lints.rs
@@ -213,7 +213,8 @@
         .filter(|node| !node.spare)
         .map(|node| deployment.servers.get(node.server))
         .collect();
-    let capacity = running.iter().flatten().map(|m| m.capacity()).sum::<f64>();
+    // The units a second that all running nodes together can serve.
+    let sum = running.iter().flatten().map(|m| m.capacity()).sum::<f64>();
     for (p, entry) in deployment.plans.iter().zip(entries(document, "plan")) {
         let at = |key: &str| entry.entry(key).map_or(entry.span(), |e| e.span());
         let warn = |reader: &mut Reader, code, message: &str, key: &str| {
@@ -245,10 +246,7 @@
                 "usual",
             );
         }
-        if limit.is_some_and(|l| l.rate > capacity)
-            && capacity > 0.0
-            && running.iter().all(Option::is_some)
-        {
+        if limit.is_some_and(|l| l.rate > sum) && sum > 0.0 && running.iter().all(Option::is_some) {
             warn(
                 reader,
                 "over-limit",
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -1,4 +1,4 @@
-//! The problems of a document: [`Problem`] is a single one with its position, [`Problems`] all of one document.
+//! The problems of a document: [`Problem`] is a single one with its position, [`Problems`] holds all errors of one document.
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, Severity, SourceCode, SourceSpan};
 use serde::{Deserialize, Serialize};
@@ -116,13 +116,13 @@
     }
 }
 
-/// The problems of one document, in the order of its files and lines.
+/// The errors of one document, in the order of its files and lines.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{} in {name}", count(.problems.len()))]
 pub struct Problems {
     /// The first file of the document.
     pub name: String,
-    /// The problems; at least one of them is an error.
+    /// The errors. Warnings are left out if there are errors.
     #[related]
     pub problems: Vec<Problem>,
 }
--- a/crates/configuration/src/resolve.rs
+++ b/crates/configuration/src/resolve.rs
@@ -155,7 +155,7 @@
         let message = match self.loader.matching(&name) {
             Ok(names) if names.is_empty() => format!("no file matches \"{text}\""),
             Ok(mut names) => {
-                // A pattern may match the including file itself, which is not an include loop.
+                // Files that are being read are left out: a match of the including file is not an include loop.
                 names.retain(|name| !self.chain.contains(name));
                 return names;
             }
