--- a/crates/audit/src/error.rs
+++ b/crates/audit/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a recording cannot be read.
+//! The error for a recording that cannot be read.
 
-/// A line of a recording is no entry.
+/// A line of a recording is not a valid entry, or its configuration cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line} of the recording is not a valid entry: {why}")]
 pub struct RecordingError {
-    /// Counted from 1.
+    /// The number of the line, counted from 1.
     pub line: usize,
-    /// What the parser says of it.
+    /// The parser's message.
     pub why: String,
 }
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -1,6 +1,6 @@
-//! A recording put in order: requests with their answers and attempts, endpoint lists, processes, and what
-//! hosts logged of the fleet. Times are microseconds of the recording; lines are counted from 0. It judges
-//! nothing.
+//! The content of a recording, sorted by kind: requests with their answers and attempts, endpoint lists, events of
+//! processes, and what hosts logged about the fleet. Times are microseconds since the recording began; lines are
+//! counted from 0. The rules are judged elsewhere, in `rules`.
 
 mod lists;
 mod observations;
@@ -20,48 +20,48 @@
 use gullsail_protocol::record::ProcessEvent;
 use std::collections::BTreeMap;
 
-/// Everything that the rules are judged by. It has more than twelve fields: each is one kind of observation,
-/// filled by the reader alone, and most rules read several kinds.
+/// All observations that the rules are judged by. Each field is one kind of observation, and only the reader fills
+/// it. The struct has more than twelve fields because most rules read several kinds.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Of all configurations, by their numbers.
+    /// The names of the hosts of all configurations; the index is the host's number.
     hosts: Vec<String>,
-    /// So many of these the run began with.
+    /// The number of hosts in the first configuration.
     pub first_hosts: usize,
-    /// In order of time.
+    /// Requests, in the order in which they reached their hosts.
     pub requests: Vec<RequestSeen>,
-    /// In order of time.
+    /// Attempts, in the order in which they reached their nodes.
     pub attempts: Vec<AttemptSeen>,
-    /// In order of time.
+    /// The reports on each node that each host received, in order of time.
     pub endpoint_reports: BTreeMap<ListedNode, Vec<EndpointReport>>,
-    /// By process, in order of time.
+    /// Starts, ends and pauses of each process by its name, in order of time.
     pub process_events: BTreeMap<String, Vec<ProcessEventSeen>>,
-    /// Configurations that hosts were asked to follow, by revision.
+    /// Configurations that hosts were asked to load, by revision.
     pub configurations: BTreeMap<u64, Deployment>,
-    /// Which revision each host was asked to follow, or reported that it does.
+    /// For each host, the revisions that it was asked to load and those that it reported to be in use.
     pub revisions: BTreeMap<String, Vec<RevisionSeen>>,
-    /// Attempts and their answers on the wire, in the order in which they arrived.
+    /// Attempts and their answers on the wire, in the order in which they reached their receivers.
     pub frames: Vec<FrameSeen>,
-    /// In order of time.
+    /// Connections to processes, in the order in which they were established.
     pub connections: Vec<ConnectionSeen>,
-    /// Bytes beyond cross-zone budgets, by budget, as hosts reported at the end.
+    /// For each cross-zone budget, the bytes beyond it that all hosts reported when they ended.
     pub reported_overruns: BTreeMap<String, u64>,
-    /// By host, in order of time.
+    /// For each host, the budget shares that it logged, in order of time.
     pub shares: BTreeMap<String, Vec<SharesSeen>>,
-    /// In order of time.
+    /// Stages of maintenance orders that hosts logged, in order of time.
     pub stages: Vec<StageSeen>,
-    /// In order of time.
+    /// Coordinators' grants, in the order in which they were sent.
     pub grants: Vec<GrantSeen>,
-    /// By process, in order of time.
+    /// For each process, how long it waited for a processor, in order of time.
     pub waits: BTreeMap<String, Vec<WaitSeen>>,
-    /// What had come from hosts when relays lagged behind.
+    /// Byte counts of client connections, sampled while a proxy had not read all that the kernel had received.
     pub(crate) unread: UnreadBytes,
-    /// The time of the last entry.
+    /// The latest time at which an entry happened or its frame was sent on.
     pub end: i64,
 }
 
 impl History {
-    /// What happened to a process, in order of time.
+    /// The starts, ends and pauses of a process, in order of time; empty if there were none.
     pub fn events_of(&self, process: &str) -> &[ProcessEventSeen] {
         self.process_events
             .get(process)
@@ -69,7 +69,7 @@
             .unwrap_or_default()
     }
 
-    /// The time of the incarnation of a process that was running, or had ended last, at a point.
+    /// The span from the last start of a process at or before `at` to its first end after `at`.
     pub fn incarnation(&self, process: &str, at: i64) -> Span {
         let events = self.events_of(process).iter();
         let is_start =
@@ -90,7 +90,7 @@
         }
     }
 
-    /// When a process was stopped and continued by the script.
+    /// The spans in which the script had paused a process.
     pub fn pauses(&self, process: &str) -> Vec<Span> {
         let events = self.events_of(process);
         let paused = events
@@ -106,12 +106,12 @@
             .collect()
     }
 
-    /// All hosts that any of the configurations names.
+    /// The names of the hosts of all configurations; the index is the host's number.
     pub fn hosts(&self) -> &[String] {
         &self.hosts
     }
 
-    /// Attempts of a request, in the order they were sent.
+    /// The attempts of a request, in the order in which they reached their nodes.
     pub fn attempts_of<'a>(
         &'a self,
         request: &'a RequestSeen,
@@ -119,7 +119,7 @@
         request.attempts.iter().map(|place| &self.attempts[*place])
     }
 
-    /// All lines of a request, in order.
+    /// The lines of a request, its attempts and all answers, in ascending order.
     pub fn lines_of(&self, request: &RequestSeen) -> Vec<usize> {
         let mut lines = vec![request.line];
         lines.extend(self.attempts_of(request).flat_map(AttemptSeen::lines));
--- a/crates/audit/src/history/lists.rs
+++ b/crates/audit/src/history/lists.rs
@@ -1,30 +1,31 @@
-//! The endpoint lists that hosts receive: what each update reports of which node.
+//! Turns updates of the endpoint lists that hosts receive into reports on single nodes.
 
 use super::{EndpointReport, ListedNode};
 use gullsail_protocol::{EndpointListUpdate, ListedEndpoint, ListedState};
 
-/// The endpoint list that a connection carries.
+/// The endpoint list of a host, as received so far on one connection.
 pub(super) struct List {
     host: String,
-    known: Vec<ListedEndpoint>,
+    /// The last received entry of each node.
+    entries: Vec<ListedEndpoint>,
 }
 
-/// A report on one node.
+/// A report on one node in the list of one host.
 pub(super) struct NodeReport {
     pub(super) listed: ListedNode,
     pub(super) report: EndpointReport,
 }
 
 impl List {
-    /// Of this host, with nothing on it yet.
+    /// An empty list of the named host.
     pub(super) fn new(host: String) -> List {
         List {
             host,
-            known: Vec::new(),
+            entries: Vec::new(),
         }
     }
 
-    /// What an update reports. A node that a whole list does not name is gone.
+    /// Applies an update and returns its reports. A node that a complete list does not name is gone.
     pub(super) fn update(
         &mut self,
         update: &EndpointListUpdate,
@@ -33,21 +34,21 @@
     ) -> Vec<NodeReport> {
         let mut reports = Vec::new();
         if update.whole {
-            let is_named = |known: &ListedEndpoint| {
-                update.entries.iter().any(|entry| entry.name == known.name)
+            let is_named = |listed: &ListedEndpoint| {
+                update.entries.iter().any(|entry| entry.name == listed.name)
             };
-            for known in self.known.iter().filter(|known| !is_named(known)) {
+            for listed in self.entries.iter().filter(|listed| !is_named(listed)) {
                 let gone = ListedEndpoint {
                     state: ListedState::Gone as i32,
-                    ..known.clone()
+                    ..listed.clone()
                 };
                 reports.push(self.report(&gone, at, line));
             }
         }
         for entry in &update.entries {
             reports.push(self.report(entry, at, line));
-            self.known.retain(|known| known.name != entry.name);
-            self.known.push(entry.clone());
+            self.entries.retain(|listed| listed.name != entry.name);
+            self.entries.push(entry.clone());
         }
         reports
     }
--- a/crates/audit/src/history/observations.rs
+++ b/crates/audit/src/history/observations.rs
@@ -1,100 +1,103 @@
-//! What was seen of each request, attempt, process and host. Times are microseconds of the recording; lines
-//! are counted from 0.
+//! The observations that a history consists of. Times are microseconds since the recording began; lines are counted
+//! from 0.
 
 use gullsail_protocol::record::ProcessEvent;
 use gullsail_protocol::{Answer, Attempt, AttemptResult, ListedState, Submit};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One try of a client at one host, as it was seen on their connection.
+/// A request that a client submitted to a host. A client's repeat of a request is a `RequestSeen` too.
 #[derive(Clone, Debug)]
 pub struct RequestSeen {
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
     /// When it reached the host.
     pub at: i64,
-    /// The host.
+    /// The name of the host that received the request.
     pub host: String,
-    /// The connection.
+    /// The number of the connection between client and host.
     pub link: u64,
-    /// What was asked.
+    /// The submitted message.
     pub submit: Submit,
     /// All answers, in order of time.
     pub answers: Vec<AnswerSeen>,
-    /// When the host said that it does not take it.
+    /// When the host replied that it does not accept the request; `None`: it did not.
     pub not_taken_at: Option<i64>,
-    /// When the client withdrew it.
+    /// When the client cancelled the request; `None`: it did not.
     pub withdrawn_at: Option<i64>,
-    /// When the connection ended, or the host.
+    /// When the connection closed, whichever side closed it; `None`: it stayed open.
     pub link_closed_at: Option<i64>,
-    /// Places among the history's attempts, in the order they were sent.
+    /// Indices into the history's attempts, in the order in which these reached their nodes.
     pub attempts: Vec<usize>,
 }
 
-/// A process waited for a processor.
+/// A sample of how long a process waited for a processor, by the kernel's count.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitSeen {
-    /// When the sample before was taken.
+    /// When the previous sample was taken.
     pub since: i64,
     /// When this sample was taken.
     pub at: i64,
-    /// How long the waits were that ended between the two.
+    /// The total length, in microseconds, of the waits that ended since the previous sample.
     pub waited: i64,
 }
 
 /// A host's answer to a client.
 #[derive(Clone, Debug)]
 pub struct AnswerSeen {
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
-    /// When it had left the host at the latest.
+    /// The latest time at which the host can have sent the answer: that of the first sample that shows it
+    /// received, or `read_at` if that is earlier or no sample does.
     pub at: i64,
-    /// When the relay read it, which may be later.
+    /// When the proxy read the answer. A delayed proxy reads it later than it was received.
     pub read_at: i64,
-    /// The answer.
+    /// The answer's message.
     pub answer: Answer,
-    /// How many bytes the host had sent on the connection with the answer's last byte, where that was recorded.
+    /// The number of bytes that the host had sent on the connection up to the end of the answer; `None`: not
+    /// recorded.
     pub stream_end: Option<u64>,
 }
 
 /// An attempt of a host at a node.
 #[derive(Clone, Debug)]
 pub struct AttemptSeen {
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
-    /// When the host sent it.
+    /// When the proxy read the attempt from its host.
     pub at: i64,
-    /// When it reached the node.
+    /// When the proxy sent the attempt on to the node.
     pub arrived_at: i64,
-    /// The host.
+    /// The name of the host that sent the attempt.
     pub host: String,
-    /// The node.
+    /// The name of the node that it was sent to.
     pub node: String,
-    /// The connection.
+    /// The number of the connection between host and node.
     pub link: u64,
-    /// What was asked.
+    /// The attempt's message.
     pub attempt: Attempt,
-    /// The node's answer.
+    /// The node's answer; `None`: there was none.
     pub answer: Option<AttemptAnswerSeen>,
-    /// When its connection ended without an answer.
+    /// When the connection closed with the attempt unanswered; `None`: it did not.
     pub broken_at: Option<i64>,
-    /// How many bytes the host had sent to clients, by connection, when the attempt was read.
+    /// For each client connection, the number of bytes that the kernel had received from the host when the attempt
+    /// was read.
     pub sent_to_clients: BTreeMap<u64, u64>,
 }
 
 impl AttemptSeen {
-    /// Known at its host, by then, not to have run.
+    /// Whether the host had received by `by` that the node rejected the attempt, so that it never ran.
     pub fn never_ran(&self, by: i64) -> bool {
         self.answer
             .is_some_and(|answer| answer.result == AttemptResult::Rejected && answer.at <= by)
     }
 
-    /// When its time is over.
+    /// When the attempt's timeout ends, counted from when the host sent it.
     pub fn times_out_at(&self) -> i64 {
         self.at + self.attempt.time_out_us
     }
 
-    /// Its line, and that of its answer.
+    /// The line of the attempt, and that of its answer if there is one.
     pub fn lines(&self) -> impl Iterator<Item = usize> + use<> {
         std::iter::once(self.line).chain(self.answer.map(|answer| answer.line))
     }
@@ -103,22 +106,22 @@
 /// A node's answer to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptAnswerSeen {
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
-    /// When it reached the host; `i64::MAX`: it did not yet.
+    /// When the answer reached the host; `i64::MAX` while only the node's original of an altered answer is known.
     pub at: i64,
-    /// As the host received it.
+    /// The result that the host received, which a script may have altered.
     pub result: AttemptResult,
-    /// Whether the request took effect, by the node's own answer.
+    /// Whether the request took effect, by the node's unaltered answer.
     pub ran: bool,
 }
 
-/// Which host's endpoint list, and which node in it.
+/// A node in the endpoint list of one host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListedNode {
     /// The host that received the list.
     pub host: String,
-    /// The node.
+    /// The node's name.
     pub node: String,
 }
 
@@ -127,103 +130,103 @@
 pub struct EndpointReport {
     /// When it reached the host.
     pub at: i64,
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
-    /// The node's state.
+    /// The reported state of the node.
     pub state: ListedState,
-    /// The node's process.
+    /// The reported incarnation of the node's process.
     pub incarnation: u64,
 }
 
-/// A process started, ended, was stopped or continued.
+/// A process started, ended, was paused or resumed.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEventSeen {
-    /// When.
+    /// When the event happened.
     pub at: i64,
-    /// What.
+    /// The kind of event.
     pub event: ProcessEvent,
 }
 
-/// A host is asked to follow a revision of the configuration, or does now.
+/// A host was asked to load a revision of the configuration, or reported that it uses one.
 #[derive(Clone, Copy, Debug)]
 pub struct RevisionSeen {
-    /// When.
+    /// When the host was asked, or reported that it uses the revision.
     pub at: i64,
-    /// Which revision.
+    /// The number of the revision.
     pub revision: u64,
-    /// It does now; else it is asked to.
+    /// `true`: the host uses the revision from now on. `false`: it was asked to load it.
     pub serves: bool,
 }
 
-/// An attempt or the answer to one, as bytes on the wire.
+/// The size on the wire of an attempt or of a node's answer.
 #[derive(Clone, Debug)]
 pub struct FrameSeen {
-    /// When it was sent.
+    /// When the proxy read the frame.
     pub at: i64,
-    /// By whom.
+    /// The name of the sender.
     pub from: String,
-    /// To whom.
+    /// The name of the receiver.
     pub to: String,
-    /// Its length with its body.
+    /// The length of the encoded message and its body.
     pub bytes: usize,
 }
 
-/// Somebody connected to a process.
+/// A connection to a process was established.
 #[derive(Clone, Debug)]
 pub struct ConnectionSeen {
-    /// When.
+    /// When the connection was established.
     pub at: i64,
-    /// To which.
+    /// The name of the process that was connected to.
     pub to: String,
 }
 
-/// What a host may use of budgets from then on.
+/// The budget shares that a host may use from the time of logging on.
 #[derive(Clone, Debug)]
 pub struct SharesSeen {
-    /// When it logged this.
+    /// When the host logged the shares.
     pub at: i64,
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
-    /// How long its lease lasts; negative: it has none.
+    /// The length of the lease, in microseconds; negative: the host has no lease and the shares do not expire.
     pub lasts_us: i64,
-    /// By budget, in millionths of the whole.
+    /// The share of each budget by its name, in millionths of the budget.
     pub shares: BTreeMap<String, u32>,
 }
 
-/// A host knows of a stage of a server's order for maintenance.
+/// A host logged the stage of a server's maintenance order.
 #[derive(Clone, Debug)]
 pub struct StageSeen {
-    /// When it logged this.
+    /// When the host logged the stage.
     pub at: i64,
-    /// The server.
+    /// The name of the server in maintenance.
     pub server: String,
-    /// The order.
+    /// The number of the maintenance order.
     pub number: u64,
-    /// The stage.
+    /// The stage as logged, such as `out` or `done`.
     pub stage: String,
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
 }
 
-/// A coordinator's grant, as it left its host.
+/// A grant, seen on a connection from the coordinator that issued it.
 #[derive(Clone, Debug)]
 pub struct GrantSeen {
-    /// When.
+    /// When the proxy read the grant.
     pub at: i64,
-    /// Where it stands in the recording.
+    /// The line of the recording, counted from 0.
     pub line: usize,
-    /// The coordinator.
+    /// The name of the host that is the coordinator.
     pub by: String,
-    /// The ballot by which it is the coordinator.
+    /// The ballot that the coordinator was elected with.
     pub ballot: BallotSeen,
 }
 
-/// A coordinator's ballot.
+/// The ballot that a coordinator was elected with; a later one compares greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BallotSeen {
-    /// Its round.
+    /// The round of the election.
     pub round: u64,
-    /// The number of the host that sought it.
+    /// The number of the host that stood for election; it orders ballots of the same round.
     pub by: u32,
 }
 
@@ -233,7 +236,7 @@
     }
 }
 
-/// A span of time.
+/// A span of time, in microseconds since the recording began.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
     /// When it begins; `i64::MIN`: before the recording.
--- a/crates/audit/src/history/reader.rs
+++ b/crates/audit/src/history/reader.rs
@@ -1,7 +1,7 @@
-//! Reads a recording, entry by entry in order of time.
+//! Reads a recording into a [`History`], entry by entry in order of time.
 
 use super::lists::List;
-use super::requests::{Passed, RequestIndex, close_link};
+use super::requests::{ForwardedFrame, RequestIndex, close_link};
 use super::{
     AttemptSeen, BallotSeen, ConnectionSeen, FrameSeen, GrantSeen, History, ProcessEventSeen,
     RevisionSeen, SharesSeen, StageSeen, WaitSeen,
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 
 impl History {
-    /// Reads a whole recording. `deployment`: the configuration that the run began with.
+    /// Reads a complete recording. `deployment` is the configuration at the start of the run.
     ///
     /// # Errors
-    /// The first line that can't be read.
+    /// A line is not a valid entry, or a configuration cannot be parsed.
     pub fn read(deployment: &Deployment, recording: &str) -> Result<History, RecordingError> {
         let mut entries = Vec::new();
         for (line, text) in recording.lines().enumerate() {
@@ -24,7 +24,8 @@
                 serde_json::from_str(text).map_err(|error| error_at(line, &error))?;
             entries.push(Numbered { line, entry });
         }
-        // Relays write as they pass frames on; what reached its receiver first comes first.
+        // Several proxies write the recording, so its lines are not sorted. Frames are read in the order in which
+        // they were sent on to their receivers.
         entries.sort_by_key(|numbered| (numbered.entry.sent_at, numbered.line));
         let mut reader = Reader::new(deployment);
         for Numbered { line, entry } in entries {
@@ -36,12 +37,12 @@
         Ok(history)
     }
 
-    /// Attempts belong to the request with their mark and number of repeat at their host; requests that a
-    /// client does not mark can't be told apart.
+    /// Assigns each attempt to the last request at its host with the same idempotency key and number of repeat.
+    /// Requests without an idempotency key cannot be told apart.
     fn assign_attempts(&mut self) {
-        let mut by_mark: BTreeMap<(&str, &str, u32), usize> = BTreeMap::new();
+        let mut by_key: BTreeMap<(&str, &str, u32), usize> = BTreeMap::new();
         for (place, request) in self.requests.iter().enumerate() {
-            by_mark.insert(
+            by_key.insert(
                 (
                     &request.host,
                     &request.submit.idempotency_key,
@@ -52,7 +53,7 @@
         }
         let request_of = |seen: &AttemptSeen| {
             let attempt = &seen.attempt;
-            by_mark
+            by_key
                 .get(&(
                     seen.host.as_str(),
                     attempt.idempotency_key.as_str(),
@@ -84,7 +85,7 @@
 struct Reader {
     history: History,
     index: RequestIndex,
-    /// By connection.
+    /// The endpoint lists, by the number of their connection.
     lists: BTreeMap<u64, List>,
 }
 
@@ -114,10 +115,10 @@
                 delivery,
                 body,
             } if delivery != Delivery::Dropped => {
-                let passed = Passed {
+                let passed = ForwardedFrame {
                     line,
                     at: entry.at,
-                    out: entry.sent_at,
+                    forwarded_at: entry.sent_at,
                     link: entry.link,
                     from: entry.from,
                     to: entry.to,
@@ -146,7 +147,7 @@
         Ok(())
     }
 
-    /// What a host logged or reported, or what happened to a process.
+    /// Adds an entry that is no frame: what a host logged or reported, or an event of a process.
     fn report(&mut self, line: usize, at: i64, to: String, what: What) {
         let history = &mut self.history;
         match what {
@@ -207,7 +208,7 @@
     ) -> Result<(), RecordingError> {
         let parsed = gullsail_configuration::parse("a document of the recording", text);
         let deployment = parsed.map_err(|error| error_at(line, &error))?;
-        // New hosts stand at a configuration's end.
+        // A new configuration keeps the order of the hosts and adds new ones at the end.
         let hosts = &mut self.history.hosts;
         let new = deployment
             .hosts
@@ -220,14 +221,14 @@
         Ok(())
     }
 
-    fn frame(&mut self, passed: Passed, message: Message, body: usize) {
+    fn frame(&mut self, passed: ForwardedFrame, message: Message, body: usize) {
         if matches!(message, Message::Attempt(_) | Message::AttemptAnswer(_)) {
             let frame = Frame {
                 message: message.clone(),
                 body: Default::default(),
             };
             let bytes = frame.len() + body;
-            let Passed { at, from, to, .. } = &passed;
+            let ForwardedFrame { at, from, to, .. } = &passed;
             self.history.frames.push(FrameSeen {
                 at: *at,
                 from: from.clone(),
@@ -247,7 +248,7 @@
             }
             Message::Withdraw(withdraw) => {
                 if let Some(request) = index.request(history, passed.link, withdraw.id) {
-                    request.withdrawn_at.get_or_insert(passed.out);
+                    request.withdrawn_at.get_or_insert(passed.forwarded_at);
                 }
             }
             Message::Attempt(attempt) => index.attempt(history, passed, attempt),
@@ -258,9 +259,10 @@
         }
     }
 
-    /// A grant that a third host passed on says nothing of when it left its own.
-    fn fleet_message(&mut self, passed: Passed, message: &FleetMessage) {
-        let Passed { line, at, from, .. } = passed;
+    /// Adds a grant that came from its coordinator. A grant that a third host forwarded does not show when its
+    /// coordinator sent it.
+    fn fleet_message(&mut self, passed: ForwardedFrame, message: &FleetMessage) {
+        let ForwardedFrame { line, at, from, .. } = passed;
         let sender = self.history.hosts.get(message.from as usize);
         if message.kind() == FleetMessageKind::Grant && sender == Some(&from) {
             let ballot = BallotSeen {
@@ -276,17 +278,17 @@
         }
     }
 
-    /// A list goes to the host that asked for it.
-    fn list_update(&mut self, passed: Passed, update: &EndpointListUpdate) {
-        let Passed {
+    /// Adds the reports of an endpoint list's update for the host that receives it.
+    fn list_update(&mut self, passed: ForwardedFrame, update: &EndpointListUpdate) {
+        let ForwardedFrame {
             line,
-            out,
+            forwarded_at,
             link,
             to,
             ..
         } = passed;
         let list = self.lists.entry(link).or_insert_with(|| List::new(to));
-        for report in list.update(update, out, line) {
+        for report in list.update(update, forwarded_at, line) {
             self.history
                 .endpoint_reports
                 .entry(report.listed)
--- a/crates/audit/src/history/requests.rs
+++ b/crates/audit/src/history/requests.rs
@@ -1,22 +1,23 @@
-//! Requests and attempts of a recording: each frame about one is put to it, by its connection and identifier.
+//! Assigns frames to requests and attempts by the connection and the identifier that they carry.
 
 use super::{AnswerSeen, AttemptAnswerSeen, AttemptSeen, History, RequestSeen};
 use gullsail_protocol::record::Delivery;
 use gullsail_protocol::{Answer, Attempt, AttemptAnswer, AttemptResult, Submit};
 use std::collections::BTreeMap;
 
-/// An identifier that is unique on its connection.
+/// Identifies a request or an attempt: its identifier is unique only on its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OnLink {
     link: u64,
     id: u64,
 }
 
-/// A frame that was passed on.
-pub(super) struct Passed {
+/// What the recording holds about a frame that a proxy sent on, beside its message. The fields are those of an
+/// [`Entry`](gullsail_protocol::record::Entry).
+pub(super) struct ForwardedFrame {
     pub(super) line: usize,
     pub(super) at: i64,
-    pub(super) out: i64,
+    pub(super) forwarded_at: i64,
     pub(super) link: u64,
     pub(super) from: String,
     pub(super) to: String,
@@ -28,9 +29,9 @@
 /// Finds requests and attempts in the history by the identifiers that their frames carry.
 #[derive(Default)]
 pub(super) struct RequestIndex {
-    /// Places among the history's requests.
+    /// Indices into the history's requests.
     requests: BTreeMap<OnLink, usize>,
-    /// Places among the history's attempts.
+    /// Indices into the history's attempts.
     attempts: BTreeMap<OnLink, usize>,
 }
 
@@ -46,11 +47,11 @@
         history.requests.get_mut(place)
     }
 
-    pub(super) fn answer(&self, history: &mut History, passed: &Passed, answer: Answer) {
+    pub(super) fn answer(&self, history: &mut History, passed: &ForwardedFrame, answer: Answer) {
         let sent_by = passed
             .stream_end
             .and_then(|end| history.unread.had_come_by(passed.link, end));
-        let Passed { line, at, link, .. } = *passed;
+        let ForwardedFrame { line, at, link, .. } = *passed;
         if let Some(request) = self.request(history, link, answer.id) {
             request.answers.push(AnswerSeen {
                 line,
@@ -62,10 +63,10 @@
         }
     }
 
-    pub(super) fn submit(&mut self, history: &mut History, passed: Passed, submit: Submit) {
-        let Passed {
+    pub(super) fn submit(&mut self, history: &mut History, passed: ForwardedFrame, submit: Submit) {
+        let ForwardedFrame {
             line,
-            out,
+            forwarded_at,
             link,
             to,
             ..
@@ -79,7 +80,7 @@
         );
         history.requests.push(RequestSeen {
             line,
-            at: out,
+            at: forwarded_at,
             host: to,
             link,
             submit,
@@ -91,11 +92,16 @@
         });
     }
 
-    pub(super) fn attempt(&mut self, history: &mut History, passed: Passed, attempt: Attempt) {
-        let Passed {
+    pub(super) fn attempt(
+        &mut self,
+        history: &mut History,
+        passed: ForwardedFrame,
+        attempt: Attempt,
+    ) {
+        let ForwardedFrame {
             line,
             at,
-            out,
+            forwarded_at,
             link,
             from,
             to,
@@ -112,7 +118,7 @@
         history.attempts.push(AttemptSeen {
             line,
             at,
-            arrived_at: out,
+            arrived_at: forwarded_at,
             host: from,
             node: to,
             link,
@@ -126,12 +132,12 @@
     pub(super) fn attempt_answer(
         &mut self,
         history: &mut History,
-        passed: &Passed,
+        passed: &ForwardedFrame,
         answer: &AttemptAnswer,
     ) {
-        let Passed {
+        let ForwardedFrame {
             line,
-            out,
+            forwarded_at,
             link,
             delivery,
             ..
@@ -145,12 +151,13 @@
         };
         let result = AttemptResult::try_from(answer.result).unwrap_or(AttemptResult::Unknown);
         match &mut seen.answer {
-            // The original of an answer that was turned into an error says what the node did.
+            // An answer that the script altered is recorded twice. The node's original comes first and tells whether
+            // the request ran; the altered one gives the time and result that the host received.
             None => {
                 let at = if delivery == Delivery::Altered {
                     i64::MAX
                 } else {
-                    out
+                    forwarded_at
                 };
                 seen.answer = Some(AttemptAnswerSeen {
                     line,
@@ -160,7 +167,7 @@
                 });
             }
             Some(original) if original.at == i64::MAX => {
-                original.at = out;
+                original.at = forwarded_at;
                 original.result = result;
             }
             Some(_) => {}
@@ -168,7 +175,7 @@
     }
 }
 
-/// Marks what was open on a connection when it closed.
+/// Marks the requests and the unanswered attempts of a connection that closed.
 pub(super) fn close_link(history: &mut History, link: u64, at: i64) {
     for request in history
         .requests
--- a/crates/audit/src/history/run_time.rs
+++ b/crates/audit/src/history/run_time.rs
@@ -1,10 +1,10 @@
-//! When a process was not run: it was paused by the script, or waited for a processor, as the kernel tells.
+//! How long a process could run: the script may have paused it, or the kernel may have counted waits for a processor.
 
 use super::{History, Span, WaitSeen};
 
 impl History {
-    /// How long a process was run at most between two points: the time without pauses and waits. Where a sample leaves
-    /// open when a wait was, it is taken for one that does not count, unless it must have been within the two points.
+    /// An upper bound of the time, in microseconds, that a process ran between two points in time: the time without
+    /// pauses and waits. A wait counts only as far as its sample proves that it was between the two points.
     pub fn run_time(&self, process: &str, from: i64, to: i64) -> i64 {
         let mut not_run: Vec<Span> = self.pauses(process);
         let mut short_waits = 0;
@@ -19,7 +19,8 @@
     }
 }
 
-/// The time in which a long wait certainly was: it ended after the sample before, and had lasted for the rest by then.
+/// The span in which the process certainly waited, if the waits of a sample are longer than its interval: they ended
+/// after the previous sample, so the wait had begun before that sample and lasted at least until it.
 fn certain_span(wait: &WaitSeen) -> Option<Span> {
     let began = wait.at - wait.waited;
     (began < wait.since).then_some(Span {
@@ -28,7 +29,7 @@
     })
 }
 
-/// How much of the time between two points these cover together.
+/// The total time between `from` and `to` that the spans cover; overlaps count once.
 fn covered(mut spans: Vec<Span>, from: i64, to: i64) -> i64 {
     spans.sort_by_key(|span| span.from);
     let mut covered = 0;
--- a/crates/audit/src/history/unread.rs
+++ b/crates/audit/src/history/unread.rs
@@ -1,8 +1,9 @@
-//! What had come from hosts on connections of clients at points in time, where the relay had not yet read all of it.
+//! The number of bytes that the kernel had received on client connections, sampled while the proxy had not yet read
+//! all of them.
 
 use std::collections::BTreeMap;
 
-/// One look at a connection.
+/// The number of bytes received on a connection at one time.
 #[derive(Debug)]
 struct Sample {
     at: i64,
@@ -21,7 +22,7 @@
         samples.push(Sample { at, received });
     }
 
-    /// The first sample by which so many bytes had come; `None`: no sample shows that.
+    /// The time of the first sample with at least `bytes` bytes received; `None`: there is none.
     pub(super) fn had_come_by(&self, link: u64, bytes: u64) -> Option<i64> {
         let samples = self.samples.get(&link)?;
         let first = samples.partition_point(|sample| sample.received < bytes);
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,10 +1,10 @@
-//! Judges a recorded run by the rules that the gateway keeps, from what relays recorded and the configuration
-//! alone. It shares no state with a host and none of its code. Called by the scenario runner after each run,
-//! and by the command line for a recording on disk.
+//! Checks a recorded run against the gateway's rules. The only inputs are the recording that proxies and the
+//! scenario runner wrote, and the configuration. The audit shares neither state nor code with a host.
+//! The scenario runner calls it after each run, and the command line calls it for a recording on disk.
 //!
-//! [`History`] puts the recording in order by who did what; each rule is a function of it in `rules`. For
-//! each rule the [`Verdict`] says whether it was kept, how often it was put to the test, how near its bound
-//! came, and for each breach which lines of the recording show it.
+//! [`History`] sorts the recording into requests, attempts, processes and hosts; each rule is a function of it in
+//! `rules`. A [`Verdict`] tells whether its rule was kept, how often it was tested, how close the run came to the
+//! rule's bound, and which lines of the recording show each breach.
 
 mod error;
 mod history;
@@ -18,20 +18,20 @@
 use gullsail_configuration::Deployment;
 use std::collections::BTreeMap;
 
-/// Judges a whole recording. `deployment`: the configuration that the run began with.
+/// Judges a complete recording. `deployment` is the configuration at the start of the run.
 ///
 /// # Errors
-/// A line that is no entry.
+/// A line of the recording is not a valid entry, or a configuration in it cannot be parsed.
 pub fn judge(deployment: &Deployment, recording: &str) -> Result<Vec<Verdict>, RecordingError> {
     let history = History::read(deployment, recording)?;
     Ok(rules::judge(deployment, &history))
 }
 
-/// Bytes of attempts and their answers that went from one zone to another to or from a host, by the host's
-/// name and the names of the two zones.
+/// Sums the bytes of attempts and of nodes' answers that crossed zones. The key is the host's name, the zone of
+/// the sender and the zone of the receiver.
 ///
 /// # Errors
-/// A line that is no entry.
+/// A line of the recording is not a valid entry, or a configuration in it cannot be parsed.
 pub fn crossed(
     deployment: &Deployment,
     recording: &str,
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -1,5 +1,5 @@
-//! The rules, one function each: each reads the history and the configuration, and returns its verdict. None
-//! depends on another.
+//! The rules. Each has a function that reads the history and, if needed, the configuration, and returns a verdict. No
+//! rule depends on another's verdict.
 
 mod answers;
 mod coordinators;
@@ -19,30 +19,30 @@
 use crate::verdict::Verdict;
 use gullsail_configuration::Deployment;
 
-/// How far a host's clock reading and the relay's may differ: a frame's way over loopback and a turn of a
-/// busy processor, in microseconds.
+/// How much the times of an event at a host and at the proxy may differ, in microseconds: a frame's transfer over
+/// loopback, and a scheduling delay on a busy processor.
 const FRAME_DELAY: i64 = 20_000;
 const MICROS_A_SECOND: f64 = 1e6;
 
-/// All rules that the configuration calls for, in order of their numbers.
+/// Judges all rules that the configuration calls for, in the order of their numbers.
 pub(crate) fn judge(deployment: &Deployment, history: &History) -> Vec<Verdict> {
     let mut verdicts = vec![
         answers::answered_in_time(deployment, history),
         idempotency::no_effect_twice(deployment, history),
-        drains::kept(deployment, history),
-        slow_start::kept(deployment, history),
-        ordering::kept(deployment, history),
-        retry_budget::kept(deployment, history),
-        limits::kept(deployment, history),
+        drains::judge(deployment, history),
+        slow_start::judge(deployment, history),
+        ordering::judge(deployment, history),
+        retry_budget::judge(deployment, history),
+        limits::judge(deployment, history),
     ];
     if !deployment.cross_zone_budgets.is_empty() {
-        verdicts.push(zone_budgets::kept(deployment, history));
+        verdicts.push(zone_budgets::judge(deployment, history));
     }
     if let Some(fleet) = &deployment.fleet {
-        verdicts.push(shares::within_the_whole(fleet.drift, history));
-        verdicts.push(coordinators::one_grants(history));
-        verdicts.extend(node_rates::kept(deployment, history));
-        verdicts.extend(maintenance::kept(deployment, history));
+        verdicts.push(shares::within_budget(fleet.drift, history));
+        verdicts.push(coordinators::one_coordinator(history));
+        verdicts.extend(node_rates::judge(deployment, history));
+        verdicts.extend(maintenance::judge(deployment, history));
     }
     verdicts
 }
--- a/crates/audit/src/rules/answers.rs
+++ b/crates/audit/src/rules/answers.rs
@@ -1,11 +1,11 @@
-//! Rule 1: one final answer before the deadline, and nothing sent after it.
+//! Rule 1: each request gets one final answer before its deadline, and no attempt is sent after the answer.
 
 use super::FRAME_DELAY;
 use crate::history::{AnswerSeen, History, RequestSeen};
 use crate::verdict::Verdict;
 use gullsail_configuration::Deployment;
 
-/// Tested by each request that a host took.
+/// Tested by each request that a host accepted.
 pub(super) fn answered_in_time(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(1, "one final answer in time");
     for request in &history.requests {
@@ -29,30 +29,31 @@
     history: &History,
     request: &RequestSeen,
 ) {
-    let mark = &request.submit.idempotency_key;
+    let key = &request.submit.idempotency_key;
     match request.answers.as_slice() {
         [] if is_excused(history, request) => {}
         [] if was_not_run(deployment, history, request) => {
             let deadline = request.at + request.submit.timeout_us;
             let what = format!(
-                "{mark} at {} got no answer: its process was not run before {deadline} us",
+                "{key} at {} got no answer: its process was not run before {deadline} us",
                 request.host
             );
             verdict.allow(what, history.lines_of(request));
         }
         [] => {
-            let what = format!("{mark} at {} got no answer", request.host);
+            let what = format!("{key} at {} got no answer", request.host);
             verdict.breach(what, history.lines_of(request));
         }
         [answer] => judge_answer(verdict, history, request, answer),
         more => {
-            let what = format!("{mark} got {} answers", more.len());
+            let what = format!("{key} got {} answers", more.len());
             verdict.breach(what, history.lines_of(request));
         }
     }
 }
 
-/// The host need not answer: the client left, the host was killed or stopped, or the recording ended before.
+/// Whether the host need not answer: before the answer was due, the client cancelled or disconnected, the host was killed
+/// or paused, or the recording ended.
 fn is_excused(history: &History, request: &RequestSeen) -> bool {
     let latest = request.at + request.submit.timeout_us + FRAME_DELAY;
     let client_left = [request.withdrawn_at, request.link_closed_at]
@@ -63,7 +64,7 @@
     if client_left.unwrap_or(i64::MAX).min(killed) <= latest || latest > history.end {
         return true;
     }
-    // A host that is stopped answers nothing; afterwards it would be late.
+    // A paused host cannot answer, and once it is resumed after the deadline, it withholds the late answer.
     let deadline = request.at + request.submit.timeout_us;
     let pauses = history.pauses(&request.host);
     pauses
@@ -71,11 +72,11 @@
         .any(|pause| pause.from <= latest && pause.to + FRAME_DELAY >= deadline)
 }
 
-/// Ticks by which a host answers ahead of a deadline.
+/// How many ticks before the deadline a host begins to answer.
 const TICKS_AHEAD: f64 = 2.0;
 
-/// The machine did not run the host while the answer was due: of the time by which answers precede their deadline the
-/// process had less than a frame's way may take.
+/// Whether the kernel did not run the host's process while the answer was due. Between the time at which the host begins
+/// to answer and the deadline, the process ran for less than `FRAME_DELAY`.
 fn was_not_run(deployment: &Deployment, history: &History, request: &RequestSeen) -> bool {
     let deadline = request.at + request.submit.timeout_us;
     let due = deadline - deployment.figures().tick.times(TICKS_AHEAD).micros();
@@ -88,19 +89,19 @@
     request: &RequestSeen,
     answer: &AnswerSeen,
 ) {
-    let mark = &request.submit.idempotency_key;
+    let key = &request.submit.idempotency_key;
     let timeout = request.submit.timeout_us;
     let deadline = request.at + timeout;
     verdict.approach((answer.at - request.at) as f64 / (timeout + FRAME_DELAY) as f64);
     if answer.at > deadline + FRAME_DELAY {
         let late = answer.at - deadline;
-        let what = format!("{mark} at {} was answered {late} us late", request.host);
+        let what = format!("{key} at {} was answered {late} us late", request.host);
         verdict.breach(what, history.lines_of(request));
     }
     let mut attempts = history.attempts_of(request);
     if let Some(after) = attempts.find(|attempt| attempt.at > answer.read_at + FRAME_DELAY) {
         let what = format!(
-            "{mark}: an attempt at {} was sent after the answer",
+            "{key}: an attempt at {} was sent after the answer",
             after.node
         );
         verdict.breach(what, history.lines_of(request));
--- a/crates/audit/src/rules/coordinators.rs
+++ b/crates/audit/src/rules/coordinators.rs
@@ -1,13 +1,13 @@
-//! Rule 10: two coordinators never grant at once.
+//! Rule 10: at any time, one coordinator at most grants shares.
 
 use super::FRAME_DELAY;
 use crate::history::{GrantSeen, History};
 use crate::verdict::Verdict;
 use std::collections::BTreeSet;
 
-/// After a grant by a later ballot none by an earlier one leaves its host. Tested by each ballot that follows
-/// another.
-pub(super) fn one_grants(history: &History) -> Verdict {
+/// Once a coordinator has sent a grant, no coordinator with an earlier ballot sends one. Tested by each ballot after
+/// the first.
+pub(super) fn one_coordinator(history: &History) -> Verdict {
     let mut verdict = Verdict::new(10, "one coordinator grants");
     let mut ballots = BTreeSet::new();
     let mut grants = history.grants.iter();
@@ -29,13 +29,15 @@
     verdict
 }
 
-/// Of another coordinator, and not just late at the relay.
+/// Whether another coordinator with an earlier ballot sent the grant, and not only so shortly after the latest one that
+/// the proxy may have delayed it.
 fn is_of_earlier(grant: &GrantSeen, latest: &GrantSeen) -> bool {
     let is_other = grant.ballot.by != latest.ballot.by && grant.ballot < latest.ballot;
     is_other && grant.at > latest.at + FRAME_DELAY
 }
 
-/// A coordinator that was stopped between deciding and sending: what it sent is over for whoever receives it.
+/// Whether the coordinator may have been paused between deciding on the grant and sending it. Such a grant has expired
+/// when it is received, so it is harmless.
 fn was_paused(history: &History, grant: &GrantSeen) -> bool {
     let pauses = history.pauses(&grant.by);
     pauses
--- a/crates/audit/src/rules/drains.rs
+++ b/crates/audit/src/rules/drains.rs
@@ -1,4 +1,5 @@
-//! Rule 3: nothing new to a node after the grace, once the host was informed that it drains or is gone.
+//! Rule 3: a host sends no attempt to a node once the grace period is over after a list reported the node as draining
+//! or gone.
 
 use super::FRAME_DELAY;
 use crate::history::{EndpointReport, History, ListedNode, Span};
@@ -6,18 +7,18 @@
 use gullsail_configuration::Deployment;
 use gullsail_protocol::ListedState;
 
-/// A drain that takes this many times its grace is as far as one counts.
+/// The largest reported nearness, in multiples of the grace period.
 const MAX_NEARNESS: f64 = 2.0;
 
-/// A time in which a host knows that a node drains or is gone.
+/// A span in which a host has the report that a node is draining or gone.
 struct Drain {
     span: Span,
-    /// Of the report that began it.
+    /// The line of the report that began the drain.
     line: usize,
 }
 
-/// Tested by each time a host was informed so.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
+/// Tested by each drain that was reported to a host.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(3, "nothing sent to a draining node");
     let grace = deployment.drain_grace.micros();
     for (listed, reports) in &history.endpoint_reports {
@@ -29,7 +30,8 @@
     verdict
 }
 
-/// Only a restart of the node ends a drain: the same incarnation, reported as ready late, does not.
+/// The drains in the reports on one node. Only a restart of the node ends a drain: a late report that the same
+/// incarnation is ready does not.
 fn drains(reports: &[EndpointReport]) -> Vec<Drain> {
     let mut drains = Vec::new();
     let mut begun: Option<&EndpointReport> = None;
@@ -70,7 +72,7 @@
 ) {
     let ListedNode { host, node } = listed;
     let from = drain.span.from;
-    // A host that is killed forgets.
+    // A restarted host does not have the reports that it received before.
     let to = drain.span.to.min(history.incarnation(host, from).to);
     for attempt in &history.attempts {
         let is_of_drain = attempt.host == *host && attempt.node == *node;
--- a/crates/audit/src/rules/idempotency.rs
+++ b/crates/audit/src/rules/idempotency.rs
@@ -1,4 +1,4 @@
-//! Rule 2: no effect twice.
+//! Rule 2: a request that is not idempotent takes effect at most once.
 
 use crate::history::{AttemptSeen, History, RequestSeen};
 use crate::verdict::Verdict;
@@ -7,7 +7,7 @@
 use gullsail_scheduler_api::{Idempotency, IdempotencyScope};
 use std::collections::BTreeMap;
 
-/// By request class.
+/// The idempotency of each request class by its name. A class without an entry counts as idempotent.
 struct Idempotencies<'a>(BTreeMap<&'a str, Idempotency>);
 
 impl Idempotencies<'_> {
@@ -19,7 +19,8 @@
     }
 }
 
-/// Tested by each attempt that may have run and was not the last thing that happened to its request.
+/// Tested by each attempt that follows one that may have run, and by each answer without success to a request that may
+/// have run.
 pub(super) fn no_effect_twice(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(2, "no effect twice");
     let classes = deployment.request_classes.iter();
@@ -36,7 +37,7 @@
     verdict
 }
 
-/// After an attempt that may have run, another is sent only where the nodes recognise the repeat.
+/// After an attempt that may have run, another is sent only to a node that recognises the repeat by its key.
 fn judge_retries(
     verdict: &mut Verdict,
     deployment: &Deployment,
@@ -53,16 +54,16 @@
         verdict.tested += 1;
         let is_recognised = match idempotency {
             Idempotency::WithKey { scope, window } => {
-                let part = (attempt.at - before.at) as f64 / window.micros().max(1) as f64;
-                verdict.approach(part);
-                is_in_scope(deployment, scope, &before.node, &attempt.node) && part <= 1.0
+                let fraction = (attempt.at - before.at) as f64 / window.micros().max(1) as f64;
+                verdict.approach(fraction);
+                is_in_scope(deployment, scope, &before.node, &attempt.node) && fraction <= 1.0
             }
             _ => false,
         };
         if !is_recognised {
-            let mark = &request.submit.idempotency_key;
+            let key = &request.submit.idempotency_key;
             let what = format!(
-                "{mark} may have run at {} and was sent to {}",
+                "{key} may have run at {} and was sent to {}",
                 before.node, attempt.node
             );
             verdict.breach(what, history.lines_of(request));
@@ -70,7 +71,8 @@
     }
 }
 
-/// A request that may have run is not rejected, as a client would send it again to any node.
+/// A request that may have run is not rejected unless all nodes recognise a repeat, since after a rejection the client
+/// may send the request again and any node may receive it.
 fn judge_end(
     verdict: &mut Verdict,
     history: &History,
@@ -86,7 +88,7 @@
     let succeeded = end.answer.outcome == Outcome::Succeeded as i32;
     verdict.test_if(may_have_run.is_some() && !succeeded);
     let rejected = end.answer.outcome == Outcome::Rejected as i32;
-    let known_everywhere = matches!(
+    let recognised_everywhere = matches!(
         idempotency,
         Idempotency::WithKey {
             scope: IdempotencyScope::All,
@@ -95,7 +97,7 @@
     );
     if let Some(attempt) = may_have_run
         && rejected
-        && !known_everywhere
+        && !recognised_everywhere
     {
         let what = format!(
             "{} may have run at {} and was rejected",
@@ -105,7 +107,7 @@
     }
 }
 
-/// By the nodes' own answers, over all tries of a client.
+/// Counts how often a request took effect by the nodes' unaltered answers, over all of a client's repeats of it.
 fn judge_effects(verdict: &mut Verdict, history: &History, idempotencies: &Idempotencies) {
     let mut effects: BTreeMap<&str, Vec<&AttemptSeen>> = BTreeMap::new();
     for seen in &history.attempts {
@@ -118,9 +120,9 @@
                 .push(seen);
         }
     }
-    for (mark, attempts) in effects {
+    for (key, attempts) in effects {
         if attempts.len() > 1 {
-            let what = format!("{mark} took effect {} times", attempts.len());
+            let what = format!("{key} took effect {} times", attempts.len());
             verdict.breach(what, attempts.iter().flat_map(|attempt| attempt.lines()));
         }
     }
--- a/crates/audit/src/rules/limits.rs
+++ b/crates/audit/src/rules/limits.rs
@@ -1,4 +1,4 @@
-//! Rule 7: each volume's limit holds over all hosts.
+//! Rule 7: the first attempts of all hosts together keep to each volume's limit.
 
 use super::MICROS_A_SECOND;
 use super::volume_limits::{LimitFrom, VolumeLimit, limits_over_time};
@@ -7,13 +7,13 @@
 use gullsail_configuration::Deployment;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Sums of units are compared with this tolerance.
+/// The tolerance, in units, for rounding errors in sums of units.
 const TOLERANCE: f64 = 1e-6;
 const SECOND: i64 = 1_000_000;
 
-/// Tested by each first attempt of a volume that was asked for more, in the second before, than its limit
-/// fills.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
+/// Tested by each first attempt before which clients asked for more units of the volume within a second than its limit
+/// refills.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(7, "limits kept over all hosts");
     let mut volumes: BTreeMap<&str, Vec<&AttemptSeen>> = BTreeMap::new();
     for seen in history
@@ -67,7 +67,7 @@
     }
 }
 
-/// A volume's token bucket over all hosts.
+/// A volume's token bucket, shared by all hosts.
 struct Bucket {
     limit: Option<VolumeLimit>,
     level: f64,
@@ -75,7 +75,7 @@
 }
 
 impl Bucket {
-    /// It fills by the limit that held until the change, and has the size that holds from then on.
+    /// Refills the bucket at the old limit's rate up to the change, then applies the new limit's burst.
     fn change_limit(&mut self, next: &LimitFrom) {
         let changed_at = next.from.max(self.at);
         if let Some(limit) = self.limit {
@@ -103,7 +103,7 @@
     }
 }
 
-/// What clients asked of a volume within the last second.
+/// The units that clients requested of a volume within the last second.
 struct RecentDemand<'a> {
     upcoming: VecDeque<&'a RequestSeen>,
     recent: VecDeque<&'a RequestSeen>,
--- a/crates/audit/src/rules/maintenance.rs
+++ b/crates/audit/src/rules/maintenance.rs
@@ -1,6 +1,5 @@
-//! Rules 13 and 14, from what hosts logged and from attempts on the wire: nothing is sent to a server that
-//! any host knew to be offline, and no more servers are away than the configuration allows, whichever host
-//! was the coordinator.
+//! Rules 13 and 14 on maintenance. Rule 13: no host sends an attempt to a server after any host logged that it is offline.
+//! Rule 14: no more servers are offline at once than the configuration allows, whichever host is the coordinator.
 
 use super::FRAME_DELAY;
 use crate::history::History;
@@ -9,29 +8,29 @@
 use gullsail_scheduler_api::ZoneId;
 use std::collections::BTreeMap;
 
-/// One order, from what any host knew of it.
+/// The absence of a server under one maintenance order, as hosts logged it. A time is `i64::MAX` if no host logged it.
 struct Absence<'a> {
     server: &'a str,
-    /// When a host first knew the server to be offline.
+    /// When a host first logged that the server is offline.
     offline_at: i64,
-    /// When a host first knew it to be back.
+    /// When a host first logged that the server is back, or that the order is done or cancelled.
     back_at: i64,
-    /// When a host first knew the order to be done.
+    /// When a host first logged that the order is done or cancelled.
     done_at: i64,
-    /// Of the report that it is offline.
+    /// The line of the first log entry that the server is offline.
     line: usize,
 }
 
-/// How many servers may be away at the same time.
+/// How many servers may be offline at the same time, by the configuration.
 struct Bounds {
     in_all: u32,
     in_zone: u32,
     in_pool: u32,
 }
 
-/// Each rule is tested by each server that goes offline. Where the configuration has no maintenance, there
-/// are no such rules.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Vec<Verdict> {
+/// Each rule is tested by the servers that go offline; rule 14 only by those for which it matters. Without maintenance in
+/// the configuration there are no verdicts.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Vec<Verdict> {
     let Some(config) = &deployment.maintenance else {
         return Vec::new();
     };
@@ -110,7 +109,7 @@
 fn not_too_many(deployment: &Deployment, bounds: &Bounds, absences: &[Absence]) -> Verdict {
     let mut verdict = Verdict::new(14, "servers offline within their number");
     for absence in absences {
-        // Those that are away at the moment at which this one goes offline.
+        // The absences that last at the moment at which this server goes offline, its own included.
         let is_away = |other: &&Absence| {
             other.offline_at <= absence.offline_at
                 && absence.offline_at + FRAME_DELAY < other.done_at
@@ -124,7 +123,7 @@
     verdict
 }
 
-/// How many servers may be away in some scope, and how many are.
+/// The permitted and the actual number of offline servers in a scope.
 struct Limit {
     most: u32,
     count: usize,
@@ -181,7 +180,7 @@
     }
 }
 
-/// Within which limits a server counts.
+/// The zone and the pool in which an offline server is counted.
 struct Scopes {
     zone: ZoneId,
     pool: Pool,
--- a/crates/audit/src/rules/node_rates.rs
+++ b/crates/audit/src/rules/node_rates.rs
@@ -1,5 +1,5 @@
-//! Rules 11 and 12: what all hosts together do to one node at a limited rate, where the configuration limits
-//! it: over any span no more than the rate allows, and one for each incarnation of a host.
+//! Rules 11 and 12: the rates at which all hosts together connect to a node and probe it, where the configuration limits
+//! them. Over any span, the rate's number of operations is allowed, and one more for each incarnation of a host.
 
 use super::{FRAME_DELAY, MICROS_A_SECOND};
 use crate::history::{AttemptSeen, History};
@@ -7,12 +7,12 @@
 use gullsail_configuration::Deployment;
 use std::collections::BTreeMap;
 
-/// Two within this time are a test of the rate.
-const CLOSE: i64 = 1_000_000;
-/// A probe is an attempt after this many that ran into their timeouts.
+/// Two operations on a node within this time, in microseconds, are a test of the rate.
+const TEST_INTERVAL: i64 = 1_000_000;
+/// An attempt is a probe after this number of attempts that timed out.
 const LOST_BEFORE_PROBE: usize = 2;
 
-/// Something that was done to a node.
+/// A connection to a node or a probe of it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Operation<'a> {
     at: i64,
@@ -20,10 +20,10 @@
     line: usize,
 }
 
-/// Connections are counted as they come to the node's door, whether it is there or not; probes are attempts
-/// to a node of which the two before ran into their timeouts, with nothing received of it since. Tested by
-/// each that came within a second of another.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Vec<Verdict> {
+/// Connections are counted when they reach the node's address, even while the node does not run. A probe is an attempt
+/// whose host saw two attempts to the node time out before and has received no answer from it since the earlier one.
+/// Tested by each operation within a second of the previous one on the same node.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Vec<Verdict> {
     let Some(fleet) = &deployment.fleet else {
         return Vec::new();
     };
@@ -31,7 +31,7 @@
     let mut verdicts = Vec::new();
     if let Some(rate) = fleet.connects {
         let verdict = Verdict::new(11, "connections to a node within their rate");
-        verdicts.push(judge(
+        verdicts.push(judge_rate(
             verdict,
             connections(deployment, history),
             rate,
@@ -40,7 +40,7 @@
     }
     if let Some(rate) = fleet.probes {
         let verdict = Verdict::new(12, "probes of a node within their rate");
-        verdicts.push(judge(verdict, probes(history), rate, burst));
+        verdicts.push(judge_rate(verdict, probes(history), rate, burst));
     }
     verdicts
 }
@@ -53,7 +53,12 @@
     events.filter(|seen| !seen.event.is_end()).count()
 }
 
-fn judge(mut verdict: Verdict, mut operations: Vec<Operation>, rate: f64, burst: f64) -> Verdict {
+fn judge_rate(
+    mut verdict: Verdict,
+    mut operations: Vec<Operation>,
+    rate: f64,
+    burst: f64,
+) -> Verdict {
     operations.sort_unstable();
     let mut buckets: BTreeMap<&str, Bucket> = BTreeMap::new();
     for Operation { at, node, line } in operations {
@@ -62,8 +67,8 @@
             at: i64::MIN / 2,
         });
         let since = at.saturating_sub(bucket.at);
-        verdict.test_if(since < CLOSE);
-        // A busy processor brings some together that were apart.
+        verdict.test_if(since < TEST_INTERVAL);
+        // A busy processor may delay operations so that the proxy sees them closer together than the hosts sent them.
         let most = burst + rate * FRAME_DELAY as f64 / MICROS_A_SECOND;
         bucket.level = (bucket.level + rate * since as f64 / MICROS_A_SECOND).min(most) - 1.0;
         bucket.at = at;
@@ -119,7 +124,7 @@
     probes
 }
 
-/// `before`: the earlier attempts of the same host to the same node.
+/// Whether an attempt is a probe. `before` holds the earlier attempts of the same host to the same node.
 fn is_probe(history: &History, attempt: &AttemptSeen, before: &[&AttemptSeen]) -> bool {
     let started_at = history.incarnation(&attempt.host, attempt.at).from;
     let lost = before
@@ -139,7 +144,7 @@
     !answered && !restarted
 }
 
-/// Known by then to have run into its timeout.
+/// Whether the attempt had timed out by `by`, with no answer and no closed connection before.
 fn is_lost(attempt: &AttemptSeen, by: i64) -> bool {
     let latest = attempt.times_out_at() + FRAME_DELAY;
     let answered = attempt.answer.is_some_and(|answer| answer.at <= latest);
--- a/crates/audit/src/rules/ordering.rs
+++ b/crates/audit/src/rules/ordering.rs
@@ -1,4 +1,4 @@
-//! Rule 5: requests of one key are sent in order.
+//! Rule 5: requests with the same order key are sent one after the other, in the order of their arrival.
 
 use super::FRAME_DELAY;
 use crate::history::{AttemptSeen, History, RequestSeen};
@@ -7,10 +7,10 @@
 use gullsail_protocol::AttemptResult;
 use std::collections::BTreeMap;
 
-/// How near a settling time is counted at most.
+/// The largest reported nearness to the settling time.
 const MAX_NEARNESS: f64 = 9.99;
 
-/// The requests of one key at one incarnation of a host are kept in order.
+/// Identifies the requests that are kept in order: those with one key at one incarnation of a host.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Queue<'a> {
     host: &'a str,
@@ -18,8 +18,8 @@
     key: &'a str,
 }
 
-/// Tested by each attempt of a request that came while an earlier one of its key was open.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
+/// Tested by each request with an attempt that arrived while an earlier request with its key was open.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(5, "order kept for each key");
     let settle = deployment.figures().order_settle.micros();
     for (queue, mut requests) in queues(deployment, history) {
@@ -73,12 +73,12 @@
     queues
 }
 
-/// When a request is over for its host. Without an answer, since its host was stopped, it ends with its deadline.
+/// When a request ends for its host. Without an answer, for example because the host was paused, it ends at its deadline
+/// at the latest.
 ///
-/// A host that gets a node's answer writes the client's answer and the next attempt of the key in one step, to two
-/// connections. Which of the two frames passes the relay first says nothing about the host: after a pause of the
-/// process they were seen 21 ms apart, in either order. So an answered request whose attempt succeeded is over
-/// once the node's answer has reached the host.
+/// When a host receives a node's answer, it writes the client's answer and the key's next attempt in one step, on two
+/// connections. The proxy may read these in either order; after a pause of the process, the two frames were 21 ms apart.
+/// So an answered request with a successful attempt ends when the node's answer reaches the host.
 fn over_at(history: &History, request: &RequestSeen) -> i64 {
     if let Some(answer) = request.answers.first() {
         let succeeded_at = succeeded_at(history, request);
@@ -94,7 +94,7 @@
     client_left.unwrap_or(i64::MAX).min(deadline)
 }
 
-/// When a node's answer that the request succeeded reached the host.
+/// When the first successful answer of a node reached the host; `None`: there was none.
 fn succeeded_at(history: &History, request: &RequestSeen) -> Option<i64> {
     let answers = history
         .attempts_of(request)
@@ -105,17 +105,18 @@
         .min()
 }
 
-/// Whether the answer had come to the relay when the relay read the attempt. The relay reads two connections in any order,
-/// and when it is held up it reads one of them later by as long. Where the answer was among the bytes that the kernel
-/// had received by then, its time of reading says nothing: of two frames that wait together none is known to be first.
-fn had_come_before(answered: &RequestSeen, attempt: &AttemptSeen) -> bool {
+/// Whether the kernel had received the answer to `answered` when the proxy read the attempt. The proxy reads two
+/// connections in any order, and late when it is delayed. Of two frames that were both received but not yet read, the
+/// times of reading do not tell which was sent first, so the later reading of the answer is no breach.
+fn was_received_before(answered: &RequestSeen, attempt: &AttemptSeen) -> bool {
     let answer = answered.answers.first();
     let stream_end = answer.and_then(|answer| answer.stream_end);
     let received = attempt.sent_to_clients.get(&answered.link);
     matches!((stream_end, received), (Some(end), Some(received)) if end <= *received)
 }
 
-/// Two connections are read in an order that only the host knows.
+/// The first attempt of a request is not sent while an earlier request is open. Only requests of the same connection are
+/// compared: of two connections, only the host knows which request it read first.
 fn judge_overtaking(
     verdict: &mut Verdict,
     queue: &Queue,
@@ -126,20 +127,20 @@
 ) {
     if over_at > first.at + FRAME_DELAY
         && before.link == request.link
-        && !had_come_before(before, first)
+        && !was_received_before(before, first)
     {
         let Queue { host, key, .. } = queue;
-        let mark = &request.submit.idempotency_key;
+        let request_key = &request.submit.idempotency_key;
         let what = format!(
-            "{host}, key {key}: {mark} sent while {} was open",
+            "{host}, key {key}: {request_key} sent while {} was open",
             before.submit.idempotency_key
         );
         verdict.breach(what, [before.line, first.line]);
     }
 }
 
-/// After an attempt whose result is unknown, the next request of its key waits until it can no longer take
-/// effect.
+/// After an attempt whose result is unknown, the key's next request waits for the settling time, after which the attempt
+/// can no longer take effect.
 fn judge_settling(
     verdict: &mut Verdict,
     history: &History,
@@ -163,9 +164,9 @@
             .min(MAX_NEARNESS);
         if rest + FRAME_DELAY < settle {
             let Queue { host, key, .. } = queue;
-            let mark = &request.submit.idempotency_key;
+            let request_key = &request.submit.idempotency_key;
             let what = format!(
-                "{host}, key {key}: {mark} sent {rest} us after an attempt of {} ended unknown",
+                "{host}, key {key}: {request_key} sent {rest} us after an attempt of {} ended unknown",
                 before.submit.idempotency_key
             );
             verdict.breach(what, [attempt.line, first.line]);
@@ -173,7 +174,8 @@
     }
 }
 
-/// From its timeout on, or since its connection broke; `None`: its answer came in time.
+/// Since when the result of an attempt is unknown: since its timeout, or since its connection closed before that.
+/// `None`: its answer arrived in time.
 fn unknown_since(attempt: &AttemptSeen) -> Option<i64> {
     let ends = attempt.times_out_at();
     if attempt
--- a/crates/audit/src/rules/retry_budget.rs
+++ b/crates/audit/src/rules/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Rule 6: attempts beyond each request's first stay within their budget.
+//! Rule 6: retries, the attempts after a request's first, stay within the retry budget.
 
 use super::FRAME_DELAY;
 use crate::history::{AttemptSeen, History};
@@ -6,7 +6,7 @@
 use gullsail_configuration::Deployment;
 use std::collections::BTreeMap;
 
-/// A host's incarnation: each has a budget of its own.
+/// An incarnation of a host. Each has a separate retry budget.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Process<'a> {
     host: &'a str,
@@ -14,7 +14,7 @@
 }
 
 /// Tested by each retry.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(6, "retries within their budget");
     let Some(budget) = deployment.figures().retry_budget else {
         return verdict;
@@ -29,7 +29,8 @@
         for (place, retry) in retries.iter().enumerate() {
             verdict.tested += 1;
             let since = retry.at - window;
-            // The window's edges differ by a frame's way: judged where both agree.
+            // Host and proxy place the window's edges up to `FRAME_DELAY` apart. The window is narrowed for retries
+            // and widened for accepted requests, so that only what breaks the budget by both clocks is a breach.
             let sent = retries[..=place]
                 .iter()
                 .filter(|other| other.at > since + FRAME_DELAY);
@@ -56,7 +57,7 @@
     }
 }
 
-/// When the requests came that each process took.
+/// The times at which requests that were accepted reached each process.
 fn accepted_at(history: &History) -> BTreeMap<Process<'_>, Vec<i64>> {
     let mut accepted: BTreeMap<Process, Vec<i64>> = BTreeMap::new();
     for request in history
@@ -72,7 +73,7 @@
     accepted
 }
 
-/// By process, in the order they were sent.
+/// The retries of each process, in the order in which they were sent.
 fn retries(history: &History) -> BTreeMap<Process<'_>, Vec<&AttemptSeen>> {
     let mut retries: BTreeMap<Process, Vec<&AttemptSeen>> = BTreeMap::new();
     for seen in history
--- a/crates/audit/src/rules/shares.rs
+++ b/crates/audit/src/rules/shares.rs
@@ -1,13 +1,13 @@
-//! Rule 9: at no moment do the shares in use sum to more than the whole of a budget.
+//! Rule 9: at no time do the hosts' shares of a budget that are in use add up to more than the budget.
 
 use crate::history::{History, SharesSeen};
 use crate::verdict::Verdict;
 use std::collections::BTreeMap;
 
-/// The whole of a budget, as hosts count their shares.
+/// A complete budget, in the millionths in which hosts count their shares.
 const WHOLE: u64 = 1_000_000;
 
-/// A host begins or ends to use a share.
+/// A host starts or stops using a share.
 struct Change<'a> {
     at: i64,
     begins: bool,
@@ -15,20 +15,20 @@
     share: u64,
 }
 
-/// A host's use of a budget, by the line that reports it.
+/// A host's use of a budget, identified by the line of its log entry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Use<'a> {
     host: &'a str,
     line: usize,
 }
 
-/// A host logs what it may use whenever that changes, and how long its lease lasts; what it logged counts
-/// until it logs again, its lease is over by the slowest clock, or it ends. Tested by each moment at which
-/// some host's share begins.
-pub(super) fn within_the_whole(drift: f64, history: &History) -> Verdict {
+/// A host logs its shares and the length of its lease whenever they change. A logged share is in use until the host logs
+/// again, its lease expires by the slowest permitted clock, or the host ends. Tested each time that a host starts using a
+/// share.
+pub(super) fn within_budget(drift: f64, history: &History) -> Verdict {
     let mut verdict = Verdict::new(9, "shares in use within the whole");
     for (budget, mut changes) in changes(drift, history) {
-        // What ends at a moment is over before what begins then.
+        // Of changes at the same time, the ends are applied before the starts.
         changes.sort_by_key(|change| (change.at, change.begins));
         judge_budget(&mut verdict, budget, &changes);
     }
@@ -41,7 +41,7 @@
         for (place, seen) in all.iter().enumerate() {
             let next = all.get(place + 1).map_or(i64::MAX, |next| next.at);
             let ended = history.incarnation(host, seen.at).to;
-            let end = next.min(lease_over(drift, seen)).min(ended);
+            let end = next.min(lease_expiry(drift, seen)).min(ended);
             let used = Use {
                 host,
                 line: seen.line,
@@ -67,8 +67,8 @@
     changes
 }
 
-/// By the slowest clock.
-fn lease_over(drift: f64, seen: &SharesSeen) -> i64 {
+/// When the lease of the shares expires by the slowest permitted clock; `i64::MAX`: there is no lease.
+fn lease_expiry(drift: f64, seen: &SharesSeen) -> i64 {
     if seen.lasts_us < 0 {
         i64::MAX
     } else {
--- a/crates/audit/src/rules/slow_start.rs
+++ b/crates/audit/src/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4: no node that has just started is sent more than it bears.
+//! Rule 4: a node that has started recently is not sent more units than its slow-start budget.
 
 use crate::history::{AttemptSeen, History};
 use crate::verdict::Verdict;
@@ -6,15 +6,15 @@
 use gullsail_protocol::record::ProcessEvent;
 use std::collections::VecDeque;
 
-/// Tested by each attempt to a node that warms up.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
+/// Tested by each attempt to a node during its slow-start ramp.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(4, "no node overloaded during slow start");
     for (node, events) in &history.process_events {
         if deployment.node(node).is_none() {
             continue;
         }
         for seen in events {
-            // Nodes that were there before the run began are warm.
+            // Nodes that started before the run have completed their slow start.
             if matches!(seen.event, ProcessEvent::Started { .. }) && seen.at > 0 {
                 judge_start(&mut verdict, deployment, history, node, seen.at);
             }
@@ -52,13 +52,14 @@
         {}
         let age = (attempt.arrived_at - started_at) as f64 / ramp.max(1) as f64;
         let fraction = slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * age;
-        let can = server.falls_over * server.capacity() * fraction * slow_start.window.secs();
-        let bears = slow_start.units.max(can);
+        let sustainable =
+            server.falls_over * server.capacity() * fraction * slow_start.window.secs();
+        let budget = slow_start.units.max(sustainable);
         let units: f64 = recent.iter().map(|sent| sent.attempt.units).sum();
-        verdict.approach(units / bears.max(1e-9));
-        if units > bears {
+        verdict.approach(units / budget.max(1e-9));
+        if units > budget {
             let what = format!(
-                "{node} was sent {units} units during slow start; its budget is {bears:.1}"
+                "{node} was sent {units} units during slow start; its budget is {budget:.1}"
             );
             verdict.breach(what, [attempt.line]);
         }
--- a/crates/audit/src/rules/volume_limits.rs
+++ b/crates/audit/src/rules/volume_limits.rs
@@ -1,14 +1,14 @@
-//! Which limit of a volume must hold when, over all hosts: that of the oldest revision of the configuration
-//! that a running host may still follow.
+//! The limit that all hosts together must keep for a volume at each time: that of the oldest revision of the
+//! configuration that a running host may still use.
 
 use crate::history::{History, RevisionSeen};
 use gullsail_configuration::Deployment;
 
-/// After a host reports that it follows another revision: attempts that it sent before may still be on their
-/// way to the relay, through a busy processor.
+/// How long, in microseconds, attempts by the old revision may still reach the proxy after their host reported that it
+/// uses a new one; a busy processor delays them.
 const CHANGE_DELAY: i64 = 100_000;
 
-/// A volume's limit.
+/// A volume's limit: its rate in units a second, and the burst and the slack in units.
 #[derive(Clone, Copy)]
 pub(super) struct VolumeLimit {
     pub(super) rate: f64,
@@ -26,23 +26,24 @@
     }
 }
 
-/// What must hold from some time on; `None`: no limit.
+/// The limit that must hold from a time on; `None`: no limit.
 pub(super) struct LimitFrom {
     pub(super) from: i64,
     pub(super) limit: Option<VolumeLimit>,
 }
 
-/// The revisions that running hosts may follow.
+/// Bounds on the revisions that running hosts may use.
 struct Followed {
-    /// No host follows an older one.
+    /// The oldest revision that a host certainly used last: no host uses an older one.
     oldest_certain: u64,
-    /// The oldest that a host was asked to follow last.
+    /// The smallest of the newest revisions that each host was asked to load.
     oldest_asked: u64,
+    /// The newest revision that any host was asked to load.
     newest_asked: u64,
 }
 
-/// The limits of a volume, in order of time. Where it is not certain which revision is the oldest, between
-/// the request to the last host and its reply, the largest.
+/// The limits of a volume, in order of time. While the oldest revision in use is uncertain, between the last host's being
+/// asked to load a new one and its reply, the largest of the possible limits holds.
 pub(super) fn limits_over_time(
     deployment: &Deployment,
     history: &History,
@@ -57,7 +58,7 @@
         .collect()
 }
 
-/// When the limit may change.
+/// The times at which the limit may change.
 fn points_of_change(history: &History) -> Vec<i64> {
     let mut points = vec![i64::MIN];
     points.extend(history.revisions.values().flatten().map(effective_at));
@@ -71,7 +72,7 @@
     points
 }
 
-/// A host that reports that it follows a revision does so for certain a little later.
+/// When an observation takes effect: a revision in use only after `CHANGE_DELAY`, a request to load one at once.
 fn effective_at(seen: &RevisionSeen) -> i64 {
     if seen.serves {
         seen.at + CHANGE_DELAY
@@ -88,8 +89,8 @@
 ) -> Option<VolumeLimit> {
     let first = deployment.place.revision.0;
     let followed = followed_at(history, first, at);
-    // A host that the fleet has put out may follow an older revision than all others, and uses its floor by
-    // it.
+    // A host that is cut off from the fleet may use an older revision than all other hosts, and use its share of the
+    // floor by that revision.
     let newest = if deployment.fleet.is_some() {
         followed.newest_asked
     } else {
@@ -109,7 +110,7 @@
     if limits.is_empty() {
         limits.push(limit_of(deployment, volume));
     }
-    // Without a limit by one of them, there is none.
+    // If one of the revisions sets no limit, none holds.
     let limits: Option<Vec<VolumeLimit>> = limits.into_iter().collect();
     limits?.into_iter().reduce(VolumeLimit::largest)
 }
@@ -130,7 +131,8 @@
             .get(host)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        // A host that starts reads its file, which may have been replaced while it was down.
+        // Observations from before a host's start count too: it reads its configuration file at the start, and the
+        // file may have been replaced while the host was down.
         let newest = |serves: bool| {
             let effective = seen
                 .iter()
@@ -146,7 +148,8 @@
     followed
 }
 
-/// Hosts of the first configuration run until they are seen to end; others once they are seen to start.
+/// Whether a host runs at a time, by its last event before it. Without such an event, the hosts of the first
+/// configuration run and others do not.
 fn is_running(history: &History, host: &str, at: i64) -> bool {
     match history
         .events_of(host)
--- a/crates/audit/src/rules/zone_budgets.rs
+++ b/crates/audit/src/rules/zone_budgets.rs
@@ -1,5 +1,5 @@
-//! Rule 8: cross-zone budgets are kept, or what went beyond them is reported. Judged by the configuration
-//! that the run began with.
+//! Rule 8: cross-zone budgets are kept, or hosts report the bytes beyond them. Judged by the configuration at the start of
+//! the run.
 
 use super::MICROS_A_SECOND;
 use crate::history::{FrameSeen, History};
@@ -9,12 +9,12 @@
 use gullsail_scheduler_api::{BudgetScope, Limit, ZoneId};
 use std::collections::BTreeMap;
 
-/// What is reported may differ by this part, and by these bytes, from what was seen.
+/// The bytes seen beyond a budget may exceed the reported bytes by this factor and, in addition, by this number of bytes.
 const REPORT_TOLERANCE: f64 = 1.05;
 const REPORT_TOLERANCE_BYTES: f64 = 4096.0;
 
-/// Tested by each frame between the zones of a budget while the budget is below half of its burst.
-pub(super) fn kept(deployment: &Deployment, history: &History) -> Verdict {
+/// Tested by each frame between the zones of a budget that leaves less than half of the burst in the bucket.
+pub(super) fn judge(deployment: &Deployment, history: &History) -> Verdict {
     let mut verdict = Verdict::new(8, "cross-zone budgets kept, or overruns reported");
     let zones = zones(deployment);
     let zone_of = |name: &str| zones.get(name).copied();
@@ -50,12 +50,13 @@
     hosts.chain(nodes).collect()
 }
 
-/// What went through a budget.
+/// The use of a budget over the whole run.
 struct Use {
-    /// Bytes that went beyond it, and the frames that they were part of.
+    /// The bytes beyond the budget.
     overrun: f64,
+    /// The number of frames with bytes beyond the budget.
     overrun_frames: u64,
-    /// The part of the burst that was used at the end.
+    /// The fraction of the burst that was in use after the last frame.
     used_at_end: f64,
 }
 
@@ -109,7 +110,7 @@
     } else {
         used_at_end
     });
-    // A host that was killed takes what it would have reported with it.
+    // A host reports when it ends. A killed host does not, so its overruns are missing from the reports.
     let is_reported = overrun <= reported * REPORT_TOLERANCE + REPORT_TOLERANCE_BYTES;
     if !is_reported && !some_host_was_killed(deployment, history) {
         let what = format!(
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -1,34 +1,35 @@
-//! What is found for each rule, and how it is shown to people. Serialized for `--json`.
+//! The verdict on each rule, and the table that shows verdicts to people. `--json` prints them serialized.
 
 use serde::Serialize;
 
-/// Breaches shown of each rule, and lines of the recording shown of each breach.
+/// How many breaches of a rule, and how many lines of a breach, the table shows.
 const SHOWN_BREACHES: usize = 3;
 const SHOWN_LINES: usize = 12;
 
 /// One breach of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// What was seen.
+    /// A description of what broke the rule.
     pub what: String,
-    /// The lines of the recording that show it, counted from 0.
+    /// The lines of the recording that show the breach, counted from 0.
     pub lines: Vec<usize>,
 }
 
-/// What is found for one rule.
+/// The verdict on one rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// The rule's number.
     pub rule: u8,
-    /// The rule in a few words.
+    /// A short name of the rule, for the table.
     pub name: &'static str,
-    /// How often something could have broken it.
+    /// How often the run could have broken the rule. A rule that was never tested proves nothing by being kept.
     pub tested: u64,
-    /// How near it came to its bound: 1 is at the bound, more is a breach.
+    /// The closest that the run came to the rule's bound, as a fraction of it: 1 is at the bound, more is
+    /// beyond it. It stays 0 for a rule without such a measure.
     pub nearest: f64,
-    /// In the order in which they were found.
+    /// The breaches, in the order in which they were found.
     pub breaches: Vec<Breach>,
-    /// What would be a breach but for evidence from outside the host, which each names.
+    /// Violations that do not count, because evidence from outside the host excuses them. Each names that evidence.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub allowed: Vec<Breach>,
 }
@@ -67,13 +68,13 @@
         self.nearest = self.nearest.max(nearness);
     }
 
-    /// Whether the rule was kept.
+    /// Whether there is no breach of the rule.
     pub fn kept(&self) -> bool {
         self.breaches.is_empty()
     }
 }
 
-/// The verdicts as a table for people, each breach with some of its lines below.
+/// Formats the verdicts as a table for people, followed by the first breaches of each rule with their first lines.
 pub fn table(verdicts: &[Verdict], recording: &str) -> String {
     let mut table = comfy_table::Table::new();
     table.load_style(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
