--- a/crates/audit/tests/planted/breaches.rs
+++ b/crates/audit/tests/planted/breaches.rs
@@ -1,14 +1,15 @@
-//! A sound recording with a planted breach of each rule, which must be found by its rule alone and name the request.
+//! Adds a breach of one rule to a recording that keeps all rules. The verdict on that rule alone must be a breach, and its
+//! text must name the request, host, node or volume.
 
-use crate::recording::{Recording, sound};
+use crate::recording::{Recording, clean_recording};
 use gullsail_protocol::AttemptResult::{Failed, Rejected, Succeeded};
 use gullsail_protocol::record::ProcessEvent;
 use gullsail_protocol::{ListedState, Message, NotTaken, Outcome};
 
-/// Plants a breach in a sound recording.
+/// Adds a breach to a recording.
 type Plant = fn(&mut Recording);
 
-/// The rule, what its breach must say, and what is planted.
+/// The number of the rule, a part of the breach's text, and the breach that is added.
 const CASES: [(u8, &str, Plant); 17] = [
     (1, "m90 at h1 got no answer", |r| {
         r.submit(50_000, "h1", 90, "read", "v", 1.0);
@@ -45,7 +46,7 @@
         r.answer(50_020, "h1", 90, Outcome::Failed);
     }),
     (2, "m90 may have run at n1 and was sent to n1", |r| {
-        // After the window in which repeats are known.
+        // The repeat is sent after the window in which nodes recognise repeats.
         r.submit(50_000, "h1", 90, "photo", "v", 1.0);
         r.attempt(50_001, "h1", "n1", 90, 0, Some((5, Failed)));
         r.attempt(52_500, "h1", "n1", 90, 1, Some((5, Failed)));
@@ -60,7 +61,7 @@
     }),
     (3, "h2 sent to n2 1500000 us after it was notified", |r| {
         r.list(50_000, "h2", "n2", ListedState::Draining, 1);
-        // The same incarnation, called ready by a late list, does not take it back.
+        // A late list that reports the same incarnation as ready does not end the drain.
         r.list(50_100, "h2", "n2", ListedState::Ready, 1);
         r.submit(51_490, "h2", 90, "read", "v", 1.0);
         r.attempt(51_500, "h2", "n2", 90, 0, Some((5, Succeeded)));
@@ -88,7 +89,7 @@
         r.answer(50_108, "h1", 90, Outcome::Succeeded);
     }),
     (5, "m91 sent while m90 was open", |r| {
-        // The node has done the first one's work, but its answer is still on its way to the host.
+        // The second attempt is sent before the node's answer to the first reaches the host.
         r.submit(50_000, "h1", 90, "record", "v", 1.0);
         r.submit(50_001, "h1", 91, "record", "v", 1.0);
         r.attempt(50_002, "h1", "n1", 90, 0, Some((30, Succeeded)));
@@ -142,11 +143,11 @@
     }),
 ];
 
-/// The client's answer and the next attempt of the key leave the host together, on two connections: which of
-/// them passes the relay first is no breach.
+/// A host writes the client's answer and the key's next attempt in one step, on two connections. The proxy may read the
+/// attempt first, which must not count as a breach of rule 5.
 #[test]
-fn a_request_is_over_once_its_host_has_the_node_s_answer() {
-    let mut r = sound();
+fn a_request_ends_when_the_successful_answer_of_its_node_reaches_the_host() {
+    let mut r = clean_recording();
     r.submit(50_000, "h1", 90, "record", "v", 1.0);
     r.submit(50_001, "h1", 91, "record", "v", 1.0);
     r.attempt(50_002, "h1", "n1", 90, 0, Some((5, Succeeded)));
@@ -164,7 +165,7 @@
 #[test]
 fn each_planted_breach_is_found_by_its_rule() {
     for (rule, expected, plant) in CASES {
-        let mut r = sound();
+        let mut r = clean_recording();
         plant(&mut r);
         let found: Vec<_> = r
             .judge()
--- a/crates/audit/tests/planted/evidence.rs
+++ b/crates/audit/tests/planted/evidence.rs
@@ -1,11 +1,9 @@
-//! What a recording says beside its frames, from the kernel and not from the hosts: it settles what the times at which a
-//! relay reads two connections cannot.
+//! The kernel's counts in a recording, of received bytes and of waits for a processor. They decide where the times at which
+//! a proxy reads frames do not.
 //!
-//! What happened (scenario `budget-storm` beside busy processes, rule 5): a host rejected three requests of a key, wrote the
-//! rejections to their client in one write, and 0.5 ms later wrote the attempt of the next request of that key to a node.
-//! The relay was held up and read the client's connection 35 ms after the node's. By its times the attempt was sent
-//! while the three were open. A trace in the host (a trial) has the order of its decisions and of its writes: reject,
-//! reject, reject, attempt.
+//! Guards against false breaches of rule 5, as in the scenario `budget-storm` on a busy machine: a host rejected three
+//! requests of a key and 0.5 ms later sent the attempt of the key's next request to a node. The proxy was delayed and read
+//! the client's connection 35 ms after the node's, so by its times the attempt was sent while the three were open.
 
 use crate::recording::{DOCUMENT, MS, Recording, broken_rules};
 use gullsail_configuration::parse;
@@ -22,8 +20,9 @@
     *last = entry.to_string();
 }
 
-/// The relay reads an attempt of request 91 when so many bytes to the client had come to it, and 35 ms later the rejection
-/// of request 90 of the same key, which ends at byte 300.
+/// A recording in which the proxy reads an attempt of request 91, and 35 ms later the rejection of request 90 with the same
+/// key. The rejection ends at byte 300 of the client's connection; `client_bytes_received` is the kernel's count of that
+/// connection when the attempt was read, `None` if not recorded.
 fn attempt_read_before_the_rejection(client_bytes_received: Option<u64>) -> Recording {
     let mut recording = Recording::new();
     recording.submit(50_000, "h1", 90, "record", "v", 1.0);
@@ -40,20 +39,20 @@
 }
 
 #[test]
-fn a_rejection_that_had_come_when_the_attempt_was_read_is_no_breach() {
+fn a_rejection_received_before_the_attempt_was_read_is_no_breach() {
     let deployment = parse("planted.kdl", DOCUMENT).unwrap();
     let broken = |recording| broken_rules(&deployment, &recording).contains(&5);
-    for had_come in [300, 301, 5000] {
-        assert!(!broken(attempt_read_before_the_rejection(Some(had_come))));
+    for received in [300, 301, 5000] {
+        assert!(!broken(attempt_read_before_the_rejection(Some(received))));
     }
-    // One that had not come, or a recording without that evidence: the times count.
-    for had_not_come in [Some(299), Some(0), None] {
-        assert!(broken(attempt_read_before_the_rejection(had_not_come)));
+    // If the rejection was not received by then, or the count was not recorded, the times of reading decide.
+    for not_received in [Some(299), Some(0), None] {
+        assert!(broken(attempt_read_before_the_rejection(not_received)));
     }
 }
 
-/// A host waited so long, in ms, for a processor, as seen by a sample at this time and not yet by the one before.
-fn waited(recording: &mut Recording, since: i64, at: i64, waited: i64) {
+/// Adds a sample at `at` that h1 waited `waited` for a processor since the previous sample at `since`. All are in ms.
+fn add_wait_sample(recording: &mut Recording, since: i64, at: i64, waited: i64) {
     let what = json!({ "Waited": { "since": since * MS, "waited_us": waited * MS } });
     let entry = json!({
         "at": at * MS, "out": at * MS, "link": 0, "from": "script", "to": "h1", "what": what
@@ -61,7 +60,7 @@
     recording.lines.push(entry.to_string());
 }
 
-/// A request without an answer, whose client waits until 51 s.
+/// A recording of a request without an answer, whose deadline is at 51 s.
 fn unanswered() -> Recording {
     let mut recording = Recording::new();
     recording.submit(50_000, "h1", 90, "read", "v", 1.0);
@@ -69,27 +68,26 @@
     recording
 }
 
-/// What a host waited by a sample: the time of the sample before, its own, and the wait that it adds.
+/// A sample of waiting for a processor, in ms: the time of the previous sample, of this sample, and the wait between them.
 type Sample = (i64, i64, i64);
 
-/// Samples, and whether the answer is owed all the same.
+/// Samples, and whether the missing answer is a breach despite them.
 type WaitCase = (&'static [Sample], bool);
 
-/// What happened (scenarios of a fleet beside busy processes, rule 1): the machine did not run a host's process while the
-/// answer was due, and the host withholds an answer that is too late. The kernel tells how long a process waited for a
-/// processor. A host has two ticks of slack, 40 ms here, to answer before the deadline: where it was run for less than 20 ms
-/// of these, which is what a frame's way may take, it is not to blame.
+/// Guards against false breaches of rule 1: on a busy machine the kernel did not run a host's process while an answer was
+/// due, and a host withholds an answer that is too late. A host begins to answer two ticks, 40 ms here, before the deadline.
+/// If its process ran for less than 20 ms of these, the permitted delay of a frame, the missing answer is no breach.
 #[test]
-fn an_answer_is_not_owed_for_a_time_in_which_the_process_was_not_run() {
+fn a_missing_answer_is_no_breach_if_the_process_did_not_run_while_it_was_due() {
     let deployment = parse("planted.kdl", DOCUMENT).unwrap();
     let cases: [WaitCase; 7] = [
         (&[], true),
-        // One long wait, over the deadline; until 17 and until 25 ms before it at least; long before it.
+        // One long wait: past the deadline; until at least 17 ms before it; until at least 25 ms before it; long before it.
         (&[(51_045, 51_050, 200)], false),
         (&[(50_983, 50_988, 200)], false),
         (&[(50_970, 50_975, 200)], true),
         (&[(50_900, 50_905, 500)], true),
-        // Many short ones: run for 8 ms of the last 40, and for 20.
+        // Many short waits: the process ran for 8 ms of the last 40 ms, then for 20 ms.
         (
             &[
                 (50_960, 50_970, 8),
@@ -101,39 +99,39 @@
         ),
         (&[(50_960, 50_980, 10), (50_980, 51_000, 10)], true),
     ];
-    for (samples, owed) in cases {
+    for (samples, expected) in cases {
         let mut recording = unanswered();
         for (since, at, wait) in samples {
-            waited(&mut recording, *since, *at, *wait);
+            add_wait_sample(&mut recording, *since, *at, *wait);
         }
         let broken = broken_rules(&deployment, &recording).contains(&1);
-        assert_eq!(broken, owed, "{samples:?}");
+        assert_eq!(broken, expected, "{samples:?}");
     }
 }
 
-/// A process that was paused waits for a processor once it may go on: both count.
+/// A resumed process may wait for a processor before it runs. The pause and the wait both count as time not run.
 #[test]
-fn a_wait_after_a_pause_counts_with_it() {
+fn a_pause_and_the_wait_after_it_both_count_as_not_run() {
     let deployment = parse("planted.kdl", DOCUMENT).unwrap();
-    for (waits, owed) in [(false, true), (true, false)] {
+    for (waits, expected) in [(false, true), (true, false)] {
         let mut recording = unanswered();
         recording.process("h1", 50_500, ProcessEvent::Paused);
         recording.process("h1", 50_970, ProcessEvent::Resumed);
         if waits {
-            waited(&mut recording, 50_984, 50_987, 15);
+            add_wait_sample(&mut recording, 50_984, 50_987, 15);
         }
         let broken = broken_rules(&deployment, &recording).contains(&1);
-        assert_eq!(broken, owed);
+        assert_eq!(broken, expected);
     }
 }
 
-/// What happened (scenario `budget-storm` beside busy processes, rule 1): a relay that was held up read answers 44 to 85 ms
-/// after their deadlines. A sampler beside it, in a thread of its own, notes how many bytes had come on a connection that
-/// the relay lags behind on: an answer among them had come by then.
+/// Guards against false breaches of rule 1, as in the scenario `budget-storm` on a busy machine: a delayed proxy read
+/// answers 44 to 85 ms after their deadlines. A sampler thread records how many bytes the kernel had received on a
+/// connection that the proxy had not read completely. An answer within these bytes was sent by then.
 #[test]
-fn an_answer_that_had_come_in_time_is_not_late_because_the_relay_was() {
+fn an_answer_received_in_time_is_not_late_when_the_proxy_reads_it_late() {
     let deployment = parse("planted.kdl", DOCUMENT).unwrap();
-    // A sample in time or not, and how many bytes had come; the answer ends at byte 300.
+    // The time of the sample in ms, the bytes received by then, and whether the answer is late. It ends at byte 300.
     for (sampled_at, received, late) in [
         (51_010, 300, false),
         (51_010, 299, true),
--- a/crates/audit/tests/planted/fleet.rs
+++ b/crates/audit/tests/planted/fleet.rs
@@ -1,4 +1,4 @@
-//! The rules of the fleet: shares, coordinators, and what all hosts together do to one node.
+//! The rules of the fleet: shares, coordinators, and the rates of connections to and probes of a node.
 
 use crate::recording::{DOCUMENT, MS, Recording, broken_rules};
 use gullsail_configuration::parse;
@@ -7,12 +7,12 @@
     Attempt, AttemptAnswer, AttemptResult, FleetMessage, FleetMessageKind, Message, Outcome,
 };
 
-/// What hosts logged of their shares, and grants on the wire. Both rules find what is planted, and nothing else.
+/// Shares that hosts logged and grants on the wire, with and without breaches of rules 9 and 10.
 #[test]
-fn shares_beyond_the_whole_and_two_coordinators_are_found() {
+fn shares_beyond_the_budget_and_two_granting_coordinators_are_found() {
     let text = DOCUMENT.to_string() + "fleet \"f\" lease=\"1s\" drift=0.01 voters=1 floor=0.2\n";
     let d = parse("planted.kdl", &text).unwrap();
-    // what h1 and h2 log, as (host, ms, lease in ms or -1, share); when h1 is killed; whether it is broken
+    // Each case: the logged shares as (host, ms, lease in ms or -1, share), when h1 is killed, whether rule 9 is broken.
     type Logged = (&'static str, i64, i64, u32);
     let cases: [(&[Logged], Option<i64>, bool); 7] = [
         (
@@ -25,7 +25,7 @@
             None,
             true,
         ),
-        // The lease is over, by the slowest clock, before the other's part begins; or not.
+        // By the slowest clock, the lease of h1 expires at 1010.1 ms: before the share of h2 begins, then after.
         (
             &[("h1", 0, 1000, 800_000), ("h2", 1011, 1000, 900_000)],
             None,
@@ -36,7 +36,7 @@
             None,
             true,
         ),
-        // Released before, or killed before.
+        // h1 reduces its share before that of h2 begins; h1 is killed before; h1 is killed after.
         (
             &[
                 ("h1", 0, 1000, 800_000),
@@ -84,7 +84,7 @@
             "{logged:?}"
         );
     }
-    // grants as (by, round, ms); a host that stood still until then
+    // Each case: the grants as (coordinator, round, ms), until when h1 is paused, whether rule 10 is broken.
     type Grants = &'static [(u32, u64, i64)];
     let cases: [(Grants, Option<i64>, bool); 5] = [
         (
@@ -93,15 +93,15 @@
             false,
         ),
         (&[(0, 5, 0), (1, 6, 1200), (0, 5, 1300)], None, true),
-        // Written before, and a little late at the relay; or after it stood still.
+        // A grant of the earlier ballot within the permitted delay of the proxy; one that was sent after a pause.
         (&[(0, 5, 0), (1, 6, 1200), (0, 5, 1210)], None, false),
         (&[(0, 5, 0), (1, 6, 1200), (0, 5, 1300)], Some(1295), false),
-        // The same one, by a later ballot and a message of the earlier.
+        // The same coordinator sends a grant by its earlier ballot after one by its later ballot.
         (&[(0, 5, 0), (0, 7, 1200), (0, 5, 1300)], None, false),
     ];
-    for (grants, still, broken) in cases {
+    for (grants, paused_until, broken) in cases {
         let mut r = Recording::new();
-        if let Some(until) = still {
+        if let Some(until) = paused_until {
             r.process("h1", 1, ProcessEvent::Paused);
             r.process("h1", until, ProcessEvent::Resumed);
         }
@@ -132,13 +132,14 @@
     }
 }
 
-/// Connections and probes beyond what all hosts together may do to one node, from hosts that each do little.
+/// Hosts whose connections to or probes of one node exceed the rate only together.
 #[test]
 fn connections_and_probes_beyond_their_rates_are_found() {
     let fleet =
         "fleet \"f\" lease=\"1s\" drift=0.01 voters=1 floor=0.2 connects=\"10/s\" probes=\"1/s\"\n";
     let d = parse("planted.kdl", &(DOCUMENT.to_string() + fleet)).unwrap();
-    // connections, ms between two; broken: one for each of two hosts and ten a second
+    // Each case: the number of connections, the ms between them, whether rule 11 is broken. Two hosts may make one each,
+    // and ten a second more.
     for (many, every, broken) in [
         (2, 0, false),
         (4, 0, true),
@@ -147,7 +148,7 @@
     ] {
         let mut r = Recording::new();
         (0..many).for_each(|n| r.put(1000 + n * every, 0, "?", "n1", What::Came));
-        // Of another process they say nothing.
+        // Connections to another process do not count.
         (0..many).for_each(|n| r.put(1000 + n, 0, "?", "list", What::Came));
         assert_eq!(
             broken_rules(&d, &r),
@@ -155,12 +156,13 @@
             "{many} each {every} ms"
         );
     }
-    // attempts of each host, ms between two; the node answers this one, or starts anew before it; broken
+    // Each case: the attempts of each host, the ms between them, the index of an attempt that the node answers, the index
+    // of an attempt before which the node restarts, whether rule 12 is broken.
     type Case = (i64, i64, Option<i64>, Option<i64>, bool);
     let cases: [Case; 5] = [
         (9, 2100, None, None, false),
         (9, 600, None, None, true),
-        // The first two of each are no probes yet, and two are free.
+        // The first two attempts of each host are no probes, and each host may send one probe beyond the rate.
         (3, 600, None, None, false),
         (5, 600, Some(2), None, false),
         (5, 600, None, Some(2), false),
--- a/crates/audit/tests/planted/limits.rs
+++ b/crates/audit/tests/planted/limits.rs
@@ -1,4 +1,4 @@
-//! Limits over all hosts, and budgets between zones.
+//! Volume limits over all hosts, and cross-zone budgets.
 
 use crate::recording::{DOCUMENT, Recording, broken_rules};
 use gullsail_audit::judge;
@@ -6,9 +6,9 @@
 use gullsail_protocol::record::{Delivery, ProcessEvent, What};
 use gullsail_protocol::{Attempt, Message};
 
-/// Limits that change while hosts serve: what is allowed is the limit of the oldest revision that a host may follow.
+/// While a limit changes, the limit of the oldest revision that a running host may use holds.
 #[test]
-fn limits_are_judged_by_the_oldest_revision_followed() {
+fn limits_are_judged_by_the_oldest_revision_in_use() {
     let with = |limit: u32, revision: u64| {
         DOCUMENT.replace(
             "limit=\"10units/s\" burst=32",
@@ -16,8 +16,8 @@
         ) + &format!("revision {revision}\n")
     };
     let d = parse("planted.kdl", &with(10, 1)).unwrap();
-    // the limit that follows; when h1 and h2 are asked, when they serve by it, when h2 is killed; units of an attempt each
-    // 100 ms from 1 s to 11 s, and whether that is a breach
+    // Each case: the new limit, when h1 and h2 are asked to load it, when they use it, when h2 is killed (all in ms), the
+    // units of one attempt each 100 ms from 1 s to 11 s, and whether these break rule 7.
     let cases = [
         (40, [2000, 2000], [2100, 2100], None, 3.0, false),
         (40, [2000, 9500], [2100, 9600], None, 3.0, true),
@@ -72,13 +72,14 @@
     }
 }
 
-/// Bytes beyond a cross-zone budget must be reported; those that no host reported are a breach.
+/// Bytes beyond a cross-zone budget that no host reported are a breach.
 #[test]
-fn overruns_of_a_budget_must_be_reported() {
+fn unreported_overruns_of_a_cross_zone_budget_are_a_breach() {
     let text = DOCUMENT.replace("zone=\"a\"\nnode", "zone=\"a\"\nbounds body-bytes=\"8KiB\"\ncrossing from=\"a\" to=\"b\" limit=\"1KB/s\" burst=\"32KiB\"\nnode");
     let d = parse("planted.kdl", &text).unwrap();
     assert_eq!(d.cross_zone_budgets.len(), 1);
-    // attempts of 8,000 bytes to the other zone, one a second; bytes reported; broken
+    // Each case: the number of attempts of 8,000 bytes to the other zone, one a second; the reported bytes; whether rule 8
+    // is broken.
     for (attempts, reported, broken) in [
         (4, 0, false),
         (40, 0, true),
@@ -106,7 +107,7 @@
                     delivery: Delivery::Passed,
                 },
             );
-            // At home nothing crosses.
+            // An attempt within the zone does not count against the budget.
             r.put(
                 at,
                 4,
--- a/crates/audit/tests/planted/recording.rs
+++ b/crates/audit/tests/planted/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings made by hand.
+//! Builds recordings entry by entry.
 
 use gullsail_audit::{Verdict, judge};
 use gullsail_configuration::{Deployment, parse};
@@ -26,7 +26,7 @@
 volume "w" plan="base"
 "#;
 
-/// Milliseconds to the recording's microseconds.
+/// A millisecond in the microseconds of a recording.
 pub const MS: i64 = 1000;
 
 pub struct Recording {
@@ -70,7 +70,7 @@
         self.put(at, 0, "script", name, What::Process { event });
     }
 
-    /// Client links are 1 to h1 and 2 to h2.
+    /// A client submits a request. Its connection is 1 to h1 and 2 to h2.
     pub fn submit(
         &mut self,
         at: i64,
@@ -115,7 +115,7 @@
         self.frame(at, link(host), host, "client", Message::Answer(a));
     }
 
-    /// Sent at `at`; answered after so long, if at all.
+    /// A host sends an attempt at `at`. `result` holds after how many ms the node answers, and the result.
     pub fn attempt(
         &mut self,
         at: i64,
@@ -183,7 +183,7 @@
         );
     }
 
-    /// One request from its arrival to its answer.
+    /// A request that succeeds at n1 with its first attempt.
     pub fn served(&mut self, at: i64, host: &str, id: u64, request_class: &str) {
         self.submit(at, host, id, request_class, "v", 1.0);
         self.attempt(
@@ -207,35 +207,35 @@
     if host == "h1" { 1 } else { 2 }
 }
 
-/// Something of each rule, all of it sound.
-pub fn sound() -> Recording {
+/// A recording that tests rules 1 to 7 and breaks none.
+pub fn clean_recording() -> Recording {
     use AttemptResult::*;
     let mut r = Recording::new();
     r.served(100, "h1", 1, "read");
-    // Turned away, so it never ran: an unrepeatable one may go again, and be rejected.
+    // The nodes reject it, so it never ran: the request may be retried and rejected although it is not idempotent.
     r.submit(200, "h1", 2, "trip", "v", 1.0);
     r.attempt(201, "h1", "n1", 2, 0, Some((2, Rejected)));
     r.attempt(205, "h1", "n2", 2, 1, Some((2, Rejected)));
     r.answer(210, "h1", 2, Outcome::Rejected);
-    // A keyed one that may have run goes to the same shard again.
+    // A request with an idempotency key may have run and is retried in the same shard.
     r.submit(6000, "h2", 3, "photo", "v", 1.0);
     r.attempt(6001, "h2", "n1", 3, 0, Some((5, Failed)));
     r.attempt(6010, "h2", "n1", 3, 1, Some((5, Succeeded)));
     r.answer(6016, "h2", 3, Outcome::Succeeded);
-    // A drain, kept; taken back by another incarnation.
+    // A drain that the host obeys, and that ends with a new incarnation of the node.
     r.list(7000, "h1", "n1", ListedState::Draining, 1);
     r.process("n1", 7500, ProcessEvent::Killed);
     r.process("n1", 8000, ProcessEvent::Started { incarnation: 2 });
     r.list(8100, "h1", "n1", ListedState::Ready, 2);
     r.served(9000, "h1", 4, "read");
-    // Two of one key, in turn, the second waiting.
+    // Two requests with one key, sent in order; the second waits for the first.
     r.submit(30_000, "h1", 5, "record", "v", 1.0);
     r.submit(30_001, "h1", 6, "record", "v", 1.0);
     r.attempt(30_002, "h1", "n1", 5, 0, Some((10, Succeeded)));
     r.answer(30_013, "h1", 5, Outcome::Succeeded);
     r.attempt(30_014, "h1", "n1", 6, 0, Some((10, Succeeded)));
     r.answer(30_025, "h1", 6, Outcome::Succeeded);
-    // Most of a store, through both hosts.
+    // Both hosts use most of a volume's token bucket.
     for (place, host) in ["h1", "h2", "h1", "h2"].into_iter().enumerate() {
         let (id, at) = (20 + place as u64, 40_000 + place as i64 * 10);
         r.submit(at, host, id, "read", "w", 8.0);
