--- a/crates/reference-model/src/answers.rs
+++ b/crates/reference-model/src/answers.rs
@@ -1,11 +1,12 @@
-//! The rules 1 and 2 on answers: one each, in time, and a rejection only where a repeat does no harm.
+//! Rules 1 and 2 as they apply to answers.
 
 use crate::rules::Verdict;
 use crate::{Breach, Model, ReportedLate};
 use gullsail_scheduler_api::{HostId, Idempotency, IdempotencyScope, Instant, RequestId};
 
 impl Model {
-    /// Rules 1 and 2 on an answer: the one, in time, and a rejection only where a repeat does no harm.
+    /// Rule 1: a request gets one answer, in time. Rule 2: a request is rejected only if the client may safely repeat it,
+    /// since it never ran or any node recognises the repeat.
     pub(crate) fn may_answer(
         &mut self,
         now: Instant,
@@ -14,7 +15,13 @@
         rejected: bool,
     ) -> Verdict {
         let Some(history) = self.request_history(host, id) else {
-            return Err(self.breach(1, now, host, id, "an answer to a transfer that never came"));
+            return Err(self.breach(
+                1,
+                now,
+                host,
+                id,
+                "an answer to a request that never arrived",
+            ));
         };
         self.tested[0] += 1;
         if let Some(ended) = history.ended {
@@ -22,7 +29,7 @@
             return Err(self.breach(1, now, host, id, what));
         }
         if now > history.deadline() + self.parameters.answer_slack {
-            return Err(self.breach(1, now, host, id, "the answer comes after the expiry"));
+            return Err(self.breach(1, now, host, id, "the answer comes after the deadline"));
         }
         let classes = self.config(host).map(|config| &config.request_classes);
         let class = classes.and_then(|classes| classes.get(history.request.request_class.0));
@@ -38,15 +45,15 @@
         };
         self.tested[1] += u64::from(!safe);
         if rejected && !safe {
-            return Err(self.breach(2, now, host, id, "deferred, though it may have run"));
+            return Err(self.breach(2, now, host, id, "rejected, though it may have run"));
         }
         Ok(())
     }
 
-    /// Rule 1, on what must have happened: each request has its answer once its time is up.
+    /// Rule 1: each request has an answer by its deadline. Checks all requests whose deadline is over at `now`.
     ///
     /// # Errors
-    /// One that has none; each is reported once.
+    /// A request has no answer. Each such request is reported once.
     pub fn passed(&mut self, now: Instant) -> Result<(), Breach> {
         for host in self.hosts_up() {
             let overdue = self.accepted(host).filter(|accepted| {
@@ -70,13 +77,7 @@
                     arrived: history.arrived,
                 });
                 if history.ended.is_none() {
-                    return Err(self.breach(
-                        1,
-                        now,
-                        host,
-                        request,
-                        "its time is up and it has no answer",
-                    ));
+                    return Err(self.breach(1, now, host, request, "no answer by its deadline"));
                 }
             }
         }
--- a/crates/reference-model/src/history.rs
+++ b/crates/reference-model/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened, entry by entry, and how the rules read it: by host and incarnation, by request, by node.
+//! The history of events and actions, and its views by host and incarnation, by request and by node.
 
 use crate::{Breach, Model};
 use gullsail_scheduler_api::{
@@ -18,7 +18,7 @@
 pub(crate) struct HistoryEntry {
     pub(crate) at: Instant,
     pub(crate) host: HostId,
-    /// Steps are numbered over all hosts.
+    /// The number of the step. Steps are counted over all hosts.
     pub(crate) step: u64,
     pub(crate) what: Observation,
 }
@@ -30,7 +30,7 @@
     pub(crate) outcome: AttemptOutcome,
 }
 
-/// An attempt as the history has it.
+/// An attempt of a request; `ended` is `None` while it is in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptRecord {
     pub(crate) at: Instant,
@@ -38,12 +38,12 @@
     pub(crate) ended: Option<AttemptEnding>,
 }
 
-/// How a request ended.
+/// When and how a request ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestEnding {
     pub(crate) at: Instant,
     pub(crate) step: u64,
-    /// By an answer of the host's own.
+    /// Whether the host ended it by rejecting or failing it. Otherwise a node's response or the client ended it.
     pub(crate) by_host: bool,
 }
 
@@ -94,7 +94,7 @@
                     self.ended.get_or_insert(ended(false));
                 }
             }
-            // From its first bytes on an answer is the client's own.
+            // A request ends with the first bytes of its response, which the host streams to the client.
             Observation::Saw(
                 Event::ClientDisconnected(of) | Event::ResponseStarted { id: of, .. },
             ) if *of == id => {
@@ -124,7 +124,7 @@
 }
 
 impl Model {
-    /// What an incarnation of a host saw and did, from its start on; nothing while it is down.
+    /// The entries of a host since its last start; none while the host is down.
     pub(crate) fn incarnation(&self, host: HostId) -> impl Iterator<Item = &HistoryEntry> {
         let bound = |entry: &HistoryEntry| {
             entry.host == host
@@ -154,7 +154,7 @@
         })
     }
 
-    /// Hosts that are up, in order of their last starts.
+    /// The running hosts, in the order of their last starts.
     pub(crate) fn hosts_up(&self) -> Vec<HostId> {
         let mut up = Vec::new();
         for entry in &self.history {
@@ -193,7 +193,7 @@
         history
     }
 
-    /// The requests of a host's incarnation in the order it accepted them.
+    /// The requests that a host accepted since its last start, in order.
     pub(crate) fn accepted(&self, host: HostId) -> impl Iterator<Item = Accepted<'_>> {
         self.incarnation(host)
             .filter_map(|entry| match &entry.what {
@@ -226,13 +226,13 @@
             })
     }
 
-    /// A node as each list that names it has it, the last entry of each.
+    /// The entries for a node in the endpoint lists that a host saw, the last entry of each list.
     pub(crate) fn listings(&self, host: HostId, node: NodeId) -> impl Iterator<Item = &Endpoint> {
         self.lists(host)
             .filter_map(move |list| list.entries.iter().rfind(|entry| entry.node == node))
     }
 
-    /// The last lines of a host's history that are about something.
+    /// The last lines, as text, of those entries of a host that `about` selects.
     pub(crate) fn history_lines(
         &self,
         host: HostId,
--- a/crates/reference-model/src/lib.rs
+++ b/crates/reference-model/src/lib.rs
@@ -1,11 +1,10 @@
-//! The seven rules as a model: slow, small, and read from whole histories. It shares nothing with the
-//! decisions, with `config-transition` or with `audit` but the words of `scheduler-api`, keeps no sums and no
-//! caches, and answers each question by reading what happened from the start. A reader checks each function
-//! here beside the rule's own wording.
+//! A plain model of rules 1 to 7, for tests. It is written to be compared with the wording of the rules, not for speed:
+//! it keeps no sums and no caches, and reads the history from the start to decide each question. It shares only the types
+//! of `scheduler-api` with the scheduler, `config-transition` and `audit`, and no code.
 //!
-//! One [`Model`] watches all hosts. A driver reports to it, in this order: that a host has started, each step
-//! of it ([`Model::step`]), what it saw in that step, then what it did. [`Model::passed`] says what must have
-//! happened by now. Events and actions that no rule speaks of, timers above all, need not be reported.
+//! One [`Model`] watches all hosts. The driver of a test reports to it that a host has started, then each of the host's
+//! steps ([`Model::step`]) with the events that the host saw in it, followed by its actions. [`Model::passed`] checks for
+//! answers that are overdue. Events and actions that no rule is about, such as timers, need not be reported.
 
 mod answers;
 mod history;
@@ -18,35 +17,35 @@
 use history::{HistoryEntry, Observation};
 use std::fmt;
 
-/// What the rules say beside the configuration that hosts are given.
+/// Parameters of the rules that are not part of the hosts' configuration.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
-    /// How long after it learnt of a drain a host may still send there.
+    /// How long a host may still send attempts to a node after a list reported that it drains.
     pub drain_grace: Span,
     /// How far a volume's bucket may go below empty, in units.
     pub slack: f64,
-    /// So many times what a node that warms up can do, and it falls over.
+    /// A node in slow start falls over when it is sent more than this multiple of its current capacity.
     pub multiple: f64,
-    /// What a node can do once it is warm, in units a second.
+    /// The capacity of a node after slow start, in units a second.
     pub can: f64,
-    /// Answers may come so long after the client's time is up.
+    /// How long after a request's deadline its answer is still in time.
     pub answer_slack: Span,
 }
 
 /// A broken rule, and the lines of the history that show it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// Its number, from 1.
+    /// The rule's number, 1 to 7.
     pub rule: u8,
-    /// What happened.
+    /// A description of what broke the rule.
     pub what: String,
-    /// Where.
+    /// The host that broke the rule.
     pub host: HostId,
-    /// Of which request.
+    /// The request by which the rule was broken; `None`: no single request.
     pub request: Option<RequestId>,
-    /// When.
+    /// When the rule was broken.
     pub at: Instant,
-    /// The lines of the history.
+    /// The lines of the history that show the breach, as text.
     pub evidence: Vec<String>,
 }
 
@@ -68,7 +67,7 @@
 
 impl std::error::Error for Breach {}
 
-/// A missing answer that was reported already.
+/// An overdue request that `Model::passed` has already examined.
 #[derive(Clone, Copy, PartialEq)]
 struct ReportedLate {
     host: HostId,
@@ -81,13 +80,13 @@
     parameters: RuleParameters,
     history: Vec<HistoryEntry>,
     steps: u64,
-    /// How often each rule could have been broken, the first rule at place 0.
+    /// How often each rule could have been broken; rule 1 has index 0.
     pub tested: [u64; 7],
     reported_late: Vec<ReportedLate>,
 }
 
 impl Model {
-    /// A model that has seen nothing yet.
+    /// A model with an empty history.
     pub fn new(parameters: RuleParameters) -> Model {
         Model {
             parameters,
@@ -107,22 +106,22 @@
         });
     }
 
-    /// A host begins an incarnation, knowing nothing but its configuration.
+    /// Records that a host started a new incarnation with this configuration and no other state.
     pub fn host_started(&mut self, now: Instant, host: HostId, config: &SchedulerConfig) {
         self.add(now, host, Observation::HostStarted(config.clone()));
     }
 
-    /// A host is killed: what it held is its clients' from now on.
+    /// Records that a host was killed. It no longer has to answer its open requests.
     pub fn killed(&mut self, now: Instant, host: HostId) {
         self.add(now, host, Observation::HostKilled);
     }
 
-    /// A host looks at what came: all that it sees next is known to it before it does anything.
+    /// Begins a step. A host sees all events of a step before it takes the step's first action.
     pub fn step(&mut self) {
         self.steps += 1;
     }
 
-    /// A host sees an event.
+    /// Records an event that a host saw.
     pub fn saw(&mut self, now: Instant, host: HostId, event: &Event) {
         if !matches!(
             event,
@@ -133,10 +132,10 @@
         }
     }
 
-    /// A host carries out an action.
+    /// Checks an action of a host and records it.
     ///
     /// # Errors
-    /// The rule that this breaks. It counts as done all the same.
+    /// The action breaks a rule. It is recorded all the same.
     pub fn did(&mut self, now: Instant, host: HostId, action: &Action) -> Result<(), Breach> {
         let found = match action {
             Action::StartAttempt { id, node, .. } => self.may_send(now, host, *id, *node),
@@ -148,8 +147,8 @@
         found
     }
 
-    /// Since when a host knows that a node drains or is gone; only a newer start, listed as ready, takes it
-    /// back.
+    /// Since when a host has a list by which the node drains or is gone; `None`: it has none. Only a later list with the
+    /// node ready after a newer start ends the drain.
     fn drained_since(&self, host: HostId, node: NodeId) -> Option<Instant> {
         let mut since: Option<Instant> = None;
         let mut newest: Option<Instant> = None;
--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -1,5 +1,5 @@
-//! The rules 1 to 6 on attempts, each by itself, in their order. Rule 7 is in `volume_limit`, and the rules on
-//! answers are in `answers`.
+//! Rules 1 to 6 as they apply to attempts, one function each. Rule 7 is in `volume_limit`; answers are checked in
+//! `answers`.
 
 use crate::history::{AttemptEnding, Observation, RequestHistory};
 use crate::{Breach, Model};
@@ -10,7 +10,7 @@
 
 pub(crate) type Verdict = Result<(), Breach>;
 
-/// An attempt that a host is about to send, with what the rules need to know of it.
+/// An attempt that a host is about to send, with the history of its request and the host's configuration.
 pub(crate) struct Sending {
     pub(crate) now: Instant,
     pub(crate) host: HostId,
@@ -30,8 +30,7 @@
         )
     }
 
-    /// Everything that an attempt may break. The rules are looked at in their order, so one breach has one
-    /// name.
+    /// Checks an attempt against all rules. The rules are checked in a fixed order, and only the first breach is returned.
     pub(crate) fn may_send(
         &mut self,
         now: Instant,
@@ -40,10 +39,16 @@
         node: NodeId,
     ) -> Verdict {
         let Some(history) = self.request_history(host, id) else {
-            return Err(self.breach(1, now, host, id, "a leg of a transfer that never came"));
+            return Err(self.breach(
+                1,
+                now,
+                host,
+                id,
+                "an attempt of a request that never arrived",
+            ));
         };
         let Some(config) = self.config(host).cloned() else {
-            return Err(self.breach(1, now, host, id, "a host that is down sends a leg"));
+            return Err(self.breach(1, now, host, id, "a host that is down sends an attempt"));
         };
         let sending = Sending {
             now,
@@ -52,35 +57,37 @@
             history,
             config,
         };
-        self.not_after_its_end(&sending)?;
+        self.not_after_request_end(&sending)?;
         self.not_run_twice(&sending)?;
         self.not_to_a_draining_node(&sending)?;
         self.within_slow_start(&sending)?;
         if sending.history.attempts.is_empty() {
-            self.in_order_of_its_object(&sending)?;
+            self.in_object_order(&sending)?;
             self.within_the_volume_limit(&sending)
         } else {
             self.within_the_retry_budget(&sending)
         }
     }
 
-    /// Rule 1: nothing is sent for a request that is over. What is seen in the same step may cross.
-    fn not_after_its_end(&mut self, sending: &Sending) -> Verdict {
+    /// Rule 1: no attempt is sent for a request that has ended or whose deadline is over. An end that the host sees in the
+    /// step in which it sends the attempt does not count, since the two may cross.
+    fn not_after_request_end(&mut self, sending: &Sending) -> Verdict {
         let history = &sending.history;
         if history
             .ended
             .is_some_and(|ended| ended.by_host || ended.step < self.steps)
         {
-            return Err(self.breach_by(1, sending, "a leg after its final answer"));
+            return Err(self.breach_by(1, sending, "an attempt after its final answer"));
         }
         if sending.now > history.deadline() {
-            return Err(self.breach_by(1, sending, "a leg after its expiry"));
+            return Err(self.breach_by(1, sending, "an attempt after its deadline"));
         }
         self.tested[0] += u64::from(!history.attempts.is_empty());
         Ok(())
     }
 
-    /// Rule 2: what may have run goes again only as its idempotency allows, and never two attempts at once.
+    /// Rule 2: a request that may have run is sent again only as its idempotency allows, and it never has two attempts in
+    /// flight.
     fn not_run_twice(&mut self, sending: &Sending) -> Verdict {
         let Sending {
             now,
@@ -94,7 +101,7 @@
             .iter()
             .any(|attempt| attempt.ended.is_none())
         {
-            return Err(self.breach_by(2, sending, "two legs at once"));
+            return Err(self.breach_by(2, sending, "two attempts at once"));
         }
         let Some(first) = history.may_have_run() else {
             return Ok(());
@@ -102,14 +109,16 @@
         let wrong = match config.request_classes[history.request.request_class.0].idempotency {
             Idempotency::Idempotent => return Ok(()),
             Idempotency::NonIdempotent => {
-                Some("an unrepeatable transfer that may have run goes again")
+                Some("a non-idempotent request that may have run is sent again")
             }
             Idempotency::WithKey { scope, window } => {
                 let same = self.same_scope(*host, scope, first.node, *node);
                 if !same {
-                    Some("a keyed transfer that may have run leaves its group")
+                    Some(
+                        "a request with a key that may have run is sent outside the scope of its key",
+                    )
                 } else if *now - first.at > window {
-                    Some("a keyed transfer goes again after its mark is forgotten")
+                    Some("a request with a key is sent again after the window of its key")
                 } else {
                     None
                 }
@@ -140,7 +149,7 @@
         }
     }
 
-    /// Rule 3: nothing new goes to a node that this host knows to drain or to be gone, after the grace.
+    /// Rule 3: after the grace period, a host sends no attempt to a node that its lists report as draining or gone.
     fn not_to_a_draining_node(&mut self, sending: &Sending) -> Verdict {
         let Sending {
             now, host, node, ..
@@ -153,7 +162,7 @@
             return Ok(());
         };
         let what = format!(
-            "a leg to node {}, known to leave since {} ms",
+            "an attempt to node {}, draining or gone since {} ms",
             node.0,
             since.millis()
         );
@@ -169,20 +178,20 @@
         Err(breach)
     }
 
-    /// When a node started, by the lists that this host saw.
+    /// The node's latest start, by the lists that this host saw; `None`: no list has one.
     fn started(&self, host: HostId, node: NodeId) -> Option<Instant> {
         self.listings(host, node)
             .filter_map(|entry| entry.started)
             .max()
     }
 
-    /// The units of each attempt that hosts which know of a node's start sent there, since it and after a
-    /// time.
+    /// The units of each attempt to a node at or after its start and later than `after`, from running hosts whose lists
+    /// report this start.
     fn units_since_start(&self, node: NodeId, started: Instant, after: Instant) -> Vec<f64> {
         let mut sent = Vec::new();
         for host in self.hosts_up() {
             if self.started(host, node).is_none_or(|at| at < started) {
-                continue; // it does not know of this start
+                continue; // its lists do not report this start
             }
             let entries = self.incarnation(host);
             for entry in entries.filter(|entry| entry.at > after && entry.at >= started) {
@@ -198,9 +207,9 @@
         sent
     }
 
-    /// Rule 4: what all hosts that know of a start send within any window of the rule's length stays under
-    /// what the node bears: what is borne in any case, or the multiple of what it can do by now, which grows
-    /// with the ramp.
+    /// Rule 4: within any slow-start window, all hosts whose lists report a node's start send it no more units than its
+    /// budget. The budget is the configured minimum or a multiple of the node's current capacity, which grows with the ramp,
+    /// whichever is greater.
     fn within_slow_start(&mut self, sending: &Sending) -> Verdict {
         let Sending {
             now,
@@ -217,8 +226,9 @@
             return Ok(());
         };
         let age = (*now - started).secs().max(0.0);
-        let part = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.ramp.secs();
-        let by_now = self.parameters.multiple * self.parameters.can * part * rule.window.secs();
+        let fraction =
+            rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.ramp.secs();
+        let by_now = self.parameters.multiple * self.parameters.can * fraction * rule.window.secs();
         let bound = rule.units.max(by_now);
         let before = self.units_since_start(*node, started, *now - rule.window);
         let sent = before
@@ -227,7 +237,7 @@
         self.tested[3] += u64::from(sent > rule.units / 2.0);
         if sent > bound {
             let what = format!(
-                "{sent} units within the window to cold node {}, which bears {bound}",
+                "{sent} units within the window to node {} in slow start; its budget is {bound}",
                 node.0
             );
             return Err(self.breach_by(4, sending, what));
@@ -235,9 +245,10 @@
         Ok(())
     }
 
-    /// Rule 5: where a request class keeps order, a first attempt waits until all earlier ones of its object
-    /// are over, with no attempt whose outcome is not known, and rests after a time-out, a break or a cancel.
-    fn in_order_of_its_object(&mut self, sending: &Sending) -> Verdict {
+    /// Rule 5: in an ordered request class, the first attempt of a request waits until all earlier requests for its object
+    /// have ended and none has an attempt in flight. If one of their attempts timed out, lost its connection or was
+    /// cancelled, the settling time after that must be over too.
+    fn in_object_order(&mut self, sending: &Sending) -> Verdict {
         let Sending {
             now,
             host,
@@ -256,14 +267,15 @@
             .collect();
         self.tested[4] += before.len() as u64;
         for earlier in before {
-            if let Some(what) = blocks_its_object(&earlier, config.order_settle, *now) {
+            if let Some(what) = blocks_object(&earlier, config.order_settle, *now) {
                 return Err(self.breach_by(5, sending, what));
             }
         }
         Ok(())
     }
 
-    /// Rule 6: retries of any window stay within the free few and the share of what was accepted in it.
+    /// Rule 6: the retries within a window are no more than the fixed number and the configured fraction of the requests
+    /// accepted in it.
     fn within_the_retry_budget(&mut self, sending: &Sending) -> Verdict {
         let Some(budget) = sending.config.retry_budget else {
             return Ok(());
@@ -287,18 +299,18 @@
         let allowed = budget.fixed_retries + budget.retries_per_request * accepted;
         self.tested[5] += u64::from(retries > allowed / 2.0);
         if retries > allowed {
-            let what = format!("{retries} further legs in the window; {allowed} may be sent");
+            let what = format!("{retries} retries in the window; {allowed} allowed");
             return Err(self.breach_by(6, sending, what));
         }
         Ok(())
     }
 
-    /// How often what comes puts a rule to the test.
+    /// Counts the requests that test rule 3.
     pub(crate) fn count_seen(&mut self, now: Instant, host: HostId, event: &Event) {
         let Event::RequestArrived(request) = event else {
             return;
         };
-        // Rule 3: its data lies at a node that leaves, longer than the grace.
+        // A request tests rule 3 if a node of its shard has been draining or gone for longer than the grace period.
         let Some(shard) = request.shard else { return };
         let entries = self.lists(host).flat_map(|list| list.entries);
         let mut nodes: Vec<NodeId> = entries
@@ -316,23 +328,25 @@
     }
 }
 
-/// Why a later request of the same object may not be sent yet.
-fn blocks_its_object(earlier: &RequestHistory, settle: Span, now: Instant) -> Option<String> {
+/// Why `earlier` does not yet allow a later request for the same object; `None`: it does.
+fn blocks_object(earlier: &RequestHistory, settle: Span, now: Instant) -> Option<String> {
     let id = earlier.request.id.0;
     if earlier.ended.is_none() {
-        return Some(format!("transfer {id} came before it and is not over"));
+        return Some(format!("request {id} arrived before it and has not ended"));
     }
     let mut attempts = earlier.attempts.iter();
     if attempts.any(|attempt| attempt.ended.is_none()) {
-        return Some(format!("transfer {id} came before it and has a leg out"));
+        return Some(format!(
+            "request {id} arrived before it and has an attempt in flight"
+        ));
     }
     let ends = earlier.attempts.iter().filter_map(|attempt| attempt.ended);
     let unknown = ends.filter(may_still_run);
-    let rests_until = unknown.map(|end| end.at + settle).max()?;
-    (now < rests_until).then(|| {
+    let settled_at = unknown.map(|end| end.at + settle).max()?;
+    (now < settled_at).then(|| {
         format!(
-            "after transfer {id} its object rests until {} ms",
-            rests_until.millis()
+            "after request {id} its object settles until {} ms",
+            settled_at.millis()
         )
     })
 }
--- a/crates/reference-model/src/volume_limit.rs
+++ b/crates/reference-model/src/volume_limit.rs
@@ -1,4 +1,4 @@
-//! Rule 7: what all hosts send for a volume, read from the whole history.
+//! Rule 7: all hosts together keep to a volume's limit, by a token bucket replayed over the history.
 
 use crate::Model;
 use crate::history::{HistoryEntry, Observation};
@@ -7,27 +7,27 @@
     Action, Event, HostId, Instant, Limit, PlanId, RequestId, Span, VolumeId,
 };
 
-/// The limit that a host holds to.
+/// The limit of the volume in the configuration that a host uses; `None`: no limit.
 struct HeldLimit {
     host: HostId,
     limit: Option<Limit>,
 }
 
-/// A request, by the host that sent its first attempt.
+/// Identifies a request: its id is unique only at its host.
 #[derive(PartialEq)]
 struct SentRequest {
     host: HostId,
     id: RequestId,
 }
 
-/// A volume's bucket for all hosts, filled and emptied along the history.
+/// A volume's token bucket, shared by all hosts and replayed over the history.
 struct Replay {
     volume: VolumeId,
     plan: PlanId,
     held: Vec<HeldLimit>,
-    /// Requests whose first attempt was sent.
+    /// The requests whose first attempt has been sent.
     sent: Vec<SentRequest>,
-    /// The limit that binds: the highest that a host holds to, none where one knows of no limit.
+    /// The limit that applies: the highest of all hosts' limits; `None` if a host has no limit.
     limit: Option<Limit>,
     tokens: f64,
     at: Instant,
@@ -40,7 +40,7 @@
         let mut taken = 0.0;
         match &entry.what {
             Observation::HostStarted(config) => {
-                // A host's ids begin anew with each incarnation.
+                // A new incarnation of a host numbers its requests from the start again.
                 self.sent.retain(|sent| sent.host != host);
                 self.held.retain(|held| held.host != host);
                 let limit = config.plans.get(plan.0).and_then(|plan| plan.limit);
@@ -107,10 +107,9 @@
 }
 
 impl Model {
-    /// Rule 7: a volume's bucket for all hosts is full at first, fills at the limit's rate up to its burst,
-    /// and the first attempt of each request takes its units; it goes below empty by no more than the slack.
-    /// While configurations change, the highest limit binds that a host still holds to; none does where one
-    /// knows of no limit.
+    /// Rule 7: a volume has one token bucket for all hosts. It is full at first and refills at the limit's rate up to its
+    /// burst. The first attempt of each request takes the request's units. The level may fall below zero by the slack at
+    /// most. While configurations change, the highest of the hosts' limits applies, and none if a host has no limit.
     pub(crate) fn within_the_volume_limit(&mut self, sending: &Sending) -> Verdict {
         let request = &sending.history.request;
         let now = sending.now;
@@ -132,8 +131,8 @@
         };
         bucket.refill(now);
         let level = bucket.tokens - request.units;
-        // Hosts that start empty leave most of the bucket alone: what is asked beyond the rate is what tries
-        // the rule.
+        // Hosts start with empty shares of the bucket, so a low level is rare. The rule is tested when clients request
+        // more units within a second than the rate.
         let lately = self
             .history
             .iter()
@@ -148,7 +147,7 @@
         let slack = self.parameters.slack;
         if level < -slack - 1e-6 {
             let what = format!(
-                "volume {} goes to {level:.3} units, with a slack of {slack}",
+                "volume {} falls to {level:.3} units, with a slack of {slack}",
                 volume.0
             );
             return Err(self.breach_by(7, sending, what));
