--- a/crates/scheduler-api/src/action.rs
+++ b/crates/scheduler-api/src/action.rs
@@ -6,13 +6,14 @@
 /// Why a cross-zone budget was overrun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OverrunCause {
-    /// The request's data is in the other zone.
+    /// The request's data is in the other zone, or the bytes are those of a node's answer from that zone.
     DataPlacement,
-    /// No node in the host's zone takes the request: all of them drain or are gone.
+    /// The request stores a new object, and its pool has no ready node in the host's zone.
     NoLocalNode,
-    /// The nodes in the host's zone do not answer.
+    /// The request stores a new object, and no ready node of its pool in the host's zone answers.
     LocalNodesSilent,
-    /// The attempt is a retry.
+    /// The attempt is a retry. For a new object, [`NoLocalNode`](Self::NoLocalNode) and
+    /// [`LocalNodesSilent`](Self::LocalNodesSilent) take precedence.
     Retry,
 }
 
@@ -54,11 +55,11 @@
     BudgetOverrun {
         /// The request that overran the budget.
         id: RequestId,
-        /// The budget, by [`CrossZoneBudget::id`](crate::CrossZoneBudget::id).
+        /// The budget, by the low six bytes of its [`CrossZoneBudget::id`](crate::CrossZoneBudget::id).
         cross_zone_budget: VolumeId,
-        /// How many of the request's bytes were over the budget.
+        /// How many of the bytes sent for the request were over the budget.
         bytes: f64,
-        /// Why the request left its zone.
+        /// Why the bytes were sent between zones.
         cause: OverrunCause,
     },
     /// Send a message of at most 256 bytes to another host.
--- a/crates/scheduler-api/src/config.rs
+++ b/crates/scheduler-api/src/config.rs
@@ -34,7 +34,7 @@
 pub struct RequestClass {
     /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// An answer within this time has the full priority weight.
+    /// An answer within this time, counted from the client's first try, has the full priority weight.
     pub latency_objective: Span,
     /// Value of a unit of work that is answered in time, relative to other classes.
     pub priority_weight: f64,
@@ -78,7 +78,7 @@
     /// Rate in bytes a second and burst in bytes.
     pub limit: Limit,
     /// Whether the budget is hard: a new object never overruns it. A new object may overrun a soft budget if the
-    /// host's zone has no node for it.
+    /// host's zone has no usable node for it. Requests for stored data, and answers, may overrun either kind.
     pub hard: bool,
     /// Number of hosts that share the budget; 0: this host has no share of it.
     pub host_count: u32,
@@ -142,7 +142,8 @@
     pub retry_budget: Option<RetryBudget>,
     /// Longest time that an attempt may wait for its connection before it is sent.
     pub max_connect_wait: Span,
-    /// How long the next request on an object waits after an attempt that may still run.
+    /// How long the next request on an object waits after the end of an attempt that its node may still run, for
+    /// classes that keep the order of requests on one object.
     pub order_settle: Span,
     /// Largest number of attempts for one request, including the first.
     pub max_attempts: u32,
--- a/crates/scheduler-api/src/demand_report.rs
+++ b/crates/scheduler-api/src/demand_report.rs
@@ -10,9 +10,9 @@
 pub struct VolumeDemand {
     /// The volume, by its [`message_volume_id`].
     pub volume: VolumeId,
-    /// Demand at the sender, in units a second.
+    /// Demand at the sender, in units a second; for a cross-zone budget, in bytes a second.
     pub demand: f64,
-    /// Tokens that the sender wants to borrow.
+    /// Tokens that the sender wants to borrow from the receiver.
     pub wanted: f64,
     /// Tokens that the sender lends with this message.
     pub lent: f64,
@@ -109,7 +109,7 @@
     bytes
 }
 
-/// Decodes a message; `None`: it is cut off, or was not sent by a scheduler.
+/// Decodes a message; `None`: it is cut off, has an invalid figure, or was not sent by a scheduler.
 pub fn unpack(bytes: &[u8]) -> Option<PeerMessage> {
     match bytes {
         [TAG, REPORT, body @ ..] => {
--- a/crates/scheduler-api/src/event.rs
+++ b/crates/scheduler-api/src/event.rs
@@ -23,7 +23,8 @@
     pub bytes: f64,
     /// The shard of the request's data; `None`: a new object, which any shard may store.
     pub shard: Option<ShardId>,
-    /// The request's object, for classes that keep the order of requests on one object.
+    /// The request's object, for classes that keep the order of requests on one object; `None`: the request is
+    /// sent without regard to order.
     pub object: Option<ObjectId>,
     /// For a new object, the pool of nodes that may hold it.
     pub pool: PoolId,
