--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -11,10 +11,11 @@
 //! 2. `endpoint`: congestion window, health, slow start, sparse traffic, index of the ready endpoints.
 //! 3. `volume`: token bucket, share of the limit, loans, reserve; also for cross-zone budgets.
 //! 4. `attempts` (`retry_budget`, `overload_guard`, `idempotency`, `limits`), `dispatch::queue`,
-//!    `request_table`, `admission::objective`.
-//! 5. `state`: the struct that holds all components.
-//! 6. `demand_reports`: epochs, directories of a volume's hosts, messages between hosts.
+//!    `request_table`, `admission::objective`, `demand_reports::directory`.
+//! 5. `state`: the struct that holds all components. `size_metrics`: the sizes of their collections.
+//! 6. `demand_reports`: epochs, messages between hosts, requests for tokens.
 //! 7. `cross_zone`: budgets for traffic between zones. `final_answer`: shedding and closing of requests.
+//!    `admission::starvation`: requests that would get no tokens in time.
 //! 8. `dispatch`: review of queues, choice of endpoints and of requests. `admission`: arrivals, configuration
 //!    changes. `attempts::outcome`: handling of an attempt that has ended.
 //! 9. `endpoint_polling`: polling of the endpoint list. `request_scheduler`: hands events to the components.
@@ -99,7 +100,7 @@
     }
 
     /// Posts the entries of an endpoint list to their trackers. Known endpoints that are missing from a
-    /// complete list are gone.
+    /// complete list are marked as gone. Removes the trackers of endpoints that have been gone for long enough.
     fn update_list(&mut self, update_kind: UpdateKind, entries: &[Endpoint]) {
         let is_complete = matches!(
             update_kind,
--- a/src/scheduler/attempts/idempotency.rs
+++ b/src/scheduler/attempts/idempotency.rs
@@ -14,7 +14,8 @@
 }
 
 /// Whether a request may be sent to an endpoint after `execution`: a repeat does no harm, the endpoint would
-/// recognise the repeat by its idempotency key, or nothing can have run (`None`).
+/// recognise the repeat by its idempotency key, or nothing can have run (`None`). Always true for non-idempotent
+/// requests: those that may have run are shed before they are queued again, by [`may_run_again`].
 pub(crate) fn may_repeat_at(
     execution: Option<UnprovenExecution>,
     endpoint: &Endpoint,
--- a/src/scheduler/attempts/outcome.rs
+++ b/src/scheduler/attempts/outcome.rs
@@ -68,8 +68,8 @@
         .record_ended(state.now, key, end, recently_degraded);
 }
 
-/// Whether a retry could still meet the objective deadline. There is no retry after a timeout, since it would
-/// mostly do the same work twice.
+/// Whether a retry could still meet the objective deadline and the request has attempts left. There is no retry
+/// after a timeout, since it would mostly do the same work twice.
 fn is_retry_useful(state: &SchedulerState, open: &OpenRequest, end: &AttemptEnd) -> bool {
     let capacity = state.endpoints.capacity(end.node);
     let latency = capacity.map_or(Span::ZERO, |capacity| capacity.latency);
--- a/src/scheduler/attempts/overload_guard.rs
+++ b/src/scheduler/attempts/overload_guard.rs
@@ -22,8 +22,8 @@
 }
 
 impl OverloadGuard {
-    /// A host that has just started may send as many attempts as a new endpoint's window holds, and more as
-    /// they succeed.
+    /// A host that has just started is credited with as many successes as a new endpoint's window holds attempts,
+    /// so that it can send attempts before its first success.
     pub(crate) fn new(now: Instant) -> Self {
         let mut succeeded = DecayingSum::default();
         succeeded.add(now, SUCCESS_RATE_WINDOW, INITIAL_WINDOW);
--- a/src/scheduler/attempts/retry_budget.rs
+++ b/src/scheduler/attempts/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Retry budget: the number of retries that this host may send within a window. It is a fixed number plus a
 //! fraction of the requests that arrived in the window, both from the configuration. Arrivals and retries are
-//! counted exactly, because a rule of the platform checks them.
+//! counted exactly and not as decaying sums, because the platform checks the budget against exact counts.
 
 use gullsail_scheduler_api::{Instant, SchedulerConfig};
 use std::collections::VecDeque;
@@ -27,8 +27,9 @@
         }
     }
 
-    /// Removes entries that are older than the window. An attempt may leave the host up to `max_connect_wait`
-    /// after the decision to send it, so retries count for that much longer and arrivals for that much less.
+    /// Removes entries that are older than the window. A retry may leave the host up to `max_connect_wait` after
+    /// the decision to send it, when older arrivals are no longer in the window. So retries count for that much
+    /// longer, and arrivals for that much less.
     pub(crate) fn expire(&mut self, now: Instant, config: &SchedulerConfig) {
         let Some(budget) = config.retry_budget else {
             return;
--- a/src/scheduler/cross_zone/budget.rs
+++ b/src/scheduler/cross_zone/budget.rs
@@ -78,7 +78,8 @@
 }
 
 /// The requests of a pool's queue that no zone can serve in time: this host's zone has no usable endpoint, and
-/// the budgets to other zones gain too few tokens.
+/// the budgets to other zones gain too few tokens. Without a ready endpoint in another zone, the requests wait for
+/// those of this host's zone.
 pub(crate) fn unservable_requests(
     state: &SchedulerState,
     key: QueueKey,
@@ -107,8 +108,8 @@
         .collect()
 }
 
-/// The budgets for which a pool's queue needs tokens; none until some request in the queue may leave the zone.
-/// Sets the waiting bytes of each of these budgets.
+/// All budgets of which this host has a share, once some request in a pool's queue may leave the zone; none
+/// until then. Sets the waiting bytes of each of these budgets to the bytes of the whole queue.
 pub(crate) fn budgets_needing_tokens(
     state: &mut SchedulerState,
     key: QueueKey,
--- a/src/scheduler/demand_reports/peer_messages.rs
+++ b/src/scheduler/demand_reports/peer_messages.rs
@@ -29,7 +29,7 @@
                 add_peer(state, user);
             }
         }
-        // The message is truncated or in an unknown format, so it needs no answer.
+        // The message is truncated, invalid or in an unknown format, so it is ignored.
         None => {}
     }
 }
--- a/src/scheduler/dispatch/candidate.rs
+++ b/src/scheduler/dispatch/candidate.rs
@@ -88,7 +88,8 @@
     }
 }
 
-/// Whether a request may be sent to an endpoint now.
+/// Whether a request may be sent to an endpoint now. Beside the endpoint's conditions, a retry must be within the
+/// retry budget; a first attempt needs tokens of its volume and must be the next request on its object.
 fn may_send(
     state: &SchedulerState,
     id: RequestId,
--- a/src/scheduler/dispatch/endpoint_choice.rs
+++ b/src/scheduler/dispatch/endpoint_choice.rs
@@ -1,6 +1,6 @@
 //! The choice of an endpoint for the next new object of a pool: a weighted random choice among a few ready
 //! endpoints, by available slots divided by latency. Full endpoints of the sample are asked for their
-//! capacity again.
+//! capacity again, since slots may become available with time alone.
 
 use crate::scheduler::cross_zone::budget::no_local_node;
 use crate::scheduler::endpoint::index::Destination;
@@ -14,10 +14,12 @@
 /// processor time; a smaller one leaves objects waiting while other endpoints have room.
 const SAMPLE_SIZE: usize = 8;
 
-/// Weight of an endpoint in another zone, relative to one in this host's zone.
+/// Weight of an endpoint in another zone, relative to one in this host's zone. It applies only while this host's
+/// zone has a usable endpoint.
 const REMOTE_WEIGHT: f64 = 0.1;
 
-/// Smallest latency that a weight is divided by, in seconds.
+/// Smallest latency that a weight is divided by, in seconds. The expected latency of an endpoint that stays
+/// without answers falls to almost zero, so the weight would otherwise grow without bound.
 const MIN_LATENCY_SECS: f64 = 1e-3;
 
 /// Chooses the endpoint for the next new object of a pool, if a request waits for the pool, and asks the
--- a/src/scheduler/dispatch/queue.rs
+++ b/src/scheduler/dispatch/queue.rs
@@ -31,6 +31,7 @@
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     groups: BTreeMap<QueueGroup, BTreeSet<WaitingRequest>>,
+    /// The running review timer.
     timer: Option<TimerId>,
 }
 
@@ -67,7 +68,9 @@
 #[derive(Default)]
 pub(crate) struct WaitQueues {
     by_key: BTreeMap<QueueKey, WaitQueue>,
+    /// The running review timers, including those of queues that no longer exist.
     timers: BTreeMap<TimerId, QueueKey>,
+    /// Number of review timers set so far; it makes their ids unique.
     timers_set: u64,
 }
 
--- a/src/scheduler/dispatch/send.rs
+++ b/src/scheduler/dispatch/send.rs
@@ -19,8 +19,9 @@
     pool: PoolId,
 }
 
-/// Sends one request to an endpoint, if the endpoint has room and a request may be sent to it. First attempts
-/// take precedence over retries.
+/// Sends one request to an endpoint, if the endpoint has room and a request may be sent to it. The endpoint's
+/// tracker then reports its capacity again, and the next request is sent. First attempts take precedence over
+/// retries.
 pub(crate) fn fill_endpoint(
     state: &mut SchedulerState,
     capacity: &EndpointCapacity,
--- a/src/scheduler/endpoint/health.rs
+++ b/src/scheduler/endpoint/health.rs
@@ -41,8 +41,10 @@
     latency_sum: DecayingSum,
     /// Number of latencies in `latency_sum`, with the same decay.
     answers: DecayingSum,
+    /// Time of the last answer or restart of the endpoint, or else of its first listing.
     last_response: Instant,
     last_sent: Instant,
+    /// Number of timeouts since `last_response`.
     timeouts_in_row: u32,
 }
 
@@ -130,9 +132,9 @@
         now - self.last_sent
     }
 
-    /// Whether an attempt must wait because the last two or more attempts timed out and the last one was sent
-    /// less than `probe_interval` ago. This keeps all hosts from probing one node at the same time. The
-    /// drawback is that a node with two unrelated timeouts in a row is limited too.
+    /// Whether an attempt must wait because two or more attempts have timed out since the last answer and the last
+    /// attempt was sent less than `probe_interval` ago. This keeps all hosts from probing one node at the same
+    /// time. The drawback is that a node with two unrelated timeouts in a row is limited too.
     pub(crate) fn must_wait_to_probe(&self, probe_interval: Span, now: Instant) -> bool {
         self.timeouts_in_row > 1 && self.since_sent(now) < probe_interval
     }
--- a/src/scheduler/endpoint/index.rs
+++ b/src/scheduler/endpoint/index.rs
@@ -5,8 +5,9 @@
 use gullsail_scheduler_api::{Endpoint, EndpointState, Instant, NodeId, PoolId, ShardId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long requests wait for a replacement after the last endpoint for a destination was last listed. A
-/// shorter time rejects requests during a restart; a longer one lets requests wait that no endpoint will serve.
+/// How long requests for a destination without ready endpoints wait for a replacement, from the last report that
+/// an endpoint of this destination is draining or gone. A shorter time rejects requests during a restart; a longer
+/// one lets requests wait that no endpoint will serve.
 const REPLACEMENT_WINDOW: Span = Span::from_micros(60_000_000);
 
 /// The endpoints that can serve a request: those that hold a shard, or, for a new object, all endpoints of a
@@ -32,7 +33,7 @@
     by_pool: BTreeMap<PoolId, Vec<NodeId>>,
     by_shard: BTreeMap<ShardId, BTreeSet<NodeId>>,
     choices: BTreeSet<PoolChoice>,
-    /// Destinations of endpoints that were listed but not ready, with the time of the last such report.
+    /// Destinations of endpoints that were reported as draining or gone, with the time of the last such report.
     last_unready_at: BTreeMap<Destination, Instant>,
 }
 
@@ -46,8 +47,8 @@
 }
 
 impl EndpointIndex {
-    /// Stores the reported capacity of an endpoint. Returns true if the endpoint was not indexed before and is
-    /// ready; the caller then adds it to its pools.
+    /// Stores the reported capacity of an endpoint. Returns true if the endpoint is ready and was not indexed
+    /// before, or was indexed with another shard or other pools; the caller then adds it to its pools.
     pub(crate) fn update(&mut self, capacity: &EndpointCapacity, now: Instant) -> bool {
         let entry = &capacity.entry;
         let ready = entry.state == EndpointState::Ready;
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -2,9 +2,11 @@
 //! demand that this limit uses.
 //!
 //! 1. The slow-start budget is what a node can serve at its start. It limits the units that all hosts together
-//!    send within the slow-start window. Each host has an even share, which grows with the ramp.
+//!    send within the slow-start window. Each host has an even share, unless the fleet assigns it another one.
+//!    The share grows with the ramp.
 //! 2. An attempt that was served proves capacity, so it counts only in part.
-//! 3. Where the even share is smaller than one request, a host may send a lone attempt: one at a time.
+//! 3. Where the share is smaller than one request, a host may send lone attempts: each only after all earlier
+//!    attempts in the window were served.
 //! 4. Where the estimated demand of all hosts exceeds the budget, the hosts start lone attempts in turns.
 //!
 //! Rules 3 and 4 are inaccurate if the demand of this host differs much from that of the other hosts.
@@ -125,6 +127,7 @@
         let even_units = even_share - sent;
         let lone_units = config.slow_start.units * LONE_ATTEMPT_FRACTION;
         let own_turn = is_own_turn(node, even_share, now, config, fleet_demand);
+        // Lone attempts start in this host's turn. They may continue after it while an earlier attempt counts.
         let lone_allowed = self.all_served()
             && sent < even_share.max(lone_units)
             && (own_turn || !self.attempts.is_empty());
@@ -163,8 +166,8 @@
     config.slow_start_units_per_host() * (1.0 + RAMP_SAFETY * growth)
 }
 
-/// Whether this host may start lone attempts in the current window. The hosts form `turns` groups, and each
-/// group has its turn in every `turns`-th window. While the demand is below the budget there is one group,
+/// Whether this host may start lone attempts in the current slow-start window. The hosts form `turns` groups, and
+/// each group has its turn in every `turns`-th window. While the demand is below the budget there is one group,
 /// which always has its turn.
 fn is_own_turn(
     node: NodeId,
@@ -184,7 +187,8 @@
 }
 
 /// Estimate of the units that all hosts together request from one node within the slow-start window. It assumes
-/// that every host has the same demand as this one.
+/// that every host has the same demand as this one, and that the demand is spread evenly over the shards, with one
+/// node for each.
 pub(crate) struct FleetDemandEstimate {
     units_per_window: f64,
 }
@@ -198,7 +202,8 @@
         }
     }
 
-    /// Adds this host's current demand, in units a second, to the moving average. Called once in each epoch.
+    /// Adds this host's current demand, in units a second, to the moving average. `shards` is the number of shards
+    /// that have a ready endpoint. Called once in each epoch.
     pub(crate) fn update(&mut self, own_demand: f64, shards: usize, config: &SchedulerConfig) {
         let shards = shards.max(1) as f64;
         let newest =
--- a/src/scheduler/endpoint/sparse_traffic.rs
+++ b/src/scheduler/endpoint/sparse_traffic.rs
@@ -4,9 +4,9 @@
 //! of its own, because a network partition may cut off one zone.
 //!
 //! The shared window decreases less than that of a single endpoint, and only for attempts that miss their
-//! latency objective: about one attempt in twenty is late without any congestion. Endpoints that are warming
-//! up, or were late within the last minute, do not reduce it. If many endpoints of a zone fail, the window is
-//! too small for the healthy ones.
+//! latency objective, time out or are rejected: about one attempt in twenty is late without any congestion.
+//! Endpoints that are warming up, or whose own window was decreased within the last minute and is still small, do
+//! not reduce the shared window. If many endpoints of a zone fail, it is too small for the healthy ones.
 
 use super::window::MAX_WINDOW;
 use crate::scheduler::messages::{AttemptKey, EndpointCapacity};
@@ -46,6 +46,7 @@
         let in_flight = self.in_flight.len() as f64 + 1.0;
         let in_time = end.outcome == Succeeded && end.latency <= latency_objective;
         let missed = matches!(end.outcome, Succeeded | TimedOut | Rejected);
+        // Attempts that were sent before the last decrease do not show the effect of the smaller window.
         let sent_after_decrease = now - end.latency > self.last_decrease;
         if in_time {
             let window_used = in_flight + 1.0 >= self.size.floor();
--- a/src/scheduler/endpoint/tracker.rs
+++ b/src/scheduler/endpoint/tracker.rs
@@ -25,7 +25,8 @@
 pub(crate) struct EndpointTracker {
     mailbox: VecDeque<EndpointMessage>,
     entry: Endpoint,
-    /// Time of the last update before which the endpoint was not gone.
+    /// Time of the last update of an endpoint that was not yet gone. For a gone endpoint, the update that marked
+    /// it as gone.
     last_present: Instant,
     in_flight: BTreeMap<AttemptKey, InFlight>,
     window: CongestionWindow,
--- a/src/scheduler/endpoint/window.rs
+++ b/src/scheduler/endpoint/window.rs
@@ -1,6 +1,6 @@
 //! Congestion window: the number of attempts that this host may have in flight at one endpoint. The window
-//! grows by one for each round trip in time (additive increase) and is halved when an attempt is late or fails
-//! (multiplicative decrease). Below one, single attempts are spaced in time.
+//! grows by one for each round trip whose answers are in time (additive increase) and is halved when an attempt is
+//! late or fails (multiplicative decrease). Below one, single attempts are spaced in time.
 
 use gullsail_scheduler_api::{AttemptOutcome, Instant, Span};
 
@@ -55,8 +55,9 @@
         self.size = INITIAL_WINDOW;
     }
 
-    /// Adjusts the window after the end of an attempt. `in_flight` does not count this attempt; `mean_latency`
-    /// includes it.
+    /// Adjusts the window after the end of an attempt. Attempts that were not sent, were cancelled or lost their
+    /// connection do not change it, since they are no sign of congestion. `in_flight` does not count this attempt;
+    /// `mean_latency` includes it.
     pub(crate) fn record(
         &mut self,
         ended: &EndedAttempt,
--- a/src/scheduler/final_answer.rs
+++ b/src/scheduler/final_answer.rs
@@ -32,8 +32,9 @@
     close(state, id);
 }
 
-/// The delay before a client should retry: until the volume has tokens for the request, and at least the usual
-/// latency of the request's endpoints. `None` if the configuration sets no maximum.
+/// The delay before a client should retry: the time until the volume has tokens for the request, but at least
+/// the lowest expected latency of the shard's endpoints, and at most the configured maximum. For a new object,
+/// one epoch stands in for the latency. `None` if the configuration sets no maximum.
 fn retry_after(state: &SchedulerState, request: &Request) -> Option<Span> {
     let max_delay = state.config.max_retry_after?;
     let volume = state.volumes.get(request.volume);
--- a/src/scheduler/intervals.rs
+++ b/src/scheduler/intervals.rs
@@ -3,8 +3,8 @@
 use gullsail_scheduler_api::Span;
 
 /// Interval between reviews of all volumes. Reviews take place at multiples of this interval on the hosts'
-/// common clock. It is also the shortest retry delay that a rejection gives to a client. A longer interval
-/// makes estimates lag; a shorter one costs more processor time.
+/// common clock. It is also the shortest retry delay that a rejection gives to a client, unless the configured
+/// maximum is shorter. A longer interval makes estimates lag; a shorter one costs more processor time.
 pub(super) const EPOCH: Span = Span::from_micros(250_000);
 
 /// Time constant of a volume's demand, and the age from which a demand report is ignored, as in docs/design.md.
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -9,6 +9,8 @@
 /// A request that lacks its final answer or has an attempt in flight.
 pub(super) struct OpenRequest {
     request: Request,
+    /// The time by which an answer meets the latency objective; if the request has no such time before its
+    /// timeout, the time of its final answer.
     objective_deadline: Instant,
     /// The middle of the time from arrival to the objective deadline.
     half_time: Instant,
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Records the end of an attempt. If the attempt may still run at the endpoint, the request's object is
-    /// blocked until `blocked_until`.
+    /// Records the end of an attempt. If the attempt never ran, it no longer counts as an unproven execution. If
+    /// it may still run at the endpoint, the request's object is blocked until `blocked_until`.
     pub(super) fn record_ended(&mut self, end: &AttemptEnd, blocked_until: Instant) {
         let Some(open) = self.open.get_mut(&end.id) else {
             return;
--- a/src/scheduler/volume/share.rs
+++ b/src/scheduler/volume/share.rs
@@ -51,8 +51,8 @@
     }
 
     /// The tokens that this host may have by `until`: its current tokens, those from its share, and those that
-    /// other hosts could lend. No tokens can be borrowed if every other host recently reported a demand for the
-    /// whole limit. Infinite without a limit.
+    /// other hosts could lend. No tokens can be borrowed if hosts cannot send each other messages, or if every
+    /// other host recently reported a demand for the whole limit. Infinite without a limit.
     pub(crate) fn tokens_expected_by(
         &mut self,
         now: Instant,
@@ -79,7 +79,7 @@
     }
 
     /// The time until this host's share yields tokens for all waiting units and for `units` more; at least one
-    /// epoch.
+    /// epoch and at most [`MAX_WAIT_SECS`]. One epoch without a limit.
     pub(crate) fn time_until_tokens(&self, units: f64, config: &SchedulerConfig) -> Span {
         let Some(limit) = self.limit(config) else {
             return EPOCH;
--- a/src/scheduler/volume/state.rs
+++ b/src/scheduler/volume/state.rs
@@ -137,8 +137,9 @@
         self.reserve.spend(units, weight, now);
     }
 
-    /// Takes the bytes of a cross-zone transfer from the budget's bucket, whose tokens may become negative.
-    /// Returns how many of these bytes exceed the budget; zero or less if none do.
+    /// Takes the bytes of a cross-zone transfer from the budget's bucket, whose tokens may become negative. Records
+    /// the bytes as waiting, so that the next request for tokens asks other hosts for as many. Returns how many of
+    /// the bytes exceed the budget; zero or less if none do.
     pub(crate) fn charge_bytes(
         &mut self,
         now: Instant,
