--- a/src/scheduler/endpoint/sparse_traffic.rs
+++ b/src/scheduler/endpoint/sparse_traffic.rs
@@ -3,8 +3,9 @@
 //! the node. So the endpoints of one zone that answer this host rarely share one window. Each zone has a window
 //! of its own, because a network partition may cut off one zone.
 //!
-//! The shared window decreases less than that of a single endpoint, and only for attempts that miss their
-//! latency objective, time out or are rejected: about one attempt in twenty is late without any congestion.
+//! The shared window reacts less than that of a single endpoint, since about one attempt in twenty is late without
+//! any congestion: a decrease is smaller, and only attempts that miss their latency objective, time out or are
+//! rejected cause one.
 //! Endpoints that are warming up, or whose own window was decreased within the last minute and is still small, do
 //! not reduce the shared window. If many endpoints of a zone fail, it is too small for the healthy ones.
 
