--- a/crates/config-transition/src/error.rs
+++ b/crates/config-transition/src/error.rs
@@ -25,7 +25,7 @@
     NotNext {
         /// The current revision.
         held: Revision,
-        /// The revision that the given one follows in the chain.
+        /// The revision before the given one in the chain; if there is none, the given one itself.
         after: Revision,
         /// The revision that was given.
         next: Revision,
--- a/crates/config-transition/src/notice.rs
+++ b/crates/config-transition/src/notice.rs
@@ -50,7 +50,7 @@
 pub enum NoticeEffect {
     /// The notice reports nothing new.
     Nothing,
-    /// A host follows a later revision than was known here.
+    /// The notice shows that some host follows a later revision than was known here.
     News,
     /// The sender follows an older revision than it reported before, unless this notice is late. Limits may be exceeded
     /// until the sender follows the later revision again.
--- a/crates/config-transition/src/revision_limits.rs
+++ b/crates/config-transition/src/revision_limits.rs
@@ -14,7 +14,7 @@
 pub struct SharedLimit {
     /// The volume's plan, by its position in the configuration of the same revision.
     pub plan: PlanId,
-    /// The limit over all hosts together, in units; `None`: the volume has no limit.
+    /// The limit of rate and burst over all hosts together; `None`: the volume has no limit.
     pub limit: Option<Limit>,
     /// The hosts that serve the volume, sorted by number.
     pub hosts: Arc<[HostId]>,
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -115,7 +115,7 @@
 
     /// Drops revisions from the chain that all hosts have left behind. A host whose lease has expired does not keep a
     /// revision in the chain, since it uses only its floor share by the revision that it follows. Such a revision is
-    /// moved to `retained`.
+    /// moved to `retained`, so that [`ConfigTransition::lagging_hosts`] still returns the host.
     fn drop_outdated(&mut self) {
         let reached = || {
             self.reached
@@ -143,7 +143,8 @@
         self.retained.retain(|limits| limits.revision >= oldest);
     }
 
-    /// Extends the number of hosts to `hosts`. The new hosts never followed an older revision than the current one.
+    /// Extends the number of hosts to `hosts`; it never shrinks. The new hosts must not have followed an older revision
+    /// than the current one.
     pub fn joined(&mut self, hosts: u32) {
         let revision = self.revision();
         let count = (hosts as usize).max(self.reached.len());
@@ -183,7 +184,8 @@
             })
     }
 
-    /// Returns this host's granted share of a volume; `None`: the fleet has granted none, so even shares apply.
+    /// Returns this host's granted share of a volume, from 0 to 1; 0 if the fleet granted shares but none of this
+    /// volume. `None`: the fleet has granted no shares yet, so even shares apply.
     fn share(&self, volume: VolumeId) -> Option<f64> {
         self.shares
             .as_ref()
@@ -275,7 +277,7 @@
             .filter(|host| !self.expired_members.contains(host))
     }
 
-    /// Returns this host's limit for a volume by the chain; `None`: no limit applies.
+    /// Returns this host's limit for a volume: the lowest by any revision of the chain; `None`: no limit applies.
     pub fn limit_of(&self, volume: VolumeId) -> Option<Limit> {
         let share = self.share(volume);
         let limits = self
@@ -285,7 +287,8 @@
         limits.fold(None, lower)
     }
 
-    /// Returns the allocation of a volume by the current revision alone, with an even share.
+    /// Returns the allocation of a volume by the current revision alone, with an even share. If this host does not
+    /// serve the volume, the host count and the limit are 0.
     fn even_allocation(&self, id: VolumeId) -> VolumeAllocation {
         match self
             .current()
@@ -317,7 +320,7 @@
         }
     }
 
-    /// Returns the allocation of a volume by the chain and the granted share.
+    /// Returns the allocation of a volume by all revisions of the chain and the granted share.
     fn allocation(&self, id: VolumeId) -> VolumeAllocation {
         let even = self.even_allocation(id);
         if even.host_count == 0 {
--- a/crates/config-transition/src/transition/notices.rs
+++ b/crates/config-transition/src/transition/notices.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Handles a notice of host `from`.
+    /// Handles a notice of host `from`. A notice of this host itself or of an unknown host is ignored.
     pub fn handle_notice(
         &mut self,
         from: HostId,
--- a/crates/fleet/src/allocation/division.rs
+++ b/crates/fleet/src/allocation/division.rs
@@ -5,8 +5,8 @@
 use crate::config::{Budget, WHOLE};
 use gullsail_scheduler_api::HostId;
 
-/// The fraction of the demand-based part of a budget that is divided evenly, so that a host without demand has a share
-/// when its first requests arrive.
+/// The fraction of what remains of a budget after floors and minimum shares that is divided evenly. The rest is divided
+/// by demand. So a host without demand has a share when its first requests arrive.
 const EVEN_FRACTION: f64 = 0.1;
 
 /// The demand of one member's clients.
@@ -84,11 +84,12 @@
             shares[*index] += needed;
         }
     }
-    // The remainder is too small for a request of the largest size at another member.
+    // The remainder is too small for a request of the largest size at another member, so the first one gets it.
     shares[with_demand[first]] += remaining;
 }
 
-/// Divides the remainder by demand, after floors and the shares for one largest request each.
+/// Divides the remainder after floors and minimum shares: [`EVEN_FRACTION`] of it evenly and the rest by demand.
+/// Without any demand all of it is divided evenly.
 fn divide_by_demand(shares: &mut [u64], demands: &[HostDemand], remaining: u64) {
     let total: f64 = demands.iter().map(|member| member.demand).sum();
     let even_fraction = if total > 0.0 { EVEN_FRACTION } else { 1.0 };
--- a/crates/fleet/src/allocation/ledger.rs
+++ b/crates/fleet/src/allocation/ledger.rs
@@ -58,12 +58,12 @@
         }
     }
 
-    /// The largest total that all hosts together may be using of a budget.
+    /// The largest total that all hosts together may be using of a budget, in millionths; 0: the budget is unknown.
     pub fn committed_total(&self, id: VolumeId) -> u64 {
         self.sums.get(&id).copied().unwrap_or_default()
     }
 
-    /// The largest share of a budget that one host may be using.
+    /// The largest share of a budget that one host may be using, in millionths; at least its floor.
     pub fn committed_share(&self, id: VolumeId, budget: &Budget, host: HostId) -> u32 {
         let largest = self
             .hosts
@@ -136,7 +136,8 @@
         self.recount(config, host);
     }
 
-    /// Drops a host's grants before `serial`, which is the grant that the host reports to hold.
+    /// Drops a host's grants before `serial`, the serial of the grant that the host reports to hold. The host accepts
+    /// no older grant.
     pub fn drop_grants_before(&mut self, config: &FleetConfig, host: HostId, serial: u64) {
         if let Some(entry) = self.hosts.get_mut(&host) {
             entry.grants.retain(|grant| grant.serial >= serial);
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The whole of a budget, in the units in which shares are counted.
+/// The share that is the whole of a budget. Shares are counted in millionths of it.
 pub const WHOLE: u32 = 1_000_000;
 
 /// A limit that applies to all hosts together and that the fleet divides into shares.
@@ -14,7 +14,8 @@
 pub struct Budget {
     /// The hosts that may use the budget, sorted by number.
     pub hosts: Arc<[HostId]>,
-    /// The share that each of these hosts may use without a lease. All floors together are at most the whole.
+    /// The share, in millionths, that each of these hosts may use without a lease. All floors together are at most the
+    /// whole.
     pub floor: u32,
     /// Hosts that may still apply an earlier revision of the configuration, with their floor by that revision. Such
     /// a host may be missing from `hosts`, or its floor may be larger than `floor`.
@@ -24,7 +25,8 @@
 }
 
 impl Budget {
-    /// The share that a host may use without a lease.
+    /// The share, in millionths, that a host may use without a lease: the larger of its floors by the current and the
+    /// earlier revision.
     pub fn floor(&self, host: HostId) -> u32 {
         let current = self.current_floor(host);
         self.lagging_hosts
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The sum of all hosts' floors.
+    /// The sum of all hosts' floors, in millionths.
     pub fn floors(&self) -> u64 {
         let current = self.hosts.len() as u64 * u64::from(self.floor);
         let lagging = self.lagging_hosts.iter().map(|(host, lagging)| {
@@ -125,7 +127,7 @@
 }
 
 /// Returns the smallest share, in millionths, of a token bucket of size `capacity` that holds a request of size
-/// `largest_request`. It is rounded up; if the bucket is smaller than the request it is the whole.
+/// `largest_request`. It is rounded up. If the whole bucket is not larger than the request, it is [`WHOLE`].
 pub fn min_share(largest_request: f64, capacity: f64) -> u32 {
     if largest_request < capacity {
         (f64::from(WHOLE) * largest_request / capacity).ceil() as u32
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -1,10 +1,11 @@
 //! The coordinator's side of member leases: which hosts are members, and which shares each member is granted. `Fleet`
 //! passes it the members' renewals while this host holds the coordinator lease; it sends nothing itself.
 //!
-//! **Takeover.** The coordinator's state need not survive it, since the members hold their grants. A new coordinator
-//! polls all hosts for the shares that they hold. Until all have answered, or one member lease has passed, it grants
-//! each host at most the shares that the host reported, or its floors. After one lease every grant of an earlier
-//! coordinator has expired: it answered a renewal that was sent before this coordinator was elected.
+//! **Takeover.** The state of an earlier coordinator may be lost, since the members hold their grants. A new
+//! coordinator polls all hosts for the shares that they hold. Until every host has reported shares, or one member lease
+//! has passed, it grants each host at most the shares that the host reported, or its floors. After one lease every
+//! grant of an earlier coordinator has expired: such a grant answered a renewal that was sent before this coordinator
+//! was elected, and its lease counts from that renewal.
 
 mod member;
 mod renewal;
@@ -21,17 +22,19 @@
 
 /// The interval between computations of the shares, in member leases, while membership does not change.
 const DIVIDE_INTERVAL_LEASES: f64 = 0.125;
-/// The number of low bits of a serial that count one coordinator's grants; the bits above are its round. A coordinator
-/// issues fewer grants than two to this power.
+/// The number of low bits of a serial that count one coordinator's grants; the bits above are the round by which it was
+/// elected. A coordinator has to issue fewer grants than two to this power, or its serials could overlap with those of
+/// the next one.
 const SERIAL_BITS: u32 = 20;
 /// The time without a renewal after which a member is suspected, in member leases. Members renew about four times in
 /// a lease, so two renewals are missing by then.
 const SUSPECT_AFTER_LEASES: f64 = 0.5;
-/// Shares are not changed if each would change by at most this fraction: a host checks all its volumes after a change
-/// of shares.
+/// The targets of a budget are kept if each would change by at most this fraction: a host checks all its volumes after
+/// a change of shares.
 const NEGLIGIBLE_CHANGE: f64 = 0.05;
-/// The length of a turn, in member leases, when a budget is too small for all members. A share becomes available to
-/// another host only after its last holder's lease was renewed without it or has expired.
+/// The length of a turn, in member leases, when a budget is too small for one request of the largest size at each
+/// member with demand, so that they take turns. A share becomes available to another host only after its last holder's
+/// lease was renewed without it or has expired.
 const TURN_LENGTH_LEASES: f64 = 2.0;
 
 /// Grants leases to the members of the fleet.
@@ -45,7 +48,7 @@
     /// earlier coordinator.
     first_ballot: Ballot,
     elected_at: Instant,
-    /// Every grant of an earlier coordinator is in the ledger or has expired.
+    /// Whether every grant of an earlier coordinator is in the ledger or has expired. Until then no share grows.
     takeover_complete: bool,
     /// All hosts that have sent a renewal to this coordinator.
     pub members: BTreeMap<HostId, Member>,
@@ -321,7 +324,8 @@
         }
     }
 
-    /// Handles the departure of a process that has released all its shares.
+    /// Handles the departure of a process that has released all its shares. It is ignored if another process of the
+    /// host is the member.
     pub fn leave(&mut self, config: &FleetConfig, process: ProcessId) {
         let member = self.members.get_mut(&process.host);
         if let Some(member) = member.filter(|member| member.incarnation == process.incarnation) {
--- a/crates/fleet/src/coordinator/member.rs
+++ b/crates/fleet/src/coordinator/member.rs
@@ -12,9 +12,10 @@
 pub enum MemberState {
     /// The host is a member and renews its lease.
     Member = 1,
-    /// The coordinator received no renewal for half a lease and polls the host through relays.
+    /// The coordinator received no renewal for half a lease, and polled the host directly and through relays. The host
+    /// may still hold its lease.
     Suspected = 2,
-    /// The host's lease has expired by the coordinator's clock, so also by its own. It uses floor shares only.
+    /// The host's lease has expired by the coordinator's clock, so also by the host's. It uses floor shares only.
     Out = 3,
     /// The host announced that it leaves the fleet.
     Left = 4,
@@ -65,7 +66,7 @@
     pub expires_at: Instant,
     /// The demand of the host's clients for each budget, in units a second.
     pub(super) demand: BTreeMap<VolumeId, f64>,
-    /// The shares that the host reported to hold with its first renewal to this coordinator.
+    /// The shares that the host reported to hold with the renewal by which this coordinator admitted it.
     pub(super) shares_at_first_renewal: Shares,
 }
 
--- a/crates/fleet/src/coordinator_lease.rs
+++ b/crates/fleet/src/coordinator_lease.rs
@@ -5,7 +5,8 @@
 //!
 //! **Why two processes never hold the lease at once.**
 //! 1. The holder counts its lease from when it sent the proposal, an acceptor from when it accepted, which is later.
-//!    So the lease expires at the holder before it does at the acceptor.
+//!    The holder's lease is also shorter, to allow for clock drift. So the lease expires at the holder before it does
+//!    at the acceptor.
 //! 2. To be elected, another candidate needs the promises of a majority. At least one acceptor of that majority
 //!    accepted the holder's proposal. Either it replies that another process holds an unexpired lease, which does
 //!    not count as a promise, or the lease has expired there, and so also at the holder.
--- a/crates/fleet/src/coordinator_lease/acceptor.rs
+++ b/crates/fleet/src/coordinator_lease/acceptor.rs
@@ -45,7 +45,8 @@
 pub enum AcceptorReply {
     /// The acceptor has just started and does not know what its earlier incarnation promised. No reply is sent.
     Recovering,
-    /// The acceptor refuses the ballot, since it has promised this later one.
+    /// The acceptor refuses the ballot, since it has promised this later one, or the same one to another incarnation of
+    /// the candidate's host.
     Refused(Ballot),
     /// The acceptor promises the ballot, unless `held_by_other` is set.
     Promised {
--- a/crates/fleet/src/coordinator_lease/candidate.rs
+++ b/crates/fleet/src/coordinator_lease/candidate.rs
@@ -15,7 +15,7 @@
 /// fail again and again.
 const RETRY_COORDINATOR_LEASES: Range<f64> = 0.1..0.5;
 
-/// Returns the interval at which the holder must check its lease while no event occurs.
+/// Returns the interval at which the holder must check its lease while no event occurs: half of the renewal interval.
 pub fn renewal_check_interval(config: &FleetConfig) -> Span {
     config
         .coordinator_lease()
--- a/crates/fleet/src/fleet/coordination.rs
+++ b/crates/fleet/src/fleet/coordination.rs
@@ -265,8 +265,8 @@
         let coordinator = &mut role.shares;
         let process = messages::sender(message);
         coordinator.leave(&self.config, process);
-        // A departure that was announced to an earlier coordinator may be older than what a later process of the same
-        // host has learned since.
+        // A departure that was announced to an earlier coordinator may arrive late, when a later process of the same
+        // host already has a newer order book. Its maintenance report is not applied then.
         let is_current = coordinator.is_current(messages::ballot(message));
         self.maintenance_member_left(message, is_current);
         self.publish_membership();
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -29,7 +29,7 @@
     pub(super) servers: Servers,
     /// Servers that this host no longer uses: it has no attempt and no connection to them.
     pub(super) released: BTreeSet<ServerId>,
-    /// When this process was first granted a lease.
+    /// When this process was first granted a lease; `None`: it was granted none yet.
     first_lease_at: Option<Instant>,
     pub(super) commands: PendingCommands,
 }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -21,7 +21,7 @@
     pub(super) demand: Demand,
     /// The epoch of the membership that this host knows; it grows with every change.
     pub(super) epoch: u64,
-    /// All hosts that the coordinator knows, by its newest message.
+    /// All hosts that have renewed a lease at the coordinator, by the newest list of members received from it.
     pub(super) members: Vec<FleetMember>,
     /// Whether a coordinator reported that another process holds the lease of this host. If so, this process uses no
     /// share until a lease is granted to it.
@@ -146,8 +146,8 @@
             .lease_holder
             .accept_poll(HostId(poll.from), ballot, self.now)
         {
-            // The voters that elected it may all have restarted and lost later ballots. The refusal reports the newest
-            // ballot, so that the coordinator prepares a higher one.
+            // The voters that elected the sender may all have restarted and lost later ballots. The refusal reports the
+            // newest ballot known here, so that the sender prepares a higher one.
             let known = self.membership.lease_holder.ballot();
             let message = self.new_message(
                 FleetMessageKind::Refuse,
@@ -236,7 +236,8 @@
         self.changed = true;
     }
 
-    /// Drops all leases and announces the departure to the coordinator, if another host is known to be it.
+    /// Drops all leases and announces the departure to the coordinator, if that is another host. If no coordinator is
+    /// known, the departure is complete at once.
     pub(super) fn announce_departure(&mut self) {
         self.membership.lease_holder.drop_lease();
         // A host that was the coordinator announces its departure to the next coordinator, when that polls it within a
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -39,7 +39,8 @@
 pub(super) struct Outbox {
     /// Messages to other hosts.
     pub(super) outputs: Vec<Output>,
-    /// Messages of this host to itself, handled in the same step.
+    /// Messages of this host to itself, handled before the current call of [`Fleet::handle`] or [`Fleet::advance`]
+    /// returns.
     loopback: VecDeque<FleetMessage>,
 }
 
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Queues a message, to be sent through the relay `via` if there is one.
+    /// Queues a message, to be sent through the relay `via` if there is one. A message of this host to itself is queued
+    /// for [`Fleet::handle_loopback`].
     pub(super) fn send(&mut self, message: FleetMessage, via: Option<HostId>) {
         if message.to == self.process.host.0 {
             return self.outbox.loopback.push_back(message);
@@ -159,7 +161,7 @@
             FleetMessageKind::Accept => self.acceptance_received(&message),
             FleetMessageKind::Refuse => self.election.candidate.refused(ballot(&message), self.now),
             FleetMessageKind::Ask if stays => self.poll_received(&message, link),
-            // The departure message was lost, or no coordinator was known when the departure was announced.
+            // The departure message was lost, or this host was the coordinator itself when it announced the departure.
             FleetMessageKind::Ask if announced => {
                 let coordinator = sender(&message);
                 self.send_departure(coordinator, ballot(&message), Some(link));
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -29,9 +29,10 @@
 pub enum CommandResult {
     /// The command takes effect, and a majority of hosts has the order book with its result.
     Accepted,
-    /// The command has no effect.
+    /// The command was refused and has no effect, or no coordinator answered in time and it may still take effect.
+    /// `reason` says which.
     Refused {
-        /// The server that is the cause of the refusal.
+        /// The server that is the cause of the refusal; if none is, the first server of the command.
         server: ServerId,
         /// The reason of the refusal, for the operator.
         reason: String,
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Checks that enough capacity of the shard's holders would remain.
+    /// Checks that enough capacity of the shard's holders would remain, and at least one holder.
     fn shard(&self, shard: i64) -> Option<Blocker> {
         if self.order.shard_away {
             return None;
@@ -236,8 +236,8 @@
         None
     }
 
-    /// Checks that enough capacity of all nodes would remain without `removed` units a second, also for the present
-    /// load.
+    /// Checks that without the order's server enough capacity of all nodes would remain, also for the present load.
+    /// `removed` is the server's capacity in units a second; it is only shown in the reason.
     fn capacity(&self, removed: f64) -> Option<Blocker> {
         if self.failed {
             return None;
--- a/crates/fleet/src/maintenance/config.rs
+++ b/crates/fleet/src/maintenance/config.rs
@@ -24,7 +24,8 @@
     /// The isolation grace: after the lease that confirmed a host's order book has expired, the host may send for this
     /// time to servers that have no open order in it.
     pub isolation_grace: Span,
-    /// Quiet hours, in which no server starts to drain: pairs of start and end, in seconds from midnight UTC.
+    /// Quiet hours, in which no server starts to drain: pairs of start and end, in seconds from midnight UTC. An end
+    /// before the start is on the next day.
     pub quiet_hours: Vec<(u32, u32)>,
 }
 
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -20,7 +20,7 @@
     Accepted,
     /// The command is not applied to any server.
     Refused {
-        /// The server that is the cause of the refusal.
+        /// The server that is the cause of the refusal; if there are too many orders, the first server of the command.
         server: ServerId,
         /// The reason of the refusal.
         refusal: CommandRefusal,
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Returns the count of the order book that a majority must have before a command on this server is accepted; 0: no
-    /// need to wait. An order that is past `Requested` is in the order book of a majority already.
+    /// Returns the count of the order book that a majority must have before a command on this server is accepted; 0:
+    /// any version of this coordinator suffices. An order after `Requested` is in the order book of a majority already.
     fn version_to_commit(&self, kind: CommandKind, server: ServerId) -> u64 {
         let order = self
             .order_book
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Moves a draining order on once the server is not in use: a host once it has left or released itself, a node once
-    /// no host can send to it.
+    /// Moves a draining order to `Drained` once the server is not in use. A node is in use while any host may send to
+    /// it. A host is in use until it has left, has reported its own release, or its leases have expired.
     fn plan_draining(
         &self,
         config: &FleetConfig,
@@ -172,7 +172,8 @@
     }
 }
 
-/// Moves an offline order on once the server has returned or is overdue.
+/// Moves an offline order to `Returning` once the server has restarted and serves, if that counts as its return, or to
+/// `Overdue` once it has been offline for too long.
 fn plan_offline(
     now: Instant,
     snapshot: &FleetSnapshot,
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -63,8 +63,8 @@
         now: Instant,
     ) {
         let lease_end = |granted: Instant| granted + config.lease + maintenance.isolation_grace;
-        // Other processes of the host held no lease any more when one lease had passed since this process was granted
-        // its first one, whichever host was the coordinator.
+        // Whichever host was the coordinator, the leases of the host's earlier processes expired at the latest one
+        // lease after this process was granted its first one. `member_for` is shortened by the largest clock drift.
         let member_for = report.member_for.times(1.0 - config.drift);
         let earlier_until = lease_end(now - member_for);
         let unreported_host_may_send_until =
@@ -155,8 +155,8 @@
             .is_some_and(|usage| self.is_released(usage, order))
     }
 
-    /// Whether a host has released an order's server. A report made with an order book before the server started to
-    /// drain does not count, since the host may have used the server after it.
+    /// Whether a host has released an order's server or has left. A release counts only if the host reported it with an
+    /// order book in which the server drains: with an older one, the host may have used the server after the report.
     fn is_released(&self, usage: &HostUsage, order: &Order) -> bool {
         let draining = OrderBookVersion {
             ballot: self.ballot,
@@ -181,8 +181,8 @@
         if self.is_released(usage, order) {
             return usage.earlier_incarnations_until;
         }
-        // Without a lease, a host that has the order does not send to the server. Other hosts may for the isolation
-        // grace.
+        // Without a lease, a host that has the order does not send to the server. A host that does not have it may
+        // do so for the isolation grace after its lease.
         let requested = OrderBookVersion {
             ballot: self.ballot,
             count: self.first_count_with(order),
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 /// The number of low bits of an order's number that hold the order book's count at the order's request. The bits above
-/// hold the coordinator's round. A coordinator makes fewer changes of the order book than two to this power.
+/// hold the coordinator's round. The count has to stay below two to this power; it continues from one coordinator to
+/// the next.
 pub(super) const COUNT_BITS: u32 = 20;
 
 /// The stages of an order, in sequence. An order can be cancelled in any stage before `Drained`.
@@ -94,7 +95,8 @@
     pub number: u64,
     /// The order's stage.
     pub stage: Stage,
-    /// The order book's count when the order entered this stage.
+    /// The order book's count when the order entered this stage, or when the present coordinator adopted the order book
+    /// if that was later.
     pub version: u64,
     /// The time that the order had been in this stage as of `as_of`.
     pub age: Span,
@@ -116,7 +118,7 @@
     /// The number of later orders that started to drain before this one.
     pub times_overtaken: u32,
     /// The incarnation of the process that was running when the server started to drain; 0: not known. If another one
-    /// runs, the server has restarted.
+    /// runs, the server has restarted. For a host that restarts while it drains, this becomes its new incarnation.
     pub incarnation: u64,
 }
 
--- a/crates/fleet/src/member_lease.rs
+++ b/crates/fleet/src/member_lease.rs
@@ -19,7 +19,7 @@
 /// The time without a message of the coordinator after which renewals are also sent through relays, in member leases.
 const RELAY_AFTER_LEASES: f64 = 0.5;
 /// The time without a message of the coordinator after which this host no longer sends it renewals, in member leases.
-/// By then the coordinator lease has expired, and its successor has polled all hosts that it reaches.
+/// By then the coordinator lease has expired, and the next coordinator has polled all hosts that it can reach.
 const FORGET_COORDINATOR_AFTER_LEASES: f64 = 2.0;
 
 /// A member lease: the shares that the member may use, and until when.
@@ -38,7 +38,7 @@
 pub struct GrantId {
     /// The coordinator's ballot.
     pub ballot: Ballot,
-    /// The number of the grant among the coordinator's grants.
+    /// The serial of the grant, which grows with each grant of the coordinator.
     pub serial: u64,
 }
 
@@ -47,7 +47,8 @@
 pub struct RenewalRequest {
     /// The renewal's number, which the coordinator's answer repeats.
     pub number: u64,
-    /// Whether to send the renewal through relays as well, since the coordinator does not answer.
+    /// Whether to send the renewal through relays as well, since the direct link may be broken: the coordinator sent no
+    /// message for too long, or its poll came through a relay.
     pub use_relays: bool,
 }
 
@@ -180,7 +181,7 @@
     }
 
     /// Replaces the lease by a grant if the grant is valid; returns whether it is. `renewal` is the number of the
-    /// renewal that it answers; the lease counts from when that was sent.
+    /// renewal that the grant answers; the lease counts from when that renewal was sent.
     pub fn accept_grant(
         &mut self,
         config: &FleetConfig,
--- a/crates/fleet/src/rate_pacer.rs
+++ b/crates/fleet/src/rate_pacer.rs
@@ -22,7 +22,7 @@
     /// The credit in operations. It is slightly negative after an operation that rounding let start early.
     amount: f64,
     as_of: Instant,
-    /// The interval between two operations as of that time.
+    /// The interval between two operations as of `as_of`.
     interval: Span,
 }
 
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -33,7 +33,8 @@
     /// `None`: it has recovered.
     #[serde(rename = "mute_ms")]
     pub recovering_ms: Option<f64>,
-    /// Whether another process holds the member lease of this host.
+    /// Whether a coordinator reported that another process holds the member lease of this host. If so, this process
+    /// uses no share.
     pub fenced: bool,
     /// All hosts that have renewed a lease at the coordinator.
     pub members: Vec<MemberStatus>,
@@ -107,10 +108,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counts {
-    /// Messages sent to other hosts.
+    /// Messages sent to other hosts, without those that this host relayed.
     #[serde(rename = "notes_out")]
     pub messages_out: u64,
-    /// Messages that came from other hosts.
+    /// Messages that came from other hosts, including those that were dropped or relayed.
     #[serde(rename = "notes_in")]
     pub messages_in: u64,
     /// Messages that this host relayed between two other hosts.
@@ -119,6 +120,6 @@
     pub elected: u64,
     /// The number of times this host's member lease expired.
     pub leases_lost: u64,
-    /// Member leases that this host granted as the coordinator.
+    /// Member leases that this host granted or renewed as the coordinator.
     pub granted: u64,
 }
