--- a/crates/config-transition/src/transition/notices.rs
+++ b/crates/config-transition/src/transition/notices.rs
@@ -97,7 +97,8 @@
         news
     }
 
-    /// Returns when to call [`ConfigTransition::due_notices`] at the latest; `None`: no notices are due at any time.
+    /// Returns when to call [`ConfigTransition::due_notices`] at the latest. `None`: no notices are to be sent, since
+    /// the final rounds are sent, the revision has no number, or there are no other hosts.
     pub fn next(&self) -> Option<Instant> {
         let finished = self.all_hosts_follow() && self.final_rounds == 0;
         let has_others = self.reached.len() > 1;
--- a/crates/fleet/src/coordinator_lease/acceptor.rs
+++ b/crates/fleet/src/coordinator_lease/acceptor.rs
@@ -22,6 +22,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Promise {
     ballot: Ballot,
+    /// The incarnation of the candidate's process.
     incarnation: u64,
 }
 
--- a/crates/fleet/src/coordinator_lease/candidate.rs
+++ b/crates/fleet/src/coordinator_lease/candidate.rs
@@ -275,7 +275,8 @@
         if later <= current {
             return;
         }
-        // The holder retries at once with a higher ballot; other candidates wait for their next attempt.
+        // The holder retries at once: in phase `Preparing`, `advance` prepares a higher ballot instead of proposing the
+        // refused one again. Other candidates wait for their next attempt.
         if self.held.is_some() {
             self.next_attempt_at = now;
             self.start_preparing(current, now);
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -24,6 +24,7 @@
         self.sum * 0.5f64.powf(elapsed.secs().max(0.0) / HALF_LIFE.secs())
     }
 
+    /// The steady demand, in units a second, that would keep the sum at its value at `now`.
     fn rate(&self, now: Instant) -> f64 {
         self.at(now) * std::f64::consts::LN_2 / HALF_LIFE.secs()
     }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the share of a budget that this host, `me`, may use, in millionths of the whole. Without a lease it is
-    /// the floor.
+    /// the floor; while the host is fenced or leaves, it is 0.
     pub(super) fn share(
         &self,
         config: &FleetConfig,
--- a/crates/fleet/src/fleet/operator_commands.rs
+++ b/crates/fleet/src/fleet/operator_commands.rs
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Sends a command to the coordinator, directly and through one relay. Does nothing if no coordinator is known.
     fn send_command(&mut self, number: u64, command: FleetCommand) {
         let Some(coordinator) = self.membership.lease_holder.coordinator() else {
             return;
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -124,8 +124,9 @@
         if self.order_book.is_some() || !takeover_complete {
             return;
         }
-        // Any `enough` hosts include a host of every majority, so one of them has every order book that a majority
-        // had. If too many hosts report to have none, so many reports can never arrive.
+        // Any `enough` hosts include a host of every majority, so the newest of their order books is at least as new as
+        // any that a majority had. If too many hosts report to have none, so many can never be reported: the newest
+        // reported one is adopted all the same, or an empty one, and `anew` records that orders may be lost.
         let enough = config.hosts as usize + 1 - config.majority_of_hosts();
         let never_enough = self.without_order_book.len() + enough > config.hosts as usize;
         if self.with_order_book.len() < enough && !never_enough {
--- a/crates/fleet/src/maintenance/coordinator/usage.rs
+++ b/crates/fleet/src/maintenance/coordinator/usage.rs
@@ -15,8 +15,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct HostUsage {
     incarnation: u64,
-    /// When the process was last granted a lease, by the coordinator's clock.
+    /// When the process was last granted a lease, by the coordinator's clock; before that, when its first report came.
     granted_at: Instant,
+    /// The version of the process's copy of the order book; `None`: it has no copy.
     known_version: Option<OrderBookVersion>,
     released: BTreeSet<ServerId>,
     /// Whether the process has left the fleet.
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -9,7 +9,8 @@
 /// the next.
 pub(super) const COUNT_BITS: u32 = 20;
 
-/// The stages of an order, in sequence. An order can be cancelled in any stage before `Drained`.
+/// The stages of an order, in sequence. An order can be cancelled in any stage before `Drained`; that of a host only
+/// before `Draining`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[repr(u32)]
--- a/crates/fleet/src/maintenance/order_book.rs
+++ b/crates/fleet/src/maintenance/order_book.rs
@@ -135,7 +135,7 @@
     })
 }
 
-/// Cuts a text for operators to its limit.
+/// Cuts a text for operators to [`MAX_TEXT`] characters.
 pub(super) fn truncate(text: &str) -> String {
     text.chars().take(MAX_TEXT).collect()
 }
--- a/crates/fleet/src/maintenance/refusal.rs
+++ b/crates/fleet/src/maintenance/refusal.rs
@@ -17,9 +17,9 @@
     },
     /// The server has no open order, so there is nothing to cancel or to return from.
     NoOrder,
-    /// The server is not offline yet, so it cannot return.
+    /// The server's order is in a stage before `Drained`, so the server cannot return; the order can be cancelled.
     NotOffline,
-    /// The server is offline, so its order can no longer be cancelled.
+    /// The server's order is in stage `Drained` or a later one, so it can no longer be cancelled.
     AlreadyOffline,
     /// The server is a host that drains and so leaves the fleet. Its order can no longer be cancelled.
     HostIsDraining,
--- a/crates/fleet/src/member_lease.rs
+++ b/crates/fleet/src/member_lease.rs
@@ -194,8 +194,8 @@
             return false;
         };
         let expires_at = sent.sent_at + config.held_lease();
-        // The lease has expired already, or the grant is of an earlier coordinator. If round trips take as long as a
-        // lease, no grant is ever valid.
+        // The granted lease would have expired already, or the grant is of an earlier coordinator. If round trips take
+        // as long as a lease, no grant is ever valid.
         if now >= expires_at || grant.ballot < self.ballot {
             return false;
         }
