--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -63,8 +63,8 @@
     pub hosts: u32,
     /// The length of a member lease at the coordinator that grants it, by its clock.
     pub lease: Span,
-    /// The largest clock drift, as a fraction: a second by any host's clock lasts 1 - drift to 1 + drift seconds of true
-    /// time.
+    /// The largest clock drift, as a fraction: a second by any host's clock lasts 1 - drift to 1 + drift seconds of
+    /// true time.
     pub drift: f64,
     /// The number of voters: the hosts with the lowest numbers, which elect the coordinator.
     pub voters: u32,
--- a/crates/fleet/src/maintenance/server.rs
+++ b/crates/fleet/src/maintenance/server.rs
@@ -21,8 +21,8 @@
     /// The number of the server's zone.
     pub zone: u32,
     /// Whether the server is in service. A node is if the endpoint list has it as ready and this host is connected to
-    /// it; if this host must not send to the node and so has no connection, the endpoint list alone decides. For a host the
-    /// coordinator sets this to whether it is an active member.
+    /// it; if this host must not send to the node and so has no connection, the endpoint list alone decides. For a host
+    /// the coordinator sets this to whether it is an active member.
     pub well: bool,
     /// The incarnation of the process that runs on the server; 0: not known.
     pub incarnation: u64,
