--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -365,7 +365,8 @@
 /// Sends a request to the control socket at `path` and waits for the reply, for `wait` at most.
 ///
 /// # Errors
-/// No process listens on the socket, or it does not answer in time. `UnexpectedEof`: the host ended before it answered.
+/// No process listens on the socket, it does not answer in time, or its reply is not a valid [`ControlReply`].
+/// `UnexpectedEof`: the host ended before it answered.
 pub async fn ask(path: &Path, request: ControlRequest, wait: Duration) -> io::Result<ControlReply> {
     let exchange = async {
         let mut stream = UnixStream::connect(path).await?;
--- a/crates/host/src/control/messages.rs
+++ b/crates/host/src/control/messages.rs
@@ -28,7 +28,7 @@
     OperatorCommand(OperatorCommand),
 }
 
-/// A host's answer.
+/// A host's reply to a [`ControlRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "told", rename_all = "kebab-case")]
 pub enum ControlReply {
--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -98,7 +98,8 @@
         }));
     }
 
-    /// Sends an attempt over its node's connection.
+    /// Sends an attempt over its node's connection. If the connection is not up, the node may not be sent to,
+    /// the request has ended or the attempt's time is over, the attempt ends as not sent.
     pub(super) fn send_attempt(&mut self, attempt: AttemptId) {
         let now = self.now;
         let Some(in_flight) = self.requests.attempt(attempt) else {
--- a/crates/host/src/core/back_pressure.rs
+++ b/crates/host/src/core/back_pressure.rs
@@ -1,14 +1,15 @@
-//! Back pressure on clients: the host stops reading from clients while it holds too many requests or bytes, and from
-//! one client while too many bytes wait for it. This is checked at the end of each [`Core::advance`], and when the
-//! unsent bytes of a connection change.
+//! Back pressure on clients: the host stops reading from all clients while it holds too many requests or bytes, and
+//! from one client while too many bytes wait to be written to it. The host's load is checked at the end of each
+//! [`Core::advance`], the unsent bytes of a client when an answer is queued for it or bytes were written to its
+//! socket.
 
 use super::Core;
 use super::connection_table::RemoteKind;
 use super::ids::LinkId;
 use super::input_output::Output;
 
-/// Reading resumes below this many tenths of each bound. Without this hysteresis, reading would stop and resume with
-/// each frame while the host is at its bound.
+/// Reading resumes once the load is at most this many tenths of each bound. Without this hysteresis, reading
+/// would stop and resume with each frame while the host is at its bound.
 const RESUME_TENTHS: usize = 9;
 
 /// Whether this host reads from clients at all.
@@ -31,7 +32,8 @@
 }
 
 impl Core {
-    /// Stops reading from all clients if this host has reached a bound, and resumes once it is well below.
+    /// Stops reading from all clients if this host has reached the bound of its open requests or of the bytes that it
+    /// holds. Resumes once both are at most [`RESUME_TENTHS`] tenths of their bounds.
     pub(super) fn update_back_pressure(&mut self) {
         let bounds = &self.deployment.bounds;
         let max_open = bounds.most_open as usize;
--- a/crates/host/src/core/clock.rs
+++ b/crates/host/src/core/clock.rs
@@ -25,7 +25,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Measurement {
+    /// Bounds of the offset at the time `at`.
     offset: OffsetBounds,
+    /// When the last reply that was used arrived, by this host's clock.
     at: Instant,
 }
 
@@ -50,7 +52,7 @@
 }
 
 impl PeerClock {
-    /// Updates the bounds by the reply to one query. `reading`: the peer's clock when it replied. The other times
+    /// Updates the bounds with the reply to one query. `reading`: the peer's clock when it replied. The other times
     /// are by this host's clock.
     pub fn record_reply(
         &mut self,
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -1,6 +1,7 @@
 //! Configuration changes while serving. A proposed configuration is applied as a whole between two steps, or
 //! rejected as a whole with the reasons. [`gullsail_config_transition::ConfigTransition`] decides which limits
-//! hold until all hosts follow the new configuration.
+//! hold until all hosts follow the new configuration. For this, the hosts send each other notices of the revisions that
+//! they follow. An allocation is this host's part of a limit.
 
 use super::Core;
 use super::input_output::Output;
@@ -111,7 +112,7 @@
             .transition
             .joined(self.deployment.hosts.len() as u32);
         self.update_fleet_config();
-        // The positions of plans may have changed, so the plans are reported even if no allocation changed.
+        // The indices of plans may have changed, so the plans are reported even if no allocation changed.
         self.report_config(true);
         if old.routes.pools != self.deployment.routes.pools || old.zones != self.deployment.zones {
             let entries = self.nodes.reassign_pools(&self.deployment);
--- a/crates/host/src/core/counters.rs
+++ b/crates/host/src/core/counters.rs
@@ -16,7 +16,9 @@
 pub struct Counts {
     /// Requests that were accepted from clients.
     pub taken: u64,
-    /// Requests that were not accepted: invalid, or received during the shutdown. The scheduler did not see them.
+    /// Requests that were refused without any attempt: invalid, received during the shutdown, or ended only after
+    /// their shortened deadline because of a stall of the process. The last kind was accepted before and is counted in
+    /// `taken` too; the scheduler never saw the others.
     pub not_taken: u64,
     /// Requests that succeeded.
     pub done: u64,
@@ -28,7 +30,8 @@
     pub failed: u64,
     /// Requests whose client withdrew them or disconnected.
     pub clients_left: u64,
-    /// Attempts that the scheduler started, sent or not.
+    /// Attempts that were started, whether or not they were sent to their node. An attempt that the scheduler decided
+    /// on is not started if its node is unknown or its request has ended.
     #[serde(rename = "legs")]
     pub attempts: u64,
     /// Node answers that were discarded because their attempt had ended.
@@ -63,7 +66,7 @@
     pub longest_step_us: u64,
     /// Steps of the event loop that took more than ten milliseconds.
     pub long_steps: u64,
-    /// How often the process was stalled.
+    /// How often the process was stalled, as detected by [`crate::stall_detector`].
     #[serde(rename = "stood_still")]
     pub stalls: u64,
     /// The longest stall of the process, in microseconds.
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The connection to the endpoint list service, whose updates are passed on to the scheduler.
+//! The connection to the endpoint list service, which reports the nodes with their addresses and states. Its updates
+//! are passed on to the scheduler, which decides when this host connects to the service and queries it.
 
 use super::Core;
 use super::connection_table::{HANDSHAKE_TIMEOUT_FACTOR, RemoteKind};
@@ -18,8 +19,8 @@
 }
 
 impl Core {
-    /// Sends a query to the endpoint list if its connection is up and no query has been sent on it without a reply.
-    /// Opens the connection if there is none.
+    /// Opens the connection to the endpoint list if there is none. If the connection is up and no query on it waits
+    /// for its reply, sends a query.
     pub(super) fn connect_endpoint_list(&mut self) {
         if let Some(link) = self.endpoint_list.connection.up() {
             if !self.endpoint_list.query_outstanding {
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -1,6 +1,7 @@
 //! This host's membership in the fleet. Messages are passed between `gullsail-fleet` and the connections to peers.
 //! The demand on each budget is reported to the fleet, and the shares that the fleet grants become allocations for
-//! the scheduler.
+//! the scheduler. A host holds its shares under a lease. A floor is the part of a budget that a host may use
+//! without one.
 
 use super::Core;
 use super::timer_kind::TimerKind;
@@ -102,12 +103,14 @@
         self.notify_fleet(FleetEvent::Message { link, message });
     }
 
+    /// Reports demand on a budget to the fleet: in bytes for a cross-zone budget, in connections for
+    /// [`CONNECT_BUDGET`], and in units of work for all others.
     pub(super) fn record_demand(&mut self, budget: VolumeId, units: f64) {
         self.notify_fleet(FleetEvent::DemandObserved { budget, units });
     }
 
     /// Counts an accepted request as demand on its volume, on the slow-start budget, and on the budget of probes:
-    /// more of a host's requests benefit from a probe, the more requests the host has.
+    /// the more requests a host has, the more of them benefit from a probe.
     pub(super) fn record_request_demand(&mut self, volume: VolumeId, units: f64) {
         self.record_demand(volume, units);
         self.record_demand(SLOW_START_BUDGET, units);
@@ -120,8 +123,8 @@
         self.record_demand(SERVED, units);
     }
 
-    /// Returns the interval between operations at this host's share of `rate`, which is per second and over the whole
-    /// fleet. Zero: the operations are not limited.
+    /// Returns the interval between operations at this host's share of `rate`, which is per second and node, over
+    /// the whole fleet. Zero: the operations are not limited.
     fn pacing_interval(&self, budget: VolumeId, rate: Option<f64>) -> Span {
         let (Some(fleet), Some(rate)) = (&self.fleet.member, rate) else {
             return Span::ZERO;
--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -58,7 +58,7 @@
     }
 
     /// Builds a budget that these hosts share. `smallest_share`: the smallest share that holds the largest request.
-    /// `floor_share`: the fraction of the budget that the hosts may use without a lease.
+    /// `floor_share`: the fraction of the budget that the hosts together may use without a lease.
     fn shared_budget(
         &self,
         id: VolumeId,
@@ -106,7 +106,7 @@
         budgets
     }
 
-    /// Returns the hosts that may still use a floor of an earlier configuration, with that floor.
+    /// Returns the hosts that may still use a floor of an earlier configuration, each with the highest such floor.
     fn lagging_hosts(&self, budget: VolumeId, floor_share: f64) -> BTreeMap<HostId, u32> {
         let mut floors: BTreeMap<HostId, u32> = BTreeMap::new();
         for lagging in self.config_change.transition.lagging_hosts(budget) {
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -1,5 +1,5 @@
-//! Dispatches received frames by the role of their sender. A frame that its sender may not send closes that
-//! connection and affects nothing else. A frame of a kind that only a newer version defines is skipped.
+//! Dispatches received frames by the role of their sender. A frame that its sender may not send closes the
+//! sender's connection and affects nothing else. A frame of a kind that only a newer version defines is skipped.
 
 use super::Core;
 use super::clock::PeerClock;
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -44,8 +44,9 @@
         Some(link)
     }
 
-    /// Sets the most connections that others may have open. It must be lower than the process's limit, so that nodes,
-    /// peers, the endpoint list and the operator can still connect when clients use all that they may.
+    /// Sets the most connections that others may have open, at least 1 and at most 20,000. The limit must
+    /// be lower than the process's limit of file descriptors. Otherwise, when clients use all that they may, this host
+    /// cannot connect to nodes, peers and the endpoint list, and the operator cannot connect to it.
     pub fn set_max_incoming_connections(&mut self, limit: usize) {
         self.connections.max_incoming = limit.clamp(1, MAX_INCOMING_CONNECTIONS);
     }
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -1,6 +1,6 @@
-//! Operator commands on servers, and the state of maintenance for operators. Commands are passed to
-//! `gullsail-fleet`, whose maintenance coordinator decides on them. `server_drains` carries out its decisions on
-//! this host.
+//! Operator commands on servers, and the state of maintenance for operators. A server is a node or a host. Commands
+//! are passed to `gullsail-fleet`, whose maintenance coordinator decides on them. The module `server_drains` carries
+//! out the coordinator's decisions on this host.
 
 use super::Core;
 use super::ids::RequesterId;
--- a/crates/host/src/core/mod.rs
+++ b/crates/host/src/core/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A caller (the `runtime` module, a test, a benchmark) passes in what happened with [`Core::handle`], any
 //! number of times. It then calls [`Core::advance`] once and carries out [`Core::outputs`] in their order.
-//! [`Core::next_wake_up`] returns the latest time of the next call.
+//! [`Core::next_wake_up`] returns the time by which [`Core::advance`] must be called again.
 //!
 //! This file holds the list of components and these entry points. Each component's state is in its own file:
 //!
@@ -113,8 +113,8 @@
 }
 
 impl Core {
-    /// Creates the state of a host that starts at `now`. The caller draws `seed` and `incarnation` anew for
-    /// each process.
+    /// Creates the state of a host that starts at `now`. `me`: the host's id in the configuration. The caller draws
+    /// `seed` and `incarnation` anew for each process.
     pub fn new(
         deployment: Arc<Deployment>,
         me: HostId,
@@ -153,7 +153,8 @@
     }
 
     /// Starts every component. The order matters: the scheduler receives the configured nodes and the first
-    /// allocations before the fleet and maintenance adjust them.
+    /// allocations before the fleet and maintenance adjust them. The configured nodes count as a stale list until the
+    /// endpoint list service sends its first update.
     fn start(&mut self, seed: u64) {
         let configured = self.nodes.iter();
         let entries = configured
@@ -217,7 +218,8 @@
         self.outputs.drain(..)
     }
 
-    /// Returns the latest time of the next call of [`Core::advance`]; `None`: no timer is set.
+    /// Returns the time by which [`Core::advance`] must be called again, unless an input arrives earlier; `None`: no
+    /// timer is set.
     pub fn next_wake_up(&self) -> Option<Instant> {
         self.timers.next()
     }
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -14,8 +14,9 @@
 use tracing::{debug, info, warn};
 
 impl Core {
-    /// Opens connections to all usable nodes that have none. This is done before an attempt needs one, because
-    /// only a node's first frame states reliably how long the node has been running.
+    /// Opens connections to all usable nodes that have none, or sets a timer for those that the rate limit of new
+    /// connections delays. This is done before an attempt needs a connection, because only a node's first frame states
+    /// reliably how long the node has been running.
     pub(super) fn connect_nodes(&mut self) {
         let is_wanted = |node: &NodeRecord| {
             let usable = node.state != EndpointState::Gone && !node.offline_or_unknown;
--- a/crates/host/src/core/nodes.rs
+++ b/crates/host/src/core/nodes.rs
@@ -1,7 +1,8 @@
 //! The nodes, as the endpoint list and their own first frames describe them. Both sources report when a node
-//! started, the list later than the node. Both name the incarnation, so this host keeps one start time for each
-//! incarnation, from the source that reports it first. Otherwise a start that is reported twice would look like
-//! two starts, and the scheduler would end a drain at the second report.
+//! started, the list later than the node. Both name the incarnation, a number that differs between the processes of
+//! a node. So this host keeps one start time for each incarnation, from the source that reports it first.
+//! Otherwise a start that is reported twice would look like two starts, and the scheduler would end a drain at the
+//! second report.
 
 use super::ids::AttemptId;
 use super::reconnect::OutboundConnection;
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Records a reported start. Returns the start time according to the first report of this incarnation.
-    /// `incarnation` 0: it is not known, and `None` is returned.
+    /// Records a reported start of a process that has been running for `age`. Returns the start time according to the
+    /// first report of this incarnation. `incarnation` 0: it is not known, and `None` is returned.
     fn record_start(&mut self, incarnation: u64, age: Span, now: Instant) -> Option<Instant> {
         if incarnation == 0 {
             return None;
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -1,5 +1,6 @@
-//! Peer hosts: the connection to each, frames that wait for it, and the offset of its clock. A demand report is
-//! handed to the scheduler only once the clock offset of its sender is known.
+//! Peer hosts: the connection to each, frames that wait for it, and the offset of its clock. Demand reports are
+//! the messages that the schedulers of the hosts send to each other. A report is handed to the scheduler only once the
+//! clock offset of its sender is known, since it contains times by the sender's clock.
 
 use super::Core;
 use super::clock::ClockUpdate;
@@ -22,7 +23,8 @@
     }
 
     /// Sends a frame to a peer, or keeps it until the connection is up. Opens a connection if there is none. While
-    /// the reconnect backoff runs, the frame is only kept.
+    /// the reconnect backoff runs, the frame is only kept; the first frame to send after the backoff opens the
+    /// connection.
     pub(super) fn send_to_peer(&mut self, to: HostId, frame: Frame) {
         let Some(place) = self.deployment.hosts.get(to.0 as usize) else {
             return;
--- a/crates/host/src/core/reconnect.rs
+++ b/crates/host/src/core/reconnect.rs
@@ -5,8 +5,8 @@
 use gullsail_scheduler_api::{Instant, Span};
 use rand::Rng;
 
-/// The backoff doubles this often at most, so that the factor cannot overflow. The longest backoff applies
-/// sooner.
+/// The backoff doubles this often at most, so that the factor cannot overflow. The configured longest backoff is
+/// reached after fewer failures.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// The state of a connection that this host opens.
@@ -28,7 +28,7 @@
 /// A connection that this host opens, and opens again when it is lost.
 #[derive(Clone, Debug, Default)]
 pub struct OutboundConnection {
-    /// How far the connection or its next attempt has come.
+    /// Whether there is a connection, how far it is established, and otherwise when one may be opened.
     pub state: ConnectionState,
     /// How often in a row the connection ended or could not be established, since it was up.
     failures: u32,
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -23,6 +23,7 @@
 pub(super) struct FinalAnswer {
     pub(super) outcome: Outcome,
     pub(super) handle: Option<Handle>,
+    /// How long the client should wait before it sends the request again; zero: no wait is given.
     pub(super) retry_after: Span,
     pub(super) body: Bytes,
 }
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -1,6 +1,6 @@
 //! The open requests and the attempts in flight, with the bytes they hold. A request is kept from the moment
 //! it is accepted until its one final answer, an attempt until its end is reported to the scheduler. An attempt
-//! may outlive its request, so that the node's window is released at the right time.
+//! may outlive its request, so that the scheduler releases the node's window only when the attempt has ended.
 
 use super::ids::{AttemptId, LinkId};
 use bytes::Bytes;
@@ -98,14 +98,14 @@
 /// All open requests and attempts of one host.
 #[derive(Debug, Default)]
 pub struct Requests {
-    /// Boxed, since the map moves its entries.
+    /// Boxed, so that the map moves pointers instead of whole requests.
     open: BTreeMap<RequestId, Box<OpenRequest>>,
     /// Index of `open`. The id that a client chose is unique among the open requests of its connection.
     by_client_id: BTreeMap<ClientRequestKey, RequestId>,
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
-    /// The id that was given last; 0: none was.
+    /// Id of the newest request; 0: there was none.
     last_request: u64,
-    /// The id that was given last; 0: none was.
+    /// Id of the newest attempt; 0: there was none.
     last_attempt: u64,
     /// Sum of the lengths of the open requests' bodies.
     held_bytes: usize,
@@ -186,7 +186,7 @@
     }
 
     /// Adds an attempt of a request. It times out after `time_out`, or at the request's deadline if that is
-    /// earlier. `None`: the request is not open.
+    /// earlier or `time_out` is `None`. Returns `None` if the request is not open.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -25,7 +25,7 @@
 /// exceeded, a stage of the oldest order may be logged twice.
 const MAX_LOGGED_ORDERS: usize = 4096;
 
-/// A node for which it has changed whether attempts may be sent to it.
+/// A node to which attempts may be sent again, or no longer.
 struct NodeUseChange {
     node: NodeId,
     /// The new value of [`NodeRecord::offline_or_unknown`].
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns the nodes for which it has changed whether attempts may be sent to them.
+    /// Returns the nodes to which attempts may be sent again, or no longer, according to the fleet.
     fn node_use_changes(&self) -> Vec<NodeUseChange> {
         let Some(fleet) = &self.fleet.member else {
             return Vec::new();
--- a/crates/host/src/core/shutdown.rs
+++ b/crates/host/src/core/shutdown.rs
@@ -22,7 +22,7 @@
     pub(super) requested: bool,
     /// When the shutdown stops waiting for the results of operator commands; `None`: it has not started.
     command_deadline: Option<Instant>,
-    /// Every request is answered, this host has left the fleet, and [`Output::Finished`] was put out.
+    /// Every request is answered, this host has left the fleet, and [`Output::Finished`] was added to the outputs.
     pub(super) complete: bool,
 }
 
--- a/crates/host/src/core/timer_kind.rs
+++ b/crates/host/src/core/timer_kind.rs
@@ -7,7 +7,7 @@
 /// anything to do.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerKind {
-    /// A timer of the scheduler.
+    /// A timer that the scheduler requested. The id tells the scheduler what it is for.
     Scheduler(TimerId),
     /// The wait of an attempt for its connection, or for the node's answer, may have reached its limit.
     Attempt(AttemptId),
@@ -19,11 +19,12 @@
     ReconnectPeer(HostId),
     /// Clock queries to peers are due.
     ClockQueries,
-    /// A sweep is due: it closes stalled connections and forgets nodes that are long gone.
+    /// A sweep is due: it closes stalled connections and removes the records of nodes that have been gone for a while.
     Sweep,
-    /// Only wakes the host, since [`Core::advance`] advances the fleet in each step. It is set for the fleet, a
-    /// slow-start share that rises, servers that drain, and a shutdown that waits for operator commands.
+    /// Only wakes the host, since [`Core::advance`] advances the fleet in each step. It is set for the fleet's next
+    /// advance, for the next increase of the slow-start share, for the next observation of nodes that drain, and for
+    /// the time at which a shutdown stops waiting for operator commands.
     Fleet,
-    /// Revision notices to peers are due.
+    /// Notices to peers of the configuration revisions that hosts follow are due.
     RevisionRound,
 }
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -54,7 +54,7 @@
 const RETRY_CAUSE: &str = "further legs";
 
 impl BudgetOverrun {
-    /// Returns the cause as reports show it.
+    /// Returns the cause in the words that reports show to operators.
     pub fn shown_cause(&self) -> &str {
         match self.cause.as_str() {
             RETRY_CAUSE => "retries",
@@ -251,6 +251,8 @@
         self.zone_traffic.ledger.count(self.now, flow, bytes, false);
     }
 
+    /// Returns the flow in which an attempt of this request, or the answer to it, is counted. `attempt`: how many
+    /// attempts of the request were started before it.
     fn flow(&self, from: ZoneId, to: ZoneId, request: RequestId, attempt: u32) -> Flow {
         let Some(open) = self.requests.get(request) else {
             return Flow {
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -45,7 +45,7 @@
     pub seed: u64,
     /// Differs between processes of the same host.
     pub incarnation: u64,
-    /// The host's clock.
+    /// The clock that gives the times of the core's inputs and timers.
     pub clock: HostClock,
 }
 
@@ -78,8 +78,8 @@
     finished_at: Option<Instant>,
 }
 
-/// Runs a host. Once `stop` is ready, the host shuts down: it answers the requests that it accepted, and this returns
-/// the host's counters.
+/// Runs a host. Once `stop` is ready, the host shuts down: it answers the requests that it accepted and leaves
+/// the fleet. Then this returns the host's counters.
 pub async fn run(
     process: HostProcess,
     listener: TcpListener,
@@ -159,7 +159,8 @@
         self.stall_detector.next_turn(requested)
     }
 
-    /// Whether the core's shutdown is complete, and all clients have disconnected or had [`CLIENT_DISCONNECT_GRACE`] to.
+    /// Whether the core's shutdown is complete, and either no client is connected any more or
+    /// [`CLIENT_DISCONNECT_GRACE`] has passed since.
     fn may_exit(&self) -> bool {
         let Some(finished_at) = self.finished_at else {
             return false;
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -26,7 +26,7 @@
 /// Shortest time between two log lines that report failures to accept: 5 s, so that a lack of file descriptors does
 /// not fill the log.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Frames that wait to be handled may hold `held-bytes` divided by this: a quarter.
+/// Received frames that wait to be handled may hold at most the bound `held-bytes` divided by this: a quarter of it.
 const READ_BUDGET_DIVISOR: usize = 4;
 
 /// Returns the most connections that others may have open. Two file descriptors are reserved for each node and peer
@@ -51,7 +51,9 @@
 /// them are caused by a lack of file descriptors.
 pub(super) struct AcceptErrors {
     accept_from: Instant,
+    /// The earliest time of the next log line.
     log_from: Instant,
+    /// Failures since the last log line.
     unlogged: u64,
 }
 
