--- a/crates/host/src/control/messages.rs
+++ b/crates/host/src/control/messages.rs
@@ -76,8 +76,8 @@
     pub host: String,
     /// Revision of the current configuration.
     pub revision: u64,
-    /// Names of hosts that are not known to follow this revision. Until they do, the lower limit of both revisions
-    /// holds.
+    /// Names of hosts that are not known to follow this revision or a later one, without those whose lease in the fleet
+    /// has expired. Until they follow it, the lower limit of both revisions holds.
     pub behind: Vec<String>,
     /// Number of open requests.
     pub open: usize,
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -229,7 +229,8 @@
         &self.deployment
     }
 
-    /// Returns the hosts that are not known to follow the current revision.
+    /// Returns the hosts that are not known to follow the current revision or a later one. Hosts whose lease in the
+    /// fleet has expired are left out.
     pub fn hosts_behind(&self) -> Vec<HostId> {
         self.config_change.transition.missing().collect()
     }
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -55,7 +55,8 @@
     pub(super) member: Option<Fleet>,
     /// When the newest timer for the member's next advance fires; `None`: none was set.
     pub(super) next_advance: Option<Instant>,
-    /// Hosts that have left the fleet or use only their floors, according to the coordinator.
+    /// Hosts that have left the fleet or whose lease has expired, according to the coordinator. They use at most their
+    /// floors.
     pub(super) inactive_members: BTreeSet<HostId>,
     /// This host's share of the slow-start budget. An increase takes effect with a delay.
     pub(super) slow_start_share: DelayedIncrease,
@@ -123,8 +124,8 @@
         self.record_demand(SERVED, units);
     }
 
-    /// Returns the interval between operations at this host's share of `rate`, which is per second and node, over
-    /// the whole fleet. Zero: the operations are not limited.
+    /// Returns the interval between operations at this host's share of `rate`, which is the limit per second
+    /// to one node, from all hosts together. Zero: the operations are not limited.
     fn pacing_interval(&self, budget: VolumeId, rate: Option<f64>) -> Span {
         let (Some(fleet), Some(rate)) = (&self.fleet.member, rate) else {
             return Span::ZERO;
--- a/crates/host/src/core/fleet_budgets.rs
+++ b/crates/host/src/core/fleet_budgets.rs
@@ -58,7 +58,7 @@
     }
 
     /// Builds a budget that these hosts share. `smallest_share`: the smallest share that holds the largest request.
-    /// `floor_share`: the fraction of the budget that the hosts together may use without a lease.
+    /// `floor_share`: the fraction of an even share that each host may use without a lease.
     fn shared_budget(
         &self,
         id: VolumeId,
@@ -75,7 +75,7 @@
     }
 
     /// Builds the budgets of slow start, new connections and probes, which all hosts share. `connects`, `probes`:
-    /// rates per second and node; `None`: not limited, so there is no budget.
+    /// limits per second to one node, from all hosts together; `None`: not limited, so there is no budget.
     fn node_budgets(
         &self,
         floor_share: f64,
--- a/crates/host/src/core/operator_command.rs
+++ b/crates/host/src/core/operator_command.rs
@@ -19,7 +19,7 @@
     /// Whether the operator permits that a shard is left without a node.
     #[serde(rename = "cell_away")]
     pub shard_away: bool,
-    /// Whether the servers are to return to service.
+    /// Whether a restart of a server counts as its return to service. Otherwise an operator must command the return.
     pub returns: bool,
     /// Why the operator gives the command, as shown to other operators.
     pub reason: String,
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -17,7 +17,7 @@
     pub link: LinkId,
     /// The request as the client sent it, with the id that the client chose.
     pub submit: Submit,
-    /// Whether the request class is one of writes.
+    /// Whether the request is a write, according to its class.
     pub write: bool,
     /// The bytes to write; empty for a read.
     pub body: Bytes,
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -23,11 +23,11 @@
     pub to: String,
     /// Why the traffic went to another zone.
     pub reason: Reason,
-    /// The request's plan; empty for traffic without a request.
+    /// Name of the request's plan; empty if the traffic belongs to no open request.
     pub plan: String,
-    /// The request's volume; empty for traffic without a request.
+    /// Name of the request's volume; empty if the traffic belongs to no open request.
     pub volume: String,
-    /// The request's class; empty for traffic without a request.
+    /// Name of the request's class; empty if the traffic belongs to no open request.
     #[serde(rename = "stream_type")]
     pub request_class: String,
     /// Frames and bytes of the flow.
@@ -252,7 +252,7 @@
     }
 
     /// Returns the flow in which an attempt of this request, or the answer to it, is counted. `attempt`: how many
-    /// attempts of the request were started before it.
+    /// attempts of the request were started before it. If the request has ended, the flow names no plan, volume or class.
     fn flow(&self, from: ZoneId, to: ZoneId, request: RequestId, attempt: u32) -> Flow {
         let Some(open) = self.requests.get(request) else {
             return Flow {
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -26,7 +26,8 @@
 /// Shortest time between two log lines that report failures to accept: 5 s, so that a lack of file descriptors does
 /// not fill the log.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Received frames that wait to be handled may hold at most the bound `held-bytes` divided by this: a quarter of it.
+/// Received frames that wait to be handled may hold at most the bound `held-bytes` divided by this: a quarter of it, or
+/// one frame of the largest size if that is more.
 const READ_BUDGET_DIVISOR: usize = 4;
 
 /// Returns the most connections that others may have open. Two file descriptors are reserved for each node and peer
