--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -21,8 +21,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReport {
     outcome: AttemptOutcome,
-    /// Usage of the volume by all hosts in a finished period, as a fraction of its nominal rate; `None`: the node did not
-    /// report it.
+    /// Usage of the volume by all hosts in a finished period, as a fraction of its nominal rate; `None`: the node did
+    /// not report it.
     used_fraction: Option<f64>,
     /// Bytes of the node's answer; 0 without an answer.
     answer_bytes: usize,
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -252,7 +252,8 @@
     }
 
     /// Returns the flow in which an attempt of this request, or the answer to it, is counted. `attempt`: how many
-    /// attempts of the request were started before it. If the request has ended, the flow names no plan, volume or class.
+    /// attempts of the request were started before it. If the request has ended, the flow names no plan, volume
+    /// or class.
     fn flow(&self, from: ZoneId, to: ZoneId, request: RequestId, attempt: u32) -> Flow {
         let Some(open) = self.requests.get(request) else {
             return Flow {
