--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -21,7 +21,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReport {
     outcome: AttemptOutcome,
-    /// The fraction of the volume's nominal rate that is in use over all hosts; `None`: the node does not report it.
+    /// Usage of the volume by all hosts in a finished period, as a fraction of its nominal rate; `None`: the node did
+    /// not report it.
     used_fraction: Option<f64>,
     /// Bytes of the node's answer; 0 without an answer.
     answer_bytes: usize,
@@ -98,7 +99,8 @@
         }));
     }
 
-    /// Sends an attempt over its node's connection.
+    /// Sends an attempt over its node's connection. If the connection is not up, the node may not be sent to,
+    /// the request has ended or the attempt's time is over, the attempt ends as not sent.
     pub(super) fn send_attempt(&mut self, attempt: AttemptId) {
         let now = self.now;
         let Some(in_flight) = self.requests.attempt(attempt) else {
