--- a/crates/cli/benches/service/main.rs
+++ b/crates/cli/benches/service/main.rs
@@ -5,8 +5,8 @@
 //! all clients have left. A row for each hour shows the time of the hosts' steps, and the sizes of their collections at
 //! load and in the quiet phase. At the end, the means over the first and the last third of the hours are compared.
 //!
-//! Two other modes: `-- sockets [WAVES]` runs the real host on loopback (`sockets.rs`); `-- load [SECONDS] [EVERY]` plays
-//! a steady load for a profiler.
+//! Two other modes: `-- sockets [WAVES]` runs the real host on loopback (`sockets.rs`); `-- load [SECONDS] [EVERY]`
+//! simulates a steady load, to be run under a profiler.
 
 mod sockets;
 mod world;
--- a/crates/cli/tests/fleet/main.rs
+++ b/crates/cli/tests/fleet/main.rs
@@ -222,7 +222,8 @@
         view["orders"].as_array().is_some_and(|o| o.len() == 1),
         "{view}"
     );
-    // The host announced that it leaves, also if it was the coordinator: nobody had to wait for its lease to expire.
+    // The host announced its departure, which it does as coordinator too, so the order did not have to wait until its
+    // lease expired.
     assert_eq!(
         view["orders"][0]["hosts"].as_array().map(Vec::len),
         Some(0),
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The trace id of the request that its node answers only when the test says so.
+/// The trace id of the request whose response the node holds back until the test releases it.
 const HELD_TRACE_ID: u64 = 0xff;
 
 /// A node that answers at once, except for the request with [`HELD_TRACE_ID`]. Sending on the channel releases that
--- a/crates/cli/tests/platform/rig.rs
+++ b/crates/cli/tests/platform/rig.rs
@@ -104,12 +104,13 @@
         Host::with(&document(discovery))
     }
 
-    /// Starts a host with this document and a limit of 64 descriptors, whatever the document says.
+    /// Starts a host with this document and a limit of 64 file descriptors.
     pub fn with(document: &str) -> Host {
         Host::with_descriptors(document, 64)
     }
 
-    /// Starts a host with this document and this limit of descriptors, whatever the document says.
+    /// Starts a host with this document. `ulimit -n` limits its process to this many file descriptors, whatever the
+    /// document says.
     pub fn with_descriptors(document: &str, descriptors: usize) -> Host {
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("config.json");
--- a/crates/cli/tests/stop_soak/soak/platform_host.rs
+++ b/crates/cli/tests/stop_soak/soak/platform_host.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The host's limit of descriptors. It leaves 139 for clients, which a crowd exceeds.
+/// The host's limit of file descriptors. It leaves 139 for client connections. A crowd of clients needs more.
 const DESCRIPTORS: usize = 256;
 /// The receive buffer of a slow reader, in bytes.
 const SMALL_WINDOW: usize = 2 << 10;
@@ -23,7 +23,7 @@
 const SLOW_READER_PAUSE: Duration = Duration::from_millis(60);
 /// How much longer than its deadline a client waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(1500);
-/// How long clients continue after the kill.
+/// How long clients continue to use their connections after the host is killed.
 const AFTER_KILL: Duration = Duration::from_millis(300);
 
 /// Switches that silence scripted peers during a run, shared with the peers' threads.
--- a/crates/cli/tests/stop_soak/soak/verdict.rs
+++ b/crates/cli/tests/stop_soak/soak/verdict.rs
@@ -13,7 +13,7 @@
 /// The close of an idle connection and a request cross if they are at most this far apart. The platform adds as much to
 /// every time limit on sockets.
 const CROSSING: Duration = Duration::from_millis(50);
-/// How many failures of a seed are shown.
+/// The maximum number of failures that are printed for a seed.
 const SHOWN_FAILURES: usize = 3;
 
 /// What waits to be read at the client's end of a connection.
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a change requires, mildest first.
+/// How a change can be applied. The variants are in order of increasing severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
@@ -34,7 +34,7 @@
     pub from: String,
     /// The new value.
     pub to: String,
-    /// What the change requires.
+    /// Whether the change is safe while hosts serve, needs restarts or is dangerous.
     pub class: Class,
     /// Whether hosts can apply the change without a restart. They apply a dangerous one only if an operator insists.
     pub while_serving: bool,
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -18,7 +18,8 @@
     width: usize,
 }
 
-/// Finds the range in a text. `Ok(None)`: the text has no range. The error says why a range is invalid.
+/// Parses the range in a text, such as `{01..40}`. `Ok(None)`: the text has no range. The error says why a range is
+/// invalid.
 fn parse_range(text: &str) -> Result<Option<Range<'_>>, String> {
     let Some((before, rest)) = text.split_once('{') else {
         return Ok(None);
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -87,7 +87,7 @@
         holds.map(|(index, _)| PoolId(index + 1)).collect()
     }
 
-    /// The name of a pool.
+    /// Returns the name of a pool. [`PoolId::ALL`] and ids without an entry are called [`ALL`].
     pub fn name(&self, pool: PoolId) -> &str {
         pool.0
             .checked_sub(1)
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -290,7 +290,7 @@
     newer_frame_kinds_are_skipped_and_wrong_identities_closed();
 }
 
-/// Answers to two open requests with one id could not be told apart, so the connection is closed.
+/// The client could not match answers to two open requests with the same id, so the host closes the connection.
 fn a_reused_request_id_closes_the_connection() {
     let mut rig = new_rig();
     let client = rig.client();
--- a/crates/host/tests/host/model/world.rs
+++ b/crates/host/tests/host/model/world.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 pub(super) const NAMES: [&str; 2] = ["n1", "n2"];
-/// How long a world runs, in milliseconds.
+/// The simulated time that a run of a [`World`] takes, in milliseconds.
 const RUN_MS: i64 = 6000;
 /// The throughput of a node, in units per second.
 pub(super) const NODE_CAPACITY: f64 = 80.0;
@@ -80,7 +80,7 @@
     pub(super) connects: usize,
     /// Attempts that are in flight, by id.
     pub(super) out: BTreeMap<u64, InFlightAttempt>,
-    /// How many attempts of each request were sent.
+    /// The number of attempts sent, by request.
     pub(super) attempts: BTreeMap<RequestId, u32>,
 }
 
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -106,7 +106,7 @@
 
 /// A request that ends in one stage.
 struct Case {
-    /// How far the request has come.
+    /// The stage that the request has reached when it ends.
     stage: Stage,
     /// Why the request ends.
     end: End,
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -1,4 +1,4 @@
-//! Drives one host's core without sockets. Addresses are names, and time passes only when a test says so.
+//! Drives one host's core without sockets. Addresses are names, and time passes only when a test advances it.
 
 use bytes::Bytes;
 use gullsail_configuration::{Deployment, parse};
--- a/crates/platform/src/core/clients/responses.rs
+++ b/crates/platform/src/core/clients/responses.rs
@@ -10,9 +10,9 @@
 
 /// A response, encoded with and without the announcement that the connection is closed after it.
 struct EncodedResponse {
-    /// Without `Connection: close`.
+    /// The response without `Connection: close`, for a connection that stays open.
     keep_open: Bytes,
-    /// With `Connection: close`.
+    /// The response with `Connection: close`, for the last one of a connection.
     last: Bytes,
 }
 
--- a/crates/platform/src/core/discovery/state.rs
+++ b/crates/platform/src/core/discovery/state.rs
@@ -46,7 +46,8 @@
 pub(super) struct DiscoveryConnection {
     pub(super) conn: ConnectionId,
     decoder: Decoder,
-    /// How many received bytes the core has handled.
+    /// Number of bytes that the core has received on this connection and fed to the decoder. Each poll passes it
+    /// on as `bytes_handled`.
     bytes_received: u64,
     /// The next poll asks for the changes since this version. `None`: it asks for the complete list.
     pub(super) version: Option<u64>,
--- a/crates/platform/src/core/header_values.rs
+++ b/crates/platform/src/core/header_values.rs
@@ -24,7 +24,7 @@
     u64::from_str_radix(as_utf8(digits)?, 16).ok()
 }
 
-/// Parses 1 to 12 decimal digits.
+/// Parses 1 to 12 decimal digits. Returns `None` for any other text, also one with a sign or a space.
 pub(super) fn parse_decimal(digits: &[u8]) -> Option<u64> {
     let well_formed =
         !digits.is_empty() && digits.len() <= 12 && digits.iter().all(u8::is_ascii_digit);
--- a/crates/platform/src/runtime/connection.rs
+++ b/crates/platform/src/runtime/connection.rs
@@ -162,7 +162,7 @@
     conn: ConnectionId,
     stream: TcpStream,
     events: EventSender,
-    /// How many received bytes were reported to the owner.
+    /// Number of received bytes that were reported to the owner; input that is discarded does not count.
     bytes_reported: u64,
     /// How many more bytes may be discarded before the connection is closed. `None` while input is reported.
     discard_left: Option<usize>,
--- a/crates/protocol/src/message/fleet.rs
+++ b/crates/protocol/src/message/fleet.rs
@@ -19,7 +19,7 @@
     Promise = 2,
     /// From a candidate to a voter: asks it to accept the sender as coordinator by this ballot.
     Propose = 3,
-    /// From a voter: the proposal is accepted.
+    /// From a voter to a candidate: accepts its `Propose`.
     Accept = 4,
     /// Refuses a ballot, because the sender knows a later one.
     Refuse = 5,
@@ -33,7 +33,7 @@
     Grant = 9,
     /// From a member: it leaves the fleet and no longer uses its shares.
     Leave = 10,
-    /// From the coordinator: acknowledges a departure.
+    /// From the coordinator to a member: acknowledges its `Leave`.
     Left = 11,
     /// From the coordinator to a process: another process holds the lease of its host.
     Fence = 12,
@@ -180,10 +180,10 @@
     /// The count of the order book at which the stage began.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// How long the order has been in this stage.
+    /// Time in milliseconds since the order entered this stage.
     #[prost(uint64, tag = "5")]
     pub age_ms: u64,
-    /// How long the server may be offline.
+    /// The longest time in milliseconds that the server may be offline.
     #[prost(uint64, tag = "6")]
     pub longest_ms: u64,
     /// Whether a shard may be without a node while the server is offline.
@@ -196,7 +196,7 @@
     /// The operator's reason.
     #[prost(string, tag = "9")]
     pub reason: String,
-    /// What the order waits for, for people.
+    /// A text for operators: what the order waits for. Empty: it does not wait.
     #[serde(rename = "waits")]
     #[prost(string, tag = "10")]
     pub waiting_for: String,
@@ -244,7 +244,7 @@
     #[serde(rename = "machines")]
     #[prost(fixed64, repeated, tag = "2")]
     pub servers: Vec<u64>,
-    /// How long the servers may be offline; 0: as long as the configuration says.
+    /// The longest time in milliseconds that the servers may be offline; 0: as long as the configuration says.
     #[prost(uint64, tag = "3")]
     pub longest_ms: u64,
     /// Whether a shard may be without a node while the servers are offline.
--- a/crates/protocol/src/message/simulation.rs
+++ b/crates/protocol/src/message/simulation.rs
@@ -16,7 +16,7 @@
     /// Severity of the fault: a factor for `slow` and `costly`, the fraction of requests for `fail`.
     #[prost(double, tag = "2")]
     pub size: f64,
-    /// How long the fault lasts.
+    /// How long the fault lasts, in microseconds.
     #[serde(rename = "lasts_us")]
     #[prost(int64, tag = "3")]
     pub duration_us: i64,
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -65,14 +65,14 @@
     },
     /// A connection ended.
     Closed {
-        /// Why the connection ended, for people.
+        /// The reason why the connection ended, as a text for readers of the recording.
         why: String,
     },
     /// A connection to the process `to` is opened, whether or not the process accepts it.
     Came,
     /// The scenario started, stopped or paused the process `to`.
     Process {
-        /// What happened to the process.
+        /// Whether the process started, ended, was paused or resumed.
         #[serde(rename = "life")]
         event: ProcessEvent,
     },
@@ -90,7 +90,7 @@
     BudgetOverrun {
         /// The budget's name.
         budget: String,
-        /// Why the bytes overran the budget, for people.
+        /// The reason why the bytes overran the budget, as a text for readers of the recording.
         cause: String,
         /// The number of bytes over the budget.
         bytes: u64,
@@ -102,7 +102,7 @@
         incarnation: u64,
         /// The newest epoch of the membership that the host knew.
         epoch: u64,
-        /// Time until the host's member lease expires; -1: it holds none.
+        /// Time in microseconds until the host's member lease expires; -1: it holds none.
         #[serde(rename = "lasts_us")]
         lease_us: i64,
         /// The host's share of each budget, in millionths of the budget, by the budget's name.
@@ -119,12 +119,13 @@
         /// The order's stage.
         stage: String,
     },
-    /// The process `to` waited for a processor, by the kernel's count. Samples with less than a millisecond of waiting
-    /// are left out.
+    /// The main thread of the process `to` waited for a processor, by the kernel's count. Recorded when a sample finds
+    /// that the waits since the previous such entry add up to a millisecond or more.
     Waited {
         /// When the previous sample was taken.
         since: i64,
-        /// Total length of the waits that ended since then. One of them may have begun earlier.
+        /// Total length in microseconds of the waits that ended since the previous such entry. It includes waits of
+        /// earlier samples that were too short to be recorded, and waits that began before `since`.
         waited_us: i64,
     },
     /// The proxy had not yet read all bytes that the kernel had received from the process `to` on the connection of a
@@ -133,7 +134,7 @@
         /// The number of bytes that the kernel had received since the connection was established.
         received: u64,
     },
-    /// A note for people: the scenario injected a fault, or a process started or stopped.
+    /// A note for readers of the recording: the scenario injected a fault, or a process started or stopped.
     #[serde(rename = "Trouble")]
     Fault {
         /// The text of the note.
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -94,7 +94,7 @@
         };
         match document.nodes_mut().iter_mut().find(|node| same(node)) {
             Some(node) => {
-                // The address of a process stays as it is, whatever the script's entry says.
+                // The process keeps the address that it has in the document, even if the script's entry states another.
                 let kept: Vec<_> = ["address", "listen"]
                     .iter()
                     .filter_map(|key| node.entry(*key).cloned())
--- a/crates/simulator/src/baseline/connecting.rs
+++ b/crates/simulator/src/baseline/connecting.rs
@@ -77,7 +77,8 @@
         self.open(Peer::List, self.list_address.clone(), wait);
     }
 
-    /// Starts connecting to the ready nodes that have no connection and were not tried recently.
+    /// Starts connecting to each ready node that has no connection, unless the last try was less than
+    /// `NODE_RECONNECT_INTERVAL` ago.
     pub(super) fn open_nodes(
         &mut self,
         ready: &BTreeMap<String, ReadyNode>,
--- a/crates/simulator/src/client/state.rs
+++ b/crates/simulator/src/client/state.rs
@@ -156,8 +156,8 @@
     }
 
     /// Switches to a document with more hosts, to which requests of the volumes may go too. Its request classes, volumes
-    /// and plans must be those of the current one, in the same places. A document is ignored if it has hosts without an
-    /// address.
+    /// and plans must be those of the current one, in the same order. A document is ignored if it adds no host, has
+    /// more hosts than the client has addresses for, or has another number of volumes.
     fn switch_document(&mut self, deployment: Arc<Deployment>) {
         let adds_reachable_hosts = deployment.hosts.len() > self.deployment.hosts.len()
             && deployment.hosts.len() <= self.links.by_host.len();
--- a/crates/simulator/src/recording_proxy/wire.rs
+++ b/crates/simulator/src/recording_proxy/wire.rs
@@ -71,7 +71,7 @@
 
     /// Breaks all connections between two names now.
     pub fn cut(&self, from: &str, to: &str) {
-        // `send_replace` wakes each relay even if the names are those of the last cut.
+        // `send_replace` wakes each relay even if the last cut had the same two names.
         self.cuts.send_replace(Cut {
             from: from.into(),
             to: to.into(),
--- a/crates/zone-traffic/src/overruns.rs
+++ b/crates/zone-traffic/src/overruns.rs
@@ -17,13 +17,13 @@
 /// The bytes beyond one budget for one reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Overrun {
-    /// The id of the budget.
+    /// The id of the cross-zone budget that was exceeded.
     pub cross_zone_budget: VolumeId,
-    /// The reason, as far as it was known.
+    /// Why the budget was exceeded, as far as it was known when the bytes were counted.
     pub known: OverrunReason,
-    /// The time of the first bytes.
+    /// The time of the first bytes beyond the budget.
     pub from: Instant,
-    /// The time of the last bytes.
+    /// The time of the last bytes beyond the budget.
     pub to: Instant,
     /// The number of bytes beyond the budget.
     pub bytes: f64,
--- a/tests/decisions/retry_order.rs
+++ b/tests/decisions/retry_order.rs
@@ -1,10 +1,10 @@
 //! A client's retry that arrives after later requests on the same object.
 //!
 //! Requests on one object run one at a time, in their order of arrival at this host. A client's retry counts as
-//! a new request. A rejection may be given out of order. The failure guarded against: the retry is sent while
-//! the two requests that arrived before it are open, and these are rejected after it, as recordings of
-//! `budget-storm` under load seemed to show. The test runs every order of the events that close the two, with
-//! and without a stall of the process.
+//! a new request. A rejection may be given out of order. The test guards against a retry that is sent while the
+//! two requests that arrived before it are still open and are rejected later. Recordings of `budget-storm` under
+//! load appear to show it. The test runs every order of the events that close the two requests, with and
+//! without a stall of the process.
 
 use crate::common::{Host, at, config, ms, node, request};
 use gullsail::api::{
