--- a/crates/cli/tests/stop_soak/soak/draw.rs
+++ b/crates/cli/tests/stop_soak/soak/draw.rs
@@ -13,7 +13,7 @@
 /// A signal and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedSignal {
-    /// After the first SIGTERM, in ms; negative: before it.
+    /// When the signal is sent, in ms after the first SIGTERM; negative: before it.
     pub at_ms: i64,
     pub signal: Signal,
 }
@@ -21,7 +21,7 @@
 /// Clients that all connect at about the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Crowd {
-    /// After the first SIGTERM, in ms; negative: before it.
+    /// When the clients connect, in ms after the first SIGTERM; negative: before it.
     pub at_ms: i64,
     pub clients: usize,
 }
@@ -42,26 +42,26 @@
     pub deadline_ms: u64,
     pub clients: usize,
     pub longest_think_ms: u64,
-    /// Most requests that a client sends at once.
+    /// The maximum number of requests that a client sends at once.
     pub most_at_once: usize,
-    /// Clients that read slowly through a small window.
+    /// The number of clients that read slowly through a small window.
     pub slow_readers: usize,
-    /// Clients of `gullsail host` that ignore `GoAway` and send until the connection ends.
+    /// The number of clients of `gullsail host` that ignore `GoAway` and send until the connection ends.
     pub ignorant_clients: usize,
     pub request_bytes: usize,
     pub response_bytes: usize,
     pub nodes: usize,
     pub hanging_nodes: usize,
     pub node_delay_ms: u64,
-    /// From the start of the load to the first SIGTERM.
+    /// The time in ms from the start of the load to the first SIGTERM.
     pub stop_after_ms: u64,
-    /// Besides the first SIGTERM.
+    /// The signals that the host gets besides the first SIGTERM.
     pub signals: Vec<TimedSignal>,
     pub crowd: Option<Crowd>,
     pub lost: Lost,
-    /// When the peer falls silent, after the first SIGTERM, in ms; negative: before it.
+    /// When the peer falls silent, in ms after the first SIGTERM; negative: before it.
     pub lost_at_ms: i64,
-    /// Operators that give commands over the control socket of `gullsail host`.
+    /// The number of operators that give commands over the control socket of `gullsail host`.
     pub operators: usize,
 }
 
--- a/crates/cli/tests/stop_soak/soak/platform_host.rs
+++ b/crates/cli/tests/stop_soak/soak/platform_host.rs
@@ -15,7 +15,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The host's limit of file descriptors. It leaves 139 for client connections. A crowd of clients needs more.
+/// The host's limit of file descriptors. It leaves 139 for client connections. A crowd of 100 to 300 clients
+/// can exceed that.
 const DESCRIPTORS: usize = 256;
 /// The receive buffer of a slow reader, in bytes.
 const SMALL_WINDOW: usize = 2 << 10;
@@ -23,7 +24,7 @@
 const SLOW_READER_PAUSE: Duration = Duration::from_millis(60);
 /// How much longer than its deadline a client waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(1500);
-/// How long clients continue to use their connections after the host is killed.
+/// How long clients continue after the time at which the platform kills the host, also if the host exited earlier.
 const AFTER_KILL: Duration = Duration::from_millis(300);
 
 /// Switches that silence scripted peers during a run, shared with the peers' threads.
--- a/crates/cli/tests/stop_soak/soak/verdict.rs
+++ b/crates/cli/tests/stop_soak/soak/verdict.rs
@@ -79,7 +79,7 @@
 /// How the host's process ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Exit {
-    /// The process exited with this code.
+    /// The process exited with this code, or a signal ended it: 128 plus the number of the signal.
     Code(i32),
     /// The run killed the process.
     Killed,
--- a/crates/platform/src/core/timer_event.rs
+++ b/crates/platform/src/core/timer_event.rs
@@ -24,7 +24,7 @@
     /// Health checks succeed from now on, even if discovery has not responded.
     ReadyTimeout,
     LogMetrics,
-    /// The present stage of the shutdown ends.
+    /// The current stage of the shutdown ends.
     ShutdownStage,
     /// The process exits: the platform is about to kill it.
     Exit,
--- a/tests/decisions/retry_order.rs
+++ b/tests/decisions/retry_order.rs
@@ -19,11 +19,11 @@
 /// All requests that are open after the arrival of the retry, in order of arrival.
 const OPEN: [u64; 3] = [2, 3, RETRY];
 
-/// How long before the retry the two arrived, in ms. Their objective deadlines, 400 ms after arrival,
+/// How long before the retry the [`EARLIER`] requests arrived, in ms. Their objective deadlines, 400 ms after arrival,
 /// precede that of the retry by as much.
 const AHEAD_OF_RETRY: i64 = 250;
-/// Length in ms of a stall after which the objective deadlines of the two have passed and that of the retry has
-/// not.
+/// Length in ms of a stall after which the objective deadlines of the [`EARLIER`] requests have passed and that of
+/// the retry has not.
 const STALL: i64 = 200;
 
 /// An event that may close a request, or the passing of time.
@@ -33,7 +33,7 @@
     Failed(u64),
     TimedOut(u64),
     ClientLeaves(u64),
-    /// The objective deadlines of the two pass while the process runs.
+    /// The objective deadlines of the [`EARLIER`] requests pass while the process runs.
     ObjectivesPass,
     /// The process stalls: all later events are delivered together at the end.
     Stall,
