--- a/crates/scheduler-api/src/event.rs
+++ b/crates/scheduler-api/src/event.rs
@@ -27,7 +27,7 @@
     pub object: Option<ObjectId>,
     /// For a new object, the pool of nodes that may hold it.
     pub pool: PoolId,
-    /// How long the client waits for the answer.
+    /// How long the client still waits for the answer, counted from the arrival at this host.
     pub timeout: Span,
     /// Number of hosts that serve the volume; 0: unknown.
     pub volume_hosts: u32,
