--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether the rule was kept.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.breaches.is_empty()
     }
 }
--- a/crates/audit/tests/planted/breaches.rs
+++ b/crates/audit/tests/planted/breaches.rs
@@ -156,7 +156,7 @@
     let broken: Vec<_> = r
         .judge()
         .into_iter()
-        .filter(|verdict| !verdict.kept())
+        .filter(|verdict| !verdict.passed())
         .collect();
     assert!(broken.is_empty(), "{broken:?}");
 }
@@ -169,7 +169,7 @@
         let found: Vec<_> = r
             .judge()
             .into_iter()
-            .filter(|verdict| !verdict.kept())
+            .filter(|verdict| !verdict.passed())
             .collect();
         let broken: Vec<_> = found.iter().map(|verdict| verdict.rule).collect();
         assert_eq!(broken, [rule], "{expected}: {found:?}");
--- a/crates/audit/tests/planted/limits.rs
+++ b/crates/audit/tests/planted/limits.rs
@@ -135,7 +135,7 @@
         let verdicts = judge(&d, &r.lines.join("\n")).unwrap();
         let verdict = verdicts.iter().find(|verdict| verdict.rule == 8).unwrap();
         assert_eq!(
-            (verdict.kept(), verdict.tested > 0),
+            (verdict.passed(), verdict.tested > 0),
             (!broken, true),
             "{attempts} {reported}: {verdict:?}"
         );
--- a/crates/audit/tests/planted/main.rs
+++ b/crates/audit/tests/planted/main.rs
@@ -15,7 +15,7 @@
 fn a_sound_recording_keeps_and_tests_every_rule() {
     for verdict in sound().judge() {
         assert!(
-            verdict.kept(),
+            verdict.passed(),
             "rule {}: {:?}",
             verdict.rule,
             verdict.breaches
@@ -30,7 +30,7 @@
     r.submit(50_000, "h1", 90, "read", "v", 1.0);
     r.process("h1", 50_100, ProcessEvent::Killed);
     r.served(60_000, "h2", 91, "read");
-    assert!(r.judge().iter().all(Verdict::kept));
+    assert!(r.judge().iter().all(Verdict::passed));
 }
 
 #[test]
--- a/crates/audit/tests/planted/recording.rs
+++ b/crates/audit/tests/planted/recording.rs
@@ -249,7 +249,7 @@
     let verdicts = judge(d, &r.lines.join("\n")).unwrap();
     verdicts
         .iter()
-        .filter(|v| !v.kept())
+        .filter(|v| !v.passed())
         .map(|v| v.rule)
         .collect()
 }
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -23,7 +23,7 @@
     let built_in = if day == "random" {
         Some(gullsail_scenario::built_in::random(seed))
     } else {
-        gullsail_scenario::built_in::day(day)
+        gullsail_scenario::built_in::find(day)
     };
     let (text, deployment, script) = match built_in {
         Some(text) => {
@@ -85,7 +85,7 @@
     } else {
         print!("{}", gullsail_audit::table(&verdicts, &recording));
     }
-    Ok(if verdicts.iter().all(|verdict| verdict.kept()) {
+    Ok(if verdicts.iter().all(|verdict| verdict.passed()) {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -56,7 +56,7 @@
         "no plan: these constraints conflict; without any one of them there is a plan:\n",
     );
     for bound in bounds {
-        text += &format!("  {}\n", question.say(bound));
+        text += &format!("  {}\n", question.describe(bound));
     }
     text
 }
@@ -82,7 +82,7 @@
     }
     for (from, row) in plan.crosses.iter().enumerate() {
         for (to, bytes) in row.iter().enumerate().filter(|(_, bytes)| **bytes > 1.0) {
-            let limit = question.most(from, to);
+            let limit = question.limit(from, to);
             let limit = limit
                 .map(|limit| format!(" of {:.1}", limit / MIB))
                 .unwrap_or_default();
@@ -100,7 +100,7 @@
             Bound::Budget(_) => ("GiB an hour more", binding.saves * GIB),
             _ => ("node more", binding.saves * 3600.0),
         };
-        let limit = question.say(binding.bound);
+        let limit = question.describe(binding.bound);
         text += &format!("limited by {limit}: one {step} there saves {saves:.4} an hour\n");
     }
     text
--- a/crates/config-transition/src/error.rs
+++ b/crates/config-transition/src/error.rs
@@ -1,4 +1,5 @@
-//! The errors of [`ConfigTransition::go_on`](crate::ConfigTransition::go_on). Operators read their texts.
+//! The errors of [`ConfigTransition::change_revision`](crate::ConfigTransition::change_revision). Operators read their
+//! texts.
 
 use crate::revision_limits::Revision;
 
--- a/crates/config-transition/src/lib.rs
+++ b/crates/config-transition/src/lib.rs
@@ -11,6 +11,6 @@
 mod transition;
 
 pub use error::TransitionError;
-pub use notice::{AddressedNotice, MOST_HOSTS, NoticeEffect, NoticeOutcome, RevisionNotice};
+pub use notice::{AddressedNotice, MAX_HOSTS, NoticeEffect, NoticeOutcome, RevisionNotice};
 pub use revision_limits::{Revision, RevisionLimits, SharedLimit};
 pub use transition::{ConfigTransition, LaggingHost};
--- a/crates/config-transition/src/notice.rs
+++ b/crates/config-transition/src/notice.rs
@@ -5,7 +5,7 @@
 use gullsail_scheduler_api::HostId;
 
 /// The most hosts that one notice can report on: one bit each, so that a notice stays within 256 bytes.
-pub const MOST_HOSTS: u32 = 1900;
+pub const MAX_HOSTS: u32 = 1900;
 
 /// A report of the hosts that are known to follow a revision or a later one.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/config-transition/src/transition.rs
+++ b/crates/config-transition/src/transition.rs
@@ -144,7 +144,7 @@
     }
 
     /// Extends the number of hosts to `hosts`. The new hosts never followed an older revision than the current one.
-    pub fn joined(&mut self, hosts: u32) {
+    pub fn extend_hosts(&mut self, hosts: u32) {
         let revision = self.revision();
         let count = (hosts as usize).max(self.reached.len());
         self.reached.resize(count, revision);
@@ -152,7 +152,11 @@
 
     /// Sets this host's granted share of each volume and the hosts whose member lease has expired. The shares apply to
     /// the limits by all revisions of the chain.
-    pub fn settle(&mut self, shares: BTreeMap<VolumeId, f64>, expired_members: BTreeSet<HostId>) {
+    pub fn set_shares(
+        &mut self,
+        shares: BTreeMap<VolumeId, f64>,
+        expired_members: BTreeSet<HostId>,
+    ) {
         self.shares = Some(shares);
         self.expired_members = expired_members;
         self.drop_outdated();
@@ -196,7 +200,7 @@
     /// # Errors
     /// The chain does not continue from the current revision, or does not reach back to every revision that other hosts
     /// may still follow. The state is unchanged.
-    pub fn go_on(
+    pub fn change_revision(
         &mut self,
         chain: Vec<RevisionLimits>,
         now: Instant,
@@ -276,7 +280,7 @@
     }
 
     /// Returns this host's limit for a volume by the chain; `None`: no limit applies.
-    pub fn limit_of(&self, volume: VolumeId) -> Option<Limit> {
+    pub fn limit_for(&self, volume: VolumeId) -> Option<Limit> {
         let share = self.share(volume);
         let limits = self
             .chain
@@ -323,7 +327,7 @@
         if even.host_count == 0 {
             return even;
         }
-        let limit = self.limit_of(id);
+        let limit = self.limit_for(id);
         let even_limit = self.current().limit_for(id, self.me, None);
         // An even share is returned without a host limit, so that rounding does not produce two values for the same
         // limit.
--- a/crates/config-transition/tests/transition.rs
+++ b/crates/config-transition/tests/transition.rs
@@ -126,7 +126,7 @@
         let chain = self.revisions[..=to].to_vec();
         let host = &mut self.hosts[host];
         if let Some(transition) = &mut host.transition {
-            transition.go_on(chain, self.now).unwrap();
+            transition.change_revision(chain, self.now).unwrap();
             host.file = to;
         }
     }
@@ -209,7 +209,7 @@
             let mut rate = 0.0;
             let mut burst = 0.0;
             for transition in self.running() {
-                let host_limit = transition.limit_of(*id).unwrap_or(unlimited);
+                let host_limit = transition.limit_for(*id).unwrap_or(unlimited);
                 rate += host_limit.rate;
                 burst += host_limit.burst;
             }
@@ -299,7 +299,7 @@
         );
         for id in [VolumeId(0), VolumeId(1)] {
             assert_eq!(
-                transition.limit_of(id),
+                transition.limit_for(id),
                 last.limit_for(id, HostId(number), None)
             );
         }
@@ -327,7 +327,7 @@
 }
 
 fn rate(transition: &ConfigTransition) -> Option<f64> {
-    transition.limit_of(VolumeId(7)).map(|limit| limit.rate)
+    transition.limit_for(VolumeId(7)).map(|limit| limit.rate)
 }
 
 /// Runs eight rounds of notices among hosts without losses.
@@ -377,14 +377,14 @@
         .map(|me| ConfigTransition::new(HostId(me), 3, vec![old.clone()], at(0)))
         .collect();
     assert_eq!(hosts[0].changed(), []);
-    hosts[0].go_on(chain.clone(), at(1)).unwrap();
-    hosts[2].go_on(chain.clone(), at(1)).unwrap();
+    hosts[0].change_revision(chain.clone(), at(1)).unwrap();
+    hosts[2].change_revision(chain.clone(), at(1)).unwrap();
     let changed = hosts[2].changed();
     assert_eq!(changed.len(), 1);
     assert_eq!(changed[0].host_count, 3);
     assert_eq!(changed[0].host_limit.map(|limit| limit.rate), Some(0.0));
     assert_eq!([rate(&hosts[0]), rate(&hosts[2])], case.during.map(Some));
-    hosts[1].go_on(chain, at(1)).unwrap();
+    hosts[1].change_revision(chain, at(1)).unwrap();
     exchange_notices(&mut hosts);
     assert_eq!([rate(&hosts[0]), rate(&hosts[2])], case.after.map(Some));
     // The change back to an even share is reported once.
@@ -471,13 +471,13 @@
         let mut transition = ConfigTransition::new(HostId(0), 3, chain(held), at(0));
         let last = case.next.last().map(|limits| limits.revision);
         let revision_before = transition.revision();
-        let limit_before = transition.limit_of(VolumeId(7));
-        match (transition.go_on(case.next, at(1)), case.refused) {
+        let limit_before = transition.limit_for(VolumeId(7));
+        match (transition.change_revision(case.next, at(1)), case.refused) {
             (Ok(()), None) => assert_eq!(Some(transition.revision()), last),
             (Err(error), Some(why)) => {
                 assert!(error.to_string().contains(why), "{error}");
                 assert_eq!(transition.revision(), revision_before, "the revision stays");
-                assert_eq!(transition.limit_of(VolumeId(7)), limit_before);
+                assert_eq!(transition.limit_for(VolumeId(7)), limit_before);
             }
             (result, _) => panic!("{held:?}: {result:?}"),
         }
--- a/crates/configuration/src/revisions.rs
+++ b/crates/configuration/src/revisions.rs
@@ -9,7 +9,7 @@
 use crate::reader::Reader;
 use crate::revision_entry::entry;
 use crate::source_map::{Loader, beside};
-use gullsail_config_transition::{MOST_HOSTS, RevisionLimits, SharedLimit};
+use gullsail_config_transition::{MAX_HOSTS, RevisionLimits, SharedLimit};
 
 /// Documents before documents: the line is as long as hosts are behind.
 const MOST: usize = 16;
@@ -61,8 +61,8 @@
             Err((message, help)) => reader.report("after", message, at, help),
         }
     }
-    if let Some(n) = entry(&document).filter(|_| built.hosts.len() > MOST_HOSTS as usize) {
-        let message = format!("documents of more than {MOST_HOSTS} hosts can't be numbered yet");
+    if let Some(n) = entry(&document).filter(|_| built.hosts.len() > MAX_HOSTS as usize) {
+        let message = format!("documents of more than {MAX_HOSTS} hosts can't be numbered yet");
         reader.report("too-much", message, n.span(), None);
     }
     line.push(revision_limits(&built));
--- a/crates/host/src/core/config_change.rs
+++ b/crates/host/src/core/config_change.rs
@@ -104,12 +104,12 @@
         }
         self.config_change
             .transition
-            .go_on(proposal.to.limit_history.clone(), self.now)
+            .change_revision(proposal.to.limit_history.clone(), self.now)
             .map_err(|error| vec![error.to_string()])?;
         let old = std::mem::replace(&mut self.deployment, proposal.to.clone());
         self.config_change
             .transition
-            .joined(self.deployment.hosts.len() as u32);
+            .extend_hosts(self.deployment.hosts.len() as u32);
         self.update_fleet_config();
         // The positions of plans may have changed, so the plans are reported even if no allocation changed.
         self.report_config(true);
--- a/crates/host/src/core/fleet.rs
+++ b/crates/host/src/core/fleet.rs
@@ -222,7 +222,7 @@
         let inactive: BTreeSet<HostId> = fleet.inactive_hosts().collect();
         let was_inactive = std::mem::replace(&mut self.fleet.inactive_members, inactive.clone());
         self.log_shares();
-        self.config_change.transition.settle(shares, inactive);
+        self.config_change.transition.set_shares(shares, inactive);
         let allocations = self.config_change.transition.changed();
         let slow_start_share = self.delay_slow_start_increase(slow_start_share);
         self.report_allocations(allocations, slow_start_share);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -336,7 +336,7 @@
     }
 
     /// A description of a bound.
-    pub fn say(&self, bound: Bound) -> String {
+    pub fn describe(&self, bound: Bound) -> String {
         match bound {
             Bound::Nodes(z) => {
                 format!(
@@ -360,7 +360,7 @@
     }
 
     /// The budget from one zone to another, if there is one.
-    pub fn most(&self, from: usize, to: usize) -> Option<f64> {
+    pub fn limit(&self, from: usize, to: usize) -> Option<f64> {
         self.budget(from, to).map(|place| self.budgets[place].limit)
     }
 }
--- a/crates/scenario/src/built_in.rs
+++ b/crates/scenario/src/built_in.rs
@@ -33,7 +33,7 @@
 }
 
 /// The document of a built-in scenario.
-pub fn day(name: &str) -> Option<String> {
+pub fn find(name: &str) -> Option<String> {
     let script = DAYS.iter().find(|d| d.0 == name)?.1;
     let hosts = match name {
         // The deployment of `budget-many`, with more hosts.
--- a/crates/scenario/src/run/report.rs
+++ b/crates/scenario/src/run/report.rs
@@ -44,7 +44,7 @@
 impl Report {
     /// Whether all rules were kept, the wanted ones were tested, and nothing else failed.
     pub fn passed(&self) -> bool {
-        self.verdicts.iter().all(Verdict::kept)
+        self.verdicts.iter().all(Verdict::passed)
             && self.untested.is_empty()
             && self.failures.is_empty()
     }
