--- a/crates/benchlink/tests/same_config.rs
+++ b/crates/benchlink/tests/same_config.rs
@@ -54,7 +54,7 @@
         &message,
         &document.names,
         &document.config,
-        &document.reach,
+        &document.connection_settings,
     );
     Request {
         id: RequestId(5),
--- a/crates/cli/benches/host_cost/processes.rs
+++ b/crates/cli/benches/host_cost/processes.rs
@@ -155,7 +155,7 @@
                 let clock = HostClock::start(Span::ZERO);
                 let process = HostProcess {
                     deployment: d.clone(),
-                    me: HostId((first + i) as u32),
+                    host: HostId((first + i) as u32),
                     seed: 1,
                     incarnation: 1,
                     clock,
--- a/crates/cli/benches/service/main.rs
+++ b/crates/cli/benches/service/main.rs
@@ -81,7 +81,7 @@
     for hour in 0..hours {
         let mut latency =
             Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).expect("a histogram");
-        w.open = true;
+        w.clients_active = true;
         // Collection sizes are sampled each minute at load and averaged, and once more after all clients have left.
         let mut mean_sizes = BTreeMap::new();
         for _ in 0..54 {
@@ -94,7 +94,7 @@
                 .for_each(|ns| latency.saturating_record(ns.max(1)));
         }
         mean_sizes.values_mut().for_each(|n| *n /= 54);
-        w.open = false;
+        w.clients_active = false;
         w.play(minutes(6.0));
         w.latency.clear();
         busy.push(mean_sizes);
@@ -122,9 +122,9 @@
     );
     println!(
         "answered {}, incarnations of hosts {}, documents accepted {}",
-        w.answered, w.incarnations, w.taken_documents
+        w.answered, w.incarnations, w.accepted_documents
     );
-    w.turned_down
+    w.refused
         .iter()
         .for_each(|(why, n)| println!("refused {n} times: {why}"));
     println!(
@@ -138,7 +138,8 @@
         let ((b0, b1), (q0, q1)) = (thirds(&sizes(&busy)), thirds(&sizes(&quiet)));
         println!("{name:<22} {b0:>17.1} {b1:>11.1} {q0:>20.1} {q1:>11.1}");
         // The ledger of zone traffic fills up to its bound.
-        let fills = *name == "core.account" && b1 <= (world::HOSTS * world::ACCOUNT) as f64;
+        let fills =
+            *name == "core.account" && b1 <= (world::HOSTS * world::MAX_LEDGER_TOTALS) as f64;
         if !fills && (b1 > b0 * 1.2 + 8.0 || q1 > q0 * 1.2 + 8.0) {
             growing.push(*name);
         }
--- a/crates/cli/benches/service/sockets.rs
+++ b/crates/cli/benches/service/sockets.rs
@@ -5,7 +5,7 @@
 use crate::{process_status, thirds};
 use bytes::BytesMut;
 use gullsail_configuration::{Deployment, Memory, load};
-use gullsail_host::control::{Control, ControlReply, ControlRequest, ask};
+use gullsail_host::control::{Control, ControlReply, ControlRequest, send_request};
 use gullsail_host::runtime::{self, HostClock, HostProcess};
 use gullsail_protocol::{
     Bounds, Frame, Handle, Hello, ListedEndpoint, Message, Role, Submit, Withdraw, decode,
@@ -218,7 +218,7 @@
             let clock = HostClock::start(Span::ZERO);
             let process = HostProcess {
                 deployment: d,
-                me: HostId(0),
+                host: HostId(0),
                 seed: 1,
                 incarnation: 9,
                 clock,
@@ -239,7 +239,7 @@
             let mut all = JoinSet::new();
             (0..CLIENTS).for_each(|place| _ = all.spawn(client(address.clone(), place)));
             tokio::time::sleep(Duration::from_millis(50)).await;
-            let reload = ask(
+            let reload = send_request(
                 &socket,
                 ControlRequest::Reload { insist: true },
                 Duration::from_secs(10),
@@ -252,7 +252,7 @@
             (answers, reload)
         });
         accepted += usize::from(matches!(reload, Ok(ControlReply::Taken { .. })));
-        let state = clients.block_on(ask(
+        let state = clients.block_on(send_request(
             &socket,
             ControlRequest::Status,
             Duration::from_secs(10),
--- a/crates/cli/benches/service/world.rs
+++ b/crates/cli/benches/service/world.rs
@@ -28,7 +28,7 @@
 /// Number of hosts.
 pub const HOSTS: usize = 4;
 /// Maximum number of totals in one host's ledger of zone traffic: those in its buckets, and those of removed buckets.
-pub const ACCOUNT: usize = 16_384 + 2 * 4096;
+pub const MAX_LEDGER_TOTALS: usize = 16_384 + 2 * 4096;
 const SHARDS: i64 = 6;
 const VOLUMES: u64 = 8;
 /// Clients of each host.
@@ -51,7 +51,7 @@
     deployment: Arc<Deployment>,
     revision: u64,
     /// Whether clients connect and send requests. If false, they leave.
-    pub open: bool,
+    pub clients_active: bool,
     /// Whether nodes, hosts and documents are replaced.
     pub changing: bool,
     /// Mean number of seconds between a client's requests.
@@ -59,9 +59,9 @@
     /// Number of answers and refusals that clients received.
     pub answered: u64,
     /// Number of documents that hosts accepted, over all hosts.
-    pub taken_documents: u64,
+    pub accepted_documents: u64,
     /// Number of documents that hosts refused, by the reason.
-    pub turned_down: BTreeMap<String, u64>,
+    pub refused: BTreeMap<String, u64>,
     /// Number of starts of hosts.
     pub incarnations: u64,
     /// The time in nanoseconds, for `latency`. In tests it is always 0.
@@ -90,12 +90,12 @@
             list_subscribers: Vec::new(),
             deployment: document(1),
             revision: 1,
-            open: true,
+            clients_active: true,
             changing: true,
             request_interval,
             answered: 0,
-            taken_documents: 0,
-            turned_down: BTreeMap::new(),
+            accepted_documents: 0,
+            refused: BTreeMap::new(),
             incarnations: 0,
             clock: || 0,
             latency: Vec::new(),
--- a/crates/cli/benches/service/world/clients.rs
+++ b/crates/cli/benches/service/world/clients.rs
@@ -4,7 +4,7 @@
 use super::state::{Event, Peer};
 use super::{SHARDS, World};
 use bytes::Bytes;
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{Frame, Handle, Hello, Role, Submit, Withdraw};
 use gullsail_scheduler_api::Span;
 use rand::Rng;
@@ -12,7 +12,7 @@
 impl World {
     /// A client connects to a host, if clients are active and the host accepts the connection.
     pub(super) fn connect_client(&mut self, h: usize) {
-        if !self.open {
+        if !self.clients_active {
             return self.schedule(Span::from_micros(5_000_000), Event::ClientConnects(h));
         }
         let now = self.now;
@@ -32,12 +32,12 @@
     }
 
     /// A connected client leaves, or sends its next request; at times it first withdraws the newest one.
-    pub(super) fn client_turn(&mut self, h: usize, link: LinkId) {
+    pub(super) fn client_turn(&mut self, h: usize, link: ConnectionId) {
         let incarnation = self.members[h].incarnation;
         if !self.members[h].clients.contains_key(&link) {
             return;
         }
-        if !self.open || self.rng.random_bool(0.004) {
+        if !self.clients_active || self.rng.random_bool(0.004) {
             return self.client_leaves(h, link);
         }
         if self.rng.random_bool(0.03) {
@@ -60,7 +60,7 @@
     }
 
     /// A client closes its connection and schedules the next one.
-    pub(super) fn client_leaves(&mut self, h: usize, link: LinkId) {
+    pub(super) fn client_leaves(&mut self, h: usize, link: ConnectionId) {
         if self.members[h].clients.remove(&link).is_none() {
             return;
         }
--- a/crates/cli/benches/service/world/hosts.rs
+++ b/crates/cli/benches/service/world/hosts.rs
@@ -5,7 +5,7 @@
 use super::{CLIENTS, World};
 use gullsail_configuration::diff::diff;
 use gullsail_host::core::config_change::{Proposal, ProposalOutcome};
-use gullsail_host::core::{Core, Input, LinkId, Output};
+use gullsail_host::core::{ConnectionId, Core, Input, Output};
 use gullsail_protocol::{Frame, Message};
 use gullsail_scheduler_api::{HostId, Span};
 use rand::Rng;
@@ -111,9 +111,9 @@
                 self.members[h].clients.remove(&link);
             }
             Output::ProposalDecided { outcome, .. } => match outcome {
-                ProposalOutcome::Taken { .. } => self.taken_documents += 1,
+                ProposalOutcome::Taken { .. } => self.accepted_documents += 1,
                 ProposalOutcome::TurnedDown(why) => {
-                    *self.turned_down.entry(why.join("; ")).or_default() += 1;
+                    *self.refused.entry(why.join("; ")).or_default() += 1;
                 }
             },
             Output::CommandOutcome { .. }
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, h: usize, link: LinkId, frame: Frame) {
+    pub(super) fn send(&mut self, h: usize, link: ConnectionId, frame: Frame) {
         let incarnation = self.members[h].incarnation;
         let Some(peer) = self.members[h].peers.get(&link).cloned() else {
             return;
--- a/crates/cli/benches/service/world/state.rs
+++ b/crates/cli/benches/service/world/state.rs
@@ -1,6 +1,6 @@
 //! Scheduled events, and the state of a world's hosts and nodes.
 
-use gullsail_host::core::{Core, Input, LinkId};
+use gullsail_host::core::{ConnectionId, Core, Input};
 use gullsail_protocol::{Frame, ListedState};
 use gullsail_scheduler_api::Instant;
 use gullsail_simulator::node_model::Model;
@@ -18,9 +18,9 @@
     /// A client connects to a host.
     ClientConnects(usize),
     /// A connected client acts.
-    ClientTurn(usize, LinkId),
+    ClientTurn(usize, ConnectionId),
     /// A client leaves after a `GoAway`.
-    ClientLeaves(usize, LinkId),
+    ClientLeaves(usize, ConnectionId),
     EachSecond,
 }
 
@@ -30,12 +30,12 @@
     pub(super) host: usize,
     /// The host's incarnation.
     pub(super) incarnation: u64,
-    pub(super) link: LinkId,
+    pub(super) link: ConnectionId,
 }
 
 impl HostEnd {
     /// The event by which the host receives an input on this connection.
-    pub(super) fn receives(self, input: impl FnOnce(LinkId) -> Input) -> Event {
+    pub(super) fn receives(self, input: impl FnOnce(ConnectionId) -> Input) -> Event {
         Event::ToHost(self.host, self.incarnation, input(self.link))
     }
 }
@@ -71,9 +71,9 @@
     pub(super) incarnation: u64,
     pub(super) next_wake_up_at: Option<Instant>,
     /// The peer of each connection. For another host, this is that host's end of the connection.
-    pub(super) peers: BTreeMap<LinkId, Peer>,
+    pub(super) peers: BTreeMap<ConnectionId, Peer>,
     /// The id of each client's newest request; 0 before the first.
-    pub(super) clients: BTreeMap<LinkId, u64>,
+    pub(super) clients: BTreeMap<ConnectionId, u64>,
 }
 
 impl Member {
--- a/crates/cli/src/documents.rs
+++ b/crates/cli/src/documents.rs
@@ -300,7 +300,8 @@
 }
 
 async fn send_request(control: &Path, request: ControlRequest) -> Result<ControlReply> {
-    let reply = gullsail_host::control::ask(control, request, Duration::from_secs(60)).await;
+    let reply =
+        gullsail_host::control::send_request(control, request, Duration::from_secs(60)).await;
     let unreadable = reply
         .as_ref()
         .is_err_and(|e| e.kind() == std::io::ErrorKind::InvalidData);
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -3,7 +3,7 @@
 
 use crate::documents::state;
 use gullsail_fleet::maintenance::Stage;
-use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_host::control::{ControlReply, ControlRequest, send_request};
 use gullsail_host::core::maintenance::{MaintenanceView, OperatorCommand, OrderView};
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::{IntoDiagnostic, Result, WrapErr, miette};
@@ -28,7 +28,7 @@
     wait_for: Option<Vec<String>>,
 ) -> Result<ExitCode> {
     let request = ControlRequest::OperatorCommand(command);
-    let reply = match ask(control, request, COMMAND_TIMEOUT).await {
+    let reply = match send_request(control, request, COMMAND_TIMEOUT).await {
         Err(error) if error.kind() == io::ErrorKind::UnexpectedEof => {
             return Ok(result_unknown(&error.to_string()));
         }
@@ -106,7 +106,7 @@
 fn servers_named(view: &MaintenanceView, names: &[String]) -> Vec<String> {
     let names_a_server = |name: &String| view.orders.iter().any(|order| order.server == *name);
     let all_are_servers = names.iter().all(names_a_server);
-    let open = view.orders.iter().filter(|order| !order.stage.over());
+    let open = view.orders.iter().filter(|order| !order.stage.has_ended());
     let named = open.filter(|order| !all_are_servers || names.contains(&order.server));
     named.map(|order| order.server.clone()).collect()
 }
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -70,7 +70,7 @@
         .iter()
         .map(|host| host.name.as_str())
         .collect();
-    let me = deployment.host(name).ok_or_else(|| {
+    let host = deployment.host(name).ok_or_else(|| {
         miette!(
             help = format!("its hosts are {}", known.join(", ")),
             "{}: no host \"{name}\"",
@@ -82,12 +82,12 @@
         bound.wrap_err_with(|| format!("cannot open a control socket at {}", path.display()))
     });
     let control = control.transpose()?;
-    let (listener, incarnation) = listen(&deployment.hosts[me.0 as usize].listen, name).await?;
-    let clock = HostClock::start(parse_clock_offset(clock_ahead)?).running(drift);
+    let (listener, incarnation) = listen(&deployment.hosts[host.0 as usize].listen, name).await?;
+    let clock = HostClock::start(parse_clock_offset(clock_ahead)?).with_rate_offset(drift);
     info!(host = name, incarnation, "host started");
     let process = HostProcess {
         deployment: Arc::new(deployment),
-        me,
+        host,
         seed,
         incarnation,
         clock,
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -220,7 +220,7 @@
 /// error, status requests are answered, and once the disk responds a reload succeeds.
 #[test]
 fn a_blocked_read_of_a_document_does_not_block_the_control_socket() {
-    use gullsail_host::control::{Control, ControlReply, ControlRequest, ask};
+    use gullsail_host::control::{Control, ControlReply, ControlRequest, send_request};
     use gullsail_host::runtime::{self, HostClock, HostProcess};
     use std::sync::{Arc, Mutex, mpsc};
     use std::time::Duration;
@@ -239,13 +239,13 @@
     runtime.block_on(async {
         let control = Control::bind(&socket, Arc::new(load))
             .unwrap()
-            .reading_within(Duration::from_millis(100));
+            .with_read_timeout(Duration::from_millis(100));
         let d = Arc::new(gullsail_configuration::parse("main.kdl", DOCUMENT).unwrap());
         let clock = HostClock::start(gullsail_scheduler_api::Span::ZERO);
-        let me = gullsail_scheduler_api::HostId(0);
+        let host = gullsail_scheduler_api::HostId(0);
         let process = HostProcess {
             deployment: d,
-            me,
+            host,
             seed: 1,
             incarnation: 1,
             clock,
@@ -256,7 +256,7 @@
             let _ = stopped.await;
         }));
         let long = Duration::from_secs(30);
-        let reload = || ask(&socket, ControlRequest::Reload { insist: false }, long);
+        let reload = || send_request(&socket, ControlRequest::Reload { insist: false }, long);
         for expected in [
             "was not read within",
             "still being read",
@@ -267,7 +267,9 @@
                 reply => panic!("{reply:?}"),
             }
             assert!(matches!(
-                ask(&socket, ControlRequest::Status, long).await.unwrap(),
+                send_request(&socket, ControlRequest::Status, long)
+                    .await
+                    .unwrap(),
                 ControlReply::Status(_)
             ));
         }
--- a/crates/cli/tests/loopback/rig.rs
+++ b/crates/cli/tests/loopback/rig.rs
@@ -82,7 +82,7 @@
     let clock = HostClock::start(Span::ZERO);
     let process = HostProcess {
         deployment: d.clone(),
-        me: HostId(0),
+        host: HostId(0),
         seed: 1,
         incarnation: 5,
         clock,
--- a/crates/cli/tests/service.rs
+++ b/crates/cli/tests/service.rs
@@ -44,7 +44,7 @@
             play_round(&mut w);
         }
         assert!(
-            w.answered > 20_000 && w.incarnations > 10 && w.taken_documents > 100,
+            w.answered > 20_000 && w.incarnations > 10 && w.accepted_documents > 100,
             "seed {seed}: too little happened"
         );
         let [taken, _, done, ..] = w.outcomes();
@@ -62,9 +62,9 @@
 }
 
 fn play_round(w: &mut World) {
-    w.open = true;
+    w.clients_active = true;
     w.play(minutes(SERVICE_MINUTES));
-    w.open = false;
+    w.clients_active = false;
     w.play(minutes(QUIET_MINUTES));
 }
 
@@ -74,7 +74,7 @@
     for (name, length) in &held {
         let most = match *name {
             // The account grows up to a separate bound, which the tests of `zones` check.
-            "core.account" => world::HOSTS * world::ACCOUNT,
+            "core.account" => world::HOSTS * world::MAX_LEDGER_TOTALS,
             "core.starts" => expected["core.nodes"] * MAX_INCARNATIONS,
             _ => expected[name],
         };
--- a/crates/configuration/src/deployment.rs
+++ b/crates/configuration/src/deployment.rs
@@ -58,16 +58,16 @@
     }
 
     /// What the decisions at one host are told.
-    pub fn config(&self, me: HostId) -> SchedulerConfig {
+    pub fn config(&self, host_id: HostId) -> SchedulerConfig {
         let zone = self
             .hosts
-            .get(me.0 as usize)
+            .get(host_id.0 as usize)
             .map(|h| h.zone)
             .filter(|_| !self.cross_zone_budgets.is_empty());
         SchedulerConfig {
-            me,
+            host_id,
             zone,
-            cross_zone_budgets: self.cross_zone_budgets_at(me),
+            cross_zone_budgets: self.cross_zone_budgets_at(host_id),
             ..self.config.clone()
         }
     }
--- a/crates/configuration/tests/documents.rs
+++ b/crates/configuration/tests/documents.rs
@@ -25,7 +25,7 @@
 fn a_sound_document_becomes_config() {
     let d = parse("sound.kdl", SOUND).unwrap();
     let f = d.config(HostId(1));
-    assert_eq!((f.me, f.host_count, f.max_attempts), (HostId(1), 2, 3));
+    assert_eq!((f.host_id, f.host_count, f.max_attempts), (HostId(1), 2, 3));
     assert_eq!(
         (f.tick, f.slow_start.window),
         (Span::from_millis(20.0), Span::from_millis(1500.0))
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -163,7 +163,7 @@
     }
 
     /// Resumes reading (`on`) or stops it, as back pressure on the other side.
-    pub fn reading(&self, on: bool) {
+    pub fn set_reading(&self, on: bool) {
         self.reading
             .send_if_modified(|was| std::mem::replace(was, on) != on);
     }
--- a/crates/fleet/src/fleet/maintenance_coordination.rs
+++ b/crates/fleet/src/fleet/maintenance_coordination.rs
@@ -140,10 +140,10 @@
         };
         let mut servers = self.maintenance.servers.clone();
         for server in servers.values_mut() {
-            if let ServerRole::Host(host) = server.what {
+            if let ServerRole::Host(host) = server.role {
                 let member = role.shares.members.get(&HostId(host));
                 server.incarnation = member.map_or(0, |member| member.incarnation);
-                server.well = member.is_some_and(Member::is_active);
+                server.in_service = member.is_some_and(Member::is_active);
             }
         }
         servers
--- a/crates/fleet/src/fleet/maintenance_participant.rs
+++ b/crates/fleet/src/fleet/maintenance_participant.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns this host's copy of the order book; `None`: it has not received one since its start.
-    pub fn line(&self) -> Option<&OrderBook> {
+    pub fn order_book(&self) -> Option<&OrderBook> {
         self.maintenance.order_book.as_ref()
     }
 
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn server_of(&self, host: HostId) -> Option<ServerId> {
-        let is_host = |seen: &ServerObservation| seen.what == ServerRole::Host(host.0);
+        let is_host = |seen: &ServerObservation| seen.role == ServerRole::Host(host.0);
         let mut servers = self.maintenance.servers.iter();
         servers
             .find(|(_, seen)| is_host(seen))
--- a/crates/fleet/src/maintenance/access.rs
+++ b/crates/fleet/src/maintenance/access.rs
@@ -24,7 +24,7 @@
     let stage = order_book
         .order(server)
         .map(|order| order.stage)
-        .filter(|stage| stage.open());
+        .filter(|stage| stage.is_open());
     match unconfirmed_since {
         None => stage.is_none_or(|stage| !stage.blocks_attempts()),
         // There may be newer orders than in the copy, so after the isolation grace this host sends to no server. The
--- a/crates/fleet/src/maintenance/blockers.rs
+++ b/crates/fleet/src/maintenance/blockers.rs
@@ -55,7 +55,7 @@
         .quiet_hours()
         .or_else(|| check.coordinator_drains_last())
         .or_else(|| check.too_many_away())
-        .or_else(|| match seen.what {
+        .or_else(|| match seen.role {
             ServerRole::Host(host) => check.quorum(host),
             ServerRole::Node { shard, can, .. } => {
                 check.shard(shard).or_else(|| check.capacity(can))
@@ -117,7 +117,7 @@
     }
 
     fn coordinator_drains_last(&self) -> Option<Blocker> {
-        let is_coordinator = self.seen.what == ServerRole::Host(self.snapshot.coordinator);
+        let is_coordinator = self.seen.role == ServerRole::Host(self.snapshot.coordinator);
         let is_ahead =
             |other: &Order| other.server != self.order.server && other.stage <= Stage::Draining;
         if is_coordinator && self.order_book.open().any(is_ahead) {
@@ -203,7 +203,7 @@
 
     fn nodes(&self) -> impl Iterator<Item = Node> {
         self.snapshot.servers.iter().filter_map(|(server, seen)| {
-            let ServerRole::Node { shard, can, .. } = seen.what else {
+            let ServerRole::Node { shard, can, .. } = seen.role else {
                 return None;
             };
             let stays = *server != self.order.server && !self.is_away(*server, seen);
@@ -280,11 +280,11 @@
 
 /// Whether a server counts for limits and capacities. A spare node that has never run does not count as failed.
 fn exists(seen: &ServerObservation) -> bool {
-    seen.well || seen.incarnation != 0 || matches!(seen.what, ServerRole::Host(_))
+    seen.in_service || seen.incarnation != 0 || matches!(seen.role, ServerRole::Host(_))
 }
 
 fn host_of(seen: &ServerObservation) -> Option<u32> {
-    if let ServerRole::Host(host) = seen.what {
+    if let ServerRole::Host(host) = seen.role {
         Some(host)
     } else {
         None
@@ -292,7 +292,7 @@
 }
 
 fn same_pool(one: &ServerObservation, other: &ServerObservation) -> bool {
-    match (&one.what, &other.what) {
+    match (&one.role, &other.role) {
         (ServerRole::Node { pool: one, .. }, ServerRole::Node { pool: other, .. }) => one == other,
         (ServerRole::Host(_), ServerRole::Host(_)) => true,
         _ => false,
--- a/crates/fleet/src/maintenance/coordinator.rs
+++ b/crates/fleet/src/maintenance/coordinator.rs
@@ -169,7 +169,8 @@
             self.plan_order(config, maintenance, now, snapshot, order, &mut plan);
         }
         let restarted = restarted_hosts(order_book, snapshot);
-        let is_outdated = |order: &&Order| order.stage.over() && order.aged(now) >= SHOWN_AFTER_END;
+        let is_outdated =
+            |order: &&Order| order.stage.has_ended() && order.time_in_stage(now) >= SHOWN_AFTER_END;
         let outdated: Vec<u64> = order_book
             .orders
             .iter()
--- a/crates/fleet/src/maintenance/coordinator/commands.rs
+++ b/crates/fleet/src/maintenance/coordinator/commands.rs
@@ -157,7 +157,7 @@
         };
         // The new order replaces a done or cancelled one of the same server.
         order_book.orders.retain(|order| order.server != server);
-        let longest = if command.longest_ms == 0 {
+        let max_offline = if command.longest_ms == 0 {
             maintenance.longest
         } else {
             Span::from_millis(command.longest_ms as f64)
@@ -171,7 +171,7 @@
             version,
             age: Span::ZERO,
             as_of: now,
-            longest,
+            max_offline,
             shard_away: command.shard_away,
             returns_on_restart: command.returns,
             reason: truncate(&command.reason),
@@ -184,7 +184,9 @@
 }
 
 fn open_order(order_book: &OrderBook, server: ServerId) -> Option<&Order> {
-    order_book.order(server).filter(|order| order.stage.open())
+    order_book
+        .order(server)
+        .filter(|order| order.stage.is_open())
 }
 
 /// Returns why a command is refused for one server; `None`: it is not refused.
@@ -212,7 +214,7 @@
             Some(CommandRefusal::AlreadyOffline)
         }
         (CommandKind::Cancel, Some(Stage::Draining))
-            if matches!(seen.what, ServerRole::Host(_)) =>
+            if matches!(seen.role, ServerRole::Host(_)) =>
         {
             Some(CommandRefusal::HostIsDraining)
         }
--- a/crates/fleet/src/maintenance/coordinator/stages.rs
+++ b/crates/fleet/src/maintenance/coordinator/stages.rs
@@ -75,7 +75,7 @@
 ) -> Vec<RestartedHost> {
     let restarted = |order: &Order| {
         let seen = snapshot.servers.get(&order.server)?;
-        let is_host = matches!(seen.what, ServerRole::Host(_));
+        let is_host = matches!(seen.role, ServerRole::Host(_));
         let is_other = seen.incarnation != 0 && seen.incarnation != order.incarnation;
         let restarted = order.stage == Stage::Draining && is_host && is_other;
         restarted.then_some(RestartedHost {
@@ -110,7 +110,7 @@
             }
             Stage::Drained => plan.wait(order, NO_MAJORITY_HAS_ORDER, order.hosts.clone()),
             Stage::Offline | Stage::Overdue => plan_offline(now, snapshot, seen, order, plan),
-            Stage::Returning if order.aged(now) >= maintenance.watched => {
+            Stage::Returning if order.time_in_stage(now) >= maintenance.watched => {
                 if seen.is_some_and(|seen| snapshot.is_well(seen)) {
                     plan.change(order, Stage::Done);
                 } else {
@@ -136,7 +136,7 @@
         order: &Order,
         plan: &mut StagePlan,
     ) {
-        let users: Vec<HostId> = match seen.map(|seen| &seen.what) {
+        let users: Vec<HostId> = match seen.map(|seen| &seen.role) {
             Some(ServerRole::Host(host)) => vec![HostId(*host)],
             _ => config.all_hosts().collect(),
         };
@@ -183,17 +183,17 @@
     // A process that started before the server went offline does not count as its return, even if the coordinator
     // observes it only now.
     let offline_for = if order.stage == Stage::Offline {
-        order.aged(now)
+        order.time_in_stage(now)
     } else {
-        order.longest + order.aged(now)
+        order.max_offline + order.time_in_stage(now)
     };
     let has_returned = seen.is_some_and(|seen| {
         let restarted = seen.incarnation != 0 && seen.incarnation != order.incarnation;
-        restarted && seen.up < offline_for && snapshot.is_well(seen)
+        restarted && seen.uptime < offline_for && snapshot.is_well(seen)
     });
     if order.returns_on_restart && has_returned {
         plan.change(order, Stage::Returning);
-    } else if order.stage == Stage::Offline && order.aged(now) >= order.longest {
+    } else if order.stage == Stage::Offline && order.time_in_stage(now) >= order.max_offline {
         plan.change(order, Stage::Overdue);
     }
 }
--- a/crates/fleet/src/maintenance/order.rs
+++ b/crates/fleet/src/maintenance/order.rs
@@ -73,12 +73,12 @@
     }
 
     /// Whether the order is neither done nor cancelled.
-    pub fn open(self) -> bool {
-        !self.over()
+    pub fn is_open(self) -> bool {
+        !self.has_ended()
     }
 
     /// Whether the order is done or cancelled.
-    pub fn over(self) -> bool {
+    pub fn has_ended(self) -> bool {
         matches!(self, Stage::Done | Stage::Cancelled)
     }
 }
@@ -101,7 +101,7 @@
     /// The time that `age` refers to, by the clock of the host that holds this copy.
     pub as_of: Instant,
     /// How long the server may be offline before the order is overdue.
-    pub longest: Span,
+    pub max_offline: Span,
     /// Whether the server's shard may have too few holders, or none, while the server is offline.
     pub shard_away: bool,
     /// Whether a restart of the server counts as its return. If not, an operator has to command the return.
@@ -122,7 +122,7 @@
 
 impl Order {
     /// Returns how long the order has been in its stage at `now`.
-    pub fn aged(&self, now: Instant) -> Span {
+    pub fn time_in_stage(&self, now: Instant) -> Span {
         self.age + (now - self.as_of).max(Span::ZERO)
     }
 }
--- a/crates/fleet/src/maintenance/order_book.rs
+++ b/crates/fleet/src/maintenance/order_book.rs
@@ -54,7 +54,7 @@
 
     /// Returns the orders that are neither done nor cancelled.
     pub fn open(&self) -> impl Iterator<Item = &Order> {
-        self.orders.iter().filter(|order| order.stage.open())
+        self.orders.iter().filter(|order| order.stage.is_open())
     }
 
     /// Encodes the order book for a message.
@@ -104,8 +104,8 @@
         number: order.number,
         stage: order.stage as u32,
         version: order.version,
-        age_ms: to_millis(order.aged(now)),
-        longest_ms: to_millis(order.longest),
+        age_ms: to_millis(order.time_in_stage(now)),
+        longest_ms: to_millis(order.max_offline),
         shard_away: order.shard_away,
         returns: order.returns_on_restart,
         reason: order.reason.clone(),
@@ -124,7 +124,7 @@
         version: order.version,
         age: from_millis(order.age_ms),
         as_of: now,
-        longest: from_millis(order.longest_ms),
+        max_offline: from_millis(order.longest_ms),
         shard_away: order.shard_away,
         returns_on_restart: order.returns,
         reason: truncate(&order.reason),
--- a/crates/fleet/src/maintenance/selection.rs
+++ b/crates/fleet/src/maintenance/selection.rs
@@ -100,10 +100,10 @@
     servers: &Servers,
     server: ServerId,
 ) -> Option<CommandRefusal> {
-    let ServerRole::Node { can, .. } = servers.get(&server)?.what else {
+    let ServerRole::Node { can, .. } = servers.get(&server)?.role else {
         return None;
     };
-    let capacity = |seen: &ServerObservation| match seen.what {
+    let capacity = |seen: &ServerObservation| match seen.role {
         ServerRole::Node { can, .. } => Some(can),
         ServerRole::Host(_) => None,
     };
--- a/crates/fleet/src/maintenance/server.rs
+++ b/crates/fleet/src/maintenance/server.rs
@@ -17,16 +17,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerObservation {
     /// The role of the server: a node or a host.
-    pub what: ServerRole,
+    pub role: ServerRole,
     /// The number of the server's zone.
     pub zone: u32,
     /// Whether the server is in service. A node is if the endpoint list has it as ready and this host is connected to
     /// it. For a host the coordinator sets this to whether it is an active member.
-    pub well: bool,
+    pub in_service: bool,
     /// The incarnation of the process that runs on the server; 0: not known.
     pub incarnation: u64,
     /// How long the process on a node has run.
-    pub up: Span,
+    pub uptime: Span,
 }
 
 /// The role of a server.
--- a/crates/fleet/src/maintenance/snapshot.rs
+++ b/crates/fleet/src/maintenance/snapshot.rs
@@ -28,8 +28,8 @@
 impl FleetSnapshot<'_> {
     /// Whether a server is in service: a node that serves, or a host that is an active member.
     pub(super) fn is_well(&self, observation: &ServerObservation) -> bool {
-        match observation.what {
-            ServerRole::Node { .. } => observation.well,
+        match observation.role {
+            ServerRole::Node { .. } => observation.in_service,
             ServerRole::Host(host) => self.members.contains(&host),
         }
     }
@@ -40,7 +40,7 @@
         let is_host = |server: ServerId| {
             self.servers
                 .get(&server)
-                .map(|seen| matches!(seen.what, ServerRole::Host(_)))
+                .map(|seen| matches!(seen.role, ServerRole::Host(_)))
         };
         is_host(one) == is_host(other)
     }
--- a/crates/fleet/tests/maintenance/fixtures.rs
+++ b/crates/fleet/tests/maintenance/fixtures.rs
@@ -49,20 +49,20 @@
 /// Servers 1 to 6 are nodes: two for each shard, odd ones in zone 1 and even ones in zone 0, with a capacity of 100
 /// each. Servers 11 to 15 are hosts 0 to 4, in zones 2 to 6.
 pub fn servers() -> Servers {
-    let observation = |what, zone| ServerObservation {
-        what,
+    let observation = |role, zone| ServerObservation {
+        role,
         zone,
-        well: true,
+        in_service: true,
         incarnation: 1,
-        up: Span::ZERO,
+        uptime: Span::ZERO,
     };
     let node = |n: u64| {
-        let what = ServerRole::Node {
+        let role = ServerRole::Node {
             shard: (n as i64 + 1) / 2,
             pool: 0,
             can: 100.0,
         };
-        (ServerId(n), observation(what, n as u32 % 2))
+        (ServerId(n), observation(role, n as u32 % 2))
     };
     let host = |number: u32| {
         (
@@ -81,7 +81,7 @@
         version: 1,
         age: Span::ZERO,
         as_of: Instant::from_micros(0),
-        longest: Span::from_millis(1000.0),
+        max_offline: Span::from_millis(1000.0),
         shard_away: false,
         returns_on_restart: false,
         reason: String::new(),
--- a/crates/fleet/tests/maintenance/selection.rs
+++ b/crates/fleet/tests/maintenance/selection.rs
@@ -156,7 +156,7 @@
     };
     let mut servers = servers();
     for server in *failed {
-        servers.get_mut(&ServerId(*server)).unwrap().well = false;
+        servers.get_mut(&ServerId(*server)).unwrap().in_service = false;
     }
     let members: BTreeSet<u32> = case.members.iter().copied().collect();
     let snapshot = FleetSnapshot {
--- a/crates/fleet/tests/world/maintenance.rs
+++ b/crates/fleet/tests/world/maintenance.rs
@@ -105,7 +105,7 @@
             )
         });
         let orders: Vec<String> = orders.collect();
-        let version = fleet.line().map(|order_book| order_book.version);
+        let version = fleet.order_book().map(|order_book| order_book.version);
         format!(
             "coordinator {:?}, lease {:?}, draining {}, {version:?} {orders:?}",
             status.coordinator,
@@ -122,7 +122,7 @@
     fleets
         .map(|fleet| {
             fleet
-                .line()
+                .order_book()
                 .map_or(1, |order_book| order_book.open().count())
         })
         .max()
--- a/crates/fleet/tests/world/servers.rs
+++ b/crates/fleet/tests/world/servers.rs
@@ -30,7 +30,7 @@
         }
         fleet.handle(now, Event::ServersObserved { servers, released });
         self.answers.extend(fleet.answers());
-        if let Some(order_book) = fleet.line() {
+        if let Some(order_book) = fleet.order_book() {
             self.orders.follow(order_book);
         }
     }
@@ -38,25 +38,25 @@
     fn servers(&self) -> Servers {
         let node = |(index, node): (usize, &Node)| {
             let seen = ServerObservation {
-                what: ServerRole::Node {
+                role: ServerRole::Node {
                     shard: index as i64 / 2,
                     pool: 0,
                     can: 100.0,
                 },
                 zone: index as u32 % 2,
-                well: node.well,
+                in_service: node.well,
                 incarnation: node.incarnation,
-                up: self.up,
+                uptime: self.up,
             };
             (ServerId(FIRST_NODE + index as u64), seen)
         };
         let host = |number: u32| {
             let seen = ServerObservation {
-                what: ServerRole::Host(number),
+                role: ServerRole::Host(number),
                 zone: number % 2,
-                well: true,
+                in_service: true,
                 incarnation: 0,
-                up: Span::ZERO,
+                uptime: Span::ZERO,
             };
             (ServerId(u64::from(number) + 1), seen)
         };
@@ -101,7 +101,7 @@
             let before = self
                 .stages
                 .range_mut((order.server, 0)..(order.server, order.number));
-            for (_, stage) in before.filter(|(_, stage)| stage.open()) {
+            for (_, stage) in before.filter(|(_, stage)| stage.is_open()) {
                 *stage = Stage::Done;
             }
         }
--- a/crates/host/src/control.rs
+++ b/crates/host/src/control.rs
@@ -126,7 +126,7 @@
     }
 
     /// Sets how long a configuration may take to be read and checked. The default is 20 s.
-    pub fn reading_within(mut self, read_timeout: Duration) -> Control {
+    pub fn with_read_timeout(mut self, read_timeout: Duration) -> Control {
         self.configurations.read_timeout = read_timeout;
         self
     }
@@ -366,7 +366,11 @@
 ///
 /// # Errors
 /// No process listens on the socket, or it does not answer in time. `UnexpectedEof`: the host ended before it answered.
-pub async fn ask(path: &Path, request: ControlRequest, wait: Duration) -> io::Result<ControlReply> {
+pub async fn send_request(
+    path: &Path,
+    request: ControlRequest,
+    wait: Duration,
+) -> io::Result<ControlReply> {
     let exchange = async {
         let mut stream = UnixStream::connect(path).await?;
         let mut text = serde_json::to_string(&request)?;
--- a/crates/host/src/core/attempt_handling.rs
+++ b/crates/host/src/core/attempt_handling.rs
@@ -6,7 +6,7 @@
 
 use super::Core;
 use super::ids::AttemptId;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::request_handling::FinalAnswer;
 use super::requests::{OpenRequest, StartedAttempt};
 use super::timer_kind::TimerKind;
@@ -126,7 +126,7 @@
     }
 
     /// Returns the connection to a node; `None`: it is not up, or no attempt may be sent to the node.
-    fn ready_connection(&mut self, node: NodeId) -> Option<LinkId> {
+    fn ready_connection(&mut self, node: NodeId) -> Option<ConnectionId> {
         let record = self.nodes.get(node)?;
         let ready = record.state == EndpointState::Ready && !record.offline_or_unknown;
         record.connection.up().filter(|_| ready)
@@ -251,7 +251,7 @@
             .map_or(ZoneId::default(), |node| node.zone)
     }
 
-    fn node_connection(&mut self, node: NodeId) -> Option<LinkId> {
+    fn node_connection(&mut self, node: NodeId) -> Option<ConnectionId> {
         self.nodes.get(node)?.connection.up()
     }
 }
--- a/crates/host/src/core/back_pressure.rs
+++ b/crates/host/src/core/back_pressure.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::connection_table::RemoteKind;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::input_output::Output;
 
 /// Reading resumes below this many tenths of each bound. Without this hysteresis, reading would stop and resume with
@@ -54,7 +54,7 @@
 
     /// Starts or stops reading from a client. It is read from unless the host is at capacity or too many bytes wait to
     /// be written to this client.
-    pub(super) fn update_reading(&mut self, id: LinkId) {
+    pub(super) fn update_reading(&mut self, id: ConnectionId) {
         let max_unsent = self.deployment.bounds.most_unsent;
         let at_capacity = self.back_pressure.at_capacity;
         let Some(connection) = self.connections.open.get_mut(&id) else {
--- a/crates/host/src/core/connection_table.rs
+++ b/crates/host/src/core/connection_table.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::identity::Identity;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::input_output::Output;
 use super::peer_state::IncomingPeer;
 use super::reconnect::{ConnectionState, OutboundConnection};
@@ -77,7 +77,7 @@
 
 /// All connections of this host.
 pub(super) struct ConnectionTable {
-    pub(super) open: BTreeMap<LinkId, Connection>,
+    pub(super) open: BTreeMap<ConnectionId, Connection>,
     last_id: u64,
     /// Sum of [`Connection::unsent_bytes`] over all connections.
     pub(super) unsent_bytes: usize,
@@ -102,9 +102,9 @@
     }
 
     /// Adds a connection and gives it an id.
-    pub(super) fn insert(&mut self, remote_kind: RemoteKind, now: Instant) -> LinkId {
+    pub(super) fn insert(&mut self, remote_kind: RemoteKind, now: Instant) -> ConnectionId {
         self.last_id += 1;
-        let id = LinkId(self.last_id);
+        let id = ConnectionId(self.last_id);
         let connection = Connection {
             remote_kind,
             unsent_bytes: 0,
@@ -118,7 +118,7 @@
     }
 
     /// Removes a connection that ended.
-    fn remove(&mut self, id: LinkId) -> Option<Connection> {
+    fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.open.remove(&id)?;
         self.unsent_bytes -= connection.unsent_bytes;
         self.incoming -= usize::from(connection.remote_kind.is_incoming());
@@ -126,7 +126,7 @@
     }
 
     /// Adds bytes that were queued to the unsent bytes. Returns whether the connection is open.
-    fn queued(&mut self, id: LinkId, bytes: usize, now: Instant) -> bool {
+    fn queued(&mut self, id: ConnectionId, bytes: usize, now: Instant) -> bool {
         let Some(connection) = self.open.get_mut(&id) else {
             return false;
         };
@@ -139,7 +139,7 @@
     }
 
     /// Subtracts bytes that were written from the unsent bytes. Returns whether the connection is open.
-    fn written(&mut self, id: LinkId, bytes: usize, now: Instant) -> bool {
+    fn written(&mut self, id: ConnectionId, bytes: usize, now: Instant) -> bool {
         let Some(connection) = self.open.get_mut(&id) else {
             return false;
         };
@@ -151,19 +151,19 @@
     }
 
     /// Clears the response deadline of a connection whose other side has responded.
-    pub(super) fn response_received(&mut self, id: LinkId) {
+    pub(super) fn response_received(&mut self, id: ConnectionId) {
         if let Some(connection) = self.open.get_mut(&id) {
             connection.response_deadline = None;
         }
     }
 
     /// Returns the connections of clients, in the order of their ids.
-    pub(super) fn clients(&self) -> Vec<LinkId> {
+    pub(super) fn clients(&self) -> Vec<ConnectionId> {
         self.ids_where(|connection| matches!(connection.remote_kind, RemoteKind::Client))
     }
 
     /// Returns the connections that fulfil the condition, in the order of their ids.
-    pub(super) fn ids_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<LinkId> {
+    pub(super) fn ids_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
         let matching = self
             .open
             .iter()
@@ -175,7 +175,7 @@
 impl Core {
     /// Requests that the caller opens a connection. The address of a node comes from its record, all others from the
     /// configuration.
-    pub(super) fn connect(&mut self, remote_kind: RemoteKind, address: String) -> LinkId {
+    pub(super) fn connect(&mut self, remote_kind: RemoteKind, address: String) -> ConnectionId {
         let link = self.connections.insert(remote_kind, self.now);
         self.expect_response(link, 1.0);
         self.outputs.push(Output::Connect { link, address });
@@ -184,7 +184,7 @@
 
     /// Handles a connection that this host requested and that is now established: sends this host's first frame and
     /// expects the other side's.
-    pub(super) fn connected(&mut self, id: LinkId) {
+    pub(super) fn connected(&mut self, id: ConnectionId) {
         let hello = self.hello();
         if let Some(outbound) = self.outbound_connection(id) {
             outbound.state = ConnectionState::Identifying(id);
@@ -195,7 +195,7 @@
 
     /// Returns the state of a connection that this host requested; `None`: the other side opened it, or the peer or
     /// node is not known any more.
-    fn outbound_connection(&mut self, id: LinkId) -> Option<&mut OutboundConnection> {
+    fn outbound_connection(&mut self, id: ConnectionId) -> Option<&mut OutboundConnection> {
         match self.connections.open.get(&id)?.remote_kind {
             RemoteKind::Node(node) => Some(&mut self.nodes.get(node)?.connection),
             RemoteKind::OutgoingPeer(host) => Some(&mut self.peers.get_mut(&host)?.connection),
@@ -207,7 +207,7 @@
     }
 
     /// Sets the response deadline of a connection to this many connect timeouts from now.
-    pub(super) fn expect_response(&mut self, id: LinkId, connect_timeouts: f64) {
+    pub(super) fn expect_response(&mut self, id: ConnectionId, connect_timeouts: f64) {
         let deadline = self.now + self.deployment.bounds.connect.times(connect_timeouts);
         if let Some(connection) = self.connections.open.get_mut(&id) {
             connection.response_deadline = Some(deadline);
@@ -215,7 +215,7 @@
         }
     }
 
-    pub(super) fn on_response_deadline(&mut self, id: LinkId) {
+    pub(super) fn on_response_deadline(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.open.get(&id) else {
             return;
         };
@@ -249,12 +249,12 @@
         })
     }
 
-    pub(super) fn send(&mut self, to: LinkId, frame: Frame) {
+    pub(super) fn send(&mut self, to: ConnectionId, frame: Frame) {
         self.send_by(to, frame, None);
     }
 
     /// Sends a frame that the caller may drop after `until`, since it is of no use then; `None`: it is always of use.
-    pub(super) fn send_by(&mut self, to: LinkId, frame: Frame, until: Option<Instant>) {
+    pub(super) fn send_by(&mut self, to: ConnectionId, frame: Frame, until: Option<Instant>) {
         self.count_frame(to, &frame, true);
         if self.connections.queued(to, frame.len(), self.now) {
             self.outputs.push(Output::Send {
@@ -266,14 +266,14 @@
     }
 
     /// Handles bytes that were written to a connection. A client may be read from again after that.
-    pub(super) fn written(&mut self, id: LinkId, bytes: usize) {
+    pub(super) fn written(&mut self, id: ConnectionId, bytes: usize) {
         if self.connections.written(id, bytes, self.now) {
             self.update_reading(id);
         }
     }
 
     /// Closes a connection, and handles its end as if the other side had closed it.
-    pub(super) fn close_connection(&mut self, link: LinkId, reason: &str) {
+    pub(super) fn close_connection(&mut self, link: ConnectionId, reason: &str) {
         if self.connections.open.contains_key(&link) {
             self.outputs.push(Output::Close { link });
             self.connection_ended(link, reason);
@@ -281,7 +281,7 @@
     }
 
     /// Removes a connection that ended, whoever closed it, and handles the end by the kind of the other side.
-    pub(super) fn connection_ended(&mut self, id: LinkId, reason: &str) {
+    pub(super) fn connection_ended(&mut self, id: ConnectionId, reason: &str) {
         let Some(connection) = self.connections.remove(id) else {
             return;
         };
@@ -305,7 +305,7 @@
         }
     }
 
-    fn client_connection_ended(&mut self, id: LinkId, reason: &str) {
+    fn client_connection_ended(&mut self, id: ConnectionId, reason: &str) {
         let open = self.requests.of_client(id);
         info!(
             connection = id.0,
--- a/crates/host/src/core/endpoint_list.rs
+++ b/crates/host/src/core/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use super::connection_table::{HANDSHAKE_TIMEOUT_FACTOR, RemoteKind};
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::reconnect::ConnectionState;
 use super::reconnect::OutboundConnection;
 use gullsail_protocol::{EndpointListQuery, EndpointListUpdate, Frame, Hello, Role};
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(super) fn endpoint_list_hello(&mut self, id: LinkId, hello: &Hello) {
+    pub(super) fn endpoint_list_hello(&mut self, id: ConnectionId, hello: &Hello) {
         if hello.role != Role::List as i32 {
             return self.close_connection(id, "not an endpoint list");
         }
--- a/crates/host/src/core/frames_in.rs
+++ b/crates/host/src/core/frames_in.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use super::clock::PeerClock;
 use super::connection_table::RemoteKind;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::peer_state::IncomingPeer;
 use bytes::Bytes;
 use gullsail_protocol::{ClockReply, Frame, Hello, Message, Role};
@@ -39,7 +39,7 @@
 /// A received frame without its message.
 struct FrameContext {
     /// The connection on which the frame was received.
-    id: LinkId,
+    id: ConnectionId,
     body: Bytes,
     /// Length of the frame, body included.
     frame_bytes: usize,
@@ -50,7 +50,12 @@
 impl Core {
     /// Handles a frame that may have waited for up to `waited` while the process was stalled. The client's timer ran
     /// during that wait, so the timeout of a request is shortened by it.
-    pub(super) fn handle_delayed_frame(&mut self, id: LinkId, mut frame: Frame, waited: Span) {
+    pub(super) fn handle_delayed_frame(
+        &mut self,
+        id: ConnectionId,
+        mut frame: Frame,
+        waited: Span,
+    ) {
         if let Message::Submit(submit) = &mut frame.message {
             submit.timeout_us = (Span::from_micros(submit.timeout_us) - waited).micros();
             self.counts.timeouts_shortened += 1;
@@ -60,7 +65,7 @@
 
     /// Handles a frame. `timeout_shortened`: the frame may have waited while the process was stalled, and the
     /// caller has shortened the timeout if it is a request.
-    pub(super) fn handle_frame(&mut self, id: LinkId, frame: Frame, timeout_shortened: bool) {
+    pub(super) fn handle_frame(&mut self, id: ConnectionId, frame: Frame, timeout_shortened: bool) {
         let frame_bytes = frame.len();
         self.count_frame(id, &frame, false);
         let Some(connection) = self.connections.open.get_mut(&id) else {
@@ -165,7 +170,7 @@
     }
 
     /// Closes a connection on which the other side sent a frame that its role may not send.
-    fn unexpected_frame(&mut self, id: LinkId, message: &Message) {
+    fn unexpected_frame(&mut self, id: ConnectionId, message: &Message) {
         let connection = self.connections.open.get(&id);
         let role = connection.map_or("", |connection| connection.remote_kind.role());
         warn!(
@@ -178,7 +183,7 @@
     }
 
     /// Handles the first frame on a connection that a client or a peer opened to this host.
-    fn identify_connection(&mut self, id: LinkId, hello: &Hello) {
+    fn identify_connection(&mut self, id: ConnectionId, hello: &Hello) {
         match Role::try_from(hello.role) {
             Ok(Role::Client) => {
                 self.set_remote_kind(id, RemoteKind::Client);
@@ -195,7 +200,7 @@
         }
     }
 
-    fn identify_peer(&mut self, id: LinkId, hello: &Hello) {
+    fn identify_peer(&mut self, id: ConnectionId, hello: &Hello) {
         let named = self.deployment.host(&hello.name);
         let Some(host) = named.filter(|host| *host != self.identity.host) else {
             return self.close_connection(id, "host name is not another host of the configuration");
@@ -213,7 +218,7 @@
 
     /// Records who is on the other side of a connection. Returns the bytes that were sent to it before it identified
     /// itself.
-    fn set_remote_kind(&mut self, id: LinkId, remote_kind: RemoteKind) -> usize {
+    fn set_remote_kind(&mut self, id: ConnectionId, remote_kind: RemoteKind) -> usize {
         let Some(connection) = self.connections.open.get_mut(&id) else {
             return 0;
         };
--- a/crates/host/src/core/ids.rs
+++ b/crates/host/src/core/ids.rs
@@ -2,7 +2,7 @@
 
 /// Id of a connection, chosen by the core. Ids are not used again within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// Id of the requester that waits for the result of a proposal or of an operator command, chosen by the caller.
 pub type RequesterId = u64;
--- a/crates/host/src/core/incoming_connections.rs
+++ b/crates/host/src/core/incoming_connections.rs
@@ -5,7 +5,7 @@
 use super::connection_table::{
     Connection, HANDSHAKE_TIMEOUT_FACTOR, MAX_INCOMING_CONNECTIONS, RemoteKind,
 };
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use gullsail_scheduler_api::{Instant, Span};
 
 /// Shortest time between two searches for an idle client: 100 ms. A search visits all connections, so with a shorter
@@ -16,7 +16,7 @@
 impl Core {
     /// Adds a connection that the caller accepted. `None`: the limit is reached or the host shuts down, and the
     /// caller must drop the connection.
-    pub fn accept(&mut self, now: Instant) -> Option<LinkId> {
+    pub fn accept(&mut self, now: Instant) -> Option<ConnectionId> {
         if self.shutdown.requested {
             self.counts.connections_refused += 1;
             return None;
@@ -27,7 +27,7 @@
     /// Adds a connection that was in the listener's backlog when the host stopped listening. Its client may have sent
     /// a request, so it is served during the shutdown too. `None`: the limit is reached, and the caller must drop the
     /// connection.
-    pub fn accept_from_backlog(&mut self, now: Instant) -> Option<LinkId> {
+    pub fn accept_from_backlog(&mut self, now: Instant) -> Option<ConnectionId> {
         self.now = self.now.max(now);
         if !self.has_room_for_incoming() {
             self.counts.connections_refused += 1;
@@ -62,7 +62,7 @@
             return false;
         }
         self.connections.next_idle_search = self.now + IDLE_SEARCH_INTERVAL;
-        let is_idle = |id: LinkId, connection: &Connection| {
+        let is_idle = |id: ConnectionId, connection: &Connection| {
             matches!(connection.remote_kind, RemoteKind::Client)
                 && connection.unsent_bytes == 0
                 && !self.requests.has_open(id)
--- a/crates/host/src/core/input_output.rs
+++ b/crates/host/src/core/input_output.rs
@@ -1,6 +1,6 @@
 //! The inputs and outputs of the host's core.
 
-use super::ids::{LinkId, RequesterId};
+use super::ids::{ConnectionId, RequesterId};
 use super::operator_command::{CommandOutcome, OperatorCommand};
 use super::proposal::{Proposal, ProposalOutcome};
 use gullsail_protocol::Frame;
@@ -10,17 +10,17 @@
 #[derive(Debug)]
 pub enum Input {
     /// A connection that was requested is established.
-    Connected(LinkId),
+    Connected(ConnectionId),
     /// A connection that was requested could not be established, with the reason.
-    ConnectFailed(LinkId, String),
+    ConnectFailed(ConnectionId, String),
     /// A frame was read from the connection.
-    Frame(LinkId, Frame),
+    Frame(ConnectionId, Frame),
     /// A frame was read from the connection after a stall of the process. It may have waited for up to this long.
-    DelayedFrame(LinkId, Frame, Span),
+    DelayedFrame(ConnectionId, Frame, Span),
     /// This many bytes of sent frames were written to the connection's socket.
-    Written(LinkId, usize),
+    Written(ConnectionId, usize),
     /// The connection ended, with the reason. This is the last input of this connection.
-    Closed(LinkId, String),
+    Closed(ConnectionId, String),
     /// A configuration was proposed, compared with the current one.
     Propose(Box<Proposal>),
     /// An operator gave a command on servers.
@@ -35,14 +35,14 @@
     /// Open a connection to an address.
     Connect {
         /// The id that the connection has in all later inputs and outputs.
-        link: LinkId,
+        link: ConnectionId,
         /// Address of the other side, as a host name or IP address and a port.
         address: String,
     },
     /// Write a frame to a connection.
     Send {
         /// The connection to write to.
-        link: LinkId,
+        link: ConnectionId,
         /// The frame to write.
         frame: Frame,
         /// The frame may be dropped after this time, since it is of no use then; `None`: it is always of use.
@@ -51,12 +51,12 @@
     /// Write the frames that were sent, then close the connection, even if it is still being established.
     Close {
         /// The connection to close.
-        link: LinkId,
+        link: ConnectionId,
     },
     /// Read from the connection, or stop reading from it.
     Reading {
         /// The connection to read from or not.
-        link: LinkId,
+        link: ConnectionId,
         /// Whether to read from the connection.
         on: bool,
     },
--- a/crates/host/src/core/maintenance.rs
+++ b/crates/host/src/core/maintenance.rs
@@ -218,7 +218,7 @@
             return None;
         }
         let fleet = self.fleet.member.as_ref()?;
-        let order_book = fleet.line();
+        let order_book = fleet.order_book();
         let orders_before = |order: &Order| {
             order_book.map_or(0, |book| {
                 let open = book.open();
@@ -240,8 +240,8 @@
             server: self.server_name(order.server),
             before,
             stage: order.stage,
-            for_ms: order.aged(self.now).millis(),
-            longest_ms: order.longest.millis(),
+            for_ms: order.time_in_stage(self.now).millis(),
+            longest_ms: order.max_offline.millis(),
             waits: order.waiting_for.clone(),
             hosts: order
                 .hosts
--- a/crates/host/src/core/mod.rs
+++ b/crates/host/src/core/mod.rs
@@ -51,7 +51,7 @@
 pub mod zone_traffic;
 
 pub use counters::{Counts, HeldLoad};
-pub use ids::{AttemptId, LinkId, RequesterId};
+pub use ids::{AttemptId, ConnectionId, RequesterId};
 pub use input_output::{Input, Output};
 
 use back_pressure::BackPressure;
@@ -194,7 +194,7 @@
     /// last call.
     pub fn advance(&mut self, now: Instant) {
         self.now = self.now.max(now);
-        while let Some(mut due) = self.timers.take(self.now) {
+        while let Some(mut due) = self.timers.take_due(self.now) {
             for timer in due.drain(..) {
                 self.on_timer(timer);
             }
--- a/crates/host/src/core/node_connections.rs
+++ b/crates/host/src/core/node_connections.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::connection_table::RemoteKind;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::nodes::{NodeProcess, NodeRecord};
 use super::reconnect::ConnectionState;
 use super::timer_kind::TimerKind;
@@ -43,7 +43,7 @@
     }
 
     /// Handles a node's first frame. Closes the connection if the frame does not come from the expected node.
-    pub(super) fn node_hello(&mut self, id: LinkId, node: NodeId, hello: &Hello) {
+    pub(super) fn node_hello(&mut self, id: ConnectionId, node: NodeId, hello: &Hello) {
         let Some(record) = self.nodes.get(node) else {
             return self.close_connection(id, "node no longer known");
         };
@@ -66,7 +66,7 @@
 
     /// Handles a node that identified itself. The scheduler's next step handles the node's start before it starts
     /// attempts.
-    fn node_up(&mut self, node: NodeId, link: LinkId, hello: &Hello) {
+    fn node_up(&mut self, node: NodeId, link: ConnectionId, hello: &Hello) {
         let age = Span::from_micros(hello.age_us);
         let Some(identified) =
             self.nodes
--- a/crates/host/src/core/peers.rs
+++ b/crates/host/src/core/peers.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use super::clock::ClockUpdate;
 use super::connection_table::RemoteKind;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::peer_state::IncomingPeer;
 use super::reconnect::ConnectionState;
 use gullsail_protocol::{ClockQuery, ClockReply, DemandReport, Frame, Hello, Role};
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn query_clock(&mut self, link: LinkId) {
+    pub(super) fn query_clock(&mut self, link: ConnectionId) {
         self.send(
             link,
             Frame::from(ClockQuery {
@@ -52,7 +52,7 @@
         );
     }
 
-    pub(super) fn peer_hello(&mut self, id: LinkId, host: HostId, hello: &Hello) {
+    pub(super) fn peer_hello(&mut self, id: ConnectionId, host: HostId, hello: &Hello) {
         let expected = self
             .deployment
             .hosts
@@ -73,7 +73,7 @@
     }
 
     /// Handles a peer's reply to a clock query. Demand reports that waited for it are handed to the scheduler.
-    pub(super) fn clock_reply(&mut self, id: LinkId, reply: ClockReply) {
+    pub(super) fn clock_reply(&mut self, id: ConnectionId, reply: ClockReply) {
         let max_offset = self.deployment.bounds.clock_apart;
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
@@ -101,7 +101,7 @@
     /// Hands a peer's demand report to the scheduler, with its times converted to this host's clock. A report
     /// waits while the peer's clock offset is not known. It is dropped if the offset is too large, which is a fault
     /// of one of the clocks: a lost report never causes a limit to be exceeded.
-    pub(super) fn demand_report(&mut self, id: LinkId, bytes: Vec<u8>) {
+    pub(super) fn demand_report(&mut self, id: ConnectionId, bytes: Vec<u8>) {
         let now = self.now;
         let Some(peer) = self.incoming_peer(id) else {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    fn incoming_peer(&mut self, id: LinkId) -> Option<&mut IncomingPeer> {
+    fn incoming_peer(&mut self, id: ConnectionId) -> Option<&mut IncomingPeer> {
         match self
             .connections
             .open
--- a/crates/host/src/core/reconnect.rs
+++ b/crates/host/src/core/reconnect.rs
@@ -1,7 +1,7 @@
 //! The state of a connection that this host opens to a node, a peer or the endpoint list, and opens again when it is
 //! lost. The backoff between attempts to connect grows exponentially with jitter.
 
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use gullsail_scheduler_api::{Instant, Span};
 use rand::Rng;
 
@@ -16,11 +16,11 @@
     #[default]
     Idle,
     /// The connection is being established.
-    Connecting(LinkId),
+    Connecting(ConnectionId),
     /// The connection is established, and the other side has not sent its first frame.
-    Identifying(LinkId),
+    Identifying(ConnectionId),
     /// The other side has identified itself.
-    Up(LinkId),
+    Up(ConnectionId),
     /// There is no connection, and none may be opened before this time.
     BackingOff(Instant),
 }
@@ -36,7 +36,7 @@
 
 impl OutboundConnection {
     /// Returns the connection, also while it is being established; `None`: there is none.
-    pub fn link(&self) -> Option<LinkId> {
+    pub fn link(&self) -> Option<ConnectionId> {
         match self.state {
             ConnectionState::Connecting(link)
             | ConnectionState::Identifying(link)
@@ -46,7 +46,7 @@
     }
 
     /// Returns the connection if the other side has identified itself on it.
-    pub fn up(&self) -> Option<LinkId> {
+    pub fn up(&self) -> Option<ConnectionId> {
         if let ConnectionState::Up(link) = self.state {
             Some(link)
         } else {
@@ -55,7 +55,7 @@
     }
 
     /// Records that the other side has identified itself.
-    pub fn mark_up(&mut self, link: LinkId) {
+    pub fn mark_up(&mut self, link: ConnectionId) {
         self.state = ConnectionState::Up(link);
         self.failures = 0;
     }
--- a/crates/host/src/core/request_handling.rs
+++ b/crates/host/src/core/request_handling.rs
@@ -2,7 +2,7 @@
 //! scheduler's actions are carried out here.
 
 use super::Core;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::requests::{OpenRequest, object};
 use super::timer_kind::TimerKind;
 use bytes::Bytes;
@@ -46,7 +46,7 @@
 
 /// A request that passed all checks.
 struct ValidRequest {
-    link: LinkId,
+    link: ConnectionId,
     submit: Submit,
     body: Bytes,
     timeout_shortened: bool,
@@ -77,7 +77,7 @@
     /// once with the reason. `timeout_shortened`: the request may have waited while the process was stalled.
     pub(super) fn submit(
         &mut self,
-        link: LinkId,
+        link: ConnectionId,
         submit: Submit,
         body: Bytes,
         timeout_shortened: bool,
@@ -182,7 +182,7 @@
 
     /// Reports to a client that its request is not accepted. No attempt of it was sent. `leaving`: this host shuts
     /// down, so the client should use another.
-    fn refuse(&mut self, link: LinkId, id: u64, reason: String, leaving: bool) {
+    fn refuse(&mut self, link: ConnectionId, id: u64, reason: String, leaving: bool) {
         self.counts.not_taken += 1;
         let refused = NotTaken {
             id,
@@ -193,7 +193,7 @@
     }
 
     /// Handles a client's withdrawal of one of its requests.
-    pub(super) fn withdraw(&mut self, link: LinkId, client_request_id: u64) {
+    pub(super) fn withdraw(&mut self, link: ConnectionId, client_request_id: u64) {
         if let Some(id) = self.requests.by_client_id(link, client_request_id) {
             self.client_left(id);
         }
--- a/crates/host/src/core/requests.rs
+++ b/crates/host/src/core/requests.rs
@@ -2,7 +2,7 @@
 //! it is accepted until its one final answer, an attempt until its end is reported to the scheduler. An attempt
 //! may outlive its request, so that the node's window is released at the right time.
 
-use super::ids::{AttemptId, LinkId};
+use super::ids::{AttemptId, ConnectionId};
 use bytes::Bytes;
 use gullsail_configuration::number;
 use gullsail_protocol::{Handle, Submit};
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct OpenRequest {
     /// The client's connection, on which the answer is sent.
-    pub link: LinkId,
+    pub link: ConnectionId,
     /// The request as the client sent it, with the id that the client chose.
     pub submit: Submit,
     /// Whether the request class is one of writes.
@@ -71,13 +71,13 @@
 /// connection, so that the requests of one connection are a range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClientRequestKey {
-    link: LinkId,
+    link: ConnectionId,
     client_request_id: u64,
 }
 
 impl ClientRequestKey {
     /// All keys of one connection.
-    fn all_of(link: LinkId) -> RangeInclusive<ClientRequestKey> {
+    fn all_of(link: ConnectionId) -> RangeInclusive<ClientRequestKey> {
         let key = |client_request_id| ClientRequestKey {
             link,
             client_request_id,
@@ -142,7 +142,7 @@
     }
 
     /// Finds the open request to which the client of this connection gave this id.
-    pub fn by_client_id(&self, link: LinkId, client_request_id: u64) -> Option<RequestId> {
+    pub fn by_client_id(&self, link: ConnectionId, client_request_id: u64) -> Option<RequestId> {
         let key = ClientRequestKey {
             link,
             client_request_id,
@@ -170,7 +170,7 @@
     }
 
     /// Whether the client of this connection has an open request.
-    pub fn has_open(&self, link: LinkId) -> bool {
+    pub fn has_open(&self, link: ConnectionId) -> bool {
         self.by_client_id
             .range(ClientRequestKey::all_of(link))
             .next()
@@ -178,7 +178,7 @@
     }
 
     /// Returns the open requests of the client of this connection.
-    pub fn of_client(&self, link: LinkId) -> Vec<RequestId> {
+    pub fn of_client(&self, link: ConnectionId) -> Vec<RequestId> {
         self.by_client_id
             .range(ClientRequestKey::all_of(link))
             .map(|(_, id)| *id)
--- a/crates/host/src/core/server_drains.rs
+++ b/crates/host/src/core/server_drains.rs
@@ -176,11 +176,11 @@
         }
         for (place, host) in self.deployment.hosts.iter().enumerate() {
             let observation = ServerObservation {
-                what: ServerRole::Host(place as u32),
+                role: ServerRole::Host(place as u32),
                 zone: host.zone.0 as u32,
-                well: true,
+                in_service: true,
                 incarnation: 0,
-                up: Span::ZERO,
+                uptime: Span::ZERO,
             };
             servers.insert(host_server_id(&host.name), observation);
         }
@@ -196,22 +196,22 @@
         let reachable = node.offline_or_unknown || node.connection.up().is_some();
         let up_for = |started: Instant| (self.now - started).max(Span::ZERO);
         ServerObservation {
-            what: ServerRole::Node {
+            role: ServerRole::Node {
                 shard: node.shard.0,
                 pool: number(&node.kind),
                 can: server.map_or(1.0, gullsail_configuration::Server::capacity),
             },
             zone: node.zone.0 as u32,
-            well: node.state == EndpointState::Ready && reachable,
+            in_service: node.state == EndpointState::Ready && reachable,
             incarnation: start.incarnation,
-            up: start.at.map_or(Span::ZERO, up_for),
+            uptime: start.at.map_or(Span::ZERO, up_for),
         }
     }
 
     /// Logs the stage of each order whose stage has changed. The scenario runner parses these lines: their target,
     /// message and fields must stay.
     fn log_stages(&mut self) {
-        let Some(order_book) = self.fleet.member.as_ref().and_then(Fleet::line) else {
+        let Some(order_book) = self.fleet.member.as_ref().and_then(Fleet::order_book) else {
             return;
         };
         let orders = order_book.orders.iter();
--- a/crates/host/src/core/shutdown.rs
+++ b/crates/host/src/core/shutdown.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::connection_table::RemoteKind;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use super::input_output::Output;
 use super::timer_kind::TimerKind;
 use gullsail_protocol::{Frame, GoAway};
@@ -49,12 +49,12 @@
 
     /// Asks a client to disconnect and to send no more requests here. Otherwise the client would learn of the
     /// shutdown from the end of its connection, which could cross a request that it sends.
-    pub(super) fn send_go_away(&mut self, client: LinkId) {
+    pub(super) fn send_go_away(&mut self, client: ConnectionId) {
         self.send(client, Frame::from(GoAway {}));
     }
 
     /// Returns the connections of clients, and those whose other side has not identified itself.
-    pub fn client_connections(&self) -> Vec<LinkId> {
+    pub fn client_connections(&self) -> Vec<ConnectionId> {
         self.connections.ids_where(|connection| {
             matches!(
                 connection.remote_kind,
--- a/crates/host/src/core/timer_kind.rs
+++ b/crates/host/src/core/timer_kind.rs
@@ -1,6 +1,6 @@
 //! The kinds of timers of the core.
 
-use super::ids::{AttemptId, LinkId};
+use super::ids::{AttemptId, ConnectionId};
 use gullsail_scheduler_api::{HostId, NodeId, TimerId};
 
 /// What a timer is for. Timers cannot be cancelled, so the handler of each kind checks whether there is still
@@ -12,7 +12,7 @@
     /// The wait of an attempt for its connection, or for the node's answer, may have reached its limit.
     Attempt(AttemptId),
     /// The response deadline of a connection may have passed.
-    ResponseDeadline(LinkId),
+    ResponseDeadline(ConnectionId),
     /// The backoff of the connection to a node may have ended.
     ReconnectNode(NodeId),
     /// The backoff of the connection to a peer may have ended.
--- a/crates/host/src/core/zone_traffic.rs
+++ b/crates/host/src/core/zone_traffic.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::connection_table::RemoteKind;
-use super::ids::LinkId;
+use super::ids::ConnectionId;
 use gullsail_protocol::{Frame, Message};
 use gullsail_scheduler_api::{
     HostId, Instant, OverrunCause, PlanId, RequestClassId, RequestId, Span, VolumeId, ZoneId,
@@ -194,7 +194,7 @@
     /// Counts a frame that carries neither an attempt nor its answer; those are counted with their requests.
     /// Frames between hosts are counted by their sender, frames between a host and a node by the host. `out`:
     /// this host sent the frame.
-    pub(super) fn count_frame(&mut self, link: LinkId, frame: &Frame, out: bool) {
+    pub(super) fn count_frame(&mut self, link: ConnectionId, frame: &Frame, out: bool) {
         let Some(here) = self.own_zone() else { return };
         if matches!(
             frame.message,
--- a/crates/host/src/runtime.rs
+++ b/crates/host/src/runtime.rs
@@ -8,7 +8,7 @@
 mod sockets;
 
 use crate::control::{Control, LoopRequest, MAX_REQUESTERS};
-use crate::core::{Core, Counts, Input, LinkId, Output};
+use crate::core::{ConnectionId, Core, Counts, Input, Output};
 use crate::stall_detector::StallDetector;
 use control_requests::Requesters;
 use gullsail_configuration::Deployment;
@@ -40,7 +40,7 @@
     /// The configuration at the start.
     pub deployment: Arc<Deployment>,
     /// Id of this host in the configuration.
-    pub me: HostId,
+    pub host: HostId,
     /// Seed of the random generators of the scheduler and the host.
     pub seed: u64,
     /// Differs between processes of the same host.
@@ -125,7 +125,7 @@
     fn new(
         process: HostProcess,
         listener: TcpListener,
-        sink: mpsc::Sender<(LinkId, LinkEvent)>,
+        sink: mpsc::Sender<(ConnectionId, LinkEvent)>,
     ) -> Runtime {
         let now = Instant::now();
         let sockets = Sockets::new(&process.deployment, listener, sink, now);
@@ -133,7 +133,7 @@
         let clock = process.clock;
         let mut core = Core::new(
             process.deployment,
-            process.me,
+            process.host,
             process.seed,
             process.incarnation,
             clock.now(),
@@ -155,7 +155,7 @@
     /// Records how long the loop worked since the last wait. Returns when the next wait must end at the latest.
     fn wake_up_at(&mut self) -> Instant {
         self.core.record_step_time(to_span(self.woken_at.elapsed()));
-        let requested = self.core.next_wake_up().map(|at| self.clock.at(at));
+        let requested = self.core.next_wake_up().map(|at| self.clock.to_runtime(at));
         self.stall_detector.next_turn(requested)
     }
 
@@ -172,7 +172,7 @@
     /// Closes all connections but those of clients. The core has left the fleet and no request is open, so frames
     /// from nodes and peers are of no use.
     fn keep_clients_only(&mut self) {
-        let clients: BTreeSet<LinkId> = self.core.client_connections().into_iter().collect();
+        let clients: BTreeSet<ConnectionId> = self.core.client_connections().into_iter().collect();
         self.sockets.links.retain(|link, _| clients.contains(link));
         self.sockets.connecting.abort_all();
     }
@@ -197,7 +197,7 @@
     }
 
     /// Lets the core advance and carries out its outputs. Returns the connections whose write queues are full.
-    fn turn(&mut self, inbox_empty: bool) -> Vec<LinkId> {
+    fn turn(&mut self, inbox_empty: bool) -> Vec<ConnectionId> {
         if let Some(interval) = self.stall_detector.record_turn(Instant::now(), inbox_empty) {
             self.core.record_stall(to_span(interval));
         }
@@ -222,10 +222,10 @@
         overfull
     }
 
-    fn carry_out(&mut self, output: Output, overfull: &mut Vec<LinkId>) {
+    fn carry_out(&mut self, output: Output, overfull: &mut Vec<ConnectionId>) {
         match output {
             Output::Send { link, frame, until } => {
-                let until = until.map(|until| self.clock.at(until));
+                let until = until.map(|until| self.clock.to_runtime(until));
                 let open = self.sockets.links.get(&link);
                 if open.is_some_and(|open| open.send_by(frame, until).is_err()) {
                     overfull.push(link);
@@ -233,7 +233,7 @@
             }
             Output::Reading { link, on } => {
                 if let Some(open) = self.sockets.links.get(&link) {
-                    open.reading(on);
+                    open.set_reading(on);
                 }
             }
             // Once the shutdown is complete, a new connection is of no use.
@@ -255,7 +255,7 @@
     }
 
     /// Closes connections whose write queues are full because the other side reads too slowly.
-    fn close_overfull(&mut self, overfull: Vec<LinkId>) {
+    fn close_overfull(&mut self, overfull: Vec<ConnectionId>) {
         for link in overfull {
             if self.sockets.links.remove(&link).is_some() {
                 let reason = "write queue full: peer reads too slowly".into();
@@ -265,7 +265,7 @@
         }
     }
 
-    fn handle(&mut self, woken: WakeReason, batch: &mut Vec<(LinkId, LinkEvent)>) {
+    fn handle(&mut self, woken: WakeReason, batch: &mut Vec<(ConnectionId, LinkEvent)>) {
         self.woken_at = Instant::now();
         match woken {
             WakeReason::Stop => {
@@ -280,7 +280,7 @@
         }
     }
 
-    fn handle_frames(&mut self, batch: &mut Vec<(LinkId, LinkEvent)>) {
+    fn handle_frames(&mut self, batch: &mut Vec<(ConnectionId, LinkEvent)>) {
         if let Some(interval) = self.stall_detector.record_turn(self.woken_at, false) {
             self.core.record_stall(to_span(interval));
         }
--- a/crates/host/src/runtime/sockets.rs
+++ b/crates/host/src/runtime/sockets.rs
@@ -3,7 +3,7 @@
 
 use super::Runtime;
 use crate::control::MAX_REQUESTERS;
-use crate::core::{Input, LinkId};
+use crate::core::{ConnectionId, Input};
 use gullsail_configuration::Deployment;
 use gullsail_connections::{Link, ReadBudget, ReadLimits, Sink};
 use nix::sys::resource::{Resource, getrlimit};
@@ -94,20 +94,20 @@
 
 /// The result of an attempt to connect.
 pub(super) struct ConnectResult {
-    link: LinkId,
+    link: ConnectionId,
     stream: io::Result<TcpStream>,
 }
 
 /// The host's sockets, and the tasks that read, write and open them.
 pub(super) struct Sockets {
     /// Open connections.
-    pub(super) links: BTreeMap<LinkId, Link>,
+    pub(super) links: BTreeMap<ConnectionId, Link>,
     /// Tasks of open connections and of the control socket.
     pub(super) tasks: JoinSet<()>,
     /// Tasks that establish connections.
     pub(super) connecting: JoinSet<ConnectResult>,
     /// Handles that abort the tasks in `connecting`.
-    connect_tasks: BTreeMap<LinkId, AbortHandle>,
+    connect_tasks: BTreeMap<ConnectionId, AbortHandle>,
     /// The listener for connections of clients and peers; `None`: the host shuts down.
     pub(super) listener: Option<TcpListener>,
     pub(super) accept_errors: AcceptErrors,
@@ -118,14 +118,14 @@
     /// Limits of connections that others open.
     incoming_limits: ReadLimits,
     /// The queue of all connections' events.
-    sink: Sink<LinkId>,
+    sink: Sink<ConnectionId>,
 }
 
 impl Sockets {
     pub(super) fn new(
         deployment: &Deployment,
         listener: TcpListener,
-        sink: Sink<LinkId>,
+        sink: Sink<ConnectionId>,
         now: Instant,
     ) -> Sockets {
         let bounds = deployment.bounds.frame;
@@ -154,7 +154,7 @@
     }
 
     /// Starts to establish a connection.
-    pub(super) fn connect(&mut self, link: LinkId, address: String) {
+    pub(super) fn connect(&mut self, link: ConnectionId, address: String) {
         let connect = async move {
             ConnectResult {
                 link,
@@ -166,14 +166,14 @@
     }
 
     /// Closes a connection, even if it is still being established.
-    pub(super) fn close(&mut self, link: LinkId) {
+    pub(super) fn close(&mut self, link: ConnectionId) {
         self.links.remove(&link);
         if let Some(task) = self.connect_tasks.remove(&link) {
             task.abort();
         }
     }
 
-    fn open(&mut self, id: LinkId, stream: TcpStream, limits: ReadLimits) {
+    fn open(&mut self, id: ConnectionId, stream: TcpStream, limits: ReadLimits) {
         let tasks = &mut self.tasks;
         let link = Link::open_within(stream, id, limits, OUTBOX_FRAMES, &self.sink, tasks);
         self.links.insert(id, link);
--- a/crates/host/tests/host/clocks.rs
+++ b/crates/host/tests/host/clocks.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::{ConnectRequest, Rig, SentFrame, document, ms};
 use gullsail_host::core::clock::{ClockUpdate, OffsetBounds, PeerClock};
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{
     Attempt, AttemptAnswer, AttemptResult, ClockReply, DemandReport, Frame, Hello, Message, Role,
 };
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct HostEnd {
     host: usize,
-    link: LinkId,
+    link: ConnectionId,
 }
 
 /// An input in transit to a host.
--- a/crates/host/tests/host/control.rs
+++ b/crates/host/tests/host/control.rs
@@ -1,7 +1,9 @@
 //! The control socket while the event loop is busy, delays an answer or has ended. The tests take the place of the loop
 //! and decide when it answers.
 
-use gullsail_host::control::{Control, ControlReply, ControlRequest, LoopRequest, State, ask};
+use gullsail_host::control::{
+    Control, ControlReply, ControlRequest, LoopRequest, State, send_request,
+};
 use gullsail_host::core::maintenance::{CommandError, CommandOutcome, OperatorCommand};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -43,7 +45,7 @@
 
     fn ask(&self, request: ControlRequest) -> JoinHandle<io::Result<ControlReply>> {
         let path = self.path.clone();
-        tokio::spawn(async move { ask(&path, request, LONG).await })
+        tokio::spawn(async move { send_request(&path, request, LONG).await })
     }
 
     /// Receives the next request, an operator's command. Returns the channel for its result.
--- a/crates/host/tests/host/core.rs
+++ b/crates/host/tests/host/core.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, document, ms};
 use bytes::Bytes;
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{
     Attempt, AttemptAnswer, AttemptResult, Cancel, DemandReport, EndpointListUpdate, Frame, Handle,
     Hello, Message, Outcome, Role, Submit, Withdraw,
@@ -24,12 +24,18 @@
 }
 
 /// Submits request 5, whose first attempt ends as given.
-fn submit_and_end(rig: &mut Rig, client: LinkId, request_class: &str, end: &End, case: usize) {
+fn submit_and_end(
+    rig: &mut Rig,
+    client: ConnectionId,
+    request_class: &str,
+    end: &End,
+    case: usize,
+) {
     let up = !matches!(end, End::NeverSent);
     let n = if up {
         rig.node_up("n1", 11, ms(1e7))
     } else {
-        LinkId(0)
+        ConnectionId(0)
     };
     rig.submit(client, 5, request_class);
     assert_eq!(rig.attempts(n).len(), usize::from(up), "case {case}");
--- a/crates/host/tests/host/model/observations.rs
+++ b/crates/host/tests/host/model/observations.rs
@@ -2,7 +2,7 @@
 
 use super::world::{InFlightAttempt, NAMES, World};
 use crate::rig::SentFrame;
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{Answer, Attempt, Message, Outcome};
 use gullsail_reference_model::Breach;
 use gullsail_scheduler_api::{
@@ -71,7 +71,7 @@
         &mut self,
         host_index: usize,
         at: Instant,
-        link: LinkId,
+        link: ConnectionId,
         sent: &Attempt,
     ) -> Result<(), Breach> {
         let id = RequestId(sent.idempotency_key[1..].parse().unwrap());
--- a/crates/host/tests/host/model/surroundings.rs
+++ b/crates/host/tests/host/model/surroundings.rs
@@ -2,7 +2,7 @@
 
 use super::world::{NAMES, NODE_CAPACITY, NodeAnswer, NodeState, World};
 use crate::rig::{ConnectRequest, ms};
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{
     Attempt, AttemptResult, EndpointListUpdate, Hello, ListedEndpoint, ListedState, Role,
 };
@@ -14,7 +14,7 @@
         &mut self,
         host_index: usize,
         n: usize,
-        link: LinkId,
+        link: ConnectionId,
         attempt: &Attempt,
     ) {
         let (now, node) = (self.now, &mut self.nodes[n]);
@@ -65,7 +65,7 @@
         }
     }
 
-    fn accept_at_list(&mut self, host_index: usize, link: LinkId) {
+    fn accept_at_list(&mut self, host_index: usize, link: ConnectionId) {
         self.hosts[host_index].list = Some(link);
         self.handle(host_index, Input::Connected(link));
         let hello = Hello {
@@ -77,7 +77,7 @@
         (0..2).for_each(|n| self.send_list_update(host_index, n));
     }
 
-    fn accept_at_node(&mut self, host_index: usize, n: usize, link: LinkId) {
+    fn accept_at_node(&mut self, host_index: usize, n: usize, link: ConnectionId) {
         self.hosts[host_index].links[n] = Some(link);
         self.handle(host_index, Input::Connected(link));
         let started_at = self.nodes[n].started_at;
--- a/crates/host/tests/host/model/world.rs
+++ b/crates/host/tests/host/model/world.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, document, ms};
 use gullsail_configuration::Deployment;
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{AttemptResult, ListedState, Withdraw};
 use gullsail_reference_model::{Breach, Model, RuleParameters};
 use gullsail_scheduler_api::{
@@ -24,7 +24,7 @@
     pub(super) at: Instant,
     pub(super) host: usize,
     pub(super) incarnation: u32,
-    pub(super) link: LinkId,
+    pub(super) link: ConnectionId,
     pub(super) attempt: u64,
     pub(super) result: AttemptResult,
 }
@@ -35,7 +35,7 @@
     pub(super) request: RequestId,
     /// How many attempts of the same request were sent before it.
     pub(super) number: u32,
-    pub(super) link: LinkId,
+    pub(super) link: ConnectionId,
 }
 
 /// The true state of a node. Hosts may have an older view.
@@ -69,11 +69,11 @@
 pub(super) struct SimulatedHost {
     pub(super) rig: Rig,
     pub(super) incarnation: u32,
-    pub(super) client: LinkId,
-    pub(super) links: [Option<LinkId>; 2],
+    pub(super) client: ConnectionId,
+    pub(super) links: [Option<ConnectionId>; 2],
     /// The nodes' states that the endpoint list last reported to this host.
     pub(super) last_list_state: [ListedState; 2],
-    pub(super) list: Option<LinkId>,
+    pub(super) list: Option<ConnectionId>,
     /// How many of the rig's sent frames were reported to the model.
     pub(super) reported: usize,
     /// How many of the rig's requested connections were handled.
--- a/crates/host/tests/host/request_stages.rs
+++ b/crates/host/tests/host/request_stages.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, document, ms};
 use bytes::Bytes;
-use gullsail_host::core::{HeldLoad, Input, LinkId};
+use gullsail_host::core::{ConnectionId, HeldLoad, Input};
 use gullsail_protocol::{
     AttemptResult, Cancel, EndpointListUpdate, Frame, Handle, ListedEndpoint, ListedState, Message,
     Outcome, Submit, Withdraw,
@@ -11,7 +11,7 @@
 
 const START: Instant = Instant::from_micros(1_000_000_000);
 
-pub fn write(rig: &mut Rig, client: LinkId, id: u64, volume: &str, bytes: usize) {
+pub fn write(rig: &mut Rig, client: ConnectionId, id: u64, volume: &str, bytes: usize) {
     let sent = Submit {
         id,
         request_class: "trip".into(),
@@ -120,8 +120,8 @@
 
 struct Setup {
     rig: Rig,
-    client: LinkId,
-    node: LinkId,
+    client: ConnectionId,
+    node: ConnectionId,
     /// Number of other requests that are open.
     other_requests: usize,
 }
@@ -135,7 +135,7 @@
     let deployment = document(&[ordered, ("limit=\"40units/s\"", "limit=\"1units/s\"")]);
     let mut rig = Rig::new(&deployment, 0, START);
     let (client, other) = (rig.client(), rig.client());
-    let mut n = LinkId(0);
+    let mut n = ConnectionId(0);
     if !matches!(stage, Stage::Queued | Stage::AwaitingConnection) {
         n = rig.node_up("n1", 11, ms(1e7));
     }
@@ -150,7 +150,7 @@
 }
 
 /// Submits request 5 so that it stops in this stage.
-fn submit_and_block(setup: &mut Setup, other: LinkId, stage: Stage) {
+fn submit_and_block(setup: &mut Setup, other: ConnectionId, stage: Stage) {
     let rig = &mut setup.rig;
     let client = setup.client;
     let n = setup.node;
--- a/crates/host/tests/host/rig.rs
+++ b/crates/host/tests/host/rig.rs
@@ -4,7 +4,7 @@
 use gullsail_configuration::{Deployment, parse};
 use gullsail_host::core::config_change::ProposalOutcome;
 use gullsail_host::core::maintenance::CommandOutcome;
-use gullsail_host::core::{Core, Input, LinkId, Output};
+use gullsail_host::core::{ConnectionId, Core, Input, Output};
 use gullsail_protocol::{
     Attempt, AttemptAnswer, AttemptResult, Frame, Handle, Hello, Message, Outcome, Role, Submit,
 };
@@ -54,7 +54,7 @@
 #[derive(Clone)]
 pub struct SentFrame {
     pub at: Instant,
-    pub link: LinkId,
+    pub link: ConnectionId,
     pub frame: Frame,
 }
 
@@ -62,7 +62,7 @@
 #[derive(Clone)]
 pub struct ConnectRequest {
     pub at: Instant,
-    pub link: LinkId,
+    pub link: ConnectionId,
     pub address: String,
 }
 
@@ -70,7 +70,7 @@
 #[derive(Clone)]
 pub struct SentAttempt {
     pub at: Instant,
-    pub link: LinkId,
+    pub link: ConnectionId,
     pub attempt: Attempt,
 }
 
@@ -81,10 +81,10 @@
     pub now: Instant,
     pub sent: Vec<SentFrame>,
     pub connects: Vec<ConnectRequest>,
-    pub closed: Vec<LinkId>,
-    pub reading: BTreeMap<LinkId, bool>,
+    pub closed: Vec<ConnectionId>,
+    pub reading: BTreeMap<ConnectionId, bool>,
     /// Connections whose other side reads nothing.
-    pub unread: BTreeSet<LinkId>,
+    pub unread: BTreeSet<ConnectionId>,
     pub finished: bool,
     /// Outcomes of proposals, with the id of the requester.
     pub proposals_decided: Vec<(u64, ProposalOutcome)>,
@@ -166,7 +166,7 @@
         self.run_until_idle();
     }
 
-    pub fn frame(&mut self, link: LinkId, frame: impl Into<Frame>) {
+    pub fn frame(&mut self, link: ConnectionId, frame: impl Into<Frame>) {
         self.handle(Input::Frame(link, frame.into()));
     }
 
@@ -181,7 +181,7 @@
         self.run_until_idle();
     }
 
-    pub fn client(&mut self) -> LinkId {
+    pub fn client(&mut self) -> ConnectionId {
         let link = self.core.accept(self.now).unwrap();
         self.frame(
             link,
@@ -195,7 +195,7 @@
     }
 
     /// Returns the newest connection that the host requested to this address.
-    pub fn connection_to(&self, address: &str) -> Option<LinkId> {
+    pub fn connection_to(&self, address: &str) -> Option<ConnectionId> {
         self.connects
             .iter()
             .rev()
@@ -204,7 +204,7 @@
     }
 
     /// Establishes the connection to the endpoint list, which identifies itself.
-    pub fn list_up(&mut self) -> LinkId {
+    pub fn list_up(&mut self) -> ConnectionId {
         let list = self.connection_to("list").unwrap();
         self.handle(Input::Connected(list));
         let hello = Hello {
@@ -216,7 +216,7 @@
         list
     }
 
-    pub fn node_up(&mut self, name: &str, incarnation: u64, age: Span) -> LinkId {
+    pub fn node_up(&mut self, name: &str, incarnation: u64, age: Span) -> ConnectionId {
         let shard_plus_one = name[1..].parse::<i64>().unwrap() + 1;
         self.node_identifies(name, incarnation, age, shard_plus_one)
     }
@@ -228,7 +228,7 @@
         incarnation: u64,
         age: Span,
         shard_plus_one: i64,
-    ) -> LinkId {
+    ) -> ConnectionId {
         let link = self.connection_to(name).unwrap();
         self.handle(Input::Connected(link));
         let hello = Hello {
@@ -243,20 +243,20 @@
     }
 
     /// Both nodes identify themselves. They have been running for long, so slow start is over.
-    pub fn nodes_up(&mut self) -> (LinkId, LinkId) {
+    pub fn nodes_up(&mut self) -> (ConnectionId, ConnectionId) {
         (
             self.node_up("n1", 11, ms(1e7)),
             self.node_up("n2", 12, ms(1e7)),
         )
     }
 
-    pub fn submit(&mut self, link: LinkId, id: u64, request_class: &str) {
+    pub fn submit(&mut self, link: ConnectionId, id: u64, request_class: &str) {
         self.submit_to(link, id, request_class, "v", 1);
     }
 
     pub fn submit_to(
         &mut self,
-        link: LinkId,
+        link: ConnectionId,
         id: u64,
         request_class: &str,
         volume: &str,
@@ -284,14 +284,14 @@
         }
     }
 
-    pub fn frames_on(&self, link: LinkId) -> impl Iterator<Item = &Frame> {
+    pub fn frames_on(&self, link: ConnectionId) -> impl Iterator<Item = &Frame> {
         self.sent
             .iter()
             .filter(move |sent| sent.link == link)
             .map(|sent| &sent.frame)
     }
 
-    pub fn attempts(&self, link: LinkId) -> Vec<Attempt> {
+    pub fn attempts(&self, link: ConnectionId) -> Vec<Attempt> {
         let attempt = |frame: &Frame| {
             if let Message::Attempt(attempt) = &frame.message {
                 Some(attempt.clone())
@@ -319,7 +319,7 @@
         new
     }
 
-    pub fn outcomes(&self, link: LinkId, id: u64) -> Vec<Outcome> {
+    pub fn outcomes(&self, link: ConnectionId, id: u64) -> Vec<Outcome> {
         let outcome = |frame: &Frame| match &frame.message {
             Message::Answer(answer) if answer.id == id => Outcome::try_from(answer.outcome).ok(),
             _ => None,
@@ -327,7 +327,7 @@
         self.frames_on(link).filter_map(outcome).collect()
     }
 
-    pub fn refusals(&self, link: LinkId) -> Vec<String> {
+    pub fn refusals(&self, link: ConnectionId) -> Vec<String> {
         let reason = |frame: &Frame| match &frame.message {
             Message::NotTaken(refusal) => Some(refusal.reason.clone()),
             _ => None,
@@ -335,11 +335,17 @@
         self.frames_on(link).filter_map(reason).collect()
     }
 
-    pub fn answer(&mut self, link: LinkId, attempt: u64, result: AttemptResult) {
+    pub fn answer(&mut self, link: ConnectionId, attempt: u64, result: AttemptResult) {
         self.answer_with(link, attempt, result, Bytes::new());
     }
 
-    pub fn answer_with(&mut self, link: LinkId, attempt: u64, result: AttemptResult, body: Bytes) {
+    pub fn answer_with(
+        &mut self,
+        link: ConnectionId,
+        attempt: u64,
+        result: AttemptResult,
+        body: Bytes,
+    ) {
         let answer = AttemptAnswer {
             attempt,
             result: result as i32,
--- a/crates/host/tests/host/waiting_attempts.rs
+++ b/crates/host/tests/host/waiting_attempts.rs
@@ -3,7 +3,7 @@
 
 use crate::request_stages::{assert_nothing_held, list_reports};
 use crate::rig::{Rig, SentAttempt, document, ms};
-use gullsail_host::core::{Input, LinkId};
+use gullsail_host::core::{ConnectionId, Input};
 use gullsail_protocol::{AttemptResult, Hello, ListedState, Outcome, Role};
 use gullsail_scheduler_api::Instant;
 
@@ -49,7 +49,7 @@
 }
 
 /// The node answers the newest attempt if it is one of this request. The first attempts of requests 101 and 160 fail.
-fn answer_newest(rig: &mut Rig, node: LinkId, id: u64) {
+fn answer_newest(rig: &mut Rig, node: ConnectionId, id: u64) {
     if let Some(attempt) = rig
         .attempts(node)
         .last()
@@ -153,7 +153,7 @@
 }
 
 /// Checks that the attempts sent never overdraw the bucket of volume `w`.
-fn check_bucket(rig: &mut Rig, n2: LinkId) {
+fn check_bucket(rig: &mut Rig, n2: ConnectionId) {
     let rate = 40.0;
     let burst = 64.0;
     let mut level = burst;
--- a/crates/platform/src/core/clients/input.rs
+++ b/crates/platform/src/core/clients/input.rs
@@ -92,8 +92,12 @@
         waited: Span,
     ) -> Result<(), RequestError> {
         let settings = &self.settings;
-        let mut parsed =
-            request_parser::parse(message, &settings.names, &settings.config, &settings.reach)?;
+        let mut parsed = request_parser::parse(
+            message,
+            &settings.names,
+            &settings.config,
+            &settings.connection_settings,
+        )?;
         // The scheduler rejects a request without time left at once.
         parsed.request.timeout = (parsed.request.timeout - waited).max(Span::ZERO);
         if self.shutdown == Shutdown::Flushing {
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -100,7 +100,7 @@
         let settings = Settings {
             names: document.names,
             config: document.config,
-            reach: document.reach,
+            connection_settings: document.connection_settings,
         };
         let scheduler = Scheduler::new(settings.config.clone(), document.seed, now);
         let clients = ClientTable::new(bounds.client_connections, bounds.input_bytes);
@@ -188,7 +188,7 @@
     /// Runs the timers that are due. Then runs the scheduler, until carrying out its actions causes no more events.
     pub fn advance(&mut self, now: Instant) {
         self.context.advance_clock(now);
-        while let Some(mut bucket) = self.context.timers.take(self.context.now) {
+        while let Some(mut bucket) = self.context.timers.take_due(self.context.now) {
             for event in bucket.drain(..) {
                 self.timer_fired(event);
             }
--- a/crates/platform/src/core/node_connections/pool.rs
+++ b/crates/platform/src/core/node_connections/pool.rs
@@ -32,8 +32,11 @@
             nodes: BTreeMap::new(),
             connections: BTreeMap::new(),
             max_connections,
-            connect_timeout: settings.reach.connect_time_out,
-            max_idle_age: settings.reach.keep_alive.times(IDLE_AGE_FRACTION),
+            connect_timeout: settings.connection_settings.connect_timeout,
+            max_idle_age: settings
+                .connection_settings
+                .node_idle_timeout
+                .times(IDLE_AGE_FRACTION),
             slow_start: settings.config.slow_start.ramp,
         }
     }
--- a/crates/platform/src/core/request_parser.rs
+++ b/crates/platform/src/core/request_parser.rs
@@ -13,7 +13,7 @@
     Idempotency, ObjectId, PlanId, PoolId, Request, RequestClassId, RequestId, SchedulerConfig,
     ShardId, Span, VolumeId,
 };
-use gullsail_scheduler_settings::{Names, Reach, hash};
+use gullsail_scheduler_settings::{ConnectionSettings, Names, hash};
 
 const TRACE_ID: &str = "X-Trace-Id";
 const REQUEST_CLASS: &str = "X-Qos";
@@ -100,7 +100,7 @@
     message: &Message,
     names: &Names,
     config: &SchedulerConfig,
-    reach: &Reach,
+    connection_settings: &ConnectionSettings,
 ) -> Result<ParsedRequest, RequestError> {
     let StartLine::Request { method, target } = &message.start else {
         return Err(RequestError::Malformed);
@@ -109,13 +109,13 @@
     let request_class = names
         .request_class(path.class_name)
         .map_err(|_| RequestError::Path)?;
-    check_method(message, method, &path, request_class, reach)?;
+    check_method(message, method, &path, request_class, connection_settings)?;
     let trace_id = single_value(message, TRACE_ID)
         .and_then(parse_hex_id)
         .ok_or(RequestError::TraceId)?;
     let plan = Plan::parse(message, names)?;
     let timeout = timeout(message)?;
-    let extent = Extent::parse(message, config, reach)?;
+    let extent = Extent::parse(message, config, connection_settings)?;
     let idempotency = config.request_classes[request_class.0].idempotency;
     let key = idempotency_key(message, idempotency)?;
     let host = single_value(message, "Host").ok_or(RequestError::Malformed)?;
@@ -238,7 +238,7 @@
     method: &[u8],
     path: &Path<'_>,
     request_class: RequestClassId,
-    reach: &Reach,
+    connection_settings: &ConnectionSettings,
 ) -> Result<(), RequestError> {
     if single_value(message, REQUEST_CLASS) != Some(path.class_name.as_bytes()) {
         return Err(RequestError::RequestClass);
@@ -248,7 +248,7 @@
         b"PUT" => true,
         _ => return Err(RequestError::Method),
     };
-    if reach
+    if connection_settings
         .writes
         .get(request_class.0)
         .is_some_and(|class_writes| *class_writes != is_write)
@@ -307,7 +307,7 @@
     fn parse(
         message: &Message,
         config: &SchedulerConfig,
-        reach: &Reach,
+        connection_settings: &ConnectionSettings,
     ) -> Result<Extent, RequestError> {
         let extent = single_value(message, EXTENT)
             .and_then(Extent::from_text)
@@ -317,8 +317,8 @@
         } else {
             f64::MAX
         };
-        let shards = if reach.shards > 0 {
-            reach.shards
+        let shards = if connection_settings.shards > 0 {
+            connection_settings.shards
         } else {
             i64::MAX
         };
--- a/crates/platform/src/core/settings.rs
+++ b/crates/platform/src/core/settings.rs
@@ -1,7 +1,7 @@
 //! Settings that stay the same until the host restarts.
 
 use gullsail_scheduler_api::{Idempotency, RequestClassId, SchedulerConfig};
-use gullsail_scheduler_settings::{Names, Reach};
+use gullsail_scheduler_settings::{ConnectionSettings, Names};
 
 /// Settings for requests, the scheduler and connections, from the settings document.
 pub(super) struct Settings {
@@ -10,7 +10,7 @@
     /// The configuration of the scheduler.
     pub(super) config: SchedulerConfig,
     /// Settings for connections to nodes and for the validation of requests.
-    pub(super) reach: Reach,
+    pub(super) connection_settings: ConnectionSettings,
 }
 
 impl Settings {
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -59,7 +59,7 @@
         if self.shutdown != Shutdown::Serving {
             return;
         }
-        let (deadline, latency_objective) = self.settings.reach.longest;
+        let (deadline, latency_objective) = self.settings.connection_settings.longest;
         let grace = deadline.min(MAX_GRACE_DEADLINE) + PLATFORM_EXTRA_GRACE;
         // The scheduler answers a request by its latency objective, so a request accepted at the end of this stage is
         // answered before the kill.
--- a/crates/platform/src/runtime.rs
+++ b/crates/platform/src/runtime.rs
@@ -100,7 +100,7 @@
         if sockets.carry_out_orders() {
             return Ok(sockets.close().await);
         }
-        let next_timer = sockets.core.next_timer().map(|at| clock.at(at));
+        let next_timer = sockets.core.next_timer().map(|at| clock.to_runtime(at));
         let next_timer = next_timer.into_iter().chain(sockets.backlog_retry()).min();
         let mut datagram = [0; DATAGRAM_BYTES];
         tokio::select! {
--- a/crates/platform/src/settings_document.rs
+++ b/crates/platform/src/settings_document.rs
@@ -2,7 +2,7 @@
 //! [`SettingsDocument::parse`] returns a valid document, or an error with the place of the fault and what was expected.
 
 use gullsail_scheduler_api::SchedulerConfig;
-use gullsail_scheduler_settings::{Names, RawSettings, Reach, config, hash};
+use gullsail_scheduler_settings::{ConnectionSettings, Names, RawSettings, config, hash};
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
     /// Maps the names of zones, plans and request classes to their ids.
     pub names: Names,
     /// Settings for connections to nodes and for the validation of requests.
-    pub reach: Reach,
+    pub connection_settings: ConnectionSettings,
 }
 
 impl SettingsDocument {
@@ -141,9 +141,9 @@
             let help = "expected one of the words of the settings' page";
             source.error(format!("{file}, settings: {error}"), help, None)
         })?;
-        let reach = raw.settings.reach();
-        config.max_connect_wait = reach.connect_time_out;
-        source.validate(&raw, &config, &reach)?;
+        let connection_settings = raw.settings.connection_settings();
+        config.max_connect_wait = connection_settings.connect_timeout;
+        source.validate(&raw, &config, &connection_settings)?;
         Ok(SettingsDocument {
             name: raw.name,
             listen: raw.listen,
@@ -156,7 +156,7 @@
             stored_endpoints: raw.stored_endpoints,
             config,
             names,
-            reach,
+            connection_settings,
         })
     }
 }
@@ -169,7 +169,11 @@
 }
 
 /// Conditions that deserialization does not check.
-fn rules(raw: &Written, config: &SchedulerConfig, reach: &Reach) -> [Rule; 5] {
+fn rules(
+    raw: &Written,
+    config: &SchedulerConfig,
+    connection_settings: &ConnectionSettings,
+) -> [Rule; 5] {
     let memory_mb = raw.limits.memory_mb;
     [
         Rule {
@@ -189,7 +193,7 @@
             expected: "settings.profiles: expected at least one request class",
         },
         Rule {
-            is_broken: reach.connect_time_out.micros() <= 0,
+            is_broken: connection_settings.connect_timeout.micros() <= 0,
             expected: "settings.limits.connect-timeout: expected a positive time in milliseconds",
         },
     ]
@@ -241,19 +245,19 @@
         &self,
         raw: &Written,
         config: &SchedulerConfig,
-        reach: &Reach,
+        connection_settings: &ConnectionSettings,
     ) -> Result<(), Box<DocumentError>> {
         let file = self.file;
-        let rules = rules(raw, config, reach);
+        let rules = rules(raw, config, connection_settings);
         if let Some(Rule { expected, .. }) = rules.iter().find(|rule| rule.is_broken) {
             return Err(self.error(format!("{file}: {expected}"), expected, None));
         }
         if let Some(contradiction) = raw.settings.contradictions().first() {
-            let place = &contradiction.place;
+            let key = &contradiction.key;
             return Err(self.error(
-                format!("{file}, settings.{place}: {}", contradiction.meant),
+                format!("{file}, settings.{key}: {}", contradiction.expected),
                 "expected settings that agree with each other",
-                self.span_of_key(place),
+                self.span_of_key(key),
             ));
         }
         Ok(())
--- a/crates/scenario/src/run/documents.rs
+++ b/crates/scenario/src/run/documents.rs
@@ -4,7 +4,7 @@
 use super::ScenarioRun;
 use super::faults::Next;
 use crate::script::Expect;
-use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_host::control::{ControlReply, ControlRequest, send_request};
 use gullsail_protocol::record::What;
 use gullsail_simulator::client::Change;
 use kdl::{KdlDocument, KdlEntry, KdlNode};
@@ -178,7 +178,7 @@
         let request = ControlRequest::Reload {
             insist: next.insist,
         };
-        let reply = ask(&self.socket(host), request, RELOAD_TIMEOUT).await;
+        let reply = send_request(&self.socket(host), request, RELOAD_TIMEOUT).await;
         let ReloadResult { got, text } = self.reload_result(host, next, reply, clients).await;
         self.note(format!("{host}, revision {}: {text}", next.revision));
         if got != Some(next.expect) {
--- a/crates/scenario/src/run/lifecycle.rs
+++ b/crates/scenario/src/run/lifecycle.rs
@@ -9,7 +9,7 @@
 use gullsail_configuration::NodePlace;
 use gullsail_connections::{Link, LinkEvent};
 use gullsail_host::control::State;
-use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_host::control::{ControlReply, ControlRequest, send_request};
 use gullsail_protocol::ListedEndpoint;
 use gullsail_protocol::ListedState;
 use gullsail_protocol::Order;
@@ -248,7 +248,7 @@
     pub(super) async fn states(&self) -> Vec<State> {
         let mut all = Vec::new();
         for h in self.host_names().iter().filter(|_| !self.stage.baseline) {
-            let reply = ask(
+            let reply = send_request(
                 &self.socket(h),
                 ControlRequest::Status,
                 Duration::from_secs(5),
--- a/crates/scenario/src/run/maintenance.rs
+++ b/crates/scenario/src/run/maintenance.rs
@@ -7,7 +7,7 @@
 use crate::error::RunError;
 use crate::script::Expect;
 use gullsail_fleet::maintenance::Stage as Of;
-use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_host::control::{ControlReply, ControlRequest, send_request};
 use gullsail_host::core::maintenance::OperatorCommand;
 use gullsail_protocol::ListedState;
 use gullsail_protocol::Order;
@@ -44,7 +44,7 @@
         let Some((name, socket)) = via else {
             return false;
         };
-        let reply = ask(
+        let reply = send_request(
             socket,
             ControlRequest::OperatorCommand(self.command.clone()),
             COMMAND_TIMEOUT,
@@ -84,7 +84,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
             for (_, socket) in &self.sockets {
                 let Ok(ControlReply::Status(state)) =
-                    ask(socket, ControlRequest::Status, STATUS_TIMEOUT).await
+                    send_request(socket, ControlRequest::Status, STATUS_TIMEOUT).await
                 else {
                     continue;
                 };
@@ -94,8 +94,11 @@
                         .iter()
                         .any(|o| o.server == *name && matches!(o.stage, Of::Offline | Of::Overdue))
                 };
-                let over =
-                    |name: &String| orders.iter().any(|o| o.server == *name && o.stage.over());
+                let over = |name: &String| {
+                    orders
+                        .iter()
+                        .any(|o| o.server == *name && o.stage.has_ended())
+                };
                 let now: Vec<String> = left.iter().filter(|m| out(m)).cloned().collect();
                 left.retain(|m| !now.contains(m) && !over(m));
                 for name in now {
@@ -123,7 +126,7 @@
                 .find(|s| s.0 == *name)
                 .cloned()
                 .unwrap_or_default();
-            if let Ok(ControlReply::CommandTaken) = ask(
+            if let Ok(ControlReply::CommandTaken) = send_request(
                 &socket,
                 ControlRequest::OperatorCommand(self.command.clone()),
                 COMMAND_TIMEOUT,
--- a/crates/scheduler-api/src/config.rs
+++ b/crates/scheduler-api/src/config.rs
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
     /// The host on which the scheduler runs.
-    pub me: HostId,
+    pub host_id: HostId,
     /// Number of hosts in the configuration, running or not.
     pub host_count: u32,
     /// Longest delay with which a timer may fire. Final answers are given two ticks before the client's deadline.
--- a/crates/scheduler-settings/src/lib.rs
+++ b/crates/scheduler-settings/src/lib.rs
@@ -13,21 +13,21 @@
     HostId, Idempotency, IdempotencyScope, Limit, Plan, RequestClass, RetryBudget, SchedulerConfig,
     SlowStart, Span,
 };
-pub use names::{Names, Problem, hash};
+pub use names::{Names, UnknownName, hash};
+pub use raw::{ConnectionSettings, RawSettings};
 use raw::{Limits, Policy, Profile, Rules};
-pub use raw::{RawSettings, Reach};
 pub use validation::Contradiction;
 
 /// Makes the configuration of a scheduler, and the names that its ids stand for.
 ///
 /// # Errors
 /// The value of a setting is an unknown word.
-pub fn config(raw: &RawSettings) -> Result<(SchedulerConfig, Names), Problem> {
+pub fn config(raw: &RawSettings) -> Result<(SchedulerConfig, Names), UnknownName> {
     let request_classes = raw.profiles.iter().map(request_class);
     let config = SchedulerConfig {
         slow_start_share: None,
         probe_interval: Span::ZERO,
-        me: HostId(raw.rank),
+        host_id: HostId(raw.rank),
         host_count: raw.peers_total,
         tick: Span::from_millis(raw.tick),
         request_classes: request_classes.collect::<Result<_, _>>()?,
@@ -108,7 +108,7 @@
     })
 }
 
-fn request_class(profile: &Profile) -> Result<RequestClass, Problem> {
+fn request_class(profile: &Profile) -> Result<RequestClass, UnknownName> {
     Ok(RequestClass {
         idempotency: idempotency(profile)?,
         latency_objective: Span::from_millis(profile.objective),
@@ -118,7 +118,7 @@
     })
 }
 
-fn idempotency(profile: &Profile) -> Result<Idempotency, Problem> {
+fn idempotency(profile: &Profile) -> Result<Idempotency, UnknownName> {
     match profile.idempotency.as_str() {
         "pure" => Ok(Idempotency::Idempotent),
         "token" => Ok(Idempotency::WithKey {
@@ -126,15 +126,15 @@
             window: Span::from_millis(profile.window),
         }),
         "side_effect" => Ok(Idempotency::NonIdempotent),
-        other => Err(Problem::unknown("effect", other)),
+        other => Err(UnknownName::unknown("effect", other)),
     }
 }
 
-fn idempotency_scope(profile: &Profile) -> Result<IdempotencyScope, Problem> {
+fn idempotency_scope(profile: &Profile) -> Result<IdempotencyScope, UnknownName> {
     match profile.group.as_str() {
         "all" => Ok(IdempotencyScope::All),
         "zone" => Ok(IdempotencyScope::Zone),
         "cell" => Ok(IdempotencyScope::Shard),
-        other => Err(Problem::unknown("group", other)),
+        other => Err(UnknownName::unknown("group", other)),
     }
 }
--- a/crates/scheduler-settings/src/names.rs
+++ b/crates/scheduler-settings/src/names.rs
@@ -7,17 +7,17 @@
 /// A name or word that the settings do not define.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {kind} '{found}'")]
-pub struct Problem {
+pub struct UnknownName {
     /// The kind of name or word, such as `plan`, or the key of the setting.
     kind: &'static str,
     /// The unknown name or word.
     found: String,
 }
 
-impl Problem {
+impl UnknownName {
     /// Reports an unknown name or word, cut to a length that fits into a log line.
-    pub fn unknown(kind: &'static str, found: &str) -> Problem {
-        Problem {
+    pub fn unknown(kind: &'static str, found: &str) -> UnknownName {
+        UnknownName {
             kind,
             found: found.chars().take(80).collect(),
         }
@@ -45,23 +45,23 @@
     ///
     /// # Errors
     /// The settings have plans, but none of this name.
-    pub fn plan(&self, name: &str) -> Result<PlanId, Problem> {
+    pub fn plan(&self, name: &str) -> Result<PlanId, UnknownName> {
         if self.plans.is_empty() {
             return Ok(PlanId(0));
         }
         position(&self.plans, name)
             .map(PlanId)
-            .ok_or_else(|| Problem::unknown("plan", name))
+            .ok_or_else(|| UnknownName::unknown("plan", name))
     }
 
     /// The id of a request class.
     ///
     /// # Errors
     /// The settings have no request class of this name.
-    pub fn request_class(&self, name: &str) -> Result<RequestClassId, Problem> {
+    pub fn request_class(&self, name: &str) -> Result<RequestClassId, UnknownName> {
         position(&self.request_classes, name)
             .map(RequestClassId)
-            .ok_or_else(|| Problem::unknown("request class", name))
+            .ok_or_else(|| UnknownName::unknown("request class", name))
     }
 
     /// The id of a zone. Each zone that the settings do not name gets a different id, made of the hash of its name.
--- a/crates/scheduler-settings/src/raw.rs
+++ b/crates/scheduler-settings/src/raw.rs
@@ -133,11 +133,11 @@
 
 /// The settings that a host with sockets needs beyond its scheduler's configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reach {
+pub struct ConnectionSettings {
     /// Timeout for connecting to a node.
-    pub connect_time_out: Span,
+    pub connect_timeout: Span,
     /// Time after which idle connections to nodes are closed.
-    pub keep_alive: Span,
+    pub node_idle_timeout: Span,
     /// For each request class, whether its requests write.
     pub writes: Vec<bool>,
     /// The longest timeout and the longest latency objective of all request classes.
@@ -148,14 +148,14 @@
 
 impl RawSettings {
     /// The part that a host with sockets needs.
-    pub fn reach(&self) -> Reach {
+    pub fn connection_settings(&self) -> ConnectionSettings {
         let profiles = || self.profiles.iter();
         let timeout = profiles().map(|profile| profile.give_up);
         let objective = profiles().map(|profile| profile.objective);
-        Reach {
+        ConnectionSettings {
             longest: (longest_of(timeout), longest_of(objective)),
-            connect_time_out: Span::from_millis(self.limits.connect_timeout),
-            keep_alive: Span::from_millis(self.limits.keepalive),
+            connect_timeout: Span::from_millis(self.limits.connect_timeout),
+            node_idle_timeout: Span::from_millis(self.limits.keepalive),
             writes: self.family_info.writes.clone(),
             shards: self.family_info.slots_total,
         }
--- a/crates/scheduler-settings/src/validation.rs
+++ b/crates/scheduler-settings/src/validation.rs
@@ -5,12 +5,12 @@
 
 /// A setting that is invalid or contradicts another one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{place}: {meant}")]
+#[error("{key}: {expected}")]
 pub struct Contradiction {
     /// The path of the setting's key, such as `policies[0].limit`.
-    pub place: String,
+    pub key: String,
     /// The expected value, and the value found.
-    pub meant: String,
+    pub expected: String,
 }
 
 /// The contradictions found so far, in order.
@@ -18,20 +18,20 @@
 struct Findings(Vec<Contradiction>);
 
 impl Findings {
-    fn check(&mut self, wrong: bool, place: impl Into<String>, meant: impl Into<String>) {
+    fn check(&mut self, wrong: bool, key: impl Into<String>, expected: impl Into<String>) {
         if wrong {
             self.0.push(Contradiction {
-                place: place.into(),
-                meant: meant.into(),
+                key: key.into(),
+                expected: expected.into(),
             });
         }
     }
 
-    fn check_not_negative(&mut self, place: impl Into<String>, figure: f64) {
+    fn check_not_negative(&mut self, key: impl Into<String>, figure: f64) {
         let wrong = !figure.is_finite() || figure < 0.0;
         self.check(
             wrong,
-            place,
+            key,
             format!("a figure of 0 or more was meant, not {figure}"),
         );
     }
--- a/crates/timers/src/clock.rs
+++ b/crates/timers/src/clock.rs
@@ -31,7 +31,7 @@
 
     /// The clock with a rate that is higher by the fraction `faster`, or lower if it is negative, for tests of
     /// hosts whose clocks drift.
-    pub fn running(self, faster: f64) -> HostClock {
+    pub fn with_rate_offset(self, faster: f64) -> HostClock {
         HostClock {
             rate: 1.0 + faster.clamp(-0.5, 0.5),
             ..self
@@ -45,7 +45,7 @@
     }
 
     /// Converts a reading of this clock to the runtime's clock, for tokio's timers.
-    pub fn at(&self, at: Instant) -> tokio::time::Instant {
+    pub fn to_runtime(&self, at: Instant) -> tokio::time::Instant {
         let ahead_us = (at - self.wall).micros().max(0) as f64 / self.rate;
         self.base + Duration::from_micros(ahead_us as u64)
     }
--- a/crates/timers/src/timer_queue.rs
+++ b/crates/timers/src/timer_queue.rs
@@ -54,7 +54,7 @@
 
     /// Removes the earliest bucket if its timers are due; `None`: no timer is due. Buckets come in order of time,
     /// the timers of one bucket in the order in which they were set.
-    pub fn take(&mut self, now: Instant) -> Option<Vec<T>> {
+    pub fn take_due(&mut self, now: Instant) -> Option<Vec<T>> {
         let first = self.buckets.first_entry()?;
         let due_us = first.key().saturating_mul(BUCKET_US);
         (due_us <= now.micros()).then(|| first.remove())
@@ -65,7 +65,7 @@
         self.buckets.values().map(Vec::len).sum()
     }
 
-    /// Takes back a bucket that [`Timers::take`] returned, for reuse.
+    /// Takes back a bucket that [`Timers::take_due`] returned, for reuse.
     pub fn give_back(&mut self, mut bucket: Vec<T>) {
         if self.spare.len() < MAX_SPARE_BUCKETS {
             bucket.clear();
--- a/src/scheduler/demand_reports/epoch.rs
+++ b/src/scheduler/demand_reports/epoch.rs
@@ -37,7 +37,7 @@
 /// Asks a directory host for the other hosts of a volume.
 fn search_peers(state: &mut SchedulerState, search: &VolumeSearch) {
     let to = search.directory_host;
-    if to == state.config.me {
+    if to == state.config.host_id {
         register_user(state, to, search.volume);
         return;
     }
--- a/src/scheduler/demand_reports/peer_messages.rs
+++ b/src/scheduler/demand_reports/peer_messages.rs
@@ -35,7 +35,7 @@
 }
 
 fn is_other_host(state: &SchedulerState, host: HostId) -> bool {
-    host != state.config.me && host.0 < state.config.host_count
+    host != state.config.host_id && host.0 < state.config.host_count
 }
 
 fn handle_report(state: &mut SchedulerState, from: HostId, made_at: Instant, report: VolumeDemand) {
@@ -75,7 +75,7 @@
 }
 
 fn send_users(state: &mut SchedulerState, to: HostId, users: &[VolumeUser]) {
-    if to == state.config.me {
+    if to == state.config.host_id {
         for user in users {
             add_peer(state, *user);
         }
--- a/src/scheduler/endpoint/slow_start.rs
+++ b/src/scheduler/endpoint/slow_start.rs
@@ -178,7 +178,7 @@
         .max(1.0)
         .ceil();
     let node_offset = (node.0 % NODE_OFFSETS) as f64;
-    let rotation_offset = (f64::from(config.me.0) + node_offset) / hosts * turns;
+    let rotation_offset = (f64::from(config.host_id.0) + node_offset) / hosts * turns;
     let windows_elapsed = now.millis() / config.slow_start.window.millis();
     (rotation_offset + windows_elapsed) % turns < 1.0
 }
--- a/src/scheduler/endpoint_polling.rs
+++ b/src/scheduler/endpoint_polling.rs
@@ -26,7 +26,8 @@
     /// Returns the action that sets the timer for the next poll after the loss of the list. Each host waits for
     /// a different fraction of the backoff, since all hosts lose the list at the same time.
     pub(super) fn list_lost(&mut self, now: Instant, config: &SchedulerConfig) -> Action {
-        let fraction = 0.5 + 0.5 * f64::from(config.me.0) / f64::from(config.host_count.max(1));
+        let fraction =
+            0.5 + 0.5 * f64::from(config.host_id.0) / f64::from(config.host_count.max(1));
         let max_backoff = config.max_poll_interval.unwrap_or(MAX_POLL_BACKOFF);
         let wait = self.backoff.min(max_backoff).times(fraction);
         self.backoff = self.backoff.times(2.0).min(MAX_POLL_BACKOFF);
--- a/tests/decisions/cold_fleet.rs
+++ b/tests/decisions/cold_fleet.rs
@@ -101,7 +101,7 @@
         let warm: Vec<_> = (1..SHARDS).map(|shard| node(shard as u64, shard)).collect();
         for host in 0..self.config.host_count {
             let config = SchedulerConfig {
-                me: HostId(host),
+                host_id: HostId(host),
                 ..self.config.clone()
             };
             self.hosts.push(Scheduler::new(
--- a/tests/decisions/cross_zone.rs
+++ b/tests/decisions/cross_zone.rs
@@ -249,7 +249,7 @@
         };
         let host = |me| {
             let config = SchedulerConfig {
-                me: HostId(me),
+                host_id: HostId(me),
                 ..two_zone_config(true, limit)
             };
             Host::new(config, vec![remote_node.clone()], at(0))
--- a/tests/decisions/inputs.rs
+++ b/tests/decisions/inputs.rs
@@ -14,7 +14,7 @@
         let config = SchedulerConfig {
             poll_endpoints: true,
             max_poll_interval: poll_limit,
-            me: HostId(1),
+            host_id: HostId(1),
             ..config()
         };
         let mut host = Host::new(config, vec![node(1, 0)], at(0));
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -157,7 +157,7 @@
 
     fn start_host(&self, me: u32, now: Instant) -> Host {
         let config = SchedulerConfig {
-            me: HostId(me),
+            host_id: HostId(me),
             ..self.config.clone()
         };
         Host::new(config, (0..3).map(|n| node(n, n as i64)).collect(), now)
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -195,7 +195,7 @@
     /// Starts a host, or the next incarnation of one that was killed.
     pub fn start_host(&mut self, me: usize) {
         let config = SchedulerConfig {
-            me: HostId(me as u32),
+            host_id: HostId(me as u32),
             ..self.config.clone()
         };
         self.model.step();
