--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether there is no breach of the rule.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.breaches.is_empty()
     }
 }
--- a/crates/audit/tests/planted/breaches.rs
+++ b/crates/audit/tests/planted/breaches.rs
@@ -157,7 +157,7 @@
     let broken: Vec<_> = r
         .judge()
         .into_iter()
-        .filter(|verdict| !verdict.kept())
+        .filter(|verdict| !verdict.passed())
         .collect();
     assert!(broken.is_empty(), "{broken:?}");
 }
@@ -170,7 +170,7 @@
         let found: Vec<_> = r
             .judge()
             .into_iter()
-            .filter(|verdict| !verdict.kept())
+            .filter(|verdict| !verdict.passed())
             .collect();
         let broken: Vec<_> = found.iter().map(|verdict| verdict.rule).collect();
         assert_eq!(broken, [rule], "{expected}: {found:?}");
--- a/crates/audit/tests/planted/limits.rs
+++ b/crates/audit/tests/planted/limits.rs
@@ -136,7 +136,7 @@
         let verdicts = judge(&d, &r.lines.join("\n")).unwrap();
         let verdict = verdicts.iter().find(|verdict| verdict.rule == 8).unwrap();
         assert_eq!(
-            (verdict.kept(), verdict.tested > 0),
+            (verdict.passed(), verdict.tested > 0),
             (!broken, true),
             "{attempts} {reported}: {verdict:?}"
         );
--- a/crates/configuration/src/revisions.rs
+++ b/crates/configuration/src/revisions.rs
@@ -9,7 +9,7 @@
 use crate::reader::Reader;
 use crate::revision_entry::entry;
 use crate::source_map::{Loader, resolve_path};
-use gullsail_config_transition::{MOST_HOSTS, RevisionLimits, SharedLimit};
+use gullsail_config_transition::{MAX_HOSTS, RevisionLimits, SharedLimit};
 
 /// The maximum number of revisions in a sequence. It only has to reach back to the oldest revision that a host may
 /// still use.
@@ -64,9 +64,9 @@
             Err((message, help)) => reader.report("after", message, at, help),
         }
     }
-    if let Some(n) = entry(&document).filter(|_| built.hosts.len() > MOST_HOSTS as usize) {
+    if let Some(n) = entry(&document).filter(|_| built.hosts.len() > MAX_HOSTS as usize) {
         let message =
-            format!("documents with more than {MOST_HOSTS} hosts can't have a revision yet");
+            format!("documents with more than {MAX_HOSTS} hosts can't have a revision yet");
         reader.report("too-much", message, n.span(), None);
     }
     limit_history.push(revision_limits(&built));
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -344,7 +344,7 @@
     }
 
     /// Describes a bound for messages.
-    pub fn say(&self, bound: Bound) -> String {
+    pub fn describe(&self, bound: Bound) -> String {
         match bound {
             Bound::Nodes(z) => {
                 format!(
@@ -368,7 +368,7 @@
     }
 
     /// The budget from one zone to another in bytes a second; `None` if there is none.
-    pub fn most(&self, from: usize, to: usize) -> Option<f64> {
+    pub fn limit(&self, from: usize, to: usize) -> Option<f64> {
         self.budget(from, to).map(|index| self.budgets[index].limit)
     }
 }
--- a/crates/scenario/src/built_in.rs
+++ b/crates/scenario/src/built_in.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns the document of a built-in scenario, its deployment included; `None`: there is no scenario of this name.
-pub fn day(name: &str) -> Option<String> {
+pub fn find(name: &str) -> Option<String> {
     let script = DAYS.iter().find(|d| d.0 == name)?.1;
     let deployment = match name {
         // The deployment of `budget-many` with 60 hosts instead of 24.
--- a/crates/scenario/src/run/maintenance.rs
+++ b/crates/scenario/src/run/maintenance.rs
@@ -7,7 +7,7 @@
 use crate::error::RunError;
 use crate::script::Expect;
 use gullsail_fleet::maintenance::Stage as OrderStage;
-use gullsail_host::control::{ControlReply, ControlRequest, ask};
+use gullsail_host::control::{ControlReply, ControlRequest, send_request};
 use gullsail_host::core::maintenance::OperatorCommand;
 use gullsail_protocol::ListedState;
 use gullsail_protocol::Order;
@@ -48,7 +48,7 @@
         let Some((name, socket)) = via else {
             return false;
         };
-        let reply = ask(
+        let reply = send_request(
             socket,
             ControlRequest::OperatorCommand(self.command.clone()),
             COMMAND_TIMEOUT,
@@ -88,7 +88,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
             for (_, socket) in &self.sockets {
                 let Ok(ControlReply::Status(state)) =
-                    ask(socket, ControlRequest::Status, STATUS_TIMEOUT).await
+                    send_request(socket, ControlRequest::Status, STATUS_TIMEOUT).await
                 else {
                     continue;
                 };
@@ -99,8 +99,11 @@
                             && matches!(o.stage, OrderStage::Offline | OrderStage::Overdue)
                     })
                 };
-                let is_over =
-                    |name: &String| orders.iter().any(|o| o.server == *name && o.stage.over());
+                let is_over = |name: &String| {
+                    orders
+                        .iter()
+                        .any(|o| o.server == *name && o.stage.has_ended())
+                };
                 let offline: Vec<String> = remaining
                     .iter()
                     .filter(|m| is_offline(m))
@@ -133,7 +136,7 @@
                 .find(|s| s.0 == *name)
                 .cloned()
                 .unwrap_or_default();
-            if let Ok(ControlReply::CommandTaken) = ask(
+            if let Ok(ControlReply::CommandTaken) = send_request(
                 &socket,
                 ControlRequest::OperatorCommand(self.command.clone()),
                 COMMAND_TIMEOUT,
--- a/crates/scenario/src/run/report.rs
+++ b/crates/scenario/src/run/report.rs
@@ -47,7 +47,7 @@
 impl Report {
     /// Returns whether all rules were kept, the required ones were tested and nothing else failed.
     pub fn passed(&self) -> bool {
-        self.verdicts.iter().all(Verdict::kept)
+        self.verdicts.iter().all(Verdict::passed)
             && self.untested.is_empty()
             && self.failures.is_empty()
     }
